--- a/lib/src/direct/fanout/hub.rs
+++ b/lib/src/direct/fanout/hub.rs
@@ -13,7 +13,7 @@
 use super::tree::LISTENERS;
 use super::wire::{encode, size};
 use crate::clock::{Clock, Millis};
-use crate::direct::vet::Refusal;
+use crate::direct::validate::Refusal;
 use crate::metrics::Metrics;
 use crate::schema::direct::Update as Sent;
 
--- a/lib/src/direct/fanout/subscription.rs
+++ b/lib/src/direct/fanout/subscription.rs
@@ -10,7 +10,7 @@
 use super::{Heard, Source};
 use crate::clock::Millis;
 use crate::direct::ask::Controllers;
-use crate::direct::vet::Refusal;
+use crate::direct::validate::Refusal;
 use crate::name::Name;
 use crate::schema::direct::{FollowRequest, Update as Sent};
 
--- a/lib/src/direct/follow/mod.rs
+++ b/lib/src/direct/follow/mod.rs
@@ -15,7 +15,7 @@
 use super::limits::{Current, POLL_WAIT, STORE_PAUSE};
 use super::outage::{Doubt, Outage};
 use super::reachable::{self, Reached};
-use super::vet::{Refusal, vet};
+use super::validate::{Refusal, validate};
 use super::view::View;
 use crate::clock::{Clock, Millis};
 use crate::ports::poll::{self, Changes, Poll};
@@ -234,7 +234,7 @@
             }
             let within = self.within_doubt(left.min(LISTEN));
             match source.next(revision, within).await {
-                Heard::Update(update) => match vet(update, revision) {
+                Heard::Update(update) => match validate(update, revision) {
                     Ok(update) => {
                         revision = update.revision;
                         self.hear(update, "node");
--- a/lib/src/direct/mod.rs
+++ b/lib/src/direct/mod.rs
@@ -49,6 +49,6 @@
 pub mod target;
 
 pub mod upstream;
+pub mod validate;
 pub mod versions;
-pub mod vet;
 pub mod view;
--- a/lib/src/direct/vet.rs
+++ b/lib/src/direct/validate.rs
@@ -63,7 +63,7 @@
 /// # Errors
 ///
 /// Why nothing of it may be taken in.
-pub fn vet(mut update: Update, known: u64) -> Result<Update, Refusal> {
+pub fn validate(mut update: Update, known: u64) -> Result<Update, Refusal> {
     if update.revision < update.after {
         return Err(Refusal::Backwards);
     }
--- a/lib/tests/test_direct_fanout_fuzz.rs
+++ b/lib/tests/test_direct_fanout_fuzz.rs
@@ -16,7 +16,7 @@
 use chivevalve::direct::fanout::{Heard, Hub, Source, Update};
 use chivevalve::direct::follow::{Follower, NODES};
 use chivevalve::direct::limits::Current;
-use chivevalve::direct::vet::Refusal;
+use chivevalve::direct::validate::Refusal;
 use chivevalve::direct::view::{CLAIMS, View};
 use chivevalve::metrics::Metrics;
 use chivevalve::ports::{Entry, Event};
