--- a/lib/src/direct/fanout/hub.rs
+++ b/lib/src/direct/fanout/hub.rs
@@ -13,7 +13,7 @@
 use super::tree::LISTENERS;
 use super::wire::{encode, size};
 use crate::clock::{Clock, Millis};
-use crate::direct::validate::Refusal;
+use crate::direct::validate::RejectReason;
 use crate::metrics::Metrics;
 use crate::schema::direct::Update as Sent;
 
@@ -119,7 +119,7 @@
     }
 
     /// Counts what was left aside.
-    pub fn refused(&self, refusal: Refusal) {
+    pub fn refused(&self, refusal: RejectReason) {
         let refused = &self.metrics.updates_refused;
         refused.with_label_values(&[refusal.name()]).inc();
     }
--- a/lib/src/direct/fanout/subscription.rs
+++ b/lib/src/direct/fanout/subscription.rs
@@ -10,7 +10,7 @@
 use super::{Heard, Source};
 use crate::clock::Millis;
 use crate::direct::ask::Controllers;
-use crate::direct::validate::Refusal;
+use crate::direct::validate::RejectReason;
 use crate::name::Name;
 use crate::schema::direct::{FollowRequest, Update as Sent};
 
@@ -132,7 +132,7 @@
             Err(status) => {
                 log::info!("follow: {leader} passes nothing on any more: {status}");
                 if status.code() == TOO_LARGE {
-                    self.controllers.hub.refused(Refusal::Oversized);
+                    self.controllers.hub.refused(RejectReason::Oversized);
                     self.avoid();
                 }
                 self.stream = None;
--- a/lib/src/direct/follow/entries.rs
+++ b/lib/src/direct/follow/entries.rs
@@ -7,7 +7,7 @@
 use crate::clock::Millis;
 use crate::direct::dialect::Key;
 use crate::direct::presence::Written;
-use crate::direct::validate::Refusal;
+use crate::direct::validate::RejectReason;
 use crate::direct::versions::Declaration;
 use crate::direct::view::{CLAIMS, Evidence, Peer, State, claimed};
 use crate::name::Name;
@@ -108,12 +108,12 @@
                 Ok(())
             }
             Key::Other => {
-                self.refuse(Refusal::Unused);
+                self.refuse(RejectReason::UnusedKey);
                 Ok(())
             }
         };
         if let Err(error) = told {
-            self.refuse(Refusal::Unreadable);
+            self.refuse(RejectReason::Unreadable);
             log::error!("follow: {} is left as it was: {error}", entry.key);
         }
     }
@@ -152,7 +152,7 @@
 }
 
 /// Takes in an entry of this system's own; returns why not if it is left aside.
-fn put_own(state: &mut State, name: &str, entry: &Entry, now: Millis) -> Option<Refusal> {
+fn put_own(state: &mut State, name: &str, entry: &Entry, now: Millis) -> Option<RejectReason> {
     let is_readable = if let Some(node) = name.strip_prefix(NODES) {
         match serde_json::from_slice::<Peer>(&entry.value) {
             Ok(peer) => {
@@ -169,11 +169,11 @@
     } else {
         return match state.put_evidence(name, &entry.value, Some(entry.revision), now) {
             Evidence::Taken => None,
-            Evidence::Unreadable => Some(Refusal::Unreadable),
-            Evidence::Other => Some(Refusal::Unused),
+            Evidence::Unreadable => Some(RejectReason::Unreadable),
+            Evidence::Other => Some(RejectReason::UnusedKey),
         };
     };
-    (!is_readable).then_some(Refusal::Unreadable)
+    (!is_readable).then_some(RejectReason::Unreadable)
 }
 
 fn written(entry: &Entry) -> Written {
--- a/lib/src/direct/follow/mod.rs
+++ b/lib/src/direct/follow/mod.rs
@@ -15,7 +15,7 @@
 use super::limits::{Current, POLL_WAIT, STORE_PAUSE};
 use super::outage::{Doubt, Outage};
 use super::reachable::{self, Reached};
-use super::validate::{Refusal, validate};
+use super::validate::{RejectReason, validate};
 use super::view::View;
 use crate::clock::{Clock, Millis};
 use crate::ports::poll::{self, Changes, Poll};
@@ -242,7 +242,7 @@
                     Err(refusal) => {
                         self.refuse(refusal);
                         // Whoever is behind catches up, and its age shows if it doesn't.
-                        if refusal != Refusal::Old {
+                        if refusal != RejectReason::Stale {
                             log::warn!("follow: an update is left aside: {}", refusal.name());
                             source.avoid();
                             break;
@@ -277,7 +277,7 @@
         }
     }
 
-    fn refuse(&self, refusal: Refusal) {
+    fn refuse(&self, refusal: RejectReason) {
         if let Some(hub) = &self.hub {
             hub.refused(refusal);
         }
--- a/lib/src/direct/validate.rs
+++ b/lib/src/direct/validate.rs
@@ -19,9 +19,9 @@
 
 /// Why an update, or one of its changes, is left aside.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Refusal {
+pub enum RejectReason {
     /// All that it tells is known, and more.
-    Old,
+    Stale,
     /// It begins behind what is known: changes between are missing.
     Gap,
     /// It ends before it begins.
@@ -29,31 +29,31 @@
     /// It leads further than the service can be, or than its own changes.
     Ahead,
     /// A change isn't between the two revisions.
-    Outside,
+    OutOfRange,
     /// A change stands behind a newer one.
-    Disordered,
+    OutOfOrder,
     /// It is larger than what a node reads at once.
     Oversized,
     /// A change's value can't be read.
     Unreadable,
     /// A change is of a key that no node uses.
-    Unused,
+    UnusedKey,
 }
 
-impl Refusal {
+impl RejectReason {
     /// Returns the name used in logs and metrics.
     #[must_use]
     pub const fn name(self) -> &'static str {
         match self {
-            Self::Old => "old",
+            Self::Stale => "old",
             Self::Gap => "gap",
             Self::Backwards => "backwards",
             Self::Ahead => "ahead",
-            Self::Outside => "outside",
-            Self::Disordered => "disordered",
+            Self::OutOfRange => "outside",
+            Self::OutOfOrder => "disordered",
             Self::Oversized => "oversized",
             Self::Unreadable => "unreadable",
-            Self::Unused => "unused key",
+            Self::UnusedKey => "unused key",
         }
     }
 }
@@ -63,28 +63,28 @@
 /// # Errors
 ///
 /// Why nothing of it may be taken in.
-pub fn validate(mut update: Update, known: u64) -> Result<Update, Refusal> {
+pub fn validate(mut update: Update, known: u64) -> Result<Update, RejectReason> {
     if update.revision < update.after {
-        return Err(Refusal::Backwards);
+        return Err(RejectReason::Backwards);
     }
     if update.after > known {
-        return Err(Refusal::Gap);
+        return Err(RejectReason::Gap);
     }
     if update.revision < known {
-        return Err(Refusal::Old);
+        return Err(RejectReason::Stale);
     }
     let (after, revision) = (update.after, update.revision);
     let mut revisions = update.events.iter().map(|event| event.revision);
     if revisions.any(|changed| changed <= after || changed > revision) {
-        return Err(Refusal::Outside);
+        return Err(RejectReason::OutOfRange);
     }
     if !update.events.is_sorted_by_key(|event| event.revision) {
-        return Err(Refusal::Disordered);
+        return Err(RejectReason::OutOfOrder);
     }
     let newest = update.events.last().map(|event| event.revision);
     let is_proved = newest.unwrap_or(update.after) >= update.revision;
     if !is_proved || update.revision - known > MOST_AHEAD {
-        return Err(Refusal::Ahead);
+        return Err(RejectReason::Ahead);
     }
     update.events.retain(|event| event.revision > known);
     Ok(update)
--- a/lib/tests/test_direct_fanout_fuzz.rs
+++ b/lib/tests/test_direct_fanout_fuzz.rs
@@ -16,7 +16,7 @@
 use chivevalve::direct::fanout::{Heard, Hub, Source, Update};
 use chivevalve::direct::follow::{Follower, NODES};
 use chivevalve::direct::limits::Current;
-use chivevalve::direct::validate::Refusal;
+use chivevalve::direct::validate::RejectReason;
 use chivevalve::direct::view::{CLAIMS, View};
 use chivevalve::metrics::Metrics;
 use chivevalve::ports::{Entry, Event};
@@ -317,7 +317,7 @@
 
 impl Node {
     /// How often something was left aside for a reason.
-    fn refused(&self, refusal: Refusal) -> u64 {
+    fn refused(&self, refusal: RejectReason) -> u64 {
         let refused = &self.metrics.updates_refused;
         refused.with_label_values(&[refusal.name()]).get()
     }
@@ -533,7 +533,7 @@
 }
 
 /// Plays a sequence; returns how often the first node left something aside for a reason.
-fn play(steps: &[Step]) -> Result<impl Fn(Refusal) -> u64 + use<>, String> {
+fn play(steps: &[Step]) -> Result<impl Fn(RejectReason) -> u64 + use<>, String> {
     let (play, result) = runtime().block_on(async {
         let mut play = Play::new();
         let result = play.play(steps).await;
@@ -573,34 +573,34 @@
     let spoilt = |kind, reason| (Step::Spoilt(kind, 1, 0), Some(reason));
     let cases = [
         (Step::Hear(1, 0, 0), None),
-        (Step::Hear(0, 0, 0), Some(Refusal::Gap)),
+        (Step::Hear(0, 0, 0), Some(RejectReason::Gap)),
         (Step::Hear(3, 0, 0), None),
-        (Step::Hear(2, 2, 0), Some(Refusal::Old)),
-        spoilt(Spoilt::Backwards, Refusal::Backwards),
-        spoilt(Spoilt::Nowhere, Refusal::Backwards),
-        spoilt(Spoilt::Endless, Refusal::Ahead),
-        spoilt(Spoilt::Ahead, Refusal::Gap),
-        spoilt(Spoilt::AheadWithChanges, Refusal::Ahead),
-        spoilt(Spoilt::ChangeOfNothing, Refusal::Outside),
-        spoilt(Spoilt::ChangeOfTheEnd, Refusal::Outside),
-        spoilt(Spoilt::End, Refusal::Ahead),
-        spoilt(Spoilt::Older, Refusal::Outside),
+        (Step::Hear(2, 2, 0), Some(RejectReason::Stale)),
+        spoilt(Spoilt::Backwards, RejectReason::Backwards),
+        spoilt(Spoilt::Nowhere, RejectReason::Backwards),
+        spoilt(Spoilt::Endless, RejectReason::Ahead),
+        spoilt(Spoilt::Ahead, RejectReason::Gap),
+        spoilt(Spoilt::AheadWithChanges, RejectReason::Ahead),
+        spoilt(Spoilt::ChangeOfNothing, RejectReason::OutOfRange),
+        spoilt(Spoilt::ChangeOfTheEnd, RejectReason::OutOfRange),
+        spoilt(Spoilt::End, RejectReason::Ahead),
+        spoilt(Spoilt::Older, RejectReason::OutOfRange),
         (
             Step::Spoilt(Spoilt::Disordered, 2, 0),
-            Some(Refusal::Disordered),
+            Some(RejectReason::OutOfOrder),
         ),
-        spoilt(Spoilt::Foreign, Refusal::Unused),
-        spoilt(Spoilt::Oversized, Refusal::Unused),
+        spoilt(Spoilt::Foreign, RejectReason::UnusedKey),
+        spoilt(Spoilt::Oversized, RejectReason::UnusedKey),
     ];
     let all = [
-        Refusal::Old,
-        Refusal::Gap,
-        Refusal::Backwards,
-        Refusal::Ahead,
-        Refusal::Outside,
-        Refusal::Disordered,
-        Refusal::Unreadable,
-        Refusal::Unused,
+        RejectReason::Stale,
+        RejectReason::Gap,
+        RejectReason::Backwards,
+        RejectReason::Ahead,
+        RejectReason::OutOfRange,
+        RejectReason::OutOfOrder,
+        RejectReason::Unreadable,
+        RejectReason::UnusedKey,
     ];
     for (step, reason) in cases {
         let told = format!("{step:?}");
@@ -624,11 +624,11 @@
     for number in 0..NAMES {
         let refused = play(&[Step::Write(7, number), Step::Hear(1, 0, 0)]).unwrap();
         let claim = number == 2;
-        assert_eq!(refused(Refusal::Unreadable) > 0, !claim, "{number}");
-        assert_eq!(refused(Refusal::Unused) > 0, claim, "{number}");
+        assert_eq!(refused(RejectReason::Unreadable) > 0, !claim, "{number}");
+        assert_eq!(refused(RejectReason::UnusedKey) > 0, claim, "{number}");
     }
     let refused = play(&[Step::Write(8, 0), Step::Hear(1, 0, 0)]).unwrap();
-    assert_eq!(refused(Refusal::Unused), 1);
+    assert_eq!(refused(RejectReason::UnusedKey), 1);
 }
 
 /// An update that begins behind what is known is refused, as changes between are missing.
