--- a/lib/src/direct/claim/candidate.rs
+++ b/lib/src/direct/claim/candidate.rs
@@ -11,7 +11,7 @@
 use crate::direct::config::Config;
 use crate::direct::limits::Limits;
 use crate::direct::upstream::Upstream;
-use crate::direct::view::{Standing, State};
+use crate::direct::view::{ClaimEntry, State};
 
 /// Seed of the order of nodes for an engine. Changing it moves every claim, so it stays.
 const CLAIM_SEED: u64 = 0x636c_6169_6d73;
@@ -24,7 +24,7 @@
 pub(super) struct Candidate {
     pub(super) address: SocketAddr,
     /// The mark that a previous owner left.
-    pub(super) left: Option<Standing>,
+    pub(super) left: Option<ClaimEntry>,
     /// Whether it is a claim that an earlier start of the same node left.
     pub(super) is_own: bool,
     /// Who gave the orders before.
@@ -128,7 +128,7 @@
         claims.any(|(address, standing)| self.is_to_take_back(*address, standing))
     }
 
-    fn is_to_take_back(&self, address: SocketAddr, standing: &Standing) -> bool {
+    fn is_to_take_back(&self, address: SocketAddr, standing: &ClaimEntry) -> bool {
         self.is_previous_start(standing) && !self.right.owns(address)
     }
 
@@ -137,7 +137,7 @@
         &self,
         state: &State,
         address: SocketAddr,
-        standing: &Standing,
+        standing: &ClaimEntry,
         began: Millis,
     ) -> Candidate {
         let (previous, from) = self.follows(state, address, Some(standing), began);
@@ -157,7 +157,7 @@
     /// Its process has ended, and to an engine both are one VM: when many nodes
     /// are restarted at once, engines would otherwise get no orders until all
     /// leases have lapsed and all rights have run out.
-    fn is_previous_start(&self, standing: &Standing) -> bool {
+    fn is_previous_start(&self, standing: &ClaimEntry) -> bool {
         standing.claim.node == self.node && standing.claim.start != self.peer.start
     }
 
--- a/lib/src/direct/claim/previous.rs
+++ b/lib/src/direct/claim/previous.rs
@@ -5,7 +5,7 @@
 use super::Claimer;
 use crate::clock::Millis;
 use crate::direct::limits::RIGHT;
-use crate::direct::view::{Claim, Standing, State};
+use crate::direct::view::{Claim, ClaimEntry, State};
 
 /// What became of the node that gave an engine its orders before.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -54,7 +54,7 @@
         &self,
         state: &State,
         address: SocketAddr,
-        left: Option<&Standing>,
+        left: Option<&ClaimEntry>,
         began: Millis,
     ) -> (Previous, Millis) {
         let previous = self.previous(state, address, left);
@@ -72,7 +72,7 @@
     }
 
     /// Returns what is known of an engine's previous owner.
-    fn previous(&self, state: &State, address: SocketAddr, left: Option<&Standing>) -> Previous {
+    fn previous(&self, state: &State, address: SocketAddr, left: Option<&ClaimEntry>) -> Previous {
         if let Some(left) = left {
             if left.claim.node == self.node {
                 return self.itself(&left.claim);
--- a/lib/src/direct/claim/takeover.rs
+++ b/lib/src/direct/claim/takeover.rs
@@ -7,7 +7,7 @@
 use super::{CLAIMS_AT_ONCE, Claimer, encoded};
 use crate::clock::Millis;
 use crate::direct::dialect::Key;
-use crate::direct::view::{Standing, claimed};
+use crate::direct::view::{ClaimEntry, claimed};
 use crate::ports::{Condition, Entry, Error, LeaseId, Transaction, Write};
 
 /// Tries of a round to claim what the service didn't say was taken the time before.
@@ -111,7 +111,7 @@
         );
         self.view.state().claim(
             address,
-            Standing {
+            ClaimEntry {
                 claim: self.own_claim(None, from),
                 revision: token,
                 seen: now,
--- a/lib/src/direct/view.rs
+++ b/lib/src/direct/view.rs
@@ -59,7 +59,7 @@
 
 /// A claim with where it stands in the key-value service.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Standing {
+pub struct ClaimEntry {
     /// Who.
     pub claim: Claim,
     /// Revision of the write: the fencing token.
@@ -85,7 +85,7 @@
     /// Nodes by name.
     pub nodes: HashMap<Name, Peer>,
     /// Claims by the engine's address.
-    pub claims: HashMap<SocketAddr, Standing>,
+    pub claims: HashMap<SocketAddr, ClaimEntry>,
     /// When this node first knew all claims.
     pub claims_read: Option<Millis>,
     /// The claim that stood last, and when it vanished.
@@ -307,7 +307,7 @@
     pub fn put_claim(&mut self, address: SocketAddr, entry: &Entry, now: Millis) -> bool {
         match serde_json::from_slice::<Claim>(&entry.value) {
             Ok(claim) => {
-                let standing = Standing {
+                let standing = ClaimEntry {
                     claim,
                     revision: entry.revision,
                     seen: now,
@@ -333,7 +333,7 @@
     }
 
     /// Takes in a claim; one that is older than what is known is left aside.
-    pub fn claim(&mut self, address: SocketAddr, standing: Standing) {
+    pub fn claim(&mut self, address: SocketAddr, standing: ClaimEntry) {
         if self
             .claims
             .get(&address)
--- a/lib/tests/test_direct_admission.rs
+++ b/lib/tests/test_direct_admission.rs
@@ -17,7 +17,7 @@
 use chivevalve::direct::roles::Roles;
 use chivevalve::direct::serve::serve;
 use chivevalve::direct::upstream::{Running, Upstream};
-use chivevalve::direct::view::{Claim, Standing, View};
+use chivevalve::direct::view::{Claim, ClaimEntry, View};
 use chivevalve::name::Name;
 use chivevalve_platform::Speech;
 use direct_support::records::{listed, peer, written};
@@ -200,7 +200,7 @@
             boot: 0,
         };
         let upstream = Arc::clone(&state.upstreams["i-0"]);
-        let standing = Standing {
+        let standing = ClaimEntry {
             claim,
             revision: 7,
             seen: Millis::ZERO,
--- a/lib/tests/test_direct_claims.rs
+++ b/lib/tests/test_direct_claims.rs
@@ -17,7 +17,7 @@
 use chivevalve::direct::orders::Loaded;
 use chivevalve::direct::right::Right;
 use chivevalve::direct::upstream::Upstream;
-use chivevalve::direct::view::{Claim, Peer, Standing, View};
+use chivevalve::direct::view::{Claim, ClaimEntry, Peer, View};
 use chivevalve::ports::{Lease, Store};
 use chivevalve_platform::Speech;
 use direct_support::SERVER;
@@ -581,7 +581,7 @@
         from: Millis::ZERO,
         boot: 0,
     };
-    let standing = Standing {
+    let standing = ClaimEntry {
         claim,
         revision: 7,
         seen: Millis::ZERO,
--- a/lib/tests/test_direct_exchange.rs
+++ b/lib/tests/test_direct_exchange.rs
@@ -12,7 +12,7 @@
 use chivevalve::direct::dialect::Listed;
 use chivevalve::direct::right::Right;
 use chivevalve::direct::upstream::{Running, Upstream};
-use chivevalve::direct::view::{Claim, Standing, View};
+use chivevalve::direct::view::{Claim, ClaimEntry, View};
 use chivevalve::name::Name;
 use chivevalve_platform::Speech;
 use direct_support::records::{listed, peer, written};
@@ -54,7 +54,7 @@
                 from: Millis::ZERO,
                 boot: 0,
             };
-            let standing = Standing {
+            let standing = ClaimEntry {
                 claim,
                 revision: 7,
                 seen: Millis::ZERO,
