--- a/lib/src/direct/follow/entries.rs
+++ b/lib/src/direct/follow/entries.rs
@@ -9,7 +9,7 @@
 use crate::direct::presence::Written;
 use crate::direct::validate::RejectReason;
 use crate::direct::versions::Declaration;
-use crate::direct::view::{CLAIMS, Evidence, Peer, State, claimed};
+use crate::direct::view::{CLAIMS, Peer, PutOutcome, State, claimed};
 use crate::name::Name;
 use crate::ports::{Entry, Event};
 
@@ -168,9 +168,9 @@
         state.put_claim(address, entry, now)
     } else {
         return match state.put_evidence(name, &entry.value, Some(entry.revision), now) {
-            Evidence::Taken => None,
-            Evidence::Unreadable => Some(RejectReason::Unreadable),
-            Evidence::Other => Some(RejectReason::UnusedKey),
+            PutOutcome::Applied => None,
+            PutOutcome::Unreadable => Some(RejectReason::Unreadable),
+            PutOutcome::Unrelated => Some(RejectReason::UnusedKey),
         };
     };
     (!is_readable).then_some(RejectReason::Unreadable)
--- a/lib/src/direct/serve.rs
+++ b/lib/src/direct/serve.rs
@@ -15,7 +15,7 @@
 use super::limits::in_use;
 use super::orders::Loaded;
 use super::upstream::Upstream;
-use super::view::Evidence;
+use super::view::PutOutcome;
 use crate::clock::Millis;
 use crate::name::Name;
 use crate::schema::direct::orders_server::{Orders, OrdersServer};
@@ -131,7 +131,7 @@
         let taken = view
             .state()
             .put_evidence(&request.name, &request.value, None, now);
-        if taken != Evidence::Taken {
+        if taken != PutOutcome::Applied {
             return Err(Status::invalid_argument("the record is none that is told"));
         }
         view.changed.notify_waiters();
--- a/lib/src/direct/view.rs
+++ b/lib/src/direct/view.rs
@@ -112,13 +112,13 @@
 
 /// What became of a record that may be about requests under which upstreams ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Evidence {
+pub enum PutOutcome {
     /// It was taken in.
-    Taken,
+    Applied,
     /// It is one, and can't be read.
     Unreadable,
     /// It is about something else.
-    Other,
+    Unrelated,
 }
 
 /// Returns the request that a survivor's record is for.
@@ -377,27 +377,27 @@
         value: &[u8],
         revision: Option<u64>,
         now: Millis,
-    ) -> Evidence {
+    ) -> PutOutcome {
         if let Some(request) = survivor(name) {
             self.ledger.clear(&request, revision);
-            return Evidence::Taken;
+            return PutOutcome::Applied;
         }
         let is_end = name.starts_with(ENDS);
         if !is_end && !name.starts_with(BROKE) {
-            return Evidence::Other;
+            return PutOutcome::Unrelated;
         }
         match serde_json::from_slice::<Report>(value) {
             Ok(report) if is_end => {
                 self.ledger.report(name.into(), report, revision, now);
-                Evidence::Taken
+                PutOutcome::Applied
             }
             Ok(report) => {
                 self.open.tell(name.into(), report, now);
-                Evidence::Taken
+                PutOutcome::Applied
             }
             Err(error) => {
                 log::error!("view: {name} can't be read: {error}");
-                Evidence::Unreadable
+                PutOutcome::Unreadable
             }
         }
     }
--- a/lib/tests/test_direct_quarantine.rs
+++ b/lib/tests/test_direct_quarantine.rs
@@ -13,7 +13,7 @@
 use chivevalve::direct::outbox::{Others, Outbox};
 use chivevalve::direct::quarantine::{ENDS, Quarantine};
 use chivevalve::direct::upstream::Upstream;
-use chivevalve::direct::view::{Evidence, View};
+use chivevalve::direct::view::{PutOutcome, View};
 use chivevalve::name::Name;
 use chivevalve::poison::fingerprint::{Fingerprint, Identity};
 use chivevalve::poison::ledger::{Report, Sign};
@@ -38,7 +38,7 @@
 impl Others for Other {
     async fn tell(&self, name: &Name, value: &Bytes) {
         let taken = self.0.state().put_evidence(name, value, None, NOW);
-        assert_eq!(taken, Evidence::Taken);
+        assert_eq!(taken, PutOutcome::Applied);
         self.0.changed.notify_waiters();
     }
 }
