--- a/lib/src/direct/follow/entries.rs
+++ b/lib/src/direct/follow/entries.rs
@@ -133,7 +133,7 @@
                 } else if let Some(address) = claimed(&name) {
                     state.unclaim(address, now);
                 } else {
-                    state.remove_evidence(&name);
+                    state.remove_quarantine_record(&name);
                 }
             }
             Key::Config | Key::Version | Key::Other => {}
@@ -167,7 +167,7 @@
     } else if let Some(address) = claimed(name) {
         state.put_claim(address, entry, now)
     } else {
-        return match state.put_evidence(name, &entry.value, Some(entry.revision), now) {
+        return match state.put_quarantine_record(name, &entry.value, Some(entry.revision), now) {
             PutOutcome::Applied => None,
             PutOutcome::Unreadable => Some(RejectReason::Unreadable),
             PutOutcome::Unrelated => Some(RejectReason::UnusedKey),
--- a/lib/src/direct/lift.rs
+++ b/lib/src/direct/lift.rs
@@ -18,7 +18,7 @@
     let mut state = State::default();
     for entry in &listing.entries {
         if let Key::Own(name) = dialect.key(&entry.key) {
-            state.put_evidence(&name, &entry.value, Some(entry.revision), Millis::ZERO);
+            state.put_quarantine_record(&name, &entry.value, Some(entry.revision), Millis::ZERO);
         }
     }
     Ok(state.ledger.standings(Millis::ZERO))
--- a/lib/src/direct/serve.rs
+++ b/lib/src/direct/serve.rs
@@ -130,7 +130,7 @@
         let view = &self.0.view;
         let taken = view
             .state()
-            .put_evidence(&request.name, &request.value, None, now);
+            .put_quarantine_record(&request.name, &request.value, None, now);
         if taken != PutOutcome::Applied {
             return Err(Status::invalid_argument("the record is none that is told"));
         }
--- a/lib/src/direct/view.rs
+++ b/lib/src/direct/view.rs
@@ -371,7 +371,7 @@
     /// Takes in a record about requests under which upstreams ended, if it is one.
     ///
     /// It has no `revision` where another node told of it, as the service doesn't take it now.
-    pub fn put_evidence(
+    pub fn put_quarantine_record(
         &mut self,
         name: &str,
         value: &[u8],
@@ -403,7 +403,7 @@
     }
 
     /// Takes in that such a record is gone.
-    pub fn remove_evidence(&mut self, name: &str) {
+    pub fn remove_quarantine_record(&mut self, name: &str) {
         match survivor(name) {
             Some(request) => self.ledger.forget_cleared(&request),
             None => self.ledger.forget(name),
--- a/lib/tests/test_direct_quarantine.rs
+++ b/lib/tests/test_direct_quarantine.rs
@@ -37,7 +37,7 @@
 #[async_trait]
 impl Others for Other {
     async fn tell(&self, name: &Name, value: &Bytes) {
-        let taken = self.0.state().put_evidence(name, value, None, NOW);
+        let taken = self.0.state().put_quarantine_record(name, value, None, NOW);
         assert_eq!(taken, PutOutcome::Applied);
         self.0.changed.notify_waiters();
     }
