--- a/lib/src/direct/claim/mod.rs
+++ b/lib/src/direct/claim/mod.rs
@@ -78,7 +78,7 @@
             let is_unbroken = self.right.lasts();
             self.right.unbroken.store(is_unbroken, Ordering::Relaxed);
             if let Err(error) = self.round(&mut lease, &mut began).await {
-                self.view.touched(false);
+                self.view.record_store_call(false);
                 self.extend(&error).await;
             }
             if knew_all {
@@ -143,7 +143,7 @@
                     self.right.owned().clear();
                     return Box::pin(self.round(lease, began)).await;
                 }
-                self.view.touched(true);
+                self.view.record_store_call(true);
                 if !lasted {
                     self.read_claims().await?;
                     self.view.state().disown(&self.node);
--- a/lib/src/direct/follow/missing.rs
+++ b/lib/src/direct/follow/missing.rs
@@ -13,7 +13,7 @@
 impl Follower {
     /// Notes that the service answers, and whether it was away.
     pub(super) fn alive(&mut self) {
-        self.view.touched(true);
+        self.view.record_store_call(true);
         let now = self.clock.now();
         let Some(back) = self.outage.answered(now, self.doubt.is_some()) else {
             return;
--- a/lib/src/direct/follow/mod.rs
+++ b/lib/src/direct/follow/mod.rs
@@ -126,7 +126,7 @@
                 }
                 Err(poll::Error::Failed(error)) => {
                     log::debug!("follow: no changes after revision {revision}: {error}");
-                    self.view.touched(false);
+                    self.view.record_store_call(false);
                     self.outage.failed(reached.asked, self.clock.now());
                     if let Some(hub) = &self.hub {
                         hub.lose();
--- a/lib/src/direct/view.rs
+++ b/lib/src/direct/view.rs
@@ -158,7 +158,7 @@
     }
 
     /// Notes whether the key-value service answered the last call.
-    pub fn touched(&self, answered: bool) {
+    pub fn record_store_call(&self, answered: bool) {
         let lost = self.out_of_touch.swap(!answered, Ordering::Relaxed);
         if lost == answered {
             let says = if answered {
