--- a/lib/src/direct/follow/mod.rs
+++ b/lib/src/direct/follow/mod.rs
@@ -265,7 +265,7 @@
         self.take(&update.events, update.as_of);
         self.known = update.revision;
         self.fresh = self.fresh.max(Some(update.as_of));
-        self.view.renew(self.fresh.unwrap_or_default());
+        self.view.advance_as_of(self.fresh.unwrap_or_default());
         if let Some(hub) = &self.hub {
             hub.publish(update);
         }
@@ -301,7 +301,7 @@
         }
         self.known = revision;
         self.fresh = Some(began);
-        self.view.renew(began);
+        self.view.advance_as_of(began);
         let took = self.clock.now().since(began);
         log::info!("follow: everything up to revision {revision} is read, which took {took}");
         Ok(revision)
--- a/lib/src/direct/view.rs
+++ b/lib/src/direct/view.rs
@@ -147,7 +147,7 @@
     }
 
     /// Notes up to when all changes are known.
-    pub fn renew(&self, as_of: Millis) {
+    pub fn advance_as_of(&self, as_of: Millis) {
         self.as_of.fetch_max(as_of.0, Ordering::Relaxed);
     }
 
--- a/lib/tests/test_direct_quarantine.rs
+++ b/lib/tests/test_direct_quarantine.rs
@@ -168,7 +168,7 @@
         .quarantine
         .broke(&upstream, suspect.clone(), Sign::Begun);
     upstream.missing();
-    world.view.renew(Millis(60_000));
+    world.view.advance_as_of(Millis(60_000));
     pass(Millis(7_000)).await;
     upstream.retire();
     until("the report", || world.ends(&suspect) == 1).await;
@@ -201,7 +201,7 @@
         .quarantine
         .broke(&upstream, suspect.clone(), Sign::Begun);
     pass(Millis(2_000)).await;
-    world.view.renew(Millis(60_000));
+    world.view.advance_as_of(Millis(60_000));
     pass(Millis(1_000)).await;
     upstream.retire();
     pass(Millis(1_000)).await;
@@ -273,7 +273,7 @@
     assert!(world.quarantine.check(&suspect).is_ok());
     assert!(world.quarantine.check_send(&request("/other")).is_ok());
     // The list shows all of them alive.
-    world.view.renew(Millis(60_000));
+    world.view.advance_as_of(Millis(60_000));
     pass(Millis(7_000)).await;
     assert!(world.quarantine.check_send(&suspect).is_ok());
     assert_eq!(world.ends(&suspect), 0);
