--- a/lib/src/direct/claim/candidate.rs
+++ b/lib/src/direct/claim/candidate.rs
@@ -79,7 +79,7 @@
         }
         let since = standing
             .map(|standing| standing.seen)
-            .or_else(|| state.vanished.get(&address).map(|(_, at)| *at))
+            .or_else(|| state.previous_claims.get(&address).map(|(_, at)| *at))
             .unwrap_or(gathered.max(upstream.seen));
         let passed = now.since(since);
         // Whoever comes later than that waits longer in any case.
@@ -102,7 +102,7 @@
     /// Returns how long an engine must have had no owner before this node claims it.
     fn patience(&self, state: &State, address: SocketAddr, rank: u64, limits: &Limits) -> Millis {
         let wait = Millis(limits.claim_rank().0 * rank);
-        match state.vanished.get(&address) {
+        match state.previous_claims.get(&address) {
             Some((previous, _)) if previous.node == self.node => Millis::ZERO,
             // All claims can lapse in an outage; a previous owner that lives needs no waiting
             // out and goes first. A dead one has to be waited out for longer than this anyway.
--- a/lib/src/direct/claim/previous.rs
+++ b/lib/src/direct/claim/previous.rs
@@ -82,7 +82,7 @@
                 idle: left.claim.left.unwrap_or_default(),
             };
         }
-        match state.vanished.get(&address) {
+        match state.previous_claims.get(&address) {
             Some((claim, _)) if claim.node == self.node => self.itself(claim),
             Some((_, at)) => Previous::Vanished { at: *at },
             None if self.first_start => Previous::Nobody,
--- a/lib/src/direct/view.rs
+++ b/lib/src/direct/view.rs
@@ -89,7 +89,7 @@
     /// When this node first knew all claims.
     pub claims_read: Option<Millis>,
     /// The claim that stood last, and when it vanished.
-    pub vanished: HashMap<SocketAddr, (Claim, Millis)>,
+    pub previous_claims: HashMap<SocketAddr, (Claim, Millis)>,
     /// Most nodes ever seen at once.
     pub most_nodes: usize,
     /// What speaks against requests under which upstreams ended.
@@ -345,7 +345,8 @@
             && former.claim.node != standing.claim.node
         {
             let former = former.claim.clone();
-            self.vanished.insert(address, (former, standing.seen));
+            self.previous_claims
+                .insert(address, (former, standing.seen));
         }
         self.claims.insert(address, standing);
     }
@@ -353,7 +354,7 @@
     /// Takes in that a claim is gone.
     pub fn unclaim(&mut self, address: SocketAddr, now: Millis) {
         if let Some(former) = self.claims.remove(&address) {
-            self.vanished.insert(address, (former.claim, now));
+            self.previous_claims.insert(address, (former.claim, now));
         }
     }
 
@@ -362,7 +363,7 @@
     /// Another node may have owned an engine meanwhile and lost its claim too, and goes on by the
     /// votes of others.
     pub fn disown(&mut self, node: &str) {
-        let claims = self.vanished.values_mut().map(|(claim, _)| claim);
+        let claims = self.previous_claims.values_mut().map(|(claim, _)| claim);
         for claim in claims.filter(|claim| &*claim.node == node) {
             claim.node = Name::from("");
         }
--- a/lib/tests/test_direct_fanout_fuzz.rs
+++ b/lib/tests/test_direct_fanout_fuzz.rs
@@ -334,7 +334,7 @@
             ));
         };
         self.at += found;
-        let vanished = self.view.state().vanished.len();
+        let vanished = self.view.state().previous_claims.len();
         if vanished > usize::from(NAMES) {
             return Err(format!("{}: {vanished} claims have vanished", self.name));
         }
