--- a/lib/src/direct/claim/previous.rs
+++ b/lib/src/direct/claim/previous.rs
@@ -60,7 +60,7 @@
         let previous = self.previous(state, address, left);
         // What vanished before this node knew all claims is as unknown to it as what did before
         // its first lease.
-        let claims_read = state.claims_read.unwrap_or_else(|| self.clock.now());
+        let claims_read = state.claims_read_at.unwrap_or_else(|| self.clock.now());
         let from = previous.waited_out(self.turn(), began.max(claims_read));
         (previous, from)
     }
--- a/lib/src/direct/view.rs
+++ b/lib/src/direct/view.rs
@@ -87,7 +87,7 @@
     /// Claims by the engine's address.
     pub claims: HashMap<SocketAddr, ClaimEntry>,
     /// When this node first knew all claims.
-    pub claims_read: Option<Millis>,
+    pub claims_read_at: Option<Millis>,
     /// The claim that stood last, and when it vanished.
     pub previous_claims: HashMap<SocketAddr, (Claim, Millis)>,
     /// Most nodes ever seen at once.
@@ -291,7 +291,7 @@
 
     /// Takes in that all claims but some are gone.
     pub fn keep_claims(&mut self, now: Millis, kept: impl Fn(SocketAddr) -> bool) {
-        self.claims_read.get_or_insert(now);
+        self.claims_read_at.get_or_insert(now);
         let gone: Vec<SocketAddr> = self
             .claims
             .keys()
