--- a/lib/src/direct/ask/exchange.rs
+++ b/lib/src/direct/ask/exchange.rs
@@ -86,7 +86,7 @@
                 || uses.contains_key(&upstream.incarnation)
                 || (!concerned.is_empty() && is_concerned(upstream))
         });
-        (upstreams.cloned().collect(), state.most_nodes)
+        (upstreams.cloned().collect(), state.max_nodes_seen)
     }
 
     async fn exchange(&self, address: SocketAddr, request: ExchangeRequest) {
--- a/lib/src/direct/ask/mod.rs
+++ b/lib/src/direct/ask/mod.rs
@@ -324,7 +324,7 @@
             tokio::time::sleep(TICK.duration()).await;
             self.tick();
             let now = self.clock.now();
-            let nodes = self.view.state().most_nodes;
+            let nodes = self.view.state().max_nodes_seen;
             if now.since(exchanged) >= exchange_pause(nodes) {
                 exchanged = now;
                 self.exchange_all();
--- a/lib/src/direct/ask/vote.rs
+++ b/lib/src/direct/ask/vote.rs
@@ -21,7 +21,7 @@
         let peers: Vec<SocketAddr> = others.map(|(_, peer)| peer.address).collect();
         // Nobody to ask is no vote where there were others: their records
         // may have lapsed while they live.
-        (!peers.is_empty() || state.most_nodes <= 1).then_some(peers)
+        (!peers.is_empty() || state.max_nodes_seen <= 1).then_some(peers)
     }
 
     async fn refusals(&self, asked: &[SocketAddr], owned: &[(SocketAddr, u64)]) -> Vec<Refusal> {
--- a/lib/src/direct/entry/mod.rs
+++ b/lib/src/direct/entry/mod.rs
@@ -167,7 +167,7 @@
 
     /// Takes what sending a request to a pool once more costs from the budget; false if it's spent.
     pub fn take_repeat(&self, pool: &Name) -> bool {
-        let nodes = self.view.state().most_nodes;
+        let nodes = self.view.state().max_nodes_seen;
         self.budget().repeat(pool, self.clock.now(), nodes)
     }
 
@@ -179,7 +179,7 @@
 
     /// Whether the budget of a pool has room for a further send.
     pub fn has_repeat(&self, pool: &Name) -> bool {
-        let nodes = self.view.state().most_nodes;
+        let nodes = self.view.state().max_nodes_seen;
         self.budget().has_room(pool, self.clock.now(), nodes)
     }
 
--- a/lib/src/direct/serve.rs
+++ b/lib/src/direct/serve.rs
@@ -147,7 +147,7 @@
         for one in &request.uses {
             if let Some(standing) = self.0.standing(one) {
                 let adapters = one.adapters.iter().map(|name| name.as_str().into());
-                let nodes = self.0.view.state().most_nodes;
+                let nodes = self.0.view.state().max_nodes_seen;
                 self.0
                     .note_uses(&one.incarnation, adapters.collect(), in_use(nodes));
                 standings.push(standing);
--- a/lib/src/direct/view.rs
+++ b/lib/src/direct/view.rs
@@ -91,7 +91,7 @@
     /// The claim that stood last, and when it vanished.
     pub previous_claims: HashMap<SocketAddr, (Claim, Millis)>,
     /// Most nodes ever seen at once.
-    pub most_nodes: usize,
+    pub max_nodes_seen: usize,
     /// What speaks against requests under which upstreams ended.
     pub ledger: Ledger,
     /// Requests that stood where a connection broke, while nobody knows whether the upstream ended.
@@ -264,11 +264,11 @@
     /// Takes in a node's record.
     pub fn join(&mut self, name: Name, peer: Peer) {
         self.nodes.insert(name, peer);
-        if self.nodes.len() > self.most_nodes {
-            self.most_nodes = self.nodes.len();
+        if self.nodes.len() > self.max_nodes_seen {
+            self.max_nodes_seen = self.nodes.len();
             // Shared out anew for each of hundreds of nodes that appear at a start, this took a
             // second of a small VM; a twentieth is within what is left free.
-            if self.most_nodes >= self.shared_among + (self.shared_among / 20).max(1) {
+            if self.max_nodes_seen >= self.shared_among + (self.shared_among / 20).max(1) {
                 self.share_connections();
             }
         }
@@ -432,12 +432,12 @@
             .as_ref()
             .and_then(|config| config.pools.get(pool))
             .map_or(64, |pool| pool.connections);
-        let share = whole as f64 * CONNECTION_SHARE / self.most_nodes.max(1) as f64;
+        let share = whole as f64 * CONNECTION_SHARE / self.max_nodes_seen.max(1) as f64;
         (share as usize).max(2)
     }
 
     fn share_connections(&mut self) {
-        self.shared_among = self.most_nodes;
+        self.shared_among = self.max_nodes_seen;
         for upstream in self.upstreams.values() {
             upstream.link.limit(self.connections(&upstream.pool));
         }
