--- a/lib/src/direct/claim/takeover.rs
+++ b/lib/src/direct/claim/takeover.rs
@@ -7,7 +7,7 @@
 use super::{CLAIMS_AT_ONCE, Claimer, encoded};
 use crate::clock::Millis;
 use crate::direct::dialect::Key;
-use crate::direct::view::{ClaimEntry, claimed};
+use crate::direct::view::{ClaimEntry, claim_address};
 use crate::ports::{Condition, Entry, Error, LeaseId, Transaction, Write};
 
 /// Tries of a round to claim what the service didn't say was taken the time before.
@@ -68,7 +68,7 @@
         let mut learnt = false;
         for entry in found {
             if let Key::Own(name) = self.dialect.key(&entry.key)
-                && let Some(address) = claimed(&name)
+                && let Some(address) = claim_address(&name)
             {
                 state.put_claim(address, entry, now);
                 learnt = true;
--- a/lib/src/direct/follow/entries.rs
+++ b/lib/src/direct/follow/entries.rs
@@ -9,7 +9,7 @@
 use crate::direct::presence::Written;
 use crate::direct::validate::RejectReason;
 use crate::direct::versions::Declaration;
-use crate::direct::view::{CLAIMS, Peer, PutOutcome, State, claimed};
+use crate::direct::view::{CLAIMS, Peer, PutOutcome, State, claim_address};
 use crate::name::Name;
 use crate::ports::{Entry, Event};
 
@@ -130,7 +130,7 @@
             Key::Own(name) => {
                 if let Some(node) = name.strip_prefix(NODES) {
                     state.nodes.remove(node);
-                } else if let Some(address) = claimed(&name) {
+                } else if let Some(address) = claim_address(&name) {
                     state.unclaim(address, now);
                 } else {
                     state.remove_quarantine_record(&name);
@@ -164,7 +164,7 @@
                 false
             }
         }
-    } else if let Some(address) = claimed(name) {
+    } else if let Some(address) = claim_address(name) {
         state.put_claim(address, entry, now)
     } else {
         return match state.put_quarantine_record(name, &entry.value, Some(entry.revision), now) {
--- a/lib/src/direct/view.rs
+++ b/lib/src/direct/view.rs
@@ -131,7 +131,7 @@
 
 /// Returns the address that a claim is for.
 #[must_use]
-pub fn claimed(name: &str) -> Option<SocketAddr> {
+pub fn claim_address(name: &str) -> Option<SocketAddr> {
     name.strip_prefix(CLAIMS)?.parse().ok()
 }
 
@@ -281,7 +281,7 @@
             let Key::Own(name) = dialect.key(&entry.key) else {
                 continue;
             };
-            if let Some(address) = claimed(&name) {
+            if let Some(address) = claim_address(&name) {
                 present.insert(address);
                 self.put_claim(address, entry, now);
             }
