--- a/lib/src/direct/claim/mod.rs
+++ b/lib/src/direct/claim/mod.rs
@@ -21,10 +21,10 @@
 use bytes::Bytes;
 
 use super::dialect::Dialect;
-use super::follow::NODES;
+use super::follow::NODE_PREFIX;
 use super::limits::{Current, LEASE, RENEWAL, RENEWAL_ANSWER, RIGHT, TURN_MARGIN};
 use super::right::Right;
-use super::view::{CLAIMS, Claim, Peer, View};
+use super::view::{CLAIM_PREFIX, Claim, Peer, View};
 use crate::clock::{Clock, Millis};
 use crate::metrics::Metrics;
 use crate::name::Name;
@@ -174,7 +174,7 @@
     /// Meanwhile the claims may have been taken away and others may have made
     /// theirs; what the view last saw is older than that.
     async fn read_claims(&self) -> Result<(), Error> {
-        let listing = self.store.list(&self.dialect.own(CLAIMS)).await?;
+        let listing = self.store.list(&self.dialect.own(CLAIM_PREFIX)).await?;
         let now = self.clock.now();
         self.view
             .state()
@@ -183,7 +183,7 @@
     }
 
     async fn register(&self, lease: LeaseId) -> Result<(), Error> {
-        let key = self.dialect.own(&format!("{NODES}{}", self.node));
+        let key = self.dialect.own(&format!("{NODE_PREFIX}{}", self.node));
         let transaction = Transaction {
             conditions: Vec::new(),
             writes: vec![Write::Put(key, encoded(&self.peer), Some(lease))],
@@ -208,7 +208,7 @@
     }
 
     fn key(&self, address: SocketAddr) -> String {
-        self.dialect.own(&format!("{CLAIMS}{address}"))
+        self.dialect.own(&format!("{CLAIM_PREFIX}{address}"))
     }
 }
 
--- a/lib/src/direct/follow/entries.rs
+++ b/lib/src/direct/follow/entries.rs
@@ -3,13 +3,13 @@
 use std::collections::HashSet;
 use std::sync::Arc;
 
-use super::{Follower, NODES};
+use super::{Follower, NODE_PREFIX};
 use crate::clock::Millis;
 use crate::direct::dialect::Key;
 use crate::direct::presence::Written;
 use crate::direct::validate::RejectReason;
 use crate::direct::versions::Declaration;
-use crate::direct::view::{CLAIMS, Peer, PutOutcome, State, claim_address};
+use crate::direct::view::{CLAIM_PREFIX, Peer, PutOutcome, State, claim_address};
 use crate::name::Name;
 use crate::ports::{Entry, Event};
 
@@ -58,9 +58,9 @@
     fn drop_own(&self, state: &mut State, present: &HashSet<String>, now: Millis) {
         state
             .nodes
-            .retain(|name, _| present.contains(&self.dialect.own(&format!("{NODES}{name}"))));
+            .retain(|name, _| present.contains(&self.dialect.own(&format!("{NODE_PREFIX}{name}"))));
         state.keep_claims(now, |address| {
-            present.contains(&self.dialect.own(&format!("{CLAIMS}{address}")))
+            present.contains(&self.dialect.own(&format!("{CLAIM_PREFIX}{address}")))
         });
         let is_present = |name: &str| present.contains(&self.dialect.own(name));
         state.ledger.keep(is_present);
@@ -128,7 +128,7 @@
                 }
             }
             Key::Own(name) => {
-                if let Some(node) = name.strip_prefix(NODES) {
+                if let Some(node) = name.strip_prefix(NODE_PREFIX) {
                     state.nodes.remove(node);
                 } else if let Some(address) = claim_address(&name) {
                     state.unclaim(address, now);
@@ -153,7 +153,7 @@
 
 /// Takes in an entry of this system's own; returns why not if it is left aside.
 fn put_own(state: &mut State, name: &str, entry: &Entry, now: Millis) -> Option<RejectReason> {
-    let is_readable = if let Some(node) = name.strip_prefix(NODES) {
+    let is_readable = if let Some(node) = name.strip_prefix(NODE_PREFIX) {
         match serde_json::from_slice::<Peer>(&entry.value) {
             Ok(peer) => {
                 state.join(node.into(), peer);
--- a/lib/src/direct/follow/mod.rs
+++ b/lib/src/direct/follow/mod.rs
@@ -22,7 +22,7 @@
 use crate::ports::{Error, Store};
 
 /// Name of a node's record, with the node's name behind it.
-pub const NODES: &str = "node/";
+pub const NODE_PREFIX: &str = "node/";
 
 /// How long a call for changes waits after one that failed.
 const RETURN_WAIT: Millis = Millis(1);
@@ -288,7 +288,7 @@
     /// Where all nodes start at once, the service takes seconds to send thousands of entries to
     /// each. Taken in only when all had arrived, a node's own former claims ended meanwhile.
     async fn read_all(&mut self) -> Result<u64, Error> {
-        reachable::wait(&*self.clock, &*self.store, &self.dialect.own(NODES)).await?;
+        reachable::wait(&*self.clock, &*self.store, &self.dialect.own(NODE_PREFIX)).await?;
         let began = self.clock.now();
         let mut revision = u64::MAX;
         for prefix in self.dialect.prefixes() {
--- a/lib/src/direct/view.rs
+++ b/lib/src/direct/view.rs
@@ -127,12 +127,12 @@
 }
 
 /// Name of a claim, with the engine's address behind it.
-pub const CLAIMS: &str = "claim/";
+pub const CLAIM_PREFIX: &str = "claim/";
 
 /// Returns the address that a claim is for.
 #[must_use]
 pub fn claim_address(name: &str) -> Option<SocketAddr> {
-    name.strip_prefix(CLAIMS)?.parse().ok()
+    name.strip_prefix(CLAIM_PREFIX)?.parse().ok()
 }
 
 /// Part of an upstream's connections that all nodes together use.
--- a/lib/tests/test_direct_fanout_fuzz.rs
+++ b/lib/tests/test_direct_fanout_fuzz.rs
@@ -14,10 +14,10 @@
 use chivevalve::clock::{Clock, Millis, Monotonic};
 use chivevalve::direct::dialect::{Dialect, Key};
 use chivevalve::direct::fanout::{Heard, Hub, Source, Update};
-use chivevalve::direct::follow::{Follower, NODES};
+use chivevalve::direct::follow::{Follower, NODE_PREFIX};
 use chivevalve::direct::limits::Current;
 use chivevalve::direct::validate::RejectReason;
-use chivevalve::direct::view::{CLAIMS, View};
+use chivevalve::direct::view::{CLAIM_PREFIX, View};
 use chivevalve::metrics::Metrics;
 use chivevalve::ports::{Entry, Event};
 use chivevalve_platform::Speech;
@@ -227,10 +227,13 @@
         known.insert(format!("version {name}"), version.to_string());
     }
     for (name, peer) in &state.nodes {
-        known.insert(format!("{NODES}{name}"), peer.start.to_string());
+        known.insert(format!("{NODE_PREFIX}{name}"), peer.start.to_string());
     }
     for (address, standing) in &state.claims {
-        known.insert(format!("{CLAIMS}{address}"), standing.revision.to_string());
+        known.insert(
+            format!("{CLAIM_PREFIX}{address}"),
+            standing.revision.to_string(),
+        );
     }
     known
 }
@@ -247,11 +250,11 @@
             let value = format!(
                 r#"{{"address":"127.0.0.1:7","start":{revision},"failure_domain":"hall-a"}}"#
             );
-            (Speech.own(&format!("{NODES}n{number}")), value)
+            (Speech.own(&format!("{NODE_PREFIX}n{number}")), value)
         }
         2 => {
             let value = format!(r#"{{"node":"n{number}","start":{revision},"left":null}}"#);
-            let name = format!("{CLAIMS}{}", claim_address(number));
+            let name = format!("{CLAIM_PREFIX}{}", claim_address(number));
             (Speech.own(&name), value)
         }
         3 | 4 => {
