--- a/lib/src/direct/follow/entries.rs
+++ b/lib/src/direct/follow/entries.rs
@@ -96,7 +96,7 @@
             Key::Upstream(incarnation) => self
                 .dialect
                 .upstream(&incarnation, &entry.value)
-                .map(|listed| state.list(&listed, written(entry), now)),
+                .map(|listed| state.put_upstream(&listed, written(entry), now)),
             Key::Version => self.dialect.version(&entry.value).map(|(name, version)| {
                 let since = self.fresh;
                 self.declare(state, name, Declaration { version, since });
--- a/lib/src/direct/follow/missing.rs
+++ b/lib/src/direct/follow/missing.rs
@@ -37,7 +37,7 @@
             return;
         }
         log::info!("follow: upstream {incarnation} is gone");
-        state.unlist(incarnation);
+        state.remove_upstream(incarnation);
     }
 
     /// Removes what is missing, if what is known as of a time shows that it has left.
@@ -61,7 +61,7 @@
                     "has left meanwhile"
                 };
                 log::info!("follow: upstream {} {why}", upstream.incarnation);
-                state.unlist(&upstream.incarnation);
+                state.remove_upstream(&upstream.incarnation);
             }
         }
     }
--- a/lib/src/direct/view.rs
+++ b/lib/src/direct/view.rs
@@ -233,11 +233,11 @@
     ///
     /// An entry of an earlier start than is known is left aside: it was written late, or by
     /// somebody else. One of a later start is another upstream, which knows nothing of before.
-    pub fn list(&mut self, listed: &Listed, written: Written, now: Millis) {
+    pub fn put_upstream(&mut self, listed: &Listed, written: Written, now: Millis) {
         let known = self.upstreams.get(&listed.incarnation);
         if known.is_some_and(|upstream| listed.held.born > upstream.born) {
             log::info!("view: {} has started again", listed.incarnation);
-            self.unlist(&listed.incarnation);
+            self.remove_upstream(&listed.incarnation);
         }
         if let Some(upstream) = self.upstreams.get(&listed.incarnation) {
             if listed.held.born == upstream.born {
@@ -254,7 +254,7 @@
     }
 
     /// Removes an upstream that has left.
-    pub fn unlist(&mut self, incarnation: &str) {
+    pub fn remove_upstream(&mut self, incarnation: &str) {
         if let Some(upstream) = self.upstreams.remove(incarnation) {
             upstream.retire();
             self.pools = None;
--- a/lib/tests/test_direct_admission.rs
+++ b/lib/tests/test_direct_admission.rs
@@ -191,7 +191,7 @@
     let right = Arc::new(Right::new(Arc::clone(&clock), Arc::clone(&view)));
     let upstream = {
         let mut state = view.state();
-        state.list(&engine(0, 4, adapters), written(1), Millis::ZERO);
+        state.put_upstream(&engine(0, 4, adapters), written(1), Millis::ZERO);
         let claim = Claim {
             node: owner.into(),
             start: 1,
--- a/lib/tests/test_direct_exchange.rs
+++ b/lib/tests/test_direct_exchange.rs
@@ -44,7 +44,7 @@
                 address: SocketAddr::from(([127, 0, 0, 2], number)),
                 ..listed(&format!("i-{number}"), &[("base/a1", 1)])
             };
-            state.list(&engine, written(1), Millis::ZERO);
+            state.put_upstream(&engine, written(1), Millis::ZERO);
             // Some owners aren't known, some have left, and some engines have none.
             let owner = random.random_range(0..OWNERS + 1);
             let claim = Claim {
--- a/lib/tests/test_direct_parts.rs
+++ b/lib/tests/test_direct_parts.rs
@@ -299,7 +299,7 @@
     for number in 0..500_u16 {
         let mut entry = listed(&format!("i-{number}"), &[]);
         entry.address = ([127, 0, 0, 1], 1_000 + number).into();
-        view.state().list(&entry, written(1), Millis::ZERO);
+        view.state().put_upstream(&entry, written(1), Millis::ZERO);
     }
     let first = view.pool("engines");
     assert_eq!(first.len(), 500);
@@ -307,9 +307,9 @@
     // A heartbeat of one that is known changes no group; one that leaves does.
     let mut entry = listed("i-7", &[("base/a1", 1)]);
     entry.address = ([127, 0, 0, 1], 1_007).into();
-    view.state().list(&entry, written(1), Millis::ZERO);
+    view.state().put_upstream(&entry, written(1), Millis::ZERO);
     assert!(Arc::ptr_eq(&first, &view.pool("engines")));
-    view.state().unlist("i-7");
+    view.state().remove_upstream("i-7");
     assert_eq!(view.pool("engines").len(), 499);
 }
 
