--- a/lib/src/direct/follow/entries.rs
+++ b/lib/src/direct/follow/entries.rs
@@ -89,7 +89,7 @@
         let told = match self.dialect.key(&entry.key) {
             Key::Config => self.dialect.config(&entry.value).map(|config| {
                 let version = config.version;
-                if state.configure(config) {
+                if state.apply_config(config) {
                     log::info!("follow: configuration {version} is in force");
                 }
             }),
--- a/lib/src/direct/view.rs
+++ b/lib/src/direct/view.rs
@@ -217,7 +217,7 @@
     /// Takes in a configuration; an older one than is in force is left aside.
     ///
     /// Returns whether it is in force now.
-    pub fn configure(&mut self, config: Config) -> bool {
+    pub fn apply_config(&mut self, config: Config) -> bool {
         let newer = self
             .config
             .as_ref()
--- a/lib/tests/test_direct_claims.rs
+++ b/lib/tests/test_direct_claims.rs
@@ -167,7 +167,7 @@
     };
     let pools = [("engines".into(), pool)].into_iter().collect();
     let mut state = view.state();
-    state.configure(Config::new(1, Vec::new(), pools, Sent::default()));
+    state.apply_config(Config::new(1, Vec::new(), pools, Sent::default()));
     state.put_upstream(&listed(), written(1), Millis(100_000));
 }
 
