--- a/lib/src/direct/follow/entries.rs
+++ b/lib/src/direct/follow/entries.rs
@@ -156,7 +156,7 @@
     let is_readable = if let Some(node) = name.strip_prefix(NODE_PREFIX) {
         match serde_json::from_slice::<Peer>(&entry.value) {
             Ok(peer) => {
-                state.join(node.into(), peer);
+                state.put_node(node.into(), peer);
                 true
             }
             Err(error) => {
--- a/lib/src/direct/view.rs
+++ b/lib/src/direct/view.rs
@@ -262,7 +262,7 @@
     }
 
     /// Takes in a node's record.
-    pub fn join(&mut self, name: Name, peer: Peer) {
+    pub fn put_node(&mut self, name: Name, peer: Peer) {
         self.nodes.insert(name, peer);
         if self.nodes.len() > self.max_nodes_seen {
             self.max_nodes_seen = self.nodes.len();
--- a/lib/tests/test_direct_exchange.rs
+++ b/lib/tests/test_direct_exchange.rs
@@ -37,7 +37,7 @@
                 0 => silent,
                 other => SocketAddr::from(([127, 0, 0, 1], 10 + other)),
             };
-            state.join(format!("node-{owner}").into(), peer(address));
+            state.put_node(format!("node-{owner}").into(), peer(address));
         }
         for number in 0..ENGINES {
             let engine = Listed {
--- a/lib/tests/test_direct_fanout.rs
+++ b/lib/tests/test_direct_fanout.rs
@@ -414,7 +414,7 @@
     let view = Arc::new(View::default());
     for number in 0..nodes {
         let name = format!("node-{number}").into();
-        view.state().join(name, peer(address));
+        view.state().put_node(name, peer(address));
     }
     view
 }
@@ -476,7 +476,7 @@
         let socket = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let name: Name = format!("node-{number}").into();
         let peer = peer(socket.local_addr().unwrap());
-        shared.state().join(name, peer);
+        shared.state().put_node(name, peer);
         sockets.push(socket);
     }
     let mut kept = Vec::new();
