--- a/lib/src/direct/claim/takeover.rs
+++ b/lib/src/direct/claim/takeover.rs
@@ -109,7 +109,7 @@
         log::info!(
             "right: orders to {address} are this node's, token {token}, from {start}, previous owner: {name}"
         );
-        self.view.state().claim(
+        self.view.state().insert_claim(
             address,
             ClaimEntry {
                 claim: self.own_claim(None, from),
--- a/lib/src/direct/follow/entries.rs
+++ b/lib/src/direct/follow/entries.rs
@@ -59,7 +59,7 @@
         state
             .nodes
             .retain(|name, _| present.contains(&self.dialect.own(&format!("{NODE_PREFIX}{name}"))));
-        state.keep_claims(now, |address| {
+        state.retain_claims(now, |address| {
             present.contains(&self.dialect.own(&format!("{CLAIM_PREFIX}{address}")))
         });
         let is_present = |name: &str| present.contains(&self.dialect.own(name));
@@ -131,7 +131,7 @@
                 if let Some(node) = name.strip_prefix(NODE_PREFIX) {
                     state.nodes.remove(node);
                 } else if let Some(address) = claim_address(&name) {
-                    state.unclaim(address, now);
+                    state.remove_claim(address, now);
                 } else {
                     state.remove_quarantine_record(&name);
                 }
--- a/lib/src/direct/view.rs
+++ b/lib/src/direct/view.rs
@@ -286,11 +286,11 @@
                 self.put_claim(address, entry, now);
             }
         }
-        self.keep_claims(now, |address| present.contains(&address));
+        self.retain_claims(now, |address| present.contains(&address));
     }
 
     /// Takes in that all claims but some are gone.
-    pub fn keep_claims(&mut self, now: Millis, kept: impl Fn(SocketAddr) -> bool) {
+    pub fn retain_claims(&mut self, now: Millis, kept: impl Fn(SocketAddr) -> bool) {
         self.claims_read_at.get_or_insert(now);
         let gone: Vec<SocketAddr> = self
             .claims
@@ -299,7 +299,7 @@
             .copied()
             .collect();
         for address in gone {
-            self.unclaim(address, now);
+            self.remove_claim(address, now);
         }
     }
 
@@ -312,7 +312,7 @@
                     revision: entry.revision,
                     seen: now,
                 };
-                self.claim(address, standing);
+                self.insert_claim(address, standing);
                 true
             }
             Err(error) => {
@@ -333,7 +333,7 @@
     }
 
     /// Takes in a claim; one that is older than what is known is left aside.
-    pub fn claim(&mut self, address: SocketAddr, standing: ClaimEntry) {
+    pub fn insert_claim(&mut self, address: SocketAddr, standing: ClaimEntry) {
         if self
             .claims
             .get(&address)
@@ -352,7 +352,7 @@
     }
 
     /// Takes in that a claim is gone.
-    pub fn unclaim(&mut self, address: SocketAddr, now: Millis) {
+    pub fn remove_claim(&mut self, address: SocketAddr, now: Millis) {
         if let Some(former) = self.claims.remove(&address) {
             self.previous_claims.insert(address, (former.claim, now));
         }
--- a/lib/tests/test_direct_admission.rs
+++ b/lib/tests/test_direct_admission.rs
@@ -205,7 +205,7 @@
             revision: 7,
             seen: Millis::ZERO,
         };
-        state.claim(upstream.address, standing);
+        state.insert_claim(upstream.address, standing);
         state.nodes.insert(owner.into(), peer(at));
         upstream
     };
--- a/lib/tests/test_direct_claims.rs
+++ b/lib/tests/test_direct_claims.rs
@@ -586,7 +586,7 @@
         revision: 7,
         seen: Millis::ZERO,
     };
-    state.claim(self::address(), standing);
+    state.insert_claim(self::address(), standing);
     let peer = Peer {
         address,
         start: 1,
--- a/lib/tests/test_direct_exchange.rs
+++ b/lib/tests/test_direct_exchange.rs
@@ -60,7 +60,7 @@
                 seen: Millis::ZERO,
             };
             if random.random_bool(0.9) {
-                state.claim(engine.address, standing);
+                state.insert_claim(engine.address, standing);
                 if owner == OWNERS - 1 {
                     right.take(engine.address, 7, Millis::ZERO);
                 }
