--- a/lib/src/direct/claim/mod.rs
+++ b/lib/src/direct/claim/mod.rs
@@ -127,7 +127,7 @@
                 if began.is_some() {
                     self.read_claims().await?;
                     if !self.right.unbroken.load(Ordering::Relaxed) {
-                        self.view.state().disown(&self.node);
+                        self.view.state().anonymize_previous_claims(&self.node);
                     }
                 }
                 began.get_or_insert_with(|| self.begin());
@@ -146,7 +146,7 @@
                 self.view.record_store_call(true);
                 if !lasted {
                     self.read_claims().await?;
-                    self.view.state().disown(&self.node);
+                    self.view.state().anonymize_previous_claims(&self.node);
                 }
             }
         }
--- a/lib/src/direct/claim/release.rs
+++ b/lib/src/direct/claim/release.rs
@@ -73,7 +73,7 @@
         // The view hears of the write up to a second later. Until then it would show a claim
         // of this start that this node doesn't hold, and the next round would take it up
         // again while its successor gives orders.
-        self.view.state().give_up(address, now);
+        self.view.state().release_claim(address, now);
         self.store.commit(transaction).await?;
         Ok(())
     }
--- a/lib/src/direct/view.rs
+++ b/lib/src/direct/view.rs
@@ -325,7 +325,7 @@
     /// Marks a claim of this node as given up, before the key-value service shows it.
     ///
     /// It keeps its revision, so that what the service said of it before is left aside.
-    pub fn give_up(&mut self, address: SocketAddr, now: Millis) {
+    pub fn release_claim(&mut self, address: SocketAddr, now: Millis) {
         if let Some(standing) = self.claims.get_mut(&address) {
             standing.claim.left = Some(Millis::ZERO);
             standing.seen = now;
@@ -362,7 +362,7 @@
     ///
     /// Another node may have owned an engine meanwhile and lost its claim too, and goes on by the
     /// votes of others.
-    pub fn disown(&mut self, node: &str) {
+    pub fn anonymize_previous_claims(&mut self, node: &str) {
         let claims = self.previous_claims.values_mut().map(|(claim, _)| claim);
         for claim in claims.filter(|claim| &*claim.node == node) {
             claim.node = Name::from("");
