--- a/cli/src/daemon/platform.rs
+++ b/cli/src/daemon/platform.rs
@@ -73,7 +73,7 @@
 
 /// Reads the settings and puts in force what can be.
 fn look(reload: &Reload) {
-    reload.take(load().map_err(|mistake| mistake.to_string()));
+    reload.apply(load().map_err(|mistake| mistake.to_string()));
 }
 
 /// Looks from time to time: the file may change without a signal.
--- a/lib/src/direct/reload.rs
+++ b/lib/src/direct/reload.rs
@@ -13,15 +13,15 @@
 
 /// What became of a look at the settings.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Taken {
+pub enum ReloadOutcome {
     /// They are as they were at the last look.
-    Same,
+    Unchanged,
     /// The bounds are in force, and nothing else differs.
-    InForce,
+    Applied,
     /// Something differs that waits for the next start; the bounds are in force.
-    NextStart,
+    RestartRequired,
     /// They can't be used, and the last good ones stay.
-    Refused,
+    Rejected,
 }
 
 /// The settings of a running node.
@@ -44,23 +44,23 @@
     }
 
     /// Takes what a look at the settings brought; the error says what is wrong with them.
-    pub fn take(&self, found: Result<Settings, String>) -> Taken {
+    pub fn apply(&self, found: Result<Settings, String>) -> ReloadOutcome {
         let mut last = self.last.lock().unwrap_or_else(PoisonError::into_inner);
         if *last == found {
-            return Taken::Same;
+            return ReloadOutcome::Unchanged;
         }
         let taken = match &found {
-            Ok(settings) => self.apply(settings),
+            Ok(settings) => self.apply_valid(settings),
             Err(mistake) => {
                 log::error!("node: settings stay as they were: {mistake}");
-                Taken::Refused
+                ReloadOutcome::Rejected
             }
         };
         *last = found;
         taken
     }
 
-    fn apply(&self, settings: &Settings) -> Taken {
+    fn apply_valid(&self, settings: &Settings) -> ReloadOutcome {
         self.limits.set(settings.limits);
         log::info!("node: the settings' bounds are in force");
         let started = Settings {
@@ -69,9 +69,9 @@
             ..self.started.clone()
         };
         if started == *settings {
-            return Taken::InForce;
+            return ReloadOutcome::Applied;
         }
         log::warn!("node: names or addresses in the settings differ until the next start");
-        Taken::NextStart
+        ReloadOutcome::RestartRequired
     }
 }
--- a/lib/tests/test_direct_reload.rs
+++ b/lib/tests/test_direct_reload.rs
@@ -6,7 +6,7 @@
 use chivevalve::direct::budget::Budget;
 use chivevalve::direct::limits::{Current, Limits, Retries};
 use chivevalve::direct::node::Settings;
-use chivevalve::direct::reload::{Reload, Taken};
+use chivevalve::direct::reload::{Reload, ReloadOutcome};
 
 fn settings() -> Settings {
     let address = "127.0.0.1:1".parse().unwrap();
@@ -42,10 +42,10 @@
         ratio: 0.0,
         ..changed.limits.retries
     };
-    assert_eq!(reload.take(Ok(changed.clone())), Taken::InForce);
+    assert_eq!(reload.apply(Ok(changed.clone())), ReloadOutcome::Applied);
     assert_eq!(limits.get().turns, Millis(5_000));
     assert!(!budget.repeat(&pool, Millis(0), 1));
-    assert_eq!(reload.take(Ok(changed)), Taken::Same);
+    assert_eq!(reload.apply(Ok(changed)), ReloadOutcome::Unchanged);
 }
 
 /// Settings that can't be read leave the last good ones in force.
@@ -55,10 +55,10 @@
     let mut changed = settings();
     changed.limits.stop = Millis(4_000);
     let mistake = || Err("node is missing".to_owned());
-    assert_eq!(reload.take(mistake()), Taken::Refused);
-    assert_eq!(reload.take(mistake()), Taken::Same);
+    assert_eq!(reload.apply(mistake()), ReloadOutcome::Rejected);
+    assert_eq!(reload.apply(mistake()), ReloadOutcome::Unchanged);
     assert_eq!(limits.get(), Limits::default());
-    assert_eq!(reload.take(Ok(changed)), Taken::InForce);
+    assert_eq!(reload.apply(Ok(changed)), ReloadOutcome::Applied);
     assert_eq!(limits.get().stop, Millis(4_000));
 }
 
@@ -68,6 +68,6 @@
     let mut changed = settings();
     changed.store = "127.0.0.1:2".parse().unwrap();
     changed.limits.apply = Millis(1_000);
-    assert_eq!(reload.take(Ok(changed)), Taken::NextStart);
+    assert_eq!(reload.apply(Ok(changed)), ReloadOutcome::RestartRequired);
     assert_eq!(limits.get().apply, Millis(1_000));
 }
