--- a/lib/src/direct/follow/entries.rs
+++ b/lib/src/direct/follow/entries.rs
@@ -6,7 +6,7 @@
 use super::{Follower, NODE_PREFIX};
 use crate::clock::Millis;
 use crate::direct::dialect::Key;
-use crate::direct::presence::Written;
+use crate::direct::presence::EntryRevision;
 use crate::direct::validate::RejectReason;
 use crate::direct::versions::Declaration;
 use crate::direct::view::{CLAIM_PREFIX, Peer, PutOutcome, State, claim_address};
@@ -123,7 +123,8 @@
             Key::Upstream(incarnation) => {
                 // A page of the list may have shown an entry that was written behind this.
                 let known = state.upstreams.get(&incarnation);
-                if known.is_none_or(|upstream| upstream.written().revision < event.revision) {
+                if known.is_none_or(|upstream| upstream.entry_revision().revision < event.revision)
+                {
                     self.vanish(state, &incarnation);
                 }
             }
@@ -176,8 +177,8 @@
     (!is_readable).then_some(RejectReason::Unreadable)
 }
 
-fn written(entry: &Entry) -> Written {
-    Written {
+fn written(entry: &Entry) -> EntryRevision {
+    EntryRevision {
         revision: entry.revision,
         created: entry.created,
     }
--- a/lib/src/direct/follow/missing.rs
+++ b/lib/src/direct/follow/missing.rs
@@ -72,7 +72,9 @@
         let upstreams = state.upstreams.values();
         upstreams
             .filter(|upstream| !upstream.is_missing())
-            .filter(|upstream| doubt.is_disproved_by(upstream.written().created, as_of, &limits))
+            .filter(|upstream| {
+                doubt.is_disproved_by(upstream.entry_revision().created, as_of, &limits)
+            })
             .map(|upstream| Name::clone(&upstream.pool))
             .collect()
     }
--- a/lib/src/direct/presence.rs
+++ b/lib/src/direct/presence.rs
@@ -7,7 +7,7 @@
 
 /// Where an entry stands in the service's history.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Written {
+pub struct EntryRevision {
     /// The revision of its last write.
     pub revision: u64,
     /// The revision at which its key came into being; 0 where nobody tells.
@@ -49,7 +49,7 @@
 /// What the list says of one start.
 #[derive(Debug)]
 pub struct Presence {
-    written: Written,
+    written: EntryRevision,
     stage: Stage,
     is_missing: bool,
     /// Whether it was gone without having said that it leaves.
@@ -59,7 +59,7 @@
 impl Presence {
     /// Begins with the first entry.
     #[must_use]
-    pub fn new(written: Written, ready: bool) -> Self {
+    pub fn new(written: EntryRevision, ready: bool) -> Self {
         Self {
             written,
             stage: if ready { Stage::Ready } else { Stage::Leaving },
@@ -76,7 +76,7 @@
 
     /// Returns where its newest entry stands in the service's history.
     #[must_use]
-    pub const fn written(&self) -> Written {
+    pub const fn entry_revision(&self) -> EntryRevision {
         self.written
     }
 
@@ -93,7 +93,7 @@
     }
 
     /// Takes in an entry; returns whether it counts.
-    pub fn entry(&mut self, written: Written, ready: bool) -> bool {
+    pub fn entry(&mut self, written: EntryRevision, ready: bool) -> bool {
         if written.revision < self.written.revision || self.stage == Stage::Gone {
             return false;
         }
--- a/lib/src/direct/upstream.rs
+++ b/lib/src/direct/upstream.rs
@@ -8,7 +8,7 @@
 use super::admit::Permit;
 use super::call::base_of;
 use super::dialect::{Held, Listed};
-use super::presence::{Presence, Stage, Written};
+use super::presence::{EntryRevision, Presence, Stage};
 use crate::clock::Millis;
 use crate::name::Name;
 use crate::ports::link::{Bounds, Link};
@@ -134,7 +134,7 @@
 impl Upstream {
     /// Makes an upstream from its entry in the list.
     #[must_use]
-    pub fn new(listed: &Listed, written: Written, connections: usize, now: Millis) -> Self {
+    pub fn new(listed: &Listed, written: EntryRevision, connections: usize, now: Millis) -> Self {
         let bounds = Bounds {
             connect: CONNECT,
             idle: IDLE,
@@ -166,7 +166,7 @@
     }
 
     /// Takes in an entry of the list, unless a newer one is known.
-    pub fn update(&self, listed: &Listed, written: Written) {
+    pub fn update(&self, listed: &Listed, written: EntryRevision) {
         if self.note(|presence| presence.entry(written, listed.ready)) {
             self.hold(&listed.held);
         }
@@ -184,7 +184,7 @@
             log::info!(
                 upstream = &*self.incarnation,
                 before = before.name(),
-                revision = presence.written().revision;
+                revision = presence.entry_revision().revision;
                 "view: an upstream is {}", stage.name()
             );
         }
@@ -274,8 +274,8 @@
 
     /// Returns where its newest entry stands in the service's history.
     #[must_use]
-    pub fn written(&self) -> Written {
-        self.presence().written()
+    pub fn entry_revision(&self) -> EntryRevision {
+        self.presence().entry_revision()
     }
 
     /// Stops new work, as the upstream is no longer listed.
--- a/lib/src/direct/view.rs
+++ b/lib/src/direct/view.rs
@@ -13,7 +13,7 @@
 
 use super::config::Config;
 use super::dialect::{Dialect, Key, Listed};
-use super::presence::Written;
+use super::presence::EntryRevision;
 use super::quarantine::{BROKE, ENDS, SURVIVED};
 use super::upstream::Upstream;
 use super::versions::{Declaration, Declarations};
@@ -233,7 +233,7 @@
     ///
     /// An entry of an earlier start than is known is left aside: it was written late, or by
     /// somebody else. One of a later start is another upstream, which knows nothing of before.
-    pub fn put_upstream(&mut self, listed: &Listed, written: Written, now: Millis) {
+    pub fn put_upstream(&mut self, listed: &Listed, written: EntryRevision, now: Millis) {
         let known = self.upstreams.get(&listed.incarnation);
         if known.is_some_and(|upstream| listed.held.born > upstream.born) {
             log::info!("view: {} has started again", listed.incarnation);
--- a/lib/tests/direct_support/records.rs
+++ b/lib/tests/direct_support/records.rs
@@ -4,7 +4,7 @@
 
 use chivevalve::clock::Millis;
 use chivevalve::direct::dialect::{Held, Listed};
-use chivevalve::direct::presence::Written;
+use chivevalve::direct::presence::EntryRevision;
 use chivevalve::direct::view::Peer;
 use chivevalve::name::Name;
 
@@ -33,8 +33,8 @@
 }
 
 /// Where an entry stands that was written once.
-pub fn written(revision: u64) -> Written {
-    Written {
+pub fn entry_revision(revision: u64) -> EntryRevision {
+    EntryRevision {
         revision,
         created: revision,
     }
--- a/lib/tests/test_direct_admission.rs
+++ b/lib/tests/test_direct_admission.rs
@@ -20,7 +20,7 @@
 use chivevalve::direct::view::{Claim, ClaimEntry, View};
 use chivevalve::name::Name;
 use chivevalve_platform::Speech;
-use direct_support::records::{listed, peer, written};
+use direct_support::records::{entry_revision, listed, peer};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -191,7 +191,7 @@
     let right = Arc::new(Right::new(Arc::clone(&clock), Arc::clone(&view)));
     let upstream = {
         let mut state = view.state();
-        state.put_upstream(&engine(0, 4, adapters), written(1), Millis::ZERO);
+        state.put_upstream(&engine(0, 4, adapters), entry_revision(1), Millis::ZERO);
         let claim = Claim {
             node: owner.into(),
             start: 1,
@@ -506,7 +506,7 @@
         .map(|_| {
             let entries = (0..ENGINES).map(|number| engine(number, SLOTS, &[(ADAPTER, 1)]));
             entries
-                .map(|entry| Arc::new(Upstream::new(&entry, written(1), 8, Millis::ZERO)))
+                .map(|entry| Arc::new(Upstream::new(&entry, entry_revision(1), 8, Millis::ZERO)))
                 .collect()
         })
         .collect();
--- a/lib/tests/test_direct_claims.rs
+++ b/lib/tests/test_direct_claims.rs
@@ -22,7 +22,7 @@
 use chivevalve_platform::Speech;
 use direct_support::SERVER;
 use direct_support::memory::Memory;
-use direct_support::records::written;
+use direct_support::records::entry_revision;
 use tokio::task::JoinHandle;
 
 /// All other nodes, which say yes or no as the test wants.
@@ -168,7 +168,7 @@
     let pools = [("engines".into(), pool)].into_iter().collect();
     let mut state = view.state();
     state.apply_config(Config::new(1, Vec::new(), pools, Sent::default()));
-    state.put_upstream(&listed(), written(1), Millis(100_000));
+    state.put_upstream(&listed(), entry_revision(1), Millis(100_000));
 }
 
 fn listed() -> Listed {
--- a/lib/tests/test_direct_exchange.rs
+++ b/lib/tests/test_direct_exchange.rs
@@ -15,7 +15,7 @@
 use chivevalve::direct::view::{Claim, ClaimEntry, View};
 use chivevalve::name::Name;
 use chivevalve_platform::Speech;
-use direct_support::records::{listed, peer, written};
+use direct_support::records::{entry_revision, listed, peer};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64;
 
@@ -44,7 +44,7 @@
                 address: SocketAddr::from(([127, 0, 0, 2], number)),
                 ..listed(&format!("i-{number}"), &[("base/a1", 1)])
             };
-            state.put_upstream(&engine, written(1), Millis::ZERO);
+            state.put_upstream(&engine, entry_revision(1), Millis::ZERO);
             // Some owners aren't known, some have left, and some engines have none.
             let owner = random.random_range(0..OWNERS + 1);
             let claim = Claim {
--- a/lib/tests/test_direct_parts.rs
+++ b/lib/tests/test_direct_parts.rs
@@ -14,7 +14,7 @@
 use chivevalve::direct::upstream::Upstream;
 use chivevalve::direct::view::View;
 use chivevalve::name::Name;
-use direct_support::records::{listed, written};
+use direct_support::records::{entry_revision, listed};
 use quickcheck::{Gen, QuickCheck};
 
 const RETRIES: Retries = Retries {
@@ -33,7 +33,7 @@
 fn upstream(incarnation: &str, failure_domain: &str) -> Arc<Upstream> {
     let mut listed = listed(incarnation, &[("base/a1", 1)]);
     listed.failure_domain = failure_domain.into();
-    Arc::new(Upstream::new(&listed, written(1), 8, Millis::ZERO))
+    Arc::new(Upstream::new(&listed, entry_revision(1), 8, Millis::ZERO))
 }
 
 /// Each engine reads and writes.
@@ -299,7 +299,8 @@
     for number in 0..500_u16 {
         let mut entry = listed(&format!("i-{number}"), &[]);
         entry.address = ([127, 0, 0, 1], 1_000 + number).into();
-        view.state().put_upstream(&entry, written(1), Millis::ZERO);
+        view.state()
+            .put_upstream(&entry, entry_revision(1), Millis::ZERO);
     }
     let first = view.pool("engines");
     assert_eq!(first.len(), 500);
@@ -307,7 +308,8 @@
     // A heartbeat of one that is known changes no group; one that leaves does.
     let mut entry = listed("i-7", &[("base/a1", 1)]);
     entry.address = ([127, 0, 0, 1], 1_007).into();
-    view.state().put_upstream(&entry, written(1), Millis::ZERO);
+    view.state()
+        .put_upstream(&entry, entry_revision(1), Millis::ZERO);
     assert!(Arc::ptr_eq(&first, &view.pool("engines")));
     view.state().remove_upstream("i-7");
     assert_eq!(view.pool("engines").len(), 499);
@@ -319,7 +321,7 @@
         .map(|number| {
             let mut entry = listed(&format!("i-{number}"), &[]);
             entry.address = ([127, 0, 0, 1], 1_000 + number).into();
-            Arc::new(Upstream::new(&entry, written(1), 8, Millis::ZERO))
+            Arc::new(Upstream::new(&entry, entry_revision(1), 8, Millis::ZERO))
         })
         .collect();
     let all = field(&upstreams, &[], 0).homes("base/a1", |_| true);
--- a/lib/tests/test_direct_presence.rs
+++ b/lib/tests/test_direct_presence.rs
@@ -14,7 +14,7 @@
 use chivevalve_platform::Speech;
 use direct_support::SERVER;
 use direct_support::memory::Memory;
-use direct_support::records::written;
+use direct_support::records::entry_revision;
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64;
@@ -23,38 +23,38 @@
 /// A heartbeat that was written late makes a leaving upstream ready again.
 #[test]
 fn presence_leaving_stays_so() {
-    let mut presence = Presence::new(written(3), true);
-    assert!(presence.entry(written(5), false));
-    assert!(presence.entry(written(7), true));
+    let mut presence = Presence::new(entry_revision(3), true);
+    assert!(presence.entry(entry_revision(5), false));
+    assert!(presence.entry(entry_revision(7), true));
     assert_eq!(presence.stage(), Stage::Leaving);
 }
 
 /// A page of the list that is older than a change takes the change back.
 #[test]
 fn presence_older_entry_is_left_aside() {
-    let mut presence = Presence::new(written(3), true);
+    let mut presence = Presence::new(entry_revision(3), true);
     presence.missing();
-    assert!(!presence.entry(written(2), true));
+    assert!(!presence.entry(entry_revision(2), true));
     assert_eq!(presence.stage(), Stage::Doubted);
-    assert!(presence.entry(written(3), true));
+    assert!(presence.entry(entry_revision(3), true));
     assert_eq!(presence.stage(), Stage::Ready);
 }
 
 /// What is gone takes work again by an entry that comes late.
 #[test]
 fn presence_gone_stays_so() {
-    let mut presence = Presence::new(written(3), true);
+    let mut presence = Presence::new(entry_revision(3), true);
     presence.gone();
     assert!(presence.is_lost());
-    assert!(!presence.entry(written(9), true));
+    assert!(!presence.entry(entry_revision(9), true));
     assert_eq!(presence.stage(), Stage::Gone);
 }
 
 /// An upstream that left in order is taken for one that ended.
 #[test]
 fn presence_left_in_order_is_not_lost() {
-    let mut presence = Presence::new(written(3), true);
-    assert!(presence.entry(written(4), false));
+    let mut presence = Presence::new(entry_revision(3), true);
+    assert!(presence.entry(entry_revision(4), false));
     presence.missing();
     presence.gone();
     assert!(!presence.is_lost());
@@ -66,16 +66,16 @@
     fn holds(leaves_at: u8, order: Vec<u8>) -> bool {
         let leaves_at = u64::from(leaves_at % 8);
         let is_ready = |revision: u64| revision < leaves_at;
-        let mut presence = Presence::new(written(1), is_ready(1));
+        let mut presence = Presence::new(entry_revision(1), is_ready(1));
         let mut newest = 1;
         for revision in order.into_iter().map(|byte| u64::from(byte % 8) + 1) {
-            presence.entry(written(revision), is_ready(revision));
+            presence.entry(entry_revision(revision), is_ready(revision));
             newest = newest.max(revision);
             if presence.stage().takes_work() != is_ready(newest) {
                 return false;
             }
         }
-        presence.written().revision == newest
+        presence.entry_revision().revision == newest
     }
     QuickCheck::new().quickcheck(holds as fn(u8, Vec<u8>) -> bool);
 }
--- a/lib/tests/test_direct_quarantine.rs
+++ b/lib/tests/test_direct_quarantine.rs
@@ -19,7 +19,7 @@
 use chivevalve::poison::ledger::{Report, Sign};
 use chivevalve_platform::Speech;
 use direct_support::memory::Memory;
-use direct_support::records::{listed, written};
+use direct_support::records::{entry_revision, listed};
 
 /// There are no other nodes.
 #[derive(Debug)]
@@ -113,7 +113,7 @@
     drop(listener);
     let mut listed = listed("i-1", &[("base/a1", 1)]);
     listed.address = address;
-    Arc::new(Upstream::new(&listed, written(1), 8, Millis::ZERO))
+    Arc::new(Upstream::new(&listed, entry_revision(1), 8, Millis::ZERO))
 }
 
 async fn until(what: &str, holds: impl Fn() -> bool) {
@@ -135,7 +135,7 @@
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let mut listed = listed(name, &[]);
     listed.address = listener.local_addr().unwrap();
-    let upstream = Arc::new(Upstream::new(&listed, written(1), 8, Millis::ZERO));
+    let upstream = Arc::new(Upstream::new(&listed, entry_revision(1), 8, Millis::ZERO));
     (listener, upstream)
 }
 
@@ -237,7 +237,7 @@
     let broken = Arc::clone(&upstream);
     let listed_upstream = Arc::new(Upstream::new(
         &listed("i-1", &[]),
-        written(1),
+        entry_revision(1),
         8,
         Millis::ZERO,
     ));
--- a/lib/tests/test_direct_roles.rs
+++ b/lib/tests/test_direct_roles.rs
@@ -11,7 +11,7 @@
 use chivevalve::direct::roles::{Manner, Mix, Roles, may_move};
 use chivevalve::direct::upstream::Upstream;
 use chivevalve::name::Name;
-use direct_support::records::written;
+use direct_support::records::entry_revision;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64;
 
@@ -31,7 +31,7 @@
         remaining: None,
         held: Held::default(),
     };
-    Arc::new(Upstream::new(&listed, written(1), 8, Millis::ZERO))
+    Arc::new(Upstream::new(&listed, entry_revision(1), 8, Millis::ZERO))
 }
 
 /// A mix that has seen as many streams late by a pause as make it keep reading apart.
--- a/lib/tests/test_direct_versions.rs
+++ b/lib/tests/test_direct_versions.rs
@@ -19,7 +19,7 @@
 use chivevalve::ports::metered::Metered;
 use chivevalve_platform::Speech;
 use direct_support::memory::Memory;
-use direct_support::records::{listed, written};
+use direct_support::records::{entry_revision, listed};
 use http::{HeaderMap, Method, Uri};
 use quickcheck::{Gen, QuickCheck};
 use tokio::net::TcpListener;
@@ -141,7 +141,7 @@
     ));
     let engine = Upstream::new(
         &listed("i-1", &[("base/a1", 1)]),
-        written(1),
+        entry_revision(1),
         1,
         Millis::ZERO,
     );
@@ -206,7 +206,7 @@
         address: listener.local_addr().unwrap(),
         ..listed("i-1", &[("base/a1", 1)])
     };
-    let engine = Arc::new(Upstream::new(&engine, written(1), 1, Millis::ZERO));
+    let engine = Arc::new(Upstream::new(&engine, entry_revision(1), 1, Millis::ZERO));
     let message = Message {
         method: Method::POST,
         uri: Uri::from_static("/digest/x"),
