--- a/lib/src/direct/presence.rs
+++ b/lib/src/direct/presence.rs
@@ -20,7 +20,7 @@
     /// It takes new work.
     Ready,
     /// It is missing from the list, and it isn't known whether it has left: it takes new work.
-    Doubted,
+    Unconfirmed,
     /// It said that it leaves.
     Leaving,
     /// It is no longer listed.
@@ -33,7 +33,7 @@
     pub const fn name(self) -> &'static str {
         match self {
             Self::Ready => "ready",
-            Self::Doubted => "doubted",
+            Self::Unconfirmed => "doubted",
             Self::Leaving => "leaving",
             Self::Gone => "gone",
         }
@@ -42,7 +42,7 @@
     /// Whether it takes new work.
     #[must_use]
     pub const fn takes_work(self) -> bool {
-        matches!(self, Self::Ready | Self::Doubted)
+        matches!(self, Self::Ready | Self::Unconfirmed)
     }
 }
 
@@ -53,7 +53,7 @@
     stage: Stage,
     is_missing: bool,
     /// Whether it was gone without having said that it leaves.
-    is_lost: bool,
+    left_unannounced: bool,
 }
 
 impl Presence {
@@ -64,7 +64,7 @@
             written,
             stage: if ready { Stage::Ready } else { Stage::Leaving },
             is_missing: false,
-            is_lost: false,
+            left_unannounced: false,
         }
     }
 
@@ -88,12 +88,12 @@
 
     /// Whether it was gone without having said that it leaves.
     #[must_use]
-    pub const fn is_lost(&self) -> bool {
-        self.is_lost
+    pub const fn left_unannounced(&self) -> bool {
+        self.left_unannounced
     }
 
     /// Takes in an entry; returns whether it counts.
-    pub fn entry(&mut self, written: EntryRevision, ready: bool) -> bool {
+    pub fn apply_entry(&mut self, written: EntryRevision, ready: bool) -> bool {
         if written.revision < self.written.revision || self.stage == Stage::Gone {
             return false;
         }
@@ -101,24 +101,24 @@
         self.is_missing = false;
         if !ready {
             self.stage = Stage::Leaving;
-        } else if self.stage == Stage::Doubted {
+        } else if self.stage == Stage::Unconfirmed {
             self.stage = Stage::Ready;
         }
         true
     }
 
     /// Takes in that it is missing from the list, and may not have left.
-    pub fn missing(&mut self) {
+    pub fn mark_missing(&mut self) {
         self.is_missing = true;
         if self.stage == Stage::Ready {
-            self.stage = Stage::Doubted;
+            self.stage = Stage::Unconfirmed;
         }
     }
 
     /// Takes in that it is no longer listed.
-    pub fn gone(&mut self) {
+    pub fn mark_gone(&mut self) {
         if self.stage != Stage::Gone {
-            self.is_lost = self.stage.takes_work();
+            self.left_unannounced = self.stage.takes_work();
             self.stage = Stage::Gone;
         }
     }
--- a/lib/src/direct/upstream.rs
+++ b/lib/src/direct/upstream.rs
@@ -167,7 +167,7 @@
 
     /// Takes in an entry of the list, unless a newer one is known.
     pub fn update(&self, listed: &Listed, written: EntryRevision) {
-        if self.note(|presence| presence.entry(written, listed.ready)) {
+        if self.note(|presence| presence.apply_entry(written, listed.ready)) {
             self.hold(&listed.held);
         }
     }
@@ -280,14 +280,14 @@
 
     /// Stops new work, as the upstream is no longer listed.
     pub fn retire(&self) {
-        self.note(Presence::gone);
+        self.note(Presence::mark_gone);
         self.link.clear();
     }
 
     /// Whether the upstream vanished from the list, or started again, without saying that it leaves.
     #[must_use]
     pub fn was_lost(&self) -> bool {
-        self.presence().is_lost()
+        self.presence().left_unannounced()
     }
 
     /// Returns a name for this start, unlike that of any other start of the same upstream.
@@ -298,7 +298,7 @@
 
     /// Takes in that the upstream is missing from the list, and may not have left.
     pub fn missing(&self) {
-        self.note(Presence::missing);
+        self.note(Presence::mark_missing);
     }
 
     /// Whether the upstream is missing from the list, and may not have left.
--- a/lib/tests/test_direct_presence.rs
+++ b/lib/tests/test_direct_presence.rs
@@ -24,8 +24,8 @@
 #[test]
 fn presence_leaving_stays_so() {
     let mut presence = Presence::new(entry_revision(3), true);
-    assert!(presence.entry(entry_revision(5), false));
-    assert!(presence.entry(entry_revision(7), true));
+    assert!(presence.apply_entry(entry_revision(5), false));
+    assert!(presence.apply_entry(entry_revision(7), true));
     assert_eq!(presence.stage(), Stage::Leaving);
 }
 
@@ -33,10 +33,10 @@
 #[test]
 fn presence_older_entry_is_left_aside() {
     let mut presence = Presence::new(entry_revision(3), true);
-    presence.missing();
-    assert!(!presence.entry(entry_revision(2), true));
-    assert_eq!(presence.stage(), Stage::Doubted);
-    assert!(presence.entry(entry_revision(3), true));
+    presence.mark_missing();
+    assert!(!presence.apply_entry(entry_revision(2), true));
+    assert_eq!(presence.stage(), Stage::Unconfirmed);
+    assert!(presence.apply_entry(entry_revision(3), true));
     assert_eq!(presence.stage(), Stage::Ready);
 }
 
@@ -44,9 +44,9 @@
 #[test]
 fn presence_gone_stays_so() {
     let mut presence = Presence::new(entry_revision(3), true);
-    presence.gone();
-    assert!(presence.is_lost());
-    assert!(!presence.entry(entry_revision(9), true));
+    presence.mark_gone();
+    assert!(presence.left_unannounced());
+    assert!(!presence.apply_entry(entry_revision(9), true));
     assert_eq!(presence.stage(), Stage::Gone);
 }
 
@@ -54,10 +54,10 @@
 #[test]
 fn presence_left_in_order_is_not_lost() {
     let mut presence = Presence::new(entry_revision(3), true);
-    assert!(presence.entry(entry_revision(4), false));
-    presence.missing();
-    presence.gone();
-    assert!(!presence.is_lost());
+    assert!(presence.apply_entry(entry_revision(4), false));
+    presence.mark_missing();
+    presence.mark_gone();
+    assert!(!presence.left_unannounced());
 }
 
 /// Entries in any order and more than once lead to what the newest of them leads to.
@@ -69,7 +69,7 @@
         let mut presence = Presence::new(entry_revision(1), is_ready(1));
         let mut newest = 1;
         for revision in order.into_iter().map(|byte| u64::from(byte % 8) + 1) {
-            presence.entry(entry_revision(revision), is_ready(revision));
+            presence.apply_entry(entry_revision(revision), is_ready(revision));
             newest = newest.max(revision);
             if presence.stage().takes_work() != is_ready(newest) {
                 return false;
