--- a/lib/src/direct/fanout/mod.rs
+++ b/lib/src/direct/fanout/mod.rs
@@ -37,13 +37,13 @@
 
 /// What listening led to.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Heard {
+pub enum Received {
     /// Changes.
     Update(Update),
     /// Nothing yet.
-    Nothing,
+    Timeout,
     /// There is nobody to listen to: ask the service.
-    Nobody,
+    NoSource,
 }
 
 /// Whoever passes changes on to this node.
@@ -53,7 +53,7 @@
     fn is_shared(&self) -> bool;
 
     /// Waits up to `within` for changes behind a revision; what comes may be anything.
-    async fn next(&mut self, after: u64, within: Millis) -> Heard;
+    async fn next(&mut self, after: u64, within: Millis) -> Received;
 
     /// Listens to somebody else for a while: what came was too old or bad, or nothing came.
     fn avoid(&mut self);
--- a/lib/src/direct/fanout/subscription.rs
+++ b/lib/src/direct/fanout/subscription.rs
@@ -7,7 +7,7 @@
 
 use super::tree::{choose, ranked};
 use super::wire::decode;
-use super::{Heard, Source};
+use super::{Received, Source};
 use crate::clock::Millis;
 use crate::direct::ask::Controllers;
 use crate::direct::validate::RejectReason;
@@ -107,27 +107,27 @@
         !ranked(&state, &self.failure_domain).is_empty()
     }
 
-    async fn next(&mut self, after: u64, within: Millis) -> Heard {
+    async fn next(&mut self, after: u64, within: Millis) -> Received {
         if self.stream.is_none() && self.begin(after).await.is_none() {
-            return Heard::Nobody;
+            return Received::NoSource;
         }
         let Some(listening) = &mut self.stream else {
-            return Heard::Nobody;
+            return Received::NoSource;
         };
         let message = tokio::time::timeout(within.duration(), listening.updates.message()).await;
         let Ok(message) = message else {
-            return Heard::Nothing;
+            return Received::Timeout;
         };
         let leader = &listening.leader;
         match message {
             Ok(Some(sent)) => {
                 let now = self.controllers.clock.now();
-                Heard::Update(decode(sent, listening.asked, now))
+                Received::Update(decode(sent, listening.asked, now))
             }
             Ok(None) => {
                 log::info!("follow: {leader} passes nothing on any more");
                 self.stream = None;
-                Heard::Nobody
+                Received::NoSource
             }
             Err(status) => {
                 log::info!("follow: {leader} passes nothing on any more: {status}");
@@ -136,7 +136,7 @@
                     self.avoid();
                 }
                 self.stream = None;
-                Heard::Nobody
+                Received::NoSource
             }
         }
     }
--- a/lib/src/direct/follow/mod.rs
+++ b/lib/src/direct/follow/mod.rs
@@ -11,7 +11,7 @@
 use std::sync::Arc;
 
 use super::dialect::{Dialect, Key};
-use super::fanout::{Heard, Hub, Source, Update};
+use super::fanout::{Hub, Received, Source, Update};
 use super::limits::{Current, POLL_WAIT, STORE_PAUSE};
 use super::outage::{Doubt, Outage};
 use super::reachable::{self, Reached};
@@ -234,7 +234,7 @@
             }
             let within = self.within_doubt(left.min(LISTEN));
             match source.next(revision, within).await {
-                Heard::Update(update) => match validate(update, revision) {
+                Received::Update(update) => match validate(update, revision) {
                     Ok(update) => {
                         revision = update.revision;
                         self.hear(update, "node");
@@ -249,8 +249,8 @@
                         }
                     }
                 },
-                Heard::Nothing => {}
-                Heard::Nobody => break,
+                Received::Timeout => {}
+                Received::NoSource => break,
             }
         }
         self.source = Some(source);
--- a/lib/tests/direct_support/listen.rs
+++ b/lib/tests/direct_support/listen.rs
@@ -5,7 +5,7 @@
 
 use async_trait::async_trait;
 use chivevalve::clock::{Clock, Millis};
-use chivevalve::direct::fanout::{Heard, Hub, Source, Update};
+use chivevalve::direct::fanout::{Hub, Received, Source, Update};
 use chivevalve::ports::{Entry, Event};
 use chivevalve::schema::direct::Update as Sent;
 use futures::StreamExt;
@@ -47,25 +47,25 @@
         true
     }
 
-    async fn next(&mut self, after: u64, within: Millis) -> Heard {
+    async fn next(&mut self, after: u64, within: Millis) -> Received {
         let Some(hub) = &self.hub else {
-            return Heard::Nobody;
+            return Received::NoSource;
         };
         let stream = match &mut self.stream {
             Some(stream) => stream,
             None => match hub.listen(after) {
                 Ok(stream) => self.stream.insert(Box::pin(stream)),
-                Err(_) => return Heard::Nobody,
+                Err(_) => return Received::NoSource,
             },
         };
         let Ok(sent) = tokio::time::timeout(within.duration(), stream.next()).await else {
-            return Heard::Nothing;
+            return Received::Timeout;
         };
         let Some(Ok(sent)) = sent else {
             self.stream = None;
-            return Heard::Nobody;
+            return Received::NoSource;
         };
-        Heard::Update(Update {
+        Received::Update(Update {
             after: sent.after,
             revision: sent.revision,
             as_of: Millis(
--- a/lib/tests/test_direct_fanout.rs
+++ b/lib/tests/test_direct_fanout.rs
@@ -11,7 +11,7 @@
 use bytes::Bytes;
 use chivevalve::clock::{Clock, Manual, Millis, Monotonic};
 use chivevalve::direct::ask::Controllers;
-use chivevalve::direct::fanout::{Heard, Hub, Source, Subscription, Update};
+use chivevalve::direct::fanout::{Hub, Received, Source, Subscription, Update};
 use chivevalve::direct::follow::Follower;
 use chivevalve::direct::limits::Current;
 use chivevalve::direct::right::Right;
@@ -454,12 +454,12 @@
         let (_controllers, mut one) = subscription(&name, view(12, address));
         assert!(one.is_shared());
         match one.next(5, Millis::from_secs(20)).await {
-            Heard::Update(update) => {
+            Received::Update(update) => {
                 assert_eq!((update.after, update.revision), (5, 6));
                 assert_eq!(update.events, [put(6)]);
             }
-            Heard::Nobody => asking += 1,
-            Heard::Nothing => panic!("nothing within twenty seconds"),
+            Received::NoSource => asking += 1,
+            Received::Timeout => panic!("nothing within twenty seconds"),
         }
     }
     // Two ask the service for all.
@@ -490,7 +490,7 @@
     }
     for task in kept {
         let (one, heard) = task.await.unwrap();
-        if heard != Heard::Nobody {
+        if heard != Received::NoSource {
             let above = one.listens_to().unwrap();
             let port = shared.state().nodes[&above].address.port();
             *listeners.entry(port).or_default() += 1;
@@ -574,7 +574,7 @@
     let mut listen = 0;
     for (controllers, mut one) in listeners(vec![sent]).await {
         for _ in 0..8 {
-            assert_eq!(one.next(0, Millis::from_secs(20)).await, Heard::Nobody);
+            assert_eq!(one.next(0, Millis::from_secs(20)).await, Received::NoSource);
         }
         let refused = &controllers.metrics.updates_refused;
         let refused = refused.with_label_values(&["oversized"]).get();
@@ -596,7 +596,7 @@
     let mut heard = 0;
     for (controllers, mut one) in listeners(sent.to_vec()).await {
         for age in ages {
-            if let Heard::Update(update) = one.next(0, Millis::from_secs(20)).await {
+            if let Received::Update(update) = one.next(0, Millis::from_secs(20)).await {
                 assert!(update.as_of <= controllers.clock.now());
                 assert!(age == 0 || update.as_of == Millis::ZERO);
                 heard += 1;
@@ -611,7 +611,7 @@
     let address = "127.0.0.1:9".parse().unwrap();
     let (_, mut one) = subscription("node-0", view(7, address));
     assert!(!one.is_shared());
-    assert_eq!(one.next(0, Millis::from_secs(20)).await, Heard::Nobody);
+    assert_eq!(one.next(0, Millis::from_secs(20)).await, Received::NoSource);
 }
 
 /// Leaders that refuse connections aren't asked again at once; the service is asked instead.
@@ -624,7 +624,10 @@
     for number in 0..12 {
         let (_controllers, mut node) = subscription(&format!("node-{number}"), Arc::clone(&view));
         for _ in 0..4 {
-            assert_eq!(node.next(0, Millis::from_secs(20)).await, Heard::Nobody);
+            assert_eq!(
+                node.next(0, Millis::from_secs(20)).await,
+                Received::NoSource
+            );
         }
     }
 }
@@ -643,14 +646,14 @@
         let name = format!("node-{number}");
         let (_controllers, mut one) =
             subscription_by(&name, view(12, address), Arc::clone(&clock) as _);
-        if one.next(0, span).await == Heard::Nobody {
+        if one.next(0, span).await == Received::NoSource {
             continue;
         }
         let waiting = tokio::spawn(async move { one.next(1, span).await });
         tokio::task::yield_now().await;
         clock.advance(Millis::from_secs(5));
         above.hub.publish(update(1, 2));
-        if let Heard::Update(update) = waiting.await.unwrap() {
+        if let Received::Update(update) = waiting.await.unwrap() {
             assert_eq!(update.as_of, Millis::ZERO);
         }
         return;
--- a/lib/tests/test_direct_fanout_fuzz.rs
+++ b/lib/tests/test_direct_fanout_fuzz.rs
@@ -13,7 +13,7 @@
 use bytes::Bytes;
 use chivevalve::clock::{Clock, Millis, Monotonic};
 use chivevalve::direct::dialect::{Dialect, Key};
-use chivevalve::direct::fanout::{Heard, Hub, Source, Update};
+use chivevalve::direct::fanout::{Hub, Received, Source, Update};
 use chivevalve::direct::follow::{Follower, NODE_PREFIX};
 use chivevalve::direct::limits::Current;
 use chivevalve::direct::validate::RejectReason;
@@ -139,12 +139,12 @@
 /// The node that updates come from, as the test plays it.
 #[derive(Debug, Default)]
 struct Feed {
-    waiting: Mutex<VecDeque<Heard>>,
+    waiting: Mutex<VecDeque<Received>>,
     fed: Notify,
 }
 
 impl Feed {
-    fn give(&self, heard: Heard) {
+    fn give(&self, heard: Received) {
         self.waiting.lock().unwrap().push_back(heard);
         self.fed.notify_one();
     }
@@ -163,9 +163,9 @@
         true
     }
 
-    async fn next(&mut self, _: u64, within: Millis) -> Heard {
+    async fn next(&mut self, _: u64, within: Millis) -> Received {
         if std::mem::take(&mut self.avoided) {
-            return Heard::Nobody;
+            return Received::NoSource;
         }
         let next = async {
             loop {
@@ -177,7 +177,7 @@
             }
         };
         let heard = tokio::time::timeout(within.duration(), next).await;
-        heard.unwrap_or(Heard::Nothing)
+        heard.unwrap_or(Received::Timeout)
     }
 
     fn avoid(&mut self) {
@@ -472,14 +472,14 @@
                     let ages = [0, 40, 900, 60_000, u64::MAX];
                     let age = Millis(ages[usize::from(age) % ages.len()]);
                     let update = self.part(back, until, age);
-                    self.feed.give(Heard::Update(update));
+                    self.feed.give(Received::Update(update));
                 }
                 Step::Spoilt(kind, back, until) => {
                     let mut update = self.part(back, until, Millis::ZERO);
                     self.spoil(kind, &mut update);
-                    self.feed.give(Heard::Update(update));
+                    self.feed.give(Received::Update(update));
                 }
-                Step::End => self.feed.give(Heard::Nobody),
+                Step::End => self.feed.give(Received::NoSource),
             }
             pass(Millis(1)).await;
             self.judge()
@@ -686,7 +686,7 @@
         let upstream = || play.nodes[0].view.state().upstreams["i-1"].clone();
         let before = upstream();
         let again = play.part(3, 0, Millis::ZERO);
-        play.feed.give(Heard::Update(again));
+        play.feed.give(Received::Update(again));
         pass(Millis(1)).await;
         assert!(Arc::ptr_eq(&before, &upstream()));
     });
--- a/lib/tests/test_direct_follow.rs
+++ b/lib/tests/test_direct_follow.rs
@@ -6,7 +6,7 @@
 
 use async_trait::async_trait;
 use chivevalve::clock::{Clock, Millis, Monotonic};
-use chivevalve::direct::fanout::{Heard, Hub, Source, Update};
+use chivevalve::direct::fanout::{Hub, Received, Source, Update};
 use chivevalve::direct::follow::Follower;
 use chivevalve::direct::limits::Current;
 use chivevalve::direct::view::View;
@@ -480,19 +480,19 @@
         false
     }
 
-    async fn next(&mut self, after: u64, within: Millis) -> Heard {
+    async fn next(&mut self, after: u64, within: Millis) -> Received {
         let left = self.due.since(self.clock.now());
         pass(left.min(within)).await;
         let now = self.clock.now();
         if now < self.due {
-            return Heard::Nothing;
+            return Received::Timeout;
         }
         self.due = now + Millis(1_000);
         let state = self.memory.state();
         if state.away {
-            return Heard::Nothing;
+            return Received::Timeout;
         }
-        Heard::Update(Update {
+        Received::Update(Update {
             after,
             revision: after.max(state.revision),
             as_of: now,
