--- a/lib/src/direct/fanout/hub.rs
+++ b/lib/src/direct/fanout/hub.rs
@@ -114,18 +114,18 @@
     }
 
     /// Counts whom this node heard of changes from.
-    pub fn count(&self, source: &'static str) {
+    pub fn count_update(&self, source: &'static str) {
         self.metrics.updates.with_label_values(&[source]).inc();
     }
 
     /// Counts what was left aside.
-    pub fn refused(&self, refusal: RejectReason) {
+    pub fn count_rejected(&self, refusal: RejectReason) {
         let refused = &self.metrics.updates_refused;
         refused.with_label_values(&[refusal.name()]).inc();
     }
 
     /// Notes that this node asked and heard nothing: until it does, others have to ask too.
-    pub fn lose(&self) {
+    pub fn mark_disconnected(&self) {
         self.lost.store(true, Ordering::Relaxed);
     }
 
@@ -155,7 +155,7 @@
     /// # Errors
     ///
     /// When this node can't pass anything on now: it hears of nothing itself, or so many listen.
-    pub fn listen(
+    pub fn subscribe(
         &self,
         after: u64,
     ) -> Result<impl Stream<Item = Result<Sent, Status>> + Send + use<>, Status> {
--- a/lib/src/direct/fanout/mod.rs
+++ b/lib/src/direct/fanout/mod.rs
@@ -50,7 +50,7 @@
 #[async_trait]
 pub trait Source: fmt::Debug + Send {
     /// Whether others may listen to this node, so that its own calls have to be quick.
-    fn is_shared(&self) -> bool;
+    fn may_have_subscribers(&self) -> bool;
 
     /// Waits up to `within` for changes behind a revision; what comes may be anything.
     async fn next(&mut self, after: u64, within: Millis) -> Received;
--- a/lib/src/direct/fanout/subscription.rs
+++ b/lib/src/direct/fanout/subscription.rs
@@ -55,7 +55,7 @@
 
     /// Returns whom this node listens to at this moment.
     #[must_use]
-    pub fn listens_to(&self) -> Option<Name> {
+    pub fn publisher(&self) -> Option<Name> {
         let listening = self.stream.as_ref()?;
         Some(Name::clone(&listening.leader))
     }
@@ -102,7 +102,7 @@
 
 #[async_trait]
 impl Source for Subscription {
-    fn is_shared(&self) -> bool {
+    fn may_have_subscribers(&self) -> bool {
         let state = self.controllers.view.state();
         !ranked(&state, &self.failure_domain).is_empty()
     }
@@ -132,7 +132,7 @@
             Err(status) => {
                 log::info!("follow: {leader} passes nothing on any more: {status}");
                 if status.code() == TOO_LARGE {
-                    self.controllers.hub.refused(RejectReason::Oversized);
+                    self.controllers.hub.count_rejected(RejectReason::Oversized);
                     self.avoid();
                 }
                 self.stream = None;
--- a/lib/src/direct/follow/mod.rs
+++ b/lib/src/direct/follow/mod.rs
@@ -80,7 +80,7 @@
 
     /// Hears changes from nodes of the same failure domain too, and passes on what it learns.
     #[must_use]
-    pub fn within_domain(mut self, hub: Arc<Hub>, source: Box<dyn Source>) -> Self {
+    pub fn with_fanout(mut self, hub: Arc<Hub>, source: Box<dyn Source>) -> Self {
         self.hub = Some(hub);
         self.source = Some(source);
         self
@@ -129,7 +129,7 @@
                     self.view.record_store_call(false);
                     self.outage.failed(reached.asked, self.clock.now());
                     if let Some(hub) = &self.hub {
-                        hub.lose();
+                        hub.mark_disconnected();
                     }
                     STORE_PAUSE
                 }
@@ -200,11 +200,11 @@
         if self.outage.is_going_on() {
             return RETURN_WAIT;
         }
-        let is_shared = self
+        let may_have_subscribers = self
             .source
             .as_ref()
-            .is_some_and(|source| source.is_shared());
-        let wait = if is_shared {
+            .is_some_and(|source| source.may_have_subscribers());
+        let wait = if may_have_subscribers {
             self.limits.get().leader_wait()
         } else {
             POLL_WAIT
@@ -273,13 +273,13 @@
 
     fn count(&self, source: &'static str) {
         if let Some(hub) = &self.hub {
-            hub.count(source);
+            hub.count_update(source);
         }
     }
 
     fn refuse(&self, refusal: RejectReason) {
         if let Some(hub) = &self.hub {
-            hub.refused(refusal);
+            hub.count_rejected(refusal);
         }
     }
 
--- a/lib/src/direct/node.rs
+++ b/lib/src/direct/node.rs
@@ -195,7 +195,7 @@
             view,
             Arc::clone(&limits),
         )
-        .within_domain(Arc::clone(&controllers.hub), Box::new(subscription));
+        .with_fanout(Arc::clone(&controllers.hub), Box::new(subscription));
         let closing = CancellationToken::new();
         let callers = listeners.callers.local_addr()?;
         let serving = serve_callers(listeners.callers, Arc::clone(&gate), closing.clone());
--- a/lib/src/direct/serve.rs
+++ b/lib/src/direct/serve.rs
@@ -56,7 +56,7 @@
         request: Request<FollowRequest>,
     ) -> Result<Response<Self::FollowStream>, Status> {
         let after = request.into_inner().after;
-        Ok(Response::new(self.0.hub.listen(after)?.boxed()))
+        Ok(Response::new(self.0.hub.subscribe(after)?.boxed()))
     }
 
     async fn admit(
--- a/lib/tests/direct_support/listen.rs
+++ b/lib/tests/direct_support/listen.rs
@@ -43,7 +43,7 @@
 
 #[async_trait]
 impl Source for Direct {
-    fn is_shared(&self) -> bool {
+    fn may_have_subscribers(&self) -> bool {
         true
     }
 
@@ -53,7 +53,7 @@
         };
         let stream = match &mut self.stream {
             Some(stream) => stream,
-            None => match hub.listen(after) {
+            None => match hub.subscribe(after) {
                 Ok(stream) => self.stream.insert(Box::pin(stream)),
                 Err(_) => return Received::NoSource,
             },
--- a/lib/tests/test_direct_fanout.rs
+++ b/lib/tests/test_direct_fanout.rs
@@ -71,7 +71,7 @@
 async fn listen_gets_what_is_newer_only() {
     let hub = hub();
     hub.publish(update(3, 6));
-    let mut stream = Box::pin(hub.listen(5).unwrap());
+    let mut stream = Box::pin(hub.subscribe(5).unwrap());
     hub.publish(update(6, 7));
     let first = stream.next().await.unwrap().unwrap();
     let second = stream.next().await.unwrap().unwrap();
@@ -87,7 +87,7 @@
 async fn listen_gap_ends_the_stream() {
     let hub = hub();
     hub.publish(update(7, 9));
-    let mut stream = Box::pin(hub.listen(5).unwrap());
+    let mut stream = Box::pin(hub.subscribe(5).unwrap());
     assert!(stream.next().await.unwrap().is_err());
     assert!(stream.next().await.is_none());
 }
@@ -105,7 +105,7 @@
             ..update(revision - 1, revision)
         }
     };
-    let mut stream = Box::pin(hub.listen(0).unwrap());
+    let mut stream = Box::pin(hub.subscribe(0).unwrap());
     hub.publish(update(0, 1));
     hub.publish(large(2));
     let small = stream.next().await.unwrap().unwrap();
@@ -120,7 +120,7 @@
 async fn listen_slow_listener_is_cut_off() {
     let hub = hub();
     hub.publish(update(0, 1));
-    let mut stream = Box::pin(hub.listen(0).unwrap());
+    let mut stream = Box::pin(hub.subscribe(0).unwrap());
     for revision in 1..100 {
         hub.publish(update(revision, revision + 1));
     }
@@ -154,7 +154,7 @@
 async fn listen_oversized_updates_are_not_kept() {
     let hub = hub();
     let held = Arc::new(());
-    let mut stream = Box::pin(hub.listen(0).unwrap());
+    let mut stream = Box::pin(hub.subscribe(0).unwrap());
     for revision in 1..=40 {
         hub.publish(counted(revision, 6 << 20, &held));
         assert_eq!(Arc::strong_count(&held), 1);
@@ -192,11 +192,11 @@
 #[tokio::test]
 async fn listen_refuses_more_than_it_can_serve() {
     let hub = hub();
-    let mut streams: Vec<_> = (0..20).map_while(|_| hub.listen(0).ok()).collect();
+    let mut streams: Vec<_> = (0..20).map_while(|_| hub.subscribe(0).ok()).collect();
     assert_eq!(streams.len(), 6);
     assert_eq!(refused(&hub), tonic::Code::ResourceExhausted);
     streams.pop();
-    assert!(hub.listen(0).is_ok());
+    assert!(hub.subscribe(0).is_ok());
 }
 
 /// A node that the service doesn't answer refuses listeners, which would hear of changes late.
@@ -204,14 +204,14 @@
 async fn listen_refuses_while_it_hears_nothing_itself() {
     let hub = hub();
     hub.publish(update(0, 1));
-    hub.lose();
+    hub.mark_disconnected();
     assert_eq!(refused(&hub), tonic::Code::Unavailable);
     hub.publish(update(1, 2));
-    assert!(hub.listen(0).is_ok());
+    assert!(hub.subscribe(0).is_ok());
 }
 
 fn refused(hub: &Hub) -> tonic::Code {
-    hub.listen(0).err().expect("it is refused").code()
+    hub.subscribe(0).err().expect("it is refused").code()
 }
 
 /// The service as one node asks it.
@@ -284,7 +284,7 @@
         Arc::clone(&view),
         Arc::new(Current::default()),
     )
-    .within_domain(Arc::clone(&hub), Box::new(source));
+    .with_fanout(Arc::clone(&hub), Box::new(source));
     Node {
         view,
         asked,
@@ -452,7 +452,7 @@
     for number in 0..12 {
         let name = format!("node-{number}");
         let (_controllers, mut one) = subscription(&name, view(12, address));
-        assert!(one.is_shared());
+        assert!(one.may_have_subscribers());
         match one.next(5, Millis::from_secs(20)).await {
             Received::Update(update) => {
                 assert_eq!((update.after, update.revision), (5, 6));
@@ -491,7 +491,7 @@
     for task in kept {
         let (one, heard) = task.await.unwrap();
         if heard != Received::NoSource {
-            let above = one.listens_to().unwrap();
+            let above = one.publisher().unwrap();
             let port = shared.state().nodes[&above].address.port();
             *listeners.entry(port).or_default() += 1;
         }
@@ -610,7 +610,7 @@
 async fn subscription_few_nodes_ask_for_themselves() {
     let address = "127.0.0.1:9".parse().unwrap();
     let (_, mut one) = subscription("node-0", view(7, address));
-    assert!(!one.is_shared());
+    assert!(!one.may_have_subscribers());
     assert_eq!(one.next(0, Millis::from_secs(20)).await, Received::NoSource);
 }
 
--- a/lib/tests/test_direct_fanout_fuzz.rs
+++ b/lib/tests/test_direct_fanout_fuzz.rs
@@ -159,7 +159,7 @@
 
 #[async_trait]
 impl Source for Fed {
-    fn is_shared(&self) -> bool {
+    fn may_have_subscribers(&self) -> bool {
         true
     }
 
@@ -307,7 +307,7 @@
         Arc::clone(&view),
         Arc::new(Current::default()),
     )
-    .within_domain(Arc::clone(&hub), source(clock));
+    .with_fanout(Arc::clone(&hub), source(clock));
     tokio::spawn(follower.run());
     Node {
         name,
--- a/lib/tests/test_direct_follow.rs
+++ b/lib/tests/test_direct_follow.rs
@@ -476,7 +476,7 @@
 
 #[async_trait]
 impl Source for Passing {
-    fn is_shared(&self) -> bool {
+    fn may_have_subscribers(&self) -> bool {
         false
     }
 
@@ -515,7 +515,7 @@
         };
         let followed = start_with(Arc::clone(&clock), |follower, memory| {
             let hub = Arc::new(Hub::new(Arc::clone(&clock), Arc::default()));
-            follower.within_domain(hub, Box::new(passing(memory)))
+            follower.with_fanout(hub, Box::new(passing(memory)))
         });
         followed.list("i-1");
         followed.list("i-2");
