--- a/lib/src/direct/config.rs
+++ b/lib/src/direct/config.rs
@@ -20,7 +20,7 @@
     /// Pools by name.
     pub pools: HashMap<Name, Pool>,
     /// What callers may send.
-    pub limits: Limits,
+    pub limits: RequestLimits,
     index: HashMap<Name, Vec<usize>>,
 }
 
@@ -73,25 +73,25 @@
 
 /// Bounds on what callers send.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Limits {
+pub struct RequestLimits {
     /// Longest head in bytes.
-    pub head: usize,
+    pub head_bytes: usize,
     /// Longest body in bytes.
-    pub body: usize,
+    pub body_bytes: usize,
     /// Longest time for a head to arrive.
     pub head_timeout: Millis,
     /// Longest time that a connection may be unused.
-    pub idle: Millis,
+    pub idle_timeout: Millis,
 }
 
-impl Default for Limits {
+impl Default for RequestLimits {
     /// In force until a configuration is known; generous, since no caller is served before.
     fn default() -> Self {
         Self {
-            head: 16 * 1024,
-            body: 4 << 20,
+            head_bytes: 16 * 1024,
+            body_bytes: 4 << 20,
             head_timeout: Millis::from_secs(10),
-            idle: Millis::from_secs(60),
+            idle_timeout: Millis::from_secs(60),
         }
     }
 }
@@ -103,7 +103,7 @@
         version: u64,
         routes: Vec<Route>,
         pools: HashMap<Name, Pool>,
-        limits: Limits,
+        limits: RequestLimits,
     ) -> Self {
         let mut index: HashMap<Name, Vec<usize>> = HashMap::new();
         for (place, route) in routes.iter().enumerate() {
--- a/lib/src/direct/entry/accept.rs
+++ b/lib/src/direct/entry/accept.rs
@@ -32,8 +32,8 @@
 }
 
 async fn read(body: Incoming, config: &Config) -> Result<Bytes, Failure> {
-    let whole = Limited::new(body, config.limits.body).collect();
-    let within = config.limits.idle;
+    let whole = Limited::new(body, config.limits.body_bytes).collect();
+    let within = config.limits.idle_timeout;
     match tokio::time::timeout(within.duration(), whole).await {
         Ok(Ok(collected)) => Ok(collected.to_bytes()),
         Ok(Err(error)) if error.is::<LengthLimitError>() => {
--- a/lib/src/direct/node.rs
+++ b/lib/src/direct/node.rs
@@ -425,8 +425,8 @@
     let service = service_fn(move |request| Arc::clone(&gate).answer(request));
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
-        .header_read_timeout(limits.idle.duration())
-        .max_buf_size(limits.head.max(8 * 1024))
+        .header_read_timeout(limits.idle_timeout.duration())
+        .max_buf_size(limits.head_bytes.max(8 * 1024))
         .serve_connection(TokioIo::new(stream), service);
     let connection = graceful.watch(connection);
     tokio::spawn(async move {
--- a/lib/tests/test_direct_claims.rs
+++ b/lib/tests/test_direct_claims.rs
@@ -10,7 +10,7 @@
 use chivevalve::clock::{Clock, Manual, Millis, Monotonic};
 use chivevalve::direct::ask::Controllers;
 use chivevalve::direct::claim::{Claimer, Refusal, Voters};
-use chivevalve::direct::config::{Config, Engine, Limits as Sent, Pool};
+use chivevalve::direct::config::{Config, Engine, Pool, RequestLimits};
 use chivevalve::direct::dialect::{Dialect, Held, Listed};
 use chivevalve::direct::follow::Follower;
 use chivevalve::direct::limits::{Current, LEASE, Limits, RIGHT};
@@ -167,7 +167,7 @@
     };
     let pools = [("engines".into(), pool)].into_iter().collect();
     let mut state = view.state();
-    state.apply_config(Config::new(1, Vec::new(), pools, Sent::default()));
+    state.apply_config(Config::new(1, Vec::new(), pools, RequestLimits::default()));
     state.put_upstream(&listed(), entry_revision(1), Millis(100_000));
 }
 
