--- a/lib/src/direct/config.rs
+++ b/lib/src/direct/config.rs
@@ -38,15 +38,15 @@
     /// The longest that a caller is kept waiting.
     pub timeout: Option<Millis>,
     /// The time within which an answer is worth most.
-    pub objective: Millis,
+    pub latency_objective: Millis,
     /// Rank among kinds of requests; 0 goes first.
     pub urgency: u8,
     /// Pools and their weights.
-    pub split: SmallVec<[(Name, u32); 2]>,
+    pub pool_weights: SmallVec<[(Name, u32); 2]>,
     /// Most upstreams that one request may be sent to.
-    pub attempts: u32,
+    pub max_attempts: u32,
     /// The longest pause between events with which an answer still counts as in time.
-    pub pause: Option<Millis>,
+    pub max_event_gap: Option<Millis>,
 }
 
 /// Upstreams that serve the same.
--- a/lib/src/direct/entry/accept.rs
+++ b/lib/src/direct/entry/accept.rs
@@ -49,12 +49,12 @@
 
 /// Chooses a pool by weight.
 pub(super) fn choose(route: &Route) -> Option<Name> {
-    let total: u32 = route.split.iter().map(|(_, weight)| weight).sum();
+    let total: u32 = route.pool_weights.iter().map(|(_, weight)| weight).sum();
     if total == 0 {
         return None;
     }
     let mut at = rand::rng().random_range(0..total);
-    for (pool, weight) in &route.split {
+    for (pool, weight) in &route.pool_weights {
         if at < *weight {
             return Some(Name::clone(pool));
         }
--- a/lib/src/direct/place.rs
+++ b/lib/src/direct/place.rs
@@ -36,7 +36,7 @@
             limit: 0,
             loaded: false,
             tokens: self.message.call.tokens.map_or(0, |(prompt, _)| prompt),
-            patience: choice::calm_wait(self.route.objective),
+            patience: choice::calm_wait(self.route.latency_objective),
         }
     }
 
@@ -119,7 +119,7 @@
         }
         let now = self.now();
         let (passed, left) = (now.since(self.began), self.until.since(now));
-        let late = choice::come_back(load.wait, self.route.objective, passed, left);
+        let late = choice::come_back(load.wait, self.route.latency_objective, passed, left);
         if let (Some(back), true) = (late, self.sent == 0) {
             return Asked::TooLate(back);
         }
@@ -215,7 +215,7 @@
         });
         let answers = futures::future::join_all(asking).await;
         let loads: Vec<Option<Load>> = answers.iter().map(admit::Answer::load).collect();
-        let objective = self.route.objective;
+        let objective = self.route.latency_objective;
         if only_calm {
             let calm = homes.iter().zip(&loads).filter(|(upstream, load)| {
                 load.is_some_and(|load| choice::is_calm(load, upstream.slots, objective))
--- a/lib/src/direct/relay.rs
+++ b/lib/src/direct/relay.rs
@@ -220,7 +220,7 @@
     /// Reading stretches a pause by as much as an engine reads within one event. One that is
     /// far longer has another cause, such as an engine that was lost.
     fn judge_pause(&mut self, pause: Millis) {
-        let Some(most) = self.request.route.pause else {
+        let Some(most) = self.request.route.max_event_gap else {
             return;
         };
         if pause > most {
@@ -271,8 +271,8 @@
             .roles(&request.pool)
             .reads(answer.upstream.address)
         {
-            let part =
-                now.since(request.sent_at).0 as f64 / request.route.objective.0.max(1) as f64;
+            let part = now.since(request.sent_at).0 as f64
+                / request.route.latency_objective.0.max(1) as f64;
             request.gate.observe(&request.pool, |mix| mix.read(part));
         }
     }
@@ -342,10 +342,10 @@
         if !self.request.may_go_on() {
             return left;
         }
-        let pause = self.request.route.pause.unwrap_or(USUAL_PAUSE);
+        let pause = self.request.route.max_event_gap.unwrap_or(USUAL_PAUSE);
         let stall = Millis(pause.0 * STALL_PAUSES);
         let first = if self.events.last() == self.request.message.call.resume_after {
-            self.request.route.objective
+            self.request.route.latency_objective
         } else {
             Millis::ZERO
         };
--- a/lib/src/direct/request/outcome.rs
+++ b/lib/src/direct/request/outcome.rs
@@ -169,7 +169,7 @@
     #[must_use]
     pub fn may_go_on(&self) -> bool {
         self.message.kind.repeatable()
-            && self.sent < self.route.attempts
+            && self.sent < self.route.max_attempts
             && self.now() + LOOK < self.until
     }
 }
--- a/lib/src/direct/request/send.rs
+++ b/lib/src/direct/request/send.rs
@@ -55,7 +55,7 @@
         // With nowhere else to go, an engine that is slow to begin is better than none: given up
         // after an objective, the caller's stream was cut.
         let span = if self.may_go_on() {
-            dispatch.deadline.min(self.route.objective)
+            dispatch.deadline.min(self.route.latency_objective)
         } else {
             dispatch.deadline
         };
--- a/lib/src/direct/resume.rs
+++ b/lib/src/direct/resume.rs
@@ -235,7 +235,12 @@
     /// bear a pause: the memory is all that is left of the answer.
     async fn continue_moved(&mut self, moved: &Moved) -> Result<(), Cut> {
         self.answer = None;
-        let pause = self.request.route.pause.unwrap_or(USUAL_PAUSE).max(LOOK);
+        let pause = self
+            .request
+            .route
+            .max_event_gap
+            .unwrap_or(USUAL_PAUSE)
+            .max(LOOK);
         let given_up = self.request.now() + Millis(pause.0 * BORNE_PAUSES);
         let until = given_up.min(self.request.until);
         let mut asked = 0;
--- a/lib/src/direct/target.rs
+++ b/lib/src/direct/target.rs
@@ -64,7 +64,7 @@
 impl ActiveRequest {
     /// Finds where to send, waiting a little if nothing fits.
     pub(super) async fn target(&self) -> Result<Target, Failure> {
-        let patience = self.began + Millis(self.route.objective.0 / REFUSE_AFTER);
+        let patience = self.began + Millis(self.route.latency_objective.0 / REFUSE_AFTER);
         let quarantine = &self.gate.quarantine;
         if !quarantine.is_empty() {
             quarantine.examined(self.message.fingerprint()).await;
@@ -147,7 +147,7 @@
             home: &self.gate.failure_domain,
             now: self.now(),
             salt: salt(&self.message.call),
-            pause: self.route.pause,
+            pause: self.route.max_event_gap,
             roles,
             id: xxh3_64(self.id().as_bytes()),
             usual: self
@@ -233,7 +233,7 @@
             asked.push(Name::clone(&upstream.incarnation));
             let question = Question {
                 limit: upstream.slots,
-                patience: choice::calm_wait(self.route.objective)
+                patience: choice::calm_wait(self.route.latency_objective)
                     .min(self.time_to_begin(&upstream, adapter)),
                 ..self.question(Some(adapter), 0)
             };
