--- a/lib/src/direct/config.rs
+++ b/lib/src/direct/config.rs
@@ -53,7 +53,7 @@
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct Pool {
     /// Most connections that one upstream takes from all callers together.
-    pub connections: usize,
+    pub max_connections: usize,
     /// Set when the upstreams are model engines.
     pub engine: Option<Engine>,
 }
@@ -62,13 +62,13 @@
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct Engine {
     /// Requests in one batch.
-    pub batch: u32,
+    pub max_batch: u32,
     /// Places for adapters, those on their way included.
     pub adapter_slots: usize,
     /// Memory for prompts and answers, in tokens.
-    pub tokens: u64,
+    pub kv_capacity_tokens: u64,
     /// Base models with the time that one takes to load.
-    pub models: Vec<(Name, Millis)>,
+    pub model_load_times: Vec<(Name, Millis)>,
 }
 
 /// Bounds on what callers send.
--- a/lib/src/direct/orders/mod.rs
+++ b/lib/src/direct/orders/mod.rs
@@ -170,7 +170,7 @@
         {
             return;
         }
-        let Some((model, span)) = self.parts.engine.models.first().cloned() else {
+        let Some((model, span)) = self.parts.engine.model_load_times.first().cloned() else {
             return;
         };
         if self
--- a/lib/src/direct/view.rs
+++ b/lib/src/direct/view.rs
@@ -431,7 +431,7 @@
             .config
             .as_ref()
             .and_then(|config| config.pools.get(pool))
-            .map_or(64, |pool| pool.connections);
+            .map_or(64, |pool| pool.max_connections);
         let share = whole as f64 * CONNECTION_SHARE / self.max_nodes_seen.max(1) as f64;
         (share as usize).max(2)
     }
--- a/lib/tests/test_direct_claims.rs
+++ b/lib/tests/test_direct_claims.rs
@@ -156,13 +156,13 @@
 
 fn know_engine(view: &View) {
     let engine = Engine {
-        batch: 8,
+        max_batch: 8,
         adapter_slots: 4,
-        tokens: 100,
-        models: Vec::new(),
+        kv_capacity_tokens: 100,
+        model_load_times: Vec::new(),
     };
     let pool = Pool {
-        connections: 10,
+        max_connections: 10,
         engine: Some(engine),
     };
     let pools = [("engines".into(), pool)].into_iter().collect();
