--- a/lib/src/direct/config.rs
+++ b/lib/src/direct/config.rs
@@ -1,6 +1,6 @@
-//! The operators' configuration as it decides on requests.
+//! The operators' configuration of routes, pools and request limits.
 //!
-//! It is immutable: a request keeps the one that it began with.
+//! It is immutable, and each request keeps the configuration that it began with.
 
 use std::collections::HashMap;
 
@@ -10,82 +10,84 @@
 use crate::clock::Millis;
 use crate::name::Name;
 
-/// A whole configuration.
+/// A complete configuration.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct Config {
-    /// Rises with every change.
+    /// The version, which increases with every change.
     pub version: u64,
-    /// All routes.
+    /// All routes, in the order in which they are configured.
     pub routes: Vec<Route>,
     /// Pools by name.
     pub pools: HashMap<Name, Pool>,
-    /// What callers may send.
+    /// Limits on what callers send.
     pub limits: RequestLimits,
-    index: HashMap<Name, Vec<usize>>,
+    routes_by_host: HashMap<Name, Vec<usize>>,
 }
 
-/// What becomes of requests for one host and path prefix.
+/// How requests for one host and path prefix are handled.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Route {
-    /// Its name.
+    /// The name of the route.
     pub name: Name,
-    /// The host that it belongs to, in lower case.
+    /// The host that it matches, in lower case.
     pub host: Name,
-    /// Path prefix with a slash at both ends.
+    /// The path prefix that it matches, with a slash at both ends.
     pub prefix: Name,
-    /// What may be repeated.
+    /// The kind of its requests, which determines whether they may be retried.
     pub kind: Kind,
-    /// The longest that a caller is kept waiting.
+    /// Maximum time that a caller waits.
     pub timeout: Option<Millis>,
-    /// The time within which an answer is worth most.
+    /// The time within which a response should arrive.
     pub latency_objective: Millis,
-    /// Rank among kinds of requests; 0 goes first.
+    /// Priority of its requests; 0 is served first.
     pub urgency: u8,
-    /// Pools and their weights.
+    /// The pools that serve it, with their weights.
     pub pool_weights: SmallVec<[(Name, u32); 2]>,
-    /// Most upstreams that one request may be sent to.
+    /// Maximum number of upstreams that one request may be sent to.
     pub max_attempts: u32,
-    /// The longest pause between events with which an answer still counts as in time.
+    /// Maximum pause between events of a stream that still counts as in time.
     pub max_event_gap: Option<Millis>,
 }
 
-/// Upstreams that serve the same.
+/// A group of interchangeable upstreams.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct Pool {
-    /// Most connections that one upstream takes from all callers together.
+    /// Maximum number of connections that one upstream accepts from all its clients together.
     pub max_connections: usize,
     /// Set when the upstreams are model engines.
     pub engine: Option<Engine>,
 }
 
-/// What the engines of a pool can hold.
+/// Capacities of the engines of a pool.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct Engine {
-    /// Requests in one batch.
+    /// Maximum number of requests in one batch.
     pub max_batch: u32,
-    /// Places for adapters, those on their way included.
+    /// Slots for adapters, including those being loaded.
     pub adapter_slots: usize,
-    /// Memory for prompts and answers, in tokens.
+    /// Capacity of the KV cache, in tokens.
     pub kv_capacity_tokens: u64,
-    /// Base models with the time that one takes to load.
+    /// Base models, each with the time that it takes to load.
     pub model_load_times: Vec<(Name, Millis)>,
 }
 
-/// Bounds on what callers send.
+/// Limits on what callers send.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RequestLimits {
-    /// Longest head in bytes.
+    /// Maximum size of a request's head.
     pub head_bytes: usize,
-    /// Longest body in bytes.
+    /// Maximum size of a request's body.
     pub body_bytes: usize,
-    /// Longest time for a head to arrive.
+    /// Maximum time for a head to arrive.
     pub head_timeout: Millis,
-    /// Longest time that a connection may be unused.
+    /// Maximum time that a connection may be idle.
     pub idle_timeout: Millis,
 }
 
 impl Default for RequestLimits {
-    /// In force until a configuration is known; generous, since no caller is served before.
+    /// Returns the limits that apply until a configuration is known.
+    ///
+    /// They can be generous, since no caller is served before then.
     fn default() -> Self {
         Self {
             head_bytes: 16 * 1024,
@@ -97,7 +99,7 @@
 }
 
 impl Config {
-    /// Makes a configuration whose routes can be looked up.
+    /// Creates a configuration and indexes its routes by host.
     #[must_use]
     pub fn new(
         version: u64,
@@ -105,44 +107,44 @@
         pools: HashMap<Name, Pool>,
         limits: RequestLimits,
     ) -> Self {
-        let mut index: HashMap<Name, Vec<usize>> = HashMap::new();
-        for (place, route) in routes.iter().enumerate() {
-            index
+        let mut routes_by_host: HashMap<Name, Vec<usize>> = HashMap::new();
+        for (index, route) in routes.iter().enumerate() {
+            routes_by_host
                 .entry(Name::clone(&route.host))
                 .or_default()
-                .push(place);
+                .push(index);
         }
-        for places in index.values_mut() {
-            places.sort_by_key(|&place| std::cmp::Reverse(routes[place].prefix.len()));
+        for indices in routes_by_host.values_mut() {
+            indices.sort_by_key(|&index| std::cmp::Reverse(routes[index].prefix.len()));
         }
         Self {
             version,
             routes,
             pools,
             limits,
-            index,
+            routes_by_host,
         }
     }
 
-    /// Returns the route with the longest prefix that begins `path`.
+    /// Returns the route of `host` with the longest prefix that matches `path`.
     ///
-    /// A port behind the host is ignored, and its case, as RFC 9110 has it.
+    /// The host's port and case are ignored, as in RFC 9110.
     #[must_use]
     pub fn route(&self, host: &str, path: &str) -> Option<&Route> {
-        let bare = host.rsplit_once(':').map_or(host, |(name, port)| {
+        let name = host.rsplit_once(':').map_or(host, |(name, port)| {
             if port.bytes().all(|byte| byte.is_ascii_digit()) {
                 name
             } else {
                 host
             }
         });
-        let places = self
-            .index
-            .get(bare)
-            .or_else(|| self.index.get(bare.to_ascii_lowercase().as_str()))?;
-        places
+        let indices = self
+            .routes_by_host
+            .get(name)
+            .or_else(|| self.routes_by_host.get(name.to_ascii_lowercase().as_str()))?;
+        indices
             .iter()
-            .map(|&place| &self.routes[place])
+            .map(|&index| &self.routes[index])
             .find(|route| path.starts_with(&*route.prefix))
     }
 }
