--- a/lib/src/direct/reload.rs
+++ b/lib/src/direct/reload.rs
@@ -1,77 +1,80 @@
-//! Settings that change while a node runs.
+//! Reloading of settings while a node runs.
 //!
-//! A deployment changes a node's settings without a restart and may or may not tell the
-//! process. Bounds take effect at once; addresses and names belong to sockets and records
-//! that exist already, so they wait for the next start. Settings that can't be used leave
-//! the last good ones in force: a node that died of a mistake in a file would take its
-//! callers with it.
+//! A deployment may change a node's settings without a restart, with or without a signal to the
+//! process. Limits take effect at once. Addresses and names belong to sockets and records that
+//! exist already, so they take effect at the next start. Invalid settings are rejected and the
+//! last valid ones stay in force: a node that exited because of a mistake in a file would cut off
+//! its callers.
 
 use std::sync::{Arc, Mutex, PoisonError};
 
 use super::limits::Current;
 use super::node::Settings;
 
-/// What became of a look at the settings.
+/// The result of applying freshly loaded settings.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReloadOutcome {
-    /// They are as they were at the last look.
+    /// They equal those of the last load.
     Unchanged,
-    /// The bounds are in force, and nothing else differs.
+    /// The limits are in force, and nothing else differs from the settings at startup.
     Applied,
-    /// Something differs that waits for the next start; the bounds are in force.
+    /// The limits are in force, but other changes take effect at the next start only.
     RestartRequired,
-    /// They can't be used, and the last good ones stay.
+    /// They are invalid, and the last valid ones stay in force.
     Rejected,
 }
 
-/// The settings of a running node.
+/// Applies changed settings to a running node.
 #[derive(Debug)]
 pub struct Reload {
     limits: Arc<Current>,
-    started: Settings,
-    last: Mutex<Result<Settings, String>>,
+    startup_settings: Settings,
+    last_loaded: Mutex<Result<Settings, String>>,
 }
 
 impl Reload {
-    /// Begins with the settings that the node was started with.
+    /// Creates a reloader from the settings that the node was started with.
     #[must_use]
-    pub fn new(started: Settings, limits: Arc<Current>) -> Self {
+    pub fn new(startup_settings: Settings, limits: Arc<Current>) -> Self {
         Self {
             limits,
-            last: Mutex::new(Ok(started.clone())),
-            started,
+            last_loaded: Mutex::new(Ok(startup_settings.clone())),
+            startup_settings,
         }
     }
 
-    /// Takes what a look at the settings brought; the error says what is wrong with them.
-    pub fn apply(&self, found: Result<Settings, String>) -> ReloadOutcome {
-        let mut last = self.last.lock().unwrap_or_else(PoisonError::into_inner);
-        if *last == found {
+    /// Applies loaded settings; an error says what is wrong with them.
+    pub fn apply(&self, loaded: Result<Settings, String>) -> ReloadOutcome {
+        let mut last_loaded = self
+            .last_loaded
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
+        if *last_loaded == loaded {
             return ReloadOutcome::Unchanged;
         }
-        let taken = match &found {
+        let outcome = match &loaded {
             Ok(settings) => self.apply_valid(settings),
-            Err(mistake) => {
-                log::error!("node: settings stay as they were: {mistake}");
+            Err(error) => {
+                log::error!("node: invalid settings, the previous ones stay in force: {error}");
                 ReloadOutcome::Rejected
             }
         };
-        *last = found;
-        taken
+        *last_loaded = loaded;
+        outcome
     }
 
     fn apply_valid(&self, settings: &Settings) -> ReloadOutcome {
         self.limits.set(settings.limits);
-        log::info!("node: the settings' bounds are in force");
-        let started = Settings {
+        log::info!("node: the limits of the reloaded settings are in force");
+        let expected = Settings {
             limits: settings.limits,
             first_start: settings.first_start,
-            ..self.started.clone()
+            ..self.startup_settings.clone()
         };
-        if started == *settings {
+        if expected == *settings {
             return ReloadOutcome::Applied;
         }
-        log::warn!("node: names or addresses in the settings differ until the next start");
+        log::warn!("node: changed names or addresses take effect at the next start");
         ReloadOutcome::RestartRequired
     }
 }
