--- a/lib/src/direct/fanout/hub.rs
+++ b/lib/src/direct/fanout/hub.rs
@@ -1,4 +1,4 @@
-//! Passing changes on to the nodes that listen to this one.
+//! The hub that publishes changes to the nodes that subscribe to this one.
 
 use std::collections::VecDeque;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -10,228 +10,234 @@
 use tonic::Status;
 
 use super::Update;
-use super::tree::LISTENERS;
-use super::wire::{encode, size};
+use super::tree::SUBSCRIBERS_PER_NODE;
+use super::wire::{encode, payload_bytes};
 use crate::clock::{Clock, Millis};
 use crate::direct::validate::RejectReason;
 use crate::metrics::Metrics;
-use crate::schema::direct::Update as Sent;
+use crate::schema::direct::Update as ProtoUpdate;
 
-/// Updates that are kept for nodes that begin to listen: some ten seconds of changes.
-const KEPT: usize = 8;
+/// Number of recent updates kept for new subscribers: about ten seconds of changes.
+const BACKLOG_UPDATES: usize = 8;
 
-/// Bytes of an update from which on it isn't passed on.
+/// Maximum size of an update that is passed on, in bytes.
 ///
-/// After an outage of the service all engines' entries come in one answer, which is too old to
-/// rely on by the time that listeners have it over a slow link. It bounds what [`BEHIND`] and
-/// [`KEPT`] hold too: answers may have twenty times as much.
-const MOST_BYTES: usize = 300_000;
+/// After an outage of the service, the entries of all engines come in one response. Over a slow
+/// link it would be too old to rely on by the time that subscribers have received it. The limit
+/// also bounds the memory for [`CHANNEL_UPDATES`] and [`BACKLOG_UPDATES`], since responses can be
+/// twenty times as large.
+const MAX_UPDATE_BYTES: usize = 300_000;
 
-/// Bytes of an update that a listener gets in a millisecond over the slowest link.
+/// Bytes that a subscriber receives in a millisecond over the slowest link.
 ///
-/// Half of 10 Mbit/s is callers' answers, and three listeners share the rest. An update tells its
-/// age when it is sent, and nothing tells how long it is on its way then. Counted as fresh when it
-/// comes, a large one is relied on for too long, and the next configuration comes into force too
-/// late.
-const BYTES_A_MS: usize = 200;
+/// Half of 10 Mbit/s carries responses to callers, and three subscribers share the rest. An update
+/// contains its age when it is sent, but not the time that the transfer then takes. Without that
+/// time a large update would be relied on for too long, and the next configuration would take
+/// effect too late.
+const LINK_BYTES_PER_MS: usize = 200;
 
-/// Nodes that may listen at once: those of this node, and as many of one that is gone.
+/// Maximum number of subscribers: those of this node, and as many of another node that is gone.
 ///
-/// All of a failure domain turn to the first nodes when those between are gone. Whoever is
-/// refused asks the service, which costs less than callers' streams that are late here.
-const MOST_LISTENERS: usize = 2 * LISTENERS;
+/// When nodes in the middle of the tree are gone, all others of the failure domain turn to the
+/// first ones. A rejected node polls the service instead, which costs less than delays in the
+/// streams of this node's callers.
+const MAX_SUBSCRIBERS: usize = 2 * SUBSCRIBERS_PER_NODE;
 
-/// Updates that a slow listener may be behind, before it is told to ask for itself.
-const BEHIND: usize = 16;
+/// Number of updates that a slow subscriber may lag behind before its stream ends.
+const CHANNEL_UPDATES: usize = 16;
 
-/// Why an update isn't passed on to a node that listens, or would.
+/// Why updates aren't delivered to a node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Unsent {
-    /// This node hears of nothing itself.
-    Lost,
-    /// So many listen already.
+enum DeliveryError {
+    /// This node receives no changes itself.
+    Disconnected,
+    /// The maximum number of subscribers is reached.
     Full,
-    /// It is too large.
+    /// The update is too large.
     Oversized,
-    /// The listener was too slow to get all before it.
-    Missed,
-    /// What is before it isn't to be had here.
+    /// The subscriber was too slow, and updates in between were dropped.
+    Lagged,
+    /// Changes before the oldest available update are missing.
     Gap,
 }
 
-impl Unsent {
+impl DeliveryError {
     const fn name(self) -> &'static str {
         match self {
-            Self::Lost => "lost",
+            Self::Disconnected => "lost",
             Self::Full => "full",
             Self::Oversized => "oversized",
-            Self::Missed => "missed",
+            Self::Lagged => "missed",
             Self::Gap => "gap",
         }
     }
 
     fn status(self) -> Status {
         match self {
-            Self::Lost => Status::unavailable("the service does not answer this node"),
+            Self::Disconnected => Status::unavailable("the service does not answer this node"),
             Self::Full => Status::resource_exhausted("so many nodes listen already"),
             Self::Oversized => Status::aborted("an update is too large"),
-            Self::Missed => Status::aborted("updates were missed"),
+            Self::Lagged => Status::aborted("updates were missed"),
             Self::Gap => Status::aborted("there is a gap behind the revision"),
         }
     }
 
     fn count(self, metrics: &Metrics) {
-        let unsent = &metrics.updates_unsent;
-        unsent.with_label_values(&[self.name()]).inc();
+        let counter = &metrics.updates_unsent;
+        counter.with_label_values(&[self.name()]).inc();
     }
 }
 
-/// Where this node's updates are to be had.
+/// Publishes the updates of this node to its subscribers.
 #[derive(Debug)]
 pub struct Hub {
     clock: Arc<dyn Clock>,
     metrics: Arc<Metrics>,
-    recent: Mutex<VecDeque<Arc<Update>>>,
+    backlog: Mutex<VecDeque<Arc<Update>>>,
     sender: broadcast::Sender<Arc<Update>>,
-    /// Places of nodes that listen.
-    places: Arc<Semaphore>,
-    /// Whether this node asked and heard nothing.
-    lost: AtomicBool,
+    /// Limits the number of subscribers.
+    subscriber_slots: Arc<Semaphore>,
+    /// Whether the service didn't answer this node's last poll.
+    disconnected: AtomicBool,
 }
 
 impl Hub {
-    /// Makes a hub without updates.
+    /// Creates a hub without updates.
     #[must_use]
     pub fn new(clock: Arc<dyn Clock>, metrics: Arc<Metrics>) -> Self {
         Self {
             clock,
             metrics,
-            recent: Mutex::default(),
-            sender: broadcast::Sender::new(BEHIND),
-            places: Arc::new(Semaphore::new(MOST_LISTENERS)),
-            lost: AtomicBool::new(false),
+            backlog: Mutex::default(),
+            sender: broadcast::Sender::new(CHANNEL_UPDATES),
+            subscriber_slots: Arc::new(Semaphore::new(MAX_SUBSCRIBERS)),
+            disconnected: AtomicBool::new(false),
         }
     }
 
-    /// Counts whom this node heard of changes from.
+    /// Counts an update by its source.
     pub fn count_update(&self, source: &'static str) {
         self.metrics.updates.with_label_values(&[source]).inc();
     }
 
-    /// Counts what was left aside.
-    pub fn count_rejected(&self, refusal: RejectReason) {
-        let refused = &self.metrics.updates_refused;
-        refused.with_label_values(&[refusal.name()]).inc();
+    /// Counts a rejected update or change.
+    pub fn count_rejected(&self, reason: RejectReason) {
+        let counter = &self.metrics.updates_refused;
+        counter.with_label_values(&[reason.name()]).inc();
     }
 
-    /// Notes that this node asked and heard nothing: until it does, others have to ask too.
+    /// Rejects subscribers until the next update, since the service doesn't answer this node.
     pub fn mark_disconnected(&self) {
-        self.lost.store(true, Ordering::Relaxed);
+        self.disconnected.store(true, Ordering::Relaxed);
     }
 
-    /// Passes an update on to whoever listens.
+    /// Sends an update to all subscribers.
     ///
-    /// Of one that is too large only its end is passed on, which every listener finds to lie
-    /// behind a gap.
+    /// If it is too large, only its last revision is sent, and every subscriber detects a gap
+    /// before it.
     pub fn publish(&self, mut update: Update) {
-        self.lost.store(false, Ordering::Relaxed);
-        if size(&update) > MOST_BYTES {
-            Unsent::Oversized.count(&self.metrics);
+        self.disconnected.store(false, Ordering::Relaxed);
+        if payload_bytes(&update) > MAX_UPDATE_BYTES {
+            DeliveryError::Oversized.count(&self.metrics);
             update.after = update.revision;
             update.events.clear();
         }
         let update = Arc::new(update);
-        let mut recent = self.recent();
-        recent.push_back(Arc::clone(&update));
-        if recent.len() > KEPT {
-            recent.pop_front();
+        let mut backlog = self.backlog();
+        backlog.push_back(Arc::clone(&update));
+        if backlog.len() > BACKLOG_UPDATES {
+            backlog.pop_front();
         }
-        // Nobody may listen.
+        // It fails if there are no subscribers.
         let _ = self.sender.send(update);
     }
 
-    /// Returns all updates behind a revision as they come; it ends where one is missing.
+    /// Returns a stream of all updates after a revision, which ends where one is missing.
     ///
     /// # Errors
     ///
-    /// When this node can't pass anything on now: it hears of nothing itself, or so many listen.
+    /// When this node has no connection to the service, or too many subscribers.
     pub fn subscribe(
         &self,
         after: u64,
-    ) -> Result<impl Stream<Item = Result<Sent, Status>> + Send + use<>, Status> {
-        let place = self.place().map_err(|unsent| {
-            unsent.count(&self.metrics);
-            unsent.status()
+    ) -> Result<impl Stream<Item = Result<ProtoUpdate, Status>> + Send + use<>, Status> {
+        let slot = self.acquire_slot().map_err(|error| {
+            error.count(&self.metrics);
+            error.status()
         })?;
         let (backlog, receiver) = {
-            let recent = self.recent();
-            let newer = recent.iter().filter(|update| update.revision > after);
+            let backlog = self.backlog();
+            let newer = backlog.iter().filter(|update| update.revision > after);
             (newer.cloned().collect(), self.sender.subscribe())
         };
-        let listener = Listener {
+        let subscriber = Subscriber {
             clock: Arc::clone(&self.clock),
             backlog,
             receiver,
             after,
-            since: self.clock.now(),
+            subscribed_at: self.clock.now(),
             metrics: Arc::clone(&self.metrics),
-            _place: place,
+            _slot: slot,
         };
-        Ok(stream::unfold(Some(listener), |listener| async {
-            let mut listener = listener?;
-            match listener.next().await {
-                Ok(sent) => Some((Ok(sent), Some(listener))),
-                Err(unsent) => {
-                    unsent.count(&listener.metrics);
-                    Some((Err(unsent.status()), None))
+        Ok(stream::unfold(Some(subscriber), |subscriber| async {
+            let mut subscriber = subscriber?;
+            match subscriber.next().await {
+                Ok(message) => Some((Ok(message), Some(subscriber))),
+                Err(error) => {
+                    error.count(&subscriber.metrics);
+                    Some((Err(error.status()), None))
                 }
             }
         }))
     }
 
-    fn place(&self) -> Result<OwnedSemaphorePermit, Unsent> {
-        if self.lost.load(Ordering::Relaxed) {
-            return Err(Unsent::Lost);
+    fn acquire_slot(&self) -> Result<OwnedSemaphorePermit, DeliveryError> {
+        if self.disconnected.load(Ordering::Relaxed) {
+            return Err(DeliveryError::Disconnected);
         }
-        let place = Arc::clone(&self.places).try_acquire_owned();
-        place.map_err(|_| Unsent::Full)
+        let slot = Arc::clone(&self.subscriber_slots).try_acquire_owned();
+        slot.map_err(|_| DeliveryError::Full)
     }
 
-    fn recent(&self) -> MutexGuard<'_, VecDeque<Arc<Update>>> {
-        self.recent.lock().unwrap_or_else(PoisonError::into_inner)
+    fn backlog(&self) -> MutexGuard<'_, VecDeque<Arc<Update>>> {
+        self.backlog.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-/// One node that listens.
-struct Listener {
+/// The state of one subscriber's stream.
+struct Subscriber {
     clock: Arc<dyn Clock>,
     backlog: VecDeque<Arc<Update>>,
     receiver: broadcast::Receiver<Arc<Update>>,
     after: u64,
-    /// When it began to listen.
-    since: Millis,
+    /// When the stream began.
+    subscribed_at: Millis,
     metrics: Arc<Metrics>,
-    _place: OwnedSemaphorePermit,
+    _slot: OwnedSemaphorePermit,
 }
 
-impl Listener {
-    async fn next(&mut self) -> Result<Sent, Unsent> {
+impl Subscriber {
+    async fn next(&mut self) -> Result<ProtoUpdate, DeliveryError> {
         let update = match self.backlog.pop_front() {
             Some(update) => update,
-            None => self.receiver.recv().await.map_err(|_| Unsent::Missed)?,
+            None => self
+                .receiver
+                .recv()
+                .await
+                .map_err(|_| DeliveryError::Lagged)?,
         };
         if update.after > self.after {
-            return Err(Unsent::Gap);
+            return Err(DeliveryError::Gap);
         }
         let now = self.clock.now();
-        let age = now.since(update.as_of) + on_its_way(&update);
-        let sent = encode(&update, self.after, age, now.since(self.since));
+        let age = now.since(update.as_of) + transfer_time(&update);
+        let message = encode(&update, self.after, age, now.since(self.subscribed_at));
         self.after = self.after.max(update.revision);
-        Ok(sent)
+        Ok(message)
     }
 }
 
-/// The longest that an update is on its way to a listener.
-fn on_its_way(update: &Update) -> Millis {
-    Millis(u64::try_from(size(update) / BYTES_A_MS).unwrap_or(u64::MAX))
+/// Returns the maximum time that an update takes to reach a subscriber.
+fn transfer_time(update: &Update) -> Millis {
+    Millis(u64::try_from(payload_bytes(update) / LINK_BYTES_PER_MS).unwrap_or(u64::MAX))
 }
--- a/lib/src/direct/fanout/mod.rs
+++ b/lib/src/direct/fanout/mod.rs
@@ -1,11 +1,11 @@
-//! Changes of the key-value service, passed on within a failure domain.
+//! Fan-out of the key-value service's changes within a failure domain.
 //!
-//! Each call for changes is priced and counted against the service's rates, which grow more
-//! slowly than the fleet. So a few nodes of each failure domain ask, and the others hear from
-//! them. Nobody is elected: every node ranks the listed nodes of its domain by the same hash, and
-//! one that hears nothing for too long asks the service itself. An update says how old it is, so
-//! that a node which passes on old news, or is itself cut off, is noticed as well as a silent one.
-//! See docs/design/0009-changes-within-a-domain.md.
+//! Each poll for changes costs money and counts against the service's rate limits, which grow more
+//! slowly than the fleet. So a few nodes of each failure domain poll, and the others subscribe to
+//! them. There is no leader election: every node ranks the listed nodes of its domain by the same
+//! hash, and one that receives nothing for too long polls the service itself. An update contains
+//! its age, so that a node which passes on old changes, or is cut off itself, is detected as well
+//! as a silent one. See docs/design/0009-changes-within-a-domain.md.
 
 mod hub;
 mod subscription;
@@ -22,39 +22,41 @@
 use crate::clock::Millis;
 use crate::ports::Event;
 
-/// All changes between two revisions.
+/// All changes after one revision up to another.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Update {
-    /// The revision behind which the changes begin.
+    /// The revision after which the changes begin.
     pub after: u64,
-    /// The revision that they lead to: that of the last one, or the first where there is none.
+    /// The revision of the last change; equals `after` if there are none.
     pub revision: u64,
-    /// When the service was known to be at that revision, by this node's clock.
+    /// When the service was known to be at `revision`, by this node's clock.
     pub as_of: Millis,
-    /// The changes in their order.
+    /// The changes in the order of their revisions.
     pub events: Vec<Event>,
 }
 
-/// What listening led to.
+/// The result of waiting for an update.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Received {
-    /// Changes.
+    /// An update arrived.
     Update(Update),
-    /// Nothing yet.
+    /// No update arrived in time.
     Timeout,
-    /// There is nobody to listen to: ask the service.
+    /// No node passes changes on, so the service has to be polled.
     NoSource,
 }
 
-/// Whoever passes changes on to this node.
+/// A source of updates from other nodes.
 #[async_trait]
 pub trait Source: fmt::Debug + Send {
-    /// Whether others may listen to this node, so that its own calls have to be quick.
+    /// Whether other nodes may subscribe to this one, so that its own polls have to be short.
     fn may_have_subscribers(&self) -> bool;
 
-    /// Waits up to `within` for changes behind a revision; what comes may be anything.
+    /// Waits up to `within` for changes after a revision.
+    ///
+    /// The update comes from another node and isn't validated.
     async fn next(&mut self, after: u64, within: Millis) -> Received;
 
-    /// Listens to somebody else for a while: what came was too old or bad, or nothing came.
+    /// Avoids the current publisher for a while, since its updates are too old, invalid or missing.
     fn avoid(&mut self);
 }
--- a/lib/src/direct/fanout/subscription.rs
+++ b/lib/src/direct/fanout/subscription.rs
@@ -1,48 +1,48 @@
-//! Listening to a node of the own failure domain.
+//! The subscription to another node of the same failure domain.
 
 use std::sync::Arc;
 
 use async_trait::async_trait;
 use tonic::{Code, Streaming};
 
-use super::tree::{choose, ranked};
+use super::tree::{choose_publisher, ranked_nodes};
 use super::wire::decode;
 use super::{Received, Source};
 use crate::clock::Millis;
 use crate::direct::ask::Controllers;
 use crate::direct::validate::RejectReason;
 use crate::name::Name;
-use crate::schema::direct::{FollowRequest, Update as Sent};
+use crate::schema::direct::{FollowRequest, Update as ProtoUpdate};
 
-/// The longest that beginning to listen may take.
-const CONNECT: Millis = Millis(400);
+/// Maximum time for a subscription to be accepted.
+const SUBSCRIBE_TIMEOUT: Millis = Millis(400);
 
-/// How long a node that passed nothing on in time isn't listened to.
-const AVOIDED: Millis = Millis(5_000);
+/// How long a node isn't subscribed to after it failed to pass changes on in time.
+const AVOID_TIME: Millis = Millis(5_000);
 
-/// What listening ends with where a message is larger than a node reads.
+/// Status of a stream that ended because a message exceeds the maximum size.
 const TOO_LARGE: Code = Code::OutOfRange;
 
-/// A call over which updates come.
+/// A stream of updates from a publisher.
 #[derive(Debug)]
-struct Listening {
-    leader: Name,
-    /// When the call was made.
-    asked: Millis,
-    updates: Streaming<Sent>,
+struct PublisherStream {
+    publisher: Name,
+    /// When the stream was requested.
+    requested_at: Millis,
+    updates: Streaming<ProtoUpdate>,
 }
 
-/// Listens to a node of this node's failure domain.
+/// Receives updates from another node of this node's failure domain.
 #[derive(Debug)]
 pub struct Subscription {
     controllers: Arc<Controllers>,
     failure_domain: Name,
-    stream: Option<Listening>,
+    stream: Option<PublisherStream>,
     avoided: Vec<(Name, Millis)>,
 }
 
 impl Subscription {
-    /// Makes a subscription to nobody yet.
+    /// Creates a subscription without a publisher; the first call of `next` chooses one.
     #[must_use]
     pub fn new(controllers: Arc<Controllers>, failure_domain: Name) -> Self {
         Self {
@@ -53,47 +53,50 @@
         }
     }
 
-    /// Returns whom this node listens to at this moment.
+    /// Returns the node that this node is subscribed to at the moment.
     #[must_use]
     pub fn publisher(&self) -> Option<Name> {
-        let listening = self.stream.as_ref()?;
-        Some(Name::clone(&listening.leader))
+        let stream = self.stream.as_ref()?;
+        Some(Name::clone(&stream.publisher))
     }
 
-    async fn begin(&mut self, after: u64) -> Option<()> {
+    async fn connect(&mut self, after: u64) -> Option<()> {
         let now = self.controllers.clock.now();
         self.avoided.retain(|(_, until)| *until > now);
-        let (leader, address) = {
+        let (publisher, address) = {
             let state = self.controllers.view.state();
-            let nodes = ranked(&state, &self.failure_domain);
-            let at = nodes
+            let nodes = ranked_nodes(&state, &self.failure_domain);
+            let rank = nodes
                 .iter()
                 .position(|name| *name == self.controllers.node)?;
-            let leader = choose(&nodes, at, |name| {
+            let publisher = choose_publisher(&nodes, rank, |name| {
                 self.avoided.iter().any(|(avoided, _)| avoided == name)
             })?;
-            (Name::clone(leader), state.nodes.get(leader)?.address)
+            (Name::clone(publisher), state.nodes.get(publisher)?.address)
         };
         let mut client = self.controllers.client(address);
-        let asked = client.follow(FollowRequest { after });
-        match tokio::time::timeout(CONNECT.duration(), asked).await {
+        let response = client.follow(FollowRequest { after });
+        match tokio::time::timeout(SUBSCRIBE_TIMEOUT.duration(), response).await {
             Ok(Ok(stream)) => {
-                log::debug!("follow: listens to {leader}");
-                self.stream = Some(Listening {
-                    leader,
-                    asked: now,
+                log::debug!("follow: subscribed to {publisher}");
+                self.stream = Some(PublisherStream {
+                    publisher,
+                    requested_at: now,
                     updates: stream.into_inner(),
                 });
                 Some(())
             }
             Ok(Err(status)) => {
-                log::info!("follow: {leader} passes nothing on: {}", status.message());
-                self.avoided.push((leader, now + AVOIDED));
+                log::info!(
+                    "follow: {publisher} rejected the subscription: {}",
+                    status.message()
+                );
+                self.avoided.push((publisher, now + AVOID_TIME));
                 None
             }
             Err(_) => {
-                log::info!("follow: {leader} does not answer within {CONNECT}");
-                self.avoided.push((leader, now + AVOIDED));
+                log::info!("follow: {publisher} did not answer within {SUBSCRIBE_TIMEOUT}");
+                self.avoided.push((publisher, now + AVOID_TIME));
                 None
             }
         }
@@ -104,33 +107,33 @@
 impl Source for Subscription {
     fn may_have_subscribers(&self) -> bool {
         let state = self.controllers.view.state();
-        !ranked(&state, &self.failure_domain).is_empty()
+        !ranked_nodes(&state, &self.failure_domain).is_empty()
     }
 
     async fn next(&mut self, after: u64, within: Millis) -> Received {
-        if self.stream.is_none() && self.begin(after).await.is_none() {
+        if self.stream.is_none() && self.connect(after).await.is_none() {
             return Received::NoSource;
         }
-        let Some(listening) = &mut self.stream else {
+        let Some(stream) = &mut self.stream else {
             return Received::NoSource;
         };
-        let message = tokio::time::timeout(within.duration(), listening.updates.message()).await;
+        let message = tokio::time::timeout(within.duration(), stream.updates.message()).await;
         let Ok(message) = message else {
             return Received::Timeout;
         };
-        let leader = &listening.leader;
+        let publisher = &stream.publisher;
         match message {
-            Ok(Some(sent)) => {
+            Ok(Some(update)) => {
                 let now = self.controllers.clock.now();
-                Received::Update(decode(sent, listening.asked, now))
+                Received::Update(decode(update, stream.requested_at, now))
             }
             Ok(None) => {
-                log::info!("follow: {leader} passes nothing on any more");
+                log::info!("follow: {publisher} ended the stream");
                 self.stream = None;
                 Received::NoSource
             }
             Err(status) => {
-                log::info!("follow: {leader} passes nothing on any more: {status}");
+                log::info!("follow: the stream from {publisher} failed: {status}");
                 if status.code() == TOO_LARGE {
                     self.controllers.hub.count_rejected(RejectReason::Oversized);
                     self.avoid();
@@ -142,10 +145,10 @@
     }
 
     fn avoid(&mut self) {
-        if let Some(Listening { leader, .. }) = self.stream.take() {
-            log::info!("follow: nothing new enough from {leader}");
-            let until = self.controllers.clock.now() + AVOIDED;
-            self.avoided.push((leader, until));
+        if let Some(PublisherStream { publisher, .. }) = self.stream.take() {
+            log::info!("follow: nothing new enough from {publisher}");
+            let until = self.controllers.clock.now() + AVOID_TIME;
+            self.avoided.push((publisher, until));
         }
     }
 }
--- a/lib/src/direct/fanout/tree.rs
+++ b/lib/src/direct/fanout/tree.rs
@@ -1,37 +1,39 @@
-//! Who listens to whom in a failure domain.
+//! The tree in which the nodes of a failure domain subscribe to each other.
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 use crate::direct::view::State;
 use crate::name::Name;
 
-/// Seed of the order of nodes in a failure domain. All nodes must have the same.
-const ORDER_SEED: u64 = 0x666f_6c6c_6f77;
+/// Seed of the hash that ranks the nodes of a failure domain. All nodes must have the same.
+const RANK_SEED: u64 = 0x666f_6c6c_6f77;
 
-/// Nodes of a failure domain that ask the service: the loss of one leaves another.
+/// Number of nodes of a failure domain that poll the service; two, so that one may fail.
 const LEADERS: usize = 2;
 
-/// Nodes that listen to one node.
+/// Number of nodes that subscribe to one node.
 ///
-/// Updates come in bursts, and a node on a slow link that sends them to many holds up its own
-/// callers' streams. With three, forty nodes are three steps deep.
-pub(super) const LISTENERS: usize = 3;
+/// Updates come in bursts, and a node on a slow link that sends them to many others delays the
+/// streams of its own callers. With three subscribers each, forty nodes form a tree of three
+/// levels.
+pub(super) const SUBSCRIBERS_PER_NODE: usize = 3;
 
-/// Nodes of a failure domain from which on changes are passed on.
+/// Minimum number of nodes of a failure domain for passing changes on.
 ///
-/// Below, the calls that are saved are worth less than hearing of a change at first hand.
-const FEWEST: usize = 8;
+/// With fewer nodes, the calls saved matter less than receiving changes directly.
+const MIN_NODES: usize = 8;
 
-/// Returns the nodes of a failure domain in the order that all share; none where each asks
-/// the service for itself.
-pub(super) fn ranked(state: &State, failure_domain: &str) -> Vec<Name> {
+/// Returns the nodes of a failure domain by rank, in an order that all nodes share.
+///
+/// Returns none if there are so few that each polls the service itself.
+pub(super) fn ranked_nodes(state: &State, failure_domain: &str) -> Vec<Name> {
     let mut ranked: Vec<(u64, &Name)> = state
         .nodes
         .iter()
         .filter(|(_, peer)| &*peer.failure_domain == failure_domain)
-        .map(|(name, _)| (xxh3_64_with_seed(name.as_bytes(), ORDER_SEED), name))
+        .map(|(name, _)| (xxh3_64_with_seed(name.as_bytes(), RANK_SEED), name))
         .collect();
-    if ranked.len() < FEWEST {
+    if ranked.len() < MIN_NODES {
         return Vec::new();
     }
     ranked.sort_unstable();
@@ -41,20 +43,26 @@
         .collect()
 }
 
-/// Chooses whom the node at a rank listens to; nobody for the first ones, which ask the service.
+/// Chooses the node that the node at a rank subscribes to; none for leaders, which poll the service.
 ///
-/// The nodes form a tree in the order of their ranks. Where the one above is avoided, the one
-/// above that is next, and at last the other leaders.
-pub(super) fn choose(nodes: &[Name], at: usize, avoided: impl Fn(&Name) -> bool) -> Option<&Name> {
-    if at < LEADERS {
+/// The nodes form a tree in the order of their ranks. A node subscribes to its nearest ancestor
+/// that isn't avoided, or else to another leader.
+pub(super) fn choose_publisher(
+    nodes: &[Name],
+    rank: usize,
+    avoided: impl Fn(&Name) -> bool,
+) -> Option<&Name> {
+    if rank < LEADERS {
         return None;
     }
-    let above = std::iter::successors(Some(above(at)), |&at| (at >= LEADERS).then(|| above(at)));
-    let path = above.chain(0..LEADERS);
-    path.filter_map(|at| nodes.get(at))
+    let ancestors = std::iter::successors(Some(parent(rank)), |&rank| {
+        (rank >= LEADERS).then(|| parent(rank))
+    });
+    let path = ancestors.chain(0..LEADERS);
+    path.filter_map(|rank| nodes.get(rank))
         .find(|name| !avoided(name))
 }
 
-fn above(at: usize) -> usize {
-    (at - LEADERS) / LISTENERS
+fn parent(rank: usize) -> usize {
+    (rank - LEADERS) / SUBSCRIBERS_PER_NODE
 }
--- a/lib/src/direct/fanout/wire.rs
+++ b/lib/src/direct/fanout/wire.rs
@@ -1,25 +1,26 @@
-//! Updates as they travel between nodes.
+//! Encoding of updates for the wire between nodes.
 
 use super::Update;
 use crate::clock::Millis;
 use crate::ports::{Entry, Event};
-use crate::schema::direct::{Change, Update as Sent};
+use crate::schema::direct::{Change, Update as ProtoUpdate};
 
-pub(super) fn encode(update: &Update, after: u64, age: Millis, listening: Millis) -> Sent {
+pub(super) fn encode(update: &Update, after: u64, age: Millis, stream_age: Millis) -> ProtoUpdate {
     let newer = update.events.iter().filter(|event| event.revision > after);
-    Sent {
-        // One that knows more is told so, and asks the service: this node is behind, or the
-        // other one believes in a revision that the service never had.
+    ProtoUpdate {
+        // A subscriber that is ahead of this update rejects it as stale, and polls the service if
+        // that lasts: either this node is behind, or the subscriber has a revision that the
+        // service never reached.
         after: after.min(update.revision),
         revision: update.revision,
         age_ms: age.0,
         changes: newer.map(encode_event).collect(),
-        listening_ms: listening.0,
+        listening_ms: stream_age.0,
     }
 }
 
-/// Bytes that an update takes on its way, about.
-pub(super) fn size(update: &Update) -> usize {
+/// Returns the approximate size of an update on the wire, in bytes.
+pub(super) fn payload_bytes(update: &Update) -> usize {
     let sizes = update.events.iter().map(|event| {
         let value = event.entry.as_ref().map_or(0, |entry| entry.value.len());
         event.key.len() + value
@@ -41,18 +42,19 @@
     }
 }
 
-/// Reads an update that came over a call made at `asked`.
+/// Decodes an update received on a stream that was requested at `subscribe_sent_at`.
 ///
-/// An update can lie in its socket while this node's VM is suspended: read at `now`, it would
-/// count as new. It was sent no earlier than the call, and as long behind that as its sender
-/// says, which holds whatever happens on the way.
-pub(super) fn decode(sent: Sent, asked: Millis, now: Millis) -> Update {
-    let sent_at = now.min(asked + Millis(sent.listening_ms));
+/// An update can wait in the socket's buffer while this node's VM is suspended, and would look
+/// new when it is read at `now`. So the time at which it was sent is taken to be that of the
+/// request plus the age of the stream that the sender states. It can't have been sent earlier,
+/// whatever delays it on the way.
+pub(super) fn decode(message: ProtoUpdate, subscribe_sent_at: Millis, now: Millis) -> Update {
+    let sent_at = now.min(subscribe_sent_at + Millis(message.listening_ms));
     Update {
-        after: sent.after,
-        revision: sent.revision,
-        as_of: Millis(sent_at.0.saturating_sub(sent.age_ms)),
-        events: sent.changes.into_iter().map(decode_event).collect(),
+        after: message.after,
+        revision: message.revision,
+        as_of: Millis(sent_at.0.saturating_sub(message.age_ms)),
+        events: message.changes.into_iter().map(decode_event).collect(),
     }
 }
 
