--- a/lib/src/direct/follow/entries.rs
+++ b/lib/src/direct/follow/entries.rs
@@ -1,4 +1,4 @@
-//! Taking in what the key-value service holds, entry by entry.
+//! Applying the key-value service's entries and changes to the view.
 
 use std::collections::HashSet;
 use std::sync::Arc;
@@ -14,29 +14,29 @@
 use crate::ports::{Entry, Event};
 
 impl Follower {
-    /// Takes in all entries under a prefix as they stood at a time, and that others are gone.
-    pub(super) fn replace(&mut self, prefix: &str, entries: &[Entry], as_of: Millis) {
+    /// Replaces everything under a prefix by the entries that existed at a time.
+    pub(super) fn replace_prefix(&mut self, prefix: &str, entries: &[Entry], as_of: Millis) {
         let now = self.clock.now();
         let present: HashSet<String> = entries.iter().map(|entry| entry.key.clone()).collect();
         let view = Arc::clone(&self.view);
         let mut state = view.state();
         if self.holds_upstreams(prefix) {
-            self.drop_upstreams(&mut state, &present);
+            self.remove_unlisted_upstreams(&mut state, &present);
         }
         if self.dialect.own("").starts_with(prefix) {
-            self.drop_own(&mut state, &present, now);
+            self.remove_unlisted_own(&mut state, &present, now);
         }
         for entry in entries {
-            self.put(&mut state, entry, now);
+            self.apply_entry(&mut state, entry, now);
         }
         if self.holds_upstreams(prefix) {
-            self.judge(&mut state, as_of);
+            self.resolve_missing(&mut state, as_of);
         }
         drop(state);
         self.view.changed.notify_waiters();
     }
 
-    fn drop_upstreams(&self, state: &mut State, present: &HashSet<String>) {
+    fn remove_unlisted_upstreams(&self, state: &mut State, present: &HashSet<String>) {
         let listed: HashSet<Name> = present
             .iter()
             .filter_map(|key| match self.dialect.key(key) {
@@ -51,11 +51,11 @@
             .cloned()
             .collect();
         for incarnation in missing {
-            self.vanish(state, &incarnation);
+            self.handle_removal(state, &incarnation);
         }
     }
 
-    fn drop_own(&self, state: &mut State, present: &HashSet<String>, now: Millis) {
+    fn remove_unlisted_own(&self, state: &mut State, present: &HashSet<String>, now: Millis) {
         state
             .nodes
             .retain(|name, _| present.contains(&self.dialect.own(&format!("{NODE_PREFIX}{name}"))));
@@ -66,9 +66,9 @@
         state.ledger.keep(is_present);
     }
 
-    /// Takes in changes that lead to how everything stood at a time.
-    pub(super) fn take(&mut self, events: &[Event], as_of: Millis) {
-        if events.is_empty() && self.doubt.is_none() {
+    /// Applies changes, after which the view is as of a time.
+    pub(super) fn apply_events(&mut self, events: &[Event], as_of: Millis) {
+        if events.is_empty() && self.grace.is_none() {
             return;
         }
         let now = self.clock.now();
@@ -76,17 +76,17 @@
         let mut state = view.state();
         for event in events {
             match &event.entry {
-                Some(entry) => self.put(&mut state, entry, now),
+                Some(entry) => self.apply_entry(&mut state, entry, now),
                 None => self.remove(&mut state, event, now),
             }
         }
-        self.judge(&mut state, as_of);
+        self.resolve_missing(&mut state, as_of);
         drop(state);
         self.view.changed.notify_waiters();
     }
 
-    fn put(&self, state: &mut State, entry: &Entry, now: Millis) {
-        let told = match self.dialect.key(&entry.key) {
+    fn apply_entry(&self, state: &mut State, entry: &Entry, now: Millis) {
+        let result = match self.dialect.key(&entry.key) {
             Key::Config => self.dialect.config(&entry.value).map(|config| {
                 let version = config.version;
                 if state.apply_config(config) {
@@ -96,36 +96,36 @@
             Key::Upstream(incarnation) => self
                 .dialect
                 .upstream(&incarnation, &entry.value)
-                .map(|listed| state.put_upstream(&listed, written(entry), now)),
+                .map(|listed| state.put_upstream(&listed, entry_revision(entry), now)),
             Key::Version => self.dialect.version(&entry.value).map(|(name, version)| {
-                let since = self.fresh;
-                self.declare(state, name, Declaration { version, since });
+                let since = self.confirmed_at;
+                self.declare_version(state, name, Declaration { version, since });
             }),
             Key::Own(name) => {
-                if let Some(refusal) = put_own(state, &name, entry, now) {
-                    self.refuse(refusal);
+                if let Some(reason) = apply_own_entry(state, &name, entry, now) {
+                    self.count_rejected(reason);
                 }
                 Ok(())
             }
             Key::Other => {
-                self.refuse(RejectReason::UnusedKey);
+                self.count_rejected(RejectReason::UnusedKey);
                 Ok(())
             }
         };
-        if let Err(error) = told {
-            self.refuse(RejectReason::Unreadable);
-            log::error!("follow: {} is left as it was: {error}", entry.key);
+        if let Err(error) = result {
+            self.count_rejected(RejectReason::Unreadable);
+            log::error!("follow: ignored {}: {error}", entry.key);
         }
     }
 
     fn remove(&self, state: &mut State, event: &Event, now: Millis) {
         match self.dialect.key(&event.key) {
             Key::Upstream(incarnation) => {
-                // A page of the list may have shown an entry that was written behind this.
+                // A page of the list may have contained an entry written after this removal.
                 let known = state.upstreams.get(&incarnation);
                 if known.is_none_or(|upstream| upstream.entry_revision().revision < event.revision)
                 {
-                    self.vanish(state, &incarnation);
+                    self.handle_removal(state, &incarnation);
                 }
             }
             Key::Own(name) => {
@@ -141,19 +141,24 @@
         }
     }
 
-    /// Takes in a version that operators declared.
-    fn declare(&self, state: &mut State, adapter: Name, declaration: Declaration) {
+    /// Applies an operator's declaration of an adapter's version.
+    fn declare_version(&self, state: &mut State, adapter: Name, declaration: Declaration) {
         let limit = self.limits.get().version;
-        let told = format!("version {} of {adapter}", declaration.version);
+        let described = format!("version {} of {adapter}", declaration.version);
         let declarations = state.versions.entry(adapter).or_default();
         if declarations.declare(declaration, limit) {
-            log::info!("follow: {told} is the newest");
+            log::info!("follow: {described} is the newest");
         }
     }
 }
 
-/// Takes in an entry of this system's own; returns why not if it is left aside.
-fn put_own(state: &mut State, name: &str, entry: &Entry, now: Millis) -> Option<RejectReason> {
+/// Applies an entry under this system's own prefix; returns the reason if it is rejected.
+fn apply_own_entry(
+    state: &mut State,
+    name: &str,
+    entry: &Entry,
+    now: Millis,
+) -> Option<RejectReason> {
     let is_readable = if let Some(node) = name.strip_prefix(NODE_PREFIX) {
         match serde_json::from_slice::<Peer>(&entry.value) {
             Ok(peer) => {
@@ -161,7 +166,7 @@
                 true
             }
             Err(error) => {
-                log::error!("follow: {} can't be read: {error}", entry.key);
+                log::error!("follow: can't decode {}: {error}", entry.key);
                 false
             }
         }
@@ -177,7 +182,7 @@
     (!is_readable).then_some(RejectReason::Unreadable)
 }
 
-fn written(entry: &Entry) -> EntryRevision {
+fn entry_revision(entry: &Entry) -> EntryRevision {
     EntryRevision {
         revision: entry.revision,
         created: entry.created,
--- a/lib/src/direct/follow/mod.rs
+++ b/lib/src/direct/follow/mod.rs
@@ -1,9 +1,9 @@
 //! Keeps the view up to date from the key-value service.
 //!
-//! One call at a time waits for changes; between calls a pause lets changes
-//! gather, since each call is priced. While the service doesn't answer, calls are
-//! made beside those without an answer. A history that was dropped is answered by
-//! reading everything anew.
+//! One poll at a time waits for changes. A pause between polls lets changes accumulate, since each
+//! call costs money. While the service doesn't answer, further polls are sent beside the
+//! unanswered ones. If the service has compacted the history that is needed, everything is read
+//! again.
 
 mod entries;
 mod missing;
@@ -13,7 +13,7 @@
 use super::dialect::{Dialect, Key};
 use super::fanout::{Hub, Received, Source, Update};
 use super::limits::{Current, POLL_WAIT, STORE_PAUSE};
-use super::outage::{Doubt, Outage};
+use super::outage::{GracePeriod, OutageDetector};
 use super::reachable::{self, Reached};
 use super::validate::{RejectReason, validate};
 use super::view::View;
@@ -21,16 +21,16 @@
 use crate::ports::poll::{self, Changes, Poll};
 use crate::ports::{Error, Store};
 
-/// Name of a node's record, with the node's name behind it.
+/// Prefix of the key of a node's record, followed by the node's name.
 pub const NODE_PREFIX: &str = "node/";
 
-/// How long a call for changes waits after one that failed.
-const RETURN_WAIT: Millis = Millis(1);
+/// How long a poll waits for changes after a failed one.
+const OUTAGE_POLL_WAIT: Millis = Millis(1);
 
-/// The longest that this node listens to others before it looks after what time does.
-const LISTEN: Millis = Millis(500);
+/// Maximum time to wait for an update of another node before timeouts are checked again.
+const MAX_RECEIVE_WAIT: Millis = Millis(500);
 
-/// Keeps the view up to date.
+/// Applies changes of the key-value service to the view.
 #[derive(Debug)]
 pub struct Follower {
     store: Arc<dyn Store>,
@@ -39,19 +39,19 @@
     clock: Arc<dyn Clock>,
     view: Arc<View>,
     limits: Arc<Current>,
-    outage: Outage,
-    /// What is held of upstreams that are missing after the last outage.
-    doubt: Option<Doubt>,
-    /// The revision up to which everything is known.
-    known: u64,
+    outage: OutageDetector,
+    /// The grace period for missing upstreams after the last outage.
+    grace: Option<GracePeriod>,
+    /// The revision up to which all changes are known.
+    known_revision: u64,
     hub: Option<Arc<Hub>>,
     source: Option<Box<dyn Source>>,
-    /// When all that this node knows was known to be the newest, once it knows anything.
-    fresh: Option<Millis>,
+    /// The last time as of which the view was known to be complete; none before the first reading.
+    confirmed_at: Option<Millis>,
 }
 
 impl Follower {
-    /// Makes a follower that has heard nothing yet.
+    /// Creates a follower that has read nothing yet.
     #[must_use]
     pub fn new(
         store: Arc<dyn Store>,
@@ -61,7 +61,7 @@
         view: Arc<View>,
         limits: Arc<Current>,
     ) -> Self {
-        let outage = Outage::new(clock.now());
+        let outage = OutageDetector::new(clock.now());
         Self {
             store,
             poll,
@@ -70,15 +70,15 @@
             view,
             limits,
             outage,
-            doubt: None,
-            known: 0,
+            grace: None,
+            known_revision: 0,
             hub: None,
             source: None,
-            fresh: None,
+            confirmed_at: None,
         }
     }
 
-    /// Hears changes from nodes of the same failure domain too, and passes on what it learns.
+    /// Also receives changes from nodes of the same failure domain, and publishes its own.
     #[must_use]
     pub fn with_fanout(mut self, hub: Arc<Hub>, source: Box<dyn Source>) -> Self {
         self.hub = Some(hub);
@@ -86,48 +86,48 @@
         self
     }
 
-    /// Follows until the task is dropped.
+    /// Runs until the task is dropped.
     pub async fn run(mut self) {
         loop {
-            let made = self.clock.now();
+            let sent_at = self.clock.now();
             match self.read_all().await {
-                Ok(revision) => self.follow(revision).await,
+                Ok(revision) => self.poll_from(revision).await,
                 Err(error) => {
-                    log::warn!("follow: can't read everything: {error}");
-                    self.outage.failed(made, self.clock.now());
+                    log::warn!("follow: can't read all entries: {error}");
+                    self.outage.record_failure(sent_at, self.clock.now());
                     tokio::time::sleep(STORE_PAUSE.duration()).await;
                 }
             }
         }
     }
 
-    async fn follow(&mut self, mut revision: u64) {
+    async fn poll_from(&mut self, mut revision: u64) {
         loop {
-            revision = self.listen(revision).await;
-            let wait = self.wait();
-            let reached = self.ask(revision, wait).await;
+            revision = self.receive_updates(revision).await;
+            let poll_wait = self.poll_wait();
+            let reached = self.poll_changes(revision, poll_wait).await;
             let pause = match reached.result {
                 Ok(changes) => {
                     let more = changes.more;
-                    let as_of = self.as_of(reached.asked, wait, &changes);
-                    revision = self.hear_service(revision, as_of, changes);
-                    // With a pause behind each part, the thousands of changes of a start of all
-                    // nodes kept every later one waiting, a configuration for ten seconds.
+                    let as_of = self.as_of(reached.asked, poll_wait, &changes);
+                    revision = self.apply_changes(revision, as_of, changes);
+                    // With a pause after each part, the thousands of changes when all nodes start
+                    // at once delayed every later change, a configuration by ten seconds.
                     if more {
                         Millis::ZERO
                     } else {
-                        self.within_doubt(self.limits.get().poll_pause())
+                        self.cap_to_grace(self.limits.get().poll_pause())
                     }
                 }
                 Err(poll::Error::Compacted) => {
                     log::info!("follow: the history after revision {revision} is compacted");
-                    self.alive();
+                    self.record_answer();
                     return;
                 }
                 Err(poll::Error::Failed(error)) => {
                     log::debug!("follow: no changes after revision {revision}: {error}");
                     self.view.record_store_call(false);
-                    self.outage.failed(reached.asked, self.clock.now());
+                    self.outage.record_failure(reached.asked, self.clock.now());
                     if let Some(hub) = &self.hub {
                         hub.mark_disconnected();
                     }
@@ -138,13 +138,17 @@
         }
     }
 
-    /// Asks the service for changes.
+    /// Polls the service for changes.
     ///
-    /// While the service is away it is asked so often that its return is known to some hundred
-    /// milliseconds, which a doubt about vanished entries rests on.
-    async fn ask(&mut self, revision: u64, wait: Millis) -> Reached<Result<Changes, poll::Error>> {
-        let question = || self.poll.changes("", revision, wait);
-        if !self.outage.is_going_on() {
+    /// In an outage, polls are so frequent that the time of the service's return is known to a few
+    /// hundred milliseconds. The grace period for missing entries depends on that time.
+    async fn poll_changes(
+        &mut self,
+        revision: u64,
+        poll_wait: Millis,
+    ) -> Reached<Result<Changes, poll::Error>> {
+        let question = || self.poll.changes("", revision, poll_wait);
+        if !self.outage.is_failing() {
             let asked = self.clock.now();
             return Reached {
                 result: question().await,
@@ -155,18 +159,18 @@
         let is_answer = |result: &Result<_, _>| !matches!(result, Err(poll::Error::Failed(_)));
         let reached = reachable::ask(&*self.clock, question, is_answer).await;
         if let Some(in_vain) = reached.in_vain {
-            self.outage.failed(in_vain, self.clock.now());
+            self.outage.record_failure(in_vain, self.clock.now());
         }
         reached
     }
 
-    /// Takes in changes behind a revision that the service told; returns the revision they lead to.
-    fn hear_service(&mut self, after: u64, as_of: Millis, mut changes: Changes) -> u64 {
-        // Other nodes take changes in the order of their revisions only. Told by key
-        // or otherwise, they would all ask for themselves.
+    /// Applies changes that the service returned for a revision; returns the new revision.
+    fn apply_changes(&mut self, after: u64, as_of: Millis, mut changes: Changes) -> u64 {
+        // Other nodes accept changes only in the order of their revisions. The service may return
+        // them in another order, such as by key, and then all nodes would poll for themselves.
         changes.events.sort_by_key(|event| event.revision);
-        // The service may be further by revisions without changes. Only what
-        // changes lead to can be proved to other nodes.
+        // The service's own revision may be higher without further changes here. Other nodes
+        // accept only a revision that the changes reach.
         let newest = changes.events.last().map(|event| event.revision);
         let revision = after.max(newest.unwrap_or_default());
         let update = Update {
@@ -175,75 +179,74 @@
             as_of,
             events: changes.events,
         };
-        self.hear(update, "service");
+        self.apply_update(update, "service");
         revision
     }
 
-    /// Returns when the service was known to be where an answer leads.
+    /// Returns the time as of which the view is complete once a response is applied.
     ///
-    /// A part of the changes says nothing of how new it is. A call that waited in vain knows of
-    /// its whole wait.
-    fn as_of(&self, sent: Millis, wait: Millis, changes: &Changes) -> Millis {
+    /// A response with only a part of the changes doesn't advance it. A poll that timed out without
+    /// changes shows that there were none during its whole wait.
+    fn as_of(&self, sent: Millis, poll_wait: Millis, changes: &Changes) -> Millis {
         if changes.more {
-            return self.fresh.unwrap_or_default();
+            return self.confirmed_at.unwrap_or_default();
         }
         let in_vain = changes.events.is_empty();
-        let waited = if in_vain { wait } else { Millis::ZERO };
+        let waited = if in_vain { poll_wait } else { Millis::ZERO };
         self.clock.now().min(sent + waited)
     }
 
-    /// Returns how long a call for changes waits.
+    /// Returns how long a poll waits for changes.
     ///
-    /// While the service is away a call that may wait long only delays the moment at which its
-    /// return is noticed.
-    fn wait(&self) -> Millis {
-        if self.outage.is_going_on() {
-            return RETURN_WAIT;
+    /// In an outage a long wait would only delay the detection of the service's return.
+    fn poll_wait(&self) -> Millis {
+        if self.outage.is_failing() {
+            return OUTAGE_POLL_WAIT;
         }
         let may_have_subscribers = self
             .source
             .as_ref()
             .is_some_and(|source| source.may_have_subscribers());
-        let wait = if may_have_subscribers {
+        let poll_wait = if may_have_subscribers {
             self.limits.get().leader_wait()
         } else {
             POLL_WAIT
         };
-        self.within_doubt(wait).max(RETURN_WAIT)
+        self.cap_to_grace(poll_wait).max(OUTAGE_POLL_WAIT)
     }
 
-    /// Takes in what other nodes pass on, as long as it is new enough; returns the revision.
+    /// Applies updates of other nodes as long as they are recent enough; returns the new revision.
     ///
-    /// Whoever passes changes on may be silent, suspended, cut off from the service or from
-    /// here. All of these show as age, and this node then asks the service itself in time.
-    async fn listen(&mut self, mut revision: u64) -> u64 {
+    /// The publisher may be silent, suspended, or cut off from the service or from this node. In
+    /// all of these cases the updates grow too old, and this node polls the service itself in time.
+    async fn receive_updates(&mut self, mut revision: u64) -> u64 {
         let Some(mut source) = self.source.take() else {
             return revision;
         };
         loop {
-            let oldest = self.fresh.unwrap_or_default() + self.limits.get().oldest_update();
+            let oldest = self.confirmed_at.unwrap_or_default() + self.limits.get().oldest_update();
             let left = oldest.since(self.clock.now());
             if left == Millis::ZERO {
-                self.count("nobody");
+                self.count_update("nobody");
                 source.avoid();
                 break;
             }
-            if self.doubt_left() == Some(Millis::ZERO) {
-                // The service itself tells whether what is doubted has come back.
+            if self.grace_left() == Some(Millis::ZERO) {
+                // Only a poll shows now whether missing entries have been written again.
                 break;
             }
-            let within = self.within_doubt(left.min(LISTEN));
+            let within = self.cap_to_grace(left.min(MAX_RECEIVE_WAIT));
             match source.next(revision, within).await {
                 Received::Update(update) => match validate(update, revision) {
                     Ok(update) => {
                         revision = update.revision;
-                        self.hear(update, "node");
+                        self.apply_update(update, "node");
                     }
-                    Err(refusal) => {
-                        self.refuse(refusal);
-                        // Whoever is behind catches up, and its age shows if it doesn't.
-                        if refusal != RejectReason::Stale {
-                            log::warn!("follow: an update is left aside: {}", refusal.name());
+                    Err(reason) => {
+                        self.count_rejected(reason);
+                        // A publisher that is behind may catch up; if not, its updates get too old.
+                        if reason != RejectReason::Stale {
+                            log::warn!("follow: rejected an update: {}", reason.name());
                             source.avoid();
                             break;
                         }
@@ -257,36 +260,39 @@
         revision
     }
 
-    /// Takes in changes, wherever they come from, and passes them on.
-    fn hear(&mut self, update: Update, from: &'static str) {
-        self.count(from);
-        self.alive();
-        // What changed did so behind what was known before.
-        self.take(&update.events, update.as_of);
-        self.known = update.revision;
-        self.fresh = self.fresh.max(Some(update.as_of));
-        self.view.advance_as_of(self.fresh.unwrap_or_default());
+    /// Applies an update from any source and publishes it.
+    fn apply_update(&mut self, update: Update, from: &'static str) {
+        self.count_update(from);
+        self.record_answer();
+        // A declared version counts from the previous `confirmed_at`, so the changes are applied
+        // before it is updated.
+        self.apply_events(&update.events, update.as_of);
+        self.known_revision = update.revision;
+        self.confirmed_at = self.confirmed_at.max(Some(update.as_of));
+        self.view
+            .advance_as_of(self.confirmed_at.unwrap_or_default());
         if let Some(hub) = &self.hub {
             hub.publish(update);
         }
     }
 
-    fn count(&self, source: &'static str) {
+    fn count_update(&self, source: &'static str) {
         if let Some(hub) = &self.hub {
             hub.count_update(source);
         }
     }
 
-    fn refuse(&self, refusal: RejectReason) {
+    fn count_rejected(&self, reason: RejectReason) {
         if let Some(hub) = &self.hub {
-            hub.count_rejected(refusal);
+            hub.count_rejected(reason);
         }
     }
 
-    /// Reads everything, and takes each part in as it arrives.
+    /// Reads all entries, and applies each part as it arrives.
     ///
-    /// Where all nodes start at once, the service takes seconds to send thousands of entries to
-    /// each. Taken in only when all had arrived, a node's own former claims ended meanwhile.
+    /// When all nodes start at once, the service takes seconds to send thousands of entries to
+    /// each. When they were applied only after all had arrived, a node's own claims from before
+    /// its restart expired meanwhile.
     async fn read_all(&mut self) -> Result<u64, Error> {
         reachable::wait(&*self.clock, &*self.store, &self.dialect.own(NODE_PREFIX)).await?;
         let began = self.clock.now();
@@ -295,19 +301,19 @@
             let listing = self.store.list(prefix).await?;
             revision = revision.min(listing.revision);
             if self.holds_upstreams(prefix) {
-                self.alive();
+                self.record_answer();
             }
-            self.replace(prefix, &listing.entries, began);
+            self.replace_prefix(prefix, &listing.entries, began);
         }
-        self.known = revision;
-        self.fresh = Some(began);
+        self.known_revision = revision;
+        self.confirmed_at = Some(began);
         self.view.advance_as_of(began);
         let took = self.clock.now().since(began);
-        log::info!("follow: everything up to revision {revision} is read, which took {took}");
+        log::info!("follow: read all entries up to revision {revision} in {took}");
         Ok(revision)
     }
 
-    /// Whether upstreams stand under a prefix.
+    /// Whether a prefix contains upstreams' entries.
     fn holds_upstreams(&self, prefix: &str) -> bool {
         matches!(self.dialect.key(&format!("{prefix}any")), Key::Upstream(_))
     }
--- a/lib/src/direct/outage.rs
+++ b/lib/src/direct/outage.rs
@@ -1,96 +1,99 @@
-//! Time in which the key-value service did not answer this node, and what vanished meanwhile.
+//! Detection of outages of the key-value service, and the grace period after one.
 //!
-//! Entries of living upstreams lapse while the service is unavailable, and are back soon after it
-//! is. What is missing from the list then is doubted. Where only this node was away, what is
-//! missing has left, so two things end a doubt: evidence that the service kept its entries, and
-//! the time within which this node has to know what changed. See
-//! docs/design/0014-presence-of-upstreams.md.
+//! Entries of live upstreams expire while the service is unavailable and are written again soon
+//! after it returns. So for a grace period, upstreams that are missing from the list aren't taken
+//! for gone. If only this node was disconnected, however, missing upstreams have really left. So
+//! two things end the grace period: entries that show that the service kept its data, and the time
+//! within which this node has to know what changed. See docs/design/0014-presence-of-upstreams.md.
 
 use crate::clock::Millis;
 use crate::direct::limits::{Limits, POLL_WAIT};
 
-/// How long calls fail, or nothing comes beyond a call's usual wait, before that is an outage.
-const SILENCE: Millis = Millis(1_000);
+/// How long calls have to fail, or responses to be overdue, to count as an outage.
+const OUTAGE_THRESHOLD: Millis = Millis(1_000);
 
-/// How long after the service's return entries that lapsed meanwhile may still be missing.
-const RETURN: Millis = Millis(2_200);
+/// How long after the service's return expired entries may still be missing.
+const REREGISTRATION_TIME: Millis = Millis(2_200);
 
-/// What is left of the time within which changes have to be known for the call that ends a doubt,
-/// and for requests on their way.
-const MARGIN: Millis = Millis(200);
+/// How long before the deadline for knowing all changes a grace period ends.
+///
+/// It leaves time for the call that resolves it and for requests already being sent.
+const GRACE_END_MARGIN: Millis = Millis(200);
 
-/// Follows whether the service answers.
+/// Detects outages from the calls to the key-value service.
 #[derive(Debug)]
-pub struct Outage {
-    /// When the service answered last.
-    answered: Millis,
+pub struct OutageDetector {
+    /// When the service last answered.
+    last_answer: Millis,
     failures: Option<Failures>,
 }
 
-/// Calls without an answer since the last one that had one.
+/// The calls that failed since the last answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct Failures {
-    /// When the first of them was made.
-    since: Millis,
+    /// When the first of them was sent.
+    first_sent: Millis,
     /// When the first of them failed.
-    first: Millis,
-    /// When the last of them was made.
-    last: Millis,
+    first_failed: Millis,
+    /// When the last of them was sent.
+    last_sent: Millis,
 }
 
-/// What is held of entries that are missing after an outage.
+/// The time after an outage in which missing entries don't count as removed.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Doubt {
-    /// The revision that was known before the outage.
-    pub known: u64,
-    /// When it ends for want of evidence.
+pub struct GracePeriod {
+    /// The last revision known before the outage.
+    pub known_revision: u64,
+    /// When it ends at the latest.
     pub until: Millis,
-    /// The outage lasted from here to there at least.
-    certain: Option<(Millis, Millis)>,
+    /// Start and end of the time in which the outage certainly lasted.
+    certain_outage: Option<(Millis, Millis)>,
 }
 
-impl Outage {
-    /// Begins with a service that has just answered.
+impl OutageDetector {
+    /// Creates a detector that assumes an answer at `now`.
     #[must_use]
     pub fn new(now: Millis) -> Self {
         Self {
-            answered: now,
+            last_answer: now,
             failures: None,
         }
     }
 
-    /// Whether the last call had no answer.
+    /// Whether the last call failed.
     #[must_use]
-    pub fn is_going_on(&self) -> bool {
+    pub fn is_failing(&self) -> bool {
         self.failures.is_some()
     }
 
-    /// Takes in that a call made at `made` has failed.
-    pub fn failed(&mut self, made: Millis, now: Millis) {
-        // A reading of many parts can fail behind some that were answered.
-        let made = made.max(self.answered);
+    /// Records that a call sent at `sent` has failed.
+    pub fn record_failure(&mut self, sent: Millis, now: Millis) {
+        // A listing of several parts can fail after some of them were answered.
+        let sent = sent.max(self.last_answer);
         let failures = self.failures.get_or_insert(Failures {
-            since: made,
-            first: now,
-            last: made,
+            first_sent: sent,
+            first_failed: now,
+            last_sent: sent,
         });
-        failures.last = failures.last.max(made);
+        failures.last_sent = failures.last_sent.max(sent);
     }
 
-    /// Takes in that the service answered; returns for how long it had not, if that is an outage.
+    /// Records an answer; returns the recovery if there was an outage before it.
     ///
-    /// With `doubting`, any failure is one: entries that were about to come back could not.
-    pub fn answered(&mut self, now: Millis, doubting: bool) -> Option<Return> {
+    /// In a grace period any failure counts as an outage, since upstreams couldn't write their
+    /// entries again meanwhile.
+    pub fn record_answer(&mut self, now: Millis, in_grace_period: bool) -> Option<Recovery> {
         let failures = self.failures.take();
-        let silent = now.since(self.answered);
-        self.answered = self.answered.max(now);
-        // A call that waited since before the outage can be answered in its midst.
-        let failing = failures.map_or(Millis::ZERO, |failures| now.since(failures.since));
-        let is_outage =
-            silent > POLL_WAIT + SILENCE || failing > SILENCE || (doubting && failures.is_some());
-        is_outage.then_some(Return {
-            at: now,
-            silent,
+        let silence = now.since(self.last_answer);
+        self.last_answer = self.last_answer.max(now);
+        // A poll sent before the outage can be answered in the middle of it.
+        let failing = failures.map_or(Millis::ZERO, |failures| now.since(failures.first_sent));
+        let is_outage = silence > POLL_WAIT + OUTAGE_THRESHOLD
+            || failing > OUTAGE_THRESHOLD
+            || (in_grace_period && failures.is_some());
+        is_outage.then_some(Recovery {
+            answered_at: now,
+            silence,
             failures,
         })
     }
@@ -98,46 +101,51 @@
 
 /// The end of an outage.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Return {
-    at: Millis,
-    /// Time since the answer before.
-    pub silent: Millis,
+pub struct Recovery {
+    answered_at: Millis,
+    /// Time since the previous answer.
+    pub silence: Millis,
     failures: Option<Failures>,
 }
 
-impl Return {
-    /// Returns what is held of entries that are missing, where `known` was known before.
+impl Recovery {
+    /// Returns the grace period for missing entries; `known_revision` was known before the outage.
     ///
-    /// The service, or this node, was back at some moment between the last call that had no answer
-    /// and the first that had one. Entries come back from the latest of these on, and this node
-    /// has to know what changed from the earliest on.
+    /// The service, or this node's connection to it, returned at some moment between the last
+    /// failed call and the first answer. The time for entries to be written again counts from the
+    /// latest such moment, and the time within which this node has to know all changes from the
+    /// earliest.
     #[must_use]
-    pub fn doubt(&self, known: u64, limits: &Limits) -> Doubt {
-        let latest = self.at + RETURN;
+    pub fn grace_period(&self, known_revision: u64, limits: &Limits) -> GracePeriod {
+        let latest = self.answered_at + REREGISTRATION_TIME;
         let bound = self.failures.map_or(latest, |failures| {
-            Millis((failures.last + limits.rejoin).0.saturating_sub(MARGIN.0))
+            Millis(
+                (failures.last_sent + limits.rejoin)
+                    .0
+                    .saturating_sub(GRACE_END_MARGIN.0),
+            )
         });
-        Doubt {
-            known,
+        GracePeriod {
+            known_revision,
             until: latest.min(bound),
-            certain: self
+            certain_outage: self
                 .failures
-                .map(|failures| (failures.first, failures.last)),
+                .map(|failures| (failures.first_failed, failures.last_sent)),
         }
     }
 }
 
-impl Doubt {
-    /// Whether an entry that was created at a revision, and stands `as_of` a time, shows that the
+impl GracePeriod {
+    /// Whether an entry created at revision `created`, which exists as of a time, shows that the
     /// service kept its entries.
     ///
-    /// An outage of the service as long as this one would have ended all of them.
+    /// If the service itself had been unavailable for this long, all of them would have expired.
     #[must_use]
-    pub fn is_disproved_by(&self, created: u64, as_of: Millis, limits: &Limits) -> bool {
-        let Some((from, to)) = self.certain else {
+    pub fn shows_entries_kept(&self, created: u64, as_of: Millis, limits: &Limits) -> bool {
+        let Some((from, to)) = self.certain_outage else {
             return false;
         };
-        let is_known = (1..=self.known).contains(&created);
-        is_known && as_of >= to && to.since(from) >= limits.lapse
+        let existed_before = (1..=self.known_revision).contains(&created);
+        existed_before && as_of >= to && to.since(from) >= limits.lapse
     }
 }
--- a/lib/src/direct/presence.rs
+++ b/lib/src/direct/presence.rs
@@ -1,27 +1,27 @@
-//! Whether one start of an upstream takes new work, from what the list says of it.
+//! Whether one start of an upstream takes new work, according to its entry in the list.
 //!
-//! Evidence comes in any order: a page of the list can be older than the changes before it, other
-//! nodes pass on what they heard, and heartbeats are written late. Evidence counts by the revision
-//! at which the service took it, and a start that said that it leaves never takes new work again.
-//! See docs/design/0014-presence-of-upstreams.md.
+//! Entries arrive in any order: a page of the list can be older than changes that were applied
+//! before it, other nodes pass on changes, and heartbeats are written late. So entries are ordered
+//! by the revision at which the key-value service wrote them, and a start that has announced that
+//! it leaves never takes new work again. See docs/design/0014-presence-of-upstreams.md.
 
-/// Where an entry stands in the service's history.
+/// The revisions of an entry in the key-value service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct EntryRevision {
-    /// The revision of its last write.
+    /// The revision at which it was last written.
     pub revision: u64,
-    /// The revision at which its key came into being; 0 where nobody tells.
+    /// The revision at which its key was created; 0 if unknown.
     pub created: u64,
 }
 
-/// How a start stands.
+/// The stage in the life of one start of an upstream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Stage {
     /// It takes new work.
     Ready,
-    /// It is missing from the list, and it isn't known whether it has left: it takes new work.
+    /// It is missing from the list, but it isn't known whether it has left. It takes new work.
     Unconfirmed,
-    /// It said that it leaves.
+    /// It has announced that it leaves.
     Leaving,
     /// It is no longer listed.
     Gone,
@@ -46,58 +46,57 @@
     }
 }
 
-/// What the list says of one start.
+/// Tracks the presence of one start of an upstream in the list.
 #[derive(Debug)]
 pub struct Presence {
-    written: EntryRevision,
+    revision: EntryRevision,
     stage: Stage,
     is_missing: bool,
-    /// Whether it was gone without having said that it leaves.
     left_unannounced: bool,
 }
 
 impl Presence {
-    /// Begins with the first entry.
+    /// Starts tracking with the first entry.
     #[must_use]
-    pub fn new(written: EntryRevision, ready: bool) -> Self {
+    pub fn new(revision: EntryRevision, ready: bool) -> Self {
         Self {
-            written,
+            revision,
             stage: if ready { Stage::Ready } else { Stage::Leaving },
             is_missing: false,
             left_unannounced: false,
         }
     }
 
-    /// Returns how it stands.
+    /// Returns the current stage.
     #[must_use]
     pub const fn stage(&self) -> Stage {
         self.stage
     }
 
-    /// Returns where its newest entry stands in the service's history.
+    /// Returns the revisions of the newest entry.
     #[must_use]
     pub const fn entry_revision(&self) -> EntryRevision {
-        self.written
+        self.revision
     }
 
-    /// Whether it is missing from the list, and may not have left.
+    /// Whether it is missing from the list without being known to have left.
     #[must_use]
     pub const fn is_missing(&self) -> bool {
         self.is_missing
     }
 
-    /// Whether it was gone without having said that it leaves.
+    /// Whether it left the list without having announced that it leaves.
     #[must_use]
     pub const fn left_unannounced(&self) -> bool {
         self.left_unannounced
     }
 
-    /// Takes in an entry; returns whether it counts.
-    pub fn apply_entry(&mut self, written: EntryRevision, ready: bool) -> bool {
-        if written.revision < self.written.revision || self.stage == Stage::Gone {
+    /// Applies an entry unless it is stale; returns whether it was applied.
+    pub fn apply_entry(&mut self, revision: EntryRevision, ready: bool) -> bool {
+        if revision.revision < self.revision.revision || self.stage == Stage::Gone {
             return false;
         }
-        self.written = written;
+        self.revision = revision;
         self.is_missing = false;
         if !ready {
             self.stage = Stage::Leaving;
@@ -107,7 +106,7 @@
         true
     }
 
-    /// Takes in that it is missing from the list, and may not have left.
+    /// Records that it is missing from the list without being known to have left.
     pub fn mark_missing(&mut self) {
         self.is_missing = true;
         if self.stage == Stage::Ready {
@@ -115,7 +114,7 @@
         }
     }
 
-    /// Takes in that it is no longer listed.
+    /// Records that it has left the list for good.
     pub fn mark_gone(&mut self) {
         if self.stage != Stage::Gone {
             self.left_unannounced = self.stage.takes_work();
--- a/lib/src/direct/validate.rs
+++ b/lib/src/direct/validate.rs
@@ -1,42 +1,42 @@
-//! What is taken from an update that another node passed on.
+//! Validation of updates that another node passed on.
 //!
-//! Changes count by their order: an older one taken in late brings an engine back that has
-//! left, or an owner that is none, and nothing corrects it until that key changes again. A
-//! revision that the service never had is worse, since a node that believes it asks for what
-//! comes behind and never hears of anything. All nodes have the same code, but not the same
-//! release, and what is at an address may have changed. So an update has to prove itself: its
-//! changes have to lead from what is known here to the revision that it names. See
+//! Changes have to be applied in the order of their revisions. An older change that is applied
+//! late brings back an engine that has left, or an owner that has lost its claim, and nothing
+//! corrects it until that key changes again. A revision that the key-value service never reached
+//! is worse: the node polls for changes after it and receives none. Nodes may run different
+//! releases, and another process may have taken over a node's address. So each update is checked:
+//! its changes have to lead from the revision known here to the revision that it names. See
 //! docs/design/0009-changes-within-a-domain.md.
 
 use super::fanout::Update;
 
-/// Revisions by which an update may be ahead of what is known.
+/// Maximum number of revisions by which an update may be ahead of the known revision.
 ///
-/// The service makes some thousand writes a second at the largest sites, so a node is behind by
-/// this much after minutes, and would have asked the service long before. A change of a
-/// revision that the service reaches in years would hide all real ones of its key.
-const MOST_AHEAD: u64 = 1 << 20;
+/// The largest sites make about a thousand writes a second, so a node is this far behind only
+/// after minutes, and it polls the service itself long before. Without a bound, a change with a
+/// revision that the service reaches only in years would hide all real changes of its key.
+const MAX_REVISIONS_AHEAD: u64 = 1 << 20;
 
-/// Why an update, or one of its changes, is left aside.
+/// Why an update, or one of its changes, is rejected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RejectReason {
-    /// All that it tells is known, and more.
+    /// It ends before the known revision.
     Stale,
-    /// It begins behind what is known: changes between are missing.
+    /// It begins after the known revision, so changes in between are missing.
     Gap,
     /// It ends before it begins.
     Backwards,
-    /// It leads further than the service can be, or than its own changes.
+    /// It names a revision that its changes don't reach, or that is implausibly far ahead.
     Ahead,
-    /// A change isn't between the two revisions.
+    /// A change's revision isn't between the update's two revisions.
     OutOfRange,
-    /// A change stands behind a newer one.
+    /// A change follows a newer one.
     OutOfOrder,
-    /// It is larger than what a node reads at once.
+    /// It exceeds the maximum size of a message.
     Oversized,
-    /// A change's value can't be read.
+    /// A change's value can't be decoded.
     Unreadable,
-    /// A change is of a key that no node uses.
+    /// A change's key isn't one that nodes use.
     UnusedKey,
 }
 
@@ -58,11 +58,11 @@
     }
 }
 
-/// Returns what an update holds behind a revision that is known.
+/// Returns the update without the changes up to the `known` revision.
 ///
 /// # Errors
 ///
-/// Why nothing of it may be taken in.
+/// The reason why none of its changes may be applied.
 pub fn validate(mut update: Update, known: u64) -> Result<Update, RejectReason> {
     if update.revision < update.after {
         return Err(RejectReason::Backwards);
@@ -82,8 +82,8 @@
         return Err(RejectReason::OutOfOrder);
     }
     let newest = update.events.last().map(|event| event.revision);
-    let is_proved = newest.unwrap_or(update.after) >= update.revision;
-    if !is_proved || update.revision - known > MOST_AHEAD {
+    let is_consistent = newest.unwrap_or(update.after) >= update.revision;
+    if !is_consistent || update.revision - known > MAX_REVISIONS_AHEAD {
         return Err(RejectReason::Ahead);
     }
     update.events.retain(|event| event.revision > known);
--- a/lib/tests/test_direct_presence.rs
+++ b/lib/tests/test_direct_presence.rs
@@ -8,7 +8,7 @@
 use chivevalve::clock::{Clock, Millis, Monotonic};
 use chivevalve::direct::follow::Follower;
 use chivevalve::direct::limits::{Current, Limits};
-use chivevalve::direct::outage::Outage;
+use chivevalve::direct::outage::OutageDetector;
 use chivevalve::direct::presence::{Presence, Stage};
 use chivevalve::direct::view::View;
 use chivevalve_platform::Speech;
@@ -87,13 +87,13 @@
         let limits = Limits::default();
         let away = Millis(u64::from(away) + 4_000);
         let call = Millis(1_000) + away;
-        let mut outage = Outage::new(Millis(1_000));
-        outage.failed(Millis(2_000), Millis(2_700));
-        outage.failed(call, call + Millis(700));
+        let mut outage = OutageDetector::new(Millis(1_000));
+        outage.record_failure(Millis(2_000), Millis(2_700));
+        outage.record_failure(call, call + Millis(700));
         let answered = call + Millis(u64::from(since_call) % 3_000 + 1);
-        let back = outage.answered(answered, false).unwrap();
+        let recovery = outage.record_answer(answered, false).unwrap();
         // This node may have been back from the last call in vain on.
-        back.doubt(7, &limits).until < call + limits.rejoin
+        recovery.grace_period(7, &limits).until < call + limits.rejoin
     }
     QuickCheck::new().quickcheck(holds as fn(u16, u16) -> bool);
 }
@@ -101,10 +101,10 @@
 /// Entries that come back as soon as a service does that answers are taken for gone before.
 #[test]
 fn doubt_lasts_until_entries_are_back() {
-    let mut outage = Outage::new(Millis(1_000));
-    outage.failed(Millis(8_900), Millis(9_600));
-    let back = outage.answered(Millis(9_800), false).unwrap();
-    let until = back.doubt(7, &Limits::default()).until;
+    let mut outage = OutageDetector::new(Millis(1_000));
+    outage.record_failure(Millis(8_900), Millis(9_600));
+    let recovery = outage.record_answer(Millis(9_800), false).unwrap();
+    let until = recovery.grace_period(7, &Limits::default()).until;
     // Within some two seconds of the return, which was behind 8,900 ms.
     assert!(until >= Millis(8_900) + Millis(2_000), "{until}");
     assert!(until >= Millis(9_800) + Millis(1_800), "{until}");
@@ -114,57 +114,57 @@
 #[test]
 fn doubt_disproved_by_entries_that_stood() {
     let limits = Limits::default();
-    let doubt = |first: u64, last: u64| {
-        let mut outage = Outage::new(Millis(1_000));
-        outage.failed(Millis(first), Millis(first + 700));
-        outage.failed(Millis(last), Millis(last + 700));
-        let back = outage.answered(Millis(last + 900), false).unwrap();
-        back.doubt(7, &limits)
+    let grace = |first: u64, last: u64| {
+        let mut outage = OutageDetector::new(Millis(1_000));
+        outage.record_failure(Millis(first), Millis(first + 700));
+        outage.record_failure(Millis(last), Millis(last + 700));
+        let recovery = outage.record_answer(Millis(last + 900), false).unwrap();
+        recovery.grace_period(7, &limits)
     };
-    let long = doubt(2_000, 9_000);
-    assert!(long.is_disproved_by(7, Millis(9_900), &limits));
+    let long = grace(2_000, 9_000);
+    assert!(long.shows_entries_kept(7, Millis(9_900), &limits));
     // Created since, not told, or told from before.
-    assert!(!long.is_disproved_by(8, Millis(9_900), &limits));
-    assert!(!long.is_disproved_by(0, Millis(9_900), &limits));
-    assert!(!long.is_disproved_by(7, Millis(8_900), &limits));
+    assert!(!long.shows_entries_kept(8, Millis(9_900), &limits));
+    assert!(!long.shows_entries_kept(0, Millis(9_900), &limits));
+    assert!(!long.shows_entries_kept(7, Millis(8_900), &limits));
     // An outage of the service as short would have left some entries.
-    assert!(!doubt(2_000, 6_000).is_disproved_by(7, Millis(9_900), &limits));
-    let suspended = Outage::new(Millis(1_000)).answered(Millis(9_000), false);
-    let doubt = suspended.unwrap().doubt(7, &limits);
-    assert!(!doubt.is_disproved_by(7, Millis(9_000), &limits));
+    assert!(!grace(2_000, 6_000).shows_entries_kept(7, Millis(9_900), &limits));
+    let suspended = OutageDetector::new(Millis(1_000)).record_answer(Millis(9_000), false);
+    let grace = suspended.unwrap().grace_period(7, &limits);
+    assert!(!grace.shows_entries_kept(7, Millis(9_000), &limits));
 }
 
 /// A call that was answered in the midst of an outage hides it.
 #[test]
 fn doubt_begins_though_a_call_was_answered_midway() {
-    let mut outage = Outage::new(Millis(1_000));
-    assert!(outage.answered(Millis(3_000), false).is_none());
-    outage.failed(Millis(3_800), Millis(4_500));
-    assert!(outage.answered(Millis(5_000), false).is_some());
+    let mut outage = OutageDetector::new(Millis(1_000));
+    assert!(outage.record_answer(Millis(3_000), false).is_none());
+    outage.record_failure(Millis(3_800), Millis(4_500));
+    assert!(outage.record_answer(Millis(5_000), false).is_some());
     // One call that failed at once is none.
-    outage.failed(Millis(5_800), Millis(5_805));
-    assert!(outage.answered(Millis(6_010), false).is_none());
+    outage.record_failure(Millis(5_800), Millis(5_805));
+    assert!(outage.record_answer(Millis(6_010), false).is_none());
 }
 
 /// A reading that fails behind its first parts is taken for an outage since its beginning.
 #[test]
 fn outage_begins_behind_the_last_answer() {
-    let mut outage = Outage::new(Millis(1_000));
-    assert!(outage.answered(Millis(3_900), false).is_none());
-    outage.failed(Millis(1_000), Millis(4_000));
-    assert!(outage.answered(Millis(4_300), false).is_none());
+    let mut outage = OutageDetector::new(Millis(1_000));
+    assert!(outage.record_answer(Millis(3_900), false).is_none());
+    outage.record_failure(Millis(1_000), Millis(4_000));
+    assert!(outage.record_answer(Millis(4_300), false).is_none());
 }
 
 /// A short outage within a doubt keeps entries from coming back, and ends the doubt all the same.
 #[test]
 fn doubt_begins_anew_after_a_short_outage() {
-    let mut outage = Outage::new(Millis(1_000));
-    let back = outage.answered(Millis(9_000), false).unwrap();
-    let first = back.doubt(7, &Limits::default()).until;
-    outage.failed(Millis(9_500), Millis(10_200));
-    let back = outage.answered(Millis(10_500), true).unwrap();
-    assert!(back.doubt(7, &Limits::default()).until > first);
-    assert!(outage.answered(Millis(10_600), true).is_none());
+    let mut outage = OutageDetector::new(Millis(1_000));
+    let recovery = outage.record_answer(Millis(9_000), false).unwrap();
+    let first = recovery.grace_period(7, &Limits::default()).until;
+    outage.record_failure(Millis(9_500), Millis(10_200));
+    let recovery = outage.record_answer(Millis(10_500), true).unwrap();
+    assert!(recovery.grace_period(7, &Limits::default()).until > first);
+    assert!(outage.record_answer(Millis(10_600), true).is_none());
 }
 
 /// Stories that are played.
