--- a/lib/src/direct/view.rs
+++ b/lib/src/direct/view.rs
@@ -1,7 +1,7 @@
-//! What this node believes about the deployment.
+//! This node's view of the deployment.
 //!
-//! The follower writes it, requests read it. Nothing here is agreed between
-//! nodes: the key-value service is the arbiter.
+//! The follower updates it, and requests read it. Nodes don't agree on its contents: the key-value
+//! service is the source of truth.
 
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
@@ -24,14 +24,14 @@
 use crate::poison::open::Open;
 use crate::ports::Entry;
 
-/// Another node, as its record in the key-value service has it.
+/// A node's record in the key-value service.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Peer {
-    /// Where it answers other nodes.
+    /// Where it listens for other nodes.
     pub address: SocketAddr,
-    /// Distinguishes one start of the process from the next.
+    /// Distinguishes this start of the process from others.
     pub start: u64,
-    /// Its failure domain; empty in the record of an older release.
+    /// Its failure domain; empty in a record of an older release.
     #[serde(default = "nowhere")]
     pub failure_domain: Name,
 }
@@ -40,45 +40,45 @@
     Name::from("")
 }
 
-/// Who gives orders to the engine at an address.
+/// The claim of a node to give orders to the engine at an address.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Claim {
-    /// The node.
+    /// The node that owns the engine.
     pub node: Name,
-    /// The start of its process.
+    /// The start of its process, as in its record.
     pub start: u64,
-    /// Set when the node has given the claim up: time from the last order to the write.
+    /// Time from the last order to the write of this claim; set once the node has released it.
     pub left: Option<Millis>,
-    /// From when on this start may give orders, by the clock that counts from the VM's boot.
+    /// When this start may begin to give orders, by the clock that counts from the VM's boot.
     #[serde(default)]
     pub from: Millis,
-    /// The boot that `from` counts from; 0 in the claim of an older release.
+    /// The boot that `from` counts from; 0 in a claim of an older release.
     #[serde(default)]
     pub boot: u64,
 }
 
-/// A claim with where it stands in the key-value service.
+/// A claim with its revision in the key-value service.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ClaimEntry {
-    /// Who.
+    /// The claim.
     pub claim: Claim,
-    /// Revision of the write: the fencing token.
+    /// The revision of its write, which is the fencing token.
     pub revision: u64,
-    /// When this node saw it.
+    /// When this node first saw this revision.
     pub seen: Millis,
 }
 
-/// State behind the view's lock.
+/// The state behind the view's lock.
 #[derive(Debug, Default)]
 pub struct State {
     /// The configuration in force.
     pub config: Option<Arc<Config>>,
     /// Upstreams by incarnation.
     pub upstreams: HashMap<Name, Arc<Upstream>>,
-    /// Upstreams by pool, made anew when they are asked for after a change.
+    /// Upstreams by pool, regrouped on the first access after a change.
     ///
-    /// A node that starts hears of all upstreams in one listing. Grouped and sorted at each, three
-    /// thousand took a small VM ten seconds in which it knew of no configuration.
+    /// A starting node reads all upstreams in one listing. Regrouping at each of three thousand
+    /// entries took ten seconds on a small VM, during which the node knew no configuration.
     pools: Option<HashMap<Name, Arc<[Arc<Upstream>]>>>,
     /// Declared versions by adapter.
     pub versions: HashMap<Name, Declarations>,
@@ -86,87 +86,87 @@
     pub nodes: HashMap<Name, Peer>,
     /// Claims by the engine's address.
     pub claims: HashMap<SocketAddr, ClaimEntry>,
-    /// When this node first knew all claims.
+    /// When this node had first read all claims.
     pub claims_read_at: Option<Millis>,
-    /// The claim that stood last, and when it vanished.
+    /// The previous claim for each address, and when it was removed or replaced.
     pub previous_claims: HashMap<SocketAddr, (Claim, Millis)>,
-    /// Most nodes ever seen at once.
+    /// The maximum number of nodes seen at once.
     pub max_nodes_seen: usize,
-    /// What speaks against requests under which upstreams ended.
+    /// Crash reports, by which requests are blamed for crashes of upstreams.
     pub ledger: Ledger,
-    /// Requests that stood where a connection broke, while nobody knows whether the upstream ended.
+    /// Requests on broken connections to upstreams that aren't known yet to have crashed.
     pub open: Open,
-    /// Nodes among which upstreams' connections were last shared out.
-    shared_among: usize,
+    /// The number of nodes by which connection limits were last divided.
+    share_node_count: usize,
 }
 
-/// What this node believes about the deployment.
+/// This node's view of the deployment.
 #[derive(Debug, Default)]
 pub struct View {
     state: Mutex<State>,
-    out_of_touch: AtomicBool,
+    store_unreachable: AtomicBool,
     as_of: AtomicU64,
-    /// Wakes whoever waits for a change.
+    /// Notified after every change.
     pub changed: Notify,
 }
 
-/// What became of a record that may be about requests under which upstreams ended.
+/// The result of putting a record that may belong to the quarantine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PutOutcome {
-    /// It was taken in.
+    /// The record was applied.
     Applied,
-    /// It is one, and can't be read.
+    /// It belongs to the quarantine, but can't be decoded.
     Unreadable,
-    /// It is about something else.
+    /// It doesn't belong to the quarantine.
     Unrelated,
 }
 
-/// Returns the request that a survivor's record is for.
-fn survivor(name: &str) -> Option<Fingerprint> {
+/// Returns the request that a record clears of blame, if the key is that of such a record.
+fn harmless_request(name: &str) -> Option<Fingerprint> {
     Fingerprint::read(name.strip_prefix(SURVIVED)?)
 }
 
-/// Name of a claim, with the engine's address behind it.
+/// Prefix of a claim's key, followed by the engine's address.
 pub const CLAIM_PREFIX: &str = "claim/";
 
-/// Returns the address that a claim is for.
+/// Returns the engine's address in a claim's key.
 #[must_use]
 pub fn claim_address(name: &str) -> Option<SocketAddr> {
     name.strip_prefix(CLAIM_PREFIX)?.parse().ok()
 }
 
-/// Part of an upstream's connections that all nodes together use.
+/// Fraction of an upstream's connections that all nodes together use.
 ///
-/// The rest is left for connections that one side still thinks open.
-const CONNECTION_SHARE: f64 = 0.9;
+/// The rest is reserved for connections that only one side has closed so far.
+const USABLE_CONNECTIONS_FRACTION: f64 = 0.9;
 
 impl View {
-    /// Locks the state; never hold it over an await.
+    /// Locks the state. The lock must not be held across an await.
     pub fn state(&self) -> MutexGuard<'_, State> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Notes up to when all changes are known.
+    /// Advances the time as of which all changes are known.
     pub fn advance_as_of(&self, as_of: Millis) {
         self.as_of.fetch_max(as_of.0, Ordering::Relaxed);
     }
 
-    /// Returns up to when all changes are known.
+    /// Returns the time as of which all changes are known.
     #[must_use]
     pub fn as_of(&self) -> Millis {
         Millis(self.as_of.load(Ordering::Relaxed))
     }
 
-    /// Notes whether the key-value service answered the last call.
-    pub fn record_store_call(&self, answered: bool) {
-        let lost = self.out_of_touch.swap(!answered, Ordering::Relaxed);
-        if lost == answered {
-            let says = if answered {
+    /// Records whether the key-value service answered a call, and logs a change.
+    pub fn record_store_call(&self, is_answered: bool) {
+        let was_unreachable = self.store_unreachable.swap(!is_answered, Ordering::Relaxed);
+        if was_unreachable == is_answered {
+            let description = if is_answered {
                 "answers"
             } else {
                 "doesn't answer"
             };
-            log::info!("view: the key-value service {says}");
+            log::info!("view: the key-value service {description}");
         }
     }
 
@@ -176,19 +176,19 @@
         self.state().config.clone()
     }
 
-    /// Returns the upstreams of a pool, retired ones excluded.
+    /// Returns the upstreams of a pool, without retired ones.
     #[must_use]
     pub fn pool(&self, pool: &str) -> Arc<[Arc<Upstream>]> {
         self.state().pools().get(pool).cloned().unwrap_or_default()
     }
 
-    /// Returns the newest version of an adapter that operators declared.
+    /// Returns the newest version that operators declared for an adapter.
     #[must_use]
     pub fn newest(&self, adapter: &str) -> Option<Declaration> {
         self.state().versions.get(adapter)?.newest()
     }
 
-    /// Returns until when a request may begin on a version of an adapter; none is without end.
+    /// Returns the deadline for requests to begin on a version of an adapter; none if unlimited.
     #[must_use]
     pub fn begin_by(&self, adapter: &str, version: u64, limit: Millis) -> Option<Millis> {
         self.state().versions.get(adapter)?.begin_by(version, limit)
@@ -214,9 +214,9 @@
         Some((&claim.node, self.nodes.get(&claim.node)?))
     }
 
-    /// Takes in a configuration; an older one than is in force is left aside.
+    /// Applies a configuration unless it is older than, or the same as, the current one.
     ///
-    /// Returns whether it is in force now.
+    /// Returns whether it was applied.
     pub fn apply_config(&mut self, config: Config) -> bool {
         let newer = self
             .config
@@ -224,31 +224,31 @@
             .is_none_or(|current| current.version < config.version);
         if newer {
             self.config = Some(Arc::new(config));
-            self.share_connections();
+            self.update_connection_shares();
         }
         newer
     }
 
-    /// Takes in an upstream's entry.
+    /// Adds or updates an upstream from its entry.
     ///
-    /// An entry of an earlier start than is known is left aside: it was written late, or by
-    /// somebody else. One of a later start is another upstream, which knows nothing of before.
-    pub fn put_upstream(&mut self, listed: &Listed, written: EntryRevision, now: Millis) {
+    /// An entry of an earlier start than the known one is ignored: it was written late or by
+    /// another writer. An entry of a later start replaces the upstream by a new one.
+    pub fn put_upstream(&mut self, listed: &Listed, revision: EntryRevision, now: Millis) {
         let known = self.upstreams.get(&listed.incarnation);
         if known.is_some_and(|upstream| listed.held.born > upstream.born) {
-            log::info!("view: {} has started again", listed.incarnation);
+            log::info!("view: {} has restarted", listed.incarnation);
             self.remove_upstream(&listed.incarnation);
         }
         if let Some(upstream) = self.upstreams.get(&listed.incarnation) {
             if listed.held.born == upstream.born {
-                upstream.update(listed, written);
+                upstream.update(listed, revision);
             }
         } else {
-            let connections = self.connections(&listed.pool);
-            let upstream = Arc::new(Upstream::new(listed, written, connections, now));
+            let connection_share = self.connection_share(&listed.pool);
+            let upstream = Arc::new(Upstream::new(listed, revision, connection_share, now));
             self.upstreams
                 .insert(Name::clone(&listed.incarnation), upstream);
-            // Only now: a heartbeat of an upstream that is known moves it to no other pool.
+            // Heartbeats of known upstreams don't change their pools, so only new ones regroup.
             self.pools = None;
         }
     }
@@ -261,20 +261,20 @@
         }
     }
 
-    /// Takes in a node's record.
+    /// Adds or updates a node from its record.
     pub fn put_node(&mut self, name: Name, peer: Peer) {
         self.nodes.insert(name, peer);
         if self.nodes.len() > self.max_nodes_seen {
             self.max_nodes_seen = self.nodes.len();
-            // Shared out anew for each of hundreds of nodes that appear at a start, this took a
-            // second of a small VM; a twentieth is within what is left free.
-            if self.max_nodes_seen >= self.shared_among + (self.shared_among / 20).max(1) {
-                self.share_connections();
+            // Updating the shares for each of hundreds of nodes that appear at a start took a
+            // second on a small VM. The reserved connections cover growth by a twentieth.
+            if self.max_nodes_seen >= self.share_node_count + (self.share_node_count / 20).max(1) {
+                self.update_connection_shares();
             }
         }
     }
 
-    /// Takes in all claims, and that those not among them are gone.
+    /// Replaces all claims by the given entries.
     pub fn replace_claims(&mut self, dialect: &dyn Dialect, entries: &[Entry], now: Millis) {
         let mut present = HashSet::new();
         for entry in entries {
@@ -289,79 +289,78 @@
         self.retain_claims(now, |address| present.contains(&address));
     }
 
-    /// Takes in that all claims but some are gone.
-    pub fn retain_claims(&mut self, now: Millis, kept: impl Fn(SocketAddr) -> bool) {
+    /// Removes all claims whose addresses aren't present any more.
+    pub fn retain_claims(&mut self, now: Millis, is_present: impl Fn(SocketAddr) -> bool) {
         self.claims_read_at.get_or_insert(now);
-        let gone: Vec<SocketAddr> = self
+        let removed: Vec<SocketAddr> = self
             .claims
             .keys()
-            .filter(|address| !kept(**address))
+            .filter(|address| !is_present(**address))
             .copied()
             .collect();
-        for address in gone {
+        for address in removed {
             self.remove_claim(address, now);
         }
     }
 
-    /// Takes in a claim as the key-value service holds it; returns whether it can be read.
+    /// Adds or updates a claim from its entry; returns whether it could be decoded.
     pub fn put_claim(&mut self, address: SocketAddr, entry: &Entry, now: Millis) -> bool {
         match serde_json::from_slice::<Claim>(&entry.value) {
             Ok(claim) => {
-                let standing = ClaimEntry {
+                let entry = ClaimEntry {
                     claim,
                     revision: entry.revision,
                     seen: now,
                 };
-                self.insert_claim(address, standing);
+                self.insert_claim(address, entry);
                 true
             }
             Err(error) => {
-                log::error!("view: {} can't be read: {error}", entry.key);
+                log::error!("view: can't decode {}: {error}", entry.key);
                 false
             }
         }
     }
 
-    /// Marks a claim of this node as given up, before the key-value service shows it.
+    /// Marks a claim of this node as released before the key-value service shows the change.
     ///
-    /// It keeps its revision, so that what the service said of it before is left aside.
+    /// It keeps its revision, so that older entries of the service don't replace it.
     pub fn release_claim(&mut self, address: SocketAddr, now: Millis) {
-        if let Some(standing) = self.claims.get_mut(&address) {
-            standing.claim.left = Some(Millis::ZERO);
-            standing.seen = now;
+        if let Some(entry) = self.claims.get_mut(&address) {
+            entry.claim.left = Some(Millis::ZERO);
+            entry.seen = now;
         }
     }
 
-    /// Takes in a claim; one that is older than what is known is left aside.
-    pub fn insert_claim(&mut self, address: SocketAddr, standing: ClaimEntry) {
+    /// Inserts a claim unless a newer revision is known.
+    pub fn insert_claim(&mut self, address: SocketAddr, entry: ClaimEntry) {
         if self
             .claims
             .get(&address)
-            .is_some_and(|known| known.revision >= standing.revision)
+            .is_some_and(|known| known.revision >= entry.revision)
         {
             return;
         }
-        if let Some(former) = self.claims.get(&address)
-            && former.claim.node != standing.claim.node
+        if let Some(previous) = self.claims.get(&address)
+            && previous.claim.node != entry.claim.node
         {
-            let former = former.claim.clone();
-            self.previous_claims
-                .insert(address, (former, standing.seen));
+            let previous = previous.claim.clone();
+            self.previous_claims.insert(address, (previous, entry.seen));
         }
-        self.claims.insert(address, standing);
+        self.claims.insert(address, entry);
     }
 
-    /// Takes in that a claim is gone.
+    /// Removes a claim, which becomes the previous one.
     pub fn remove_claim(&mut self, address: SocketAddr, now: Millis) {
-        if let Some(former) = self.claims.remove(&address) {
-            self.previous_claims.insert(address, (former.claim, now));
+        if let Some(previous) = self.claims.remove(&address) {
+            self.previous_claims.insert(address, (previous.claim, now));
         }
     }
 
-    /// Takes in that a node's right was broken: its vanished claims say nothing of who came behind.
+    /// Removes a node's name from its previous claims, after its ownership was interrupted.
     ///
-    /// Another node may have owned an engine meanwhile and lost its claim too, and goes on by the
-    /// votes of others.
+    /// These claims don't show that the node was the last owner: another node may have owned an
+    /// engine since then, have lost its claim too, and still give orders by the votes of others.
     pub fn anonymize_previous_claims(&mut self, node: &str) {
         let claims = self.previous_claims.values_mut().map(|(claim, _)| claim);
         for claim in claims.filter(|claim| &*claim.node == node) {
@@ -369,9 +368,9 @@
         }
     }
 
-    /// Takes in a record about requests under which upstreams ended, if it is one.
+    /// Applies a record if it belongs to the quarantine.
     ///
-    /// It has no `revision` where another node told of it, as the service doesn't take it now.
+    /// It has no `revision` if another node sent it while the service was unavailable.
     pub fn put_quarantine_record(
         &mut self,
         name: &str,
@@ -379,7 +378,7 @@
         revision: Option<u64>,
         now: Millis,
     ) -> PutOutcome {
-        if let Some(request) = survivor(name) {
+        if let Some(request) = harmless_request(name) {
             self.ledger.clear(&request, revision);
             return PutOutcome::Applied;
         }
@@ -397,15 +396,15 @@
                 PutOutcome::Applied
             }
             Err(error) => {
-                log::error!("view: {name} can't be read: {error}");
+                log::error!("view: can't decode {name}: {error}");
                 PutOutcome::Unreadable
             }
         }
     }
 
-    /// Takes in that such a record is gone.
+    /// Removes a record of the quarantine.
     pub fn remove_quarantine_record(&mut self, name: &str) {
-        match survivor(name) {
+        match harmless_request(name) {
             Some(request) => self.ledger.forget_cleared(&request),
             None => self.ledger.forget(name),
         }
@@ -413,39 +412,39 @@
 
     fn pools(&mut self) -> &HashMap<Name, Arc<[Arc<Upstream>]>> {
         let upstreams = &self.upstreams;
-        self.pools.get_or_insert_with(|| grouped(upstreams))
+        self.pools.get_or_insert_with(|| group_by_pool(upstreams))
     }
 
     /// Returns this node's share of an upstream's connections.
     ///
-    /// An upstream resets what exceeds its limit over all callers, requests in
-    /// progress included.
+    /// An upstream resets connections beyond its limit for all clients together, even with
+    /// requests in progress.
     #[allow(
         clippy::cast_possible_truncation,
         clippy::cast_precision_loss,
         clippy::cast_sign_loss,
         reason = "a share of a few hundred"
     )]
-    fn connections(&self, pool: &str) -> usize {
-        let whole = self
+    fn connection_share(&self, pool: &str) -> usize {
+        let total = self
             .config
             .as_ref()
             .and_then(|config| config.pools.get(pool))
             .map_or(64, |pool| pool.max_connections);
-        let share = whole as f64 * CONNECTION_SHARE / self.max_nodes_seen.max(1) as f64;
+        let share = total as f64 * USABLE_CONNECTIONS_FRACTION / self.max_nodes_seen.max(1) as f64;
         (share as usize).max(2)
     }
 
-    fn share_connections(&mut self) {
-        self.shared_among = self.max_nodes_seen;
+    fn update_connection_shares(&mut self) {
+        self.share_node_count = self.max_nodes_seen;
         for upstream in self.upstreams.values() {
-            upstream.link.limit(self.connections(&upstream.pool));
+            upstream.link.limit(self.connection_share(&upstream.pool));
         }
     }
 }
 
-/// Groups upstreams by pool, in an order that doesn't change.
-fn grouped(upstreams: &HashMap<Name, Arc<Upstream>>) -> HashMap<Name, Arc<[Arc<Upstream>]>> {
+/// Groups upstreams by pool, sorted by incarnation so that the order is stable.
+fn group_by_pool(upstreams: &HashMap<Name, Arc<Upstream>>) -> HashMap<Name, Arc<[Arc<Upstream>]>> {
     let mut pools: HashMap<Name, Vec<Arc<Upstream>>> = HashMap::new();
     for upstream in upstreams.values() {
         pools
