--- a/lib/tests/test_direct_fanout.rs
+++ b/lib/tests/test_direct_fanout.rs
@@ -1,4 +1,4 @@
-//! Changes of the key-value service that nodes pass on within a failure domain.
+//! Fan-out of the key-value service's changes within a failure domain.
 
 mod direct_support;
 
@@ -24,7 +24,7 @@
 use chivevalve::schema::direct::orders_server::{Orders, OrdersServer};
 use chivevalve::schema::direct::{
     AdmitReply, AdmitRequest, Change, ExchangeReply, ExchangeRequest, FollowRequest, LoadReply,
-    LoadRequest, SupportReply, SupportRequest, TellReply, TellRequest, Update as Sent,
+    LoadRequest, SupportReply, SupportRequest, TellReply, TellRequest, Update as ProtoUpdate,
 };
 use chivevalve_platform::Speech;
 use direct_support::SERVER;
@@ -68,23 +68,28 @@
 }
 
 #[tokio::test]
-async fn listen_gets_what_is_newer_only() {
+async fn subscribe_gets_newer_changes_only() {
     let hub = hub();
     hub.publish(update(3, 6));
     let mut stream = Box::pin(hub.subscribe(5).unwrap());
     hub.publish(update(6, 7));
     let first = stream.next().await.unwrap().unwrap();
     let second = stream.next().await.unwrap().unwrap();
-    let revisions =
-        |sent: &Sent| -> Vec<u64> { sent.changes.iter().map(|change| change.revision).collect() };
+    let revisions = |message: &ProtoUpdate| -> Vec<u64> {
+        message
+            .changes
+            .iter()
+            .map(|change| change.revision)
+            .collect()
+    };
     assert_eq!(revisions(&first), [6]);
     assert_eq!(revisions(&second), [7]);
     assert_eq!((first.after, second.revision), (5, 7));
 }
 
-/// A listener whose revision kept updates don't reach back to is told so, not left with a gap.
+/// A subscriber whose revision is older than the backlog gets an error instead of a gap.
 #[tokio::test]
-async fn listen_gap_ends_the_stream() {
+async fn subscribe_gap_ends_the_stream() {
     let hub = hub();
     hub.publish(update(7, 9));
     let mut stream = Box::pin(hub.subscribe(5).unwrap());
@@ -92,9 +97,9 @@
     assert!(stream.next().await.is_none());
 }
 
-/// An update counts its time on a slow link, so that it isn't relied on for too long.
+/// Guards against relying for too long on an update that takes long on a slow link.
 #[tokio::test]
-async fn listen_large_update_is_older_when_it_comes() {
+async fn subscribe_large_update_counts_its_transfer_time() {
     let hub = Hub::new(Arc::new(Manual::default()), Arc::default());
     let large = |revision| {
         let mut event = put(revision);
@@ -111,28 +116,28 @@
     let small = stream.next().await.unwrap().unwrap();
     let large = stream.next().await.unwrap().unwrap();
     assert_eq!(small.age_ms, 0);
-    // What three listeners take for it on a link of 10 Mbit/s that is half full.
+    // The transfer time to three subscribers over a link of 10 Mbit/s that is half used.
     assert!(large.age_ms >= 950, "{}", large.age_ms);
 }
 
-/// A listener that reads nothing is cut off, instead of having updates kept without bound.
+/// Guards against unbounded buffering for a subscriber that doesn't read.
 #[tokio::test]
-async fn listen_slow_listener_is_cut_off() {
+async fn subscribe_slow_subscriber_is_cut_off() {
     let hub = hub();
     hub.publish(update(0, 1));
     let mut stream = Box::pin(hub.subscribe(0).unwrap());
     for revision in 1..100 {
         hub.publish(update(revision, revision + 1));
     }
-    let mut heard = 0;
+    let mut received = 0;
     while let Some(Ok(_)) = stream.next().await {
-        heard += 1;
+        received += 1;
     }
-    assert!(heard < 20, "{heard}");
+    assert!(received < 20, "{received}");
 }
 
-/// A change whose value tells when nobody holds it any more.
-fn counted(revision: u64, bytes: usize, held: &Arc<()>) -> Update {
+/// Returns an update whose value holds a reference to `references` until it is dropped.
+fn counted_update(revision: u64, bytes: usize, references: &Arc<()>) -> Update {
     struct Value(
         Vec<u8>,
         #[allow(dead_code, reason = "counts while it lives")] Arc<()>,
@@ -142,91 +147,93 @@
             &self.0
         }
     }
-    let value = Value(vec![b'x'; bytes], Arc::clone(held));
+    let value = Value(vec![b'x'; bytes], Arc::clone(references));
     let mut update = update(revision - 1, revision);
     let entry = update.events[0].entry.as_mut().unwrap();
     entry.value = Bytes::from_owner(value);
     update
 }
 
-/// Updates are kept by their size: large ones don't fill memory, and listeners ask the service.
+/// Guards against oversized updates that fill the memory; subscribers poll the service instead.
 #[tokio::test]
-async fn listen_oversized_updates_are_not_kept() {
+async fn subscribe_oversized_updates_are_not_kept() {
     let hub = hub();
-    let held = Arc::new(());
+    let references = Arc::new(());
     let mut stream = Box::pin(hub.subscribe(0).unwrap());
     for revision in 1..=40 {
-        hub.publish(counted(revision, 6 << 20, &held));
-        assert_eq!(Arc::strong_count(&held), 1);
+        hub.publish(counted_update(revision, 6 << 20, &references));
+        assert_eq!(Arc::strong_count(&references), 1);
     }
-    // Whoever listens is told that there is something to ask the service for.
+    // The subscriber gets an error, so that it polls the service.
     assert!(stream.next().await.unwrap().is_err());
     assert!(stream.next().await.is_none());
 }
 
-/// Updates held for a listener whose socket takes nothing are bounded.
+/// Guards against unbounded buffering for a subscriber whose socket is blocked.
 #[tokio::test]
-async fn listen_over_a_socket_that_takes_nothing() {
+async fn subscribe_over_a_socket_that_is_not_read() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
-    let (above, _) = subscription("node-0", view(12, address));
-    tokio::spawn(serve(listener, Arc::clone(&above)));
+    let (publisher, _) = subscription("node-0", view(12, address));
+    tokio::spawn(serve(listener, Arc::clone(&publisher)));
     let follow = async || {
         let client = OrdersClient::connect(format!("http://{address}")).await;
         let request = FollowRequest { after: 0 };
         client.unwrap().follow(request).await.unwrap().into_inner()
     };
-    let (mut reads, _takes_nothing) = (follow().await, follow().await);
-    let held = Arc::new(());
-    let mut most = 0;
+    let (mut reader, _not_reading) = (follow().await, follow().await);
+    let references = Arc::new(());
+    let mut max_references = 0;
     for revision in 1..=120 {
-        above.hub.publish(counted(revision, 256 << 10, &held));
-        let sent = reads.message().await.unwrap().unwrap();
-        assert_eq!(sent.revision, revision);
-        most = most.max(Arc::strong_count(&held) - 1);
+        publisher
+            .hub
+            .publish(counted_update(revision, 256 << 10, &references));
+        let message = reader.message().await.unwrap().unwrap();
+        assert_eq!(message.revision, revision);
+        max_references = max_references.max(Arc::strong_count(&references) - 1);
     }
-    assert!(most <= 24, "{most}");
+    assert!(max_references <= 24, "{max_references}");
 }
 
-/// A node passes updates on to a bounded number of listeners, and refuses all others.
+/// A node accepts a limited number of subscribers, and rejects all others.
 #[tokio::test]
-async fn listen_refuses_more_than_it_can_serve() {
+async fn subscribe_limits_the_number_of_subscribers() {
     let hub = hub();
     let mut streams: Vec<_> = (0..20).map_while(|_| hub.subscribe(0).ok()).collect();
     assert_eq!(streams.len(), 6);
-    assert_eq!(refused(&hub), tonic::Code::ResourceExhausted);
+    assert_eq!(rejection_code(&hub), tonic::Code::ResourceExhausted);
     streams.pop();
     assert!(hub.subscribe(0).is_ok());
 }
 
-/// A node that the service doesn't answer refuses listeners, which would hear of changes late.
+/// A node that the service doesn't answer rejects subscribers, which would receive changes late.
 #[tokio::test]
-async fn listen_refuses_while_it_hears_nothing_itself() {
+async fn subscribe_is_rejected_while_disconnected() {
     let hub = hub();
     hub.publish(update(0, 1));
     hub.mark_disconnected();
-    assert_eq!(refused(&hub), tonic::Code::Unavailable);
+    assert_eq!(rejection_code(&hub), tonic::Code::Unavailable);
     hub.publish(update(1, 2));
     assert!(hub.subscribe(0).is_ok());
 }
 
-fn refused(hub: &Hub) -> tonic::Code {
-    hub.subscribe(0).err().expect("it is refused").code()
+fn rejection_code(hub: &Hub) -> tonic::Code {
+    hub.subscribe(0).err().expect("it is rejected").code()
 }
 
-/// The service as one node asks it.
+/// The polls of one node, counted and with faults.
 #[derive(Debug)]
-struct Asked {
+struct CountingPoll {
     memory: Arc<Memory>,
     calls: AtomicUsize,
-    /// Whether the service turns this node away.
-    cut: AtomicBool,
-    /// Whether the service tells changes in an order of its own.
-    disordered: AtomicBool,
+    /// Whether calls of this node fail.
+    rejects_calls: AtomicBool,
+    /// Whether changes are returned in reverse order.
+    unordered: AtomicBool,
 }
 
 #[async_trait]
-impl Poll for Asked {
+impl Poll for CountingPoll {
     async fn changes(
         &self,
         prefix: &str,
@@ -234,21 +241,21 @@
         wait: Millis,
     ) -> Result<Changes, poll::Error> {
         self.calls.fetch_add(1, Ordering::Relaxed);
-        if self.cut.load(Ordering::Relaxed) {
-            return Err(Error::NoAnswer("the test cut it off".to_owned()).into());
+        if self.rejects_calls.load(Ordering::Relaxed) {
+            return Err(Error::NoAnswer("the test rejects calls".to_owned()).into());
         }
         let mut changes = self.memory.changes(prefix, revision, wait).await?;
-        if self.disordered.load(Ordering::Relaxed) {
+        if self.unordered.load(Ordering::Relaxed) {
             changes.events.reverse();
         }
         Ok(changes)
     }
 }
 
-/// A node's follower.
+/// A node that consists of a follower and its hub.
 struct Node {
     view: Arc<View>,
-    asked: Arc<Asked>,
+    poll: Arc<CountingPoll>,
     hub: Arc<Hub>,
     task: JoinHandle<()>,
 }
@@ -259,26 +266,26 @@
     }
 
     fn calls(&self) -> usize {
-        self.asked.calls.load(Ordering::Relaxed)
+        self.poll.calls.load(Ordering::Relaxed)
     }
 }
 
-/// Starts a node that listens to another one, or is listened to.
-fn start(memory: &Arc<Memory>, listens_to: Option<&Node>, older: Millis) -> Node {
+/// Starts a node that subscribes to another one, or has no publisher.
+fn start(memory: &Arc<Memory>, publisher: Option<&Node>, extra_age: Millis) -> Node {
     let clock: Arc<dyn Clock> = Arc::new(Monotonic::start());
     let view = Arc::new(View::default());
     let hub = Arc::new(Hub::new(Arc::clone(&clock), Arc::default()));
-    let asked = Arc::new(Asked {
+    let poll = Arc::new(CountingPoll {
         memory: Arc::clone(memory),
         calls: AtomicUsize::new(0),
-        cut: AtomicBool::new(false),
-        disordered: AtomicBool::new(false),
+        rejects_calls: AtomicBool::new(false),
+        unordered: AtomicBool::new(false),
     });
-    let hears = listens_to.map(|node| Arc::clone(&node.hub));
-    let source = Direct::new(hears, Arc::clone(&clock), older);
+    let hub_of_publisher = publisher.map(|node| Arc::clone(&node.hub));
+    let source = Direct::new(hub_of_publisher, Arc::clone(&clock), extra_age);
     let follower = Follower::new(
         Arc::<Memory>::clone(memory),
-        Arc::<Asked>::clone(&asked),
+        Arc::<CountingPoll>::clone(&poll),
         Arc::new(Speech),
         clock,
         Arc::clone(&view),
@@ -287,7 +294,7 @@
     .with_fanout(Arc::clone(&hub), Box::new(source));
     Node {
         view,
-        asked,
+        poll,
         hub,
         task: tokio::spawn(follower.run()),
     }
@@ -298,118 +305,119 @@
     memory.change(|state| state.put("op/config", config, None));
 }
 
-async fn pass(span: Millis) {
+async fn sleep(span: Millis) {
     tokio::time::sleep(span.duration()).await;
 }
 
-/// The time within which the default bounds want a change in force.
-const IN_FORCE: Millis = Millis(2_000);
+/// The time within which the default limits require a change to take effect.
+const CONFIG_APPLY_TIME: Millis = Millis(2_000);
 
-/// A leader and a node that listens to it, which know version 1.
-async fn two_nodes(older: Millis) -> (Arc<Memory>, Node, Node) {
+/// Returns a leader and a node subscribed to it, which both know version 1.
+async fn two_nodes(extra_age: Millis) -> (Arc<Memory>, Node, Node) {
     let memory = Arc::new(Memory::default());
     configure(&memory, 1);
     let leader = start(&memory, None, Millis::ZERO);
-    let node = start(&memory, Some(&leader), older);
-    pass(Millis::from_secs(5)).await;
+    let node = start(&memory, Some(&leader), extra_age);
+    sleep(Millis::from_secs(5)).await;
     assert_eq!((leader.version(), node.version()), (1, 1));
     (memory, leader, node)
 }
 
-/// A node that listens to another one makes no calls of its own to the key-value service.
+/// A node that subscribes to another one doesn't poll the key-value service itself.
 #[tokio::test(start_paused = true)]
-async fn follow_listens_instead_of_asking() {
+async fn follow_subscribes_instead_of_polling() {
     let (memory, leader, node) = two_nodes(Millis::ZERO).await;
-    let (led, listened) = (leader.calls(), node.calls());
+    let (leader_calls, node_calls) = (leader.calls(), node.calls());
     for version in 2..62 {
         configure(&memory, version);
-        pass(Millis(1_000)).await;
+        sleep(Millis(1_000)).await;
         assert!(node.version() + 1 >= version);
     }
-    assert!(leader.calls() - led >= 50);
-    assert!(node.calls() - listened <= 1);
+    assert!(leader.calls() - leader_calls >= 50);
+    assert!(node.calls() - node_calls <= 1);
 }
 
-/// Changes that the service sorts by key are passed on, and listeners needn't ask for themselves.
+/// Changes that the service returns out of order are still passed on, so that subscribers needn't
+/// poll for themselves.
 #[tokio::test(start_paused = true)]
-async fn follow_service_tells_changes_in_an_order_of_its_own() {
+async fn follow_service_returns_changes_out_of_order() {
     let (memory, leader, node) = two_nodes(Millis::ZERO).await;
-    leader.asked.disordered.store(true, Ordering::Relaxed);
-    let listened = node.calls();
+    leader.poll.unordered.store(true, Ordering::Relaxed);
+    let node_calls = node.calls();
     for version in 2..30 {
         let draining = SERVER.replace("\"ready\"", "\"draining\"");
         memory.change(|state| state.put("servers/i-1", SERVER, None));
         memory.change(|state| state.put("servers/i-1", draining, None));
         configure(&memory, version);
-        pass(IN_FORCE).await;
+        sleep(CONFIG_APPLY_TIME).await;
         for one in [&leader, &node] {
             assert_eq!(one.version(), version);
             assert!(!one.view.state().upstreams["i-1"].is_ready());
         }
     }
-    assert!(node.calls() - listened <= 1);
+    assert!(node.calls() - node_calls <= 1);
 }
 
-/// A change is in force in time though the node that passes changes on falls silent.
+/// A change takes effect in time although the publisher falls silent.
 #[tokio::test(start_paused = true)]
-async fn follow_leader_falls_silent() {
+async fn follow_publisher_falls_silent() {
     let (memory, leader, node) = two_nodes(Millis::ZERO).await;
     for version in 2..8 {
         leader.task.abort();
         configure(&memory, version);
-        pass(IN_FORCE).await;
+        sleep(CONFIG_APPLY_TIME).await;
         assert_eq!(node.version(), version);
     }
 }
 
-/// A change is in force in time though the leader, still connected, is cut off from the service.
+/// A change takes effect in time although the publisher, still connected, can't reach the service.
 #[tokio::test(start_paused = true)]
-async fn follow_leader_cut_off_from_the_service() {
+async fn follow_publisher_disconnected_from_the_service() {
     let (memory, leader, node) = two_nodes(Millis::ZERO).await;
-    leader.asked.cut.store(true, Ordering::Relaxed);
+    leader.poll.rejects_calls.store(true, Ordering::Relaxed);
     for version in 2..8 {
         configure(&memory, version);
-        pass(IN_FORCE).await;
+        sleep(CONFIG_APPLY_TIME).await;
         assert_eq!(node.version(), version);
     }
-    leader.asked.cut.store(false, Ordering::Relaxed);
-    pass(IN_FORCE).await;
+    leader.poll.rejects_calls.store(false, Ordering::Relaxed);
+    sleep(CONFIG_APPLY_TIME).await;
     assert_eq!(leader.version(), 7);
 }
 
-/// A change is in force in time though the leader passes it on late.
+/// A change takes effect in time although the publisher passes it on late.
 #[tokio::test(start_paused = true)]
 async fn follow_old_updates_are_not_relied_on() {
     let (memory, _leader, node) = two_nodes(Millis(5_000)).await;
     let before = node.calls();
     for version in 2..8 {
         configure(&memory, version);
-        pass(IN_FORCE).await;
+        sleep(CONFIG_APPLY_TIME).await;
         assert_eq!(node.version(), version);
     }
     assert!(node.calls() - before >= 6);
 }
 
-/// An update that is older than what a node knows doesn't make a draining server ready again.
+/// An update older than the known revision doesn't make a draining server ready again.
 #[tokio::test(start_paused = true)]
-async fn follow_older_updates_change_nothing() {
+async fn follow_older_updates_are_ignored() {
     let memory = Arc::new(Memory::default());
     let leader = start(&memory, None, Millis::ZERO);
     memory.change(|state| state.put("servers/i-1", SERVER, None));
-    pass(Millis(1_500)).await;
+    sleep(Millis(1_500)).await;
     let draining = SERVER.replace("\"ready\"", "\"draining\"");
     assert_ne!(draining, SERVER);
     memory.change(|state| state.put("servers/i-1", draining, None));
-    // It knows of the draining before it begins to listen.
+    // It knows of the draining before it subscribes.
     let node = start(&memory, Some(&leader), Millis::ZERO);
     for _ in 0..40 {
-        pass(Millis(100)).await;
+        sleep(Millis(100)).await;
         let upstream = node.view.state().upstreams.get("i-1").cloned();
         assert!(upstream.is_none_or(|upstream| !upstream.is_ready()));
     }
 }
 
-/// A node's view in which so many nodes of one failure domain are at an address.
+/// Returns a view with a number of nodes of one failure domain, all at one address.
 fn view(nodes: usize, address: SocketAddr) -> Arc<View> {
     let view = Arc::new(View::default());
     for number in 0..nodes {
@@ -442,13 +450,13 @@
 }
 
 #[tokio::test]
-async fn subscription_hears_over_a_socket() {
+async fn subscription_over_a_socket() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
-    let (above, _) = subscription("node-0", view(12, address));
-    tokio::spawn(serve(listener, Arc::clone(&above)));
-    above.hub.publish(update(4, 6));
-    let mut asking = 0;
+    let (publisher, _) = subscription("node-0", view(12, address));
+    tokio::spawn(serve(listener, Arc::clone(&publisher)));
+    publisher.hub.publish(update(4, 6));
+    let mut polling = 0;
     for number in 0..12 {
         let name = format!("node-{number}");
         let (_controllers, mut one) = subscription(&name, view(12, address));
@@ -458,18 +466,18 @@
                 assert_eq!((update.after, update.revision), (5, 6));
                 assert_eq!(update.events, [put(6)]);
             }
-            Received::NoSource => asking += 1,
-            Received::Timeout => panic!("nothing within twenty seconds"),
+            Received::NoSource => polling += 1,
+            Received::Timeout => panic!("no update within twenty seconds"),
         }
     }
-    // Two ask the service for all.
-    assert_eq!(asking, 2);
+    // Two leaders poll the service.
+    assert_eq!(polling, 2);
 }
 
-/// No node of a failure domain has to send updates to more than three others.
+/// Guards against a node that has to send updates to more than three others.
 #[tokio::test]
-async fn subscription_few_listen_to_one_node() {
-    let mut listeners: HashMap<u16, usize> = HashMap::new();
+async fn subscription_limits_subscribers_of_one_node() {
+    let mut subscribers: HashMap<u16, usize> = HashMap::new();
     let mut sockets = Vec::new();
     let shared = Arc::new(View::default());
     for number in 0..40 {
@@ -484,80 +492,80 @@
         let (controllers, mut one) = subscription(&format!("node-{number}"), Arc::clone(&shared));
         tokio::spawn(serve(socket, Arc::clone(&controllers)));
         kept.push(tokio::spawn(async move {
-            let heard = one.next(0, Millis(1)).await;
-            (one, heard)
+            let received = one.next(0, Millis(1)).await;
+            (one, received)
         }));
     }
     for task in kept {
-        let (one, heard) = task.await.unwrap();
-        if heard != Received::NoSource {
-            let above = one.publisher().unwrap();
-            let port = shared.state().nodes[&above].address.port();
-            *listeners.entry(port).or_default() += 1;
+        let (one, received) = task.await.unwrap();
+        if received != Received::NoSource {
+            let publisher = one.publisher().unwrap();
+            let port = shared.state().nodes[&publisher].address.port();
+            *subscribers.entry(port).or_default() += 1;
         }
     }
-    assert_eq!(listeners.values().sum::<usize>(), 38);
+    assert_eq!(subscribers.values().sum::<usize>(), 38);
     assert!(
-        listeners.values().all(|number| *number <= 3),
-        "{listeners:?}"
+        subscribers.values().all(|number| *number <= 3),
+        "{subscribers:?}"
     );
 }
 
-/// A node of which only the passing on of changes is played.
-struct Other(Vec<Sent>);
+/// A node that sends these updates to every subscriber, and implements nothing else.
+struct FakePublisher(Vec<ProtoUpdate>);
 
 #[async_trait]
-impl Orders for Other {
+impl Orders for FakePublisher {
     type AdmitStream = BoxStream<'static, Result<AdmitReply, Status>>;
-    type FollowStream = BoxStream<'static, Result<Sent, Status>>;
+    type FollowStream = BoxStream<'static, Result<ProtoUpdate, Status>>;
 
     async fn follow(
         &self,
         _: Request<FollowRequest>,
     ) -> Result<Response<Self::FollowStream>, Status> {
-        let sent: Vec<_> = self.0.iter().cloned().map(Ok).collect();
-        let sent = futures::stream::iter(sent).chain(futures::stream::pending());
-        Ok(Response::new(sent.boxed()))
+        let messages: Vec<_> = self.0.iter().cloned().map(Ok).collect();
+        let messages = futures::stream::iter(messages).chain(futures::stream::pending());
+        Ok(Response::new(messages.boxed()))
     }
 
     async fn admit(
         &self,
         _: Request<Streaming<AdmitRequest>>,
     ) -> Result<Response<Self::AdmitStream>, Status> {
-        Err(Status::unimplemented("not played"))
+        Err(Status::unimplemented("not part of the test"))
     }
 
     async fn load(&self, _: Request<LoadRequest>) -> Result<Response<LoadReply>, Status> {
-        Err(Status::unimplemented("not played"))
+        Err(Status::unimplemented("not part of the test"))
     }
 
     async fn tell(&self, _: Request<TellRequest>) -> Result<Response<TellReply>, Status> {
-        Err(Status::unimplemented("not played"))
+        Err(Status::unimplemented("not part of the test"))
     }
 
     async fn support(&self, _: Request<SupportRequest>) -> Result<Response<SupportReply>, Status> {
-        Err(Status::unimplemented("not played"))
+        Err(Status::unimplemented("not part of the test"))
     }
 
     async fn exchange(
         &self,
         _: Request<ExchangeRequest>,
     ) -> Result<Response<ExchangeReply>, Status> {
-        Err(Status::unimplemented("not played"))
+        Err(Status::unimplemented("not part of the test"))
     }
 }
 
-/// Twelve nodes, all at the address of one that passes these on.
-async fn listeners(sent: Vec<Sent>) -> Vec<(Arc<Controllers>, Subscription)> {
+/// Returns the subscriptions of twelve nodes, all at the address of one fake publisher.
+async fn subscriptions(messages: Vec<ProtoUpdate>) -> Vec<(Arc<Controllers>, Subscription)> {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
-    let server = Server::builder().add_service(OrdersServer::new(Other(sent)));
+    let server = Server::builder().add_service(OrdersServer::new(FakePublisher(messages)));
     tokio::spawn(server.serve_with_incoming(TcpListenerStream::new(listener)));
     let node = |number| subscription(&format!("node-{number}"), view(12, address));
     (0..12).map(node).collect()
 }
 
-/// A node whose update is too large to be read isn't asked for it again and again.
+/// Guards against repeated subscriptions to a node whose update exceeds the message size.
 #[tokio::test]
 async fn subscription_oversized_update() {
     let change = Change {
@@ -566,57 +574,57 @@
         revision: 1,
         ..Change::default()
     };
-    let sent = Sent {
+    let message = ProtoUpdate {
         revision: 1,
         changes: vec![change],
-        ..Sent::default()
+        ..ProtoUpdate::default()
     };
-    let mut listen = 0;
-    for (controllers, mut one) in listeners(vec![sent]).await {
+    let mut subscribed = 0;
+    for (controllers, mut one) in subscriptions(vec![message]).await {
         for _ in 0..8 {
             assert_eq!(one.next(0, Millis::from_secs(20)).await, Received::NoSource);
         }
-        let refused = &controllers.metrics.updates_refused;
-        let refused = refused.with_label_values(&["oversized"]).get();
-        // Each that it may listen to is asked once: two above it and the other leader.
-        assert!(refused <= 3, "{refused}");
-        listen += usize::from(refused > 0);
+        let rejected = &controllers.metrics.updates_refused;
+        let rejected = rejected.with_label_values(&["oversized"]).get();
+        // Each possible publisher is tried once: two ancestors and the other leader.
+        assert!(rejected <= 3, "{rejected}");
+        subscribed += usize::from(rejected > 0);
     }
-    assert_eq!(listen, 10);
+    assert_eq!(subscribed, 10);
 }
 
-/// An age longer than this node has run neither panics nor makes an update look new.
+/// An age longer than this node's uptime neither panics nor makes an update look new.
 #[tokio::test]
-async fn subscription_absurd_ages() {
+async fn subscription_extreme_ages() {
     let ages = [0, 1 << 40, u64::MAX];
-    let sent = ages.map(|age_ms| Sent {
+    let messages = ages.map(|age_ms| ProtoUpdate {
         age_ms,
-        ..Sent::default()
+        ..ProtoUpdate::default()
     });
-    let mut heard = 0;
-    for (controllers, mut one) in listeners(sent.to_vec()).await {
+    let mut received = 0;
+    for (controllers, mut one) in subscriptions(messages.to_vec()).await {
         for age in ages {
             if let Received::Update(update) = one.next(0, Millis::from_secs(20)).await {
                 assert!(update.as_of <= controllers.clock.now());
                 assert!(age == 0 || update.as_of == Millis::ZERO);
-                heard += 1;
+                received += 1;
             }
         }
     }
-    assert_eq!(heard, 30);
+    assert_eq!(received, 30);
 }
 
 #[tokio::test]
-async fn subscription_few_nodes_ask_for_themselves() {
+async fn subscription_few_nodes_poll_for_themselves() {
     let address = "127.0.0.1:9".parse().unwrap();
     let (_, mut one) = subscription("node-0", view(7, address));
     assert!(!one.may_have_subscribers());
     assert_eq!(one.next(0, Millis::from_secs(20)).await, Received::NoSource);
 }
 
-/// Leaders that refuse connections aren't asked again at once; the service is asked instead.
+/// Publishers that refuse connections are avoided for a while, and the service is polled instead.
 #[tokio::test]
-async fn subscription_dead_leaders_are_left_alone() {
+async fn subscription_dead_publishers_are_avoided() {
     let ended = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let address = ended.local_addr().unwrap();
     drop(ended);
@@ -632,14 +640,14 @@
     }
 }
 
-/// An update that waited while this node's VM was suspended isn't taken for new.
+/// Guards against treating an update as new that waited while this node's VM was suspended.
 #[tokio::test]
-async fn subscription_update_behind_a_suspension() {
+async fn subscription_update_received_after_a_suspension() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
-    let (above, _) = subscription("node-0", view(12, address));
-    tokio::spawn(serve(listener, Arc::clone(&above)));
-    above.hub.publish(update(0, 1));
+    let (publisher, _) = subscription("node-0", view(12, address));
+    tokio::spawn(serve(listener, Arc::clone(&publisher)));
+    publisher.hub.publish(update(0, 1));
     let span = Millis::from_secs(2);
     for number in 0..12 {
         let clock = Arc::new(Manual::default());
@@ -652,11 +660,11 @@
         let waiting = tokio::spawn(async move { one.next(1, span).await });
         tokio::task::yield_now().await;
         clock.advance(Millis::from_secs(5));
-        above.hub.publish(update(1, 2));
+        publisher.hub.publish(update(1, 2));
         if let Received::Update(update) = waiting.await.unwrap() {
             assert_eq!(update.as_of, Millis::ZERO);
         }
         return;
     }
-    panic!("no node listens");
+    panic!("no node has subscribed");
 }
--- a/lib/tests/test_direct_fanout_fuzz.rs
+++ b/lib/tests/test_direct_fanout_fuzz.rs
@@ -1,7 +1,7 @@
-//! Stateful fuzzing of what a node takes from another one, with fixed seeds.
+//! Stateful fuzzing of updates between nodes, with fixed seeds.
 //!
-//! A node is fed updates of another one, most of them bad; a second node listens to the first,
-//! so that what is passed on is judged too. The oracle replays the service's own history.
+//! A node receives updates, many of them invalid, and a second node subscribes to the first, so
+//! that what is passed on is checked too. The oracle replays the service's own history.
 
 mod direct_support;
 
@@ -28,90 +28,92 @@
 use tokio::runtime::Runtime;
 use tokio::sync::Notify;
 
-/// Sequences that each seed plays.
-const STORIES: u64 = 300;
+/// Number of sequences for each seed.
+const SEQUENCES_PER_SEED: u64 = 300;
 
-/// Steps of a sequence at most.
-const STEPS: usize = 40;
+/// Maximum number of steps in a sequence.
+const MAX_STEPS: usize = 40;
 
-/// Names of each kind of entry that are written.
-const NAMES: u8 = 3;
+/// Number of different keys for each kind of entry.
+const KEYS_PER_KIND: u8 = 3;
 
-/// Time after which a node that hears nothing bad any more knows all: the age at which it asks
-/// the service itself, the pause between calls, and the doubt about entries that vanished.
-const SETTLED: Millis = Millis(6_000);
+/// Time after the last invalid update within which a node has to know everything.
+///
+/// It covers the age of updates at which a node polls the service itself, the pause between polls,
+/// and the grace period for missing entries.
+const SETTLE_TIME: Millis = Millis(6_000);
 
-/// What happens next.
+/// A step of a sequence.
 #[derive(Debug, Clone)]
 enum Step {
-    /// The service changes: the kind of entry, and its number.
+    /// An entry is written: its kind and number.
     Write(u8, u8),
-    /// An entry goes.
+    /// An entry is removed: its kind and number.
     Remove(u8, u8),
     /// Time passes, in milliseconds.
     Pass(u16),
-    /// The node hears a true part of the history: how far back it begins and ends, and its age.
-    Hear(u8, u8, u8),
-    /// The node hears something bad: the kind, and a true part that it is made of.
-    Spoilt(Spoilt, u8, u8),
+    /// The node receives a part of the history: how far back it begins and ends, and its age.
+    Receive(u8, u8, u8),
+    /// The node receives an invalid update: its kind, and the part of the history it is made from.
+    InvalidUpdate(InvalidUpdate, u8, u8),
     /// The connection to the other node ends.
     End,
 }
 
-/// How an update is bad.
+/// The kind of an invalid update.
 #[derive(Debug, Clone, Copy)]
-enum Spoilt {
+enum InvalidUpdate {
     /// It ends before it begins.
     Backwards,
-    /// It leads nowhere: to revision 0.
-    Nowhere,
-    /// It leads to the last revision that a number can hold, without changes.
-    Endless,
-    /// It claims to lead some revisions further than the service is.
+    /// It leads to revision 0.
+    ToRevisionZero,
+    /// It leads to the maximum revision, without changes.
+    ToMaxRevision,
+    /// It leads beyond the service's revision, without changes.
     Ahead,
-    /// The same, from where the node is, with true changes.
+    /// It leads beyond the service's revision, with real changes.
     AheadWithChanges,
     /// One change has revision 0.
-    ChangeOfNothing,
-    /// One change has the last revision that a number can hold.
-    ChangeOfTheEnd,
-    /// One that has all of it: a change, and the update itself.
-    End,
-    /// Changes in the wrong order.
-    Disordered,
-    /// Changes told twice.
-    Doubled,
-    /// An older change among newer ones: of a node or an engine that has left perhaps.
-    Older,
-    /// Keys that nobody here uses, with values near what a call may hold.
-    Foreign,
-    /// More changes than anybody makes at once.
+    ChangeAtRevisionZero,
+    /// One change has the maximum revision.
+    ChangeAtMaxRevision,
+    /// One change and the update itself have the maximum revision.
+    AllAtMaxRevision,
+    /// Changes are out of order.
+    OutOfOrder,
+    /// A change is contained twice.
+    Duplicate,
+    /// It contains an older change, perhaps of a node or an engine that has left.
+    OlderChange,
+    /// It contains a key that nodes don't use, with a value of 1 MiB.
+    ForeignKey,
+    /// It contains far more changes than are made at once.
     Oversized,
 }
 
-const SPOILT: [Spoilt; 13] = [
-    Spoilt::Backwards,
-    Spoilt::Nowhere,
-    Spoilt::Endless,
-    Spoilt::Ahead,
-    Spoilt::AheadWithChanges,
-    Spoilt::ChangeOfNothing,
-    Spoilt::ChangeOfTheEnd,
-    Spoilt::End,
-    Spoilt::Disordered,
-    Spoilt::Doubled,
-    Spoilt::Older,
-    Spoilt::Foreign,
-    Spoilt::Oversized,
+const INVALID_UPDATES: [InvalidUpdate; 13] = [
+    InvalidUpdate::Backwards,
+    InvalidUpdate::ToRevisionZero,
+    InvalidUpdate::ToMaxRevision,
+    InvalidUpdate::Ahead,
+    InvalidUpdate::AheadWithChanges,
+    InvalidUpdate::ChangeAtRevisionZero,
+    InvalidUpdate::ChangeAtMaxRevision,
+    InvalidUpdate::AllAtMaxRevision,
+    InvalidUpdate::OutOfOrder,
+    InvalidUpdate::Duplicate,
+    InvalidUpdate::OlderChange,
+    InvalidUpdate::ForeignKey,
+    InvalidUpdate::Oversized,
 ];
 
-/// The kind of an entry: often one of those that come and go.
+/// Chooses a kind of entry, often one that is also removed.
 fn kind(g: &mut Gen) -> u8 {
     *g.choose(&[0, 0, 0, 2, 2, 3, 3, 3, 5, 6, 7, 8])
         .expect("there are kinds")
 }
 
-/// The number of an entry: often the same one.
+/// Chooses the number of an entry, often the same one.
 fn number(g: &mut Gen) -> u8 {
     *g.choose(&[0, 0, 0, 1, 2]).expect("there are numbers")
 }
@@ -122,10 +124,10 @@
             0..4 => Self::Write(kind(g), number(g)),
             4..6 => Self::Remove(kind(g), number(g)),
             6..8 => Self::Pass(u16::arbitrary(g) % 900),
-            8..12 => Self::Hear(u8::arbitrary(g) % 8, u8::arbitrary(g) % 4, u8::arbitrary(g)),
+            8..12 => Self::Receive(u8::arbitrary(g) % 8, u8::arbitrary(g) % 4, u8::arbitrary(g)),
             12..15 => {
-                let kind = *g.choose(&SPOILT).expect("there are kinds");
-                Self::Spoilt(kind, u8::arbitrary(g) % 8, u8::arbitrary(g) % 4)
+                let kind = *g.choose(&INVALID_UPDATES).expect("there are kinds");
+                Self::InvalidUpdate(kind, u8::arbitrary(g) % 8, u8::arbitrary(g) % 4)
             }
             _ => Self::End,
         }
@@ -136,29 +138,29 @@
     }
 }
 
-/// The node that updates come from, as the test plays it.
+/// Updates that the test sends as another node.
 #[derive(Debug, Default)]
-struct Feed {
-    waiting: Mutex<VecDeque<Received>>,
-    fed: Notify,
+struct UpdateQueue {
+    updates: Mutex<VecDeque<Received>>,
+    added: Notify,
 }
 
-impl Feed {
-    fn give(&self, heard: Received) {
-        self.waiting.lock().unwrap().push_back(heard);
-        self.fed.notify_one();
+impl UpdateQueue {
+    fn push(&self, received: Received) {
+        self.updates.lock().unwrap().push_back(received);
+        self.added.notify_one();
     }
 }
 
-/// Listens to the feed.
+/// Receives the updates of the queue.
 #[derive(Debug)]
-struct Fed {
-    feed: Arc<Feed>,
+struct QueueSource {
+    queue: Arc<UpdateQueue>,
     avoided: bool,
 }
 
 #[async_trait]
-impl Source for Fed {
+impl Source for QueueSource {
     fn may_have_subscribers(&self) -> bool {
         true
     }
@@ -169,15 +171,15 @@
         }
         let next = async {
             loop {
-                let heard = self.feed.waiting.lock().unwrap().pop_front();
-                if let Some(heard) = heard {
-                    return heard;
+                let received = self.queue.updates.lock().unwrap().pop_front();
+                if let Some(received) = received {
+                    return received;
                 }
-                self.feed.fed.notified().await;
+                self.queue.added.notified().await;
             }
         };
-        let heard = tokio::time::timeout(within.duration(), next).await;
-        heard.unwrap_or(Received::Timeout)
+        let received = tokio::time::timeout(within.duration(), next).await;
+        received.unwrap_or(Received::Timeout)
     }
 
     fn avoid(&mut self) {
@@ -185,13 +187,13 @@
     }
 }
 
-/// What a node should know at a revision, entry by entry.
-type Known = BTreeMap<String, String>;
+/// The contents of a view: each entry's name, and its revision or version.
+type ViewContents = BTreeMap<String, String>;
 
-/// What the service's history makes of [`Known`].
+/// Applies a change of the service to the expected contents.
 ///
-/// Values that can't be read are written under keys of their own, where they mean nothing.
-fn replay(known: &mut Known, event: &Event) {
+/// Invalid values are written under separate keys, which are ignored.
+fn replay(contents: &mut ViewContents, event: &Event) {
     let name = match Speech.key(&event.key) {
         Key::Config => "config".to_owned(),
         Key::Upstream(name) => format!("upstream {name}"),
@@ -202,49 +204,49 @@
     if name.contains("junk") {
         return;
     }
-    let told = event.entry.as_ref();
-    match told {
-        Some(_) => known.insert(name, event.revision.to_string()),
-        // A version or a configuration stays in force though its entry goes.
+    let entry = event.entry.as_ref();
+    match entry {
+        Some(_) => contents.insert(name, event.revision.to_string()),
+        // A version or a configuration stays in force when its entry is removed.
         None if name.starts_with("version") || name == "config" => None,
-        None => known.remove(&name),
+        None => contents.remove(&name),
     };
 }
 
-/// What a node knows.
-fn known(view: &View) -> Known {
+/// Returns the contents of a node's view.
+fn contents(view: &View) -> ViewContents {
     let state = view.state();
-    let mut known = Known::new();
+    let mut contents = ViewContents::new();
     if let Some(config) = &state.config {
-        known.insert("config".to_owned(), config.version.to_string());
+        contents.insert("config".to_owned(), config.version.to_string());
     }
     for (name, upstream) in &state.upstreams {
         let sequence = upstream.held().sequence;
-        known.insert(format!("upstream {name}"), sequence.to_string());
+        contents.insert(format!("upstream {name}"), sequence.to_string());
     }
     for (name, declared) in &state.versions {
         let version = declared.newest().map_or(0, |newest| newest.version);
-        known.insert(format!("version {name}"), version.to_string());
+        contents.insert(format!("version {name}"), version.to_string());
     }
     for (name, peer) in &state.nodes {
-        known.insert(format!("{NODE_PREFIX}{name}"), peer.start.to_string());
+        contents.insert(format!("{NODE_PREFIX}{name}"), peer.start.to_string());
     }
     for (address, standing) in &state.claims {
-        known.insert(
+        contents.insert(
             format!("{CLAIM_PREFIX}{address}"),
             standing.revision.to_string(),
         );
     }
-    known
+    contents
 }
 
 fn claim_address(number: u8) -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 100 + u16::from(number)))
 }
 
-/// The key of an entry, and its value at a revision.
+/// Returns the key of an entry, and its value at a revision.
 fn entry(kind: u8, number: u8, revision: u64) -> (String, String) {
-    let number = number % NAMES;
+    let number = number % KEYS_PER_KIND;
     match kind % 9 {
         0 | 1 => {
             let value = format!(
@@ -281,13 +283,13 @@
     }
 }
 
-/// A node, and the last revision at which the oracle found it.
+/// A node, and the last revision that its view was found to match.
 struct Node {
     name: &'static str,
     view: Arc<View>,
     hub: Arc<Hub>,
     metrics: Arc<Metrics>,
-    at: usize,
+    position: usize,
 }
 
 fn start(
@@ -314,53 +316,55 @@
         view,
         hub,
         metrics,
-        at: 0,
+        position: 0,
     }
 }
 
 impl Node {
-    /// How often something was left aside for a reason.
-    fn refused(&self, refusal: RejectReason) -> u64 {
-        let refused = &self.metrics.updates_refused;
-        refused.with_label_values(&[refusal.name()]).get()
+    /// Returns how often an update or change was rejected for a reason.
+    fn rejected(&self, reason: RejectReason) -> u64 {
+        let counter = &self.metrics.updates_refused;
+        counter.with_label_values(&[reason.name()]).get()
     }
 
-    /// Finds the revision at which the node is: never before the one at which it was.
-    fn judge(&mut self, history: &[Known]) -> Result<(), String> {
-        let known = known(&self.view);
-        let found = history[self.at..].iter().position(|one| *one == known);
+    /// Checks that the view matches a revision that isn't before the last one.
+    fn check(&mut self, history: &[ViewContents]) -> Result<(), String> {
+        let contents = contents(&self.view);
+        let found = history[self.position..]
+            .iter()
+            .position(|one| *one == contents);
         let Some(found) = found else {
-            let was = &history[self.at];
+            let last = &history[self.position];
             return Err(format!(
-                "{}: no revision from {} on has {known:?}; that one had {was:?}",
-                self.name, self.at
+                "{}: no revision from {} on has {contents:?}; that one had {last:?}",
+                self.name, self.position
             ));
         };
-        self.at += found;
-        let vanished = self.view.state().previous_claims.len();
-        if vanished > usize::from(NAMES) {
-            return Err(format!("{}: {vanished} claims have vanished", self.name));
+        self.position += found;
+        let previous_claims = self.view.state().previous_claims.len();
+        if previous_claims > usize::from(KEYS_PER_KIND) {
+            return Err(format!("{}: {previous_claims} previous claims", self.name));
         }
         Ok(())
     }
 }
 
-/// One sequence as it is played.
-struct Play {
+/// A simulated deployment in which a sequence runs.
+struct Simulation {
     memory: Arc<Memory>,
-    feed: Arc<Feed>,
+    queue: Arc<UpdateQueue>,
     clock: Arc<dyn Clock>,
     nodes: [Node; 2],
-    /// What a node should know at each revision.
-    history: Vec<Known>,
+    /// The expected contents of a view at each revision.
+    history: Vec<ViewContents>,
 }
 
-impl Play {
+impl Simulation {
     fn new() -> Self {
         let memory = Arc::new(Memory::default());
-        let feed = Arc::new(Feed::default());
-        let source = Fed {
-            feed: Arc::clone(&feed),
+        let queue = Arc::new(UpdateQueue::default());
+        let source = QueueSource {
+            queue: Arc::clone(&queue),
             avoided: false,
         };
         let first = start("first", &memory, |_| Box::new(source));
@@ -370,10 +374,10 @@
         });
         Self {
             memory,
-            feed,
+            queue,
             clock: Arc::new(Monotonic::start()),
             nodes: [first, second],
-            history: vec![Known::new()],
+            history: vec![ViewContents::new()],
         }
     }
 
@@ -387,15 +391,15 @@
             }
             let events = state.since("", self.history.len() as u64 - 1);
             for event in events {
-                let mut known = self.history.last().expect("it has revision 0").clone();
-                replay(&mut known, &event);
-                self.history.push(known);
+                let mut contents = self.history.last().expect("it has revision 0").clone();
+                replay(&mut contents, &event);
+                self.history.push(contents);
             }
         });
     }
 
-    /// A true part of the history that begins and ends so many revisions before its end.
-    fn part(&self, back: u8, until: u8, age: Millis) -> Update {
+    /// Returns the part of the history that begins and ends so many revisions before its end.
+    fn history_part(&self, back: u8, until: u8, age: Millis) -> Update {
         let state = self.memory.state();
         let after = state.revision.saturating_sub(u64::from(back.max(until)));
         let revision = state.revision.saturating_sub(u64::from(until));
@@ -409,7 +413,7 @@
         }
     }
 
-    fn spoil(&self, kind: Spoilt, update: &mut Update) {
+    fn corrupt(&self, kind: InvalidUpdate, update: &mut Update) {
         let now = self.memory.state().revision;
         let first = update.events.first().cloned();
         let set = |event: Option<&mut Event>, revision: u64| {
@@ -421,97 +425,97 @@
             }
         };
         match kind {
-            Spoilt::Backwards => std::mem::swap(&mut update.after, &mut update.revision),
-            Spoilt::Nowhere => update.revision = 0,
-            Spoilt::Endless => {
+            InvalidUpdate::Backwards => std::mem::swap(&mut update.after, &mut update.revision),
+            InvalidUpdate::ToRevisionZero => update.revision = 0,
+            InvalidUpdate::ToMaxRevision => {
                 update.revision = u64::MAX;
                 update.events.clear();
             }
-            Spoilt::Ahead => {
+            InvalidUpdate::Ahead => {
                 update.after = now;
                 update.revision = now + 5;
                 update.events.clear();
             }
-            Spoilt::AheadWithChanges => update.revision = now + 5,
-            Spoilt::ChangeOfNothing => set(update.events.last_mut(), 0),
-            Spoilt::ChangeOfTheEnd => set(update.events.first_mut(), u64::MAX),
-            Spoilt::End => {
+            InvalidUpdate::AheadWithChanges => update.revision = now + 5,
+            InvalidUpdate::ChangeAtRevisionZero => set(update.events.last_mut(), 0),
+            InvalidUpdate::ChangeAtMaxRevision => set(update.events.first_mut(), u64::MAX),
+            InvalidUpdate::AllAtMaxRevision => {
                 set(update.events.first_mut(), u64::MAX);
                 update.revision = u64::MAX;
             }
-            Spoilt::Disordered if update.events.len() > 2 => update.events.swap(0, 1),
-            Spoilt::Disordered => update.events.reverse(),
-            Spoilt::Doubled => update.events.extend(first),
-            Spoilt::Older => {
+            InvalidUpdate::OutOfOrder if update.events.len() > 2 => update.events.swap(0, 1),
+            InvalidUpdate::OutOfOrder => update.events.reverse(),
+            InvalidUpdate::Duplicate => update.events.extend(first),
+            InvalidUpdate::OlderChange => {
                 let older = self.memory.state().events.first().cloned();
                 update.events.splice(0..0, older);
             }
-            Spoilt::Foreign => {
+            InvalidUpdate::ForeignKey => {
                 let value = Bytes::from(vec![b'x'; 1 << 20]);
-                let foreign = foreign(update.revision, "other/large", value);
-                update.events.push(foreign);
+                let foreign_event = foreign_event(update.revision, "other/large", value);
+                update.events.push(foreign_event);
             }
-            Spoilt::Oversized => {
+            InvalidUpdate::Oversized => {
                 let value = Bytes::from_static(&[b'x'; 100]);
                 let many = (0..20_000)
                     .map(|number| format!("other/{number}"))
-                    .map(|key| foreign(update.revision, &key, value.clone()));
+                    .map(|key| foreign_event(update.revision, &key, value.clone()));
                 update.events.extend(many);
             }
         }
     }
 
     async fn steps(&mut self, steps: &[Step]) -> Result<(), String> {
-        pass(Millis(10)).await;
+        sleep(Millis(10)).await;
         for (number, step) in steps.iter().enumerate() {
             match *step {
                 Step::Write(kind, entry) => self.write(kind, entry, false),
                 Step::Remove(kind, entry) => self.write(kind, entry, true),
-                Step::Pass(span) => pass(Millis(span.into())).await,
-                Step::Hear(back, until, age) => {
+                Step::Pass(span) => sleep(Millis(span.into())).await,
+                Step::Receive(back, until, age) => {
                     let ages = [0, 40, 900, 60_000, u64::MAX];
                     let age = Millis(ages[usize::from(age) % ages.len()]);
-                    let update = self.part(back, until, age);
-                    self.feed.give(Received::Update(update));
+                    let update = self.history_part(back, until, age);
+                    self.queue.push(Received::Update(update));
                 }
-                Step::Spoilt(kind, back, until) => {
-                    let mut update = self.part(back, until, Millis::ZERO);
-                    self.spoil(kind, &mut update);
-                    self.feed.give(Received::Update(update));
+                Step::InvalidUpdate(kind, back, until) => {
+                    let mut update = self.history_part(back, until, Millis::ZERO);
+                    self.corrupt(kind, &mut update);
+                    self.queue.push(Received::Update(update));
                 }
-                Step::End => self.feed.give(Received::NoSource),
+                Step::End => self.queue.push(Received::NoSource),
             }
-            pass(Millis(1)).await;
-            self.judge()
-                .map_err(|told| format!("step {number}: {told}"))?;
+            sleep(Millis(1)).await;
+            self.check()
+                .map_err(|error| format!("step {number}: {error}"))?;
         }
         Ok(())
     }
 
-    async fn play(&mut self, steps: &[Step]) -> Result<(), String> {
+    async fn run(&mut self, steps: &[Step]) -> Result<(), String> {
         self.steps(steps).await?;
-        pass(SETTLED).await;
-        self.judge()?;
+        sleep(SETTLE_TIME).await;
+        self.check()?;
         let last = self.history.last().expect("it has revision 0");
         for node in &self.nodes {
-            let known = known(&node.view);
-            if known != *last {
+            let contents = contents(&node.view);
+            if contents != *last {
                 let name = node.name;
-                return Err(format!("{name} ends with {known:?} where {last:?} is"));
+                return Err(format!("{name} ends with {contents:?} instead of {last:?}"));
             }
         }
         Ok(())
     }
 
-    fn judge(&mut self) -> Result<(), String> {
+    fn check(&mut self) -> Result<(), String> {
         let history = &self.history;
         self.nodes
             .iter_mut()
-            .try_for_each(|node| node.judge(history))
+            .try_for_each(|node| node.check(history))
     }
 }
 
-fn foreign(revision: u64, key: &str, value: Bytes) -> Event {
+fn foreign_event(revision: u64, key: &str, value: Bytes) -> Event {
     let entry = Entry {
         key: key.to_owned(),
         value,
@@ -526,7 +530,7 @@
     }
 }
 
-async fn pass(span: Millis) {
+async fn sleep(span: Millis) {
     tokio::time::sleep(span.duration()).await;
 }
 
@@ -535,65 +539,68 @@
     builder.enable_all().start_paused(true).build().unwrap()
 }
 
-/// Plays a sequence; returns how often the first node left something aside for a reason.
-fn play(steps: &[Step]) -> Result<impl Fn(RejectReason) -> u64 + use<>, String> {
-    let (play, result) = runtime().block_on(async {
-        let mut play = Play::new();
-        let result = play.play(steps).await;
-        (play, result)
+/// Runs a sequence; returns a function that counts the first node's rejections by reason.
+fn run(steps: &[Step]) -> Result<impl Fn(RejectReason) -> u64 + use<>, String> {
+    let (simulation, result) = runtime().block_on(async {
+        let mut simulation = Simulation::new();
+        let result = simulation.run(steps).await;
+        (simulation, result)
     });
     result?;
-    Ok(move |refusal| play.nodes[0].refused(refusal))
+    Ok(move |reason| simulation.nodes[0].rejected(reason))
 }
 
 #[allow(
     clippy::needless_pass_by_value,
     reason = "the generator hands its values over"
 )]
-fn keeps_to_the_history(steps: Vec<Step>) -> TestResult {
-    // The generator's logger writes past the capture of tests.
+fn views_follow_the_history(steps: Vec<Step>) -> TestResult {
+    // quickcheck's logger bypasses the capturing of test output.
     log::set_max_level(log::LevelFilter::Off);
-    match play(&steps) {
+    match run(&steps) {
         Ok(_) => TestResult::passed(),
-        Err(told) => TestResult::error(format!("{told}\n{steps:?}")),
+        Err(error) => TestResult::error(format!("{error}\n{steps:?}")),
     }
 }
 
 #[test]
 fn follow_fuzz_fixed_seeds() {
     for seed in 1..4 {
-        let check: fn(Vec<Step>) -> TestResult = keeps_to_the_history;
+        let check: fn(Vec<Step>) -> TestResult = views_follow_the_history;
         QuickCheck::new()
-            .rng(Gen::from_size_and_seed(STEPS, seed))
-            .tests(STORIES)
+            .rng(Gen::from_size_and_seed(MAX_STEPS, seed))
+            .tests(SEQUENCES_PER_SEED)
             .quickcheck(check);
     }
 }
 
-/// Each kind of bad update is counted under its own reason, and true ones under none.
+/// Each kind of invalid update is counted under its own reason, and valid ones under none.
 #[test]
-fn refused_by_reason() {
-    let spoilt = |kind, reason| (Step::Spoilt(kind, 1, 0), Some(reason));
+fn rejected_by_reason() {
+    let invalid = |kind, reason| (Step::InvalidUpdate(kind, 1, 0), Some(reason));
     let cases = [
-        (Step::Hear(1, 0, 0), None),
-        (Step::Hear(0, 0, 0), Some(RejectReason::Gap)),
-        (Step::Hear(3, 0, 0), None),
-        (Step::Hear(2, 2, 0), Some(RejectReason::Stale)),
-        spoilt(Spoilt::Backwards, RejectReason::Backwards),
-        spoilt(Spoilt::Nowhere, RejectReason::Backwards),
-        spoilt(Spoilt::Endless, RejectReason::Ahead),
-        spoilt(Spoilt::Ahead, RejectReason::Gap),
-        spoilt(Spoilt::AheadWithChanges, RejectReason::Ahead),
-        spoilt(Spoilt::ChangeOfNothing, RejectReason::OutOfRange),
-        spoilt(Spoilt::ChangeOfTheEnd, RejectReason::OutOfRange),
-        spoilt(Spoilt::End, RejectReason::Ahead),
-        spoilt(Spoilt::Older, RejectReason::OutOfRange),
+        (Step::Receive(1, 0, 0), None),
+        (Step::Receive(0, 0, 0), Some(RejectReason::Gap)),
+        (Step::Receive(3, 0, 0), None),
+        (Step::Receive(2, 2, 0), Some(RejectReason::Stale)),
+        invalid(InvalidUpdate::Backwards, RejectReason::Backwards),
+        invalid(InvalidUpdate::ToRevisionZero, RejectReason::Backwards),
+        invalid(InvalidUpdate::ToMaxRevision, RejectReason::Ahead),
+        invalid(InvalidUpdate::Ahead, RejectReason::Gap),
+        invalid(InvalidUpdate::AheadWithChanges, RejectReason::Ahead),
+        invalid(
+            InvalidUpdate::ChangeAtRevisionZero,
+            RejectReason::OutOfRange,
+        ),
+        invalid(InvalidUpdate::ChangeAtMaxRevision, RejectReason::OutOfRange),
+        invalid(InvalidUpdate::AllAtMaxRevision, RejectReason::Ahead),
+        invalid(InvalidUpdate::OlderChange, RejectReason::OutOfRange),
         (
-            Step::Spoilt(Spoilt::Disordered, 2, 0),
+            Step::InvalidUpdate(InvalidUpdate::OutOfOrder, 2, 0),
             Some(RejectReason::OutOfOrder),
         ),
-        spoilt(Spoilt::Foreign, RejectReason::UnusedKey),
-        spoilt(Spoilt::Oversized, RejectReason::UnusedKey),
+        invalid(InvalidUpdate::ForeignKey, RejectReason::UnusedKey),
+        invalid(InvalidUpdate::Oversized, RejectReason::UnusedKey),
     ];
     let all = [
         RejectReason::Stale,
@@ -606,123 +613,130 @@
         RejectReason::UnusedKey,
     ];
     for (step, reason) in cases {
-        let told = format!("{step:?}");
+        let description = format!("{step:?}");
         let steps = [
             Step::Write(0, 0),
             Step::Write(0, 1),
-            Step::Hear(2, 0, 0),
+            Step::Receive(2, 0, 0),
             Step::Write(0, 2),
             step,
         ];
-        let refused = play(&steps).unwrap();
-        for refusal in all {
-            let counted = refused(refusal) > 0;
-            assert_eq!(counted, Some(refusal) == reason, "{told}: {refusal:?}");
+        let rejected = run(&steps).unwrap();
+        for rejection in all {
+            let counted = rejected(rejection) > 0;
+            assert_eq!(
+                counted,
+                Some(rejection) == reason,
+                "{description}: {rejection:?}"
+            );
         }
     }
 }
 
 #[test]
-fn refused_unreadable_and_unused() {
-    for number in 0..NAMES {
-        let refused = play(&[Step::Write(7, number), Step::Hear(1, 0, 0)]).unwrap();
+fn rejected_unreadable_and_unused() {
+    for number in 0..KEYS_PER_KIND {
+        let rejected = run(&[Step::Write(7, number), Step::Receive(1, 0, 0)]).unwrap();
         let claim = number == 2;
-        assert_eq!(refused(RejectReason::Unreadable) > 0, !claim, "{number}");
-        assert_eq!(refused(RejectReason::UnusedKey) > 0, claim, "{number}");
+        assert_eq!(rejected(RejectReason::Unreadable) > 0, !claim, "{number}");
+        assert_eq!(rejected(RejectReason::UnusedKey) > 0, claim, "{number}");
     }
-    let refused = play(&[Step::Write(8, 0), Step::Hear(1, 0, 0)]).unwrap();
-    assert_eq!(refused(RejectReason::UnusedKey), 1);
+    let rejected = run(&[Step::Write(8, 0), Step::Receive(1, 0, 0)]).unwrap();
+    assert_eq!(rejected(RejectReason::UnusedKey), 1);
 }
 
-/// An update that begins behind what is known is refused, as changes between are missing.
+/// An update that begins after the known revision is rejected, since changes are missing.
 #[test]
 fn replay_gap() {
     let steps = [
         Step::Write(1, 1),
         Step::Write(1, 2),
         Step::Write(0, 3),
-        Step::Hear(2, 0, 0),
+        Step::Receive(2, 0, 0),
     ];
-    drop(play(&steps).unwrap());
+    drop(run(&steps).unwrap());
 }
 
-/// A change outside of its update's revisions doesn't bring back an engine that left.
+/// A change outside its update's revisions doesn't bring back an engine that has left.
 #[test]
 fn replay_older_change() {
     let steps = [
         Step::Write(3, 1),
         Step::Remove(3, 1),
-        Step::Hear(2, 0, 0),
+        Step::Receive(2, 0, 0),
         Step::Write(5, 0),
-        Step::Spoilt(Spoilt::Older, 1, 0),
+        Step::InvalidUpdate(InvalidUpdate::OlderChange, 1, 0),
     ];
-    drop(play(&steps).unwrap());
+    drop(run(&steps).unwrap());
 }
 
-/// Changes out of order don't put a node's earlier record in place of the later one.
+/// Changes that are out of order don't replace a node's record by an older one.
 #[test]
-fn replay_disordered() {
+fn replay_out_of_order() {
     let steps = [
         Step::Write(0, 1),
         Step::Write(0, 1),
-        Step::Spoilt(Spoilt::Disordered, 2, 0),
+        Step::InvalidUpdate(InvalidUpdate::OutOfOrder, 2, 0),
     ];
-    drop(play(&steps).unwrap());
+    drop(run(&steps).unwrap());
 }
 
-/// An update heard twice doesn't make an engine that is still listed anew.
+/// An update received twice doesn't recreate an engine that is still listed.
 #[test]
 fn replay_repeated() {
     let runtime = runtime();
     runtime.block_on(async {
-        let mut play = Play::new();
+        let mut simulation = Simulation::new();
         let steps = [
             Step::Write(3, 1),
             Step::Remove(3, 1),
             Step::Write(3, 1),
-            Step::Hear(3, 0, 0),
+            Step::Receive(3, 0, 0),
         ];
-        play.steps(&steps).await.unwrap();
-        let upstream = || play.nodes[0].view.state().upstreams["i-1"].clone();
+        simulation.steps(&steps).await.unwrap();
+        let upstream = || simulation.nodes[0].view.state().upstreams["i-1"].clone();
         let before = upstream();
-        let again = play.part(3, 0, Millis::ZERO);
-        play.feed.give(Received::Update(again));
-        pass(Millis(1)).await;
+        let again = simulation.history_part(3, 0, Millis::ZERO);
+        simulation.queue.push(Received::Update(again));
+        sleep(Millis(1)).await;
         assert!(Arc::ptr_eq(&before, &upstream()));
     });
 }
 
-/// A node told of the highest possible revision still hears of later changes.
+/// An update that leads to the maximum revision doesn't hide later changes.
 #[test]
-fn replay_endless() {
-    let steps = [Step::Spoilt(Spoilt::Endless, 0, 0), Step::Write(5, 0)];
-    drop(play(&steps).unwrap());
+fn replay_max_revision() {
+    let steps = [
+        Step::InvalidUpdate(InvalidUpdate::ToMaxRevision, 0, 0),
+        Step::Write(5, 0),
+    ];
+    drop(run(&steps).unwrap());
 }
 
-/// A node told of a revision that the service hasn't reached yet misses no change before it.
+/// An update beyond the service's revision doesn't hide changes up to that revision.
 #[test]
 fn replay_ahead() {
     let steps = [
-        Step::Spoilt(Spoilt::Ahead, 0, 0),
+        Step::InvalidUpdate(InvalidUpdate::Ahead, 0, 0),
         Step::Write(5, 0),
         Step::Pass(1),
     ];
-    drop(play(&steps).unwrap());
+    drop(run(&steps).unwrap());
 }
 
-/// A claim with the highest possible revision doesn't hide all later ones.
+/// A claim at the maximum revision doesn't hide all later ones.
 #[test]
-fn replay_claim_of_the_end() {
+fn replay_claim_at_max_revision() {
     let steps = [
         Step::Write(2, 1),
-        Step::Spoilt(Spoilt::ChangeOfTheEnd, 1, 0),
+        Step::InvalidUpdate(InvalidUpdate::ChangeAtMaxRevision, 1, 0),
         Step::Write(2, 1),
     ];
-    drop(play(&steps).unwrap());
+    drop(run(&steps).unwrap());
     let steps = [
         Step::Write(2, 1),
-        Step::Spoilt(Spoilt::End, 1, 0),
+        Step::InvalidUpdate(InvalidUpdate::AllAtMaxRevision, 1, 0),
         Step::Write(2, 1),
     ];
-    drop(play(&steps).unwrap());
+    drop(run(&steps).unwrap());
 }
--- a/lib/tests/test_direct_follow.rs
+++ b/lib/tests/test_direct_follow.rs
@@ -1,4 +1,4 @@
-//! What a node believes, through outages and lost history of the key-value service.
+//! A node's view of the deployment through outages and compactions of the key-value service.
 
 mod direct_support;
 
@@ -14,19 +14,19 @@
 use direct_support::SERVER;
 use direct_support::memory::{Memory, State};
 
-struct Followed {
+struct TestNode {
     memory: Arc<Memory>,
     view: Arc<View>,
 }
 
-fn start() -> Followed {
+fn start() -> TestNode {
     start_with(Arc::new(Monotonic::start()), |follower, _| follower)
 }
 
 fn start_with(
     clock: Arc<dyn Clock>,
     extend: impl FnOnce(Follower, &Arc<Memory>) -> Follower,
-) -> Followed {
+) -> TestNode {
     let memory = Arc::new(Memory::default());
     let view = Arc::new(View::default());
     let follower = Follower::new(
@@ -38,10 +38,10 @@
         Arc::new(Current::default()),
     );
     tokio::spawn(extend(follower, &memory).run());
-    Followed { memory, view }
+    TestNode { memory, view }
 }
 
-impl Followed {
+impl TestNode {
     fn list(&self, incarnation: &str) {
         let entry = SERVER;
         let key = format!("servers/{incarnation}");
@@ -69,420 +69,422 @@
     }
 }
 
-async fn pass(span: Millis) {
+async fn sleep(span: Millis) {
     tokio::time::sleep(span.duration()).await;
 }
 
 #[tokio::test(start_paused = true)]
 async fn config_never_goes_back() {
-    let followed = start();
-    followed.configure(5);
-    pass(Millis(1_500)).await;
-    assert_eq!(followed.version(), 5);
-    followed.configure(4);
-    pass(Millis(1_500)).await;
-    assert_eq!(followed.version(), 5);
-    followed.configure(9);
-    pass(Millis(1_500)).await;
-    assert_eq!(followed.version(), 9);
+    let node = start();
+    node.configure(5);
+    sleep(Millis(1_500)).await;
+    assert_eq!(node.version(), 5);
+    node.configure(4);
+    sleep(Millis(1_500)).await;
+    assert_eq!(node.version(), 5);
+    node.configure(9);
+    sleep(Millis(1_500)).await;
+    assert_eq!(node.version(), 9);
 }
 
-/// A call that waits for changes outlasts the service's return, and a configuration comes late.
+/// Guards against long polls in an outage: one that is still waiting when the service returns
+/// delays the next configuration.
 #[tokio::test(start_paused = true)]
 async fn config_in_force_soon_after_an_outage() {
-    let followed = start();
-    followed.configure(1);
-    pass(Millis(3_000)).await;
-    followed.memory.change(|state| state.away = true);
-    pass(Millis(6_000)).await;
-    let waits = followed.memory.state().waits.clone();
+    let node = start();
+    node.configure(1);
+    sleep(Millis(3_000)).await;
+    node.memory.change(|state| state.away = true);
+    sleep(Millis(6_000)).await;
+    let waits = node.memory.state().waits.clone();
     assert!(*waits.last().unwrap() < Millis(100), "{waits:?}");
-    followed.memory.change(|state| state.away = false);
-    followed.configure(2);
-    pass(Millis(1_300)).await;
-    assert_eq!(followed.version(), 2);
+    node.memory.change(|state| state.away = false);
+    node.configure(2);
+    sleep(Millis(1_300)).await;
+    assert_eq!(node.version(), 2);
 }
 
-/// A first reading without an answer is waited for though the service has returned.
+/// Guards against a node that waits for its first, unanswered read after the service has returned.
 #[tokio::test(start_paused = true)]
 async fn config_known_soon_after_a_silent_start() {
-    let followed = start();
-    followed.memory.change(|state| state.silent = true);
-    followed.configure(1);
-    pass(Millis(600)).await;
-    assert_eq!(followed.version(), 0);
-    followed.memory.change(|state| state.silent = false);
-    pass(Millis(450)).await;
-    assert_eq!(followed.version(), 1);
+    let node = start();
+    node.memory.change(|state| state.silent = true);
+    node.configure(1);
+    sleep(Millis(600)).await;
+    assert_eq!(node.version(), 0);
+    node.memory.change(|state| state.silent = false);
+    sleep(Millis(450)).await;
+    assert_eq!(node.version(), 1);
 }
 
 #[tokio::test(start_paused = true)]
 async fn upstream_removed_is_gone() {
-    let followed = start();
-    followed.list("i-1");
-    pass(Millis(2_000)).await;
-    assert!(followed.knows("i-1"));
-    followed.memory.change(|state| state.remove("servers/i-1"));
-    pass(Millis(1_500)).await;
-    assert!(!followed.knows("i-1"));
+    let node = start();
+    node.list("i-1");
+    sleep(Millis(2_000)).await;
+    assert!(node.knows("i-1"));
+    node.memory.change(|state| state.remove("servers/i-1"));
+    sleep(Millis(1_500)).await;
+    assert!(!node.knows("i-1"));
 }
 
-/// A lapse of living upstreams in an outage is taken for their death.
+/// Guards against removing live upstreams whose entries expired in an outage of the service.
 #[tokio::test(start_paused = true)]
-async fn upstream_lapsed_in_an_outage_is_doubted() {
-    let followed = start();
-    followed.list("i-1");
-    followed.list("i-2");
-    pass(Millis(2_000)).await;
-    followed.memory.change(|state| state.away = true);
-    pass(Millis(6_000)).await;
-    followed.memory.change(|state| {
+async fn upstream_expired_in_an_outage_is_kept() {
+    let node = start();
+    node.list("i-1");
+    node.list("i-2");
+    sleep(Millis(2_000)).await;
+    node.memory.change(|state| state.away = true);
+    sleep(Millis(6_000)).await;
+    node.memory.change(|state| {
         state.away = false;
         state.remove("servers/i-1");
         state.remove("servers/i-2");
     });
-    pass(Millis(1_000)).await;
-    assert!(followed.knows("i-1"));
-    followed.list("i-1");
-    pass(Millis(4_500)).await;
-    assert!(followed.knows("i-1"));
-    assert!(!followed.knows("i-2"));
+    sleep(Millis(1_000)).await;
+    assert!(node.knows("i-1"));
+    node.list("i-1");
+    sleep(Millis(4_500)).await;
+    assert!(node.knows("i-1"));
+    assert!(!node.knows("i-2"));
 }
 
-/// An upstream that left while the history was dropped is kept.
+/// Guards against keeping an upstream that left before a compaction, whose removal is in no change.
 #[tokio::test(start_paused = true)]
-async fn history_dropped_missing_is_gone() {
-    let followed = start();
-    followed.list("i-1");
-    followed.list("i-2");
-    pass(Millis(2_000)).await;
-    followed.memory.change(|state| {
+async fn upstream_missing_after_compaction_is_gone() {
+    let node = start();
+    node.list("i-1");
+    node.list("i-2");
+    sleep(Millis(2_000)).await;
+    node.memory.change(|state| {
         state.remove("servers/i-1");
         state.drop_history();
     });
-    pass(Millis(5_000)).await;
-    assert!(!followed.knows("i-1"));
-    assert!(followed.knows("i-2"));
+    sleep(Millis(5_000)).await;
+    assert!(!node.knows("i-1"));
+    assert!(node.knows("i-2"));
 }
 
-/// An engine that started again under its name is taken for what it was before.
+/// Guards against confusing a restarted engine with its previous start, also by a late entry.
 #[tokio::test(start_paused = true)]
-async fn upstream_started_again_is_another() {
-    let followed = start();
+async fn upstream_restarted_is_another() {
+    let node = start();
     let put = |born: u64| {
         let entry = SERVER.replacen('{', &format!("{{\"born\":{born},"), 1);
         let change = |state: &mut State| state.put("servers/i-1", entry, None);
-        followed.memory.change(change);
+        node.memory.change(change);
     };
-    let known = || followed.view.state().upstreams["i-1"].clone();
+    let known = || node.view.state().upstreams["i-1"].clone();
     put(1_000);
-    pass(Millis(2_000)).await;
+    sleep(Millis(2_000)).await;
     let first = known();
     put(2_000);
-    pass(Millis(2_000)).await;
+    sleep(Millis(2_000)).await;
     let second = known();
     assert!(!first.is_ready());
     assert!(second.is_ready());
     assert_eq!((first.born, second.born), (1_000, 2_000));
     put(1_000);
-    pass(Millis(2_000)).await;
+    sleep(Millis(2_000)).await;
     assert_eq!(known().born, 2_000);
 }
 
-/// An entry of another writer that can't be read is taken for all, or for an upstream.
+/// Guards against invalid entries of other writers that affect valid ones or add upstreams.
 #[tokio::test(start_paused = true)]
 async fn upstream_entries_of_other_writers() {
-    let followed = start();
-    followed.list("i-1");
-    pass(Millis(2_000)).await;
-    let spoilt = [
+    let node = start();
+    node.list("i-1");
+    sleep(Millis(2_000)).await;
+    let invalid_entries = [
         "no JSON".to_owned(),
         "{}".to_owned(),
         SERVER.replace("ready", "resting"),
         SERVER.replacen('{', "{\"born\":\"yesterday\",", 1),
         SERVER.replacen('{', "{\"born\":17.5,", 1),
     ];
-    for (number, entry) in spoilt.into_iter().enumerate() {
+    for (number, entry) in invalid_entries.into_iter().enumerate() {
         let other = format!("servers/other-{number}");
-        followed.memory.change(|state| {
+        node.memory.change(|state| {
             state.put(&other, entry.clone(), None);
             state.put("servers/i-1", entry, None);
         });
     }
-    followed.list("i-2");
-    pass(Millis(2_000)).await;
-    assert!(followed.knows("i-1") && followed.knows("i-2"));
-    let state = followed.view.state();
+    node.list("i-2");
+    sleep(Millis(2_000)).await;
+    assert!(node.knows("i-1") && node.knows("i-2"));
+    let state = node.view.state();
     assert_eq!(state.upstreams.len(), 2);
     assert!(state.upstreams["i-1"].is_ready());
 }
 
-/// A version that was declared between two calls counts from when it was seen.
+/// Guards against counting a version from when it was seen, which is after its declaration if it
+/// was declared between two polls.
 #[tokio::test(start_paused = true)]
-async fn version_counts_from_before_it_was_named() {
-    let followed = start();
+async fn version_counts_from_before_its_declaration() {
+    let node = start();
     let clock = Monotonic::start();
     for version in 1..9 {
-        pass(Millis(730)).await;
-        let named = clock.now();
+        sleep(Millis(730)).await;
+        let declared_at = clock.now();
         let entry = format!(r#"{{"model":"base","adapter":"a1","version":{version}}}"#);
-        followed
-            .memory
+        node.memory
             .change(|state| state.put("op/version/base.a1", entry, None));
-        pass(Millis(2_000)).await;
-        let newest = followed.view.newest("base/a1").unwrap();
+        sleep(Millis(2_000)).await;
+        let newest = node.view.newest("base/a1").unwrap();
         assert_eq!(newest.version, version);
         assert!(
-            newest.since.unwrap() <= named,
-            "{newest:?}, named at {named}"
+            newest.since.unwrap() <= declared_at,
+            "{newest:?}, declared at {declared_at}"
         );
     }
 }
 
-/// A configuration behind thousands of changes waits for a pause after each part of them.
+/// Guards against a pause after each part of many changes, which delays a configuration at the end.
 #[tokio::test(start_paused = true)]
 async fn config_in_force_soon_behind_many_changes() {
-    let followed = start();
-    followed.configure(1);
-    pass(Millis(2_000)).await;
-    followed.memory.change(|state| {
+    let node = start();
+    node.configure(1);
+    sleep(Millis(2_000)).await;
+    node.memory.change(|state| {
         state.longest = Some(10);
         for number in 0..200 {
             state.put(&format!("chivevalve/any/{number}"), "", None);
         }
     });
-    followed.configure(2);
-    pass(Millis(1_000)).await;
-    assert_eq!(followed.version(), 2);
+    node.configure(2);
+    sleep(Millis(1_000)).await;
+    assert_eq!(node.version(), 2);
 }
 
-/// A part of the changes is taken for all of them, and its age for that of what is known.
+/// Guards against treating a partial response as complete, which makes the view look too recent.
 #[tokio::test(start_paused = true)]
-async fn version_in_a_part_counts_from_before_it_was_named() {
-    let followed = start();
+async fn version_in_a_partial_response_counts_from_before_its_declaration() {
+    let node = start();
     let clock = Monotonic::start();
-    pass(Millis(1_000)).await;
-    // The follower pauses behind this change.
-    followed.configure(1);
-    pass(Millis(100)).await;
-    let named = clock.now();
+    sleep(Millis(1_000)).await;
+    // The follower pauses after this change.
+    node.configure(1);
+    sleep(Millis(100)).await;
+    let declared_at = clock.now();
     let entry = r#"{"model":"base","adapter":"a1","version":2}"#;
-    followed.memory.change(|state| {
+    node.memory.change(|state| {
         state.longest = Some(10);
         for number in 0..95 {
             state.put(&format!("chivevalve/any/{number}"), "", None);
         }
         state.put("op/version/base.a1", entry, None);
     });
-    pass(Millis(2_000)).await;
-    let newest = followed.view.newest("base/a1").unwrap();
+    sleep(Millis(2_000)).await;
+    let newest = node.view.newest("base/a1").unwrap();
     assert_eq!(newest.version, 2);
     assert!(
-        newest.since.unwrap() <= named,
-        "{newest:?}, named at {named}"
+        newest.since.unwrap() <= declared_at,
+        "{newest:?}, declared at {declared_at}"
     );
 }
 
-/// What the list showed before an outage is taken for what it shows now.
+/// Guards against an advancing `as_of` in an outage, which presents an old list as current.
 #[tokio::test(start_paused = true)]
-async fn view_as_of_stands_still_in_an_outage() {
-    let followed = start();
-    followed.configure(1);
-    pass(Millis(3_000)).await;
-    let before = followed.view.as_of();
+async fn view_as_of_does_not_advance_in_an_outage() {
+    let node = start();
+    node.configure(1);
+    sleep(Millis(3_000)).await;
+    let before = node.view.as_of();
     assert!(before > Millis::ZERO);
-    followed.memory.change(|state| state.away = true);
-    pass(Millis(3_000)).await;
-    let lost = followed.view.as_of();
-    pass(Millis(20_000)).await;
-    assert_eq!(followed.view.as_of(), lost);
-    followed.memory.change(|state| state.away = false);
-    pass(Millis(4_000)).await;
-    assert!(followed.view.as_of() > lost + Millis(20_000));
+    node.memory.change(|state| state.away = true);
+    sleep(Millis(3_000)).await;
+    let lost = node.view.as_of();
+    sleep(Millis(20_000)).await;
+    assert_eq!(node.view.as_of(), lost);
+    node.memory.change(|state| state.away = false);
+    sleep(Millis(4_000)).await;
+    assert!(node.view.as_of() > lost + Millis(20_000));
 }
 
-/// A node that starts soon after its VM doesn't take a version for one that was just declared.
+/// Guards against a node that starts soon after its VM and takes a version for a new declaration.
 #[tokio::test(start_paused = true)]
-async fn version_read_at_a_start_has_no_more_time() {
-    let followed = start();
+async fn version_read_at_startup_gets_no_extra_time() {
+    let node = start();
     let clock = Monotonic::start();
     let entry = r#"{"model":"base","adapter":"a1","version":2}"#;
-    followed
-        .memory
+    node.memory
         .change(|state| state.put("op/version/base.a1", entry, None));
-    pass(Millis(1_000)).await;
+    sleep(Millis(1_000)).await;
     let limit = Current::default().get().version;
-    let begin_by = followed.view.begin_by("base/a1", 1, limit).unwrap();
+    let begin_by = node.view.begin_by("base/a1", 1, limit).unwrap();
     assert!(begin_by <= clock.now(), "{begin_by}");
 }
 
-/// A node that was away counts as in touch again so long after its return.
-const IN_TOUCH: Millis = Millis(3_000);
+/// Time after a reconnection within which a node has to know all changes.
+const RECONNECT_TIME: Millis = Millis(3_000);
 
-/// An absence of this node in which an upstream left, as it ends.
-async fn away_while_one_leaves(span: Millis, is_history_dropped: bool) -> Followed {
-    let followed = start();
+/// Returns a node at the end of a disconnection during which upstream `i-1` left.
+async fn disconnected_while_one_leaves(span: Millis, is_history_dropped: bool) -> TestNode {
+    let node = start();
     for incarnation in ["i-1", "i-2", "i-3"] {
-        followed.list(incarnation);
+        node.list(incarnation);
     }
-    pass(Millis(2_000)).await;
-    followed.memory.change(|state| state.away = true);
-    pass(span).await;
-    followed.memory.change(|state| {
+    sleep(Millis(2_000)).await;
+    node.memory.change(|state| state.away = true);
+    sleep(span).await;
+    node.memory.change(|state| {
         state.remove("servers/i-1");
         if is_history_dropped {
             state.drop_history();
         }
         state.away = false;
     });
-    followed
+    node
 }
 
-/// An upstream that left while this node was away gets requests after the node is in touch again.
+/// Guards against requests to an upstream that left while this node was disconnected.
 #[tokio::test(start_paused = true)]
-async fn upstream_left_while_away_is_gone_in_time() {
-    for (span, is_history_dropped) in spans() {
-        let followed = away_while_one_leaves(span, is_history_dropped).await;
-        pass(IN_TOUCH).await;
-        assert!(!followed.takes_work("i-1"), "{span} {is_history_dropped}");
-        assert!(followed.takes_work("i-2") && followed.takes_work("i-3"));
+async fn upstream_left_while_disconnected_is_gone_in_time() {
+    for (span, is_history_dropped) in outage_cases() {
+        let node = disconnected_while_one_leaves(span, is_history_dropped).await;
+        sleep(RECONNECT_TIME).await;
+        assert!(!node.takes_work("i-1"), "{span} {is_history_dropped}");
+        assert!(node.takes_work("i-2") && node.takes_work("i-3"));
     }
 }
 
-/// An upstream that left while only this node was away is doubted though others show that it left.
+/// Guards against a full grace period where entries of other upstreams show that the service kept
+/// its data, so that a missing upstream has left.
 #[tokio::test(start_paused = true)]
-async fn upstream_left_while_only_this_node_was_away_is_gone_at_once() {
-    for (span, is_history_dropped) in spans().filter(|(span, _)| *span > Millis(7_000)) {
-        let followed = away_while_one_leaves(span, is_history_dropped).await;
-        pass(Millis(1_000)).await;
-        assert!(!followed.takes_work("i-1"), "{span} {is_history_dropped}");
-        assert!(followed.takes_work("i-2") && followed.takes_work("i-3"));
+async fn upstream_left_while_only_this_node_was_disconnected_is_gone_at_once() {
+    for (span, is_history_dropped) in outage_cases().filter(|(span, _)| *span > Millis(7_000)) {
+        let node = disconnected_while_one_leaves(span, is_history_dropped).await;
+        sleep(Millis(1_000)).await;
+        assert!(!node.takes_work("i-1"), "{span} {is_history_dropped}");
+        assert!(node.takes_work("i-2") && node.takes_work("i-3"));
     }
 }
 
-/// All upstreams of a pool are given up, as those of another pool didn't lapse.
+/// Guards against removing all upstreams of a pool because entries of another pool didn't expire.
 #[tokio::test(start_paused = true)]
-async fn upstreams_of_a_whole_pool_are_doubted() {
-    let followed = start();
-    followed.list("i-1");
+async fn upstreams_of_a_whole_pool_are_kept_for_the_grace_period() {
+    let node = start();
+    node.list("i-1");
     let other = SERVER.replace("engines", "plain");
-    followed
-        .memory
+    node.memory
         .change(|state| state.put("servers/i-2", other, None));
-    pass(Millis(2_000)).await;
-    followed.memory.change(|state| state.away = true);
-    pass(Millis(9_000)).await;
-    followed.memory.change(|state| {
+    sleep(Millis(2_000)).await;
+    node.memory.change(|state| state.away = true);
+    sleep(Millis(9_000)).await;
+    node.memory.change(|state| {
         state.remove("servers/i-1");
         state.away = false;
     });
-    pass(Millis(1_500)).await;
-    assert!(followed.takes_work("i-1") && followed.takes_work("i-2"));
-    pass(Millis(1_500)).await;
-    assert!(!followed.takes_work("i-1"));
+    sleep(Millis(1_500)).await;
+    assert!(node.takes_work("i-1") && node.takes_work("i-2"));
+    sleep(Millis(1_500)).await;
+    assert!(!node.takes_work("i-1"));
 }
 
-/// Upstreams are given up as they don't come back while the service is unavailable once more.
+/// Guards against a grace period that ends in a further outage, when upstreams can't write their
+/// entries again.
 #[tokio::test(start_paused = true)]
-async fn upstreams_lapsed_are_doubted_through_the_next_outage() {
-    for moment in (0..2_100).step_by(150).map(Millis) {
-        let followed = start();
-        followed.list("i-1");
-        pass(Millis(2_000)).await;
-        followed.memory.change(|state| state.away = true);
-        pass(Millis(6_000)).await;
-        followed.memory.change(|state| {
+async fn upstreams_expired_are_kept_through_the_next_outage() {
+    for offset in (0..2_100).step_by(150).map(Millis) {
+        let node = start();
+        node.list("i-1");
+        sleep(Millis(2_000)).await;
+        node.memory.change(|state| state.away = true);
+        sleep(Millis(6_000)).await;
+        node.memory.change(|state| {
             state.remove("servers/i-1");
             state.away = false;
         });
-        pass(moment).await;
-        followed.memory.change(|state| state.away = true);
-        pass(Millis(6_000)).await;
-        assert!(followed.takes_work("i-1"), "{moment}");
-        followed.memory.change(|state| state.away = false);
-        pass(Millis(1_900)).await;
-        followed.list("i-1");
-        pass(IN_TOUCH).await;
-        assert!(followed.takes_work("i-1"), "{moment}");
+        sleep(offset).await;
+        node.memory.change(|state| state.away = true);
+        sleep(Millis(6_000)).await;
+        assert!(node.takes_work("i-1"), "{offset}");
+        node.memory.change(|state| state.away = false);
+        sleep(Millis(1_900)).await;
+        node.list("i-1");
+        sleep(RECONNECT_TIME).await;
+        assert!(node.takes_work("i-1"), "{offset}");
     }
 }
 
-/// An entry that was read is taken for gone by a removal from before it was written.
+/// Guards against removing an upstream whose entry was read because of an older removal.
 #[tokio::test(start_paused = true)]
-async fn upstream_back_while_all_is_read_stays() {
-    let followed = start();
-    followed.list("i-1");
-    pass(Millis(2_000)).await;
-    let known = || Arc::clone(&followed.view.state().upstreams["i-1"]);
+async fn upstream_listed_again_while_all_entries_are_read_stays() {
+    let node = start();
+    node.list("i-1");
+    sleep(Millis(2_000)).await;
+    let known = || Arc::clone(&node.view.state().upstreams["i-1"]);
     let before = known();
-    followed.memory.change(|state| {
+    node.memory.change(|state| {
         state.slow = Some(("servers/".to_owned(), Millis(500)));
         state.put("chivevalve/any", "", None);
         state.drop_history();
         state.put("chivevalve/any", "", None);
     });
-    pass(Millis(200)).await;
-    followed.memory.change(|state| state.remove("servers/i-1"));
-    followed.list("i-1");
-    pass(Millis(2_000)).await;
+    sleep(Millis(200)).await;
+    node.memory.change(|state| state.remove("servers/i-1"));
+    node.list("i-1");
+    sleep(Millis(2_000)).await;
     assert!(Arc::ptr_eq(&before, &known()));
 }
 
-/// An upstream that left while this node was away several times is doubted anew after each.
+/// Guards against keeping an upstream that left because each further disconnection of this node
+/// starts a new grace period.
 #[tokio::test(start_paused = true)]
-async fn upstream_left_while_away_in_series_is_gone_in_time() {
-    for (span, is_history_dropped) in spans() {
-        let followed = away_while_one_leaves(span, is_history_dropped).await;
+async fn upstream_left_before_repeated_outages_is_gone_in_time() {
+    for (span, is_history_dropped) in outage_cases() {
+        let node = disconnected_while_one_leaves(span, is_history_dropped).await;
         for _ in 0..3 {
-            pass(Millis(1_300)).await;
-            followed.memory.change(|state| state.away = true);
-            pass(Millis(3_300)).await;
-            followed.memory.change(|state| state.away = false);
+            sleep(Millis(1_300)).await;
+            node.memory.change(|state| state.away = true);
+            sleep(Millis(3_300)).await;
+            node.memory.change(|state| state.away = false);
         }
-        pass(IN_TOUCH).await;
-        assert!(!followed.takes_work("i-1"), "{span} {is_history_dropped}");
-        assert!(followed.takes_work("i-2") && followed.takes_work("i-3"));
+        sleep(RECONNECT_TIME).await;
+        assert!(!node.takes_work("i-1"), "{span} {is_history_dropped}");
+        assert!(node.takes_work("i-2") && node.takes_work("i-3"));
     }
 }
 
-/// A node that stood still goes on with an upstream that left meanwhile.
+/// Guards against requests to an upstream that left while this node was suspended.
 #[tokio::test(start_paused = true)]
 async fn upstream_left_while_suspended_is_gone_in_time() {
-    for (span, is_history_dropped) in spans() {
-        let followed = start();
-        followed.list("i-1");
-        followed.list("i-2");
-        pass(Millis(2_000)).await;
+    for (span, is_history_dropped) in outage_cases() {
+        let node = start();
+        node.list("i-1");
+        node.list("i-2");
+        sleep(Millis(2_000)).await;
         tokio::time::advance(span.duration()).await;
-        followed.memory.change(|state| {
+        node.memory.change(|state| {
             state.remove("servers/i-1");
             if is_history_dropped {
                 state.drop_history();
             }
         });
-        pass(IN_TOUCH).await;
-        assert!(!followed.takes_work("i-1"), "{span} {is_history_dropped}");
-        assert!(followed.takes_work("i-2"));
+        sleep(RECONNECT_TIME).await;
+        assert!(!node.takes_work("i-1"), "{span} {is_history_dropped}");
+        assert!(node.takes_work("i-2"));
     }
 }
 
-/// Another node that passes changes on each second, and nothing while the service is away.
+/// A source that passes changes on every second, except while the service is unavailable.
 #[derive(Debug)]
-struct Passing {
+struct PeriodicSource {
     memory: Arc<Memory>,
     clock: Arc<dyn Clock>,
     due: Millis,
 }
 
 #[async_trait]
-impl Source for Passing {
+impl Source for PeriodicSource {
     fn may_have_subscribers(&self) -> bool {
         false
     }
 
     async fn next(&mut self, after: u64, within: Millis) -> Received {
         let left = self.due.since(self.clock.now());
-        pass(left.min(within)).await;
+        sleep(left.min(within)).await;
         let now = self.clock.now();
         if now < self.due {
             return Received::Timeout;
@@ -503,36 +505,36 @@
     fn avoid(&mut self) {}
 }
 
-/// A node that hears of changes from another one waits for its next word to end a doubt.
+/// Guards against a subscriber that waits for the next update to end a grace period.
 #[tokio::test(start_paused = true)]
-async fn upstream_left_while_away_is_gone_in_time_for_a_listener() {
-    for moment in (0..1_000).step_by(100).map(Millis) {
+async fn upstream_left_while_disconnected_is_gone_in_time_for_a_subscriber() {
+    for offset in (0..1_000).step_by(100).map(Millis) {
         let clock: Arc<dyn Clock> = Arc::new(Monotonic::start());
-        let passing = |memory: &Arc<Memory>| Passing {
+        let source = |memory: &Arc<Memory>| PeriodicSource {
             memory: Arc::clone(memory),
             clock: Arc::clone(&clock),
-            due: moment,
+            due: offset,
         };
-        let followed = start_with(Arc::clone(&clock), |follower, memory| {
+        let node = start_with(Arc::clone(&clock), |follower, memory| {
             let hub = Arc::new(Hub::new(Arc::clone(&clock), Arc::default()));
-            follower.with_fanout(hub, Box::new(passing(memory)))
+            follower.with_fanout(hub, Box::new(source(memory)))
         });
-        followed.list("i-1");
-        followed.list("i-2");
-        pass(Millis(2_000)).await;
-        followed.memory.change(|state| state.away = true);
-        pass(Millis(4_000)).await;
-        followed.memory.change(|state| {
+        node.list("i-1");
+        node.list("i-2");
+        sleep(Millis(2_000)).await;
+        node.memory.change(|state| state.away = true);
+        sleep(Millis(4_000)).await;
+        node.memory.change(|state| {
             state.remove("servers/i-1");
             state.away = false;
         });
-        pass(IN_TOUCH).await;
-        assert!(!followed.takes_work("i-1"), "{moment}");
-        assert!(followed.takes_work("i-2"));
+        sleep(RECONNECT_TIME).await;
+        assert!(!node.takes_work("i-1"), "{offset}");
+        assert!(node.takes_work("i-2"));
     }
 }
 
-/// Absences of different lengths, with and without a history that was dropped meanwhile.
-fn spans() -> impl Iterator<Item = (Millis, bool)> {
+/// Returns disconnections of different lengths, without and with a compaction meanwhile.
+fn outage_cases() -> impl Iterator<Item = (Millis, bool)> {
     (0..12).flat_map(|step| [true, false].map(|dropped| (Millis(3_300 + step * 573), dropped)))
 }
--- a/lib/tests/test_direct_presence.rs
+++ b/lib/tests/test_direct_presence.rs
@@ -1,4 +1,4 @@
-//! What a node believes of upstreams that leave, lapse and come back.
+//! A node's view of upstreams that leave, or whose entries expire and are written again.
 
 mod direct_support;
 
@@ -20,7 +20,7 @@
 use rand_pcg::Pcg64;
 use tokio::runtime::{Builder, Runtime};
 
-/// A heartbeat that was written late makes a leaving upstream ready again.
+/// Guards against a late heartbeat that makes a leaving upstream ready again.
 #[test]
 fn presence_leaving_stays_so() {
     let mut presence = Presence::new(entry_revision(3), true);
@@ -29,9 +29,9 @@
     assert_eq!(presence.stage(), Stage::Leaving);
 }
 
-/// A page of the list that is older than a change takes the change back.
+/// Guards against a page of the list that is older than a change and reverts it.
 #[test]
-fn presence_older_entry_is_left_aside() {
+fn presence_older_entry_is_ignored() {
     let mut presence = Presence::new(entry_revision(3), true);
     presence.mark_missing();
     assert!(!presence.apply_entry(entry_revision(2), true));
@@ -40,7 +40,7 @@
     assert_eq!(presence.stage(), Stage::Ready);
 }
 
-/// What is gone takes work again by an entry that comes late.
+/// Guards against a late entry that makes an upstream take work again after it has gone.
 #[test]
 fn presence_gone_stays_so() {
     let mut presence = Presence::new(entry_revision(3), true);
@@ -50,9 +50,9 @@
     assert_eq!(presence.stage(), Stage::Gone);
 }
 
-/// An upstream that left in order is taken for one that ended.
+/// Guards against taking an upstream for crashed although it announced that it leaves.
 #[test]
-fn presence_left_in_order_is_not_lost() {
+fn presence_announced_leave_is_not_unannounced() {
     let mut presence = Presence::new(entry_revision(3), true);
     assert!(presence.apply_entry(entry_revision(4), false));
     presence.mark_missing();
@@ -60,7 +60,7 @@
     assert!(!presence.left_unannounced());
 }
 
-/// Entries in any order and more than once lead to what the newest of them leads to.
+/// Entries in any order, also repeated, lead to the stage of the newest one.
 #[test]
 fn presence_entries_in_any_order() {
     fn holds(leaves_at: u8, order: Vec<u8>) -> bool {
@@ -80,9 +80,10 @@
     QuickCheck::new().quickcheck(holds as fn(u8, Vec<u8>) -> bool);
 }
 
-/// What is missing is doubted until after this node has to know that it left.
+/// Guards against a grace period that outlasts the time within which this node has to know that
+/// an upstream has left.
 #[test]
-fn doubt_ends_within_the_time_to_rejoin() {
+fn grace_period_ends_within_the_time_to_rejoin() {
     fn holds(away: u16, since_call: u16) -> bool {
         let limits = Limits::default();
         let away = Millis(u64::from(away) + 4_000);
@@ -92,27 +93,27 @@
         outage.record_failure(call, call + Millis(700));
         let answered = call + Millis(u64::from(since_call) % 3_000 + 1);
         let recovery = outage.record_answer(answered, false).unwrap();
-        // This node may have been back from the last call in vain on.
+        // This node may have been connected again since the last failed call was sent.
         recovery.grace_period(7, &limits).until < call + limits.rejoin
     }
     QuickCheck::new().quickcheck(holds as fn(u16, u16) -> bool);
 }
 
-/// Entries that come back as soon as a service does that answers are taken for gone before.
+/// Guards against a grace period that ends before live upstreams have written their entries again.
 #[test]
-fn doubt_lasts_until_entries_are_back() {
+fn grace_period_lasts_until_entries_are_back() {
     let mut outage = OutageDetector::new(Millis(1_000));
     outage.record_failure(Millis(8_900), Millis(9_600));
     let recovery = outage.record_answer(Millis(9_800), false).unwrap();
     let until = recovery.grace_period(7, &Limits::default()).until;
-    // Within some two seconds of the return, which was behind 8,900 ms.
+    // Entries are written within two seconds of the return, which was after 8,900 ms.
     assert!(until >= Millis(8_900) + Millis(2_000), "{until}");
     assert!(until >= Millis(9_800) + Millis(1_800), "{until}");
 }
 
-/// A short silence, or one within which no call failed, proves nothing of the entries that stand.
+/// A short silence, or one without failed calls, does not show that the service kept its entries.
 #[test]
-fn doubt_disproved_by_entries_that_stood() {
+fn grace_period_ended_by_entries_that_outlived_the_outage() {
     let limits = Limits::default();
     let grace = |first: u64, last: u64| {
         let mut outage = OutageDetector::new(Millis(1_000));
@@ -123,41 +124,42 @@
     };
     let long = grace(2_000, 9_000);
     assert!(long.shows_entries_kept(7, Millis(9_900), &limits));
-    // Created since, not told, or told from before.
+    // Created after the outage, at an unknown revision, or seen before the outage ended.
     assert!(!long.shows_entries_kept(8, Millis(9_900), &limits));
     assert!(!long.shows_entries_kept(0, Millis(9_900), &limits));
     assert!(!long.shows_entries_kept(7, Millis(8_900), &limits));
-    // An outage of the service as short would have left some entries.
+    // A shorter outage of the service wouldn't have expired all entries.
     assert!(!grace(2_000, 6_000).shows_entries_kept(7, Millis(9_900), &limits));
     let suspended = OutageDetector::new(Millis(1_000)).record_answer(Millis(9_000), false);
     let grace = suspended.unwrap().grace_period(7, &limits);
     assert!(!grace.shows_entries_kept(7, Millis(9_000), &limits));
 }
 
-/// A call that was answered in the midst of an outage hides it.
+/// Guards against a poll answered in the middle of an outage that hides the outage.
 #[test]
-fn doubt_begins_though_a_call_was_answered_midway() {
+fn grace_period_begins_though_a_call_was_answered_midway() {
     let mut outage = OutageDetector::new(Millis(1_000));
     assert!(outage.record_answer(Millis(3_000), false).is_none());
     outage.record_failure(Millis(3_800), Millis(4_500));
     assert!(outage.record_answer(Millis(5_000), false).is_some());
-    // One call that failed at once is none.
+    // A single call that failed at once isn't an outage.
     outage.record_failure(Millis(5_800), Millis(5_805));
     assert!(outage.record_answer(Millis(6_010), false).is_none());
 }
 
-/// A reading that fails behind its first parts is taken for an outage since its beginning.
+/// Guards against counting an outage from the start of a listing whose first parts were answered.
 #[test]
-fn outage_begins_behind_the_last_answer() {
+fn outage_begins_after_the_last_answer() {
     let mut outage = OutageDetector::new(Millis(1_000));
     assert!(outage.record_answer(Millis(3_900), false).is_none());
     outage.record_failure(Millis(1_000), Millis(4_000));
     assert!(outage.record_answer(Millis(4_300), false).is_none());
 }
 
-/// A short outage within a doubt keeps entries from coming back, and ends the doubt all the same.
+/// Guards against a grace period that isn't extended by a further short outage, during which
+/// upstreams can't write their entries.
 #[test]
-fn doubt_begins_anew_after_a_short_outage() {
+fn grace_period_restarts_after_a_short_outage() {
     let mut outage = OutageDetector::new(Millis(1_000));
     let recovery = outage.record_answer(Millis(9_000), false).unwrap();
     let first = recovery.grace_period(7, &Limits::default()).until;
@@ -167,64 +169,64 @@
     assert!(outage.record_answer(Millis(10_600), true).is_none());
 }
 
-/// Stories that are played.
-const STORIES: u64 = 400;
+/// Number of random sequences.
+const SEQUENCES: u64 = 400;
 
-/// Steps of a story at most.
-const STEPS: usize = 14;
+/// Maximum number of steps in a sequence.
+const MAX_STEPS: usize = 14;
 
-/// Upstreams of a story, in two pools.
+/// Number of upstreams, in two pools.
 const UPSTREAMS: u8 = 5;
 
-/// A node has to know of a change so long after it, if it is in touch.
-const KNOWN: Millis = Millis(2_000);
+/// Time within which a connected node has to know of a change.
+const DETECTION_TIME: Millis = Millis(2_000);
 
-/// A node that was away is in touch so long after its return.
-const IN_TOUCH: Millis = Millis(3_000);
+/// Time after a reconnection within which a node has to know all changes.
+const RECONNECT_TIME: Millis = Millis(3_000);
 
-/// Entries that lapsed are back so long after the service's return.
-const BACK: u64 = 2_000;
+/// Maximum time after the service's return until expired entries are written again.
+const REREGISTRATION_MS: u64 = 2_000;
 
-/// Between two heartbeats.
+/// Interval between two heartbeats of an upstream.
 const HEARTBEAT: Millis = Millis(1_200);
 
-/// Between two looks.
-const LOOK: Millis = Millis(50);
+/// Interval between two checks of the node's view.
+const CHECK_INTERVAL: Millis = Millis(50);
 
-/// What happens next.
+/// A step of a sequence.
 #[derive(Debug, Clone)]
 enum Step {
     /// Time passes, in units of 100 ms.
     Pass(u8),
-    /// An upstream says that it leaves, and its entry goes some time later.
+    /// An upstream announces that it leaves.
     Leave(u8),
-    /// An upstream's entry goes at once, as that of one that leaves without a word.
-    Vanish(u8),
-    /// An earlier heartbeat of an upstream that leaves, written late; it says again that it leaves.
+    /// An upstream's entry is removed without an announcement.
+    Remove(u8),
+    /// An old heartbeat of a leaving upstream is written late; the next one announces it again.
     LateHeartbeat(u8),
-    /// This node is cut off from the service; meanwhile one leaves, and the history may be dropped.
-    Away(u8, Option<u8>, bool),
-    /// The service is unavailable, and its entries lapse if it is for long.
+    /// This node is disconnected; meanwhile an upstream may leave and the history be compacted.
+    Disconnect(u8, Option<u8>, bool),
+    /// The service is unavailable, and entries may expire if that lasts long enough.
     Outage(u8, bool),
-    /// The history is dropped.
+    /// The history is compacted.
     Drop,
 }
 
 impl Arbitrary for Step {
     fn arbitrary(g: &mut Gen) -> Self {
-        let which = u8::arbitrary(g) % UPSTREAMS;
-        let units = u8::arbitrary(g) % 70;
+        let upstream = u8::arbitrary(g) % UPSTREAMS;
+        let tenths = u8::arbitrary(g) % 70;
         match u8::arbitrary(g) % 12 {
-            0..4 => Self::Pass(units % 45),
-            4 => Self::Leave(which),
-            5 => Self::Vanish(which),
-            6 => Self::LateHeartbeat(which),
-            7..10 => Self::Away(
-                units + 10,
-                bool::arbitrary(g).then_some(which),
+            0..4 => Self::Pass(tenths % 45),
+            4 => Self::Leave(upstream),
+            5 => Self::Remove(upstream),
+            6 => Self::LateHeartbeat(upstream),
+            7..10 => Self::Disconnect(
+                tenths + 10,
+                bool::arbitrary(g).then_some(upstream),
                 bool::arbitrary(g),
             ),
-            10 => Self::Outage(units + 10, bool::arbitrary(g)),
+            10 => Self::Outage(tenths + 10, bool::arbitrary(g)),
             _ => Self::Drop,
         }
     }
@@ -234,27 +236,27 @@
     }
 }
 
-/// An upstream as it is.
+/// The actual state of an upstream, which the view is compared with.
 #[derive(Debug, Default)]
-struct Truth {
-    /// When the service acknowledged that it leaves.
-    left: Option<Millis>,
-    /// Whether it has said so.
-    said: bool,
-    /// When its entry comes back.
-    back: Option<Millis>,
-    /// When it says again that it leaves.
-    says: Option<Millis>,
+struct ActualState {
+    /// When it announced that it leaves, or its entry was removed.
+    left_at: Option<Millis>,
+    /// Whether it announced that it leaves.
+    announced: bool,
+    /// When its expired entry is written again.
+    returns_at: Option<Millis>,
+    /// When it announces again that it leaves.
+    announces_again_at: Option<Millis>,
 }
 
-/// A deployment of one node whose upstreams' lives are known.
-struct World {
+/// A simulated deployment of one node and some upstreams.
+struct Simulation {
     memory: Arc<Memory>,
     view: Arc<View>,
     clock: Arc<dyn Clock>,
-    truth: BTreeMap<u8, Truth>,
-    /// When the last disruption ended, of this node or of the service.
-    disrupted: Millis,
+    actual: BTreeMap<u8, ActualState>,
+    /// When the last disconnection or outage ended.
+    disrupted_until: Millis,
     rand: Pcg64,
     follower: tokio::task::JoinHandle<()>,
 }
@@ -275,7 +277,7 @@
         .replace(":9\"", &format!(":{}\"", 100 + u16::from(upstream)))
 }
 
-impl World {
+impl Simulation {
     fn new(seed: u64) -> Self {
         let memory = Arc::new(Memory::default());
         let view = Arc::new(View::default());
@@ -288,20 +290,20 @@
             Arc::clone(&view),
             Arc::new(Current::default()),
         );
-        let truth = (0..UPSTREAMS).map(|upstream| (upstream, Truth::default()));
-        let world = Self {
+        let actual = (0..UPSTREAMS).map(|upstream| (upstream, ActualState::default()));
+        let simulation = Self {
             memory,
             view,
             clock,
-            truth: truth.collect(),
-            disrupted: Millis::ZERO,
+            actual: actual.collect(),
+            disrupted_until: Millis::ZERO,
             rand: Pcg64::seed_from_u64(seed),
             follower: tokio::spawn(follower.run()),
         };
         for upstream in 0..UPSTREAMS {
-            world.put(upstream, "ready");
+            simulation.put(upstream, "ready");
         }
-        world
+        simulation
     }
 
     fn put(&self, upstream: u8, state: &str) {
@@ -310,36 +312,37 @@
             .change(|held| held.put(&key(upstream), entry, None));
     }
 
-    async fn play(&mut self, step: &Step) -> Result<(), String> {
+    async fn run(&mut self, step: &Step) -> Result<(), String> {
         match step {
-            Step::Pass(units) => self.pass(Millis(u64::from(*units) * 100)).await?,
+            Step::Pass(tenths) => self.advance(Millis(u64::from(*tenths) * 100)).await?,
             Step::Leave(upstream) => self.leave(*upstream, true),
-            Step::Vanish(upstream) => self.leave(*upstream, false),
+            Step::Remove(upstream) => self.leave(*upstream, false),
             Step::LateHeartbeat(upstream) => {
                 let is_listed = self.memory.state().entries.contains_key(&key(*upstream));
-                if self.truth[upstream].said && is_listed {
+                if self.actual[upstream].announced && is_listed {
                     self.put(*upstream, "ready");
-                    let says = self.clock.now() + HEARTBEAT;
-                    self.truth.get_mut(upstream).unwrap().says = Some(says);
+                    let announces_again_at = self.clock.now() + HEARTBEAT;
+                    self.actual.get_mut(upstream).unwrap().announces_again_at =
+                        Some(announces_again_at);
                 }
             }
-            Step::Away(units, leaves, is_dropped) => {
-                let span = Millis(u64::from(*units) * 100);
+            Step::Disconnect(tenths, leaving, is_compacted) => {
+                let span = Millis(u64::from(*tenths) * 100);
                 self.memory.change(|state| state.away = true);
-                self.pass(Millis(span.0 / 2)).await?;
-                if let Some(upstream) = leaves {
-                    self.leave(*upstream, *is_dropped);
+                self.advance(Millis(span.0 / 2)).await?;
+                if let Some(upstream) = leaving {
+                    self.leave(*upstream, *is_compacted);
                     self.memory.change(|state| state.remove(&key(*upstream)));
                 }
-                if *is_dropped {
+                if *is_compacted {
                     self.memory
                         .change(direct_support::memory::State::drop_history);
                 }
-                self.pass(Millis(span.0 / 2)).await?;
+                self.advance(Millis(span.0 / 2)).await?;
                 self.memory.change(|state| state.away = false);
             }
-            Step::Outage(units, is_lapsing) => {
-                self.outage(Millis(u64::from(*units) * 100), *is_lapsing)
+            Step::Outage(tenths, expires_entries) => {
+                self.outage(Millis(u64::from(*tenths) * 100), *expires_entries)
                     .await?;
             }
             Step::Drop => self
@@ -349,86 +352,94 @@
         Ok(())
     }
 
-    fn leave(&mut self, upstream: u8, said: bool) {
+    fn leave(&mut self, upstream: u8, announced: bool) {
         let now = self.clock.now();
-        let truth = self.truth.get_mut(&upstream).unwrap();
-        if truth.left.is_some() || truth.back.is_some() {
+        let actual = self.actual.get_mut(&upstream).unwrap();
+        if actual.left_at.is_some() || actual.returns_at.is_some() {
             return;
         }
-        truth.left = Some(now);
-        truth.said = said;
-        if said {
+        actual.left_at = Some(now);
+        actual.announced = announced;
+        if announced {
             self.put(upstream, "draining");
         } else {
             self.memory.change(|state| state.remove(&key(upstream)));
         }
     }
 
-    async fn outage(&mut self, span: Millis, is_lapsing: bool) -> Result<(), String> {
+    async fn outage(&mut self, span: Millis, expires_entries: bool) -> Result<(), String> {
         self.memory.change(|state| state.away = true);
-        self.pass(span).await?;
+        self.advance(span).await?;
         let now = self.clock.now();
-        if is_lapsing && span >= Limits::default().lapse {
-            for (upstream, truth) in &mut self.truth {
+        if expires_entries && span >= Limits::default().lapse {
+            for (upstream, actual) in &mut self.actual {
                 self.memory.change(|state| state.remove(&key(*upstream)));
-                let back = Millis(self.rand.random_range(0..BACK));
-                truth.back = truth.left.is_none().then_some(now + back);
-                truth.says = None;
+                let delay = Millis(self.rand.random_range(0..REREGISTRATION_MS));
+                actual.returns_at = actual.left_at.is_none().then_some(now + delay);
+                actual.announces_again_at = None;
             }
         }
         self.memory.change(|state| state.away = false);
         Ok(())
     }
 
-    /// Lets time pass, and looks at what the node believes meanwhile.
-    async fn pass(&mut self, span: Millis) -> Result<(), String> {
+    /// Advances the time, and checks the node's view meanwhile.
+    async fn advance(&mut self, span: Millis) -> Result<(), String> {
         let end = self.clock.now() + span;
         while self.clock.now() < end {
-            tokio::time::sleep(LOOK.duration()).await;
+            tokio::time::sleep(CHECK_INTERVAL.duration()).await;
             let now = self.clock.now();
             if self.memory.state().away {
-                self.disrupted = now;
+                self.disrupted_until = now;
             }
             if !self.memory.state().away {
-                self.write(now);
+                self.write_due(now);
             }
-            self.look(now)?;
+            self.check(now)?;
         }
         Ok(())
     }
 
-    /// Lets upstreams write what is due.
-    fn write(&mut self, now: Millis) {
+    /// Writes the entries that are due.
+    fn write_due(&mut self, now: Millis) {
         let due = |at: &mut Option<Millis>| at.take_if(|at| *at <= now).is_some();
-        let truth = self.truth.iter_mut();
-        let writes: Vec<(u8, bool, bool)> = truth
-            .map(|(upstream, truth)| (*upstream, due(&mut truth.back), due(&mut truth.says)))
+        let actual = self.actual.iter_mut();
+        let writes: Vec<(u8, bool, bool)> = actual
+            .map(|(upstream, actual)| {
+                (
+                    *upstream,
+                    due(&mut actual.returns_at),
+                    due(&mut actual.announces_again_at),
+                )
+            })
             .collect();
-        for (upstream, is_back, says) in writes {
+        for (upstream, returns, announces_again) in writes {
             let is_listed = self.memory.state().entries.contains_key(&key(upstream));
-            if is_back {
+            if returns {
                 self.put(upstream, "ready");
-            } else if says && is_listed {
+            } else if announces_again && is_listed {
                 self.put(upstream, "draining");
             }
         }
     }
 
-    fn look(&self, now: Millis) -> Result<(), String> {
+    fn check(&self, now: Millis) -> Result<(), String> {
         let state = self.view.state();
-        let is_in_touch = now >= self.disrupted + IN_TOUCH;
-        for (upstream, truth) in &self.truth {
+        let is_reconnected = now >= self.disrupted_until + RECONNECT_TIME;
+        for (upstream, actual) in &self.actual {
             let known = state.upstreams.get(&*format!("i-{upstream}"));
             let takes_work = known.is_some_and(|known| known.is_ready());
-            let has_left = truth.left.is_some_and(|left| now >= left + KNOWN);
-            if has_left && is_in_touch && takes_work {
+            let has_left = actual
+                .left_at
+                .is_some_and(|left_at| now >= left_at + DETECTION_TIME);
+            if has_left && is_reconnected && takes_work {
                 return Err(format!(
-                    "{upstream} left at {truth:?} and takes work at {now}"
+                    "{upstream} left at {actual:?} and takes work at {now}"
                 ));
             }
-            if truth.left.is_none() && now > KNOWN && !takes_work {
+            if actual.left_at.is_none() && now > DETECTION_TIME && !takes_work {
                 return Err(format!(
-                    "{upstream} lives and takes no work at {now}: {truth:?}"
+                    "{upstream} is live and takes no work at {now}: {actual:?}"
                 ));
             }
         }
@@ -436,7 +447,7 @@
     }
 }
 
-impl Drop for World {
+impl Drop for Simulation {
     fn drop(&mut self) {
         self.follower.abort();
     }
@@ -450,25 +461,26 @@
         .unwrap()
 }
 
-fn play(seed: u64, steps: &[Step]) -> Result<(), String> {
+fn run(seed: u64, steps: &[Step]) -> Result<(), String> {
     runtime().block_on(async {
-        let mut world = World::new(seed);
-        world.pass(Millis(3_000)).await?;
+        let mut simulation = Simulation::new(seed);
+        simulation.advance(Millis(3_000)).await?;
         for step in steps {
-            world.play(step).await?;
+            simulation.run(step).await?;
         }
-        world.pass(Millis(6_000)).await
+        simulation.advance(Millis(6_000)).await
     })
 }
 
-/// Work for what has left, or none for what lives, through absences and outages in any order.
+/// Guards against requests to upstreams that have left, and against live upstreams without
+/// requests, through disconnections and outages in any order.
 #[test]
-fn follow_stories_fixed_seeds() {
-    for seed in 0..STORIES {
-        let mut g = Gen::from_size_and_seed(STEPS, seed);
+fn follow_random_sequences_fixed_seeds() {
+    for seed in 0..SEQUENCES {
+        let mut g = Gen::from_size_and_seed(MAX_STEPS, seed);
         let steps: Vec<Step> = Vec::arbitrary(&mut g);
-        if let Err(told) = play(seed, &steps) {
-            panic!("seed {seed}: {told}\n{steps:#?}");
+        if let Err(error) = run(seed, &steps) {
+            panic!("seed {seed}: {error}\n{steps:#?}");
         }
     }
 }
--- a/lib/tests/test_direct_reload.rs
+++ b/lib/tests/test_direct_reload.rs
@@ -1,4 +1,4 @@
-//! Settings that change while a node runs.
+//! Reloading of settings while a node runs.
 
 use std::sync::Arc;
 
@@ -28,9 +28,9 @@
     (Reload::new(settings(), Arc::clone(&limits)), limits)
 }
 
-/// Bounds that operators change are in force at once, without a restart.
+/// Changed limits take effect at once, without a restart.
 #[test]
-fn take_bounds_at_once() {
+fn apply_limits_at_once() {
     let (reload, limits) = reload();
     let mut budget = Budget::new(Arc::clone(&limits));
     let pool = "engines".into();
@@ -48,22 +48,22 @@
     assert_eq!(reload.apply(Ok(changed)), ReloadOutcome::Unchanged);
 }
 
-/// Settings that can't be read leave the last good ones in force.
+/// Invalid settings leave the last valid ones in force.
 #[test]
-fn take_mistake_keeps_the_last_good_ones() {
+fn apply_invalid_settings_keeps_the_last_valid_ones() {
     let (reload, limits) = reload();
     let mut changed = settings();
     changed.limits.stop = Millis(4_000);
-    let mistake = || Err("node is missing".to_owned());
-    assert_eq!(reload.apply(mistake()), ReloadOutcome::Rejected);
-    assert_eq!(reload.apply(mistake()), ReloadOutcome::Unchanged);
+    let invalid = || Err("node is missing".to_owned());
+    assert_eq!(reload.apply(invalid()), ReloadOutcome::Rejected);
+    assert_eq!(reload.apply(invalid()), ReloadOutcome::Unchanged);
     assert_eq!(limits.get(), Limits::default());
     assert_eq!(reload.apply(Ok(changed)), ReloadOutcome::Applied);
     assert_eq!(limits.get().stop, Millis(4_000));
 }
 
 #[test]
-fn take_address_waits_for_the_next_start() {
+fn apply_address_takes_effect_at_the_next_start() {
     let (reload, limits) = reload();
     let mut changed = settings();
     changed.store = "127.0.0.1:2".parse().unwrap();
