--- a/lib/src/direct/fanout/wire.rs
+++ b/lib/src/direct/fanout/wire.rs
@@ -42,14 +42,14 @@
     }
 }
 
-/// Decodes an update received on a stream that was requested at `subscribe_sent_at`.
+/// Decodes an update of a stream that was requested at `requested_at`.
 ///
 /// An update can wait in the socket's buffer while this node's VM is suspended, and would look
 /// new when it is read at `now`. So the time at which it was sent is taken to be that of the
 /// request plus the age of the stream that the sender states. It can't have been sent earlier,
 /// whatever delays it on the way.
-pub(super) fn decode(message: ProtoUpdate, subscribe_sent_at: Millis, now: Millis) -> Update {
-    let sent_at = now.min(subscribe_sent_at + Millis(message.listening_ms));
+pub(super) fn decode(message: ProtoUpdate, requested_at: Millis, now: Millis) -> Update {
+    let sent_at = now.min(requested_at + Millis(message.listening_ms));
     Update {
         after: message.after,
         revision: message.revision,
--- a/lib/src/direct/follow/mod.rs
+++ b/lib/src/direct/follow/mod.rs
@@ -147,24 +147,24 @@
         revision: u64,
         poll_wait: Millis,
     ) -> Reached<Result<Changes, poll::Error>> {
-        let question = || self.poll.changes("", revision, poll_wait);
+        let call = || self.poll.changes("", revision, poll_wait);
         if !self.outage.is_failing() {
             let asked = self.clock.now();
             return Reached {
-                result: question().await,
+                result: call().await,
                 asked,
                 in_vain: None,
             };
         }
         let is_answer = |result: &Result<_, _>| !matches!(result, Err(poll::Error::Failed(_)));
-        let reached = reachable::ask(&*self.clock, question, is_answer).await;
+        let reached = reachable::ask(&*self.clock, call, is_answer).await;
         if let Some(in_vain) = reached.in_vain {
             self.outage.record_failure(in_vain, self.clock.now());
         }
         reached
     }
 
-    /// Applies changes that the service returned for a revision; returns the new revision.
+    /// Applies the changes after a revision that the service returned; returns the new revision.
     fn apply_changes(&mut self, after: u64, as_of: Millis, mut changes: Changes) -> u64 {
         // Other nodes accept changes only in the order of their revisions. The service may return
         // them in another order, such as by key, and then all nodes would poll for themselves.
@@ -191,8 +191,8 @@
         if changes.more {
             return self.confirmed_at.unwrap_or_default();
         }
-        let in_vain = changes.events.is_empty();
-        let waited = if in_vain { poll_wait } else { Millis::ZERO };
+        let timed_out = changes.events.is_empty();
+        let waited = if timed_out { poll_wait } else { Millis::ZERO };
         self.clock.now().min(sent + waited)
     }
 
@@ -224,8 +224,9 @@
             return revision;
         };
         loop {
-            let oldest = self.confirmed_at.unwrap_or_default() + self.limits.get().oldest_update();
-            let left = oldest.since(self.clock.now());
+            let too_old_at =
+                self.confirmed_at.unwrap_or_default() + self.limits.get().oldest_update();
+            let left = too_old_at.since(self.clock.now());
             if left == Millis::ZERO {
                 self.count_update("nobody");
                 source.avoid();
--- a/lib/src/direct/view.rs
+++ b/lib/src/direct/view.rs
@@ -140,6 +140,9 @@
 /// The rest is reserved for connections that only one side has closed so far.
 const USABLE_CONNECTIONS_FRACTION: f64 = 0.9;
 
+/// Maximum number of connections to an upstream whose pool isn't configured yet.
+const DEFAULT_MAX_CONNECTIONS: usize = 64;
+
 impl View {
     /// Locks the state. The lock must not be held across an await.
     pub fn state(&self) -> MutexGuard<'_, State> {
@@ -218,15 +221,15 @@
     ///
     /// Returns whether it was applied.
     pub fn apply_config(&mut self, config: Config) -> bool {
-        let newer = self
+        let is_newer = self
             .config
             .as_ref()
             .is_none_or(|current| current.version < config.version);
-        if newer {
+        if is_newer {
             self.config = Some(Arc::new(config));
             self.update_connection_shares();
         }
-        newer
+        is_newer
     }
 
     /// Adds or updates an upstream from its entry.
@@ -382,12 +385,12 @@
             self.ledger.clear(&request, revision);
             return PutOutcome::Applied;
         }
-        let is_end = name.starts_with(ENDS);
-        if !is_end && !name.starts_with(BROKE) {
+        let is_crash_report = name.starts_with(ENDS);
+        if !is_crash_report && !name.starts_with(BROKE) {
             return PutOutcome::Unrelated;
         }
         match serde_json::from_slice::<Report>(value) {
-            Ok(report) if is_end => {
+            Ok(report) if is_crash_report => {
                 self.ledger.report(name.into(), report, revision, now);
                 PutOutcome::Applied
             }
@@ -430,7 +433,7 @@
             .config
             .as_ref()
             .and_then(|config| config.pools.get(pool))
-            .map_or(64, |pool| pool.max_connections);
+            .map_or(DEFAULT_MAX_CONNECTIONS, |pool| pool.max_connections);
         let share = total as f64 * USABLE_CONNECTIONS_FRACTION / self.max_nodes_seen.max(1) as f64;
         (share as usize).max(2)
     }
