--- a/lib/src/direct/entry/answer.rs
+++ b/lib/src/direct/entry/answer.rs
@@ -9,7 +9,7 @@
 
 use super::accept::{accept, choose};
 use super::response::{refusal, response_head, whole_response};
-use super::{Body, Gate};
+use super::{Body, Frontend};
 use crate::clock::Millis;
 use crate::direct::attempt::{Answer, Message};
 use crate::direct::record::{self, End};
@@ -27,7 +27,7 @@
 
 /// Counts a request in progress until it is dropped.
 #[derive(Debug)]
-struct Active(Arc<Gate>);
+struct Active(Arc<Frontend>);
 
 impl Drop for Active {
     fn drop(&mut self) {
@@ -43,7 +43,7 @@
     Whole(Response<Body>),
 }
 
-impl Gate {
+impl Frontend {
     /// Answers a caller's request.
     ///
     /// # Errors
--- a/lib/src/direct/entry/gauges.rs
+++ b/lib/src/direct/entry/gauges.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use super::Gate;
+use super::Frontend;
 use crate::direct::upstream::Upstream;
 
 /// A number as gauges take it.
@@ -10,7 +10,7 @@
     number.try_into().unwrap_or(i64::MAX)
 }
 
-impl Gate {
+impl Frontend {
     /// Writes the node's metrics, with what it believes at this moment.
     #[must_use]
     pub fn render(&self) -> String {
--- a/lib/src/direct/entry/mod.rs
+++ b/lib/src/direct/entry/mod.rs
@@ -47,7 +47,7 @@
 
 /// What all requests of a node share.
 #[derive(Debug)]
-pub struct Gate {
+pub struct Frontend {
     /// What this node believes.
     pub view: Arc<View>,
     /// Orders to engines.
@@ -84,7 +84,7 @@
     made: Millis,
 }
 
-impl Gate {
+impl Frontend {
     /// Makes a gate.
     #[must_use]
     pub fn new(
@@ -237,10 +237,13 @@
             }
             spreading.insert(Name::clone(adapter), now);
         }
-        let gate = Arc::clone(self);
+        let frontend = Arc::clone(self);
         let adapter = Name::clone(adapter);
         tokio::spawn(async move {
-            let loaded = gate.controllers.load(&upstream, &adapter, version).await;
+            let loaded = frontend
+                .controllers
+                .load(&upstream, &adapter, version)
+                .await;
             log::debug!(
                 "entry: {adapter} at {} too: {loaded:?}",
                 upstream.incarnation
--- a/lib/src/direct/handover.rs
+++ b/lib/src/direct/handover.rs
@@ -12,7 +12,7 @@
 
 use super::attempt::Answer;
 use super::dialect::{Memory, Transferred};
-use super::entry::Gate;
+use super::entry::Frontend;
 use super::question;
 use super::target::Target;
 use super::upstream::Upstream;
@@ -56,7 +56,7 @@
     /// `left` is the time that the request has.
     #[must_use]
     pub fn begin(
-        gate: &Arc<Gate>,
+        frontend: &Arc<Frontend>,
         id: &str,
         answer: &Answer,
         target: Target,
@@ -64,7 +64,7 @@
     ) -> Self {
         let source = Arc::clone(&answer.upstream);
         let asking = ask(
-            Arc::clone(gate),
+            Arc::clone(frontend),
             id.to_owned(),
             Arc::clone(&source),
             Arc::clone(&target.upstream),
@@ -115,18 +115,18 @@
 }
 
 async fn ask(
-    gate: Arc<Gate>,
+    frontend: Arc<Frontend>,
     id: String,
     source: Arc<Upstream>,
     target: Arc<Upstream>,
     left: Millis,
 ) -> Transferred {
-    let request = gate
+    let request = frontend
         .dialect
         .ask_transfer(&source.incarnation, &id, target.address);
-    let asked = question::ask(&*gate.dialect, &source, request);
+    let asked = question::ask(&*frontend.dialect, &source, request);
     let transferred = match tokio::time::timeout(left.duration(), asked).await {
-        Ok(Ok((head, body))) => gate.dialect.transferred(&head, &body),
+        Ok(Ok((head, body))) => frontend.dialect.transferred(&head, &body),
         Ok(Err(told)) => {
             log::info!(request = id.as_str(), cause = told.as_str(); "handover: no answer");
             Transferred::Unchanged
@@ -136,7 +136,8 @@
             Transferred::Unchanged
         }
     };
-    gate.metrics
+    frontend
+        .metrics
         .handovers
         .with_label_values(&[transferred.name()])
         .inc();
--- a/lib/src/direct/node.rs
+++ b/lib/src/direct/node.rs
@@ -21,7 +21,7 @@
 use super::ask::Controllers;
 use super::claim::Claimer;
 use super::dialect::Dialect;
-use super::entry::Gate;
+use super::entry::Frontend;
 use super::fanout::Subscription;
 use super::follow::Follower;
 use super::limits::{Current, Limits};
@@ -118,7 +118,7 @@
     callers: SocketAddr,
     readiness: SocketAddr,
     metrics: SocketAddr,
-    gate: Arc<Gate>,
+    frontend: Arc<Frontend>,
     claimer: Arc<Claimer>,
     limits: Arc<Current>,
     closing: CancellationToken,
@@ -155,7 +155,7 @@
             Name::clone(&settings.node),
             Arc::clone(&metrics),
         ));
-        let gate = Arc::new(Gate::new(
+        let frontend = Arc::new(Frontend::new(
             Arc::clone(&view),
             Arc::clone(&controllers),
             Arc::clone(&reach.dialect),
@@ -198,12 +198,12 @@
         .within_domain(Arc::clone(&controllers.hub), Box::new(subscription));
         let closing = CancellationToken::new();
         let callers = listeners.callers.local_addr()?;
-        let serving = serve_callers(listeners.callers, Arc::clone(&gate), closing.clone());
+        let serving = serve_callers(listeners.callers, Arc::clone(&frontend), closing.clone());
         let mut node = Self {
             callers,
             readiness: listeners.readiness.local_addr()?,
             metrics: listeners.metrics.local_addr()?,
-            gate,
+            frontend,
             claimer,
             limits,
             closing,
@@ -219,7 +219,8 @@
         node.tasks.spawn(follower.run());
         node.tasks.spawn(Arc::clone(&node.claimer).run());
         node.tasks.spawn(controllers.run());
-        node.tasks.spawn(Arc::clone(&node.gate.quarantine).run());
+        node.tasks
+            .spawn(Arc::clone(&node.frontend.quarantine).run());
         Ok(node)
     }
 
@@ -259,26 +260,27 @@
                 log::error!("node: other nodes aren't served: {error}");
             }
         });
-        let gate = Arc::clone(&self.gate);
-        self.tasks.spawn(serve_plain(metrics, gate, render));
-        let gate = Arc::clone(&self.gate);
-        self.tasks.spawn(serve_plain(readiness, gate, readiness_of));
+        let frontend = Arc::clone(&self.frontend);
+        self.tasks.spawn(serve_plain(metrics, frontend, render));
+        let frontend = Arc::clone(&self.frontend);
+        self.tasks
+            .spawn(serve_plain(readiness, frontend, readiness_of));
     }
 
     /// Stops: no more callers, orders handed over, what is in progress ended.
     ///
     /// Returns whether every request was answered in its own time.
     pub async fn drain(mut self) -> bool {
-        let clock = Arc::clone(&self.gate.clock);
+        let clock = Arc::clone(&self.frontend.clock);
         let end = clock.now() + self.limits.get().stop - END_MARGIN;
-        self.gate.stop.begin(end);
+        self.frontend.stop.begin(end);
         give_notice(self.claimer.leave()).await;
         self.closing.cancel();
         self.finish(end).await;
         self.report(end).await;
         // The last bytes of an answer may still lie in the system's buffers.
         tokio::time::sleep(FLUSH.duration()).await;
-        let (left, cut) = (self.gate.active(), self.gate.stop.cut());
+        let (left, cut) = (self.frontend.active(), self.frontend.stop.cut());
         log::info!("node: stops with {left} requests in progress, {cut} were cut short");
         let whole = left + cut == 0;
         self.serving.abort();
@@ -292,7 +294,7 @@
     /// last bytes of an answer can wait for a slow caller. Ended then, the process would cut
     /// both off. Connections without either are closed at once.
     async fn finish(&mut self, end: Millis) {
-        let left = end.since(self.gate.clock.now());
+        let left = end.since(self.frontend.clock.now());
         let serving = &mut self.serving;
         if tokio::time::timeout(left.duration(), &mut *serving)
             .await
@@ -301,7 +303,7 @@
             return;
         }
         log::info!("node: what is in progress is cut short at the end of its time");
-        self.gate.stop.end();
+        self.frontend.stop.end();
         if tokio::time::timeout(ANSWERS.duration(), serving)
             .await
             .is_err()
@@ -312,8 +314,8 @@
 
     /// Waits until all that this node saw of upstreams' ends is reported, until `end` at most.
     async fn report(&self, end: Millis) {
-        let left = end.since(self.gate.clock.now());
-        let reported = self.gate.quarantine.reported();
+        let left = end.since(self.frontend.clock.now());
+        let reported = self.frontend.quarantine.reported();
         if tokio::time::timeout(left.duration(), reported)
             .await
             .is_err()
@@ -355,18 +357,18 @@
         .wrap_err_with(|| format!("can't listen at {address}"))
 }
 
-type Plain = fn(&Gate, &Request<Incoming>) -> Response<Full<Bytes>>;
+type Plain = fn(&Frontend, &Request<Incoming>) -> Response<Full<Bytes>>;
 
 /// Serves short answers that need no waiting.
-async fn serve_plain(listener: TcpListener, gate: Arc<Gate>, answer: Plain) {
+async fn serve_plain(listener: TcpListener, frontend: Arc<Frontend>, answer: Plain) {
     loop {
         let Some(stream) = accept(&listener).await else {
             continue;
         };
-        let gate = Arc::clone(&gate);
+        let frontend = Arc::clone(&frontend);
         tokio::spawn(async move {
             let service = service_fn(move |request| {
-                let response = answer(&gate, &request);
+                let response = answer(&frontend, &request);
                 async move { Ok::<_, Infallible>(response) }
             });
             let connection = http1::Builder::new()
@@ -379,21 +381,21 @@
     }
 }
 
-fn readiness_of(gate: &Gate, request: &Request<Incoming>) -> Response<Full<Bytes>> {
+fn readiness_of(frontend: &Frontend, request: &Request<Incoming>) -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::default());
-    if !gate.dialect.asks_readiness(request.uri().path()) {
+    if !frontend.dialect.asks_readiness(request.uri().path()) {
         *response.status_mut() = StatusCode::NOT_FOUND;
-    } else if !gate.is_ready() {
+    } else if !frontend.is_ready() {
         *response.status_mut() = StatusCode::SERVICE_UNAVAILABLE;
     }
     response
 }
 
-fn render(gate: &Gate, _: &Request<Incoming>) -> Response<Full<Bytes>> {
-    Response::new(Full::from(gate.render()))
+fn render(frontend: &Frontend, _: &Request<Incoming>) -> Response<Full<Bytes>> {
+    Response::new(Full::from(frontend.render()))
 }
 
-async fn serve_callers(listener: TcpListener, gate: Arc<Gate>, closing: CancellationToken) {
+async fn serve_callers(listener: TcpListener, frontend: Arc<Frontend>, closing: CancellationToken) {
     let graceful = GracefulShutdown::new();
     loop {
         let stream = tokio::select! {
@@ -403,26 +405,26 @@
         let Some(stream) = stream else {
             continue;
         };
-        serve_caller(stream, &gate, &graceful);
+        serve_caller(stream, &frontend, &graceful);
     }
     // Connections that the system has accepted already are still served. Later ones must
     // meet a closed port: with the listener open but nobody accepting, a caller would wait
     // for as long as answers in progress keep the process alive, instead of going elsewhere.
     while let Some(Some(stream)) = accept(&listener).now_or_never() {
-        serve_caller(stream, &gate, &graceful);
+        serve_caller(stream, &frontend, &graceful);
     }
     drop(listener);
     graceful.shutdown().await;
 }
 
-fn serve_caller(stream: TcpStream, gate: &Arc<Gate>, graceful: &GracefulShutdown) {
-    let limits = gate
+fn serve_caller(stream: TcpStream, frontend: &Arc<Frontend>, graceful: &GracefulShutdown) {
+    let limits = frontend
         .view
         .config()
         .map(|config| config.limits)
         .unwrap_or_default();
-    let gate = Arc::clone(gate);
-    let service = service_fn(move |request| Arc::clone(&gate).answer(request));
+    let frontend = Arc::clone(frontend);
+    let service = service_fn(move |request| Arc::clone(&frontend).answer(request));
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
         .header_read_timeout(limits.idle.duration())
--- a/lib/src/direct/place.rs
+++ b/lib/src/direct/place.rs
@@ -44,7 +44,7 @@
     pub(super) async fn with_base(&self, field: &Field<'_>, model: &Name) -> Option<Target> {
         let upstream = field.first(self.manner(), |upstream| upstream.has_base(model))?;
         let question = self.question(None, 0);
-        let permit = match self.gate.controllers.admit(&upstream, question).await {
+        let permit = match self.frontend.controllers.admit(&upstream, question).await {
             admit::Answer::Admitted(permit, _) => Some(permit),
             _ => None,
         };
@@ -85,7 +85,7 @@
                 limit: choice::calm_limit(upstream.slots),
                 ..self.question(Some(adapter), wanted)
             };
-            match self.gate.controllers.admit(&upstream, question).await {
+            match self.frontend.controllers.admit(&upstream, question).await {
                 admit::Answer::Admitted(permit, _) => {
                     return Asked::Place(Self::admitted(upstream, adapter, Some(permit)));
                 }
@@ -142,7 +142,7 @@
         adapter: &Name,
         question: Question<'_>,
     ) -> Option<Target> {
-        match self.gate.controllers.admit(&upstream, question).await {
+        match self.frontend.controllers.admit(&upstream, question).await {
             admit::Answer::Admitted(permit, _) => {
                 Some(Self::admitted(upstream, adapter, Some(permit)))
             }
@@ -174,7 +174,7 @@
         };
         let adapter = self.message.call.adapter();
         let now = self.now();
-        let pool = self.gate.view.pool(&self.pool);
+        let pool = self.frontend.view.pool(&self.pool);
         pool.iter().any(|upstream| {
             let holds = match adapter {
                 Some(adapter) => self.time_to_begin(upstream, adapter) > Millis::ZERO,
@@ -211,7 +211,7 @@
                 patience: Millis::ZERO,
                 ..self.question(Some(adapter), wanted)
             };
-            self.gate.controllers.admit(upstream, question)
+            self.frontend.controllers.admit(upstream, question)
         });
         let answers = futures::future::join_all(asking).await;
         let loads: Vec<Option<Load>> = answers.iter().map(admit::Answer::load).collect();
--- a/lib/src/direct/record.rs
+++ b/lib/src/direct/record.rs
@@ -53,9 +53,9 @@
 /// that had left was.
 pub fn sent(request: &ActiveRequest, upstream: &Upstream, version: Option<u64>, left: Millis) {
     let adapter = request.message.call.adapter();
-    let newest = adapter.and_then(|adapter| request.gate.view.newest(adapter));
+    let newest = adapter.and_then(|adapter| request.frontend.view.newest(adapter));
     if upstream.is_missing() {
-        request.gate.metrics.doubted_sends.inc();
+        request.frontend.metrics.doubted_sends.inc();
     }
     log::info!(
         request = request.id(),
@@ -68,10 +68,10 @@
             request.now().since(since).0
         }),
         load = upstream.load(),
-        reader = request.gate.roles(&request.pool).reads(upstream.address),
+        reader = request.frontend.roles(&request.pool).reads(upstream.address),
         tokens = request.message.call.tokens.map_or(0, |(prompt, _)| prompt),
         load_age_ms = request.now().since(upstream.heard_at()).0,
-        list_age_ms = request.now().since(request.gate.view.as_of()).0,
+        list_age_ms = request.now().since(request.frontend.view.as_of()).0,
         stage = upstream.stage().name(),
         passed_ms = request.now().since(request.began).0,
         left_ms = left.0;
@@ -136,7 +136,7 @@
 
 impl Drop for Asking<'_> {
     fn drop(&mut self) {
-        let loads = &self.request.gate.metrics.loads;
+        let loads = &self.request.frontend.metrics.loads;
         loads.with_label_values(&[self.outcome]).inc();
         log::info!(
             request = self.request.id(),
--- a/lib/src/direct/relay.rs
+++ b/lib/src/direct/relay.rs
@@ -94,12 +94,12 @@
     };
     stream::unfold(Some(relay), |relay| async {
         let mut relay = relay?;
-        let gate = Arc::clone(&relay.request.gate);
+        let frontend = Arc::clone(&relay.request.frontend);
         let next = tokio::select! {
             biased;
             next = relay.next() => next,
-            () = gate.stop.over() => {
-                gate.stop.note_cut();
+            () = frontend.stop.over() => {
+                frontend.stop.note_cut();
                 Err(Cut("the node stops".to_owned()))
             }
         };
@@ -145,7 +145,7 @@
     /// Counts the time to the first event, and the pauses behind it.
     fn observe(&mut self) {
         let now = self.request.now();
-        self.request.gate.metrics.tokens.inc();
+        self.request.frontend.metrics.tokens.inc();
         if let Some(answer) = &mut self.answer {
             answer.running.read();
         }
@@ -194,7 +194,7 @@
     fn observe_first(&mut self, now: Millis) {
         let first = now.since(self.request.began);
         self.request.pace.first = Some(first);
-        let histogram = &self.request.gate.metrics.first_token;
+        let histogram = &self.request.frontend.metrics.first_token;
         histogram
             .with_label_values(&[CLASS])
             .observe(seconds(first));
@@ -202,7 +202,7 @@
     }
 
     fn observe_pause(&mut self, pause: Millis, now: Millis) {
-        let metrics = &self.request.gate.metrics;
+        let metrics = &self.request.frontend.metrics;
         metrics.between_tokens.observe(seconds(pause));
         if let Some(answer) = &self.answer {
             answer.upstream.paused(pause, now);
@@ -236,7 +236,7 @@
         } else {
             "where read"
         };
-        let histogram = &self.request.gate.metrics.longest_pause;
+        let histogram = &self.request.frontend.metrics.longest_pause;
         histogram
             .with_label_values(&[written])
             .observe(seconds(pace.longest));
@@ -250,11 +250,11 @@
         let request = &self.request;
         let engine = answer.upstream.address;
         let stayed = request.pace.moved == 0 && !self.asked_to_move;
-        if !stayed || self.judged || request.gate.roles(&request.pool).reads(engine) {
+        if !stayed || self.judged || request.frontend.roles(&request.pool).reads(engine) {
             return;
         }
         request
-            .gate
+            .frontend
             .observe(&request.pool, |mix| mix.stayed(engine, late));
         self.judged = true;
     }
@@ -267,13 +267,15 @@
         };
         let request = &self.request;
         if request
-            .gate
+            .frontend
             .roles(&request.pool)
             .reads(answer.upstream.address)
         {
             let part =
                 now.since(request.sent_at).0 as f64 / request.route.objective.0.max(1) as f64;
-            request.gate.observe(&request.pool, |mix| mix.read(part));
+            request
+                .frontend
+                .observe(&request.pool, |mix| mix.read(part));
         }
     }
 
@@ -289,14 +291,19 @@
             return;
         }
         // A moved run that is rejected counts as a further send, and can't be taken back then.
-        if !self.request.gate.has_repeat(&self.request.pool) {
+        if !self.request.frontend.has_repeat(&self.request.pool) {
             return;
         }
         let first = self.request.pace.pieces == 1;
         if let Some(target) = self.request.writer(answer, first) {
             let left = self.request.until.since(self.request.now());
-            let handover =
-                Handover::begin(&self.request.gate, self.request.id(), answer, target, left);
+            let handover = Handover::begin(
+                &self.request.frontend,
+                self.request.id(),
+                answer,
+                target,
+                left,
+            );
             self.handover = Some(handover);
             self.asked_to_move = true;
         }
--- a/lib/src/direct/request/mod.rs
+++ b/lib/src/direct/request/mod.rs
@@ -11,7 +11,7 @@
 
 use super::attempt::{Answer, Message, Miss};
 use super::config::Route;
-use super::entry::Gate;
+use super::entry::Frontend;
 use super::record::{self, End};
 use super::sends::Sends;
 use super::target::Target;
@@ -30,7 +30,7 @@
 #[derive(Debug)]
 pub struct ActiveRequest {
     /// The node's parts.
-    pub gate: Arc<Gate>,
+    pub frontend: Arc<Frontend>,
     /// What is sent.
     pub message: Arc<Message>,
     /// The route that it came by.
@@ -86,7 +86,7 @@
     /// Begins to serve a request.
     #[must_use]
     pub fn new(
-        gate: Arc<Gate>,
+        frontend: Arc<Frontend>,
         message: Message,
         route: Route,
         pool: Name,
@@ -95,7 +95,7 @@
         config: u64,
     ) -> Self {
         Self {
-            gate,
+            frontend,
             message: Arc::new(message),
             route,
             pool,
@@ -139,11 +139,11 @@
                 self.send(&mut sends, target, resume_after);
             }
             let span = self.patience();
-            let stops = self.gate.stop.is_begun();
+            let stops = self.frontend.stop.is_begun();
             let next = tokio::select! {
                 biased;
                 sent = sends.next() => Some(sent),
-                () = self.gate.stop.begun(), if !stops => continue,
+                () = self.frontend.stop.begun(), if !stops => continue,
                 // Its engine may not have begun it: dropped now, it ends no further one.
                 failure = self.quarantined() => return Err(failure),
                 () = tokio::time::sleep(span.duration()) => None,
@@ -213,7 +213,7 @@
         };
         match target {
             Ok(target) if !self.stands_at(&target.upstream) && !sends.reaches(&target.upstream) => {
-                self.gate.count_retry("silent");
+                self.frontend.count_retry("silent");
                 self.send(sends, target, resume_after);
             }
             _ => record::stays(self, &newest),
@@ -237,14 +237,14 @@
     pub fn end(&mut self, end: &End<'_>) {
         if !std::mem::replace(&mut self.ended, true) {
             record::ended(self, end);
-            self.gate.count_end(end.code());
+            self.frontend.count_end(end.code());
         }
     }
 
     /// The time.
     #[must_use]
     pub fn now(&self) -> Millis {
-        self.gate.clock.now()
+        self.frontend.clock.now()
     }
 
     /// How long to wait for an answer's head before another upstream is looked for.
@@ -254,7 +254,7 @@
             return left;
         }
         let span = left.min(Millis(self.route.objective.0 * PATIENCE));
-        let Some(end) = self.gate.stop.until() else {
+        let Some(end) = self.frontend.stop.until() else {
             return span;
         };
         // What stands at a silent upstream for as long as the node lives is cut short.
--- a/lib/src/direct/request/outcome.rs
+++ b/lib/src/direct/request/outcome.rs
@@ -54,7 +54,7 @@
             if !(self.may_go_on() && self.others() && self.reserve_repeat()) {
                 return Some(answer);
             }
-            self.gate.count_retry("upstream_error");
+            self.frontend.count_retry("upstream_error");
         }
         self.failed = Some(Box::new(answer));
         None
@@ -88,7 +88,7 @@
         self.sent -= 1;
         upstream.unreachable(self.now());
         self.unsent += 1;
-        self.gate.count_retry("unsent");
+        self.frontend.count_retry("unsent");
         if self.unsent >= MOST_UNSENT {
             return Err(self.refusal(Code::ConnectFailed, told));
         }
@@ -98,7 +98,7 @@
     fn was_rejected(&mut self, upstream: &Upstream, status: u16) -> Result<(), Failure> {
         self.sent -= 1;
         self.rejected += 1;
-        self.gate.count_retry("rejected");
+        self.frontend.count_retry("rejected");
         if let Some(adapter) = self.message.call.adapter()
             && status == 421
         {
@@ -111,7 +111,7 @@
     }
 
     fn was_withdrawn(&mut self, sent: bool) -> Result<(), Failure> {
-        self.gate.count_retry("replaced");
+        self.frontend.count_retry("replaced");
         if !sent {
             self.sent -= 1;
             return Ok(());
@@ -138,13 +138,13 @@
             return Err(Failure::new(code, told));
         }
         if is_last {
-            self.gate.count_retry("lost");
+            self.frontend.count_retry("lost");
         }
         Ok(())
     }
 
     fn others(&self) -> bool {
-        self.gate
+        self.frontend
             .view
             .pool(&self.pool)
             .iter()
--- a/lib/src/direct/request/repeat.rs
+++ b/lib/src/direct/request/repeat.rs
@@ -34,6 +34,6 @@
 
     /// Takes what one more send costs from the budget of all nodes.
     fn take_repeat(&self) -> bool {
-        self.gate.take_repeat(&self.pool)
+        self.frontend.take_repeat(&self.pool)
     }
 }
--- a/lib/src/direct/request/send.rs
+++ b/lib/src/direct/request/send.rs
@@ -25,7 +25,7 @@
         record::sent(self, &target.upstream, target.version, dispatch.deadline);
         self.note_uncounted(&target, target.permit.as_ref());
         let watch = self.watch(&target);
-        let (message, dialect) = (&self.message, &self.gate.dialect);
+        let (message, dialect) = (&self.message, &self.frontend.dialect);
         sends.begin(message, dialect, target, dispatch, watch, self.sent_at);
     }
 
@@ -47,7 +47,7 @@
         };
         record::sent(self, &place.upstream, place.version, dispatch.deadline);
         let permit = self.permit(place).await;
-        let (upstream, dialect) = (&place.upstream, &*self.gate.dialect);
+        let (upstream, dialect) = (&place.upstream, &*self.frontend.dialect);
         let watch = self.watch(place);
         let send = self
             .message
@@ -83,7 +83,12 @@
                 place.version.unwrap_or_default(),
             )
         };
-        let permit = match self.gate.controllers.admit(&place.upstream, question).await {
+        let permit = match self
+            .frontend
+            .controllers
+            .admit(&place.upstream, question)
+            .await
+        {
             admit::Answer::Admitted(permit, _) => Some(permit),
             _ => None,
         };
@@ -95,7 +100,7 @@
     fn watch(&self, target: &Target) -> Option<Watch> {
         let adapter = self.message.call.adapter()?;
         Some(Watch::new(
-            Arc::clone(&self.gate),
+            Arc::clone(&self.frontend),
             Arc::clone(&target.upstream),
             Name::clone(adapter),
             target.version.unwrap_or_default(),
@@ -106,7 +111,9 @@
     /// Lets the owner hear of a request that it doesn't count, by the next exchange.
     fn note_uncounted(&self, target: &Target, permit: Option<&Permit>) {
         if let (Some(adapter), None) = (self.message.call.adapter(), permit) {
-            self.gate.controllers.note_use(&target.upstream, adapter);
+            self.frontend
+                .controllers
+                .note_use(&target.upstream, adapter);
         }
     }
 
--- a/lib/src/direct/request/suspicion.rs
+++ b/lib/src/direct/request/suspicion.rs
@@ -18,7 +18,7 @@
     ///
     /// When upstreams ended under it; nothing more of it is sent.
     pub(in crate::direct) fn check(&self) -> Result<(), Failure> {
-        let quarantine = &self.gate.quarantine;
+        let quarantine = &self.frontend.quarantine;
         if quarantine.is_empty() {
             return Ok(());
         }
@@ -36,10 +36,10 @@
     /// Waits until the request may no longer stay where it was sent.
     pub(super) async fn quarantined(&self) -> Failure {
         loop {
-            let changed = self.gate.view.changed.notified();
+            let changed = self.frontend.view.changed.notified();
             let mut changed = std::pin::pin!(changed);
             changed.as_mut().enable();
-            let quarantine = &self.gate.quarantine;
+            let quarantine = &self.frontend.quarantine;
             if !quarantine.is_empty()
                 && let Err(failure) = quarantine.check(self.message.fingerprint())
             {
@@ -59,11 +59,13 @@
             sign = sign.name();
             "request: broke"
         );
-        self.gate.quarantine.broke(upstream, fingerprint, sign);
+        self.frontend.quarantine.broke(upstream, fingerprint, sign);
     }
 
     /// Takes in that an upstream ran the request without harm.
     pub(in crate::direct) fn survived(&self) {
-        self.gate.quarantine.survived(self.message.fingerprint());
+        self.frontend
+            .quarantine
+            .survived(self.message.fingerprint());
     }
 }
--- a/lib/src/direct/resume.rs
+++ b/lib/src/direct/resume.rs
@@ -72,7 +72,7 @@
                 step
             }
             Found::Elsewhere(Ok(answer), _) if answer.head.status.is_success() => {
-                self.request.gate.count_retry("resumed");
+                self.request.frontend.count_retry("resumed");
                 record::resumed(&self.request, self.events.last(), &told);
                 drop(former);
                 // What was asked of the former engine is of no use any more.
@@ -214,7 +214,7 @@
         if !self.request.may_go_on() {
             return Err(Cut(told.to_owned()));
         }
-        self.request.gate.count_retry("resumed");
+        self.request.frontend.count_retry("resumed");
         record::resumed(&self.request, self.events.last(), told);
         let answer = self
             .request
@@ -252,7 +252,7 @@
                 Err(miss) => {
                     record::moved(&self.request, &place.upstream, last, miss.name());
                     if matches!(miss, Miss::Rejected { .. }) {
-                        self.request.gate.spend_repeat(&self.request.pool);
+                        self.request.frontend.spend_repeat(&self.request.pool);
                     }
                     // It may run there: nobody else may go on with the memory.
                     if miss.may_run() {
--- a/lib/src/direct/target.rs
+++ b/lib/src/direct/target.rs
@@ -65,14 +65,14 @@
     /// Finds where to send, waiting a little if nothing fits.
     pub(super) async fn target(&self) -> Result<Target, Failure> {
         let patience = self.began + Millis(self.route.objective.0 / REFUSE_AFTER);
-        let quarantine = &self.gate.quarantine;
+        let quarantine = &self.frontend.quarantine;
         if !quarantine.is_empty() {
             quarantine.examined(self.message.fingerprint()).await;
         }
         loop {
             self.check()?;
-            let upstreams = self.gate.view.pool(&self.pool);
-            let roles = self.gate.roles(&self.pool);
+            let upstreams = self.frontend.view.pool(&self.pool);
+            let roles = self.frontend.roles(&self.pool);
             let field = self.field(&upstreams, &roles);
             let found = match &self.message.call.model {
                 None => field.least(|_| true).map(anywhere),
@@ -100,11 +100,11 @@
     /// event of this stream can move it.
     pub(super) fn writer(&self, answer: &Answer, ask: bool) -> Option<Target> {
         let source = &answer.upstream;
-        let roles = self.gate.roles(&self.pool);
+        let roles = self.frontend.roles(&self.pool);
         if !roles.reads(source.address) {
             return None;
         }
-        let upstreams = self.gate.view.pool(&self.pool);
+        let upstreams = self.frontend.view.pool(&self.pool);
         let field = self.field(&upstreams, &roles);
         let takes = |upstream: &Upstream| {
             !field.reads(upstream)
@@ -117,7 +117,11 @@
                 .least(|upstream| takes(upstream) && upstream.has_base(model))
                 .map(anywhere);
         };
-        let newest = self.gate.view.newest(adapter).map(|newest| newest.version);
+        let newest = self
+            .frontend
+            .view
+            .newest(adapter)
+            .map(|newest| newest.version);
         let fits = |upstream: &Upstream| {
             let held = upstream.version(adapter);
             held.is_some_and(|held| may_move(answer.version, held, newest))
@@ -126,7 +130,7 @@
         if found.is_none() && ask {
             let mut homes = self.homes(&field, adapter);
             homes.retain(|upstream| !field.reads(upstream));
-            self.gate
+            self.frontend
                 .load_soon(homes, adapter, newest.unwrap_or_default());
         }
         found.map(|upstream| Self::at(upstream, adapter))
@@ -144,7 +148,7 @@
         Field {
             upstreams,
             tried: &self.tried,
-            home: &self.gate.failure_domain,
+            home: &self.frontend.failure_domain,
             now: self.now(),
             salt: salt(&self.message.call),
             pause: self.route.pause,
@@ -165,7 +169,7 @@
     ///
     /// A refusal when the request would begin too late wherever it is sent.
     async fn holder(&self, field: &Field<'_>, adapter: &Name) -> Result<Option<Target>, Failure> {
-        let newest = self.gate.view.newest(adapter);
+        let newest = self.frontend.view.newest(adapter);
         let wanted = newest.map_or(0, |newest| newest.version);
         let waiting = match self.ask_holders(field, adapter, wanted).await {
             Asked::Place(target) => return Ok(Some(target)),
@@ -179,7 +183,7 @@
             Asked::Load(waiting) => waiting,
         };
         if let Some(target) = self.older(field, adapter, wanted).await {
-            self.gate
+            self.frontend
                 .load_soon(self.homes(field, adapter), adapter, wanted);
             return Ok(Some(target));
         }
@@ -237,7 +241,7 @@
                     .min(self.time_to_begin(&upstream, adapter)),
                 ..self.question(Some(adapter), 0)
             };
-            match self.gate.controllers.admit(&upstream, question).await {
+            match self.frontend.controllers.admit(&upstream, question).await {
                 admit::Answer::Admitted(permit, _) => {
                     return Some(Self::admitted(upstream, adapter, Some(permit)));
                 }
@@ -256,7 +260,7 @@
         let Some(version) = upstream.version(adapter) else {
             return Millis::ZERO;
         };
-        match self.gate.begin_by(adapter, version) {
+        match self.frontend.begin_by(adapter, version) {
             Some(begin_by) => begin_by.since(self.now() + REPLACEMENT + WITHDRAWAL),
             None => Millis::MAX,
         }
@@ -276,12 +280,12 @@
             }
             let left = self.until.since(self.now());
             let asking = Asking::new(self, &upstream, adapter);
-            let load = self.gate.controllers.load(&upstream, adapter, wanted);
+            let load = self.frontend.controllers.load(&upstream, adapter, wanted);
             let Ok(loaded) = tokio::time::timeout(left.duration(), load).await else {
                 break;
             };
             let took = asking.answered(loaded);
-            self.gate
+            self.frontend
                 .metrics
                 .load_wait
                 .with_label_values(&[CLASS])
@@ -303,7 +307,7 @@
     /// service is away there are many of them; asked one after the other, they used up the
     /// questions of a request that an engine further down could have served.
     fn can_load(&self, upstream: &Upstream, adapter: &Name) -> bool {
-        upstream.has_base(adapter) && self.gate.controllers.is_ordered(upstream)
+        upstream.has_base(adapter) && self.frontend.controllers.is_ordered(upstream)
     }
 
     /// Engines that could load the adapter, those with no older version of it first.
@@ -352,7 +356,7 @@
         if chosen < homes.len() {
             homes.swap(0, chosen);
         }
-        self.gate.load_soon(homes, adapter, wanted);
+        self.frontend.load_soon(homes, adapter, wanted);
     }
 
     /// Has a reader hold an adapter whose prompts are read at a writer, sooner the more there are.
@@ -364,7 +368,7 @@
         let homes = field.homes(adapter, |upstream| {
             field.reads(upstream) && self.can_load(upstream, adapter)
         });
-        self.gate.load_soon(homes, adapter, wanted);
+        self.frontend.load_soon(homes, adapter, wanted);
     }
 
     pub(super) fn at(upstream: Arc<Upstream>, adapter: &Name) -> Target {
--- a/lib/src/direct/versions.rs
+++ b/lib/src/direct/versions.rs
@@ -14,7 +14,7 @@
 
 use smallvec::SmallVec;
 
-use super::entry::Gate;
+use super::entry::Frontend;
 use super::orders::Loaded;
 use super::upstream::Upstream;
 use crate::clock::Millis;
@@ -104,7 +104,7 @@
 /// A version that was the newest when the request was sent can be replaced while it waits.
 #[derive(Debug, Clone)]
 pub struct Watch {
-    gate: Arc<Gate>,
+    frontend: Arc<Frontend>,
     upstream: Arc<Upstream>,
     adapter: Name,
     /// The version that its engine is believed to hold; 0 is whatever was the newest at its load.
@@ -120,14 +120,14 @@
     /// that began long before. There only the engine can tell, by rejecting what hasn't begun.
     #[must_use]
     pub fn new(
-        gate: Arc<Gate>,
+        frontend: Arc<Frontend>,
         upstream: Arc<Upstream>,
         adapter: Name,
         version: u64,
         shows_beginning: bool,
     ) -> Self {
         Self {
-            gate,
+            frontend,
             upstream,
             adapter,
             version,
@@ -144,7 +144,9 @@
     /// Whether a newer version than the request was sent for has been declared.
     #[must_use]
     pub fn is_replaced(&self) -> bool {
-        self.gate.begin_by(&self.adapter, self.version).is_some()
+        self.frontend
+            .begin_by(&self.adapter, self.version)
+            .is_some()
     }
 
     /// Waits until the request has to be withdrawn.
@@ -165,13 +167,13 @@
 
     /// Returns the time until `lead` before the last moment to begin, if there is one.
     fn left(&self, lead: Millis) -> Option<Millis> {
-        let begin_by = self.gate.begin_by(&self.adapter, self.version)?;
-        Some(begin_by.since(self.gate.clock.now() + lead))
+        let begin_by = self.frontend.begin_by(&self.adapter, self.version)?;
+        Some(begin_by.since(self.frontend.clock.now() + lead))
     }
 
     async fn until(&self, lead: Millis) {
         loop {
-            let changed = self.gate.view.changed.notified();
+            let changed = self.frontend.view.changed.notified();
             let mut changed = std::pin::pin!(changed);
             changed.as_mut().enable();
             match self.left(lead) {
@@ -197,14 +199,14 @@
 
     /// Asks once, unless another request of this queue does; true if the newest one is there.
     async fn has_replaced(&self) -> bool {
-        let Some(newest) = self.gate.view.newest(&self.adapter) else {
+        let Some(newest) = self.frontend.view.newest(&self.adapter) else {
             return true;
         };
-        let replacements = &self.gate.replacements;
+        let replacements = &self.frontend.replacements;
         let Some(_asking) = replacements.begin(&self.upstream, &self.adapter) else {
             return false;
         };
-        let controllers = &self.gate.controllers;
+        let controllers = &self.frontend.controllers;
         let load = controllers.load(&self.upstream, &self.adapter, newest.version);
         let loaded = load.await;
         log::info!(
--- a/lib/tests/test_direct_versions.rs
+++ b/lib/tests/test_direct_versions.rs
@@ -9,7 +9,7 @@
 use chivevalve::direct::attempt::{Message, Miss};
 use chivevalve::direct::call::{Call, Kind};
 use chivevalve::direct::dialect::{Dialect, Dispatch, Listed};
-use chivevalve::direct::entry::Gate;
+use chivevalve::direct::entry::Frontend;
 use chivevalve::direct::limits::{Current, Limits};
 use chivevalve::direct::right::Right;
 use chivevalve::direct::upstream::Upstream;
@@ -108,7 +108,7 @@
 }
 
 /// A send on version 1 that is watched, with the clock that it goes by and the bounds in force.
-fn watched() -> (Watch, Arc<Manual>, Arc<Gate>) {
+fn watched() -> (Watch, Arc<Manual>, Arc<Frontend>) {
     let manual = Arc::new(Manual::default());
     let clock: Arc<dyn Clock> = Arc::<Manual>::clone(&manual);
     let view = Arc::new(View::default());
@@ -130,7 +130,7 @@
         "node-1".into(),
         metrics,
     ));
-    let gate = Arc::new(Gate::new(
+    let frontend = Arc::new(Frontend::new(
         view,
         controllers,
         dialect,
@@ -146,18 +146,18 @@
         Millis::ZERO,
     );
     let adapter = "base/a1".into();
-    let watch = Watch::new(Arc::clone(&gate), Arc::new(engine), adapter, 1, true);
-    (watch, manual, gate)
+    let watch = Watch::new(Arc::clone(&frontend), Arc::new(engine), adapter, 1, true);
+    (watch, manual, frontend)
 }
 
-fn declare(gate: &Gate, version: u64, since: Millis) {
+fn declare(frontend: &Frontend, version: u64, since: Millis) {
     let since = Some(since);
     let declaration = Declaration { version, since };
-    let mut state = gate.view.state();
+    let mut state = frontend.view.state();
     let declarations = state.versions.entry("base/a1".into()).or_default();
     declarations.declare(declaration, LIMIT);
     drop(state);
-    gate.view.changed.notify_waiters();
+    frontend.view.changed.notify_waiters();
 }
 
 /// Lets as much time pass by the timers, which stand while the VM is suspended, and by the clock.
@@ -171,8 +171,8 @@
 /// A send is withdrawn at the limit also where the VM was suspended for part of the time before.
 #[tokio::test(start_paused = true)]
 async fn expired_after_a_suspension() {
-    let (watch, manual, gate) = watched();
-    declare(&gate, 2, Millis(1));
+    let (watch, manual, frontend) = watched();
+    declare(&frontend, 2, Millis(1));
     let expired = tokio::spawn(async move { watch.expired().await });
     pass(&manual, Millis(1_000)).await;
     manual.advance(Millis(3_000));
@@ -183,11 +183,11 @@
 /// A send is withdrawn by the limit in force, also one that a reload made shorter meanwhile.
 #[tokio::test(start_paused = true)]
 async fn expired_by_a_limit_made_shorter() {
-    let (watch, manual, gate) = watched();
-    declare(&gate, 2, Millis(1));
+    let (watch, manual, frontend) = watched();
+    declare(&frontend, 2, Millis(1));
     let expired = tokio::spawn(async move { watch.expired().await });
     pass(&manual, Millis(1_000)).await;
-    gate.limits.set(Limits {
+    frontend.limits.set(Limits {
         version: Millis(3_000),
         ..Limits::default()
     });
@@ -198,8 +198,8 @@
 /// A request that may no longer begin on a version isn't sent, and so is known not to have run.
 #[tokio::test]
 async fn send_past_the_limit() {
-    let (watch, manual, gate) = watched();
-    declare(&gate, 2, Millis(1));
+    let (watch, manual, frontend) = watched();
+    declare(&frontend, 2, Millis(1));
     manual.advance(LIMIT + LIMIT);
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let engine = Listed {
