--- a/lib/src/direct/attempt.rs
+++ b/lib/src/direct/attempt.rs
@@ -8,7 +8,7 @@
 use hyper::body::Incoming;
 
 use super::admit::Permit;
-use super::call::{Call, Kind};
+use super::call::{Kind, RequestMetadata};
 use super::dialect::{Dialect, Dispatch, Reply};
 use super::upstream::{Running, Upstream};
 use super::versions::{self, Watch};
@@ -47,7 +47,7 @@
     /// The whole body.
     pub body: Bytes,
     /// What the request says about itself.
-    pub call: Call,
+    pub call: RequestMetadata,
     /// What may be repeated.
     pub kind: Kind,
     /// What identifies it over its attempts, once that was needed.
--- a/lib/src/direct/call.rs
+++ b/lib/src/direct/call.rs
@@ -44,7 +44,7 @@
 
 /// What a caller's request says about itself.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
-pub struct Call {
+pub struct RequestMetadata {
     /// Identity of this attempt of the caller; an upstream's answer repeats it.
     pub id: Option<Name>,
     /// The key that the caller sent, where callers have keys.
@@ -61,7 +61,7 @@
     pub resume_after: Option<u64>,
 }
 
-impl Call {
+impl RequestMetadata {
     /// Returns the base model and adapter, when an adapter is asked for.
     #[must_use]
     pub fn adapter(&self) -> Option<&Name> {
--- a/lib/src/direct/dialect.rs
+++ b/lib/src/direct/dialect.rs
@@ -10,7 +10,7 @@
 use http_body_util::Full;
 use thiserror::Error;
 
-use super::call::Call;
+use super::call::RequestMetadata;
 use super::config::Config;
 use crate::clock::Millis;
 use crate::name::Name;
@@ -229,7 +229,7 @@
 /// Translates between the platform's formats and ours.
 pub trait Dialect: fmt::Debug + Send + Sync {
     /// Reads what a caller's request says about itself.
-    fn call(&self, head: &request::Parts) -> Call;
+    fn call(&self, head: &request::Parts) -> RequestMetadata;
 
     /// Changes a caller's headers to those that an upstream gets.
     ///
--- a/lib/src/direct/target.rs
+++ b/lib/src/direct/target.rs
@@ -7,7 +7,7 @@
 
 use super::admit::{self, Permit, Question};
 use super::attempt::Answer;
-use super::call::Call;
+use super::call::RequestMetadata;
 use super::choice::{self, MOST_QUESTIONS};
 use super::entry::{CLASS, seconds};
 use super::orders::Loaded;
@@ -392,7 +392,7 @@
 }
 
 /// The last part of the prompt that others share, or the request itself.
-fn salt(call: &Call) -> u64 {
+fn salt(call: &RequestMetadata) -> u64 {
     let shared = call.parts.len().checked_sub(2);
     match (shared.and_then(|at| call.parts.get(at)), &call.id) {
         (Some(part), _) => part.id,
--- a/lib/tests/test_direct_versions.rs
+++ b/lib/tests/test_direct_versions.rs
@@ -7,7 +7,7 @@
 use chivevalve::clock::{Clock, Manual, Millis};
 use chivevalve::direct::ask::Controllers;
 use chivevalve::direct::attempt::{Message, Miss};
-use chivevalve::direct::call::{Call, Kind};
+use chivevalve::direct::call::{Kind, RequestMetadata};
 use chivevalve::direct::dialect::{Dialect, Dispatch, Listed};
 use chivevalve::direct::entry::Frontend;
 use chivevalve::direct::limits::{Current, Limits};
@@ -212,7 +212,7 @@
         uri: Uri::from_static("/digest/x"),
         headers: HeaderMap::new(),
         body: "the request".into(),
-        call: Call::default(),
+        call: RequestMetadata::default(),
         kind: Kind::Stream { resumable: false },
         fingerprint: std::sync::OnceLock::new(),
     };
