--- a/lib/src/direct/attempt.rs
+++ b/lib/src/direct/attempt.rs
@@ -8,7 +8,7 @@
 use hyper::body::Incoming;
 
 use super::admit::Permit;
-use super::call::{Kind, RequestMetadata};
+use super::call::{RequestKind, RequestMetadata};
 use super::dialect::{Dialect, Dispatch, Reply};
 use super::upstream::{Running, Upstream};
 use super::versions::{self, Watch};
@@ -49,7 +49,7 @@
     /// What the request says about itself.
     pub call: RequestMetadata,
     /// What may be repeated.
-    pub kind: Kind,
+    pub kind: RequestKind,
     /// What identifies it over its attempts, once that was needed.
     pub fingerprint: OnceLock<Fingerprint>,
 }
@@ -147,7 +147,7 @@
         watch: Option<Watch>,
     ) -> Result<Answer, Miss> {
         let running = upstream.enter(self.call.adapter(), permit);
-        let freshness = if self.kind.repeatable() {
+        let freshness = if self.kind.is_retryable() {
             USABLE
         } else {
             FRESH
--- a/lib/src/direct/call.rs
+++ b/lib/src/direct/call.rs
@@ -7,11 +7,11 @@
 
 /// What may be repeated, and how the answer comes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Kind {
+pub enum RequestKind {
     /// May run any number of times; one whole answer.
     Idempotent,
     /// Runs at most once; one whole answer.
-    Once,
+    AtMostOnce,
     /// A stream of numbered events.
     Stream {
         /// Whether another upstream may continue after the last event that was passed on.
@@ -19,23 +19,23 @@
     },
 }
 
-impl Kind {
+impl RequestKind {
     /// Whether a request that may have run can be sent again.
     #[must_use]
-    pub fn repeatable(self) -> bool {
+    pub fn is_retryable(self) -> bool {
         matches!(self, Self::Idempotent | Self::Stream { resumable: true })
     }
 
     /// Whether the answer is a stream of events.
     #[must_use]
-    pub fn streamed(self) -> bool {
+    pub fn is_streaming(self) -> bool {
         matches!(self, Self::Stream { .. })
     }
 }
 
 /// A part of a prompt that other requests may share.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Part {
+pub struct PromptSegment {
     /// The same for all requests that begin with the same text up to here.
     pub id: u64,
     /// Length in tokens.
@@ -56,7 +56,7 @@
     /// Tokens of the prompt and most tokens of the answer.
     pub tokens: Option<(u32, u32)>,
     /// The prompt's parts in order; the last is the request's or its session's own.
-    pub parts: SmallVec<[Part; 4]>,
+    pub prompt_segments: SmallVec<[PromptSegment; 4]>,
     /// Number of the last event that the caller has.
     pub resume_after: Option<u64>,
 }
@@ -71,6 +71,6 @@
 
 /// Returns the base model of `BASE` or `BASE/ADAPTER`.
 #[must_use]
-pub fn base_of(model: &str) -> &str {
+pub fn base_model_of(model: &str) -> &str {
     model.split_once('/').map_or(model, |(base, _)| base)
 }
--- a/lib/src/direct/config.rs
+++ b/lib/src/direct/config.rs
@@ -6,7 +6,7 @@
 
 use smallvec::SmallVec;
 
-use super::call::Kind;
+use super::call::RequestKind;
 use crate::clock::Millis;
 use crate::name::Name;
 
@@ -34,7 +34,7 @@
     /// Path prefix with a slash at both ends.
     pub prefix: Name,
     /// What may be repeated.
-    pub kind: Kind,
+    pub kind: RequestKind,
     /// The longest that a caller is kept waiting.
     pub timeout: Option<Millis>,
     /// The time within which an answer is worth most.
--- a/lib/src/direct/entry/answer.rs
+++ b/lib/src/direct/entry/answer.rs
@@ -156,7 +156,7 @@
     /// Has a request answered, as far as that goes before its caller gets a byte.
     async fn begin(&self, request: &mut ActiveRequest) -> Result<Begun, Failure> {
         let answer = request.answer(None).await?;
-        if request.message.kind.streamed() && answer.head.status.is_success() {
+        if request.message.kind.is_streaming() && answer.head.status.is_success() {
             return Ok(Begun::Stream(Box::new(answer)));
         }
         self.whole(request, answer).await.map(Begun::Whole)
--- a/lib/src/direct/request/mod.rs
+++ b/lib/src/direct/request/mod.rs
@@ -250,7 +250,7 @@
     /// How long to wait for an answer's head before another upstream is looked for.
     fn patience(&self) -> Millis {
         let left = self.until.since(self.now());
-        if !self.message.kind.repeatable() || self.sent >= self.route.attempts {
+        if !self.message.kind.is_retryable() || self.sent >= self.route.attempts {
             return left;
         }
         let span = left.min(Millis(self.route.objective.0 * PATIENCE));
--- a/lib/src/direct/request/outcome.rs
+++ b/lib/src/direct/request/outcome.rs
@@ -168,7 +168,7 @@
     /// Whether a broken answer may be continued, or a failed one repeated, elsewhere.
     #[must_use]
     pub fn may_go_on(&self) -> bool {
-        self.message.kind.repeatable()
+        self.message.kind.is_retryable()
             && self.sent < self.route.attempts
             && self.now() + LOOK < self.until
     }
--- a/lib/src/direct/request/send.rs
+++ b/lib/src/direct/request/send.rs
@@ -104,7 +104,7 @@
             Arc::clone(&target.upstream),
             Name::clone(adapter),
             target.version.unwrap_or_default(),
-            self.message.kind.streamed(),
+            self.message.kind.is_streaming(),
         ))
     }
 
@@ -121,7 +121,11 @@
         Dispatch {
             incarnation: Name::clone(&target.upstream.incarnation),
             deadline: self.until.since(self.now()),
-            urgency: self.message.kind.streamed().then_some(self.route.urgency),
+            urgency: self
+                .message
+                .kind
+                .is_streaming()
+                .then_some(self.route.urgency),
             version: target.version,
             resume_after: None,
             memory: None,
--- a/lib/src/direct/target.rs
+++ b/lib/src/direct/target.rs
@@ -222,7 +222,7 @@
     /// that doesn't show when it begins waits for the newest. Where the newest one's engines have
     /// queues, a free place begins a request sooner than they or a further load would.
     async fn older(&self, field: &Field<'_>, adapter: &Name, newest: u64) -> Option<Target> {
-        if !self.message.kind.streamed() {
+        if !self.message.kind.is_streaming() {
             return None;
         }
         let mut asked: SmallVec<[Name; MOST_QUESTIONS]> = SmallVec::new();
@@ -393,8 +393,8 @@
 
 /// The last part of the prompt that others share, or the request itself.
 fn salt(call: &RequestMetadata) -> u64 {
-    let shared = call.parts.len().checked_sub(2);
-    match (shared.and_then(|at| call.parts.get(at)), &call.id) {
+    let shared = call.prompt_segments.len().checked_sub(2);
+    match (shared.and_then(|at| call.prompt_segments.get(at)), &call.id) {
         (Some(part), _) => part.id,
         (None, Some(id)) => xxh3_64(id.as_bytes()),
         (None, None) => 0,
--- a/lib/src/direct/upstream.rs
+++ b/lib/src/direct/upstream.rs
@@ -6,7 +6,7 @@
 use std::sync::{Arc, Mutex, PoisonError};
 
 use super::admit::Permit;
-use super::call::base_of;
+use super::call::base_model_of;
 use super::dialect::{Held, Listed};
 use super::presence::{Presence, Stage, Written};
 use crate::clock::Millis;
@@ -256,7 +256,7 @@
     /// Whether the upstream holds the base model of `model`.
     #[must_use]
     pub fn has_base(&self, model: &str) -> bool {
-        let base = base_of(model);
+        let base = base_model_of(model);
         self.holdings().models.iter().any(|held| &**held == base)
     }
 
--- a/lib/tests/test_direct_versions.rs
+++ b/lib/tests/test_direct_versions.rs
@@ -7,7 +7,7 @@
 use chivevalve::clock::{Clock, Manual, Millis};
 use chivevalve::direct::ask::Controllers;
 use chivevalve::direct::attempt::{Message, Miss};
-use chivevalve::direct::call::{Kind, RequestMetadata};
+use chivevalve::direct::call::{RequestKind, RequestMetadata};
 use chivevalve::direct::dialect::{Dialect, Dispatch, Listed};
 use chivevalve::direct::entry::Frontend;
 use chivevalve::direct::limits::{Current, Limits};
@@ -213,7 +213,7 @@
         headers: HeaderMap::new(),
         body: "the request".into(),
         call: RequestMetadata::default(),
-        kind: Kind::Stream { resumable: false },
+        kind: RequestKind::Stream { resumable: false },
         fingerprint: std::sync::OnceLock::new(),
     };
     let dispatch = Dispatch {
