--- a/lib/src/direct/attempt.rs
+++ b/lib/src/direct/attempt.rs
@@ -8,8 +8,8 @@
 use hyper::body::Incoming;
 
 use super::admit::Permit;
-use super::call::{RequestKind, RequestMetadata};
 use super::dialect::{Dialect, Dispatch, Reply};
+use super::metadata::{RequestKind, RequestMetadata};
 use super::upstream::{Running, Upstream};
 use super::versions::{self, Watch};
 use crate::clock::Millis;
@@ -47,7 +47,7 @@
     /// The whole body.
     pub body: Bytes,
     /// What the request says about itself.
-    pub call: RequestMetadata,
+    pub metadata: RequestMetadata,
     /// What may be repeated.
     pub kind: RequestKind,
     /// What identifies it over its attempts, once that was needed.
@@ -120,11 +120,11 @@
     /// Returns what identifies the request over its attempts.
     pub fn fingerprint(&self) -> &Fingerprint {
         self.fingerprint.get_or_init(|| {
-            let call = &self.call;
+            let metadata = &self.metadata;
             let host = self.headers.get(header::HOST);
             Fingerprint::of(&Identity {
-                caller: call.caller.as_deref().unwrap_or_default(),
-                model: call.model.as_deref().unwrap_or_default(),
+                caller: metadata.caller.as_deref().unwrap_or_default(),
+                model: metadata.model.as_deref().unwrap_or_default(),
                 method: self.method.as_str(),
                 host: host.and_then(|host| host.to_str().ok()).unwrap_or_default(),
                 path: self.uri.path_and_query().map_or("", |path| path.as_str()),
@@ -146,7 +146,7 @@
         permit: Option<Permit>,
         watch: Option<Watch>,
     ) -> Result<Answer, Miss> {
-        let running = upstream.enter(self.call.adapter(), permit);
+        let running = upstream.enter(self.metadata.adapter(), permit);
         let freshness = if self.kind.is_retryable() {
             USABLE
         } else {
@@ -176,7 +176,7 @@
         };
         let (head, body) = response.into_parts();
         let reply = dialect.reply(&head);
-        if reply.id != self.call.id {
+        if reply.id != self.metadata.id {
             // Another request's answer came late over this connection. Whether
             // the upstream runs ours, nobody can tell.
             return Err(Miss::Lost(
--- a/lib/src/direct/config.rs
+++ b/lib/src/direct/config.rs
@@ -6,7 +6,7 @@
 
 use smallvec::SmallVec;
 
-use super::call::RequestKind;
+use super::metadata::RequestKind;
 use crate::clock::Millis;
 use crate::name::Name;
 
--- a/lib/src/direct/dialect.rs
+++ b/lib/src/direct/dialect.rs
@@ -10,8 +10,8 @@
 use http_body_util::Full;
 use thiserror::Error;
 
-use super::call::RequestMetadata;
 use super::config::Config;
+use super::metadata::RequestMetadata;
 use crate::clock::Millis;
 use crate::name::Name;
 
--- a/lib/src/direct/entry/answer.rs
+++ b/lib/src/direct/entry/answer.rs
@@ -87,16 +87,16 @@
             self.count_end(failure.code.number());
             failure
         })?;
-        let call = self.dialect.call(&head);
+        let metadata = self.dialect.call(&head);
         let (route, body) = match accept(&config, &head, body).await {
             Ok(accepted) => accepted,
             Err(failure) => {
-                record::turned_away(call.id.as_deref().unwrap_or_default(), &failure);
+                record::turned_away(metadata.id.as_deref().unwrap_or_default(), &failure);
                 self.count_end(failure.code.number());
                 return Err(failure);
             }
         };
-        let wait = call.deadline.unwrap_or(USUAL_WAIT);
+        let wait = metadata.deadline.unwrap_or(USUAL_WAIT);
         let until = began + wait.min(route.timeout.unwrap_or(Millis::MAX));
         let pool = choose(route).ok_or_else(|| {
             Failure::new(Code::NoUpstream, "the route leads nowhere").retry_after(Millis(1_000))
@@ -114,7 +114,7 @@
             uri: head.uri,
             headers,
             body,
-            call,
+            metadata,
             kind: route.kind,
             fingerprint: OnceLock::new(),
         };
--- a/lib/src/direct/place.rs
+++ b/lib/src/direct/place.rs
@@ -35,7 +35,7 @@
             version,
             limit: 0,
             loaded: false,
-            tokens: self.message.call.tokens.map_or(0, |(prompt, _)| prompt),
+            tokens: self.message.metadata.tokens.map_or(0, |(prompt, _)| prompt),
             patience: choice::calm_wait(self.route.objective),
         }
     }
@@ -169,10 +169,10 @@
 
     /// Whether another engine that holds what the request needs is believed to have free places.
     pub(super) fn has_free_holder(&self, but: &Upstream) -> bool {
-        let Some(model) = &self.message.call.model else {
+        let Some(model) = &self.message.metadata.model else {
             return false;
         };
-        let adapter = self.message.call.adapter();
+        let adapter = self.message.metadata.adapter();
         let now = self.now();
         let pool = self.frontend.view.pool(&self.pool);
         pool.iter().any(|upstream| {
--- a/lib/src/direct/record.rs
+++ b/lib/src/direct/record.rs
@@ -52,7 +52,7 @@
 /// chosen knowingly; the age of the list and whether the upstream is missing from it, whether one
 /// that had left was.
 pub fn sent(request: &ActiveRequest, upstream: &Upstream, version: Option<u64>, left: Millis) {
-    let adapter = request.message.call.adapter();
+    let adapter = request.message.metadata.adapter();
     let newest = adapter.and_then(|adapter| request.frontend.view.newest(adapter));
     if upstream.is_missing() {
         request.frontend.metrics.doubted_sends.inc();
@@ -69,7 +69,7 @@
         }),
         load = upstream.load(),
         reader = request.frontend.roles(&request.pool).reads(upstream.address),
-        tokens = request.message.call.tokens.map_or(0, |(prompt, _)| prompt),
+        tokens = request.message.metadata.tokens.map_or(0, |(prompt, _)| prompt),
         load_age_ms = request.now().since(upstream.heard_at()).0,
         list_age_ms = request.now().since(request.frontend.view.as_of()).0,
         stage = upstream.stage().name(),
--- a/lib/src/direct/relay.rs
+++ b/lib/src/direct/relay.rs
@@ -79,7 +79,7 @@
     request: ActiveRequest,
     answer: Answer,
 ) -> impl Stream<Item = Result<Frame<Bytes>, Cut>> + Send {
-    let events = Sequence::new(request.message.call.resume_after);
+    let events = Sequence::new(request.message.metadata.resume_after);
     let relay = Relay {
         request,
         answer: Some(answer),
@@ -351,7 +351,7 @@
         }
         let pause = self.request.route.pause.unwrap_or(USUAL_PAUSE);
         let stall = Millis(pause.0 * STALL_PAUSES);
-        let first = if self.events.last() == self.request.message.call.resume_after {
+        let first = if self.events.last() == self.request.message.metadata.resume_after {
             self.request.route.objective
         } else {
             Millis::ZERO
--- a/lib/src/direct/request/mod.rs
+++ b/lib/src/direct/request/mod.rs
@@ -224,7 +224,7 @@
     /// Returns the request's id, for logs.
     #[must_use]
     pub fn id(&self) -> &str {
-        self.message.call.id.as_deref().unwrap_or_default()
+        self.message.metadata.id.as_deref().unwrap_or_default()
     }
 
     /// Returns how many sends may have run.
--- a/lib/src/direct/request/outcome.rs
+++ b/lib/src/direct/request/outcome.rs
@@ -99,7 +99,7 @@
         self.sent -= 1;
         self.rejected += 1;
         self.frontend.count_retry("rejected");
-        if let Some(adapter) = self.message.call.adapter()
+        if let Some(adapter) = self.message.metadata.adapter()
             && status == 421
         {
             upstream.lost(adapter);
--- a/lib/src/direct/request/repeat.rs
+++ b/lib/src/direct/request/repeat.rs
@@ -10,7 +10,7 @@
     /// An engine that lives has the request in its queue, and begins it sooner than another one
     /// at which it would be the last again: it is sent only where a free place is believed.
     pub(in crate::direct) fn reserve_elsewhere(&mut self, waits_at: &Upstream) -> bool {
-        let is_plain = self.message.call.model.is_none();
+        let is_plain = self.message.metadata.model.is_none();
         (is_plain || self.has_free_holder(waits_at)) && self.reserve_repeat()
     }
 
--- a/lib/src/direct/request/send.rs
+++ b/lib/src/direct/request/send.rs
@@ -16,7 +16,7 @@
 impl ActiveRequest {
     pub(super) fn send(&mut self, sends: &mut Sends, target: Target, resume_after: Option<u64>) {
         let dispatch = Dispatch {
-            resume_after: resume_after.or(self.message.call.resume_after),
+            resume_after: resume_after.or(self.message.metadata.resume_after),
             ..self.dispatch(&target)
         };
         self.repeat_reserved = false;
@@ -79,7 +79,7 @@
             // Its prompt isn't read again.
             tokens: 0,
             ..self.question(
-                self.message.call.adapter(),
+                self.message.metadata.adapter(),
                 place.version.unwrap_or_default(),
             )
         };
@@ -98,7 +98,7 @@
 
     /// Watches until when the request may begin at a target.
     fn watch(&self, target: &Target) -> Option<Watch> {
-        let adapter = self.message.call.adapter()?;
+        let adapter = self.message.metadata.adapter()?;
         Some(Watch::new(
             Arc::clone(&self.frontend),
             Arc::clone(&target.upstream),
@@ -110,7 +110,7 @@
 
     /// Lets the owner hear of a request that it doesn't count, by the next exchange.
     fn note_uncounted(&self, target: &Target, permit: Option<&Permit>) {
-        if let (Some(adapter), None) = (self.message.call.adapter(), permit) {
+        if let (Some(adapter), None) = (self.message.metadata.adapter(), permit) {
             self.frontend
                 .controllers
                 .note_use(&target.upstream, adapter);
--- a/lib/src/direct/target.rs
+++ b/lib/src/direct/target.rs
@@ -7,9 +7,9 @@
 
 use super::admit::{self, Permit, Question};
 use super::attempt::Answer;
-use super::call::RequestMetadata;
 use super::choice::{self, MOST_QUESTIONS};
 use super::entry::{CLASS, seconds};
+use super::metadata::RequestMetadata;
 use super::orders::Loaded;
 use super::pick::{Field, usual_share};
 use super::place::Asked;
@@ -74,9 +74,9 @@
             let upstreams = self.frontend.view.pool(&self.pool);
             let roles = self.frontend.roles(&self.pool);
             let field = self.field(&upstreams, &roles);
-            let found = match &self.message.call.model {
+            let found = match &self.message.metadata.model {
                 None => field.least(|_| true).map(anywhere),
-                Some(model) => match self.message.call.adapter() {
+                Some(model) => match self.message.metadata.adapter() {
                     None => self.with_base(&field, model).await,
                     Some(adapter) => self.holder(&field, adapter).await?,
                 },
@@ -111,8 +111,8 @@
                 && !upstream.suspended(field.now)
                 && upstream.load() < upstream.slots
         };
-        let Some(adapter) = self.message.call.adapter() else {
-            let model = self.message.call.model.as_ref()?;
+        let Some(adapter) = self.message.metadata.adapter() else {
+            let model = self.message.metadata.model.as_ref()?;
             return field
                 .least(|upstream| takes(upstream) && upstream.has_base(model))
                 .map(anywhere);
@@ -137,7 +137,7 @@
     }
 
     pub(super) fn manner(&self) -> Manner {
-        Manner::of(self.message.call.tokens)
+        Manner::of(self.message.metadata.tokens)
     }
 
     pub(super) fn field<'a>(
@@ -150,13 +150,13 @@
             tried: &self.tried,
             home: &self.frontend.failure_domain,
             now: self.now(),
-            salt: salt(&self.message.call),
+            salt: salt(&self.message.metadata),
             pause: self.route.pause,
             roles,
             id: xxh3_64(self.id().as_bytes()),
             usual: self
                 .message
-                .call
+                .metadata
                 .model
                 .is_some()
                 .then(|| usual_share(upstreams)),
@@ -392,9 +392,12 @@
 }
 
 /// The last part of the prompt that others share, or the request itself.
-fn salt(call: &RequestMetadata) -> u64 {
-    let shared = call.prompt_segments.len().checked_sub(2);
-    match (shared.and_then(|at| call.prompt_segments.get(at)), &call.id) {
+fn salt(metadata: &RequestMetadata) -> u64 {
+    let shared = metadata.prompt_segments.len().checked_sub(2);
+    match (
+        shared.and_then(|at| metadata.prompt_segments.get(at)),
+        &metadata.id,
+    ) {
         (Some(part), _) => part.id,
         (None, Some(id)) => xxh3_64(id.as_bytes()),
         (None, None) => 0,
--- a/lib/src/direct/upstream.rs
+++ b/lib/src/direct/upstream.rs
@@ -6,8 +6,8 @@
 use std::sync::{Arc, Mutex, PoisonError};
 
 use super::admit::Permit;
-use super::call::base_model_of;
 use super::dialect::{Held, Listed};
+use super::metadata::base_model_of;
 use super::presence::{Presence, Stage, Written};
 use crate::clock::Millis;
 use crate::name::Name;
--- a/lib/tests/test_direct_versions.rs
+++ b/lib/tests/test_direct_versions.rs
@@ -7,10 +7,10 @@
 use chivevalve::clock::{Clock, Manual, Millis};
 use chivevalve::direct::ask::Controllers;
 use chivevalve::direct::attempt::{Message, Miss};
-use chivevalve::direct::call::{RequestKind, RequestMetadata};
 use chivevalve::direct::dialect::{Dialect, Dispatch, Listed};
 use chivevalve::direct::entry::Frontend;
 use chivevalve::direct::limits::{Current, Limits};
+use chivevalve::direct::metadata::{RequestKind, RequestMetadata};
 use chivevalve::direct::right::Right;
 use chivevalve::direct::upstream::Upstream;
 use chivevalve::direct::versions::{Declaration, Declarations, Watch};
@@ -212,7 +212,7 @@
         uri: Uri::from_static("/digest/x"),
         headers: HeaderMap::new(),
         body: "the request".into(),
-        call: RequestMetadata::default(),
+        metadata: RequestMetadata::default(),
         kind: RequestKind::Stream { resumable: false },
         fingerprint: std::sync::OnceLock::new(),
     };
