--- a/lib/src/direct/attempt.rs
+++ b/lib/src/direct/attempt.rs
@@ -56,7 +56,7 @@
 
 /// Why an attempt gave no answer.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Miss {
+pub enum SendError {
     /// Nothing was sent.
     Unsent(String),
     /// The upstream says that it did not run the request.
@@ -76,7 +76,7 @@
     Lost(Code, String),
 }
 
-impl Miss {
+impl SendError {
     /// Whether the request may run, or have run, where it was sent.
     #[must_use]
     pub const fn may_run(&self) -> bool {
@@ -137,7 +137,7 @@
     ///
     /// # Errors
     ///
-    /// A [`Miss`], which says truly whether the request may have run.
+    /// A [`SendError`], which says truly whether the request may have run.
     pub async fn send(
         &self,
         upstream: &Arc<Upstream>,
@@ -145,7 +145,7 @@
         dispatch: &Dispatch,
         permit: Option<Permit>,
         watch: Option<Watch>,
-    ) -> Result<Answer, Miss> {
+    ) -> Result<Answer, SendError> {
         let running = upstream.enter(self.metadata.adapter(), permit);
         let freshness = if self.kind.is_retryable() {
             USABLE
@@ -161,25 +161,25 @@
         // for its adapter or for a connection; one that leaves gets no new work.
         if !upstream.is_ready() {
             upstream.link.keep(connection, None);
-            return Err(Miss::Unsent("the upstream leaves".to_owned()));
+            return Err(SendError::Unsent("the upstream leaves".to_owned()));
         }
         if watch.as_ref().is_some_and(Watch::has_expired) {
             upstream.link.keep(connection, None);
-            return Err(Miss::Withdrawn { sent: false });
+            return Err(SendError::Withdrawn { sent: false });
         }
         let request = self.request(dialect, dispatch);
         let response = tokio::select! {
             biased;
             response = connection.send(request) => response.map_err(|lost| miss(&lost))?,
             // Dropping the connection has the engine drop the request.
-            () = versions::expired(watch.as_ref()) => return Err(Miss::Withdrawn { sent: true }),
+            () = versions::expired(watch.as_ref()) => return Err(SendError::Withdrawn { sent: true }),
         };
         let (head, body) = response.into_parts();
         let reply = dialect.reply(&head);
         if reply.id != self.metadata.id {
             // Another request's answer came late over this connection. Whether
             // the upstream runs ours, nobody can tell.
-            return Err(Miss::Lost(
+            return Err(SendError::Lost(
                 Code::WrongAnswer,
                 "the answer names another request".to_owned(),
             ));
@@ -188,10 +188,10 @@
             let status = head.status.as_u16();
             finish(body, connection, upstream, &reply).await;
             let replaced = watch.as_ref().is_some_and(Watch::is_replaced);
-            return Err(Miss::Rejected { status, replaced });
+            return Err(SendError::Rejected { status, replaced });
         }
         if head.status.is_success() && !reply.signed {
-            return Err(Miss::Lost(
+            return Err(SendError::Lost(
                 Code::WrongAnswer,
                 "the answer bears no signature".to_owned(),
             ));
@@ -228,12 +228,12 @@
     ///
     /// # Errors
     ///
-    /// [`Miss::Lost`] when it breaks off or is too long.
-    pub async fn whole(self) -> Result<(response::Parts, Bytes), Miss> {
+    /// [`SendError::Lost`] when it breaks off or is too long.
+    pub async fn whole(self) -> Result<(response::Parts, Bytes), SendError> {
         let body = Limited::new(self.body, WHOLE_BYTES)
             .collect()
             .await
-            .map_err(|error| Miss::Lost(Code::AnswerCut, error.to_string()))?
+            .map_err(|error| SendError::Lost(Code::AnswerCut, error.to_string()))?
             .to_bytes();
         if !self.reply.closes {
             self.upstream.link.keep(self.connection, self.reply.keep);
@@ -251,9 +251,9 @@
     }
 }
 
-fn miss(lost: &Lost) -> Miss {
+fn miss(lost: &Lost) -> SendError {
     match lost {
-        Lost::Unsent(told) => Miss::Unsent(told.clone()),
-        Lost::Sent(told) => Miss::Lost(Code::UpstreamLost, told.clone()),
+        Lost::Unsent(told) => SendError::Unsent(told.clone()),
+        Lost::Sent(told) => SendError::Lost(Code::UpstreamLost, told.clone()),
     }
 }
--- a/lib/src/direct/record.rs
+++ b/lib/src/direct/record.rs
@@ -4,7 +4,7 @@
 //! decided, how old that was, and the outcome with its numbered code. No line
 //! holds a prompt, a body or a header of the caller.
 
-use super::attempt::Miss;
+use super::attempt::SendError;
 use super::orders::Loaded;
 use super::request::ActiveRequest;
 use super::upstream::Upstream;
@@ -80,15 +80,15 @@
 }
 
 /// Records that an attempt gave no answer.
-pub fn missed(request: &ActiveRequest, upstream: &Upstream, miss: &Miss) {
+pub fn missed(request: &ActiveRequest, upstream: &Upstream, miss: &SendError) {
     let (code, told) = match miss {
-        Miss::Unsent(told) => (Code::ConnectFailed, told.clone()),
-        Miss::Rejected { status, .. } => (Code::UpstreamRefused, format!("status {status}")),
-        Miss::Withdrawn { sent } => {
+        SendError::Unsent(told) => (Code::ConnectFailed, told.clone()),
+        SendError::Rejected { status, .. } => (Code::UpstreamRefused, format!("status {status}")),
+        SendError::Withdrawn { sent } => {
             let told = format!("a newer version was declared, sent={sent}");
             (Code::VersionReplaced, told)
         }
-        Miss::Lost(code, told) => (*code, told.clone()),
+        SendError::Lost(code, told) => (*code, told.clone()),
     };
     log::info!(
         request = request.id(),
--- a/lib/src/direct/request/mod.rs
+++ b/lib/src/direct/request/mod.rs
@@ -9,7 +9,7 @@
 
 use smallvec::SmallVec;
 
-use super::attempt::{Answer, Message, Miss};
+use super::attempt::{Answer, Message, SendError};
 use super::config::Route;
 use super::entry::Frontend;
 use super::record::{self, End};
@@ -195,7 +195,7 @@
         let now = self.now();
         if now >= self.until {
             let told = format!("no answer within {}", now.since(self.sent_at));
-            let miss = Miss::Lost(Code::ExpiredRunning, told);
+            let miss = SendError::Lost(Code::ExpiredRunning, told);
             return self.missed(&newest, miss, true).map(|()| None);
         }
         if let Some(silent) = sends.mark_silent() {
--- a/lib/src/direct/request/outcome.rs
+++ b/lib/src/direct/request/outcome.rs
@@ -4,7 +4,7 @@
 
 use super::{ActiveRequest, LOOK};
 use crate::clock::Millis;
-use crate::direct::attempt::{Answer, Miss};
+use crate::direct::attempt::{Answer, SendError};
 use crate::direct::record;
 use crate::direct::sends::{Sends, Sent};
 use crate::direct::upstream::Upstream;
@@ -68,19 +68,19 @@
     pub(in crate::direct) fn missed(
         &mut self,
         upstream: &Arc<Upstream>,
-        miss: Miss,
+        miss: SendError,
         is_last: bool,
     ) -> Result<(), Failure> {
         record::missed(self, upstream, &miss);
         self.tried.push(Name::clone(&upstream.incarnation));
-        if matches!(miss, Miss::Rejected { replaced: true, .. }) {
+        if matches!(miss, SendError::Rejected { replaced: true, .. }) {
             self.replaced_at.push(Name::clone(&upstream.incarnation));
         }
         match miss {
-            Miss::Unsent(told) => self.was_not_sent(upstream, &told),
-            Miss::Rejected { status, .. } => self.was_rejected(upstream, status),
-            Miss::Withdrawn { sent } => self.was_withdrawn(sent),
-            Miss::Lost(code, told) => self.was_lost(upstream, code, told, is_last),
+            SendError::Unsent(told) => self.was_not_sent(upstream, &told),
+            SendError::Rejected { status, .. } => self.was_rejected(upstream, status),
+            SendError::Withdrawn { sent } => self.was_withdrawn(sent),
+            SendError::Lost(code, told) => self.was_lost(upstream, code, told, is_last),
         }
     }
 
--- a/lib/src/direct/request/send.rs
+++ b/lib/src/direct/request/send.rs
@@ -4,7 +4,7 @@
 
 use super::ActiveRequest;
 use crate::direct::admit::{self, Permit, Question};
-use crate::direct::attempt::{Answer, Miss};
+use crate::direct::attempt::{Answer, SendError};
 use crate::direct::dialect::{Dispatch, Memory};
 use crate::direct::record;
 use crate::direct::sends::Sends;
@@ -37,9 +37,9 @@
         place: &Target,
         memory: Memory,
         last: Option<u64>,
-    ) -> Result<Answer, Miss> {
+    ) -> Result<Answer, SendError> {
         self.check()
-            .map_err(|failure| Miss::Lost(failure.code, failure.detail))?;
+            .map_err(|failure| SendError::Lost(failure.code, failure.detail))?;
         let dispatch = Dispatch {
             resume_after: last,
             memory: Some(memory),
@@ -63,13 +63,13 @@
             .await
             .unwrap_or_else(|_| {
                 let told = format!("no answer within {span}");
-                Err(Miss::Lost(Code::ExpiredRunning, told))
+                Err(SendError::Lost(Code::ExpiredRunning, told))
             })?;
         if answer.head.status.is_success() {
             return Ok(answer);
         }
         let told = format!("status {}", answer.head.status);
-        Err(Miss::Lost(Code::UpstreamLost, told))
+        Err(SendError::Lost(Code::UpstreamLost, told))
     }
 
     /// Has a run that was moved counted in where it goes on.
--- a/lib/src/direct/resume.rs
+++ b/lib/src/direct/resume.rs
@@ -8,7 +8,7 @@
 
 use http_body_util::BodyExt;
 
-use super::attempt::{Answer, Miss};
+use super::attempt::{Answer, SendError};
 use super::handover::{Moved, Reply};
 use super::record;
 use super::relay::{Cut, Relay, USUAL_PAUSE};
@@ -130,7 +130,7 @@
         if let Some(former) = self.answer.take() {
             let upstream = Arc::clone(&former.upstream);
             drop(former);
-            let miss = Miss::Withdrawn { sent: true };
+            let miss = SendError::Withdrawn { sent: true };
             let missed = self.request.missed(&upstream, miss, true);
             missed.map_err(|failure| Cut(failure.to_string()))?;
         }
@@ -251,7 +251,7 @@
                 }
                 Err(miss) => {
                     record::moved(&self.request, &place.upstream, last, miss.name());
-                    if matches!(miss, Miss::Rejected { .. }) {
+                    if matches!(miss, SendError::Rejected { .. }) {
                         self.request.frontend.spend_repeat(&self.request.pool);
                     }
                     // It may run there: nobody else may go on with the memory.
--- a/lib/tests/test_direct_versions.rs
+++ b/lib/tests/test_direct_versions.rs
@@ -6,7 +6,7 @@
 
 use chivevalve::clock::{Clock, Manual, Millis};
 use chivevalve::direct::ask::Controllers;
-use chivevalve::direct::attempt::{Message, Miss};
+use chivevalve::direct::attempt::{Message, SendError};
 use chivevalve::direct::dialect::{Dialect, Dispatch, Listed};
 use chivevalve::direct::entry::Frontend;
 use chivevalve::direct::limits::{Current, Limits};
@@ -226,5 +226,5 @@
     };
     let sent = message.send(&engine, &Speech, &dispatch, None, Some(watch));
     let miss = sent.await.unwrap_err();
-    assert_eq!(miss, Miss::Withdrawn { sent: false });
+    assert_eq!(miss, SendError::Withdrawn { sent: false });
 }
