--- a/lib/src/direct/attempt.rs
+++ b/lib/src/direct/attempt.rs
@@ -97,7 +97,7 @@
 
 /// An answer whose head has come.
 #[derive(Debug)]
-pub struct Answer {
+pub struct UpstreamResponse {
     /// Its head.
     pub head: response::Parts,
     /// What the head says.
@@ -145,7 +145,7 @@
         dispatch: &Dispatch,
         permit: Option<Permit>,
         watch: Option<Watch>,
-    ) -> Result<Answer, SendError> {
+    ) -> Result<UpstreamResponse, SendError> {
         let running = upstream.enter(self.metadata.adapter(), permit);
         let freshness = if self.kind.is_retryable() {
             USABLE
@@ -196,7 +196,7 @@
                 "the answer bears no signature".to_owned(),
             ));
         }
-        Ok(Answer {
+        Ok(UpstreamResponse {
             head,
             reply,
             body,
@@ -218,7 +218,7 @@
     }
 }
 
-impl Answer {
+impl UpstreamResponse {
     /// Takes in that a part of the body has come, so that the run has begun.
     pub fn has_begun(&mut self) {
         self.watch = None;
--- a/lib/src/direct/entry/answer.rs
+++ b/lib/src/direct/entry/answer.rs
@@ -11,7 +11,7 @@
 use super::response::{refusal, response_head, whole_response};
 use super::{Body, Frontend};
 use crate::clock::Millis;
-use crate::direct::attempt::{Answer, Message};
+use crate::direct::attempt::{Message, UpstreamResponse};
 use crate::direct::record::{self, End};
 use crate::direct::relay::{self, Cut};
 use crate::direct::request::ActiveRequest;
@@ -38,7 +38,7 @@
 /// An answer as it begins.
 enum Begun {
     /// Its head has come, and the rest is passed on as it comes.
-    Stream(Box<Answer>),
+    Stream(Box<UpstreamResponse>),
     /// All of it is there.
     Whole(Response<Body>),
 }
@@ -175,7 +175,7 @@
     async fn whole(
         &self,
         request: &mut ActiveRequest,
-        mut answer: Answer,
+        mut answer: UpstreamResponse,
     ) -> Result<Response<Body>, Failure> {
         loop {
             let head = response_head(&answer);
--- a/lib/src/direct/entry/response.rs
+++ b/lib/src/direct/entry/response.rs
@@ -5,13 +5,13 @@
 use http_body_util::{BodyExt, Full};
 
 use super::Body;
-use crate::direct::attempt::Answer;
+use crate::direct::attempt::UpstreamResponse;
 use crate::direct::relay::Cut;
 use crate::error::Failure;
 use crate::ports::http::remove_hop_by_hop;
 
 /// Returns the head that a caller gets: the upstream's own, without what concerns its connection.
-pub(super) fn response_head(answer: &Answer) -> http::response::Parts {
+pub(super) fn response_head(answer: &UpstreamResponse) -> http::response::Parts {
     let mut head = answer.head.clone();
     remove_hop_by_hop(&mut head.headers);
     head.headers.remove(header::CONTENT_LENGTH);
--- a/lib/src/direct/handover.rs
+++ b/lib/src/direct/handover.rs
@@ -10,7 +10,7 @@
 use smallvec::{SmallVec, smallvec};
 use tokio_util::task::AbortOnDropHandle;
 
-use super::attempt::Answer;
+use super::attempt::UpstreamResponse;
 use super::dialect::{Memory, Transferred};
 use super::entry::Frontend;
 use super::question;
@@ -58,7 +58,7 @@
     pub fn begin(
         frontend: &Arc<Frontend>,
         id: &str,
-        answer: &Answer,
+        answer: &UpstreamResponse,
         target: Target,
         left: Millis,
     ) -> Self {
--- a/lib/src/direct/relay.rs
+++ b/lib/src/direct/relay.rs
@@ -8,7 +8,7 @@
 use hyper::body::Frame;
 use thiserror::Error;
 
-use super::attempt::Answer;
+use super::attempt::UpstreamResponse;
 use super::entry::{CLASS, seconds};
 use super::handover::{Handover, Moved, Reply};
 use super::quarantine::SETTLED;
@@ -58,7 +58,7 @@
 #[derive(Debug)]
 pub(super) struct Relay {
     pub(super) request: ActiveRequest,
-    pub(super) answer: Option<Answer>,
+    pub(super) answer: Option<UpstreamResponse>,
     pub(super) events: Sequence,
     passed_on: Option<Millis>,
     progress: Progress,
@@ -77,7 +77,7 @@
 /// Makes the body that the caller gets.
 pub fn body(
     request: ActiveRequest,
-    answer: Answer,
+    answer: UpstreamResponse,
 ) -> impl Stream<Item = Result<Frame<Bytes>, Cut>> + Send {
     let events = Sequence::new(request.message.metadata.resume_after);
     let relay = Relay {
--- a/lib/src/direct/request/mod.rs
+++ b/lib/src/direct/request/mod.rs
@@ -9,7 +9,7 @@
 
 use smallvec::SmallVec;
 
-use super::attempt::{Answer, Message, SendError};
+use super::attempt::{Message, SendError, UpstreamResponse};
 use super::config::Route;
 use super::entry::Frontend;
 use super::record::{self, End};
@@ -58,7 +58,7 @@
     /// Whether the next send's part of the budget for repeats is taken already.
     repeat_reserved: bool,
     /// An upstream's error that was set aside while another one is asked.
-    failed: Option<Box<Answer>>,
+    failed: Option<Box<UpstreamResponse>>,
     /// The upstream at which this request stands besides, while another one is looked for.
     pub(in crate::direct) stands_at: Option<Name>,
 }
@@ -123,14 +123,17 @@
     /// # Errors
     ///
     /// The failure that the caller gets; its code's fate is true.
-    pub async fn answer(&mut self, resume_after: Option<u64>) -> Result<Answer, Failure> {
+    pub async fn answer(&mut self, resume_after: Option<u64>) -> Result<UpstreamResponse, Failure> {
         let answer = self.next_answer(resume_after).await;
         let failed = self.failed.take();
         // An upstream's own error tells callers more than a failure of ours to ask another one.
         answer.or_else(|failure| failed.map_or(Err(failure), |answer| Ok(*answer)))
     }
 
-    async fn next_answer(&mut self, resume_after: Option<u64>) -> Result<Answer, Failure> {
+    async fn next_answer(
+        &mut self,
+        resume_after: Option<u64>,
+    ) -> Result<UpstreamResponse, Failure> {
         let mut sends = Sends::default();
         (self.unsent, self.rejected) = (0, 0);
         loop {
@@ -188,7 +191,7 @@
         &mut self,
         sends: &mut Sends,
         resume_after: Option<u64>,
-    ) -> Result<Option<Answer>, Failure> {
+    ) -> Result<Option<UpstreamResponse>, Failure> {
         let Some(newest) = sends.newest().map(Arc::clone) else {
             return Ok(None);
         };
--- a/lib/src/direct/request/outcome.rs
+++ b/lib/src/direct/request/outcome.rs
@@ -4,7 +4,7 @@
 
 use super::{ActiveRequest, LOOK};
 use crate::clock::Millis;
-use crate::direct::attempt::{Answer, SendError};
+use crate::direct::attempt::{SendError, UpstreamResponse};
 use crate::direct::record;
 use crate::direct::sends::{Sends, Sent};
 use crate::direct::upstream::Upstream;
@@ -27,7 +27,7 @@
         &mut self,
         sends: &Sends,
         sent: Sent,
-    ) -> Result<Option<Answer>, Failure> {
+    ) -> Result<Option<UpstreamResponse>, Failure> {
         let is_last = sends.is_empty();
         match sent.result {
             Ok(answer) => {
@@ -44,7 +44,7 @@
 
     /// Takes an answer, or sets a failed one aside if the request may be repeated or still waits
     /// at another upstream.
-    fn judge(&mut self, answer: Answer, is_last: bool) -> Option<Answer> {
+    fn judge(&mut self, answer: UpstreamResponse, is_last: bool) -> Option<UpstreamResponse> {
         if !answer.head.status.is_server_error() {
             answer.upstream.succeeded();
             return Some(answer);
--- a/lib/src/direct/request/send.rs
+++ b/lib/src/direct/request/send.rs
@@ -4,7 +4,7 @@
 
 use super::ActiveRequest;
 use crate::direct::admit::{self, Permit, Question};
-use crate::direct::attempt::{Answer, SendError};
+use crate::direct::attempt::{SendError, UpstreamResponse};
 use crate::direct::dialect::{Dispatch, Memory};
 use crate::direct::record;
 use crate::direct::sends::Sends;
@@ -37,7 +37,7 @@
         place: &Target,
         memory: Memory,
         last: Option<u64>,
-    ) -> Result<Answer, SendError> {
+    ) -> Result<UpstreamResponse, SendError> {
         self.check()
             .map_err(|failure| SendError::Lost(failure.code, failure.detail))?;
         let dispatch = Dispatch {
--- a/lib/src/direct/resume.rs
+++ b/lib/src/direct/resume.rs
@@ -8,7 +8,7 @@
 
 use http_body_util::BodyExt;
 
-use super::attempt::{Answer, SendError};
+use super::attempt::{SendError, UpstreamResponse};
 use super::handover::{Moved, Reply};
 use super::record;
 use super::relay::{Cut, Relay, USUAL_PAUSE};
@@ -29,7 +29,7 @@
     /// What the silent engine brought.
     Here(Step),
     /// The search's result, and how the silent engine's answer ended meanwhile, if it did.
-    Elsewhere(Result<Box<Answer>, Failure>, Option<Step>),
+    Elsewhere(Result<Box<UpstreamResponse>, Failure>, Option<Step>),
 }
 
 impl Relay {
@@ -57,7 +57,7 @@
     /// A free place elsewhere is only believed, and the engine there can reject the request. So
     /// the silent one is read meanwhile, and closed once another one's head has come. Where its
     /// answer ends meanwhile, the other one's is waited for all the same.
-    async fn look_elsewhere(&mut self, former: Answer, told: String) -> Step {
+    async fn look_elsewhere(&mut self, former: UpstreamResponse, told: String) -> Step {
         let upstream = Arc::clone(&former.upstream);
         if !std::mem::replace(&mut self.silent, true) {
             self.request.blame(&upstream);
@@ -99,7 +99,7 @@
     /// Reads a silent engine's answer while another engine is looked for.
     ///
     /// The answer is dropped when it ends, or when its run may no longer begin.
-    async fn first_of(&mut self, former: &mut Option<Answer>) -> Found {
+    async fn first_of(&mut self, former: &mut Option<UpstreamResponse>) -> Found {
         // A run that may have been stopped to be moved ends its stream early.
         let ends_whole = self.handover.is_none();
         let Self {
@@ -276,7 +276,7 @@
     }
 
     /// Goes on with another answer, behind the last event.
-    fn begin(&mut self, answer: Answer) {
+    fn begin(&mut self, answer: UpstreamResponse) {
         self.events.restart();
         self.begin_run();
         self.silent = false;
@@ -286,7 +286,7 @@
 }
 
 /// Reads what an answer brings next; for ever if it was dropped.
-async fn next_step(answer: &mut Option<Answer>, events: &mut Sequence) -> Step {
+async fn next_step(answer: &mut Option<UpstreamResponse>, events: &mut Sequence) -> Step {
     let Some(answer) = answer else {
         return std::future::pending().await;
     };
--- a/lib/src/direct/sends.rs
+++ b/lib/src/direct/sends.rs
@@ -13,7 +13,7 @@
 use futures::stream::{FuturesUnordered, StreamExt};
 use smallvec::SmallVec;
 
-use super::attempt::{Answer, Message, SendError};
+use super::attempt::{Message, SendError, UpstreamResponse};
 use super::dialect::{Dialect, Dispatch};
 use super::target::Target;
 use super::upstream::Upstream;
@@ -28,7 +28,7 @@
     /// When it was sent.
     pub at: Millis,
     /// The answer's head, or why there is none.
-    pub result: Result<Answer, SendError>,
+    pub result: Result<UpstreamResponse, SendError>,
 }
 
 /// A send in progress, as it is known without waiting for it.
--- a/lib/src/direct/target.rs
+++ b/lib/src/direct/target.rs
@@ -6,7 +6,7 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use super::admit::{self, Permit, Question};
-use super::attempt::Answer;
+use super::attempt::UpstreamResponse;
 use super::choice::{self, MOST_QUESTIONS};
 use super::entry::{CLASS, seconds};
 use super::metadata::RequestMetadata;
@@ -98,7 +98,7 @@
     ///
     /// With `ask`, a writer is asked to hold the adapter where none does, so that a later
     /// event of this stream can move it.
-    pub(super) fn writer(&self, answer: &Answer, ask: bool) -> Option<Target> {
+    pub(super) fn writer(&self, answer: &UpstreamResponse, ask: bool) -> Option<Target> {
         let source = &answer.upstream;
         let roles = self.frontend.roles(&self.pool);
         if !roles.reads(source.address) {
