--- a/lib/src/direct/attempt.rs
+++ b/lib/src/direct/attempt.rs
@@ -37,7 +37,7 @@
 
 /// A request as it is sent, the same for each attempt.
 #[derive(Debug)]
-pub struct Message {
+pub struct RequestMessage {
     /// Method.
     pub method: Method,
     /// Path and query.
@@ -116,7 +116,7 @@
     pub running: Running,
 }
 
-impl Message {
+impl RequestMessage {
     /// Returns what identifies the request over its attempts.
     pub fn fingerprint(&self) -> &Fingerprint {
         self.fingerprint.get_or_init(|| {
--- a/lib/src/direct/entry/answer.rs
+++ b/lib/src/direct/entry/answer.rs
@@ -11,7 +11,7 @@
 use super::response::{refusal, response_head, whole_response};
 use super::{Body, Frontend};
 use crate::clock::Millis;
-use crate::direct::attempt::{Message, UpstreamResponse};
+use crate::direct::attempt::{RequestMessage, UpstreamResponse};
 use crate::direct::record::{self, End};
 use crate::direct::relay::{self, Cut};
 use crate::direct::request::ActiveRequest;
@@ -109,7 +109,7 @@
         remove_hop_by_hop(&mut headers);
         headers.remove(header::CONTENT_LENGTH);
         headers.remove(header::EXPECT);
-        let message = Message {
+        let message = RequestMessage {
             method: head.method,
             uri: head.uri,
             headers,
--- a/lib/src/direct/request/mod.rs
+++ b/lib/src/direct/request/mod.rs
@@ -9,7 +9,7 @@
 
 use smallvec::SmallVec;
 
-use super::attempt::{Message, SendError, UpstreamResponse};
+use super::attempt::{RequestMessage, SendError, UpstreamResponse};
 use super::config::Route;
 use super::entry::Frontend;
 use super::record::{self, End};
@@ -32,7 +32,7 @@
     /// The node's parts.
     pub frontend: Arc<Frontend>,
     /// What is sent.
-    pub message: Arc<Message>,
+    pub message: Arc<RequestMessage>,
     /// The route that it came by.
     pub route: Route,
     /// The pool that takes it.
@@ -87,7 +87,7 @@
     #[must_use]
     pub fn new(
         frontend: Arc<Frontend>,
-        message: Message,
+        message: RequestMessage,
         route: Route,
         pool: Name,
         began: Millis,
--- a/lib/src/direct/sends.rs
+++ b/lib/src/direct/sends.rs
@@ -13,7 +13,7 @@
 use futures::stream::{FuturesUnordered, StreamExt};
 use smallvec::SmallVec;
 
-use super::attempt::{Message, SendError, UpstreamResponse};
+use super::attempt::{RequestMessage, SendError, UpstreamResponse};
 use super::dialect::{Dialect, Dispatch};
 use super::target::Target;
 use super::upstream::Upstream;
@@ -50,7 +50,7 @@
     /// Sends a request at `now`.
     pub fn begin(
         &mut self,
-        message: &Arc<Message>,
+        message: &Arc<RequestMessage>,
         dialect: &Arc<dyn Dialect>,
         target: Target,
         dispatch: Dispatch,
--- a/lib/tests/test_direct_versions.rs
+++ b/lib/tests/test_direct_versions.rs
@@ -6,7 +6,7 @@
 
 use chivevalve::clock::{Clock, Manual, Millis};
 use chivevalve::direct::ask::Controllers;
-use chivevalve::direct::attempt::{Message, SendError};
+use chivevalve::direct::attempt::{RequestMessage, SendError};
 use chivevalve::direct::dialect::{Dialect, Dispatch, Listed};
 use chivevalve::direct::entry::Frontend;
 use chivevalve::direct::limits::{Current, Limits};
@@ -207,7 +207,7 @@
         ..listed("i-1", &[("base/a1", 1)])
     };
     let engine = Arc::new(Upstream::new(&engine, written(1), 1, Millis::ZERO));
-    let message = Message {
+    let message = RequestMessage {
         method: Method::POST,
         uri: Uri::from_static("/digest/x"),
         headers: HeaderMap::new(),
