--- a/lib/src/direct/entry/answer.rs
+++ b/lib/src/direct/entry/answer.rs
@@ -12,9 +12,9 @@
 use super::{Body, Frontend};
 use crate::clock::Millis;
 use crate::direct::attempt::{RequestMessage, UpstreamResponse};
-use crate::direct::record::{self, End};
 use crate::direct::relay::{self, Cut};
 use crate::direct::request::ActiveRequest;
+use crate::direct::request_log::{self, End};
 use crate::error::{Code, Failure};
 use crate::poison::ledger::Sign;
 use crate::ports::http::remove_hop_by_hop;
@@ -83,7 +83,7 @@
         let config = self.view.config().ok_or_else(|| {
             let failure = Failure::new(Code::NotReady, "no configuration is known yet")
                 .retry_after(UNREADY_PAUSE);
-            record::turned_away("", &failure);
+            request_log::turned_away("", &failure);
             self.count_end(failure.code.number());
             failure
         })?;
@@ -91,7 +91,7 @@
         let (route, body) = match accept(&config, &head, body).await {
             Ok(accepted) => accepted,
             Err(failure) => {
-                record::turned_away(metadata.id.as_deref().unwrap_or_default(), &failure);
+                request_log::turned_away(metadata.id.as_deref().unwrap_or_default(), &failure);
                 self.count_end(failure.code.number());
                 return Err(failure);
             }
--- a/lib/src/direct/request/mod.rs
+++ b/lib/src/direct/request/mod.rs
@@ -12,7 +12,7 @@
 use super::attempt::{RequestMessage, SendError, UpstreamResponse};
 use super::config::Route;
 use super::entry::Frontend;
-use super::record::{self, End};
+use super::request_log::{self, End};
 use super::sends::Sends;
 use super::target::Target;
 use super::upstream::Upstream;
@@ -219,7 +219,7 @@
                 self.frontend.count_retry("silent");
                 self.send(sends, target, resume_after);
             }
-            _ => record::stays(self, &newest),
+            _ => request_log::stays(self, &newest),
         }
         Ok(None)
     }
@@ -239,7 +239,7 @@
     /// Records how the request ended; the first end counts.
     pub fn end(&mut self, end: &End<'_>) {
         if !std::mem::replace(&mut self.ended, true) {
-            record::ended(self, end);
+            request_log::ended(self, end);
             self.frontend.count_end(end.code());
         }
     }
--- a/lib/src/direct/request/outcome.rs
+++ b/lib/src/direct/request/outcome.rs
@@ -5,7 +5,7 @@
 use super::{ActiveRequest, LOOK};
 use crate::clock::Millis;
 use crate::direct::attempt::{SendError, UpstreamResponse};
-use crate::direct::record;
+use crate::direct::request_log;
 use crate::direct::sends::{Sends, Sent};
 use crate::direct::upstream::Upstream;
 use crate::error::{Code, Failure};
@@ -71,7 +71,7 @@
         miss: SendError,
         is_last: bool,
     ) -> Result<(), Failure> {
-        record::missed(self, upstream, &miss);
+        request_log::missed(self, upstream, &miss);
         self.tried.push(Name::clone(&upstream.incarnation));
         if matches!(miss, SendError::Rejected { replaced: true, .. }) {
             self.replaced_at.push(Name::clone(&upstream.incarnation));
--- a/lib/src/direct/request/send.rs
+++ b/lib/src/direct/request/send.rs
@@ -6,7 +6,7 @@
 use crate::direct::admit::{self, Permit, Question};
 use crate::direct::attempt::{SendError, UpstreamResponse};
 use crate::direct::dialect::{Dispatch, Memory};
-use crate::direct::record;
+use crate::direct::request_log;
 use crate::direct::sends::Sends;
 use crate::direct::target::Target;
 use crate::direct::versions::Watch;
@@ -22,7 +22,7 @@
         self.repeat_reserved = false;
         self.sent += 1;
         self.sent_at = self.now();
-        record::sent(self, &target.upstream, target.version, dispatch.deadline);
+        request_log::sent(self, &target.upstream, target.version, dispatch.deadline);
         self.note_uncounted(&target, target.permit.as_ref());
         let watch = self.watch(&target);
         let (message, dialect) = (&self.message, &self.frontend.dialect);
@@ -45,7 +45,7 @@
             memory: Some(memory),
             ..self.dispatch(place)
         };
-        record::sent(self, &place.upstream, place.version, dispatch.deadline);
+        request_log::sent(self, &place.upstream, place.version, dispatch.deadline);
         let permit = self.permit(place).await;
         let (upstream, dialect) = (&place.upstream, &*self.frontend.dialect);
         let watch = self.watch(place);
--- a/lib/src/direct/resume.rs
+++ b/lib/src/direct/resume.rs
@@ -10,9 +10,9 @@
 
 use super::attempt::{SendError, UpstreamResponse};
 use super::handover::{Moved, Reply};
-use super::record;
 use super::relay::{Cut, Relay, USUAL_PAUSE};
 use super::request::LOOK;
+use super::request_log;
 use super::sequence::{Sequence, Step};
 use super::versions;
 use crate::clock::Millis;
@@ -73,7 +73,7 @@
             }
             Found::Elsewhere(Ok(answer), _) if answer.head.status.is_success() => {
                 self.request.frontend.count_retry("resumed");
-                record::resumed(&self.request, self.events.last(), &told);
+                request_log::resumed(&self.request, self.events.last(), &told);
                 drop(former);
                 // What was asked of the former engine is of no use any more.
                 self.handover = None;
@@ -89,7 +89,7 @@
                 }
             }
             Found::Elsewhere(_, None) => {
-                record::stays(&self.request, &upstream);
+                request_log::stays(&self.request, &upstream);
                 self.answer = former;
                 Step::More
             }
@@ -215,7 +215,7 @@
             return Err(Cut(told.to_owned()));
         }
         self.request.frontend.count_retry("resumed");
-        record::resumed(&self.request, self.events.last(), told);
+        request_log::resumed(&self.request, self.events.last(), told);
         let answer = self
             .request
             .answer(self.events.last())
@@ -244,13 +244,13 @@
             let sent = self.request.continue_run(place, moved.memory.clone(), last);
             match sent.await {
                 Ok(answer) => {
-                    record::moved(&self.request, &place.upstream, last, "goes on");
+                    request_log::moved(&self.request, &place.upstream, last, "goes on");
                     self.request.pace.moved += 1;
                     self.begin(answer);
                     return Ok(());
                 }
                 Err(miss) => {
-                    record::moved(&self.request, &place.upstream, last, miss.name());
+                    request_log::moved(&self.request, &place.upstream, last, miss.name());
                     if matches!(miss, SendError::Rejected { .. }) {
                         self.request.frontend.spend_repeat(&self.request.pool);
                     }
