--- a/lib/src/direct/request_log.rs
+++ b/lib/src/direct/request_log.rs
@@ -105,7 +105,7 @@
 ///
 /// A caller may leave while it waits; without a line then, nothing tells where it waited.
 #[derive(Debug)]
-pub struct Asking<'a> {
+pub struct LoadAttempt<'a> {
     request: &'a ActiveRequest,
     upstream: &'a Upstream,
     adapter: &'a str,
@@ -113,7 +113,7 @@
     outcome: &'static str,
 }
 
-impl<'a> Asking<'a> {
+impl<'a> LoadAttempt<'a> {
     /// Begins to ask.
     #[must_use]
     pub fn new(request: &'a ActiveRequest, upstream: &'a Upstream, adapter: &'a str) -> Self {
@@ -128,13 +128,13 @@
 
     /// Notes the answer, and returns how long it took.
     #[must_use]
-    pub fn answered(mut self, loaded: Loaded) -> Millis {
+    pub fn finish(mut self, loaded: Loaded) -> Millis {
         self.outcome = loaded.name();
         self.request.now().since(self.began)
     }
 }
 
-impl Drop for Asking<'_> {
+impl Drop for LoadAttempt<'_> {
     fn drop(&mut self) {
         let loads = &self.request.frontend.metrics.loads;
         loads.with_label_values(&[self.outcome]).inc();
--- a/lib/src/direct/target.rs
+++ b/lib/src/direct/target.rs
@@ -14,7 +14,7 @@
 use super::pick::{Field, usual_share};
 use super::place::Asked;
 use super::request::{ActiveRequest, LOOK};
-use super::request_log::Asking;
+use super::request_log::LoadAttempt;
 use super::roles::{Manner, Roles, may_move};
 use super::upstream::Upstream;
 use super::versions::{REPLACEMENT, WITHDRAWAL};
@@ -279,12 +279,12 @@
                 break;
             }
             let left = self.until.since(self.now());
-            let asking = Asking::new(self, &upstream, adapter);
+            let load_attempt = LoadAttempt::new(self, &upstream, adapter);
             let load = self.frontend.controllers.load(&upstream, adapter, wanted);
             let Ok(loaded) = tokio::time::timeout(left.duration(), load).await else {
                 break;
             };
-            let took = asking.answered(loaded);
+            let took = load_attempt.finish(loaded);
             self.frontend
                 .metrics
                 .load_wait
