--- a/lib/src/direct/entry/answer.rs
+++ b/lib/src/direct/entry/answer.rs
@@ -14,7 +14,7 @@
 use crate::direct::attempt::{RequestMessage, UpstreamResponse};
 use crate::direct::relay::{self, Cut};
 use crate::direct::request::ActiveRequest;
-use crate::direct::request_log::{self, End};
+use crate::direct::request_log::{self, RequestOutcome};
 use crate::error::{Code, Failure};
 use crate::poison::ledger::Sign;
 use crate::ports::http::remove_hop_by_hop;
@@ -138,7 +138,7 @@
         };
         match begun {
             Ok(Begun::Whole(response)) => {
-                request.end(&End::Answered(response.status().as_u16()));
+                request.end(&RequestOutcome::Answered(response.status().as_u16()));
                 Ok(response)
             }
             Ok(Begun::Stream(answer)) => {
@@ -147,7 +147,7 @@
                 Ok(Response::from_parts(head, body.boxed_unsync()))
             }
             Err(failure) => {
-                request.end(&End::Failed(&failure));
+                request.end(&RequestOutcome::Failed(&failure));
                 Err(failure)
             }
         }
--- a/lib/src/direct/relay.rs
+++ b/lib/src/direct/relay.rs
@@ -13,7 +13,7 @@
 use super::handover::{Handover, Moved, Reply};
 use super::quarantine::SETTLED;
 use super::request::ActiveRequest;
-use super::request_log::End;
+use super::request_log::RequestOutcome;
 use super::sequence::{Sequence, Step};
 use super::upstream::Upstream;
 use super::versions;
@@ -106,11 +106,11 @@
         match next {
             Ok(Some(bytes)) => Some((Ok(Frame::data(bytes)), Some(relay))),
             Ok(None) => {
-                relay.request.end(&End::Answered(200));
+                relay.request.end(&RequestOutcome::Answered(200));
                 None
             }
             Err(cut) => {
-                relay.request.end(&End::Cut(&cut.0));
+                relay.request.end(&RequestOutcome::Cut(&cut.0));
                 Some((Err(cut), None))
             }
         }
--- a/lib/src/direct/request/mod.rs
+++ b/lib/src/direct/request/mod.rs
@@ -12,7 +12,7 @@
 use super::attempt::{RequestMessage, SendError, UpstreamResponse};
 use super::config::Route;
 use super::entry::Frontend;
-use super::request_log::{self, End};
+use super::request_log::{self, RequestOutcome};
 use super::sends::Sends;
 use super::target::Target;
 use super::upstream::Upstream;
@@ -237,7 +237,7 @@
     }
 
     /// Records how the request ended; the first end counts.
-    pub fn end(&mut self, end: &End<'_>) {
+    pub fn end(&mut self, end: &RequestOutcome<'_>) {
         if !std::mem::replace(&mut self.ended, true) {
             request_log::ended(self, end);
             self.frontend.count_end(end.code());
@@ -269,6 +269,6 @@
 impl Drop for ActiveRequest {
     /// A request whose caller goes away is dropped wherever it stands.
     fn drop(&mut self) {
-        self.end(&End::Left);
+        self.end(&RequestOutcome::Left);
     }
 }
--- a/lib/src/direct/request_log.rs
+++ b/lib/src/direct/request_log.rs
@@ -13,7 +13,7 @@
 
 /// How a request ended.
 #[derive(Debug)]
-pub enum End<'a> {
+pub enum RequestOutcome<'a> {
     /// The upstream's answer was passed on whole.
     Answered(u16),
     /// It was refused or failed before a byte of an answer left.
@@ -24,7 +24,7 @@
     Left,
 }
 
-impl End<'_> {
+impl RequestOutcome<'_> {
     /// Returns the numbered code; 0 is a whole answer.
     #[must_use]
     pub fn code(&self) -> u32 {
@@ -181,7 +181,7 @@
 }
 
 /// Records how a request ended.
-pub fn ended(request: &ActiveRequest, end: &End<'_>) {
+pub fn ended(request: &ActiveRequest, end: &RequestOutcome<'_>) {
     let cause = end.told();
     log::info!(
         request = request.id(),
