--- a/lib/src/direct/entry/answer.rs
+++ b/lib/src/direct/entry/answer.rs
@@ -12,7 +12,7 @@
 use super::{Body, Frontend};
 use crate::clock::Millis;
 use crate::direct::attempt::{RequestMessage, UpstreamResponse};
-use crate::direct::relay::{self, Cut};
+use crate::direct::relay::{self, ResponseAborted};
 use crate::direct::request::ActiveRequest;
 use crate::direct::request_log::{self, RequestOutcome};
 use crate::error::{Code, Failure};
@@ -48,11 +48,11 @@
     ///
     /// # Errors
     ///
-    /// Never before the head; the body can end in a [`Cut`].
+    /// Never before the head; the body can end in a [`ResponseAborted`].
     pub async fn answer(
         self: Arc<Self>,
         request: Request<Incoming>,
-    ) -> Result<Response<Body>, Cut> {
+    ) -> Result<Response<Body>, ResponseAborted> {
         self.active.fetch_add(1, Ordering::Relaxed);
         let active = Active(Arc::clone(&self));
         let mut response = match self.serve(request).await {
--- a/lib/src/direct/entry/mod.rs
+++ b/lib/src/direct/entry/mod.rs
@@ -19,7 +19,7 @@
 use super::limits::Current;
 use super::outbox::Outbox;
 use super::quarantine::Quarantine;
-use super::relay::Cut;
+use super::relay::ResponseAborted;
 use super::roles::{Mix, Roles};
 use super::stop::Stop;
 use super::upstream::Upstream;
@@ -32,7 +32,7 @@
 use crate::ports::metered::Metered;
 
 /// Body of an answer to a caller.
-pub type Body = UnsyncBoxBody<Bytes, Cut>;
+pub type Body = UnsyncBoxBody<Bytes, ResponseAborted>;
 
 /// Pause after which an adapter may be asked for at a further engine.
 const SPREAD_PAUSE: Millis = Millis(700);
--- a/lib/src/direct/entry/response.rs
+++ b/lib/src/direct/entry/response.rs
@@ -6,7 +6,7 @@
 
 use super::Body;
 use crate::direct::attempt::UpstreamResponse;
-use crate::direct::relay::Cut;
+use crate::direct::relay::ResponseAborted;
 use crate::error::Failure;
 use crate::ports::http::remove_hop_by_hop;
 
@@ -45,6 +45,6 @@
     response
 }
 
-fn never(error: std::convert::Infallible) -> Cut {
+fn never(error: std::convert::Infallible) -> ResponseAborted {
     match error {}
 }
--- a/lib/src/direct/relay.rs
+++ b/lib/src/direct/relay.rs
@@ -41,7 +41,7 @@
 /// taken for whole.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 #[error("the answer broke off: {0}")]
-pub struct Cut(pub String);
+pub struct ResponseAborted(pub String);
 
 /// How far the run that is read now has come, which tells whether it can have ended its engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -78,7 +78,7 @@
 pub fn body(
     request: ActiveRequest,
     answer: UpstreamResponse,
-) -> impl Stream<Item = Result<Frame<Bytes>, Cut>> + Send {
+) -> impl Stream<Item = Result<Frame<Bytes>, ResponseAborted>> + Send {
     let events = Sequence::new(request.message.metadata.resume_after);
     let relay = Relay {
         request,
@@ -100,7 +100,7 @@
             next = relay.next() => next,
             () = frontend.stop.over() => {
                 frontend.stop.note_cut();
-                Err(Cut("the node stops".to_owned()))
+                Err(ResponseAborted("the node stops".to_owned()))
             }
         };
         match next {
@@ -118,7 +118,7 @@
 }
 
 impl Relay {
-    async fn next(&mut self) -> Result<Option<Bytes>, Cut> {
+    async fn next(&mut self) -> Result<Option<Bytes>, ResponseAborted> {
         loop {
             match self.step().await {
                 Step::Events(bytes) => {
--- a/lib/src/direct/resume.rs
+++ b/lib/src/direct/resume.rs
@@ -10,7 +10,7 @@
 
 use super::attempt::{SendError, UpstreamResponse};
 use super::handover::{Moved, Reply};
-use super::relay::{Cut, Relay, USUAL_PAUSE};
+use super::relay::{Relay, ResponseAborted, USUAL_PAUSE};
 use super::request::LOOK;
 use super::request_log;
 use super::sequence::{Sequence, Step};
@@ -126,13 +126,13 @@
     }
 
     /// Goes on elsewhere with a stream whose run may no longer begin where it is.
-    pub(super) async fn withdraw(&mut self) -> Result<(), Cut> {
+    pub(super) async fn withdraw(&mut self) -> Result<(), ResponseAborted> {
         if let Some(former) = self.answer.take() {
             let upstream = Arc::clone(&former.upstream);
             drop(former);
             let miss = SendError::Withdrawn { sent: true };
             let missed = self.request.missed(&upstream, miss, true);
-            missed.map_err(|failure| Cut(failure.to_string()))?;
+            missed.map_err(|failure| ResponseAborted(failure.to_string()))?;
         }
         self.read_anew(REPLACED).await
     }
@@ -143,8 +143,8 @@
     ///
     /// # Errors
     ///
-    /// [`Cut`] when it isn't and can't go on.
-    pub(super) async fn is_whole(&mut self) -> Result<bool, Cut> {
+    /// [`ResponseAborted`] when it isn't and can't go on.
+    pub(super) async fn is_whole(&mut self) -> Result<bool, ResponseAborted> {
         if self.handover.is_none() && self.stopped.is_none() {
             return Ok(true);
         }
@@ -163,8 +163,8 @@
     ///
     /// # Errors
     ///
-    /// [`Cut`] when it can't go on.
-    pub(super) async fn go_on(&mut self, told: &str) -> Result<(), Cut> {
+    /// [`ResponseAborted`] when it can't go on.
+    pub(super) async fn go_on(&mut self, told: &str) -> Result<(), ResponseAborted> {
         let span = self.patience(self.request.now());
         if let Reply::Stopped(moved) = self.moved(span).await {
             return self.continue_moved(&moved).await;
@@ -173,7 +173,7 @@
     }
 
     /// Goes on anew elsewhere, or where the run's memory lies if the engine tells that after all.
-    async fn go_on_elsewhere(&mut self, told: &str) -> Result<(), Cut> {
+    async fn go_on_elsewhere(&mut self, told: &str) -> Result<(), ResponseAborted> {
         // Dropping the answer closes its connection, so that the former
         // upstream stops before another begins.
         if let Some(former) = self.answer.take() {
@@ -210,9 +210,9 @@
     }
 
     /// Has another upstream read the prompt and go on behind the last event.
-    async fn read_anew(&mut self, told: &str) -> Result<(), Cut> {
+    async fn read_anew(&mut self, told: &str) -> Result<(), ResponseAborted> {
         if !self.request.may_go_on() {
-            return Err(Cut(told.to_owned()));
+            return Err(ResponseAborted(told.to_owned()));
         }
         self.request.frontend.count_retry("resumed");
         request_log::resumed(&self.request, self.events.last(), told);
@@ -220,9 +220,12 @@
             .request
             .answer(self.events.last())
             .await
-            .map_err(|failure| Cut(format!("{told}; then {failure}")))?;
+            .map_err(|failure| ResponseAborted(format!("{told}; then {failure}")))?;
         if !answer.head.status.is_success() {
-            return Err(Cut(format!("{told}; then status {}", answer.head.status)));
+            return Err(ResponseAborted(format!(
+                "{told}; then status {}",
+                answer.head.status
+            )));
         }
         self.begin(answer);
         Ok(())
@@ -233,7 +236,7 @@
     /// Both engines can be full at that moment, and the memory stays where it is for seconds.
     /// Where the prompt can't be read anew either, they are asked again for as long as callers
     /// bear a pause: the memory is all that is left of the answer.
-    async fn continue_moved(&mut self, moved: &Moved) -> Result<(), Cut> {
+    async fn continue_moved(&mut self, moved: &Moved) -> Result<(), ResponseAborted> {
         self.answer = None;
         let pause = self.request.route.pause.unwrap_or(USUAL_PAUSE).max(LOOK);
         let given_up = self.request.now() + Millis(pause.0 * BORNE_PAUSES);
@@ -269,10 +272,10 @@
                 return Ok(());
             }
             if !self.request.wait_for_repeat(pause, until).await {
-                return Err(Cut(told.to_owned()));
+                return Err(ResponseAborted(told.to_owned()));
             }
         }
-        Err(Cut("the memory lies nowhere".to_owned()))
+        Err(ResponseAborted("the memory lies nowhere".to_owned()))
     }
 
     /// Goes on with another answer, behind the last event.
