--- a/lib/src/direct/entry/mod.rs
+++ b/lib/src/direct/entry/mod.rs
@@ -43,7 +43,7 @@
 const ROLES_PAUSE: Millis = Millis(250);
 
 /// Label of the class in metrics: here routes and not classes rank requests.
-pub const CLASS: &str = "direct";
+pub const CLASS_LABEL: &str = "direct";
 
 /// What all requests of a node share.
 #[derive(Debug)]
@@ -155,7 +155,7 @@
         let number = code.to_string();
         self.metrics
             .requests
-            .with_label_values(&[number.as_str(), CLASS])
+            .with_label_values(&[number.as_str(), CLASS_LABEL])
             .inc();
         if let Some(code) = Code::from_number(code) {
             self.metrics
--- a/lib/src/direct/relay.rs
+++ b/lib/src/direct/relay.rs
@@ -9,7 +9,7 @@
 use thiserror::Error;
 
 use super::attempt::UpstreamResponse;
-use super::entry::{CLASS, seconds};
+use super::entry::{CLASS_LABEL, seconds};
 use super::handover::{Handover, Moved, Reply};
 use super::quarantine::SETTLED;
 use super::request::ActiveRequest;
@@ -196,7 +196,7 @@
         self.request.pace.first = Some(first);
         let histogram = &self.request.frontend.metrics.first_token;
         histogram
-            .with_label_values(&[CLASS])
+            .with_label_values(&[CLASS_LABEL])
             .observe(seconds(first));
         self.judge_reading(now);
     }
--- a/lib/src/direct/request/mod.rs
+++ b/lib/src/direct/request/mod.rs
@@ -21,7 +21,7 @@
 use crate::name::Name;
 
 /// Pause before an upstream is looked for again.
-pub(in crate::direct) const LOOK: Millis = Millis(20);
+pub(in crate::direct) const SELECTION_RETRY_PAUSE: Millis = Millis(20);
 
 /// Objectives after which another upstream is looked for beside one that is silent.
 const PATIENCE: u64 = 3;
@@ -262,7 +262,7 @@
         };
         // What stands at a silent upstream for as long as the node lives is cut short.
         let half = Millis(end.since(self.now()).0 / 2);
-        span.min(half.max(LOOK))
+        span.min(half.max(SELECTION_RETRY_PAUSE))
     }
 }
 
--- a/lib/src/direct/request/outcome.rs
+++ b/lib/src/direct/request/outcome.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use super::{ActiveRequest, LOOK};
+use super::{ActiveRequest, SELECTION_RETRY_PAUSE};
 use crate::clock::Millis;
 use crate::direct::attempt::{SendError, UpstreamResponse};
 use crate::direct::request_log;
@@ -170,6 +170,6 @@
     pub fn may_go_on(&self) -> bool {
         self.message.kind.is_retryable()
             && self.sent < self.route.attempts
-            && self.now() + LOOK < self.until
+            && self.now() + SELECTION_RETRY_PAUSE < self.until
     }
 }
--- a/lib/src/direct/resume.rs
+++ b/lib/src/direct/resume.rs
@@ -11,7 +11,7 @@
 use super::attempt::{SendError, UpstreamResponse};
 use super::handover::{Moved, Reply};
 use super::relay::{Relay, ResponseAborted, USUAL_PAUSE};
-use super::request::LOOK;
+use super::request::SELECTION_RETRY_PAUSE;
 use super::request_log;
 use super::sequence::{Sequence, Step};
 use super::versions;
@@ -238,7 +238,12 @@
     /// bear a pause: the memory is all that is left of the answer.
     async fn continue_moved(&mut self, moved: &Moved) -> Result<(), ResponseAborted> {
         self.answer = None;
-        let pause = self.request.route.pause.unwrap_or(USUAL_PAUSE).max(LOOK);
+        let pause = self
+            .request
+            .route
+            .pause
+            .unwrap_or(USUAL_PAUSE)
+            .max(SELECTION_RETRY_PAUSE);
         let given_up = self.request.now() + Millis(pause.0 * BORNE_PAUSES);
         let until = given_up.min(self.request.until);
         let mut asked = 0;
--- a/lib/src/direct/target.rs
+++ b/lib/src/direct/target.rs
@@ -8,12 +8,12 @@
 use super::admit::{self, Permit, Question};
 use super::attempt::UpstreamResponse;
 use super::choice::{self, MOST_QUESTIONS};
-use super::entry::{CLASS, seconds};
+use super::entry::{CLASS_LABEL, seconds};
 use super::metadata::RequestMetadata;
 use super::orders::Loaded;
 use super::pick::{Field, usual_share};
 use super::place::Asked;
-use super::request::{ActiveRequest, LOOK};
+use super::request::{ActiveRequest, SELECTION_RETRY_PAUSE};
 use super::request_log::LoadAttempt;
 use super::roles::{Manner, Roles, may_move};
 use super::upstream::Upstream;
@@ -90,7 +90,7 @@
             if now >= patience || now >= self.until {
                 return Err(self.refusal(Code::NoUpstream, "no upstream can take it now"));
             }
-            tokio::time::sleep(LOOK.duration()).await;
+            tokio::time::sleep(SELECTION_RETRY_PAUSE.duration()).await;
         }
     }
 
@@ -288,7 +288,7 @@
             self.frontend
                 .metrics
                 .load_wait
-                .with_label_values(&[CLASS])
+                .with_label_values(&[CLASS_LABEL])
                 .observe(seconds(took));
             match loaded {
                 Loaded::Ready(held) if held >= wanted && upstream.is_ready() => {
