--- a/lib/src/direct/entry/answer.rs
+++ b/lib/src/direct/entry/answer.rs
@@ -164,7 +164,7 @@
 
     /// Returns what the caller gets whose request outlasts the node.
     fn cut_short(&self, request: &ActiveRequest) -> Failure {
-        if request.sends() == 0 {
+        if request.possible_runs() == 0 {
             return Failure::new(Code::Draining, "the node stops");
         }
         self.stop.note_cut();
@@ -180,7 +180,7 @@
         loop {
             let head = response_head(&answer);
             let upstream = Arc::clone(&answer.upstream);
-            let left = request.until.since(request.now());
+            let left = request.deadline.since(request.now());
             let told = match tokio::time::timeout(left.duration(), answer.whole()).await {
                 Ok(Ok((_, body))) => {
                     request.survived();
--- a/lib/src/direct/place.rs
+++ b/lib/src/direct/place.rs
@@ -62,7 +62,7 @@
         adapter: &Name,
         wanted: u64,
     ) -> Asked {
-        let turned_away = self.rejected > 0;
+        let turned_away = self.rejections > 0;
         let mut busy: SmallVec<[(Arc<Upstream>, Load); MOST_QUESTIONS]> = SmallVec::new();
         while busy.len() < MOST_QUESTIONS {
             let holds = |upstream: &Upstream| {
@@ -118,9 +118,9 @@
             self.spread(field, adapter, wanted, reads);
         }
         let now = self.now();
-        let (passed, left) = (now.since(self.began), self.until.since(now));
+        let (passed, left) = (now.since(self.arrived_at), self.deadline.since(now));
         let late = choice::come_back(load.wait, self.route.objective, passed, left);
-        if let (Some(back), true) = (late, self.sent == 0) {
+        if let (Some(back), true) = (late, self.possible_runs == 0) {
             return Asked::TooLate(back);
         }
         if choice::is_worth_load(load.wait) {
--- a/lib/src/direct/relay.rs
+++ b/lib/src/direct/relay.rs
@@ -158,7 +158,7 @@
             Some(last) => self.observe_pause(now.since(last), now),
             None => self.observe_first(now),
         }
-        self.request.pace.pieces += 1;
+        self.request.timing.pieces += 1;
     }
 
     /// Notes once that the engine runs the request without harm.
@@ -180,7 +180,7 @@
     pub(super) fn broke(&self, upstream: &Arc<Upstream>) {
         let now = self.request.now();
         // At the end of its time a request is dropped here, and says nothing of its upstream.
-        if now >= self.request.until {
+        if now >= self.request.deadline {
             return;
         }
         let sign = match self.progress {
@@ -192,8 +192,8 @@
     }
 
     fn observe_first(&mut self, now: Millis) {
-        let first = now.since(self.request.began);
-        self.request.pace.first = Some(first);
+        let first = now.since(self.request.arrived_at);
+        self.request.timing.first = Some(first);
         let histogram = &self.request.frontend.metrics.first_token;
         histogram
             .with_label_values(&[CLASS_LABEL])
@@ -207,7 +207,7 @@
         if let Some(answer) = &self.answer {
             answer.upstream.paused(pause, now);
         }
-        let pace = &mut self.request.pace;
+        let pace = &mut self.request.timing;
         if pause > pace.longest {
             pace.longest = pause;
             pace.longest_after = pace.pieces;
@@ -230,7 +230,7 @@
 
     /// Counts the longest pause of a whole stream.
     fn observe_pauses(&self) {
-        let pace = &self.request.pace;
+        let pace = &self.request.timing;
         let written = if pace.moved > 0 {
             "elsewhere"
         } else {
@@ -249,7 +249,7 @@
         };
         let request = &self.request;
         let engine = answer.upstream.address;
-        let stayed = request.pace.moved == 0 && !self.asked_to_move;
+        let stayed = request.timing.moved == 0 && !self.asked_to_move;
         if !stayed || self.judged || request.frontend.roles(&request.pool).reads(engine) {
             return;
         }
@@ -287,16 +287,16 @@
         let Some(answer) = &self.answer else {
             return;
         };
-        if self.asked_to_move || self.request.pace.moved > 0 {
+        if self.asked_to_move || self.request.timing.moved > 0 {
             return;
         }
         // A moved run that is rejected counts as a further send, and can't be taken back then.
         if !self.request.frontend.has_repeat(&self.request.pool) {
             return;
         }
-        let first = self.request.pace.pieces == 1;
+        let first = self.request.timing.pieces == 1;
         if let Some(target) = self.request.writer(answer, first) {
-            let left = self.request.until.since(self.request.now());
+            let left = self.request.deadline.since(self.request.now());
             let handover = Handover::begin(
                 &self.request.frontend,
                 self.request.id(),
@@ -311,7 +311,7 @@
 
     async fn step(&mut self) -> Step {
         let now = self.request.now();
-        if now >= self.request.until {
+        if now >= self.request.deadline {
             return Step::Broken("the time is up".to_owned());
         }
         if let Some(step) = self.events.known() {
@@ -345,7 +345,7 @@
 
     /// How long to wait for the next event before another engine is looked for.
     pub(super) fn patience(&self, now: Millis) -> Millis {
-        let left = self.request.until.since(now);
+        let left = self.request.deadline.since(now);
         if !self.request.may_go_on() {
             return left;
         }
--- a/lib/src/direct/request/mod.rs
+++ b/lib/src/direct/request/mod.rs
@@ -38,23 +38,23 @@
     /// The pool that takes it.
     pub pool: Name,
     /// When it arrived.
-    pub began: Millis,
+    pub arrived_at: Millis,
     /// When it is given up.
-    pub until: Millis,
+    pub deadline: Millis,
     /// Version of the configuration that it goes by.
-    pub config: u64,
+    pub config_version: u64,
     /// How the events of the answer came.
-    pub pace: Pace,
+    pub timing: StreamTiming,
     /// When it was last sent.
     pub(in crate::direct) sent_at: Millis,
     pub(in crate::direct) tried: SmallVec<[Name; 4]>,
     /// Upstreams that rejected it on an older version and are about to hold the newest.
-    pub(in crate::direct) replaced_at: SmallVec<[Name; 1]>,
+    pub(in crate::direct) replacing_upstreams: SmallVec<[Name; 1]>,
     ended: bool,
     /// Sends that may have run, those on their way among them.
-    pub(in crate::direct) sent: u32,
-    unsent: u32,
-    pub(in crate::direct) rejected: u32,
+    pub(in crate::direct) possible_runs: u32,
+    undelivered: u32,
+    pub(in crate::direct) rejections: u32,
     /// Whether the next send's part of the budget for repeats is taken already.
     repeat_reserved: bool,
     /// An upstream's error that was set aside while another one is asked.
@@ -69,7 +69,7 @@
 /// causes: a wait for the adapter or in a queue, or the reading of other prompts where the
 /// answer is written.
 #[derive(Debug, Default)]
-pub struct Pace {
+pub struct StreamTiming {
     /// Time from the request's arrival to its first event.
     pub first: Option<Millis>,
     /// The longest pause between two events.
@@ -90,26 +90,26 @@
         message: RequestMessage,
         route: Route,
         pool: Name,
-        began: Millis,
-        until: Millis,
-        config: u64,
+        arrived_at: Millis,
+        deadline: Millis,
+        config_version: u64,
     ) -> Self {
         Self {
             frontend,
             message: Arc::new(message),
             route,
             pool,
-            began,
-            until,
-            config,
-            pace: Pace::default(),
-            sent_at: began,
+            arrived_at,
+            deadline,
+            config_version,
+            timing: StreamTiming::default(),
+            sent_at: arrived_at,
             tried: SmallVec::new(),
-            replaced_at: SmallVec::new(),
+            replacing_upstreams: SmallVec::new(),
             ended: false,
-            sent: 0,
-            unsent: 0,
-            rejected: 0,
+            possible_runs: 0,
+            undelivered: 0,
+            rejections: 0,
             repeat_reserved: false,
             failed: None,
             stands_at: None,
@@ -135,7 +135,7 @@
         resume_after: Option<u64>,
     ) -> Result<UpstreamResponse, Failure> {
         let mut sends = Sends::default();
-        (self.unsent, self.rejected) = (0, 0);
+        (self.undelivered, self.rejections) = (0, 0);
         loop {
             if sends.is_empty() {
                 let target = self.next_target().await?;
@@ -168,7 +168,7 @@
         if self.stands_at(&target.upstream) {
             return Err(self.refusal(Code::NoUpstream, "no other upstream can take it now"));
         }
-        let is_repeat = self.sent + self.rejected > 0;
+        let is_repeat = self.possible_runs + self.rejections > 0;
         if is_repeat && !self.reserve_repeat() {
             return Err(self.refusal(Code::UpstreamRefused, "the budget for repeats is used up"));
         }
@@ -196,7 +196,7 @@
             return Ok(None);
         };
         let now = self.now();
-        if now >= self.until {
+        if now >= self.deadline {
             let told = format!("no answer within {}", now.since(self.sent_at));
             let miss = SendError::Lost(Code::ExpiredRunning, told);
             return self.missed(&newest, miss, true).map(|()| None);
@@ -232,8 +232,8 @@
 
     /// Returns how many sends may have run.
     #[must_use]
-    pub fn sends(&self) -> u32 {
-        self.sent
+    pub fn possible_runs(&self) -> u32 {
+        self.possible_runs
     }
 
     /// Records how the request ended; the first end counts.
@@ -252,8 +252,8 @@
 
     /// How long to wait for an answer's head before another upstream is looked for.
     fn patience(&self) -> Millis {
-        let left = self.until.since(self.now());
-        if !self.message.kind.is_retryable() || self.sent >= self.route.attempts {
+        let left = self.deadline.since(self.now());
+        if !self.message.kind.is_retryable() || self.possible_runs >= self.route.attempts {
             return left;
         }
         let span = left.min(Millis(self.route.objective.0 * PATIENCE));
--- a/lib/src/direct/request/outcome.rs
+++ b/lib/src/direct/request/outcome.rs
@@ -74,7 +74,8 @@
         request_log::missed(self, upstream, &miss);
         self.tried.push(Name::clone(&upstream.incarnation));
         if matches!(miss, SendError::Rejected { replaced: true, .. }) {
-            self.replaced_at.push(Name::clone(&upstream.incarnation));
+            self.replacing_upstreams
+                .push(Name::clone(&upstream.incarnation));
         }
         match miss {
             SendError::Unsent(told) => self.was_not_sent(upstream, &told),
@@ -85,26 +86,26 @@
     }
 
     fn was_not_sent(&mut self, upstream: &Upstream, told: &str) -> Result<(), Failure> {
-        self.sent -= 1;
+        self.possible_runs -= 1;
         upstream.unreachable(self.now());
-        self.unsent += 1;
+        self.undelivered += 1;
         self.frontend.count_retry("unsent");
-        if self.unsent >= MOST_UNSENT {
+        if self.undelivered >= MOST_UNSENT {
             return Err(self.refusal(Code::ConnectFailed, told));
         }
         Ok(())
     }
 
     fn was_rejected(&mut self, upstream: &Upstream, status: u16) -> Result<(), Failure> {
-        self.sent -= 1;
-        self.rejected += 1;
+        self.possible_runs -= 1;
+        self.rejections += 1;
         self.frontend.count_retry("rejected");
         if let Some(adapter) = self.message.metadata.adapter()
             && status == 421
         {
             upstream.lost(adapter);
         }
-        if self.rejected >= MOST_REJECTED {
+        if self.rejections >= MOST_REJECTED {
             return Err(self.refusal(Code::UpstreamRefused, "upstreams are full"));
         }
         Ok(())
@@ -113,7 +114,7 @@
     fn was_withdrawn(&mut self, sent: bool) -> Result<(), Failure> {
         self.frontend.count_retry("replaced");
         if !sent {
-            self.sent -= 1;
+            self.possible_runs -= 1;
             return Ok(());
         }
         if self.may_go_on() {
@@ -153,7 +154,7 @@
 
     /// A refusal that is true: nothing runs, or what ran is said to be unknown.
     pub(in crate::direct) fn refusal(&self, code: Code, told: &str) -> Failure {
-        if self.sent > 0 {
+        if self.possible_runs > 0 {
             return Failure::new(Code::UpstreamLost, told);
         }
         Failure::new(code, told).retry_after(COME_BACK)
@@ -169,7 +170,7 @@
     #[must_use]
     pub fn may_go_on(&self) -> bool {
         self.message.kind.is_retryable()
-            && self.sent < self.route.attempts
-            && self.now() + SELECTION_RETRY_PAUSE < self.until
+            && self.possible_runs < self.route.attempts
+            && self.now() + SELECTION_RETRY_PAUSE < self.deadline
     }
 }
--- a/lib/src/direct/request/send.rs
+++ b/lib/src/direct/request/send.rs
@@ -20,7 +20,7 @@
             ..self.dispatch(&target)
         };
         self.repeat_reserved = false;
-        self.sent += 1;
+        self.possible_runs += 1;
         self.sent_at = self.now();
         request_log::sent(self, &target.upstream, target.version, dispatch.deadline);
         self.note_uncounted(&target, target.permit.as_ref());
@@ -120,7 +120,7 @@
     fn dispatch(&self, target: &Target) -> Dispatch {
         Dispatch {
             incarnation: Name::clone(&target.upstream.incarnation),
-            deadline: self.until.since(self.now()),
+            deadline: self.deadline.since(self.now()),
             urgency: self
                 .message
                 .kind
--- a/lib/src/direct/request/suspicion.rs
+++ b/lib/src/direct/request/suspicion.rs
@@ -27,7 +27,7 @@
     }
 
     fn suspected(&self, failure: Failure) -> Failure {
-        match self.sent {
+        match self.possible_runs {
             0 => failure,
             _ => Failure::new(Code::UpstreamLost, failure.detail),
         }
--- a/lib/src/direct/request_log.rs
+++ b/lib/src/direct/request_log.rs
@@ -73,7 +73,7 @@
         load_age_ms = request.now().since(upstream.heard_at()).0,
         list_age_ms = request.now().since(request.frontend.view.as_of()).0,
         stage = upstream.stage().name(),
-        passed_ms = request.now().since(request.began).0,
+        passed_ms = request.now().since(request.arrived_at).0,
         left_ms = left.0;
         "request: sent"
     );
@@ -96,7 +96,7 @@
         outcome = miss.name(),
         code = code.number(),
         cause = told.as_str(),
-        passed_ms = request.now().since(request.began).0;
+        passed_ms = request.now().since(request.arrived_at).0;
         "request: missed"
     );
 }
@@ -175,7 +175,7 @@
     log::info!(
         request = request.id(),
         upstream = &*upstream.incarnation,
-        passed_ms = request.now().since(request.began).0;
+        passed_ms = request.now().since(request.arrived_at).0;
         "request: stays"
     );
 }
@@ -187,17 +187,17 @@
         request = request.id(),
         route = &*request.route.name,
         pool = &*request.pool,
-        config = request.config,
+        config = request.config_version,
         code = end.code(),
         cause = cause.as_str(),
-        sent = request.sends(),
-        first_ms = request.pace.first.map_or(0, |first| first.0),
-        pause_ms = request.pace.longest.0,
-        pause_after = request.pace.longest_after,
-        pieces = request.pace.pieces,
-        moved = request.pace.moved,
-        passed_ms = request.now().since(request.began).0,
-        allowed_ms = request.until.since(request.began).0;
+        sent = request.possible_runs(),
+        first_ms = request.timing.first.map_or(0, |first| first.0),
+        pause_ms = request.timing.longest.0,
+        pause_after = request.timing.longest_after,
+        pieces = request.timing.pieces,
+        moved = request.timing.moved,
+        passed_ms = request.now().since(request.arrived_at).0,
+        allowed_ms = request.deadline.since(request.arrived_at).0;
         "request: ended"
     );
 }
--- a/lib/src/direct/resume.rs
+++ b/lib/src/direct/resume.rs
@@ -39,7 +39,7 @@
     /// one that has begun to go on with the stream.
     pub(super) async fn stalled(&mut self, span: Millis) -> Step {
         let told = format!("nothing for {span}");
-        if self.stopped.is_some() || self.request.now() >= self.request.until {
+        if self.stopped.is_some() || self.request.now() >= self.request.deadline {
             return Step::Broken(told);
         }
         let Some(former) = self.answer.take() else {
@@ -187,7 +187,7 @@
             return Ok(());
         };
         // The memory of a run that was stopped may still be named.
-        let left = self.request.until.since(self.request.now());
+        let left = self.request.deadline.since(self.request.now());
         match self.moved(left).await {
             Reply::Stopped(moved) => self.continue_moved(&moved).await,
             Reply::Unchanged | Reply::Unanswered => Err(cut),
@@ -245,7 +245,7 @@
             .unwrap_or(USUAL_PAUSE)
             .max(SELECTION_RETRY_PAUSE);
         let given_up = self.request.now() + Millis(pause.0 * BORNE_PAUSES);
-        let until = given_up.min(self.request.until);
+        let until = given_up.min(self.request.deadline);
         let mut asked = 0;
         for place in moved.places.iter().cycle() {
             let last = self.events.last();
@@ -253,7 +253,7 @@
             match sent.await {
                 Ok(answer) => {
                     request_log::moved(&self.request, &place.upstream, last, "goes on");
-                    self.request.pace.moved += 1;
+                    self.request.timing.moved += 1;
                     self.begin(answer);
                     return Ok(());
                 }
--- a/lib/src/direct/target.rs
+++ b/lib/src/direct/target.rs
@@ -64,7 +64,7 @@
 impl ActiveRequest {
     /// Finds where to send, waiting a little if nothing fits.
     pub(super) async fn target(&self) -> Result<Target, Failure> {
-        let patience = self.began + Millis(self.route.objective.0 / REFUSE_AFTER);
+        let patience = self.arrived_at + Millis(self.route.objective.0 / REFUSE_AFTER);
         let quarantine = &self.frontend.quarantine;
         if !quarantine.is_empty() {
             quarantine.examined(self.message.fingerprint()).await;
@@ -87,7 +87,7 @@
                 return Ok(target);
             }
             let now = self.now();
-            if now >= patience || now >= self.until {
+            if now >= patience || now >= self.deadline {
                 return Err(self.refusal(Code::NoUpstream, "no upstream can take it now"));
             }
             tokio::time::sleep(SELECTION_RETRY_PAUSE.duration()).await;
@@ -278,7 +278,7 @@
             if asked == MOST_ASKED || unowned == MOST_UNOWNED {
                 break;
             }
-            let left = self.until.since(self.now());
+            let left = self.deadline.since(self.now());
             let load_attempt = LoadAttempt::new(self, &upstream, adapter);
             let load = self.frontend.controllers.load(&upstream, adapter, wanted);
             let Ok(loaded) = tokio::time::timeout(left.duration(), load).await else {
@@ -329,7 +329,7 @@
         adapter: &'a Name,
     ) -> impl Iterator<Item = Arc<Upstream>> + use<'a> {
         let rejected = |upstream: &&Arc<Upstream>| {
-            self.replaced_at.contains(&upstream.incarnation)
+            self.replacing_upstreams.contains(&upstream.incarnation)
                 && upstream.is_ready()
                 && self.can_load(upstream, adapter)
         };
