--- a/lib/src/direct/entry/answer.rs
+++ b/lib/src/direct/entry/answer.rs
@@ -49,7 +49,7 @@
     /// # Errors
     ///
     /// Never before the head; the body can end in a [`ResponseAborted`].
-    pub async fn answer(
+    pub async fn handle(
         self: Arc<Self>,
         request: Request<Incoming>,
     ) -> Result<Response<Body>, ResponseAborted> {
--- a/lib/src/direct/entry/gauges.rs
+++ b/lib/src/direct/entry/gauges.rs
@@ -13,11 +13,11 @@
 impl Frontend {
     /// Writes the node's metrics, with what it believes at this moment.
     #[must_use]
-    pub fn render(&self) -> String {
+    pub fn render_metrics(&self) -> String {
         let metrics = &self.metrics;
         let age = self.service.age().map_or(-1, |age| count(age.0));
         metrics.revision_age_ms.set(age);
-        metrics.in_flight.set(count(self.active()));
+        metrics.in_flight.set(count(self.active_requests()));
         metrics
             .owned
             .set(count(self.controllers.right.owned_engines()));
--- a/lib/src/direct/entry/mod.rs
+++ b/lib/src/direct/entry/mod.rs
@@ -141,7 +141,7 @@
 
     /// Requests in progress.
     #[must_use]
-    pub fn active(&self) -> usize {
+    pub fn active_requests(&self) -> usize {
         self.active.load(Ordering::Relaxed)
     }
 
@@ -166,19 +166,19 @@
     }
 
     /// Takes what sending a request to a pool once more costs from the budget; false if it's spent.
-    pub fn take_repeat(&self, pool: &Name) -> bool {
+    pub fn take_retry(&self, pool: &Name) -> bool {
         let nodes = self.view.state().most_nodes;
         self.budget().repeat(pool, self.clock.now(), nodes)
     }
 
     /// Counts a send to a pool that turned out to be a further one.
-    pub fn spend_repeat(&self, pool: &Name) {
+    pub fn charge_retry(&self, pool: &Name) {
         let now = self.clock.now();
         self.budget().spend(pool, now);
     }
 
     /// Whether the budget of a pool has room for a further send.
-    pub fn has_repeat(&self, pool: &Name) -> bool {
+    pub fn has_retry_budget(&self, pool: &Name) -> bool {
         let nodes = self.view.state().most_nodes;
         self.budget().has_room(pool, self.clock.now(), nodes)
     }
@@ -221,7 +221,12 @@
     }
 
     /// Has an adapter made present at the first of some engines, without waiting.
-    pub fn load_soon(self: &Arc<Self>, homes: Vec<Arc<Upstream>>, adapter: &Name, version: u64) {
+    pub fn load_in_background(
+        self: &Arc<Self>,
+        homes: Vec<Arc<Upstream>>,
+        adapter: &Name,
+        version: u64,
+    ) {
         let now = self.clock.now();
         let Some(upstream) = homes.into_iter().next() else {
             return;
--- a/lib/src/direct/node.rs
+++ b/lib/src/direct/node.rs
@@ -280,7 +280,7 @@
         self.report(end).await;
         // The last bytes of an answer may still lie in the system's buffers.
         tokio::time::sleep(FLUSH.duration()).await;
-        let (left, cut) = (self.frontend.active(), self.frontend.stop.cut());
+        let (left, cut) = (self.frontend.active_requests(), self.frontend.stop.cut());
         log::info!("node: stops with {left} requests in progress, {cut} were cut short");
         let whole = left + cut == 0;
         self.serving.abort();
@@ -392,7 +392,7 @@
 }
 
 fn render(frontend: &Frontend, _: &Request<Incoming>) -> Response<Full<Bytes>> {
-    Response::new(Full::from(frontend.render()))
+    Response::new(Full::from(frontend.render_metrics()))
 }
 
 async fn serve_callers(listener: TcpListener, frontend: Arc<Frontend>, closing: CancellationToken) {
@@ -424,7 +424,7 @@
         .map(|config| config.limits)
         .unwrap_or_default();
     let frontend = Arc::clone(frontend);
-    let service = service_fn(move |request| Arc::clone(&frontend).answer(request));
+    let service = service_fn(move |request| Arc::clone(&frontend).handle(request));
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
         .header_read_timeout(limits.idle.duration())
--- a/lib/src/direct/relay.rs
+++ b/lib/src/direct/relay.rs
@@ -291,7 +291,7 @@
             return;
         }
         // A moved run that is rejected counts as a further send, and can't be taken back then.
-        if !self.request.frontend.has_repeat(&self.request.pool) {
+        if !self.request.frontend.has_retry_budget(&self.request.pool) {
             return;
         }
         let first = self.request.timing.pieces == 1;
--- a/lib/src/direct/request/repeat.rs
+++ b/lib/src/direct/request/repeat.rs
@@ -19,7 +19,7 @@
     pub(in crate::direct) async fn wait_for_repeat(&self, pause: Millis, until: Millis) -> bool {
         while self.now() + pause < until {
             tokio::time::sleep(pause.duration()).await;
-            if self.take_repeat() {
+            if self.take_retry() {
                 return true;
             }
         }
@@ -28,12 +28,12 @@
 
     /// Takes what the next send costs from the budget, unless it was taken already.
     pub(super) fn reserve_repeat(&mut self) -> bool {
-        self.repeat_reserved = self.repeat_reserved || self.take_repeat();
+        self.repeat_reserved = self.repeat_reserved || self.take_retry();
         self.repeat_reserved
     }
 
     /// Takes what one more send costs from the budget of all nodes.
-    fn take_repeat(&self) -> bool {
-        self.frontend.take_repeat(&self.pool)
+    fn take_retry(&self) -> bool {
+        self.frontend.take_retry(&self.pool)
     }
 }
--- a/lib/src/direct/request/send.rs
+++ b/lib/src/direct/request/send.rs
@@ -38,7 +38,7 @@
         memory: Memory,
         last: Option<u64>,
     ) -> Result<UpstreamResponse, SendError> {
-        self.check()
+        self.check_quarantine()
             .map_err(|failure| SendError::Lost(failure.code, failure.detail))?;
         let dispatch = Dispatch {
             resume_after: last,
--- a/lib/src/direct/request/suspicion.rs
+++ b/lib/src/direct/request/suspicion.rs
@@ -17,7 +17,7 @@
     /// # Errors
     ///
     /// When upstreams ended under it; nothing more of it is sent.
-    pub(in crate::direct) fn check(&self) -> Result<(), Failure> {
+    pub(in crate::direct) fn check_quarantine(&self) -> Result<(), Failure> {
         let quarantine = &self.frontend.quarantine;
         if quarantine.is_empty() {
             return Ok(());
--- a/lib/src/direct/resume.rs
+++ b/lib/src/direct/resume.rs
@@ -260,7 +260,7 @@
                 Err(miss) => {
                     request_log::moved(&self.request, &place.upstream, last, miss.name());
                     if matches!(miss, SendError::Rejected { .. }) {
-                        self.request.frontend.spend_repeat(&self.request.pool);
+                        self.request.frontend.charge_retry(&self.request.pool);
                     }
                     // It may run there: nobody else may go on with the memory.
                     if miss.may_run() {
--- a/lib/src/direct/target.rs
+++ b/lib/src/direct/target.rs
@@ -70,7 +70,7 @@
             quarantine.examined(self.message.fingerprint()).await;
         }
         loop {
-            self.check()?;
+            self.check_quarantine()?;
             let upstreams = self.frontend.view.pool(&self.pool);
             let roles = self.frontend.roles(&self.pool);
             let field = self.field(&upstreams, &roles);
@@ -83,7 +83,7 @@
             };
             if let Some(target) = found {
                 // It can have waited for its adapter meanwhile.
-                self.check()?;
+                self.check_quarantine()?;
                 return Ok(target);
             }
             let now = self.now();
@@ -131,7 +131,7 @@
             let mut homes = self.homes(&field, adapter);
             homes.retain(|upstream| !field.reads(upstream));
             self.frontend
-                .load_soon(homes, adapter, newest.unwrap_or_default());
+                .load_in_background(homes, adapter, newest.unwrap_or_default());
         }
         found.map(|upstream| Self::at(upstream, adapter))
     }
@@ -184,7 +184,7 @@
         };
         if let Some(target) = self.older(field, adapter, wanted).await {
             self.frontend
-                .load_soon(self.homes(field, adapter), adapter, wanted);
+                .load_in_background(self.homes(field, adapter), adapter, wanted);
             return Ok(Some(target));
         }
         let homes = self.homes(field, adapter);
@@ -356,7 +356,7 @@
         if chosen < homes.len() {
             homes.swap(0, chosen);
         }
-        self.frontend.load_soon(homes, adapter, wanted);
+        self.frontend.load_in_background(homes, adapter, wanted);
     }
 
     /// Has a reader hold an adapter whose prompts are read at a writer, sooner the more there are.
@@ -368,7 +368,7 @@
         let homes = field.homes(adapter, |upstream| {
             field.reads(upstream) && self.can_load(upstream, adapter)
         });
-        self.frontend.load_soon(homes, adapter, wanted);
+        self.frontend.load_in_background(homes, adapter, wanted);
     }
 
     pub(super) fn at(upstream: Arc<Upstream>, adapter: &Name) -> Target {
