--- a/lib/src/direct/entry/answer.rs
+++ b/lib/src/direct/entry/answer.rs
@@ -59,7 +59,7 @@
             Ok(response) => response,
             Err(failure) => refusal(&failure),
         };
-        if self.stop.is_begun() {
+        if self.drain.is_draining() {
             response
                 .headers_mut()
                 .insert(header::CONNECTION, HeaderValue::from_static("close"));
@@ -134,7 +134,7 @@
         let begun = tokio::select! {
             biased;
             begun = self.begin(&mut request) => begun,
-            () = self.stop.over() => Err(self.cut_short(&request)),
+            () = self.drain.aborted() => Err(self.cut_short(&request)),
         };
         match begun {
             Ok(Begun::Whole(response)) => {
@@ -167,7 +167,7 @@
         if request.possible_runs() == 0 {
             return Failure::new(Code::Draining, "the node stops");
         }
-        self.stop.note_cut();
+        self.drain.count_aborted();
         Failure::new(Code::ExpiredRunning, "no answer before the node stops")
     }
 
--- a/lib/src/direct/entry/mod.rs
+++ b/lib/src/direct/entry/mod.rs
@@ -16,12 +16,12 @@
 use super::ask::Controllers;
 use super::budget::Budget;
 use super::dialect::Dialect;
+use super::drain::Drain;
 use super::limits::Current;
 use super::outbox::Outbox;
 use super::quarantine::Quarantine;
 use super::relay::ResponseAborted;
 use super::roles::{Mix, Roles};
-use super::stop::Stop;
 use super::upstream::Upstream;
 use super::versions::Replacements;
 use super::view::View;
@@ -72,7 +72,7 @@
     spreading: Mutex<HashMap<Name, Millis>>,
     shares: Mutex<HashMap<Name, Share>>,
     /// The node's planned stop.
-    pub stop: Stop,
+    pub drain: Drain,
     active: AtomicUsize,
 }
 
@@ -124,7 +124,7 @@
             service,
             spreading: Mutex::default(),
             shares: Mutex::default(),
-            stop: Stop::default(),
+            drain: Drain::default(),
             active: AtomicUsize::new(0),
         }
     }
@@ -132,7 +132,7 @@
     /// Whether callers may be sent here.
     #[must_use]
     pub fn is_ready(&self) -> bool {
-        if self.stop.is_begun() {
+        if self.drain.is_draining() {
             return false;
         }
         let state = self.view.state();
--- a/lib/src/direct/mod.rs
+++ b/lib/src/direct/mod.rs
@@ -17,6 +17,7 @@
 pub mod claim;
 pub mod config;
 pub mod dialect;
+pub mod drain;
 pub mod entry;
 pub mod fanout;
 pub mod follow;
@@ -45,7 +46,6 @@
 pub mod sequence;
 pub mod serve;
 pub mod sse;
-pub mod stop;
 pub mod target;
 
 pub mod upstream;
--- a/lib/src/direct/node.rs
+++ b/lib/src/direct/node.rs
@@ -273,14 +273,17 @@
     pub async fn drain(mut self) -> bool {
         let clock = Arc::clone(&self.frontend.clock);
         let end = clock.now() + self.limits.get().stop - END_MARGIN;
-        self.frontend.stop.begin(end);
+        self.frontend.drain.begin(end);
         give_notice(self.claimer.leave()).await;
         self.closing.cancel();
         self.finish(end).await;
         self.report(end).await;
         // The last bytes of an answer may still lie in the system's buffers.
         tokio::time::sleep(FLUSH.duration()).await;
-        let (left, cut) = (self.frontend.active_requests(), self.frontend.stop.cut());
+        let (left, cut) = (
+            self.frontend.active_requests(),
+            self.frontend.drain.aborted_count(),
+        );
         log::info!("node: stops with {left} requests in progress, {cut} were cut short");
         let whole = left + cut == 0;
         self.serving.abort();
@@ -303,7 +306,7 @@
             return;
         }
         log::info!("node: what is in progress is cut short at the end of its time");
-        self.frontend.stop.end();
+        self.frontend.drain.abort();
         if tokio::time::timeout(ANSWERS.duration(), serving)
             .await
             .is_err()
--- a/lib/src/direct/relay.rs
+++ b/lib/src/direct/relay.rs
@@ -98,8 +98,8 @@
         let next = tokio::select! {
             biased;
             next = relay.next() => next,
-            () = frontend.stop.over() => {
-                frontend.stop.note_cut();
+            () = frontend.drain.aborted() => {
+                frontend.drain.count_aborted();
                 Err(ResponseAborted("the node stops".to_owned()))
             }
         };
--- a/lib/src/direct/request/mod.rs
+++ b/lib/src/direct/request/mod.rs
@@ -142,11 +142,11 @@
                 self.send(&mut sends, target, resume_after);
             }
             let span = self.patience();
-            let stops = self.frontend.stop.is_begun();
+            let stops = self.frontend.drain.is_draining();
             let next = tokio::select! {
                 biased;
                 sent = sends.next() => Some(sent),
-                () = self.frontend.stop.begun(), if !stops => continue,
+                () = self.frontend.drain.started(), if !stops => continue,
                 // Its engine may not have begun it: dropped now, it ends no further one.
                 failure = self.quarantined() => return Err(failure),
                 () = tokio::time::sleep(span.duration()) => None,
@@ -257,7 +257,7 @@
             return left;
         }
         let span = left.min(Millis(self.route.objective.0 * PATIENCE));
-        let Some(end) = self.frontend.stop.until() else {
+        let Some(end) = self.frontend.drain.deadline() else {
             return span;
         };
         // What stands at a silent upstream for as long as the node lives is cut short.
