--- a/lib/src/direct/question.rs
+++ b/lib/src/direct/control_call.rs
@@ -19,7 +19,7 @@
 /// # Errors
 ///
 /// A sentence for people when there is no whole answer. The question may have arrived.
-pub async fn ask(
+pub async fn send(
     dialect: &dyn Dialect,
     upstream: &Upstream,
     question: Request<Full<Bytes>>,
--- a/lib/src/direct/entry/answer.rs
+++ b/lib/src/direct/entry/handle.rs
@@ -143,7 +143,7 @@
             }
             Ok(Begun::Stream(answer)) => {
                 let head = response_head(&answer);
-                let body = StreamBody::new(relay::body(request, *answer));
+                let body = StreamBody::new(relay::stream_body(request, *answer));
                 Ok(Response::from_parts(head, body.boxed_unsync()))
             }
             Err(failure) => {
--- a/lib/src/direct/entry/mod.rs
+++ b/lib/src/direct/entry/mod.rs
@@ -1,8 +1,8 @@
 //! The entry: callers' requests, from the first byte to the answer.
 
 mod accept;
-mod answer;
 mod gauges;
+mod handle;
 mod response;
 
 use std::collections::HashMap;
--- a/lib/src/direct/sequence.rs
+++ b/lib/src/direct/event_sequence.rs
@@ -3,14 +3,14 @@
 use bytes::{Bytes, BytesMut};
 use hyper::body::Frame;
 
-use super::sse::Splitter;
+use super::sse::EventSplitter;
 
 /// What a body gives when it is read on; none at its end.
-pub type Received = Option<Result<Frame<Bytes>, hyper::Error>>;
+pub type BodyFrame = Option<Result<Frame<Bytes>, hyper::Error>>;
 
 /// What reading on led to.
 #[derive(Debug)]
-pub enum Step {
+pub enum StreamStep {
     /// Whole events to pass on.
     Events(Bytes),
     /// Nothing yet.
@@ -25,19 +25,19 @@
 
 /// Passes on whole events, each of which follows the one before.
 #[derive(Debug)]
-pub struct Sequence {
-    splitter: Splitter,
+pub struct EventSequence {
+    splitter: EventSplitter,
     last: Option<u64>,
     /// What was found behind events that were passed on.
     broken: Option<String>,
 }
 
-impl Sequence {
+impl EventSequence {
     /// Begins behind the event that the caller has already.
     #[must_use]
     pub fn new(last: Option<u64>) -> Self {
         Self {
-            splitter: Splitter::default(),
+            splitter: EventSplitter::default(),
             last,
             broken: None,
         }
@@ -56,20 +56,22 @@
     }
 
     /// Returns what is known without reading on.
-    pub fn known(&mut self) -> Option<Step> {
-        self.broken.take().map(Step::Broken)
+    pub fn known(&mut self) -> Option<StreamStep> {
+        self.broken.take().map(StreamStep::Broken)
     }
 
     /// Takes in what came from the upstream.
-    pub fn receive(&mut self, received: Received) -> Step {
+    pub fn receive(&mut self, received: BodyFrame) -> StreamStep {
         match received {
-            Some(Err(error)) => Step::Broken(error.to_string()),
+            Some(Err(error)) => StreamStep::Broken(error.to_string()),
             Some(Ok(frame)) => match frame.into_data() {
                 Ok(data) => self.take(&data),
-                Err(_) => Step::More,
+                Err(_) => StreamStep::More,
             },
-            None if self.splitter.has_rest() => Step::Broken("it ended within an event".to_owned()),
-            None => Step::End,
+            None if self.splitter.has_partial_event() => {
+                StreamStep::Broken("it ended within an event".to_owned())
+            }
+            None => StreamStep::End,
         }
     }
 
@@ -77,7 +79,7 @@
     ///
     /// A gap can show behind events that came in the same piece. They are passed on first; the
     /// gap is kept, or an upstream that ends in order then would make the stream look whole.
-    fn take(&mut self, data: &[u8]) -> Step {
+    fn take(&mut self, data: &[u8]) -> StreamStep {
         self.splitter.push(data);
         let mut whole = BytesMut::new();
         while let Some(event) = self.splitter.event() {
@@ -92,12 +94,12 @@
             }
             whole.extend_from_slice(&event.bytes);
         }
-        if self.splitter.overflows() {
-            return Step::Broken("an event is too long".to_owned());
+        if self.splitter.is_oversized() {
+            return StreamStep::Broken("an event is too long".to_owned());
         }
         if whole.is_empty() {
-            return self.known().unwrap_or(Step::More);
+            return self.known().unwrap_or(StreamStep::More);
         }
-        Step::Events(whole.freeze())
+        StreamStep::Events(whole.freeze())
     }
 }
--- a/lib/src/direct/handover.rs
+++ b/lib/src/direct/handover.rs
@@ -11,9 +11,9 @@
 use tokio_util::task::AbortOnDropHandle;
 
 use super::attempt::UpstreamResponse;
+use super::control_call;
 use super::dialect::{Memory, Transferred};
 use super::entry::Frontend;
-use super::question;
 use super::target::Target;
 use super::upstream::Upstream;
 use crate::clock::Millis;
@@ -32,9 +32,9 @@
 
 /// What an engine said to the question to move a run.
 #[derive(Debug)]
-pub enum Reply {
+pub enum HandoverReply {
     /// It was stopped, and can go on.
-    Stopped(Box<Moved>),
+    Stopped(Box<StoppedRun>),
     /// It was not stopped.
     Unchanged,
     /// Nothing so far.
@@ -43,7 +43,7 @@
 
 /// Where a run that was stopped can go on.
 #[derive(Debug)]
-pub struct Moved {
+pub struct StoppedRun {
     /// What to present there.
     pub memory: Memory,
     /// Engines that have it, the better one first.
@@ -83,10 +83,10 @@
     /// A run stops when its engine is asked, and the copy of its memory can queue behind others
     /// on the engine's link. The answer alone names the memory: without it, a stream that may
     /// not be repeated ends in the middle. So nothing is lost when this returns
-    /// [`Reply::Unanswered`].
-    pub async fn reply(&mut self, span: Millis) -> Reply {
+    /// [`HandoverReply::Unanswered`].
+    pub async fn reply(&mut self, span: Millis) -> HandoverReply {
         let Ok(asked) = tokio::time::timeout(span.duration(), &mut self.asked).await else {
-            return Reply::Unanswered;
+            return HandoverReply::Unanswered;
         };
         let source = Target {
             upstream: Arc::clone(&self.source),
@@ -99,10 +99,10 @@
                 (handle, target.into_iter().chain([source]).collect())
             }
             Ok(Transferred::Kept(handle)) => (handle, smallvec![source]),
-            Ok(Transferred::Unchanged) => return Reply::Unchanged,
+            Ok(Transferred::Unchanged) => return HandoverReply::Unchanged,
             Err(error) => {
                 log::error!("handover: the question ended early: {error}");
-                return Reply::Unchanged;
+                return HandoverReply::Unchanged;
             }
         };
         self.source.succeeded();
@@ -110,7 +110,7 @@
             source: self.source.address,
             handle,
         };
-        Reply::Stopped(Box::new(Moved { memory, places }))
+        HandoverReply::Stopped(Box::new(StoppedRun { memory, places }))
     }
 }
 
@@ -124,7 +124,7 @@
     let request = frontend
         .dialect
         .ask_transfer(&source.incarnation, &id, target.address);
-    let asked = question::ask(&*frontend.dialect, &source, request);
+    let asked = control_call::send(&*frontend.dialect, &source, request);
     let transferred = match tokio::time::timeout(left.duration(), asked).await {
         Ok(Ok((head, body))) => frontend.dialect.transferred(&head, &body),
         Ok(Err(told)) => {
--- a/lib/src/direct/node.rs
+++ b/lib/src/direct/node.rs
@@ -25,8 +25,8 @@
 use super::fanout::Subscription;
 use super::follow::Follower;
 use super::limits::{Current, Limits};
+use super::peer_server;
 use super::right::Right;
-use super::serve;
 use super::view::{Peer, View};
 use crate::clock::{Boot, Clock, Millis};
 use crate::metrics::Metrics;
@@ -256,7 +256,7 @@
         controllers: Arc<Controllers>,
     ) {
         self.tasks.spawn(async move {
-            if let Err(error) = serve::serve(peers, controllers).await {
+            if let Err(error) = peer_server::serve(peers, controllers).await {
                 log::error!("node: other nodes aren't served: {error}");
             }
         });
--- a/lib/src/direct/orders/engine.rs
+++ b/lib/src/direct/orders/engine.rs
@@ -7,8 +7,8 @@
 use crate::clock::{Clock, Millis};
 use crate::direct::admission::Table;
 use crate::direct::config::Engine;
+use crate::direct::control_call;
 use crate::direct::dialect::{Dialect, Order, Ordered, Report};
-use crate::direct::question;
 use crate::direct::right::Right;
 use crate::direct::upstream::Upstream;
 use crate::direct::view::View;
@@ -88,7 +88,7 @@
 
     async fn ask_report(&self) -> Result<Report, String> {
         let request = self.dialect.ask_report(&self.upstream.incarnation);
-        let (head, body) = question::ask(&*self.dialect, &self.upstream, request).await?;
+        let (head, body) = control_call::send(&*self.dialect, &self.upstream, request).await?;
         if !head.status.is_success() {
             return Err(format!("status {}", head.status));
         }
--- a/lib/src/direct/relay.rs
+++ b/lib/src/direct/relay.rs
@@ -10,11 +10,11 @@
 
 use super::attempt::UpstreamResponse;
 use super::entry::{CLASS_LABEL, seconds};
-use super::handover::{Handover, Moved, Reply};
+use super::event_sequence::{EventSequence, StreamStep};
+use super::handover::{Handover, HandoverReply, StoppedRun};
 use super::quarantine::SETTLED;
 use super::request::ActiveRequest;
 use super::request_log::RequestOutcome;
-use super::sequence::{Sequence, Step};
 use super::upstream::Upstream;
 use super::versions;
 use crate::clock::Millis;
@@ -59,13 +59,13 @@
 pub(super) struct Relay {
     pub(super) request: ActiveRequest,
     pub(super) answer: Option<UpstreamResponse>,
-    pub(super) events: Sequence,
+    pub(super) events: EventSequence,
     passed_on: Option<Millis>,
     progress: Progress,
     /// The question to move the run, as long as it has no answer.
     pub(super) handover: Option<Handover>,
     /// Where the run can go on, once it was stopped.
-    pub(super) stopped: Option<Box<Moved>>,
+    pub(super) stopped: Option<Box<StoppedRun>>,
     /// Whether the upstream was asked to move the run.
     pub(super) asked_to_move: bool,
     /// Whether the upstream was found silent already, which counts against it once.
@@ -75,11 +75,11 @@
 }
 
 /// Makes the body that the caller gets.
-pub fn body(
+pub fn stream_body(
     request: ActiveRequest,
     answer: UpstreamResponse,
 ) -> impl Stream<Item = Result<Frame<Bytes>, ResponseAborted>> + Send {
-    let events = Sequence::new(request.message.metadata.resume_after);
+    let events = EventSequence::new(request.message.metadata.resume_after);
     let relay = Relay {
         request,
         answer: Some(answer),
@@ -121,13 +121,13 @@
     async fn next(&mut self) -> Result<Option<Bytes>, ResponseAborted> {
         loop {
             match self.step().await {
-                Step::Events(bytes) => {
+                StreamStep::Events(bytes) => {
                     self.observe();
                     self.hand_over();
                     return Ok(Some(bytes));
                 }
-                Step::More => {}
-                Step::End => {
+                StreamStep::More => {}
+                StreamStep::End => {
                     if self.is_whole().await? {
                         self.settle();
                         self.judge_stay(false);
@@ -136,8 +136,8 @@
                         return Ok(None);
                     }
                 }
-                Step::Broken(told) => self.go_on(&told).await?,
-                Step::Withdrawn => self.withdraw().await?,
+                StreamStep::Broken(told) => self.go_on(&told).await?,
+                StreamStep::Withdrawn => self.withdraw().await?,
             }
         }
     }
@@ -309,10 +309,10 @@
         }
     }
 
-    async fn step(&mut self) -> Step {
+    async fn step(&mut self) -> StreamStep {
         let now = self.request.now();
         if now >= self.request.deadline {
-            return Step::Broken("the time is up".to_owned());
+            return StreamStep::Broken("the time is up".to_owned());
         }
         if let Some(step) = self.events.known() {
             return step;
@@ -322,7 +322,7 @@
             span = span.min(REST);
         }
         let Some(answer) = &mut self.answer else {
-            return Step::Broken("there is no answer".to_owned());
+            return StreamStep::Broken("there is no answer".to_owned());
         };
         let reply = tokio::select! {
             biased;
@@ -331,16 +331,16 @@
                 return self.events.receive(received);
             }
             reply = reply_of(&mut self.handover, span) => reply,
-            () = versions::expired(answer.watch.as_ref()) => return Step::Withdrawn,
-            () = tokio::time::sleep(span.duration()) => Reply::Unanswered,
+            () = versions::expired(answer.watch.as_ref()) => return StreamStep::Withdrawn,
+            () = tokio::time::sleep(span.duration()) => HandoverReply::Unanswered,
         };
         match reply {
-            Reply::Unanswered => return self.stalled(span).await,
-            Reply::Unchanged => {}
-            Reply::Stopped(moved) => self.stopped = Some(moved),
+            HandoverReply::Unanswered => return self.stalled(span).await,
+            HandoverReply::Unchanged => {}
+            HandoverReply::Stopped(moved) => self.stopped = Some(moved),
         }
         self.handover = None;
-        Step::More
+        StreamStep::More
     }
 
     /// How long to wait for the next event before another engine is looked for.
@@ -373,7 +373,7 @@
 }
 
 /// Waits for what an engine says to the question to move a run, if there is one.
-async fn reply_of(handover: &mut Option<Handover>, span: Millis) -> Reply {
+async fn reply_of(handover: &mut Option<Handover>, span: Millis) -> HandoverReply {
     match handover {
         Some(handover) => handover.reply(span).await,
         None => std::future::pending().await,
--- a/lib/src/direct/request/mod.rs
+++ b/lib/src/direct/request/mod.rs
@@ -1,9 +1,9 @@
 //! The way of one request: which upstreams it is sent to, and when it is given up.
 
 mod outcome;
-mod repeat;
+mod quarantine;
+mod retry;
 mod send;
-mod suspicion;
 
 use std::sync::Arc;
 
--- a/lib/src/direct/resume.rs
+++ b/lib/src/direct/resume.rs
@@ -9,11 +9,11 @@
 use http_body_util::BodyExt;
 
 use super::attempt::{SendError, UpstreamResponse};
-use super::handover::{Moved, Reply};
+use super::event_sequence::{EventSequence, StreamStep};
+use super::handover::{HandoverReply, StoppedRun};
 use super::relay::{Relay, ResponseAborted, USUAL_PAUSE};
 use super::request::SELECTION_RETRY_PAUSE;
 use super::request_log;
-use super::sequence::{Sequence, Step};
 use super::versions;
 use crate::clock::Millis;
 use crate::error::Failure;
@@ -27,9 +27,9 @@
 /// What came first.
 enum Found {
     /// What the silent engine brought.
-    Here(Step),
+    Here(StreamStep),
     /// The search's result, and how the silent engine's answer ended meanwhile, if it did.
-    Elsewhere(Result<Box<UpstreamResponse>, Failure>, Option<Step>),
+    Elsewhere(Result<Box<UpstreamResponse>, Failure>, Option<StreamStep>),
 }
 
 impl Relay {
@@ -37,17 +37,17 @@
     ///
     /// An engine can pause for longer than callers bear and go on. It is left only for another
     /// one that has begun to go on with the stream.
-    pub(super) async fn stalled(&mut self, span: Millis) -> Step {
+    pub(super) async fn stalled(&mut self, span: Millis) -> StreamStep {
         let told = format!("nothing for {span}");
         if self.stopped.is_some() || self.request.now() >= self.request.deadline {
-            return Step::Broken(told);
+            return StreamStep::Broken(told);
         }
         let Some(former) = self.answer.take() else {
-            return Step::Broken(told);
+            return StreamStep::Broken(told);
         };
         if !self.request.reserve_elsewhere(&former.upstream) {
             self.answer = Some(former);
-            return Step::More;
+            return StreamStep::More;
         }
         self.look_elsewhere(former, told).await
     }
@@ -57,7 +57,7 @@
     /// A free place elsewhere is only believed, and the engine there can reject the request. So
     /// the silent one is read meanwhile, and closed once another one's head has come. Where its
     /// answer ends meanwhile, the other one's is waited for all the same.
-    async fn look_elsewhere(&mut self, former: UpstreamResponse, told: String) -> Step {
+    async fn look_elsewhere(&mut self, former: UpstreamResponse, told: String) -> StreamStep {
         let upstream = Arc::clone(&former.upstream);
         if !std::mem::replace(&mut self.silent, true) {
             self.request.blame(&upstream);
@@ -78,20 +78,22 @@
                 // What was asked of the former engine is of no use any more.
                 self.handover = None;
                 self.begin(*answer);
-                Step::More
+                StreamStep::More
+            }
+            Found::Elsewhere(_, Some(StreamStep::Withdrawn)) => {
+                StreamStep::Broken(REPLACED.to_owned())
             }
-            Found::Elsewhere(_, Some(Step::Withdrawn)) => Step::Broken(REPLACED.to_owned()),
             Found::Elsewhere(_, Some(ended)) => {
                 self.broke(&upstream);
                 match ended {
-                    Step::Broken(told) => Step::Broken(told),
-                    _ => Step::Broken("the run may have been stopped".to_owned()),
+                    StreamStep::Broken(told) => StreamStep::Broken(told),
+                    _ => StreamStep::Broken("the run may have been stopped".to_owned()),
                 }
             }
             Found::Elsewhere(_, None) => {
                 request_log::stays(&self.request, &upstream);
                 self.answer = former;
-                Step::More
+                StreamStep::More
             }
         }
     }
@@ -113,9 +115,9 @@
                 biased;
                 answer = &mut search => return Found::Elsewhere(answer.map(Box::new), ended),
                 step = next_step(former, events) => match step {
-                    Step::More => {}
-                    Step::End if ends_whole => return Found::Here(Step::End),
-                    step @ Step::Events(_) => return Found::Here(step),
+                    StreamStep::More => {}
+                    StreamStep::End if ends_whole => return Found::Here(StreamStep::End),
+                    step @ StreamStep::Events(_) => return Found::Here(step),
                     step => {
                         *former = None;
                         ended = Some(step);
@@ -150,9 +152,9 @@
         }
         let span = self.patience(self.request.now());
         match self.moved(span).await {
-            Reply::Unchanged => Ok(true),
-            Reply::Stopped(moved) => self.continue_moved(&moved).await.map(|()| false),
-            Reply::Unanswered => {
+            HandoverReply::Unchanged => Ok(true),
+            HandoverReply::Stopped(moved) => self.continue_moved(&moved).await.map(|()| false),
+            HandoverReply::Unanswered => {
                 let told = "the run may have been stopped";
                 self.go_on_elsewhere(told).await.map(|()| false)
             }
@@ -166,7 +168,7 @@
     /// [`ResponseAborted`] when it can't go on.
     pub(super) async fn go_on(&mut self, told: &str) -> Result<(), ResponseAborted> {
         let span = self.patience(self.request.now());
-        if let Reply::Stopped(moved) = self.moved(span).await {
+        if let HandoverReply::Stopped(moved) = self.moved(span).await {
             return self.continue_moved(&moved).await;
         }
         self.go_on_elsewhere(told).await
@@ -189,21 +191,21 @@
         // The memory of a run that was stopped may still be named.
         let left = self.request.deadline.since(self.request.now());
         match self.moved(left).await {
-            Reply::Stopped(moved) => self.continue_moved(&moved).await,
-            Reply::Unchanged | Reply::Unanswered => Err(cut),
+            HandoverReply::Stopped(moved) => self.continue_moved(&moved).await,
+            HandoverReply::Unchanged | HandoverReply::Unanswered => Err(cut),
         }
     }
 
     /// Returns what the engine said to the question to move the run.
-    async fn moved(&mut self, span: Millis) -> Reply {
+    async fn moved(&mut self, span: Millis) -> HandoverReply {
         if let Some(moved) = self.stopped.take() {
-            return Reply::Stopped(moved);
+            return HandoverReply::Stopped(moved);
         }
         let Some(mut handover) = self.handover.take() else {
-            return Reply::Unchanged;
+            return HandoverReply::Unchanged;
         };
         let reply = handover.reply(span).await;
-        if matches!(reply, Reply::Unanswered) {
+        if matches!(reply, HandoverReply::Unanswered) {
             self.handover = Some(handover);
         }
         reply
@@ -236,7 +238,7 @@
     /// Both engines can be full at that moment, and the memory stays where it is for seconds.
     /// Where the prompt can't be read anew either, they are asked again for as long as callers
     /// bear a pause: the memory is all that is left of the answer.
-    async fn continue_moved(&mut self, moved: &Moved) -> Result<(), ResponseAborted> {
+    async fn continue_moved(&mut self, moved: &StoppedRun) -> Result<(), ResponseAborted> {
         self.answer = None;
         let pause = self
             .request
@@ -294,7 +296,10 @@
 }
 
 /// Reads what an answer brings next; for ever if it was dropped.
-async fn next_step(answer: &mut Option<UpstreamResponse>, events: &mut Sequence) -> Step {
+async fn next_step(
+    answer: &mut Option<UpstreamResponse>,
+    events: &mut EventSequence,
+) -> StreamStep {
     let Some(answer) = answer else {
         return std::future::pending().await;
     };
@@ -304,6 +309,6 @@
             answer.has_begun();
             events.receive(received)
         }
-        () = versions::expired(answer.watch.as_ref()) => Step::Withdrawn,
+        () = versions::expired(answer.watch.as_ref()) => StreamStep::Withdrawn,
     }
 }
--- a/lib/src/direct/sse.rs
+++ b/lib/src/direct/sse.rs
@@ -19,12 +19,12 @@
 /// An upstream that breaks off can stop in the middle of an event; whoever gets
 /// half an event can't tell it from a whole one.
 #[derive(Debug, Default)]
-pub struct Splitter {
+pub struct EventSplitter {
     buffer: BytesMut,
     scanned: usize,
 }
 
-impl Splitter {
+impl EventSplitter {
     /// Takes in bytes.
     pub fn push(&mut self, bytes: &[u8]) {
         self.buffer.extend_from_slice(bytes);
@@ -41,13 +41,13 @@
 
     /// Whether part of an event is left.
     #[must_use]
-    pub fn has_rest(&self) -> bool {
+    pub fn has_partial_event(&self) -> bool {
         !self.buffer.is_empty()
     }
 
     /// Whether what is left is too long for an event.
     #[must_use]
-    pub fn overflows(&self) -> bool {
+    pub fn is_oversized(&self) -> bool {
         self.buffer.len() > LONGEST_EVENT
     }
 
--- a/lib/tests/test_direct_parts.rs
+++ b/lib/tests/test_direct_parts.rs
@@ -10,7 +10,7 @@
 use chivevalve::direct::limits::{Current, Limits, Retries, exchange_pause, in_use};
 use chivevalve::direct::pick::{Field, MOST_HOMES};
 use chivevalve::direct::roles::Roles;
-use chivevalve::direct::sse::Splitter;
+use chivevalve::direct::sse::EventSplitter;
 use chivevalve::direct::upstream::Upstream;
 use chivevalve::direct::view::View;
 use chivevalve::name::Name;
@@ -57,7 +57,7 @@
 fn splitter_any_cuts_give_the_same_events() {
     fn holds(cuts: Vec<u8>) -> bool {
         let text = b"id: 1\ndata: a\n\nid: 2\r\ndata: b\r\n\r\ndata: no number\n\nid: 4\ndata: d";
-        let mut splitter = Splitter::default();
+        let mut splitter = EventSplitter::default();
         let mut ids = Vec::new();
         let mut at = 0;
         let mut cuts = cuts.into_iter();
@@ -70,7 +70,7 @@
                 ids.push(event.id);
             }
         }
-        ids == [Some(1), Some(2), None] && splitter.has_rest()
+        ids == [Some(1), Some(2), None] && splitter.has_partial_event()
     }
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(40, 7))
@@ -79,10 +79,10 @@
 
 #[test]
 fn splitter_too_long_event() {
-    let mut splitter = Splitter::default();
+    let mut splitter = EventSplitter::default();
     splitter.push(&vec![b'x'; 300_000]);
     assert!(splitter.event().is_none());
-    assert!(splitter.overflows());
+    assert!(splitter.is_oversized());
 }
 
 /// Symptom: servers get more further sends than the deployment allows.
