--- a/lib/src/direct/attempt.rs
+++ b/lib/src/direct/attempt.rs
@@ -8,8 +8,8 @@
 use hyper::body::Incoming;
 
 use super::admit::Permit;
-use super::call::{Call, Kind};
 use super::dialect::{Dialect, Dispatch, Reply};
+use super::metadata::{RequestKind, RequestMetadata};
 use super::upstream::{Running, Upstream};
 use super::versions::{self, Watch};
 use crate::clock::Millis;
@@ -37,7 +37,7 @@
 
 /// A request as it is sent, the same for each attempt.
 #[derive(Debug)]
-pub struct Message {
+pub struct RequestMessage {
     /// Method.
     pub method: Method,
     /// Path and query.
@@ -47,16 +47,16 @@
     /// The whole body.
     pub body: Bytes,
     /// What the request says about itself.
-    pub call: Call,
+    pub metadata: RequestMetadata,
     /// What may be repeated.
-    pub kind: Kind,
+    pub kind: RequestKind,
     /// What identifies it over its attempts, once that was needed.
     pub fingerprint: OnceLock<Fingerprint>,
 }
 
 /// Why an attempt gave no answer.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Miss {
+pub enum SendError {
     /// Nothing was sent.
     Unsent(String),
     /// The upstream says that it did not run the request.
@@ -76,7 +76,7 @@
     Lost(Code, String),
 }
 
-impl Miss {
+impl SendError {
     /// Whether the request may run, or have run, where it was sent.
     #[must_use]
     pub const fn may_run(&self) -> bool {
@@ -97,7 +97,7 @@
 
 /// An answer whose head has come.
 #[derive(Debug)]
-pub struct Answer {
+pub struct UpstreamResponse {
     /// Its head.
     pub head: response::Parts,
     /// What the head says.
@@ -116,15 +116,15 @@
     pub running: Running,
 }
 
-impl Message {
+impl RequestMessage {
     /// Returns what identifies the request over its attempts.
     pub fn fingerprint(&self) -> &Fingerprint {
         self.fingerprint.get_or_init(|| {
-            let call = &self.call;
+            let metadata = &self.metadata;
             let host = self.headers.get(header::HOST);
             Fingerprint::of(&Identity {
-                caller: call.caller.as_deref().unwrap_or_default(),
-                model: call.model.as_deref().unwrap_or_default(),
+                caller: metadata.caller.as_deref().unwrap_or_default(),
+                model: metadata.model.as_deref().unwrap_or_default(),
                 method: self.method.as_str(),
                 host: host.and_then(|host| host.to_str().ok()).unwrap_or_default(),
                 path: self.uri.path_and_query().map_or("", |path| path.as_str()),
@@ -137,7 +137,7 @@
     ///
     /// # Errors
     ///
-    /// A [`Miss`], which says truly whether the request may have run.
+    /// A [`SendError`], which says truly whether the request may have run.
     pub async fn send(
         &self,
         upstream: &Arc<Upstream>,
@@ -145,9 +145,9 @@
         dispatch: &Dispatch,
         permit: Option<Permit>,
         watch: Option<Watch>,
-    ) -> Result<Answer, Miss> {
-        let running = upstream.enter(self.call.adapter(), permit);
-        let freshness = if self.kind.repeatable() {
+    ) -> Result<UpstreamResponse, SendError> {
+        let running = upstream.enter(self.metadata.adapter(), permit);
+        let freshness = if self.kind.is_retryable() {
             USABLE
         } else {
             FRESH
@@ -161,25 +161,25 @@
         // for its adapter or for a connection; one that leaves gets no new work.
         if !upstream.is_ready() {
             upstream.link.keep(connection, None);
-            return Err(Miss::Unsent("the upstream leaves".to_owned()));
+            return Err(SendError::Unsent("the upstream leaves".to_owned()));
         }
         if watch.as_ref().is_some_and(Watch::has_expired) {
             upstream.link.keep(connection, None);
-            return Err(Miss::Withdrawn { sent: false });
+            return Err(SendError::Withdrawn { sent: false });
         }
         let request = self.request(dialect, dispatch);
         let response = tokio::select! {
             biased;
             response = connection.send(request) => response.map_err(|lost| miss(&lost))?,
             // Dropping the connection has the engine drop the request.
-            () = versions::expired(watch.as_ref()) => return Err(Miss::Withdrawn { sent: true }),
+            () = versions::expired(watch.as_ref()) => return Err(SendError::Withdrawn { sent: true }),
         };
         let (head, body) = response.into_parts();
         let reply = dialect.reply(&head);
-        if reply.id != self.call.id {
+        if reply.id != self.metadata.id {
             // Another request's answer came late over this connection. Whether
             // the upstream runs ours, nobody can tell.
-            return Err(Miss::Lost(
+            return Err(SendError::Lost(
                 Code::WrongAnswer,
                 "the answer names another request".to_owned(),
             ));
@@ -188,15 +188,15 @@
             let status = head.status.as_u16();
             finish(body, connection, upstream, &reply).await;
             let replaced = watch.as_ref().is_some_and(Watch::is_replaced);
-            return Err(Miss::Rejected { status, replaced });
+            return Err(SendError::Rejected { status, replaced });
         }
         if head.status.is_success() && !reply.signed {
-            return Err(Miss::Lost(
+            return Err(SendError::Lost(
                 Code::WrongAnswer,
                 "the answer bears no signature".to_owned(),
             ));
         }
-        Ok(Answer {
+        Ok(UpstreamResponse {
             head,
             reply,
             body,
@@ -218,7 +218,7 @@
     }
 }
 
-impl Answer {
+impl UpstreamResponse {
     /// Takes in that a part of the body has come, so that the run has begun.
     pub fn has_begun(&mut self) {
         self.watch = None;
@@ -228,12 +228,12 @@
     ///
     /// # Errors
     ///
-    /// [`Miss::Lost`] when it breaks off or is too long.
-    pub async fn whole(self) -> Result<(response::Parts, Bytes), Miss> {
+    /// [`SendError::Lost`] when it breaks off or is too long.
+    pub async fn whole(self) -> Result<(response::Parts, Bytes), SendError> {
         let body = Limited::new(self.body, WHOLE_BYTES)
             .collect()
             .await
-            .map_err(|error| Miss::Lost(Code::AnswerCut, error.to_string()))?
+            .map_err(|error| SendError::Lost(Code::AnswerCut, error.to_string()))?
             .to_bytes();
         if !self.reply.closes {
             self.upstream.link.keep(self.connection, self.reply.keep);
@@ -251,9 +251,9 @@
     }
 }
 
-fn miss(lost: &Lost) -> Miss {
+fn miss(lost: &Lost) -> SendError {
     match lost {
-        Lost::Unsent(told) => Miss::Unsent(told.clone()),
-        Lost::Sent(told) => Miss::Lost(Code::UpstreamLost, told.clone()),
+        Lost::Unsent(told) => SendError::Unsent(told.clone()),
+        Lost::Sent(told) => SendError::Lost(Code::UpstreamLost, told.clone()),
     }
 }
--- a/lib/src/direct/place.rs
+++ b/lib/src/direct/place.rs
@@ -35,7 +35,7 @@
             version,
             limit: 0,
             loaded: false,
-            tokens: self.message.call.tokens.map_or(0, |(prompt, _)| prompt),
+            tokens: self.message.metadata.tokens.map_or(0, |(prompt, _)| prompt),
             patience: choice::calm_wait(self.route.objective),
         }
     }
@@ -44,7 +44,7 @@
     pub(super) async fn with_base(&self, field: &Field<'_>, model: &Name) -> Option<Target> {
         let upstream = field.first(self.manner(), |upstream| upstream.has_base(model))?;
         let question = self.question(None, 0);
-        let permit = match self.gate.controllers.admit(&upstream, question).await {
+        let permit = match self.frontend.controllers.admit(&upstream, question).await {
             admit::Answer::Admitted(permit, _) => Some(permit),
             _ => None,
         };
@@ -62,7 +62,7 @@
         adapter: &Name,
         wanted: u64,
     ) -> Asked {
-        let turned_away = self.rejected > 0;
+        let turned_away = self.rejections > 0;
         let mut busy: SmallVec<[(Arc<Upstream>, Load); MOST_QUESTIONS]> = SmallVec::new();
         while busy.len() < MOST_QUESTIONS {
             let holds = |upstream: &Upstream| {
@@ -85,7 +85,7 @@
                 limit: choice::calm_limit(upstream.slots),
                 ..self.question(Some(adapter), wanted)
             };
-            match self.gate.controllers.admit(&upstream, question).await {
+            match self.frontend.controllers.admit(&upstream, question).await {
                 admit::Answer::Admitted(permit, _) => {
                     return Asked::Place(Self::admitted(upstream, adapter, Some(permit)));
                 }
@@ -118,9 +118,9 @@
             self.spread(field, adapter, wanted, reads);
         }
         let now = self.now();
-        let (passed, left) = (now.since(self.began), self.until.since(now));
+        let (passed, left) = (now.since(self.arrived_at), self.deadline.since(now));
         let late = choice::come_back(load.wait, self.route.objective, passed, left);
-        if let (Some(back), true) = (late, self.sent == 0) {
+        if let (Some(back), true) = (late, self.possible_runs == 0) {
             return Asked::TooLate(back);
         }
         if choice::is_worth_load(load.wait) {
@@ -142,7 +142,7 @@
         adapter: &Name,
         question: Question<'_>,
     ) -> Option<Target> {
-        match self.gate.controllers.admit(&upstream, question).await {
+        match self.frontend.controllers.admit(&upstream, question).await {
             admit::Answer::Admitted(permit, _) => {
                 Some(Self::admitted(upstream, adapter, Some(permit)))
             }
@@ -169,12 +169,12 @@
 
     /// Whether another engine that holds what the request needs is believed to have free places.
     pub(super) fn has_free_holder(&self, but: &Upstream) -> bool {
-        let Some(model) = &self.message.call.model else {
+        let Some(model) = &self.message.metadata.model else {
             return false;
         };
-        let adapter = self.message.call.adapter();
+        let adapter = self.message.metadata.adapter();
         let now = self.now();
-        let pool = self.gate.view.pool(&self.pool);
+        let pool = self.frontend.view.pool(&self.pool);
         pool.iter().any(|upstream| {
             let holds = match adapter {
                 Some(adapter) => self.time_to_begin(upstream, adapter) > Millis::ZERO,
@@ -211,7 +211,7 @@
                 patience: Millis::ZERO,
                 ..self.question(Some(adapter), wanted)
             };
-            self.gate.controllers.admit(upstream, question)
+            self.frontend.controllers.admit(upstream, question)
         });
         let answers = futures::future::join_all(asking).await;
         let loads: Vec<Option<Load>> = answers.iter().map(admit::Answer::load).collect();
--- a/lib/src/direct/request/send.rs
+++ b/lib/src/direct/request/send.rs
@@ -4,9 +4,9 @@
 
 use super::ActiveRequest;
 use crate::direct::admit::{self, Permit, Question};
-use crate::direct::attempt::{Answer, Miss};
+use crate::direct::attempt::{SendError, UpstreamResponse};
 use crate::direct::dialect::{Dispatch, Memory};
-use crate::direct::record;
+use crate::direct::request_log;
 use crate::direct::sends::Sends;
 use crate::direct::target::Target;
 use crate::direct::versions::Watch;
@@ -16,16 +16,16 @@
 impl ActiveRequest {
     pub(super) fn send(&mut self, sends: &mut Sends, target: Target, resume_after: Option<u64>) {
         let dispatch = Dispatch {
-            resume_after: resume_after.or(self.message.call.resume_after),
+            resume_after: resume_after.or(self.message.metadata.resume_after),
             ..self.dispatch(&target)
         };
         self.repeat_reserved = false;
-        self.sent += 1;
+        self.possible_runs += 1;
         self.sent_at = self.now();
-        record::sent(self, &target.upstream, target.version, dispatch.deadline);
+        request_log::sent(self, &target.upstream, target.version, dispatch.deadline);
         self.note_uncounted(&target, target.permit.as_ref());
         let watch = self.watch(&target);
-        let (message, dialect) = (&self.message, &self.gate.dialect);
+        let (message, dialect) = (&self.message, &self.frontend.dialect);
         sends.begin(message, dialect, target, dispatch, watch, self.sent_at);
     }
 
@@ -37,17 +37,17 @@
         place: &Target,
         memory: Memory,
         last: Option<u64>,
-    ) -> Result<Answer, Miss> {
-        self.check()
-            .map_err(|failure| Miss::Lost(failure.code, failure.detail))?;
+    ) -> Result<UpstreamResponse, SendError> {
+        self.check_quarantine()
+            .map_err(|failure| SendError::Lost(failure.code, failure.detail))?;
         let dispatch = Dispatch {
             resume_after: last,
             memory: Some(memory),
             ..self.dispatch(place)
         };
-        record::sent(self, &place.upstream, place.version, dispatch.deadline);
+        request_log::sent(self, &place.upstream, place.version, dispatch.deadline);
         let permit = self.permit(place).await;
-        let (upstream, dialect) = (&place.upstream, &*self.gate.dialect);
+        let (upstream, dialect) = (&place.upstream, &*self.frontend.dialect);
         let watch = self.watch(place);
         let send = self
             .message
@@ -63,13 +63,13 @@
             .await
             .unwrap_or_else(|_| {
                 let told = format!("no answer within {span}");
-                Err(Miss::Lost(Code::ExpiredRunning, told))
+                Err(SendError::Lost(Code::ExpiredRunning, told))
             })?;
         if answer.head.status.is_success() {
             return Ok(answer);
         }
         let told = format!("status {}", answer.head.status);
-        Err(Miss::Lost(Code::UpstreamLost, told))
+        Err(SendError::Lost(Code::UpstreamLost, told))
     }
 
     /// Has a run that was moved counted in where it goes on.
@@ -79,11 +79,16 @@
             // Its prompt isn't read again.
             tokens: 0,
             ..self.question(
-                self.message.call.adapter(),
+                self.message.metadata.adapter(),
                 place.version.unwrap_or_default(),
             )
         };
-        let permit = match self.gate.controllers.admit(&place.upstream, question).await {
+        let permit = match self
+            .frontend
+            .controllers
+            .admit(&place.upstream, question)
+            .await
+        {
             admit::Answer::Admitted(permit, _) => Some(permit),
             _ => None,
         };
@@ -93,28 +98,34 @@
 
     /// Watches until when the request may begin at a target.
     fn watch(&self, target: &Target) -> Option<Watch> {
-        let adapter = self.message.call.adapter()?;
+        let adapter = self.message.metadata.adapter()?;
         Some(Watch::new(
-            Arc::clone(&self.gate),
+            Arc::clone(&self.frontend),
             Arc::clone(&target.upstream),
             Name::clone(adapter),
             target.version.unwrap_or_default(),
-            self.message.kind.streamed(),
+            self.message.kind.is_streaming(),
         ))
     }
 
     /// Lets the owner hear of a request that it doesn't count, by the next exchange.
     fn note_uncounted(&self, target: &Target, permit: Option<&Permit>) {
-        if let (Some(adapter), None) = (self.message.call.adapter(), permit) {
-            self.gate.controllers.note_use(&target.upstream, adapter);
+        if let (Some(adapter), None) = (self.message.metadata.adapter(), permit) {
+            self.frontend
+                .controllers
+                .note_use(&target.upstream, adapter);
         }
     }
 
     fn dispatch(&self, target: &Target) -> Dispatch {
         Dispatch {
             incarnation: Name::clone(&target.upstream.incarnation),
-            deadline: self.until.since(self.now()),
-            urgency: self.message.kind.streamed().then_some(self.route.urgency),
+            deadline: self.deadline.since(self.now()),
+            urgency: self
+                .message
+                .kind
+                .is_streaming()
+                .then_some(self.route.urgency),
             version: target.version,
             resume_after: None,
             memory: None,
--- a/lib/src/direct/record.rs
+++ b/lib/src/direct/request_log.rs
@@ -4,7 +4,7 @@
 //! decided, how old that was, and the outcome with its numbered code. No line
 //! holds a prompt, a body or a header of the caller.
 
-use super::attempt::Miss;
+use super::attempt::SendError;
 use super::orders::Loaded;
 use super::request::ActiveRequest;
 use super::upstream::Upstream;
@@ -13,7 +13,7 @@
 
 /// How a request ended.
 #[derive(Debug)]
-pub enum End<'a> {
+pub enum RequestOutcome<'a> {
     /// The upstream's answer was passed on whole.
     Answered(u16),
     /// It was refused or failed before a byte of an answer left.
@@ -24,7 +24,7 @@
     Left,
 }
 
-impl End<'_> {
+impl RequestOutcome<'_> {
     /// Returns the numbered code; 0 is a whole answer.
     #[must_use]
     pub fn code(&self) -> u32 {
@@ -52,10 +52,10 @@
 /// chosen knowingly; the age of the list and whether the upstream is missing from it, whether one
 /// that had left was.
 pub fn sent(request: &ActiveRequest, upstream: &Upstream, version: Option<u64>, left: Millis) {
-    let adapter = request.message.call.adapter();
-    let newest = adapter.and_then(|adapter| request.gate.view.newest(adapter));
+    let adapter = request.message.metadata.adapter();
+    let newest = adapter.and_then(|adapter| request.frontend.view.newest(adapter));
     if upstream.is_missing() {
-        request.gate.metrics.doubted_sends.inc();
+        request.frontend.metrics.doubted_sends.inc();
     }
     log::info!(
         request = request.id(),
@@ -68,27 +68,27 @@
             request.now().since(since).0
         }),
         load = upstream.load(),
-        reader = request.gate.roles(&request.pool).reads(upstream.address),
-        tokens = request.message.call.tokens.map_or(0, |(prompt, _)| prompt),
+        reader = request.frontend.roles(&request.pool).reads(upstream.address),
+        tokens = request.message.metadata.tokens.map_or(0, |(prompt, _)| prompt),
         load_age_ms = request.now().since(upstream.heard_at()).0,
-        list_age_ms = request.now().since(request.gate.view.as_of()).0,
+        list_age_ms = request.now().since(request.frontend.view.as_of()).0,
         stage = upstream.stage().name(),
-        passed_ms = request.now().since(request.began).0,
+        passed_ms = request.now().since(request.arrived_at).0,
         left_ms = left.0;
         "request: sent"
     );
 }
 
 /// Records that an attempt gave no answer.
-pub fn missed(request: &ActiveRequest, upstream: &Upstream, miss: &Miss) {
+pub fn missed(request: &ActiveRequest, upstream: &Upstream, miss: &SendError) {
     let (code, told) = match miss {
-        Miss::Unsent(told) => (Code::ConnectFailed, told.clone()),
-        Miss::Rejected { status, .. } => (Code::UpstreamRefused, format!("status {status}")),
-        Miss::Withdrawn { sent } => {
+        SendError::Unsent(told) => (Code::ConnectFailed, told.clone()),
+        SendError::Rejected { status, .. } => (Code::UpstreamRefused, format!("status {status}")),
+        SendError::Withdrawn { sent } => {
             let told = format!("a newer version was declared, sent={sent}");
             (Code::VersionReplaced, told)
         }
-        Miss::Lost(code, told) => (*code, told.clone()),
+        SendError::Lost(code, told) => (*code, told.clone()),
     };
     log::info!(
         request = request.id(),
@@ -96,7 +96,7 @@
         outcome = miss.name(),
         code = code.number(),
         cause = told.as_str(),
-        passed_ms = request.now().since(request.began).0;
+        passed_ms = request.now().since(request.arrived_at).0;
         "request: missed"
     );
 }
@@ -105,7 +105,7 @@
 ///
 /// A caller may leave while it waits; without a line then, nothing tells where it waited.
 #[derive(Debug)]
-pub struct Asking<'a> {
+pub struct LoadAttempt<'a> {
     request: &'a ActiveRequest,
     upstream: &'a Upstream,
     adapter: &'a str,
@@ -113,7 +113,7 @@
     outcome: &'static str,
 }
 
-impl<'a> Asking<'a> {
+impl<'a> LoadAttempt<'a> {
     /// Begins to ask.
     #[must_use]
     pub fn new(request: &'a ActiveRequest, upstream: &'a Upstream, adapter: &'a str) -> Self {
@@ -128,15 +128,15 @@
 
     /// Notes the answer, and returns how long it took.
     #[must_use]
-    pub fn answered(mut self, loaded: Loaded) -> Millis {
+    pub fn finish(mut self, loaded: Loaded) -> Millis {
         self.outcome = loaded.name();
         self.request.now().since(self.began)
     }
 }
 
-impl Drop for Asking<'_> {
+impl Drop for LoadAttempt<'_> {
     fn drop(&mut self) {
-        let loads = &self.request.gate.metrics.loads;
+        let loads = &self.request.frontend.metrics.loads;
         loads.with_label_values(&[self.outcome]).inc();
         log::info!(
             request = self.request.id(),
@@ -175,29 +175,29 @@
     log::info!(
         request = request.id(),
         upstream = &*upstream.incarnation,
-        passed_ms = request.now().since(request.began).0;
+        passed_ms = request.now().since(request.arrived_at).0;
         "request: stays"
     );
 }
 
 /// Records how a request ended.
-pub fn ended(request: &ActiveRequest, end: &End<'_>) {
+pub fn ended(request: &ActiveRequest, end: &RequestOutcome<'_>) {
     let cause = end.told();
     log::info!(
         request = request.id(),
         route = &*request.route.name,
         pool = &*request.pool,
-        config = request.config,
+        config = request.config_version,
         code = end.code(),
         cause = cause.as_str(),
-        sent = request.sends(),
-        first_ms = request.pace.first.map_or(0, |first| first.0),
-        pause_ms = request.pace.longest.0,
-        pause_after = request.pace.longest_after,
-        pieces = request.pace.pieces,
-        moved = request.pace.moved,
-        passed_ms = request.now().since(request.began).0,
-        allowed_ms = request.until.since(request.began).0;
+        sent = request.possible_runs(),
+        first_ms = request.timing.first.map_or(0, |first| first.0),
+        pause_ms = request.timing.longest.0,
+        pause_after = request.timing.longest_after,
+        pieces = request.timing.pieces,
+        moved = request.timing.moved,
+        passed_ms = request.now().since(request.arrived_at).0,
+        allowed_ms = request.deadline.since(request.arrived_at).0;
         "request: ended"
     );
 }
--- a/lib/src/direct/sends.rs
+++ b/lib/src/direct/sends.rs
@@ -13,7 +13,7 @@
 use futures::stream::{FuturesUnordered, StreamExt};
 use smallvec::SmallVec;
 
-use super::attempt::{Answer, Message, Miss};
+use super::attempt::{RequestMessage, SendError, UpstreamResponse};
 use super::dialect::{Dialect, Dispatch};
 use super::target::Target;
 use super::upstream::Upstream;
@@ -28,7 +28,7 @@
     /// When it was sent.
     pub at: Millis,
     /// The answer's head, or why there is none.
-    pub result: Result<Answer, Miss>,
+    pub result: Result<UpstreamResponse, SendError>,
 }
 
 /// A send in progress, as it is known without waiting for it.
@@ -50,7 +50,7 @@
     /// Sends a request at `now`.
     pub fn begin(
         &mut self,
-        message: &Arc<Message>,
+        message: &Arc<RequestMessage>,
         dialect: &Arc<dyn Dialect>,
         target: Target,
         dispatch: Dispatch,
--- a/lib/src/direct/target.rs
+++ b/lib/src/direct/target.rs
@@ -6,15 +6,15 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use super::admit::{self, Permit, Question};
-use super::attempt::Answer;
-use super::call::Call;
+use super::attempt::UpstreamResponse;
 use super::choice::{self, MOST_QUESTIONS};
-use super::entry::{CLASS, seconds};
+use super::entry::{CLASS_LABEL, seconds};
+use super::metadata::RequestMetadata;
 use super::orders::Loaded;
 use super::pick::{Field, usual_share};
 use super::place::Asked;
-use super::record::Asking;
-use super::request::{ActiveRequest, LOOK};
+use super::request::{ActiveRequest, SELECTION_RETRY_PAUSE};
+use super::request_log::LoadAttempt;
 use super::roles::{Manner, Roles, may_move};
 use super::upstream::Upstream;
 use super::versions::{REPLACEMENT, WITHDRAWAL};
@@ -64,33 +64,33 @@
 impl ActiveRequest {
     /// Finds where to send, waiting a little if nothing fits.
     pub(super) async fn target(&self) -> Result<Target, Failure> {
-        let patience = self.began + Millis(self.route.objective.0 / REFUSE_AFTER);
-        let quarantine = &self.gate.quarantine;
+        let patience = self.arrived_at + Millis(self.route.objective.0 / REFUSE_AFTER);
+        let quarantine = &self.frontend.quarantine;
         if !quarantine.is_empty() {
             quarantine.examined(self.message.fingerprint()).await;
         }
         loop {
-            self.check()?;
-            let upstreams = self.gate.view.pool(&self.pool);
-            let roles = self.gate.roles(&self.pool);
+            self.check_quarantine()?;
+            let upstreams = self.frontend.view.pool(&self.pool);
+            let roles = self.frontend.roles(&self.pool);
             let field = self.field(&upstreams, &roles);
-            let found = match &self.message.call.model {
+            let found = match &self.message.metadata.model {
                 None => field.least(|_| true).map(anywhere),
-                Some(model) => match self.message.call.adapter() {
+                Some(model) => match self.message.metadata.adapter() {
                     None => self.with_base(&field, model).await,
                     Some(adapter) => self.holder(&field, adapter).await?,
                 },
             };
             if let Some(target) = found {
                 // It can have waited for its adapter meanwhile.
-                self.check()?;
+                self.check_quarantine()?;
                 return Ok(target);
             }
             let now = self.now();
-            if now >= patience || now >= self.until {
+            if now >= patience || now >= self.deadline {
                 return Err(self.refusal(Code::NoUpstream, "no upstream can take it now"));
             }
-            tokio::time::sleep(LOOK.duration()).await;
+            tokio::time::sleep(SELECTION_RETRY_PAUSE.duration()).await;
         }
     }
 
@@ -98,26 +98,30 @@
     ///
     /// With `ask`, a writer is asked to hold the adapter where none does, so that a later
     /// event of this stream can move it.
-    pub(super) fn writer(&self, answer: &Answer, ask: bool) -> Option<Target> {
+    pub(super) fn writer(&self, answer: &UpstreamResponse, ask: bool) -> Option<Target> {
         let source = &answer.upstream;
-        let roles = self.gate.roles(&self.pool);
+        let roles = self.frontend.roles(&self.pool);
         if !roles.reads(source.address) {
             return None;
         }
-        let upstreams = self.gate.view.pool(&self.pool);
+        let upstreams = self.frontend.view.pool(&self.pool);
         let field = self.field(&upstreams, &roles);
         let takes = |upstream: &Upstream| {
             !field.reads(upstream)
                 && !upstream.suspended(field.now)
                 && upstream.load() < upstream.slots
         };
-        let Some(adapter) = self.message.call.adapter() else {
-            let model = self.message.call.model.as_ref()?;
+        let Some(adapter) = self.message.metadata.adapter() else {
+            let model = self.message.metadata.model.as_ref()?;
             return field
                 .least(|upstream| takes(upstream) && upstream.has_base(model))
                 .map(anywhere);
         };
-        let newest = self.gate.view.newest(adapter).map(|newest| newest.version);
+        let newest = self
+            .frontend
+            .view
+            .newest(adapter)
+            .map(|newest| newest.version);
         let fits = |upstream: &Upstream| {
             let held = upstream.version(adapter);
             held.is_some_and(|held| may_move(answer.version, held, newest))
@@ -126,14 +130,14 @@
         if found.is_none() && ask {
             let mut homes = self.homes(&field, adapter);
             homes.retain(|upstream| !field.reads(upstream));
-            self.gate
-                .load_soon(homes, adapter, newest.unwrap_or_default());
+            self.frontend
+                .load_in_background(homes, adapter, newest.unwrap_or_default());
         }
         found.map(|upstream| Self::at(upstream, adapter))
     }
 
     pub(super) fn manner(&self) -> Manner {
-        Manner::of(self.message.call.tokens)
+        Manner::of(self.message.metadata.tokens)
     }
 
     pub(super) fn field<'a>(
@@ -144,15 +148,15 @@
         Field {
             upstreams,
             tried: &self.tried,
-            home: &self.gate.failure_domain,
+            home: &self.frontend.failure_domain,
             now: self.now(),
-            salt: salt(&self.message.call),
+            salt: salt(&self.message.metadata),
             pause: self.route.pause,
             roles,
             id: xxh3_64(self.id().as_bytes()),
             usual: self
                 .message
-                .call
+                .metadata
                 .model
                 .is_some()
                 .then(|| usual_share(upstreams)),
@@ -165,7 +169,7 @@
     ///
     /// A refusal when the request would begin too late wherever it is sent.
     async fn holder(&self, field: &Field<'_>, adapter: &Name) -> Result<Option<Target>, Failure> {
-        let newest = self.gate.view.newest(adapter);
+        let newest = self.frontend.view.newest(adapter);
         let wanted = newest.map_or(0, |newest| newest.version);
         let waiting = match self.ask_holders(field, adapter, wanted).await {
             Asked::Place(target) => return Ok(Some(target)),
@@ -179,8 +183,8 @@
             Asked::Load(waiting) => waiting,
         };
         if let Some(target) = self.older(field, adapter, wanted).await {
-            self.gate
-                .load_soon(self.homes(field, adapter), adapter, wanted);
+            self.frontend
+                .load_in_background(self.homes(field, adapter), adapter, wanted);
             return Ok(Some(target));
         }
         let homes = self.homes(field, adapter);
@@ -218,7 +222,7 @@
     /// that doesn't show when it begins waits for the newest. Where the newest one's engines have
     /// queues, a free place begins a request sooner than they or a further load would.
     async fn older(&self, field: &Field<'_>, adapter: &Name, newest: u64) -> Option<Target> {
-        if !self.message.kind.streamed() {
+        if !self.message.kind.is_streaming() {
             return None;
         }
         let mut asked: SmallVec<[Name; MOST_QUESTIONS]> = SmallVec::new();
@@ -237,7 +241,7 @@
                     .min(self.time_to_begin(&upstream, adapter)),
                 ..self.question(Some(adapter), 0)
             };
-            match self.gate.controllers.admit(&upstream, question).await {
+            match self.frontend.controllers.admit(&upstream, question).await {
                 admit::Answer::Admitted(permit, _) => {
                     return Some(Self::admitted(upstream, adapter, Some(permit)));
                 }
@@ -256,7 +260,7 @@
         let Some(version) = upstream.version(adapter) else {
             return Millis::ZERO;
         };
-        match self.gate.begin_by(adapter, version) {
+        match self.frontend.begin_by(adapter, version) {
             Some(begin_by) => begin_by.since(self.now() + REPLACEMENT + WITHDRAWAL),
             None => Millis::MAX,
         }
@@ -274,17 +278,17 @@
             if asked == MOST_ASKED || unowned == MOST_UNOWNED {
                 break;
             }
-            let left = self.until.since(self.now());
-            let asking = Asking::new(self, &upstream, adapter);
-            let load = self.gate.controllers.load(&upstream, adapter, wanted);
+            let left = self.deadline.since(self.now());
+            let load_attempt = LoadAttempt::new(self, &upstream, adapter);
+            let load = self.frontend.controllers.load(&upstream, adapter, wanted);
             let Ok(loaded) = tokio::time::timeout(left.duration(), load).await else {
                 break;
             };
-            let took = asking.answered(loaded);
-            self.gate
+            let took = load_attempt.finish(loaded);
+            self.frontend
                 .metrics
                 .load_wait
-                .with_label_values(&[CLASS])
+                .with_label_values(&[CLASS_LABEL])
                 .observe(seconds(took));
             match loaded {
                 Loaded::Ready(held) if held >= wanted && upstream.is_ready() => {
@@ -303,7 +307,7 @@
     /// service is away there are many of them; asked one after the other, they used up the
     /// questions of a request that an engine further down could have served.
     fn can_load(&self, upstream: &Upstream, adapter: &Name) -> bool {
-        upstream.has_base(adapter) && self.gate.controllers.is_ordered(upstream)
+        upstream.has_base(adapter) && self.frontend.controllers.is_ordered(upstream)
     }
 
     /// Engines that could load the adapter, those with no older version of it first.
@@ -325,7 +329,7 @@
         adapter: &'a Name,
     ) -> impl Iterator<Item = Arc<Upstream>> + use<'a> {
         let rejected = |upstream: &&Arc<Upstream>| {
-            self.replaced_at.contains(&upstream.incarnation)
+            self.replacing_upstreams.contains(&upstream.incarnation)
                 && upstream.is_ready()
                 && self.can_load(upstream, adapter)
         };
@@ -352,7 +356,7 @@
         if chosen < homes.len() {
             homes.swap(0, chosen);
         }
-        self.gate.load_soon(homes, adapter, wanted);
+        self.frontend.load_in_background(homes, adapter, wanted);
     }
 
     /// Has a reader hold an adapter whose prompts are read at a writer, sooner the more there are.
@@ -364,7 +368,7 @@
         let homes = field.homes(adapter, |upstream| {
             field.reads(upstream) && self.can_load(upstream, adapter)
         });
-        self.gate.load_soon(homes, adapter, wanted);
+        self.frontend.load_in_background(homes, adapter, wanted);
     }
 
     pub(super) fn at(upstream: Arc<Upstream>, adapter: &Name) -> Target {
@@ -388,9 +392,12 @@
 }
 
 /// The last part of the prompt that others share, or the request itself.
-fn salt(call: &Call) -> u64 {
-    let shared = call.parts.len().checked_sub(2);
-    match (shared.and_then(|at| call.parts.get(at)), &call.id) {
+fn salt(metadata: &RequestMetadata) -> u64 {
+    let shared = metadata.prompt_segments.len().checked_sub(2);
+    match (
+        shared.and_then(|at| metadata.prompt_segments.get(at)),
+        &metadata.id,
+    ) {
         (Some(part), _) => part.id,
         (None, Some(id)) => xxh3_64(id.as_bytes()),
         (None, None) => 0,
