--- a/lib/src/direct/admit.rs
+++ b/lib/src/direct/admit.rs
@@ -105,7 +105,7 @@
 impl Controllers {
     /// Has a request counted in at an engine by whoever gives it orders.
     pub async fn admit(&self, upstream: &Arc<Upstream>, question: Question<'_>) -> Answer {
-        let answer = if self.right.owns(upstream.address) {
+        let answer = if self.ownership.owns(upstream.address) {
             self.admit_here(upstream, question)
         } else {
             self.admit_there(upstream, question).await
@@ -123,7 +123,7 @@
     pub(super) fn admit_here(&self, upstream: &Arc<Upstream>, question: Question<'_>) -> Answer {
         // Counting needs no right to give orders: an owner that has lost the key-value service
         // still knows best what runs at its engines.
-        if !self.right.owns(upstream.address) {
+        if !self.ownership.owns(upstream.address) {
             return Answer::Unknown;
         }
         let none = Name::from("");
--- a/lib/src/direct/ask/exchange.rs
+++ b/lib/src/direct/ask/exchange.rs
@@ -42,7 +42,7 @@
                     adapters.push(adapter);
                 }
             }
-            if self.right.owns(upstream.address) {
+            if self.ownership.owns(upstream.address) {
                 self.note_uses(&upstream.incarnation, adapters, in_use(nodes));
                 continue;
             }
--- a/lib/src/direct/ask/mod.rs
+++ b/lib/src/direct/ask/mod.rs
@@ -18,7 +18,7 @@
 use super::fanout::Hub;
 use super::limits::exchange_pause;
 use super::orders::{Controller, Load, Loaded, Parts, Tick};
-use super::right::Right;
+use super::ownership::Ownership;
 use super::upstream::Upstream;
 use super::view::View;
 use crate::clock::{Clock, Millis};
@@ -61,7 +61,7 @@
     /// What this node believes.
     pub view: Arc<View>,
     /// What it may do.
-    pub right: Arc<Right>,
+    pub ownership: Arc<Ownership>,
     /// Formats.
     pub dialect: Arc<dyn Dialect>,
     /// The node's clock.
@@ -115,7 +115,7 @@
     #[must_use]
     pub fn new(
         view: Arc<View>,
-        right: Arc<Right>,
+        ownership: Arc<Ownership>,
         dialect: Arc<dyn Dialect>,
         clock: Arc<dyn Clock>,
         node: Name,
@@ -123,7 +123,7 @@
     ) -> Self {
         Self {
             view,
-            right,
+            ownership,
             dialect,
             table: Arc::new(Table::new(Arc::clone(&clock))),
             hub: Arc::new(Hub::new(Arc::clone(&clock), Arc::clone(&metrics))),
@@ -150,8 +150,8 @@
     /// Whether somebody who answers gives an engine its orders.
     #[must_use]
     pub fn is_ordered(&self, upstream: &Upstream) -> bool {
-        if self.right.owns(upstream.address) {
-            return self.right.check(upstream.address).is_some();
+        if self.ownership.owns(upstream.address) {
+            return self.ownership.check(upstream.address).is_some();
         }
         let owner = self.view.owner(upstream.address);
         owner.is_some_and(|(_, peer)| !self.is_gone(peer.address))
@@ -159,7 +159,7 @@
 
     /// Has an adapter made present at an engine, by whichever node may.
     pub async fn load(&self, upstream: &Arc<Upstream>, adapter: &Name, version: u64) -> Loaded {
-        if self.right.owns(upstream.address) {
+        if self.ownership.owns(upstream.address) {
             return self.load_here(upstream, adapter, version).await;
         }
         let loaded = self.load_there(upstream, adapter, version).await;
@@ -277,7 +277,7 @@
         let parts = Parts {
             upstream: Arc::clone(upstream),
             engine,
-            right: Arc::clone(&self.right),
+            ownership: Arc::clone(&self.ownership),
             dialect: Arc::clone(&self.dialect),
             clock: Arc::clone(&self.clock),
             holder: Name::clone(&self.node),
@@ -341,7 +341,7 @@
         let now = self.clock.now();
         for upstream in upstreams {
             upstream.link.sweep();
-            if self.right.owns(upstream.address) {
+            if self.ownership.owns(upstream.address) {
                 let running = self.table.running(&upstream.incarnation);
                 upstream.heard_load(running.saturating_sub(upstream.running()), now);
             }
@@ -358,7 +358,7 @@
     /// One whose right has gone must hear of time too, or those who wait at it would wait
     /// for as long as a load may take: four seconds on each planned stop.
     fn controller_to_tick(&self, upstream: &Arc<Upstream>) -> Option<ActorRef<Controller>> {
-        if self.right.check(upstream.address).is_some() {
+        if self.ownership.check(upstream.address).is_some() {
             return self.controller(upstream);
         }
         let open = self.open.lock().unwrap_or_else(PoisonError::into_inner);
--- a/lib/src/direct/claim/candidate.rs
+++ b/lib/src/direct/claim/candidate.rs
@@ -53,7 +53,7 @@
             .upstreams
             .values()
             .filter(|upstream| is_engine(&config, upstream) && upstream.is_ready())
-            .filter(|upstream| !self.right.owns(upstream.address))
+            .filter(|upstream| !self.ownership.owns(upstream.address))
             .filter_map(|upstream| self.candidate(&state, upstream, &limits, (began, now)))
             .collect();
         candidates.sort_by_key(|one| (!one.is_own, one.rank, Reverse(one.weight)));
@@ -129,7 +129,7 @@
     }
 
     fn is_to_take_back(&self, address: SocketAddr, standing: &Standing) -> bool {
-        self.is_previous_start(standing) && !self.right.owns(address)
+        self.is_previous_start(standing) && !self.ownership.owns(address)
     }
 
     /// A claim that an earlier start of the same node left.
--- a/lib/src/direct/claim/extension.rs
+++ b/lib/src/direct/claim/extension.rs
@@ -32,10 +32,10 @@
 
     /// Asks nodes for their votes, and returns those that gave none.
     ///
-    /// A node votes as [`Right::votes_for`] says, or by not running: its next start begins
+    /// A node votes as [`Ownership::votes_for`] says, or by not running: its next start begins
     /// later than the question.
     ///
-    /// [`Right::votes_for`]: crate::direct::right::Right::votes_for
+    /// [`Ownership::votes_for`]: crate::direct::right::Right::votes_for
     async fn refusals(&self, asked: &[SocketAddr], owned: &[(SocketAddr, u64)]) -> Vec<Refusal>;
 }
 
@@ -51,7 +51,7 @@
     pub(super) async fn extend(&self, error: &Error) {
         let sent = self.clock.now();
         let owned: Vec<(SocketAddr, u64)> = self
-            .right
+            .ownership
             .owned()
             .iter()
             .map(|(address, owned)| (*address, owned.token))
@@ -61,11 +61,11 @@
             return;
         }
         let refusals = self.refusals(&owned).await;
-        let extended = refusals.is_empty() && self.right.lasts();
+        let extended = refusals.is_empty() && self.ownership.lasts();
         let outcome = if extended { "granted" } else { "refused" };
         self.metrics.extensions.with_label_values(&[outcome]).inc();
         if extended {
-            self.right.until.store((sent + RIGHT).0, Ordering::Relaxed);
+            self.ownership.until.store((sent + RIGHT).0, Ordering::Relaxed);
             log::info!("right: extended by the votes of all others, without a renewal: {error}");
             return;
         }
@@ -78,7 +78,7 @@
 
     /// Asks others until all vote for it or the right has ended, and returns who didn't.
     async fn refusals(&self, owned: &[(SocketAddr, u64)]) -> Vec<Refusal> {
-        if !self.right.lasts() {
+        if !self.ownership.lasts() {
             return Vec::new();
         }
         let Some(mut asked) = self.voters.others() else {
@@ -89,7 +89,7 @@
         };
         loop {
             let refusals = self.voters.refusals(&asked, owned).await;
-            if refusals.is_empty() || !self.right.lasts() {
+            if refusals.is_empty() || !self.ownership.lasts() {
                 return refusals;
             }
             tokio::time::sleep(ROUND_PAUSE.duration()).await;
--- a/lib/src/direct/claim/mod.rs
+++ b/lib/src/direct/claim/mod.rs
@@ -23,7 +23,7 @@
 use super::dialect::Dialect;
 use super::follow::NODES;
 use super::limits::{Current, LEASE, RENEWAL, RENEWAL_ANSWER, RIGHT, TURN_MARGIN};
-use super::right::Right;
+use super::ownership::Ownership;
 use super::view::{CLAIMS, Claim, Peer, View};
 use crate::clock::{Clock, Millis};
 use crate::metrics::Metrics;
@@ -52,7 +52,7 @@
     /// What the follower sees.
     pub view: Arc<View>,
     /// What this node may do.
-    pub right: Arc<Right>,
+    pub ownership: Arc<Ownership>,
     /// The node's metrics.
     pub metrics: Arc<Metrics>,
     /// Bounds in force.
@@ -73,10 +73,10 @@
         let mut lease = None;
         let mut began = None;
         // A node that has left must not claim anew what it gave up.
-        while !self.right.left.load(Ordering::Relaxed) {
+        while !self.ownership.left.load(Ordering::Relaxed) {
             let knew_all = self.view.config().is_some();
-            let is_unbroken = self.right.lasts();
-            self.right.unbroken.store(is_unbroken, Ordering::Relaxed);
+            let is_unbroken = self.ownership.lasts();
+            self.ownership.unbroken.store(is_unbroken, Ordering::Relaxed);
             if let Err(error) = self.round(&mut lease, &mut began).await {
                 self.view.touched(false);
                 self.extend(&error).await;
@@ -109,7 +109,7 @@
     /// process, a node that starts in an outage would have waited long enough when the
     /// service returns, while an owner whose lease the others extended still gives orders.
     fn begin(&self) -> Millis {
-        self.right.begun.store(true, Ordering::SeqCst);
+        self.ownership.begun.store(true, Ordering::SeqCst);
         self.clock.now()
     }
 
@@ -126,7 +126,7 @@
                 // of others. Read here as well, thousands of claims took longer than the lease.
                 if began.is_some() {
                     self.read_claims().await?;
-                    if !self.right.unbroken.load(Ordering::Relaxed) {
+                    if !self.ownership.unbroken.load(Ordering::Relaxed) {
                         self.view.state().disown(&self.node);
                     }
                 }
@@ -135,12 +135,12 @@
                 *lease = Some(granted);
             }
             Some(held) => {
-                let lasted = self.right.lasts();
+                let lasted = self.ownership.lasts();
                 if self.renew(held).await? == Millis::ZERO {
                     log::warn!("right: the lease has lapsed");
                     *lease = None;
-                    self.right.until.store(0, Ordering::Relaxed);
-                    self.right.owned().clear();
+                    self.ownership.until.store(0, Ordering::Relaxed);
+                    self.ownership.owned().clear();
                     return Box::pin(self.round(lease, began)).await;
                 }
                 self.view.touched(true);
@@ -150,11 +150,11 @@
                 }
             }
         }
-        if self.right.left.load(Ordering::Relaxed) {
+        if self.ownership.left.load(Ordering::Relaxed) {
             return Ok(());
         }
-        self.right.forget_lost();
-        self.right.until.store((sent + RIGHT).0, Ordering::Relaxed);
+        self.ownership.forget_lost();
+        self.ownership.until.store((sent + RIGHT).0, Ordering::Relaxed);
         if let (Some(held), Some(began)) = (*lease, *began) {
             self.claim(held, began).await?;
             self.hand_over(began).await?;
--- a/lib/src/direct/claim/release.rs
+++ b/lib/src/direct/claim/release.rs
@@ -6,7 +6,7 @@
 use super::{CLAIMS_AT_ONCE, Claimer, encoded};
 use crate::clock::Millis;
 use crate::direct::limits::RENEWAL;
-use crate::direct::right::Owned;
+use crate::direct::ownership::Owned;
 use crate::ports::{Condition, Error, Transaction, Write};
 
 /// Shares of the engines that a node keeps before it gives some up.
@@ -25,9 +25,9 @@
     ///
     /// When the service doesn't take it; then the lease's end does the same later.
     pub async fn leave(&self) -> Result<(), Error> {
-        self.right.left.store(true, Ordering::Relaxed);
-        self.right.until.store(0, Ordering::Relaxed);
-        let owned: Vec<(SocketAddr, Owned)> = self.right.owned().drain().collect();
+        self.ownership.left.store(true, Ordering::Relaxed);
+        self.ownership.until.store(0, Ordering::Relaxed);
+        let owned: Vec<(SocketAddr, Owned)> = self.ownership.owned().drain().collect();
         for addresses in owned.chunks(CLAIMS_AT_ONCE) {
             let mut transaction = Transaction::default();
             for (address, owned) in addresses {
@@ -44,7 +44,7 @@
     fn mark_left(&self, address: SocketAddr, owned: Owned) -> Write {
         let turn = self.turn();
         let before = (self.clock.now() + turn).since(owned.from);
-        let idle = self.right.since_order(address).unwrap_or(Millis::MAX);
+        let idle = self.ownership.since_order(address).unwrap_or(Millis::MAX);
         let claim = self.own_claim(Some(idle.min(before).min(turn)), owned.from);
         Write::Put(self.key(address), encoded(&claim), None)
     }
@@ -58,13 +58,13 @@
     /// keeps its successor waiting least.
     pub(super) async fn hand_over(&self, began: Millis) -> Result<(), Error> {
         let now = self.clock.now();
-        if now.since(began.max(self.right.handed_over())) < HANDOVER {
+        if now.since(began.max(self.ownership.handed_over())) < HANDOVER {
             return Ok(());
         }
         let Some((address, owned)) = self.surplus() else {
             return Ok(());
         };
-        self.right.hand_over(address, now);
+        self.ownership.hand_over(address, now);
         log::info!("right: orders to {address} are handed over, as this node has many");
         let transaction = Transaction {
             conditions: vec![Condition::Unchanged(self.key(address), owned.token)],
@@ -81,7 +81,7 @@
     /// Returns an engine beyond this node's share that another node comes first for.
     fn surplus(&self) -> Option<(SocketAddr, Owned)> {
         let state = self.view.state();
-        let owned = self.right.owned();
+        let owned = self.ownership.owned();
         let share = state.claims.len().div_ceil(state.nodes.len().max(1));
         if owned.len() <= share * MOST_SHARES {
             return None;
@@ -89,7 +89,7 @@
         owned
             .iter()
             .filter(|(address, _)| self.rank(&state, **address, 1) > 0)
-            .max_by_key(|(address, _)| self.right.since_order(**address).unwrap_or(Millis::MAX))
+            .max_by_key(|(address, _)| self.ownership.since_order(**address).unwrap_or(Millis::MAX))
             .map(|(address, owned)| (*address, *owned))
     }
 }
--- a/lib/src/direct/claim/takeover.rs
+++ b/lib/src/direct/claim/takeover.rs
@@ -91,7 +91,7 @@
                     standing.claim.node == self.node
                         && standing.claim.start == self.peer.start
                         && standing.claim.left.is_none()
-                        && !self.right.owns(**address)
+                        && !self.ownership.owns(**address)
                 })
                 .map(|(address, standing)| (*address, standing.revision, standing.claim.from))
                 .collect()
@@ -117,6 +117,6 @@
                 seen: now,
             },
         );
-        self.right.take(address, token, start);
+        self.ownership.take(address, token, start);
     }
 }
--- a/lib/src/direct/mod.rs
+++ b/lib/src/direct/mod.rs
@@ -39,7 +39,7 @@
 pub mod reload;
 pub mod request;
 mod resume;
-pub mod right;
+pub mod ownership;
 pub mod roles;
 pub mod sends;
 pub mod sequence;
--- a/lib/src/direct/node.rs
+++ b/lib/src/direct/node.rs
@@ -25,7 +25,7 @@
 use super::fanout::Subscription;
 use super::follow::Follower;
 use super::limits::{Current, Limits};
-use super::right::Right;
+use super::ownership::Ownership;
 use super::serve;
 use super::view::{Peer, View};
 use crate::clock::{Boot, Clock, Millis};
@@ -146,10 +146,10 @@
             Arc::clone(&metrics),
             Arc::clone(&clock),
         ));
-        let right = Arc::new(Right::new(Arc::clone(&clock), Arc::clone(&view)));
+        let ownership = Arc::new(Ownership::new(Arc::clone(&clock), Arc::clone(&view)));
         let controllers = Arc::new(Controllers::new(
             Arc::clone(&view),
-            Arc::clone(&right),
+            Arc::clone(&ownership),
             Arc::clone(&reach.dialect),
             Arc::clone(&clock),
             Name::clone(&settings.node),
@@ -171,7 +171,7 @@
             dialect: Arc::clone(&reach.dialect),
             clock: Arc::clone(&clock),
             view: Arc::clone(&view),
-            right,
+            ownership,
             metrics,
             limits: Arc::clone(&limits),
             node: Name::clone(&settings.node),
--- a/lib/src/direct/orders/engine.rs
+++ b/lib/src/direct/orders/engine.rs
@@ -9,7 +9,7 @@
 use crate::direct::config::Engine;
 use crate::direct::dialect::{Dialect, Order, Ordered, Report};
 use crate::direct::question;
-use crate::direct::right::Right;
+use crate::direct::ownership::Ownership;
 use crate::direct::upstream::Upstream;
 use crate::direct::view::View;
 use crate::metrics::Metrics;
@@ -36,7 +36,7 @@
     /// What it can hold.
     pub engine: Engine,
     /// This node's right to give orders.
-    pub right: Arc<Right>,
+    pub ownership: Arc<Ownership>,
     /// Formats.
     pub dialect: Arc<dyn Dialect>,
     /// The node's clock.
@@ -58,13 +58,13 @@
         let mut connection = upstream.link.take(FRESH).await?;
         // A VM can be suspended between any two lines; the right is looked at
         // last, on a clock that ran meanwhile.
-        let Some(token) = self.right.check(upstream.address) else {
+        let Some(token) = self.ownership.check(upstream.address) else {
             upstream.link.keep(connection, None);
             return Err(Lost::Unsent("no right to give orders".to_owned()));
         };
         order.fence = token;
         let request = self.dialect.order(&upstream.incarnation, &order);
-        self.right.ordered(upstream.address);
+        self.ownership.ordered(upstream.address);
         let sent = tokio::time::timeout(ANSWER.duration(), connection.send(request)).await;
         let (head, body) = sent
             .map_err(|_| Lost::Sent(format!("nothing within {ANSWER}")))??
--- a/lib/src/direct/right.rs
+++ b/lib/src/direct/ownership.rs
@@ -22,7 +22,7 @@
 /// The claim must also still stand in the view: the platform can take a node's
 /// keys away at once while its lease goes on, and no renewal shows it.
 #[derive(Debug)]
-pub struct Right {
+pub struct Ownership {
     clock: Arc<dyn Clock>,
     view: Arc<View>,
     pub(super) until: AtomicU64,
@@ -35,7 +35,7 @@
     last_order: Mutex<HashMap<SocketAddr, Millis>>,
 }
 
-impl Right {
+impl Ownership {
     /// Makes a right that allows nothing.
     ///
     /// `clock` has to run while the VM is suspended: a node that wakes up must
--- a/lib/src/direct/serve.rs
+++ b/lib/src/direct/serve.rs
@@ -87,7 +87,7 @@
         let request = request.into_inner();
         let controllers = &self.0;
         let loaded = match self.upstream(&request.incarnation) {
-            Some(upstream) if controllers.right.owns(upstream.address) => {
+            Some(upstream) if controllers.ownership.owns(upstream.address) => {
                 let adapter = Name::from(request.adapter);
                 controllers
                     .load_here(&upstream, &adapter, request.version)
@@ -120,7 +120,7 @@
                 .map_err(|_| Status::invalid_argument("an owned engine has no address"))?;
             owned.push((address, one.token));
         }
-        let supported = self.0.right.votes_for(&request.node, &owned);
+        let supported = self.0.ownership.votes_for(&request.node, &owned);
         Ok(Response::new(SupportReply { supported }))
     }
 
--- a/lib/tests/test_direct_admission.rs
+++ b/lib/tests/test_direct_admission.rs
@@ -13,7 +13,7 @@
 use chivevalve::direct::dialect::Listed;
 use chivevalve::direct::limits::exchange_pause;
 use chivevalve::direct::pick::{Field, usual_share};
-use chivevalve::direct::right::Right;
+use chivevalve::direct::ownership::Ownership;
 use chivevalve::direct::roles::Roles;
 use chivevalve::direct::serve::serve;
 use chivevalve::direct::upstream::{Running, Upstream};
@@ -188,7 +188,7 @@
 fn node(name: &str, owner: &str, at: SocketAddr, adapters: &[(&str, u64)]) -> Node {
     let clock: Arc<dyn Clock> = Arc::new(Monotonic::start());
     let view = Arc::new(View::default());
-    let right = Arc::new(Right::new(Arc::clone(&clock), Arc::clone(&view)));
+    let ownership = Arc::new(Ownership::new(Arc::clone(&clock), Arc::clone(&view)));
     let upstream = {
         let mut state = view.state();
         state.list(&engine(0, 4, adapters), written(1), Millis::ZERO);
@@ -210,11 +210,11 @@
         upstream
     };
     if name == owner {
-        right.take(upstream.address, 7, Millis::ZERO);
+        ownership.take(upstream.address, 7, Millis::ZERO);
     }
     let controllers = Arc::new(Controllers::new(
         view,
-        right,
+        ownership,
         Arc::new(Speech),
         clock,
         name.into(),
--- a/lib/tests/test_direct_claims.rs
+++ b/lib/tests/test_direct_claims.rs
@@ -15,7 +15,7 @@
 use chivevalve::direct::follow::Follower;
 use chivevalve::direct::limits::{Current, LEASE, Limits, RIGHT};
 use chivevalve::direct::orders::Loaded;
-use chivevalve::direct::right::Right;
+use chivevalve::direct::ownership::Ownership;
 use chivevalve::direct::upstream::Upstream;
 use chivevalve::direct::view::{Claim, Peer, Standing, View};
 use chivevalve::ports::{Lease, Store};
@@ -57,7 +57,7 @@
 /// A node's claims without the rest of it.
 struct Node {
     clock: Arc<Manual>,
-    right: Arc<Right>,
+    ownership: Arc<Ownership>,
     claimer: Arc<Claimer>,
     others: Arc<Others>,
     limits: Arc<Current>,
@@ -109,7 +109,7 @@
     let clock = Arc::new(Manual::default());
     clock.advance(now);
     let shared: Arc<dyn Clock> = Arc::<Manual>::clone(&clock);
-    let right = Arc::new(Right::new(Arc::clone(&shared), Arc::clone(&view)));
+    let ownership = Arc::new(Ownership::new(Arc::clone(&shared), Arc::clone(&view)));
     let dialect: Arc<dyn Dialect> = Arc::new(Speech);
     let limits = Arc::new(Current::default());
     let follower = Follower::new(
@@ -128,7 +128,7 @@
         dialect,
         clock: shared,
         view,
-        right: Arc::clone(&right),
+        ownership: Arc::clone(&ownership),
         metrics: Arc::default(),
         limits: Arc::clone(&limits),
         node: name.into(),
@@ -146,7 +146,7 @@
     ];
     Node {
         clock,
-        right,
+        ownership,
         claimer,
         others,
         limits,
@@ -223,14 +223,14 @@
 #[tokio::test(start_paused = true)]
 async fn claim_first_start_orders_at_once() {
     let (_memory, one) = owner().await;
-    assert!(one.right.check(address()).is_some());
+    assert!(one.ownership.check(address()).is_some());
 }
 
 /// A node claims no engine before its record tells others where to ask it.
 #[tokio::test(start_paused = true)]
 async fn claim_only_with_a_record() {
     let (memory, one) = owner().await;
-    assert!(one.right.check(address()).is_some());
+    assert!(one.ownership.check(address()).is_some());
     let key = Speech.own("node/one");
     assert!(memory.state().entries.contains_key(&key));
 }
@@ -241,7 +241,7 @@
     list_engine(&memory);
     let (one, two) = (node("one", &memory, true), node("two", &memory, true));
     pass(&[&one, &two], Millis(5_000)).await;
-    let rights = [&one, &two].map(|node| node.right.check(address()).is_some());
+    let rights = [&one, &two].map(|node| node.ownership.check(address()).is_some());
     assert!(rights[0] != rights[1], "{rights:?}");
 }
 
@@ -252,21 +252,21 @@
     list_engine(&memory);
     let one = node("one", &memory, false);
     pass(&[&one], Millis(4_900)).await;
-    assert!(one.right.owns(address()));
-    assert_eq!(one.right.check(address()), None);
+    assert!(one.ownership.owns(address()));
+    assert_eq!(one.ownership.check(address()), None);
     pass(&[&one], Millis(1_000)).await;
-    assert!(one.right.check(address()).is_some());
+    assert!(one.ownership.check(address()).is_some());
 }
 
 /// A node whose claim was taken away gives no further orders, though its lease is renewed.
 #[tokio::test(start_paused = true)]
 async fn right_ends_with_a_claim_taken_away() {
     let (memory, one) = owner().await;
-    let former = one.right.check(address()).unwrap();
+    let former = one.ownership.check(address()).unwrap();
     let key = claim_key(&memory).unwrap();
     memory.change(|state| state.away = true);
     pass(&[&one], Millis(4_000)).await;
-    assert_eq!(one.right.check(address()), None);
+    assert_eq!(one.ownership.check(address()), None);
     let other = r#"{"node":"two","start":1,"left":null}"#;
     memory.change(|state| {
         state.away = false;
@@ -275,7 +275,7 @@
     });
     for _ in 0..100 {
         pass(&[&one], Millis(50)).await;
-        assert_ne!(one.right.check(address()), Some(former));
+        assert_ne!(one.ownership.check(address()), Some(former));
     }
 }
 
@@ -283,16 +283,16 @@
 #[tokio::test(start_paused = true)]
 async fn right_ends_while_suspended() {
     let (_memory, one) = owner().await;
-    assert!(one.right.check(address()).is_some());
+    assert!(one.ownership.check(address()).is_some());
     one.clock.advance(RIGHT);
-    assert_eq!(one.right.check(address()), None);
+    assert_eq!(one.ownership.check(address()), None);
 }
 
 /// A dead node's engine gets a new owner, though not before the old right and a turn have passed.
 #[tokio::test(start_paused = true)]
 async fn claim_taken_over_after_a_death() {
     let (memory, one) = owner().await;
-    let former = one.right.check(address()).unwrap();
+    let former = one.ownership.check(address()).unwrap();
     let two = node("two", &memory, true);
     pass(&[&two], Millis(1_500)).await;
     drop(one);
@@ -300,9 +300,9 @@
     memory.change(|state| state.end(leases[0]));
     let waited = RIGHT + Limits::default().turns;
     pass(&[&two], waited).await;
-    assert_eq!(two.right.check(address()), None);
+    assert_eq!(two.ownership.check(address()), None);
     pass(&[&two], LEASE).await;
-    assert!(two.right.check(address()).unwrap() > former);
+    assert!(two.ownership.check(address()).unwrap() > former);
 }
 
 /// After a planned stop a successor gives orders sooner than it may after a death.
@@ -312,21 +312,21 @@
     let two = node("two", &memory, true);
     pass(&[&one, &two], Millis(1_500)).await;
     one.claimer.leave().await.unwrap();
-    assert_eq!(one.right.check(address()), None);
+    assert_eq!(one.ownership.check(address()), None);
     drop(one);
     pass(&[&two], Millis(3_000)).await;
-    assert!(two.right.check(address()).is_some());
+    assert!(two.ownership.check(address()).is_some());
 }
 
 /// A node that starts again takes its claims back at once, instead of waiting itself out.
 #[tokio::test(start_paused = true)]
 async fn claim_of_former_start_is_taken_back() {
     let (memory, one) = owner().await;
-    let former = one.right.check(address()).unwrap();
+    let former = one.ownership.check(address()).unwrap();
     drop(one);
     let again = start("one", 2, &memory, false);
     pass(&[&again], Millis(1_000)).await;
-    assert!(again.right.check(address()).unwrap() > former);
+    assert!(again.ownership.check(address()).unwrap() > former);
 }
 
 /// An owner that has given an order leaves, and another node claims its engine.
@@ -334,12 +334,12 @@
     let (memory, one) = owner().await;
     let two = node("two", &memory, false);
     pass(&[&one, &two], Millis(1_500)).await;
-    one.right.ordered(address());
+    one.ownership.ordered(address());
     one.claimer.leave().await.unwrap();
     drop(one);
     pass(&[&two], Millis(1_500)).await;
-    assert!(two.right.owns(address()));
-    assert_eq!(two.right.check(address()), None);
+    assert!(two.ownership.owns(address()));
+    assert_eq!(two.ownership.check(address()), None);
     (memory, two)
 }
 
@@ -353,10 +353,10 @@
     know_engine(&view);
     let again = start_at(now, view, "two", 2, &memory, false);
     pass(&[&again], Millis(500)).await;
-    assert!(again.right.owns(address()));
-    assert_eq!(again.right.check(address()), None);
+    assert!(again.ownership.owns(address()));
+    assert_eq!(again.ownership.check(address()), None);
     pass(&[&again], Millis(2_000)).await;
-    assert!(again.right.check(address()).is_some());
+    assert!(again.ownership.check(address()).is_some());
 }
 
 /// A node that leaves while it waits for its turn has its successor give orders at once.
@@ -365,25 +365,25 @@
     let (memory, one) = owner().await;
     let (two, three) = (node("two", &memory, false), node("three", &memory, false));
     pass(&[&one, &two, &three], Millis(2_500)).await;
-    one.right.ordered(address());
+    one.ownership.ordered(address());
     one.claimer.leave().await.unwrap();
     drop(one);
-    while !two.right.owns(address()) && !three.right.owns(address()) {
+    while !two.ownership.owns(address()) && !three.ownership.owns(address()) {
         pass(&[&two, &three], Millis(50)).await;
     }
-    let (first, second) = if two.right.owns(address()) {
+    let (first, second) = if two.ownership.owns(address()) {
         (two, three)
     } else {
         (three, two)
     };
     first.claimer.leave().await.unwrap();
     drop(first);
-    while !second.right.owns(address()) {
+    while !second.ownership.owns(address()) {
         pass(&[&second], Millis(50)).await;
     }
-    assert_eq!(second.right.check(address()), None);
+    assert_eq!(second.ownership.check(address()), None);
     pass(&[&second], Millis(3_500)).await;
-    assert!(second.right.check(address()).is_some());
+    assert!(second.ownership.check(address()).is_some());
 }
 
 /// A node that has given its claims up doesn't claim them again with its next renewal.
@@ -392,8 +392,8 @@
     let (_memory, one) = owner().await;
     one.claimer.leave().await.unwrap();
     pass(&[&one], Millis(3_000)).await;
-    assert!(!one.right.owns(address()));
-    assert_eq!(one.right.check(address()), None);
+    assert!(!one.ownership.owns(address()));
+    assert_eq!(one.ownership.check(address()), None);
 }
 
 /// In an outage an owner goes on by the votes of all others, and for no longer than they vote.
@@ -404,16 +404,16 @@
     memory.change(|state| state.away = true);
     for _ in 0..20 {
         pass(&[&one], Millis(500)).await;
-        assert!(one.right.check(address()).is_some());
+        assert!(one.ownership.check(address()).is_some());
     }
     // One that is not out of touch may see the claim vanish, and succeed.
     one.others.vote.store(false, Ordering::SeqCst);
     pass(&[&one], RIGHT).await;
-    assert_eq!(one.right.check(address()), None);
+    assert_eq!(one.ownership.check(address()), None);
     // A vote comes too late for a right that has ended.
     one.others.vote.store(true, Ordering::SeqCst);
     pass(&[&one], RIGHT).await;
-    assert_eq!(one.right.check(address()), None);
+    assert_eq!(one.ownership.check(address()), None);
 }
 
 /// A claim that lapsed in an outage goes back to its living owner, whom nobody has to wait out.
@@ -428,7 +428,7 @@
     let owner = |nodes: &[&Node]| {
         nodes
             .iter()
-            .position(|node| node.right.check(address()).is_some())
+            .position(|node| node.ownership.check(address()).is_some())
     };
     let before = owner(&all);
     assert!(before.is_some());
@@ -447,7 +447,7 @@
 #[tokio::test(start_paused = true)]
 async fn claim_taken_back_after_a_suspension_waits() {
     let (memory, one) = owner().await;
-    assert!(one.right.check(address()).is_some());
+    assert!(one.ownership.check(address()).is_some());
     let key = claim_key(&memory).unwrap();
     let leases = memory.state().leases.clone();
     let other = r#"{"node":"two","start":1,"left":null}"#;
@@ -461,10 +461,10 @@
     let waited = RIGHT + Limits::default().turns;
     for _ in 0..waited.0 / 50 {
         pass(&[&one], Millis(50)).await;
-        assert_eq!(one.right.check(address()), None);
+        assert_eq!(one.ownership.check(address()), None);
     }
     pass(&[&one], LEASE).await;
-    assert!(one.right.check(address()).is_some());
+    assert!(one.ownership.check(address()).is_some());
 }
 
 /// A vote lost on a dead connection is asked for again before the right ends.
@@ -476,7 +476,7 @@
     memory.change(|state| state.away = true);
     for _ in 0..20 {
         pass(&[&one], Millis(500)).await;
-        assert!(one.right.check(address()).is_some());
+        assert!(one.ownership.check(address()).is_some());
     }
 }
 
@@ -490,10 +490,10 @@
     pass(&[&one], Millis(10_000)).await;
     memory.change(|state| state.away = false);
     pass(&[&one], Millis(3_000)).await;
-    assert!(one.right.owns(address()));
-    assert_eq!(one.right.check(address()), None);
+    assert!(one.ownership.owns(address()));
+    assert_eq!(one.ownership.check(address()), None);
     pass(&[&one], RIGHT + Limits::default().turns).await;
-    assert!(one.right.check(address()).is_some());
+    assert!(one.ownership.check(address()).is_some());
 }
 
 /// A node that has not begun, or has left, can't succeed an owner and votes for it.
@@ -505,30 +505,30 @@
     let one = node("one", &memory, false);
     let owned = [(address(), 7)];
     pass(&[&one], Millis(3_000)).await;
-    assert!(one.right.votes_for("two", &owned));
+    assert!(one.ownership.votes_for("two", &owned));
     memory.change(|state| state.away = false);
     pass(&[&one], Millis(1_500)).await;
-    assert!(!one.right.votes_for("two", &owned));
+    assert!(!one.ownership.votes_for("two", &owned));
     one.claimer.leave().await.unwrap();
-    assert!(one.right.votes_for("two", &owned));
+    assert!(one.ownership.votes_for("two", &owned));
 }
 
 /// A node that reaches the service votes for an owner whose claims it sees stand, and no other.
 #[tokio::test(start_paused = true)]
 async fn votes_for_claims_that_stand() {
     let (_memory, one) = owner().await;
-    let token = one.right.check(address()).unwrap();
-    assert!(one.right.votes_for("one", &[(address(), token)]));
-    assert!(!one.right.votes_for("one", &[(address(), token + 1)]));
-    assert!(!one.right.votes_for("two", &[(address(), token)]));
+    let token = one.ownership.check(address()).unwrap();
+    assert!(one.ownership.votes_for("one", &[(address(), token)]));
+    assert!(!one.ownership.votes_for("one", &[(address(), token + 1)]));
+    assert!(!one.ownership.votes_for("two", &[(address(), token)]));
 }
 
 /// A node's orders, without the rest of it.
 fn controllers(clock: Arc<dyn Clock>, view: Arc<View>) -> Controllers {
-    let right = Arc::new(Right::new(Arc::clone(&clock), Arc::clone(&view)));
+    let ownership = Arc::new(Ownership::new(Arc::clone(&clock), Arc::clone(&view)));
     Controllers::new(
         view,
-        right,
+        ownership,
         Arc::new(Speech),
         clock,
         "one".into(),
@@ -604,7 +604,7 @@
     list_engines(&memory, engines);
     let one = node("one", &memory, true);
     pass(&[&one], Millis(4_000)).await;
-    assert_eq!(one.right.owned_engines(), engines);
+    assert_eq!(one.ownership.owned_engines(), engines);
     // Its view is up to four seconds old.
     one.limits.set(Limits {
         apply: Millis::from_secs(10),
@@ -621,12 +621,12 @@
         pass(&all, Millis(50)).await;
         for port in 9..17 {
             let engine = SocketAddr::from(([127, 0, 0, 1], port));
-            let orders = all.map(|node| node.right.check(engine).is_some());
+            let orders = all.map(|node| node.ownership.check(engine).is_some());
             let givers = orders.iter().filter(|gives| **gives).count();
             assert!(givers <= 1, "{engine}: {orders:?}");
         }
     }
-    let owned = all.map(|node| node.right.owned_engines());
+    let owned = all.map(|node| node.ownership.owned_engines());
     assert_eq!(owned.iter().sum::<usize>(), engines, "{owned:?}");
     assert!(owned[0] <= 4, "{owned:?}");
 }
@@ -661,7 +661,7 @@
         pass(&all, Millis(1_000)).await;
     }
     pass(&all, Millis(4_000)).await;
-    let owned: Vec<usize> = all.iter().map(|node| node.right.owned_engines()).collect();
+    let owned: Vec<usize> = all.iter().map(|node| node.ownership.owned_engines()).collect();
     assert_eq!(
         owned.iter().sum::<usize>(),
         usize::from(engines),
@@ -694,7 +694,7 @@
     memory.change(|state| state.end(former));
     assert!(claim_key(&memory).is_some(), "the claim ended");
     pass(&[&again], Millis(4_000)).await;
-    assert!(again.right.check(address()).is_some());
+    assert!(again.ownership.check(address()).is_some());
 }
 
 /// A node's record is written before its lease ends, though reading the claims takes longer.
@@ -717,8 +717,8 @@
     slow(&memory, "chivevalve/", Millis::from_secs(4));
     let one = start_again("one", &memory);
     pass(&[&one], Millis(9_000)).await;
-    assert!(one.right.owns(address()));
-    assert_eq!(one.right.check(address()), None);
+    assert!(one.ownership.owns(address()));
+    assert_eq!(one.ownership.check(address()), None);
     pass(&[&one], Millis(1_500)).await;
-    assert!(one.right.check(address()).is_some());
+    assert!(one.ownership.check(address()).is_some());
 }
--- a/lib/tests/test_direct_exchange.rs
+++ b/lib/tests/test_direct_exchange.rs
@@ -10,7 +10,7 @@
 use chivevalve::direct::admit::Question;
 use chivevalve::direct::ask::Controllers;
 use chivevalve::direct::dialect::Listed;
-use chivevalve::direct::right::Right;
+use chivevalve::direct::ownership::Ownership;
 use chivevalve::direct::upstream::{Running, Upstream};
 use chivevalve::direct::view::{Claim, Standing, View};
 use chivevalve::name::Name;
@@ -29,7 +29,7 @@
 fn node(random: &mut Pcg64, silent: SocketAddr) -> Arc<Controllers> {
     let clock: Arc<dyn Clock> = Arc::new(Monotonic::start());
     let view = Arc::new(View::default());
-    let right = Arc::new(Right::new(Arc::clone(&clock), Arc::clone(&view)));
+    let ownership = Arc::new(Ownership::new(Arc::clone(&clock), Arc::clone(&view)));
     {
         let mut state = view.state();
         for owner in 0..OWNERS {
@@ -62,7 +62,7 @@
             if random.random_bool(0.9) {
                 state.claim(engine.address, standing);
                 if owner == OWNERS - 1 {
-                    right.take(engine.address, 7, Millis::ZERO);
+                    ownership.take(engine.address, 7, Millis::ZERO);
                 }
             }
         }
@@ -71,7 +71,7 @@
     let speech = Arc::new(Speech);
     Arc::new(Controllers::new(
         view,
-        right,
+        ownership,
         speech,
         clock,
         me,
@@ -97,7 +97,7 @@
         let noted = noted.get(&engine.incarnation).cloned();
         adapters.extend(noted.filter(|noted| !engine.in_use().contains(noted)));
         let is_idle = adapters.is_empty() && engine.running() == 0;
-        if controllers.right.owns(engine.address) || (is_idle && owner.address != silent) {
+        if controllers.ownership.owns(engine.address) || (is_idle && owner.address != silent) {
             continue;
         }
         let mut adapters: Vec<String> = adapters.iter().map(ToString::to_string).collect();
--- a/lib/tests/test_direct_fanout.rs
+++ b/lib/tests/test_direct_fanout.rs
@@ -14,7 +14,7 @@
 use chivevalve::direct::fanout::{Heard, Hub, Source, Subscription, Update};
 use chivevalve::direct::follow::Follower;
 use chivevalve::direct::limits::Current;
-use chivevalve::direct::right::Right;
+use chivevalve::direct::ownership::Ownership;
 use chivevalve::direct::serve::serve;
 use chivevalve::direct::view::View;
 use chivevalve::name::Name;
@@ -428,10 +428,10 @@
     view: Arc<View>,
     clock: Arc<dyn Clock>,
 ) -> (Arc<Controllers>, Subscription) {
-    let right = Arc::new(Right::new(Arc::clone(&clock), Arc::clone(&view)));
+    let ownership = Arc::new(Ownership::new(Arc::clone(&clock), Arc::clone(&view)));
     let controllers = Arc::new(Controllers::new(
         view,
-        right,
+        ownership,
         Arc::new(Speech),
         clock,
         node.into(),
--- a/lib/tests/test_direct_versions.rs
+++ b/lib/tests/test_direct_versions.rs
@@ -11,7 +11,7 @@
 use chivevalve::direct::dialect::{Dialect, Dispatch, Listed};
 use chivevalve::direct::entry::Gate;
 use chivevalve::direct::limits::{Current, Limits};
-use chivevalve::direct::right::Right;
+use chivevalve::direct::ownership::Ownership;
 use chivevalve::direct::upstream::Upstream;
 use chivevalve::direct::versions::{Declaration, Declarations, Watch};
 use chivevalve::direct::view::View;
@@ -124,7 +124,7 @@
     ));
     let controllers = Arc::new(Controllers::new(
         Arc::clone(&view),
-        Arc::new(Right::new(Arc::clone(&clock), Arc::clone(&view))),
+        Arc::new(Ownership::new(Arc::clone(&clock), Arc::clone(&view))),
         Arc::clone(&dialect),
         Arc::clone(&clock),
         "node-1".into(),
