--- a/lib/src/direct/claim/extension.rs
+++ b/lib/src/direct/claim/extension.rs
@@ -9,7 +9,7 @@
 
 use super::Claimer;
 use crate::clock::Millis;
-use crate::direct::limits::RIGHT;
+use crate::direct::limits::OWNERSHIP_TERM;
 use crate::ports::Error;
 
 /// Pause before nodes that refused are asked again; twice what connecting takes.
@@ -65,7 +65,7 @@
         let outcome = if extended { "granted" } else { "refused" };
         self.metrics.extensions.with_label_values(&[outcome]).inc();
         if extended {
-            self.ownership.until.store((sent + RIGHT).0, Ordering::Relaxed);
+            self.ownership.until.store((sent + OWNERSHIP_TERM).0, Ordering::Relaxed);
             log::info!("right: extended by the votes of all others, without a renewal: {error}");
             return;
         }
--- a/lib/src/direct/claim/mod.rs
+++ b/lib/src/direct/claim/mod.rs
@@ -22,7 +22,7 @@
 
 use super::dialect::Dialect;
 use super::follow::NODES;
-use super::limits::{Current, LEASE, RENEWAL, RENEWAL_ANSWER, RIGHT, TURN_MARGIN};
+use super::limits::{Current, LEASE, RENEWAL, RENEWAL_ANSWER, OWNERSHIP_TERM, TURN_MARGIN};
 use super::ownership::Ownership;
 use super::view::{CLAIMS, Claim, Peer, View};
 use crate::clock::{Clock, Millis};
@@ -154,7 +154,7 @@
             return Ok(());
         }
         self.ownership.forget_lost();
-        self.ownership.until.store((sent + RIGHT).0, Ordering::Relaxed);
+        self.ownership.until.store((sent + OWNERSHIP_TERM).0, Ordering::Relaxed);
         if let (Some(held), Some(began)) = (*lease, *began) {
             self.claim(held, began).await?;
             self.hand_over(began).await?;
--- a/lib/src/direct/claim/previous.rs
+++ b/lib/src/direct/claim/previous.rs
@@ -4,7 +4,7 @@
 
 use super::Claimer;
 use crate::clock::Millis;
-use crate::direct::limits::RIGHT;
+use crate::direct::limits::OWNERSHIP_TERM;
 use crate::direct::view::{Claim, Standing, State};
 
 /// What became of the node that gave an engine its orders before.
@@ -42,8 +42,8 @@
             // An earlier start may have waited still when it ended.
             Self::Itself { from: Some(from) } => from,
             Self::Left { at, idle } => at + (turn - idle.min(turn)),
-            Self::Vanished { at } => at + RIGHT + turn,
-            Self::Unknown | Self::Itself { from: None } => began + RIGHT + turn,
+            Self::Vanished { at } => at + OWNERSHIP_TERM + turn,
+            Self::Unknown | Self::Itself { from: None } => began + OWNERSHIP_TERM + turn,
         }
     }
 }
--- a/lib/src/direct/ownership.rs
+++ b/lib/src/direct/ownership.rs
@@ -120,9 +120,9 @@
         self.owned().contains_key(&address)
     }
 
-    /// Whether this node votes for another one to give orders under its claims for [`RIGHT`] from now.
+    /// Whether this node votes for another one to give orders under its claims for [`OWNERSHIP_TERM`] from now.
     ///
-    /// [`RIGHT`]: super::limits::RIGHT
+    /// [`OWNERSHIP_TERM`]: super::limits::RIGHT
     ///
     /// A node that has seen the claims stand sees them vanish later than now, and then waits
     /// for that long and a turn. So does one that has yet to begin, from when it begins. One
--- a/lib/tests/test_direct_claims.rs
+++ b/lib/tests/test_direct_claims.rs
@@ -13,7 +13,7 @@
 use chivevalve::direct::config::{Config, Engine, Limits as Sent, Pool};
 use chivevalve::direct::dialect::{Dialect, Held, Listed};
 use chivevalve::direct::follow::Follower;
-use chivevalve::direct::limits::{Current, LEASE, Limits, RIGHT};
+use chivevalve::direct::limits::{Current, LEASE, Limits, OWNERSHIP_TERM};
 use chivevalve::direct::orders::Loaded;
 use chivevalve::direct::ownership::Ownership;
 use chivevalve::direct::upstream::Upstream;
@@ -284,7 +284,7 @@
 async fn right_ends_while_suspended() {
     let (_memory, one) = owner().await;
     assert!(one.ownership.check(address()).is_some());
-    one.clock.advance(RIGHT);
+    one.clock.advance(OWNERSHIP_TERM);
     assert_eq!(one.ownership.check(address()), None);
 }
 
@@ -298,7 +298,7 @@
     drop(one);
     let leases = memory.state().leases.clone();
     memory.change(|state| state.end(leases[0]));
-    let waited = RIGHT + Limits::default().turns;
+    let waited = OWNERSHIP_TERM + Limits::default().turns;
     pass(&[&two], waited).await;
     assert_eq!(two.ownership.check(address()), None);
     pass(&[&two], LEASE).await;
@@ -408,11 +408,11 @@
     }
     // One that is not out of touch may see the claim vanish, and succeed.
     one.others.vote.store(false, Ordering::SeqCst);
-    pass(&[&one], RIGHT).await;
+    pass(&[&one], OWNERSHIP_TERM).await;
     assert_eq!(one.ownership.check(address()), None);
     // A vote comes too late for a right that has ended.
     one.others.vote.store(true, Ordering::SeqCst);
-    pass(&[&one], RIGHT).await;
+    pass(&[&one], OWNERSHIP_TERM).await;
     assert_eq!(one.ownership.check(address()), None);
 }
 
@@ -458,7 +458,7 @@
         state.drop_history();
     });
     one.clock.advance(Millis(10_000));
-    let waited = RIGHT + Limits::default().turns;
+    let waited = OWNERSHIP_TERM + Limits::default().turns;
     for _ in 0..waited.0 / 50 {
         pass(&[&one], Millis(50)).await;
         assert_eq!(one.ownership.check(address()), None);
@@ -492,7 +492,7 @@
     pass(&[&one], Millis(3_000)).await;
     assert!(one.ownership.owns(address()));
     assert_eq!(one.ownership.check(address()), None);
-    pass(&[&one], RIGHT + Limits::default().turns).await;
+    pass(&[&one], OWNERSHIP_TERM + Limits::default().turns).await;
     assert!(one.ownership.check(address()).is_some());
 }
 
