--- a/lib/src/direct/admit.rs
+++ b/lib/src/direct/admit.rs
@@ -11,7 +11,7 @@
 use tonic::{Status, Streaming};
 
 use super::admission::{Load, Part, Place};
-use super::ask::Controllers;
+use super::controllers::Controllers;
 use super::limits::IN_USE;
 use super::upstream::Upstream;
 use crate::clock::Millis;
--- a/lib/src/direct/entry/mod.rs
+++ b/lib/src/direct/entry/mod.rs
@@ -13,7 +13,7 @@
 use bytes::Bytes;
 use http_body_util::combinators::UnsyncBoxBody;
 
-use super::ask::Controllers;
+use super::controllers::Controllers;
 use super::budget::Budget;
 use super::dialect::Dialect;
 use super::limits::Current;
--- a/lib/src/direct/fanout/subscription.rs
+++ b/lib/src/direct/fanout/subscription.rs
@@ -9,7 +9,7 @@
 use super::wire::decode;
 use super::{Heard, Source};
 use crate::clock::Millis;
-use crate::direct::ask::Controllers;
+use crate::direct::controllers::Controllers;
 use crate::direct::vet::Refusal;
 use crate::name::Name;
 use crate::schema::direct::{FollowRequest, Update as Sent};
--- a/lib/src/direct/mod.rs
+++ b/lib/src/direct/mod.rs
@@ -10,7 +10,7 @@
 
 pub mod admission;
 pub mod admit;
-pub mod ask;
+pub mod controllers;
 pub mod attempt;
 pub mod budget;
 pub mod call;
--- a/lib/src/direct/node.rs
+++ b/lib/src/direct/node.rs
@@ -18,7 +18,7 @@
 use tokio::task::{JoinHandle, JoinSet};
 use tokio_util::sync::CancellationToken;
 
-use super::ask::Controllers;
+use super::controllers::Controllers;
 use super::claim::Claimer;
 use super::dialect::Dialect;
 use super::entry::Gate;
--- a/lib/src/direct/serve.rs
+++ b/lib/src/direct/serve.rs
@@ -11,7 +11,7 @@
 use tonic::{Request, Response, Status, Streaming};
 
 use super::admit::{Answer, Question, Replies};
-use super::ask::Controllers;
+use super::controllers::Controllers;
 use super::limits::in_use;
 use super::orders::Loaded;
 use super::upstream::Upstream;
--- a/lib/tests/test_direct_admission.rs
+++ b/lib/tests/test_direct_admission.rs
@@ -8,7 +8,7 @@
 use chivevalve::clock::{Clock, Manual, Millis, Monotonic};
 use chivevalve::direct::admission::{Load, Occupancy, Part, Place, Table};
 use chivevalve::direct::admit::{Answer, Question};
-use chivevalve::direct::ask::Controllers;
+use chivevalve::direct::controllers::Controllers;
 use chivevalve::direct::choice::{self, MOST_QUESTIONS};
 use chivevalve::direct::dialect::Listed;
 use chivevalve::direct::limits::exchange_pause;
--- a/lib/tests/test_direct_claims.rs
+++ b/lib/tests/test_direct_claims.rs
@@ -8,7 +8,7 @@
 
 use async_trait::async_trait;
 use chivevalve::clock::{Clock, Manual, Millis, Monotonic};
-use chivevalve::direct::ask::Controllers;
+use chivevalve::direct::controllers::Controllers;
 use chivevalve::direct::claim::{Claimer, Refusal, Voters};
 use chivevalve::direct::config::{Config, Engine, Limits as Sent, Pool};
 use chivevalve::direct::dialect::{Dialect, Held, Listed};
--- a/lib/tests/test_direct_exchange.rs
+++ b/lib/tests/test_direct_exchange.rs
@@ -8,7 +8,7 @@
 
 use chivevalve::clock::{Clock, Millis, Monotonic};
 use chivevalve::direct::admit::Question;
-use chivevalve::direct::ask::Controllers;
+use chivevalve::direct::controllers::Controllers;
 use chivevalve::direct::dialect::Listed;
 use chivevalve::direct::ownership::Ownership;
 use chivevalve::direct::upstream::{Running, Upstream};
--- a/lib/tests/test_direct_fanout.rs
+++ b/lib/tests/test_direct_fanout.rs
@@ -10,7 +10,7 @@
 use async_trait::async_trait;
 use bytes::Bytes;
 use chivevalve::clock::{Clock, Manual, Millis, Monotonic};
-use chivevalve::direct::ask::Controllers;
+use chivevalve::direct::controllers::Controllers;
 use chivevalve::direct::fanout::{Heard, Hub, Source, Subscription, Update};
 use chivevalve::direct::follow::Follower;
 use chivevalve::direct::limits::Current;
--- a/lib/tests/test_direct_versions.rs
+++ b/lib/tests/test_direct_versions.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 
 use chivevalve::clock::{Clock, Manual, Millis};
-use chivevalve::direct::ask::Controllers;
+use chivevalve::direct::controllers::Controllers;
 use chivevalve::direct::attempt::{Message, Miss};
 use chivevalve::direct::call::{Call, Kind};
 use chivevalve::direct::dialect::{Dialect, Dispatch, Listed};
