--- a/cli/src/commands/quarantine.rs
+++ b/cli/src/commands/quarantine.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-use chivevalve::direct::lift;
+use chivevalve::direct::quarantine_admin;
 use chivevalve::poison::fingerprint::Fingerprint;
 use chivevalve::poison::ledger::Standing;
 use chivevalve_platform::Speech;
@@ -57,12 +57,12 @@
 ) -> Result<(), Failure> {
     let client = Arc::new(Client::new(address));
     if let Some(request) = request {
-        lift::lift(&*client, &*client, &Speech, &request)
+        quarantine_admin::lift(&*client, &*client, &Speech, &request)
             .await
             .map_err(|error| Failure::Other(format!("the quarantine stands: {error}")))?;
         return output::print(&format!("{request} is sent again\n"));
     }
-    let standings = lift::list(&*client, &Speech)
+    let standings = quarantine_admin::list(&*client, &Speech)
         .await
         .map_err(|error| Failure::Other(format!("the records can't be read: {error}")))?;
     output::answer(args.format, &standings, |standings| table(standings))
--- a/lib/src/direct/claim/extension.rs
+++ b/lib/src/direct/claim/extension.rs
@@ -65,7 +65,9 @@
         let outcome = if extended { "granted" } else { "refused" };
         self.metrics.extensions.with_label_values(&[outcome]).inc();
         if extended {
-            self.ownership.until.store((sent + OWNERSHIP_TERM).0, Ordering::Relaxed);
+            self.ownership
+                .until
+                .store((sent + OWNERSHIP_TERM).0, Ordering::Relaxed);
             log::info!("right: extended by the votes of all others, without a renewal: {error}");
             return;
         }
--- a/lib/src/direct/claim/mod.rs
+++ b/lib/src/direct/claim/mod.rs
@@ -22,7 +22,7 @@
 
 use super::dialect::Dialect;
 use super::follow::NODES;
-use super::limits::{Current, LEASE, RENEWAL, RENEWAL_ANSWER, OWNERSHIP_TERM, TURN_MARGIN};
+use super::limits::{Current, LEASE, OWNERSHIP_TERM, RENEWAL, RENEWAL_ANSWER, TURN_MARGIN};
 use super::ownership::Ownership;
 use super::view::{CLAIMS, Claim, Peer, View};
 use crate::clock::{Clock, Millis};
@@ -76,7 +76,9 @@
         while !self.ownership.left.load(Ordering::Relaxed) {
             let knew_all = self.view.config().is_some();
             let is_unbroken = self.ownership.lasts();
-            self.ownership.unbroken.store(is_unbroken, Ordering::Relaxed);
+            self.ownership
+                .unbroken
+                .store(is_unbroken, Ordering::Relaxed);
             if let Err(error) = self.round(&mut lease, &mut began).await {
                 self.view.touched(false);
                 self.extend(&error).await;
@@ -154,7 +156,9 @@
             return Ok(());
         }
         self.ownership.forget_lost();
-        self.ownership.until.store((sent + OWNERSHIP_TERM).0, Ordering::Relaxed);
+        self.ownership
+            .until
+            .store((sent + OWNERSHIP_TERM).0, Ordering::Relaxed);
         if let (Some(held), Some(began)) = (*lease, *began) {
             self.claim(held, began).await?;
             self.hand_over(began).await?;
--- a/lib/src/direct/entry/mod.rs
+++ b/lib/src/direct/entry/mod.rs
@@ -13,8 +13,8 @@
 use bytes::Bytes;
 use http_body_util::combinators::UnsyncBoxBody;
 
-use super::controllers::Controllers;
 use super::budget::Budget;
+use super::controllers::Controllers;
 use super::dialect::Dialect;
 use super::limits::Current;
 use super::outbox::Outbox;
--- a/lib/src/direct/node.rs
+++ b/lib/src/direct/node.rs
@@ -18,8 +18,8 @@
 use tokio::task::{JoinHandle, JoinSet};
 use tokio_util::sync::CancellationToken;
 
-use super::controllers::Controllers;
 use super::claim::Claimer;
+use super::controllers::Controllers;
 use super::dialect::Dialect;
 use super::entry::Gate;
 use super::fanout::Subscription;
--- a/lib/tests/test_direct_claims.rs
+++ b/lib/tests/test_direct_claims.rs
@@ -8,9 +8,9 @@
 
 use async_trait::async_trait;
 use chivevalve::clock::{Clock, Manual, Millis, Monotonic};
-use chivevalve::direct::controllers::Controllers;
 use chivevalve::direct::claim::{Claimer, Refusal, Voters};
 use chivevalve::direct::config::{Config, Engine, Limits as Sent, Pool};
+use chivevalve::direct::controllers::Controllers;
 use chivevalve::direct::dialect::{Dialect, Held, Listed};
 use chivevalve::direct::follow::Follower;
 use chivevalve::direct::limits::{Current, LEASE, Limits, OWNERSHIP_TERM};
@@ -661,7 +661,10 @@
         pass(&all, Millis(1_000)).await;
     }
     pass(&all, Millis(4_000)).await;
-    let owned: Vec<usize> = all.iter().map(|node| node.ownership.owned_engines()).collect();
+    let owned: Vec<usize> = all
+        .iter()
+        .map(|node| node.ownership.owned_engines())
+        .collect();
     assert_eq!(
         owned.iter().sum::<usize>(),
         usize::from(engines),
--- a/lib/tests/test_direct_versions.rs
+++ b/lib/tests/test_direct_versions.rs
@@ -5,9 +5,9 @@
 use std::sync::Arc;
 
 use chivevalve::clock::{Clock, Manual, Millis};
-use chivevalve::direct::controllers::Controllers;
 use chivevalve::direct::attempt::{Message, Miss};
 use chivevalve::direct::call::{Call, Kind};
+use chivevalve::direct::controllers::Controllers;
 use chivevalve::direct::dialect::{Dialect, Dispatch, Listed};
 use chivevalve::direct::entry::Gate;
 use chivevalve::direct::limits::{Current, Limits};
