--- a/lib/src/direct/controllers/mod.rs
+++ b/lib/src/direct/controllers/mod.rs
@@ -17,7 +17,7 @@
 use super::dialect::Dialect;
 use super::fanout::Hub;
 use super::limits::exchange_pause;
-use super::orders::{Controller, Load, Loaded, Parts, Tick};
+use super::orders::{Controller, Load, LoadOutcome, Parts, Tick};
 use super::ownership::Ownership;
 use super::upstream::Upstream;
 use super::view::View;
@@ -158,12 +158,17 @@
     }
 
     /// Has an adapter made present at an engine, by whichever node may.
-    pub async fn load(&self, upstream: &Arc<Upstream>, adapter: &Name, version: u64) -> Loaded {
+    pub async fn load(
+        &self,
+        upstream: &Arc<Upstream>,
+        adapter: &Name,
+        version: u64,
+    ) -> LoadOutcome {
         if self.ownership.owns(upstream.address) {
             return self.load_here(upstream, adapter, version).await;
         }
         let loaded = self.load_there(upstream, adapter, version).await;
-        if let Loaded::Ready(version) = loaded {
+        if let LoadOutcome::Ready(version) = loaded {
             upstream.gained(adapter, version);
         }
         loaded
@@ -174,9 +179,9 @@
         upstream: &Arc<Upstream>,
         adapter: &Name,
         version: u64,
-    ) -> Loaded {
+    ) -> LoadOutcome {
         let Some(controller) = self.controller(upstream) else {
-            return Loaded::Failed;
+            return LoadOutcome::Failed;
         };
         let (reply, loaded) = oneshot::channel();
         let load = Load {
@@ -185,18 +190,23 @@
             reply,
         };
         if controller.tell(load).try_send().is_err() {
-            return Loaded::Full;
+            return LoadOutcome::Full;
         }
-        let loaded = loaded.await.unwrap_or(Loaded::Failed);
-        if let Loaded::Ready(version) = loaded {
+        let loaded = loaded.await.unwrap_or(LoadOutcome::Failed);
+        if let LoadOutcome::Ready(version) = loaded {
             upstream.gained(adapter, version);
         }
         loaded
     }
 
-    async fn load_there(&self, upstream: &Arc<Upstream>, adapter: &Name, version: u64) -> Loaded {
+    async fn load_there(
+        &self,
+        upstream: &Arc<Upstream>,
+        adapter: &Name,
+        version: u64,
+    ) -> LoadOutcome {
         let Some((node, peer)) = self.view.owner(upstream.address) else {
-            return Loaded::NotOwner;
+            return LoadOutcome::NotOwner;
         };
         let request = LoadRequest {
             incarnation: upstream.incarnation.to_string(),
@@ -210,18 +220,18 @@
             asked = asked => asked,
             () = self.falls_silent(peer.address) => {
                 log::info!("ask: {node} no longer answers");
-                return Loaded::Failed;
+                return LoadOutcome::Failed;
             }
         };
         match asked {
             Ok(Ok(reply)) => read(reply.get_ref()),
             Ok(Err(status)) => {
                 log::info!("ask: {node} does not answer: {}", status.message());
-                Loaded::Failed
+                LoadOutcome::Failed
             }
             Err(_) => {
                 self.forget(peer.address);
-                Loaded::Failed
+                LoadOutcome::Failed
             }
         }
     }
@@ -381,11 +391,11 @@
     }
 }
 
-fn read(reply: &LoadReply) -> Loaded {
+fn read(reply: &LoadReply) -> LoadOutcome {
     match reply.outcome() {
-        Outcome::Ready => Loaded::Ready(reply.version),
-        Outcome::Full => Loaded::Full,
-        Outcome::NotOwner => Loaded::NotOwner,
-        Outcome::Failed | Outcome::Unspecified => Loaded::Failed,
+        Outcome::Ready => LoadOutcome::Ready(reply.version),
+        Outcome::Full => LoadOutcome::Full,
+        Outcome::NotOwner => LoadOutcome::NotOwner,
+        Outcome::Failed | Outcome::Unspecified => LoadOutcome::Failed,
     }
 }
--- a/lib/src/direct/orders/load.rs
+++ b/lib/src/direct/orders/load.rs
@@ -2,7 +2,7 @@
 
 use kameo::actor::ActorRef;
 
-use super::message::{Load, Loaded, LookDue, Looked};
+use super::message::{Load, LoadOutcome, LookDue, Looked};
 use super::slots::{Look, Slots, answer};
 use super::{Controller, MOST_IN_TRANSIT, MOST_INCOMING};
 use crate::clock::Millis;
@@ -35,12 +35,12 @@
             if self.queue.len() < MOST_WAITING {
                 self.queue.push_back(load);
             } else {
-                answer(load.reply, Loaded::Full);
+                answer(load.reply, LoadOutcome::Full);
             }
             return;
         }
         if !self.make_room(&load.adapter).await {
-            answer(load.reply, Loaded::Full);
+            answer(load.reply, LoadOutcome::Full);
             return;
         }
         let version = (load.version > 0).then_some(load.version);
@@ -62,7 +62,7 @@
     fn started(&mut self, load: Load, outcome: Option<Ordered>) {
         let now = self.parts.clock.now();
         let Some(slots) = &mut self.slots else {
-            answer(load.reply, Loaded::Failed);
+            answer(load.reply, LoadOutcome::Failed);
             return;
         };
         match outcome {
@@ -74,12 +74,12 @@
                 slots.began(load, now);
                 self.publish();
             }
-            Some(Ordered::Fenced) => answer(load.reply, Loaded::NotOwner),
+            Some(Ordered::Fenced) => answer(load.reply, LoadOutcome::NotOwner),
             Some(Ordered::Conflict | Ordered::Elsewhere | Ordered::Refused) => {
                 self.pause();
-                answer(load.reply, Loaded::Full);
+                answer(load.reply, LoadOutcome::Full);
             }
-            None => answer(load.reply, Loaded::Failed),
+            None => answer(load.reply, LoadOutcome::Failed),
         }
     }
 
--- a/lib/src/direct/orders/message.rs
+++ b/lib/src/direct/orders/message.rs
@@ -11,7 +11,7 @@
 
 /// How an order to make an adapter present ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Loaded {
+pub enum LoadOutcome {
     /// It is held in this version.
     Ready(u64),
     /// All places are in use or on their way.
@@ -22,7 +22,7 @@
     Failed,
 }
 
-impl Loaded {
+impl LoadOutcome {
     /// Returns the name used in logs and metrics.
     #[must_use]
     pub const fn name(self) -> &'static str {
@@ -43,7 +43,7 @@
     /// The least version that will do; 0 is any.
     pub version: u64,
     /// Told when the adapter is held, or can't be.
-    pub reply: oneshot::Sender<Loaded>,
+    pub reply: oneshot::Sender<LoadOutcome>,
 }
 
 /// Tells that adapters are in use.
--- a/lib/src/direct/orders/mod.rs
+++ b/lib/src/direct/orders/mod.rs
@@ -24,7 +24,7 @@
 use slots::{LONGEST_LOAD, Slots, answer};
 
 pub use engine::Parts;
-pub use message::{Load, Loaded, Tick, Used};
+pub use message::{Load, LoadOutcome, Tick, Used};
 
 /// Adapters that may be on their way to one engine.
 ///
@@ -78,18 +78,18 @@
 impl Controller {
     async fn load(&mut self, load: Load) {
         if !self.has_right() {
-            answer(load.reply, Loaded::NotOwner);
+            answer(load.reply, LoadOutcome::NotOwner);
             return;
         }
         let now = self.parts.clock.now();
         if now < self.blocked {
             if let Some(load) = self.wait(load, now) {
-                answer(load.reply, Loaded::Full);
+                answer(load.reply, LoadOutcome::Full);
             }
             return;
         }
         if self.needs_report(&load) && !self.refresh().await {
-            answer(load.reply, Loaded::Failed);
+            answer(load.reply, LoadOutcome::Failed);
             return;
         }
         if let Some(load) = self.wait(load, now) {
@@ -144,7 +144,7 @@
 
     async fn tick(&mut self) {
         if !self.has_right() {
-            self.give_up(Loaded::NotOwner);
+            self.give_up(LoadOutcome::NotOwner);
             return;
         }
         let now = self.parts.clock.now();
@@ -190,7 +190,7 @@
         }
     }
 
-    fn give_up(&mut self, loaded: Loaded) {
+    fn give_up(&mut self, loaded: LoadOutcome) {
         if let Some(slots) = self.slots.take() {
             slots.give_up(loaded);
         }
--- a/lib/src/direct/orders/slots/mod.rs
+++ b/lib/src/direct/orders/slots/mod.rs
@@ -14,7 +14,7 @@
 
 use smallvec::SmallVec;
 
-use super::message::{Load, Loaded};
+use super::message::{Load, LoadOutcome};
 use crate::clock::Millis;
 use crate::direct::dialect::{Held, Ordered, Report};
 use crate::name::Name;
@@ -80,7 +80,7 @@
     pub fn report(&mut self, report: &Report, asked: Millis) -> bool {
         let held = &report.held;
         if held.born > self.born {
-            self.answer_all(Loaded::Failed);
+            self.answer_all(LoadOutcome::Failed);
             *self = Self {
                 used: std::mem::take(&mut self.used),
                 ..Self::new(report, asked)
@@ -124,7 +124,7 @@
     pub fn wait(&mut self, load: Load, now: Millis) -> Option<Load> {
         match self.by_adapter.get_mut(&load.adapter) {
             Some(Slot::Present { version, .. }) if *version >= load.version => {
-                answer(load.reply, Loaded::Ready(*version));
+                answer(load.reply, LoadOutcome::Ready(*version));
                 None
             }
             Some(Slot::Loading(loading)) if loading.version >= load.version => {
@@ -175,7 +175,7 @@
     /// Takes in that the engine holds what was ordered already.
     pub fn holds(&mut self, load: Load, now: Millis) {
         self.complete(&load.adapter, load.version, now);
-        answer(load.reply, Loaded::Ready(load.version));
+        answer(load.reply, LoadOutcome::Ready(load.version));
     }
 
     /// Takes in that an adapter was dropped.
@@ -228,7 +228,7 @@
             }
             Some(Ordered::Fenced | Ordered::Elsewhere) => {
                 if let Some(Slot::Loading(loading)) = self.by_adapter.remove(&look.adapter) {
-                    loading.answer(Loaded::Failed);
+                    loading.answer(LoadOutcome::Failed);
                 }
                 false
             }
@@ -260,7 +260,7 @@
     }
 
     /// Tells all that wait, as nobody looks at loads any more.
-    pub fn give_up(mut self, loaded: Loaded) {
+    pub fn give_up(mut self, loaded: LoadOutcome) {
         self.answer_all(loaded);
     }
 
@@ -357,11 +357,11 @@
         if let Some(Slot::Loading(loading)) = former {
             let took = now.since(loading.since);
             log::debug!("orders: {adapter} is loaded after {took}");
-            loading.answer(Loaded::Ready(version));
+            loading.answer(LoadOutcome::Ready(version));
         }
     }
 
-    fn answer_all(&mut self, loaded: Loaded) {
+    fn answer_all(&mut self, loaded: LoadOutcome) {
         for slot in std::mem::take(&mut self.by_adapter).into_values() {
             if let Slot::Loading(loading) = slot {
                 loading.answer(loaded);
--- a/lib/src/direct/orders/slots/slot.rs
+++ b/lib/src/direct/orders/slots/slot.rs
@@ -5,7 +5,7 @@
 use super::told::Told;
 use super::{LONGEST_LOAD, REPORT_AGE};
 use crate::clock::Millis;
-use crate::direct::orders::message::Loaded;
+use crate::direct::orders::message::LoadOutcome;
 
 /// How long a load from the weight store takes at least: no look before is of use.
 const FULL_LOAD: Millis = Millis(240);
@@ -20,7 +20,7 @@
 #[derive(Debug)]
 pub(super) struct Waiter {
     since: Millis,
-    reply: oneshot::Sender<Loaded>,
+    reply: oneshot::Sender<LoadOutcome>,
 }
 
 /// A load on its way.
@@ -72,7 +72,7 @@
         let Told { present, incoming } = told;
         let is_overtaken = incoming.is_some_and(|version| version < self.version);
         if is_overtaken || !told.is_known() {
-            self.answer(Loaded::Failed);
+            self.answer(LoadOutcome::Failed);
             return told.is_known().then(|| told.into_slot(asked));
         }
         if let Some(version) = incoming {
@@ -80,7 +80,7 @@
             return Some(Slot::Loading(self));
         }
         if let Some(version) = present.filter(|version| *version >= self.version) {
-            self.answer(Loaded::Ready(version));
+            self.answer(LoadOutcome::Ready(version));
             return Some(told.into_slot(asked));
         }
         if self.is_overdue(asked) && self.waiters.is_empty() {
@@ -110,7 +110,7 @@
         let waiters = std::mem::take(&mut self.waiters);
         for waiter in waiters {
             if now.since(waiter.since) > LONGEST_LOAD {
-                answer(waiter.reply, Loaded::Failed);
+                answer(waiter.reply, LoadOutcome::Failed);
             } else if !waiter.reply.is_closed() {
                 self.waiters.push(waiter);
             }
@@ -118,7 +118,7 @@
     }
 
     /// Tells all that wait what became of the load.
-    pub(super) fn answer(self, loaded: Loaded) {
+    pub(super) fn answer(self, loaded: LoadOutcome) {
         for waiter in self.waiters {
             answer(waiter.reply, loaded);
         }
@@ -126,13 +126,13 @@
 }
 
 impl Waiter {
-    pub(super) fn new(reply: oneshot::Sender<Loaded>, since: Millis) -> Self {
+    pub(super) fn new(reply: oneshot::Sender<LoadOutcome>, since: Millis) -> Self {
         Self { since, reply }
     }
 }
 
 /// Tells whoever asked for an adapter.
-pub(in crate::direct::orders) fn answer(reply: oneshot::Sender<Loaded>, loaded: Loaded) {
+pub(in crate::direct::orders) fn answer(reply: oneshot::Sender<LoadOutcome>, loaded: LoadOutcome) {
     // Whoever asked may have gone; the adapter stays for the next.
     let _ = reply.send(loaded);
 }
--- a/lib/src/direct/record.rs
+++ b/lib/src/direct/record.rs
@@ -5,7 +5,7 @@
 //! holds a prompt, a body or a header of the caller.
 
 use super::attempt::Miss;
-use super::orders::Loaded;
+use super::orders::LoadOutcome;
 use super::request::ActiveRequest;
 use super::upstream::Upstream;
 use crate::clock::Millis;
@@ -128,7 +128,7 @@
 
     /// Notes the answer, and returns how long it took.
     #[must_use]
-    pub fn answered(mut self, loaded: Loaded) -> Millis {
+    pub fn answered(mut self, loaded: LoadOutcome) -> Millis {
         self.outcome = loaded.name();
         self.request.now().since(self.began)
     }
--- a/lib/src/direct/serve.rs
+++ b/lib/src/direct/serve.rs
@@ -13,7 +13,7 @@
 use super::admit::{Answer, Question, Replies};
 use super::controllers::Controllers;
 use super::limits::in_use;
-use super::orders::Loaded;
+use super::orders::LoadOutcome;
 use super::upstream::Upstream;
 use super::view::Evidence;
 use crate::clock::Millis;
@@ -93,13 +93,13 @@
                     .load_here(&upstream, &adapter, request.version)
                     .await
             }
-            _ => Loaded::NotOwner,
+            _ => LoadOutcome::NotOwner,
         };
         let (outcome, version) = match loaded {
-            Loaded::Ready(version) => (Outcome::Ready, version),
-            Loaded::Full => (Outcome::Full, 0),
-            Loaded::NotOwner => (Outcome::NotOwner, 0),
-            Loaded::Failed => (Outcome::Failed, 0),
+            LoadOutcome::Ready(version) => (Outcome::Ready, version),
+            LoadOutcome::Full => (Outcome::Full, 0),
+            LoadOutcome::NotOwner => (Outcome::NotOwner, 0),
+            LoadOutcome::Failed => (Outcome::Failed, 0),
         };
         Ok(Response::new(LoadReply {
             outcome: outcome.into(),
--- a/lib/src/direct/target.rs
+++ b/lib/src/direct/target.rs
@@ -10,7 +10,7 @@
 use super::call::Call;
 use super::choice::{self, MOST_QUESTIONS};
 use super::entry::{CLASS, seconds};
-use super::orders::Loaded;
+use super::orders::LoadOutcome;
 use super::pick::{Field, usual_share};
 use super::place::Asked;
 use super::record::Asking;
@@ -287,10 +287,10 @@
                 .with_label_values(&[CLASS])
                 .observe(seconds(took));
             match loaded {
-                Loaded::Ready(held) if held >= wanted && upstream.is_ready() => {
+                LoadOutcome::Ready(held) if held >= wanted && upstream.is_ready() => {
                     return Some(upstream);
                 }
-                Loaded::NotOwner => unowned += 1,
+                LoadOutcome::NotOwner => unowned += 1,
                 _ => asked += 1,
             }
         }
--- a/lib/src/direct/versions.rs
+++ b/lib/src/direct/versions.rs
@@ -15,7 +15,7 @@
 use smallvec::SmallVec;
 
 use super::entry::Gate;
-use super::orders::Loaded;
+use super::orders::LoadOutcome;
 use super::upstream::Upstream;
 use crate::clock::Millis;
 use crate::name::Name;
@@ -214,7 +214,7 @@
             outcome = loaded.name();
             "versions: replaced where requests wait"
         );
-        matches!(loaded, Loaded::Ready(held) if held >= newest.version)
+        matches!(loaded, LoadOutcome::Ready(held) if held >= newest.version)
     }
 }
 
--- a/lib/tests/slots_model/mod.rs
+++ b/lib/tests/slots_model/mod.rs
@@ -5,7 +5,7 @@
 use chivevalve::clock::Millis;
 use chivevalve::direct::dialect::Ordered;
 use chivevalve::direct::orders::slots::{LONGEST_LOAD, Look, REPORT_AGE, Slots};
-use chivevalve::direct::orders::{Load, Loaded};
+use chivevalve::direct::orders::{Load, LoadOutcome};
 use chivevalve::name::Name;
 use engine::Engine;
 use tokio::sync::oneshot::{self, Receiver};
@@ -25,7 +25,7 @@
     adapter: Name,
     version: u64,
     since: Millis,
-    answer: Receiver<Loaded>,
+    answer: Receiver<LoadOutcome>,
 }
 
 /// The world.
@@ -242,7 +242,7 @@
         let mut waiting = Vec::new();
         for mut caller in std::mem::take(&mut self.callers) {
             match caller.answer.try_recv() {
-                Ok(Loaded::Ready(version)) => self.check_ready(&caller, version)?,
+                Ok(LoadOutcome::Ready(version)) => self.check_ready(&caller, version)?,
                 Ok(_) => {}
                 Err(oneshot::error::TryRecvError::Closed) => {
                     return Err(format!("dropped without an answer: {caller:?}"));
@@ -272,5 +272,5 @@
 }
 
 fn refuse(load: Load) {
-    let _ = load.reply.send(Loaded::Full);
+    let _ = load.reply.send(LoadOutcome::Full);
 }
--- a/lib/tests/test_direct_claims.rs
+++ b/lib/tests/test_direct_claims.rs
@@ -14,7 +14,7 @@
 use chivevalve::direct::dialect::{Dialect, Held, Listed};
 use chivevalve::direct::follow::Follower;
 use chivevalve::direct::limits::{Current, LEASE, Limits, OWNERSHIP_TERM};
-use chivevalve::direct::orders::Loaded;
+use chivevalve::direct::orders::LoadOutcome;
 use chivevalve::direct::ownership::Ownership;
 use chivevalve::direct::upstream::Upstream;
 use chivevalve::direct::view::{Claim, Peer, Standing, View};
@@ -566,7 +566,7 @@
     let running = tokio::spawn(Arc::clone(&controllers).run());
     let began = tokio::time::Instant::now();
     let loaded = controllers.load(&upstream, &"base/a1".into(), 0).await;
-    assert_eq!(loaded, Loaded::Failed);
+    assert_eq!(loaded, LoadOutcome::Failed);
     assert!(began.elapsed() < Millis(2_000).duration());
     running.abort();
 }
--- a/lib/tests/test_direct_slots.rs
+++ b/lib/tests/test_direct_slots.rs
@@ -5,7 +5,7 @@
 use chivevalve::clock::Millis;
 use chivevalve::direct::dialect::{Held, Ordered, Report};
 use chivevalve::direct::orders::slots::{LONGEST_LOAD, Look, REPORT_AGE, Slots};
-use chivevalve::direct::orders::{Load, Loaded};
+use chivevalve::direct::orders::{Load, LoadOutcome};
 use quickcheck::{Gen, QuickCheck};
 use slots_model::World;
 use tokio::sync::oneshot::{self, Receiver};
@@ -26,7 +26,7 @@
     }
 }
 
-fn asked(version: u64) -> (Load, Receiver<Loaded>) {
+fn asked(version: u64) -> (Load, Receiver<LoadOutcome>) {
     let (reply, answer) = oneshot::channel();
     let adapter = "base/a1".into();
     let load = Load {
@@ -38,7 +38,7 @@
 }
 
 /// Slots of an empty engine that has accepted the order of a load.
-fn loading(version: u64) -> (Slots, Receiver<Loaded>) {
+fn loading(version: u64) -> (Slots, Receiver<LoadOutcome>) {
     let mut slots = Slots::new(&report(0, &[], &[]), NOW);
     let (load, answer) = asked(version);
     let load = slots.wait(load, NOW).unwrap();
@@ -62,7 +62,7 @@
     let look = look_of(&mut slots, NOW + Millis(300));
     assert_eq!(look.sequence, 1);
     assert!(slots.looked(&look, Some(Ordered::Holds), NOW + Millis(310)));
-    assert_eq!(answer.try_recv(), Ok(Loaded::Ready(2)));
+    assert_eq!(answer.try_recv(), Ok(LoadOutcome::Ready(2)));
 }
 
 /// A count that was counted wrongly is put right by a report asked for late enough.
@@ -116,8 +116,8 @@
     assert!(later.try_recv().is_err());
     let look = look_of(&mut slots, NOW + Millis(300));
     slots.looked(&look, Some(Ordered::Holds), NOW + Millis(310));
-    assert_eq!(former.try_recv(), Ok(Loaded::Ready(3)));
-    assert_eq!(later.try_recv(), Ok(Loaded::Ready(3)));
+    assert_eq!(former.try_recv(), Ok(LoadOutcome::Ready(3)));
+    assert_eq!(later.try_recv(), Ok(LoadOutcome::Ready(3)));
 }
 
 /// A load that outlasts its time fails for who waited, and still serves who comes later.
@@ -126,7 +126,7 @@
     let (mut slots, mut early) = loading(2);
     let late = NOW + LONGEST_LOAD + Millis(1);
     slots.expire(late);
-    assert_eq!(early.try_recv(), Ok(Loaded::Failed));
+    assert_eq!(early.try_recv(), Ok(LoadOutcome::Failed));
     assert!(slots.wants_report(late));
     assert!(slots.report(&report(1, &[], &[("base/a1", 2)]), late));
     assert_eq!(slots.next_look(late), None);
@@ -134,7 +134,7 @@
     assert!(slots.wait(load, late).is_none());
     let look = look_of(&mut slots, late);
     slots.looked(&look, Some(Ordered::Holds), late);
-    assert_eq!(later.try_recv(), Ok(Loaded::Ready(2)));
+    assert_eq!(later.try_recv(), Ok(LoadOutcome::Ready(2)));
 }
 
 /// Loads that outlast their time don't keep others from the engine.
@@ -162,7 +162,7 @@
 fn report_of_the_order_without_its_load() {
     let (mut slots, mut answer) = loading(2);
     slots.report(&report(1, &[], &[]), NOW + Millis(300));
-    assert_eq!(answer.try_recv(), Ok(Loaded::Failed));
+    assert_eq!(answer.try_recv(), Ok(LoadOutcome::Failed));
     assert_eq!(slots.taken(), 0);
 }
 
@@ -174,7 +174,7 @@
     assert!(slots.wait(load, NOW).is_none());
     let look = look_of(&mut slots, NOW);
     slots.looked(&look, Some(Ordered::Holds), NOW + Millis(10));
-    assert_eq!(answer.try_recv(), Ok(Loaded::Ready(2)));
+    assert_eq!(answer.try_recv(), Ok(LoadOutcome::Ready(2)));
 }
 
 /// A look that no answer came to is repeated.
@@ -204,7 +204,7 @@
     assert!(slots.is_unversioned("base/a1"));
     let look = look_of(&mut slots, NOW + Millis(300));
     slots.looked(&look, Some(Ordered::Holds), NOW + Millis(310));
-    assert_eq!(answer.try_recv(), Ok(Loaded::Ready(0)));
+    assert_eq!(answer.try_recv(), Ok(LoadOutcome::Ready(0)));
     assert!(slots.is_unversioned("base/a1"));
     slots.report(&report(1, &[], &[("base/a1", 2)]), NOW + Millis(320));
     assert_eq!(slots.held().adapters, [("base/a1".into(), 2)]);
@@ -218,7 +218,7 @@
     let mut restarted = report(0, &[], &[]);
     restarted.held.born = 7;
     assert!(slots.report(&restarted, NOW + Millis(10)));
-    assert_eq!(answer.try_recv(), Ok(Loaded::Failed));
+    assert_eq!(answer.try_recv(), Ok(LoadOutcome::Failed));
     assert_eq!((slots.taken(), slots.sequence()), (0, 0));
 }
 
