--- a/lib/src/direct/controllers/exchange.rs
+++ b/lib/src/direct/controllers/exchange.rs
@@ -8,7 +8,7 @@
 use crate::clock::Millis;
 use crate::direct::dialect::Held;
 use crate::direct::limits::in_use;
-use crate::direct::orders::Used;
+use crate::direct::orders::MarkInUse;
 use crate::direct::upstream::Upstream;
 use crate::name::Name;
 use crate::schema::direct::{ExchangeReply, ExchangeRequest, Resident, Standing, Use};
@@ -144,7 +144,7 @@
         let open = self.open.lock().unwrap_or_else(PoisonError::into_inner);
         if let Some((_, controller)) = open.get(incarnation)
             && controller
-                .tell(Used { adapters, until })
+                .tell(MarkInUse { adapters, until })
                 .try_send()
                 .is_err()
         {
--- a/lib/src/direct/controllers/mod.rs
+++ b/lib/src/direct/controllers/mod.rs
@@ -17,7 +17,7 @@
 use super::dialect::Dialect;
 use super::fanout::Hub;
 use super::limits::exchange_pause;
-use super::orders::{Controller, Load, LoadOutcome, Parts, Tick};
+use super::orders::{EngineClient, EngineController, LoadCommand, LoadOutcome, Tick};
 use super::ownership::Ownership;
 use super::upstream::Upstream;
 use super::view::View;
@@ -71,7 +71,7 @@
     /// Its metrics.
     pub metrics: Arc<Metrics>,
     /// By the engine's name, with the start that each is for.
-    open: Mutex<HashMap<Name, (u64, ActorRef<Controller>)>>,
+    open: Mutex<HashMap<Name, (u64, ActorRef<EngineController>)>>,
     channels: Mutex<HashMap<SocketAddr, OrdersClient<Channel>>>,
     uses: Mutex<HashMap<Name, Vec<Name>>>,
     /// Nodes that gave no answer the last time.
@@ -184,7 +184,7 @@
             return LoadOutcome::Failed;
         };
         let (reply, loaded) = oneshot::channel();
-        let load = Load {
+        let load = LoadCommand {
             adapter: Name::clone(adapter),
             version,
             reply,
@@ -271,7 +271,7 @@
     }
 
     /// Returns the controller of an engine, opened if this is the first call for it.
-    fn controller(&self, upstream: &Arc<Upstream>) -> Option<ActorRef<Controller>> {
+    fn controller(&self, upstream: &Arc<Upstream>) -> Option<ActorRef<EngineController>> {
         let config = self.view.config()?;
         let engine = config.pools.get(&upstream.pool)?.engine.clone()?;
         let mut open = self.open.lock().unwrap_or_else(PoisonError::into_inner);
@@ -284,7 +284,7 @@
             // Its book is of a start that has ended: the count in its orders would be wrong.
             controller.kill();
         }
-        let parts = Parts {
+        let parts = EngineClient {
             upstream: Arc::clone(upstream),
             engine,
             ownership: Arc::clone(&self.ownership),
@@ -295,7 +295,7 @@
             metrics: Arc::clone(&self.metrics),
             table: Arc::clone(&self.table),
         };
-        let controller = Controller::spawn_with_mailbox(parts, mailbox::bounded(MAILBOX));
+        let controller = EngineController::spawn_with_mailbox(parts, mailbox::bounded(MAILBOX));
         open.insert(
             Name::clone(&upstream.incarnation),
             (upstream.born, controller.clone()),
@@ -367,7 +367,7 @@
     ///
     /// One whose right has gone must hear of time too, or those who wait at it would wait
     /// for as long as a load may take: four seconds on each planned stop.
-    fn controller_to_tick(&self, upstream: &Arc<Upstream>) -> Option<ActorRef<Controller>> {
+    fn controller_to_tick(&self, upstream: &Arc<Upstream>) -> Option<ActorRef<EngineController>> {
         if self.ownership.check(upstream.address).is_some() {
             return self.controller(upstream);
         }
--- a/lib/src/direct/orders/change.rs
+++ b/lib/src/direct/orders/change.rs
@@ -1,6 +1,6 @@
 //! Orders as they are given, and the count of those that the engine accepted.
 
-use super::Controller;
+use super::EngineController;
 use super::slots::Slots;
 use crate::clock::Millis;
 use crate::direct::dialect::{Action, Order, Ordered};
@@ -13,7 +13,7 @@
 /// How long an order without an answer may still be carried out.
 const LATE: Millis = Millis(12_500);
 
-impl Controller {
+impl EngineController {
     /// Counts places that orders without an answer may still take.
     ///
     /// All that wait under one count can only be carried out once.
--- a/lib/src/direct/orders/engine.rs
+++ b/lib/src/direct/orders/engine.rs
@@ -30,7 +30,7 @@
 
 /// What a controller is made of.
 #[derive(Debug, Clone)]
-pub struct Parts {
+pub struct EngineClient {
     /// The engine.
     pub upstream: Arc<Upstream>,
     /// What it can hold.
@@ -51,7 +51,7 @@
     pub table: Arc<Table>,
 }
 
-impl Parts {
+impl EngineClient {
     /// Sends an order if this node may give it at this moment.
     pub(super) async fn give(&self, mut order: Order) -> Result<Ordered, Lost> {
         let upstream = &self.upstream;
--- a/lib/src/direct/orders/load.rs
+++ b/lib/src/direct/orders/load.rs
@@ -2,9 +2,9 @@
 
 use kameo::actor::ActorRef;
 
-use super::message::{Load, LoadOutcome, LookDue, Looked};
+use super::message::{LoadCommand, LoadOutcome, LookDue, Looked};
 use super::slots::{Look, Slots, answer};
-use super::{Controller, MOST_IN_TRANSIT, MOST_INCOMING};
+use super::{EngineController, MOST_IN_TRANSIT, MOST_INCOMING};
 use crate::clock::Millis;
 use crate::direct::dialect::{Action, Order, Ordered};
 use crate::name::Name;
@@ -29,8 +29,8 @@
     }
 }
 
-impl Controller {
-    pub(super) async fn start(&mut self, load: Load) {
+impl EngineController {
+    pub(super) async fn start(&mut self, load: LoadCommand) {
         if !self.takes_load() {
             if self.queue.len() < MOST_WAITING {
                 self.queue.push_back(load);
@@ -59,7 +59,7 @@
         })
     }
 
-    fn started(&mut self, load: Load, outcome: Option<Ordered>) {
+    fn started(&mut self, load: LoadCommand, outcome: Option<Ordered>) {
         let now = self.parts.clock.now();
         let Some(slots) = &mut self.slots else {
             answer(load.reply, LoadOutcome::Failed);
--- a/lib/src/direct/orders/message.rs
+++ b/lib/src/direct/orders/message.rs
@@ -3,7 +3,7 @@
 use kameo::message::{Context, Message};
 use tokio::sync::oneshot;
 
-use super::Controller;
+use super::EngineController;
 use super::slots::Look;
 use crate::clock::Millis;
 use crate::direct::dialect::Ordered;
@@ -37,7 +37,7 @@
 
 /// Asks for an adapter.
 #[derive(Debug)]
-pub struct Load {
+pub struct LoadCommand {
     /// `BASE/NAME`.
     pub adapter: Name,
     /// The least version that will do; 0 is any.
@@ -48,7 +48,7 @@
 
 /// Tells that adapters are in use.
 #[derive(Debug)]
-pub struct Used {
+pub struct MarkInUse {
     /// `BASE/NAME` of each.
     pub adapters: Vec<Name>,
     /// Until when nothing else may be heard of them though they are.
@@ -70,19 +70,19 @@
     pub(super) outcome: Option<Ordered>,
 }
 
-impl Message<Load> for Controller {
+impl Message<LoadCommand> for EngineController {
     type Reply = ();
 
-    async fn handle(&mut self, load: Load, context: &mut Context<Self, ()>) {
+    async fn handle(&mut self, load: LoadCommand, context: &mut Context<Self, ()>) {
         self.load(load).await;
         self.schedule(context.actor_ref());
     }
 }
 
-impl Message<Used> for Controller {
+impl Message<MarkInUse> for EngineController {
     type Reply = ();
 
-    async fn handle(&mut self, used: Used, _: &mut Context<Self, ()>) {
+    async fn handle(&mut self, used: MarkInUse, _: &mut Context<Self, ()>) {
         if let Some(slots) = &mut self.slots {
             for adapter in used.adapters {
                 slots.uses(adapter, used.until);
@@ -91,7 +91,7 @@
     }
 }
 
-impl Message<LookDue> for Controller {
+impl Message<LookDue> for EngineController {
     type Reply = ();
 
     async fn handle(&mut self, _: LookDue, context: &mut Context<Self, ()>) {
@@ -100,7 +100,7 @@
     }
 }
 
-impl Message<Looked> for Controller {
+impl Message<Looked> for EngineController {
     type Reply = ();
 
     async fn handle(&mut self, looked: Looked, context: &mut Context<Self, ()>) {
@@ -109,7 +109,7 @@
     }
 }
 
-impl Message<Tick> for Controller {
+impl Message<Tick> for EngineController {
     type Reply = ();
 
     async fn handle(&mut self, _: Tick, context: &mut Context<Self, ()>) {
--- a/lib/src/direct/orders/mod.rs
+++ b/lib/src/direct/orders/mod.rs
@@ -23,8 +23,8 @@
 use load::Wake;
 use slots::{LONGEST_LOAD, Slots, answer};
 
-pub use engine::Parts;
-pub use message::{Load, LoadOutcome, Tick, Used};
+pub use engine::EngineClient;
+pub use message::{LoadCommand, LoadOutcome, MarkInUse, Tick};
 
 /// Adapters that may be on their way to one engine.
 ///
@@ -40,14 +40,14 @@
 
 /// Gives one engine its orders.
 #[derive(Debug)]
-pub struct Controller {
-    parts: Parts,
+pub struct EngineController {
+    parts: EngineClient,
     slots: Option<Slots>,
     /// The slots may be wrong; the engine is asked before the next order.
     stale: bool,
     /// Until when the engine is left alone.
     blocked: Millis,
-    queue: VecDeque<Load>,
+    queue: VecDeque<LoadCommand>,
     /// Until when orders without an answer may be carried out, with the count that they expect.
     doubtful: Vec<(u64, Millis)>,
     base_ordered: Option<Millis>,
@@ -56,11 +56,11 @@
     wake: Option<Wake>,
 }
 
-impl Actor for Controller {
-    type Args = Parts;
+impl Actor for EngineController {
+    type Args = EngineClient;
     type Error = Infallible;
 
-    async fn on_start(parts: Parts, _: ActorRef<Self>) -> Result<Self, Infallible> {
+    async fn on_start(parts: EngineClient, _: ActorRef<Self>) -> Result<Self, Infallible> {
         Ok(Self {
             parts,
             slots: None,
@@ -75,8 +75,8 @@
     }
 }
 
-impl Controller {
-    async fn load(&mut self, load: Load) {
+impl EngineController {
+    async fn load(&mut self, load: LoadCommand) {
         if !self.has_right() {
             answer(load.reply, LoadOutcome::NotOwner);
             return;
@@ -101,7 +101,7 @@
     ///
     /// An order for a version that it already loads isn't counted, and one for an older version
     /// would take the newer away.
-    fn needs_report(&self, load: &Load) -> bool {
+    fn needs_report(&self, load: &LoadCommand) -> bool {
         let Some(slots) = &self.slots else {
             return true;
         };
@@ -109,7 +109,7 @@
     }
 
     /// Answers a question by what is held or on its way; returns it if an order is needed.
-    fn wait(&mut self, load: Load, now: Millis) -> Option<Load> {
+    fn wait(&mut self, load: LoadCommand, now: Millis) -> Option<LoadCommand> {
         let Some(slots) = &mut self.slots else {
             return Some(load);
         };
--- a/lib/src/direct/orders/slots/mod.rs
+++ b/lib/src/direct/orders/slots/mod.rs
@@ -14,7 +14,7 @@
 
 use smallvec::SmallVec;
 
-use super::message::{Load, LoadOutcome};
+use super::message::{LoadCommand, LoadOutcome};
 use crate::clock::Millis;
 use crate::direct::dialect::{Held, Ordered, Report};
 use crate::name::Name;
@@ -121,7 +121,7 @@
     /// Answers who asks for an adapter that is held, or lets it wait for a load on its way.
     ///
     /// Returns the question if an order is needed.
-    pub fn wait(&mut self, load: Load, now: Millis) -> Option<Load> {
+    pub fn wait(&mut self, load: LoadCommand, now: Millis) -> Option<LoadCommand> {
         match self.by_adapter.get_mut(&load.adapter) {
             Some(Slot::Present { version, .. }) if *version >= load.version => {
                 answer(load.reply, LoadOutcome::Ready(*version));
@@ -157,7 +157,7 @@
     /// Takes in that the engine began the load that was ordered.
     ///
     /// Whoever waits for an older version of the adapter is served by this one.
-    pub fn began(&mut self, load: Load, now: Millis) {
+    pub fn began(&mut self, load: LoadCommand, now: Millis) {
         let mut waiters = match self.by_adapter.remove(&load.adapter) {
             Some(Slot::Loading(former)) => former.waiters,
             Some(Slot::Present { .. }) | None => Vec::new(),
@@ -173,7 +173,7 @@
     }
 
     /// Takes in that the engine holds what was ordered already.
-    pub fn holds(&mut self, load: Load, now: Millis) {
+    pub fn holds(&mut self, load: LoadCommand, now: Millis) {
         self.complete(&load.adapter, load.version, now);
         answer(load.reply, LoadOutcome::Ready(load.version));
     }
--- a/lib/tests/slots_model/mod.rs
+++ b/lib/tests/slots_model/mod.rs
@@ -5,7 +5,7 @@
 use chivevalve::clock::Millis;
 use chivevalve::direct::dialect::Ordered;
 use chivevalve::direct::orders::slots::{LONGEST_LOAD, Look, REPORT_AGE, Slots};
-use chivevalve::direct::orders::{Load, LoadOutcome};
+use chivevalve::direct::orders::{LoadCommand, LoadOutcome};
 use chivevalve::name::Name;
 use engine::Engine;
 use tokio::sync::oneshot::{self, Receiver};
@@ -120,7 +120,7 @@
             answer,
         };
         self.callers.push(caller);
-        let load = Load {
+        let load = LoadCommand {
             adapter,
             version,
             reply,
@@ -130,7 +130,7 @@
         }
     }
 
-    fn order(&mut self, load: Load) {
+    fn order(&mut self, load: LoadCommand) {
         if !self.has_room(&load.adapter) {
             let Some(victim) = self.slots.least_used(self.now, |_| false) else {
                 return refuse(load);
@@ -271,6 +271,6 @@
     }
 }
 
-fn refuse(load: Load) {
+fn refuse(load: LoadCommand) {
     let _ = load.reply.send(LoadOutcome::Full);
 }
--- a/lib/tests/test_direct_slots.rs
+++ b/lib/tests/test_direct_slots.rs
@@ -5,7 +5,7 @@
 use chivevalve::clock::Millis;
 use chivevalve::direct::dialect::{Held, Ordered, Report};
 use chivevalve::direct::orders::slots::{LONGEST_LOAD, Look, REPORT_AGE, Slots};
-use chivevalve::direct::orders::{Load, LoadOutcome};
+use chivevalve::direct::orders::{LoadCommand, LoadOutcome};
 use quickcheck::{Gen, QuickCheck};
 use slots_model::World;
 use tokio::sync::oneshot::{self, Receiver};
@@ -26,10 +26,10 @@
     }
 }
 
-fn asked(version: u64) -> (Load, Receiver<LoadOutcome>) {
+fn asked(version: u64) -> (LoadCommand, Receiver<LoadOutcome>) {
     let (reply, answer) = oneshot::channel();
     let adapter = "base/a1".into();
-    let load = Load {
+    let load = LoadCommand {
         adapter,
         version,
         reply,
