--- a/lib/src/direct/orders/load.rs
+++ b/lib/src/direct/orders/load.rs
@@ -3,7 +3,7 @@
 use kameo::actor::ActorRef;
 
 use super::message::{LoadCommand, LoadOutcome, LookDue, Looked};
-use super::slots::{Look, Slots, answer};
+use super::slots::{LoadProbe, Slots, answer};
 use super::{EngineController, MOST_IN_TRANSIT, MOST_INCOMING};
 use crate::clock::Millis;
 use crate::direct::dialect::{Action, Order, Ordered};
@@ -159,7 +159,7 @@
         }
     }
 
-    fn ask(&self, look: Look, actor: &ActorRef<Self>) {
+    fn ask(&self, look: LoadProbe, actor: &ActorRef<Self>) {
         let order = Order {
             action: Action::Load,
             model: Name::clone(&look.adapter),
--- a/lib/src/direct/orders/message.rs
+++ b/lib/src/direct/orders/message.rs
@@ -4,7 +4,7 @@
 use tokio::sync::oneshot;
 
 use super::EngineController;
-use super::slots::Look;
+use super::slots::LoadProbe;
 use crate::clock::Millis;
 use crate::direct::dialect::Ordered;
 use crate::name::Name;
@@ -66,7 +66,7 @@
 /// Tells what a look found.
 #[derive(Debug)]
 pub(super) struct Looked {
-    pub(super) look: Look,
+    pub(super) look: LoadProbe,
     pub(super) outcome: Option<Ordered>,
 }
 
--- a/lib/src/direct/orders/mod.rs
+++ b/lib/src/direct/orders/mod.rs
@@ -21,7 +21,7 @@
 use crate::clock::Millis;
 use crate::name::Name;
 use load::Wake;
-use slots::{LONGEST_LOAD, Slots, answer};
+use slots::{MAX_LOAD_TIME, Slots, answer};
 
 pub use engine::EngineClient;
 pub use message::{LoadCommand, LoadOutcome, MarkInUse, Tick};
@@ -175,7 +175,7 @@
         };
         if self
             .base_ordered
-            .is_some_and(|at| now.since(at) < span + LONGEST_LOAD)
+            .is_some_and(|at| now.since(at) < span + MAX_LOAD_TIME)
         {
             self.refresh().await;
             return;
--- a/lib/src/direct/orders/slots/mod.rs
+++ b/lib/src/direct/orders/slots/mod.rs
@@ -24,10 +24,10 @@
 pub(super) use slot::answer;
 
 /// The longest that a load may take before whoever waits is told that it failed.
-pub const LONGEST_LOAD: Millis = Millis(4_000);
+pub const MAX_LOAD_TIME: Millis = Millis(4_000);
 
 /// How old what a report says may be.
-pub const REPORT_AGE: Millis = Millis(1_000);
+pub const MAX_REPORT_AGE: Millis = Millis(1_000);
 
 /// First look whether a load is complete; one from the engine's own memory takes a tenth.
 const FIRST_LOOK: Millis = Millis(45);
@@ -35,12 +35,12 @@
 /// Time after which a look that nothing was heard of is repeated: a connection and an answer.
 const LOST_LOOK: Millis = Millis(600);
 
-/// Pause between reports while a load outlasts [`LONGEST_LOAD`].
+/// Pause between reports while a load outlasts [`MAX_LOAD_TIME`].
 const SLOW_REPORT: Millis = Millis(1_000);
 
 /// A question whether a load is complete: the same order again.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Look {
+pub struct LoadProbe {
     /// `BASE/NAME`.
     pub adapter: Name,
     /// The version that was ordered; 0 is whatever was the newest.
@@ -89,7 +89,7 @@
         }
         let is_older = held.born < self.born || held.sequence < self.sequence;
         // A count that stays behind was counted wrongly here.
-        let is_settled = held.born == self.born && asked >= self.advanced + REPORT_AGE;
+        let is_settled = held.born == self.born && asked >= self.advanced + MAX_REPORT_AGE;
         if is_older && !is_settled {
             return false;
         }
@@ -184,7 +184,7 @@
     }
 
     /// Returns the looks that are due, each repeated later unless an answer comes before.
-    pub fn due(&mut self, now: Millis) -> SmallVec<[Look; 4]> {
+    pub fn due(&mut self, now: Millis) -> SmallVec<[LoadProbe; 4]> {
         let sequence = self.sequence;
         let mut looks = SmallVec::new();
         for (adapter, slot) in &mut self.by_adapter {
@@ -195,7 +195,7 @@
                 continue;
             }
             loading.next_look = now + LOST_LOOK;
-            looks.push(Look {
+            looks.push(LoadProbe {
                 adapter: Name::clone(adapter),
                 version: loading.version,
                 sequence,
@@ -212,7 +212,7 @@
     }
 
     /// Takes in how the engine answered a look; false if a report has to tell what is wrong.
-    pub fn looked(&mut self, look: &Look, outcome: Option<Ordered>, now: Millis) -> bool {
+    pub fn looked(&mut self, look: &LoadProbe, outcome: Option<Ordered>, now: Millis) -> bool {
         let is_current = look.sequence == self.sequence;
         let Some(Slot::Loading(loading)) = self.by_adapter.get_mut(&look.adapter) else {
             return true;
--- a/lib/src/direct/orders/slots/slot.rs
+++ b/lib/src/direct/orders/slots/slot.rs
@@ -3,7 +3,7 @@
 use tokio::sync::oneshot;
 
 use super::told::Told;
-use super::{LONGEST_LOAD, REPORT_AGE};
+use super::{MAX_LOAD_TIME, MAX_REPORT_AGE};
 use crate::clock::Millis;
 use crate::direct::orders::message::LoadOutcome;
 
@@ -13,7 +13,7 @@
 /// Pause between looks.
 const LOOK: Millis = Millis(30);
 
-/// Pause between looks at a load that outlasts [`LONGEST_LOAD`].
+/// Pause between looks at a load that outlasts [`MAX_LOAD_TIME`].
 pub(super) const SLOW_LOOK: Millis = Millis(250);
 
 /// Somebody who waits for an adapter.
@@ -48,7 +48,7 @@
     pub(super) fn merge(self, told: Told, is_newer: bool, asked: Millis) -> Option<Self> {
         match self {
             Self::Present { version, since } => {
-                let is_settled = asked >= since + REPORT_AGE;
+                let is_settled = asked >= since + MAX_REPORT_AGE;
                 if is_newer || is_settled {
                     return told.is_known().then(|| told.into_slot(asked));
                 }
@@ -90,7 +90,7 @@
     }
 
     pub(super) fn is_overdue(&self, now: Millis) -> bool {
-        now.since(self.since) > LONGEST_LOAD
+        now.since(self.since) > MAX_LOAD_TIME
     }
 
     /// Whether looks tell of the load; reports alone tell of one that nobody waits for any more.
@@ -109,7 +109,7 @@
     pub(super) fn expire(&mut self, now: Millis) {
         let waiters = std::mem::take(&mut self.waiters);
         for waiter in waiters {
-            if now.since(waiter.since) > LONGEST_LOAD {
+            if now.since(waiter.since) > MAX_LOAD_TIME {
                 answer(waiter.reply, LoadOutcome::Failed);
             } else if !waiter.reply.is_closed() {
                 self.waiters.push(waiter);
--- a/lib/tests/slots_model/mod.rs
+++ b/lib/tests/slots_model/mod.rs
@@ -4,7 +4,7 @@
 
 use chivevalve::clock::Millis;
 use chivevalve::direct::dialect::Ordered;
-use chivevalve::direct::orders::slots::{LONGEST_LOAD, Look, REPORT_AGE, Slots};
+use chivevalve::direct::orders::slots::{LoadProbe, MAX_LOAD_TIME, MAX_REPORT_AGE, Slots};
 use chivevalve::direct::orders::{LoadCommand, LoadOutcome};
 use chivevalve::name::Name;
 use engine::Engine;
@@ -17,7 +17,7 @@
 const TICK: Millis = Millis(250);
 
 /// The longest that a waiter may be without an answer.
-const PATIENCE: Millis = Millis(LONGEST_LOAD.0 + 2 * TICK.0);
+const PATIENCE: Millis = Millis(MAX_LOAD_TIME.0 + 2 * TICK.0);
 
 /// Somebody who asked for an adapter.
 #[derive(Debug)]
@@ -38,7 +38,7 @@
     stale: bool,
     callers: Vec<Caller>,
     /// Answers to looks that are on their way back.
-    answers: Vec<(Look, Option<Ordered>)>,
+    answers: Vec<(LoadProbe, Option<Ordered>)>,
     /// When something changed the engine of which this owner wasn't told.
     disturbed: Option<Millis>,
 }
@@ -71,7 +71,7 @@
             7 => self.pass(Millis(part % 2_000)),
             8 => self.look(part.is_multiple_of(4)),
             9 | 10 => self.hear(part),
-            11 => self.report(Millis(part % REPORT_AGE.0)),
+            11 => self.report(Millis(part % MAX_REPORT_AGE.0)),
             12 => self.engine.refuse_next(part % 3),
             13 => self.disturb(part),
             14 => self.engine.hold_up(part % 2 == 0),
@@ -84,7 +84,7 @@
     pub fn settle(&mut self) -> Result<(), String> {
         self.engine.hold_up(false);
         self.engine.refuse_next(0);
-        let end = self.now + LONGEST_LOAD + LONGEST_LOAD;
+        let end = self.now + MAX_LOAD_TIME + MAX_LOAD_TIME;
         while self.now < end {
             self.pass(Millis(10));
             self.look(false);
@@ -110,7 +110,7 @@
         let adapter = Name::from(format!("base/a{}", part % 5));
         let version = part / 5 % 4;
         if self.stale || (version > 0 && self.slots.is_unversioned(&adapter)) {
-            self.report(Millis(part % REPORT_AGE.0));
+            self.report(Millis(part % MAX_REPORT_AGE.0));
         }
         let (reply, answer) = oneshot::channel();
         let caller = Caller {
@@ -189,7 +189,11 @@
         let report = self.engine.report(at);
         let is_taken = self.slots.report(&report, self.now);
         self.stale = false;
-        if is_taken && self.disturbed.is_some_and(|since| at >= since + REPORT_AGE) {
+        if is_taken
+            && self
+                .disturbed
+                .is_some_and(|since| at >= since + MAX_REPORT_AGE)
+        {
             self.disturbed = None;
         }
     }
--- a/lib/tests/test_direct_slots.rs
+++ b/lib/tests/test_direct_slots.rs
@@ -4,7 +4,7 @@
 
 use chivevalve::clock::Millis;
 use chivevalve::direct::dialect::{Held, Ordered, Report};
-use chivevalve::direct::orders::slots::{LONGEST_LOAD, Look, REPORT_AGE, Slots};
+use chivevalve::direct::orders::slots::{LoadProbe, MAX_LOAD_TIME, MAX_REPORT_AGE, Slots};
 use chivevalve::direct::orders::{LoadCommand, LoadOutcome};
 use quickcheck::{Gen, QuickCheck};
 use slots_model::World;
@@ -47,7 +47,7 @@
     (slots, answer)
 }
 
-fn look_of(slots: &mut Slots, now: Millis) -> Look {
+fn look_of(slots: &mut Slots, now: Millis) -> LoadProbe {
     let looks = slots.due(now);
     assert_eq!(looks.len(), 1);
     looks[0].clone()
@@ -69,7 +69,7 @@
 #[test]
 fn report_lower_count_long_after_the_order() {
     let (mut slots, _answer) = loading(2);
-    assert!(slots.report(&report(0, &[], &[]), NOW + REPORT_AGE));
+    assert!(slots.report(&report(0, &[], &[]), NOW + MAX_REPORT_AGE));
     assert_eq!(slots.sequence(), 0);
 }
 
@@ -96,7 +96,7 @@
 #[test]
 fn report_of_a_newer_count_with_a_load() {
     let mut slots = Slots::new(&report(3, &[("base/a1", 1)], &[]), NOW);
-    let late = NOW + LONGEST_LOAD + LONGEST_LOAD;
+    let late = NOW + MAX_LOAD_TIME + MAX_LOAD_TIME;
     slots.report(&report(4, &[("base/a1", 1)], &[("base/a1", 2)]), late);
     assert_eq!(slots.loading_in_time(late), 1);
     assert_eq!(look_of(&mut slots, late).version, 2);
@@ -124,7 +124,7 @@
 #[test]
 fn expire_behind_long_runs() {
     let (mut slots, mut early) = loading(2);
-    let late = NOW + LONGEST_LOAD + Millis(1);
+    let late = NOW + MAX_LOAD_TIME + Millis(1);
     slots.expire(late);
     assert_eq!(early.try_recv(), Ok(LoadOutcome::Failed));
     assert!(slots.wants_report(late));
@@ -142,7 +142,7 @@
 fn loading_in_time_without_overdue() {
     let (slots, _answer) = loading(2);
     assert_eq!(slots.loading_in_time(NOW), 1);
-    let late = NOW + LONGEST_LOAD + Millis(1);
+    let late = NOW + MAX_LOAD_TIME + Millis(1);
     assert_eq!((slots.loading_in_time(late), slots.loading()), (0, 1));
 }
 
@@ -150,7 +150,7 @@
 #[test]
 fn report_ends_an_overdue_load() {
     let (mut slots, _answer) = loading(2);
-    let late = NOW + LONGEST_LOAD + Millis(1);
+    let late = NOW + MAX_LOAD_TIME + Millis(1);
     slots.expire(late);
     slots.report(&report(1, &[], &[]), late);
     assert_eq!(slots.taken(), 0);
@@ -183,7 +183,7 @@
     let (mut slots, _answer) = loading(2);
     look_of(&mut slots, NOW + Millis(45));
     let next = slots.next_look(NOW + Millis(45)).unwrap();
-    assert!(next < NOW + LONGEST_LOAD);
+    assert!(next < NOW + MAX_LOAD_TIME);
     assert_eq!(look_of(&mut slots, next).version, 2);
 }
 
