--- a/lib/src/direct/attempt.rs
+++ b/lib/src/direct/attempt.rs
@@ -11,7 +11,7 @@
 use super::call::{Call, Kind};
 use super::dialect::{Dialect, Dispatch, Reply};
 use super::upstream::{Running, Upstream};
-use super::versions::{self, Watch};
+use super::versions::{self, VersionWatch};
 use crate::clock::Millis;
 use crate::error::Code;
 use crate::poison::fingerprint::{Fingerprint, Identity};
@@ -109,7 +109,7 @@
     /// The version of the adapter that was expected there.
     pub version: Option<u64>,
     /// Watches until when the run may begin, if it hasn't.
-    pub watch: Option<Watch>,
+    pub watch: Option<VersionWatch>,
     /// The connection that it comes over.
     pub connection: Connection,
     /// Holds the place in the upstream's count.
@@ -144,7 +144,7 @@
         dialect: &dyn Dialect,
         dispatch: &Dispatch,
         permit: Option<Permit>,
-        watch: Option<Watch>,
+        watch: Option<VersionWatch>,
     ) -> Result<Answer, Miss> {
         let running = upstream.enter(self.call.adapter(), permit);
         let freshness = if self.kind.repeatable() {
@@ -163,7 +163,7 @@
             upstream.link.keep(connection, None);
             return Err(Miss::Unsent("the upstream leaves".to_owned()));
         }
-        if watch.as_ref().is_some_and(Watch::has_expired) {
+        if watch.as_ref().is_some_and(VersionWatch::has_expired) {
             upstream.link.keep(connection, None);
             return Err(Miss::Withdrawn { sent: false });
         }
@@ -187,7 +187,7 @@
         if reply.not_run {
             let status = head.status.as_u16();
             finish(body, connection, upstream, &reply).await;
-            let replaced = watch.as_ref().is_some_and(Watch::is_replaced);
+            let replaced = watch.as_ref().is_some_and(VersionWatch::is_replaced);
             return Err(Miss::Rejected { status, replaced });
         }
         if head.status.is_success() && !reply.signed {
--- a/lib/src/direct/entry/mod.rs
+++ b/lib/src/direct/entry/mod.rs
@@ -23,7 +23,7 @@
 use super::roles::{Mix, Roles};
 use super::stop::Stop;
 use super::upstream::Upstream;
-use super::versions::Replacements;
+use super::versions::PendingReplacements;
 use super::view::View;
 use crate::clock::{Clock, Millis};
 use crate::error::Code;
@@ -65,7 +65,7 @@
     /// What may not be sent any more.
     pub quarantine: Arc<Quarantine>,
     /// Versions that engines were asked to replace lately.
-    pub(super) replacements: Replacements,
+    pub(super) replacements: PendingReplacements,
     /// The key-value service.
     service: Arc<Metered>,
     budget: Mutex<Budget>,
@@ -120,7 +120,7 @@
             failure_domain,
             budget: Mutex::new(Budget::new(Arc::clone(&limits))),
             limits,
-            replacements: Replacements::default(),
+            replacements: PendingReplacements::default(),
             service,
             spreading: Mutex::default(),
             shares: Mutex::default(),
--- a/lib/src/direct/request/send.rs
+++ b/lib/src/direct/request/send.rs
@@ -9,7 +9,7 @@
 use crate::direct::record;
 use crate::direct::sends::Sends;
 use crate::direct::target::Target;
-use crate::direct::versions::Watch;
+use crate::direct::versions::VersionWatch;
 use crate::error::Code;
 use crate::name::Name;
 
@@ -92,9 +92,9 @@
     }
 
     /// Watches until when the request may begin at a target.
-    fn watch(&self, target: &Target) -> Option<Watch> {
+    fn watch(&self, target: &Target) -> Option<VersionWatch> {
         let adapter = self.message.call.adapter()?;
-        Some(Watch::new(
+        Some(VersionWatch::new(
             Arc::clone(&self.gate),
             Arc::clone(&target.upstream),
             Name::clone(adapter),
--- a/lib/src/direct/sends.rs
+++ b/lib/src/direct/sends.rs
@@ -17,7 +17,7 @@
 use super::dialect::{Dialect, Dispatch};
 use super::target::Target;
 use super::upstream::Upstream;
-use super::versions::Watch;
+use super::versions::VersionWatch;
 use crate::clock::Millis;
 
 /// A send that has ended.
@@ -54,7 +54,7 @@
         dialect: &Arc<dyn Dialect>,
         target: Target,
         dispatch: Dispatch,
-        watch: Option<Watch>,
+        watch: Option<VersionWatch>,
         now: Millis,
     ) {
         let Target {
--- a/lib/src/direct/target.rs
+++ b/lib/src/direct/target.rs
@@ -17,7 +17,7 @@
 use super::request::{ActiveRequest, LOOK};
 use super::roles::{Manner, Roles, may_move};
 use super::upstream::Upstream;
-use super::versions::{REPLACEMENT, WITHDRAWAL};
+use super::versions::{REPLACEMENT_LEAD, WITHDRAWAL_LEAD};
 use crate::clock::Millis;
 use crate::error::{Code, Failure};
 use crate::name::Name;
@@ -257,7 +257,7 @@
             return Millis::ZERO;
         };
         match self.gate.begin_by(adapter, version) {
-            Some(begin_by) => begin_by.since(self.now() + REPLACEMENT + WITHDRAWAL),
+            Some(begin_by) => begin_by.since(self.now() + REPLACEMENT_LEAD + WITHDRAWAL_LEAD),
             None => Millis::MAX,
         }
     }
--- a/lib/src/direct/versions.rs
+++ b/lib/src/direct/versions.rs
@@ -24,13 +24,13 @@
 /// no longer begins the request.
 ///
 /// The way to the engine, a step of its batch, and a late timer on a small VM.
-pub const WITHDRAWAL: Millis = Millis(150);
+pub const WITHDRAWAL_LEAD: Millis = Millis(150);
 
 /// Time before a withdrawal at which the engine is to load the newest version.
 ///
 /// The order has the engine reject what waits on an older one. It takes a question to the owner
 /// and an order, either of which may have to be repeated.
-pub const REPLACEMENT: Millis = Millis(850);
+pub const REPLACEMENT_LEAD: Millis = Millis(850);
 
 /// Pause after which an engine that refused is asked once more to replace a version.
 const REPLACEMENT_PAUSE: Millis = Millis(50);
@@ -103,7 +103,7 @@
 ///
 /// A version that was the newest when the request was sent can be replaced while it waits.
 #[derive(Debug, Clone)]
-pub struct Watch {
+pub struct VersionWatch {
     gate: Arc<Gate>,
     upstream: Arc<Upstream>,
     adapter: Name,
@@ -113,7 +113,7 @@
     shows_beginning: bool,
 }
 
-impl Watch {
+impl VersionWatch {
     /// Watches a request for an adapter at an upstream.
     ///
     /// An answer that isn't a stream shows nothing until it is whole: withdrawn, it could be one
@@ -138,7 +138,7 @@
     /// Whether the request may no longer begin there.
     #[must_use]
     pub fn has_expired(&self) -> bool {
-        self.left(WITHDRAWAL) == Some(Millis::ZERO)
+        self.left(WITHDRAWAL_LEAD) == Some(Millis::ZERO)
     }
 
     /// Whether a newer version than the request was sent for has been declared.
@@ -149,9 +149,9 @@
 
     /// Waits until the request has to be withdrawn.
     pub async fn expired(&self) {
-        self.until(REPLACEMENT + WITHDRAWAL).await;
+        self.until(REPLACEMENT_LEAD + WITHDRAWAL_LEAD).await;
         let withdrawal = async {
-            self.until(WITHDRAWAL).await;
+            self.until(WITHDRAWAL_LEAD).await;
             if !self.shows_beginning {
                 std::future::pending::<()>().await;
             }
@@ -219,7 +219,7 @@
 }
 
 /// Waits until a watched request has to be withdrawn; for ever if nothing watches it.
-pub async fn expired(watch: Option<&Watch>) {
+pub async fn expired(watch: Option<&VersionWatch>) {
     match watch {
         Some(watch) => watch.expired().await,
         None => std::future::pending().await,
@@ -228,16 +228,16 @@
 
 /// Replacements that are asked for, so that the many requests of one queue ask once.
 #[derive(Debug, Default)]
-pub struct Replacements(Mutex<HashSet<(Name, Name)>>);
+pub struct PendingReplacements(Mutex<HashSet<(Name, Name)>>);
 
 /// Keeps others from asking for the same replacement until it is dropped.
 #[derive(Debug)]
 struct Asking<'a> {
-    replacements: &'a Replacements,
+    replacements: &'a PendingReplacements,
     key: (Name, Name),
 }
 
-impl Replacements {
+impl PendingReplacements {
     /// Returns leave to ask an upstream to replace an adapter's version; none if others ask.
     fn begin(&self, upstream: &Upstream, adapter: &Name) -> Option<Asking<'_>> {
         let key = (Name::clone(&upstream.incarnation), Name::clone(adapter));
--- a/lib/tests/test_direct_versions.rs
+++ b/lib/tests/test_direct_versions.rs
@@ -13,7 +13,7 @@
 use chivevalve::direct::limits::{Current, Limits};
 use chivevalve::direct::ownership::Ownership;
 use chivevalve::direct::upstream::Upstream;
-use chivevalve::direct::versions::{Declaration, Declarations, Watch};
+use chivevalve::direct::versions::{Declaration, Declarations, VersionWatch};
 use chivevalve::direct::view::View;
 use chivevalve::metrics::Metrics;
 use chivevalve::ports::metered::Metered;
@@ -108,7 +108,7 @@
 }
 
 /// A send on version 1 that is watched, with the clock that it goes by and the bounds in force.
-fn watched() -> (Watch, Arc<Manual>, Arc<Gate>) {
+fn watched() -> (VersionWatch, Arc<Manual>, Arc<Gate>) {
     let manual = Arc::new(Manual::default());
     let clock: Arc<dyn Clock> = Arc::<Manual>::clone(&manual);
     let view = Arc::new(View::default());
@@ -146,7 +146,7 @@
         Millis::ZERO,
     );
     let adapter = "base/a1".into();
-    let watch = Watch::new(Arc::clone(&gate), Arc::new(engine), adapter, 1, true);
+    let watch = VersionWatch::new(Arc::clone(&gate), Arc::new(engine), adapter, 1, true);
     (watch, manual, gate)
 }
 
