--- a/lib/src/direct/entry/mod.rs
+++ b/lib/src/direct/entry/mod.rs
@@ -215,9 +215,9 @@
 
     /// Returns until when a request may begin on a version of an adapter; none is without end.
     #[must_use]
-    pub fn begin_by(&self, adapter: &str, version: u64) -> Option<Millis> {
+    pub fn begin_deadline(&self, adapter: &str, version: u64) -> Option<Millis> {
         let limit = self.limits.get().version;
-        self.view.begin_by(adapter, version, limit)
+        self.view.begin_deadline(adapter, version, limit)
     }
 
     /// Has an adapter made present at the first of some engines, without waiting.
--- a/lib/src/direct/target.rs
+++ b/lib/src/direct/target.rs
@@ -256,8 +256,10 @@
         let Some(version) = upstream.version(adapter) else {
             return Millis::ZERO;
         };
-        match self.gate.begin_by(adapter, version) {
-            Some(begin_by) => begin_by.since(self.now() + REPLACEMENT_LEAD + WITHDRAWAL_LEAD),
+        match self.gate.begin_deadline(adapter, version) {
+            Some(begin_deadline) => {
+                begin_deadline.since(self.now() + REPLACEMENT_LEAD + WITHDRAWAL_LEAD)
+            }
             None => Millis::MAX,
         }
     }
--- a/lib/src/direct/versions.rs
+++ b/lib/src/direct/versions.rs
@@ -93,7 +93,7 @@
 
     /// Returns until when a request may begin on a version; none where nothing bounds it.
     #[must_use]
-    pub fn begin_by(&self, version: u64, limit: Millis) -> Option<Millis> {
+    pub fn begin_deadline(&self, version: u64, limit: Millis) -> Option<Millis> {
         let newer = self.0.iter().filter(|one| one.version > version);
         newer.map(|one| one.forbids_from(limit)).min()
     }
@@ -144,7 +144,9 @@
     /// Whether a newer version than the request was sent for has been declared.
     #[must_use]
     pub fn is_replaced(&self) -> bool {
-        self.gate.begin_by(&self.adapter, self.version).is_some()
+        self.gate
+            .begin_deadline(&self.adapter, self.version)
+            .is_some()
     }
 
     /// Waits until the request has to be withdrawn.
@@ -165,8 +167,8 @@
 
     /// Returns the time until `lead` before the last moment to begin, if there is one.
     fn left(&self, lead: Millis) -> Option<Millis> {
-        let begin_by = self.gate.begin_by(&self.adapter, self.version)?;
-        Some(begin_by.since(self.gate.clock.now() + lead))
+        let begin_deadline = self.gate.begin_deadline(&self.adapter, self.version)?;
+        Some(begin_deadline.since(self.gate.clock.now() + lead))
     }
 
     async fn until(&self, lead: Millis) {
--- a/lib/src/direct/view.rs
+++ b/lib/src/direct/view.rs
@@ -190,8 +190,11 @@
 
     /// Returns until when a request may begin on a version of an adapter; none is without end.
     #[must_use]
-    pub fn begin_by(&self, adapter: &str, version: u64, limit: Millis) -> Option<Millis> {
-        self.state().versions.get(adapter)?.begin_by(version, limit)
+    pub fn begin_deadline(&self, adapter: &str, version: u64, limit: Millis) -> Option<Millis> {
+        self.state()
+            .versions
+            .get(adapter)?
+            .begin_deadline(version, limit)
     }
 
     /// Returns the node that gives orders to the engine at an address.
--- a/lib/tests/test_direct_follow.rs
+++ b/lib/tests/test_direct_follow.rs
@@ -312,8 +312,8 @@
         .change(|state| state.put("op/version/base.a1", entry, None));
     pass(Millis(1_000)).await;
     let limit = Current::default().get().version;
-    let begin_by = followed.view.begin_by("base/a1", 1, limit).unwrap();
-    assert!(begin_by <= clock.now(), "{begin_by}");
+    let begin_deadline = followed.view.begin_deadline("base/a1", 1, limit).unwrap();
+    assert!(begin_deadline <= clock.now(), "{begin_deadline}");
 }
 
 /// A node that was away counts as in touch again so long after its return.
--- a/lib/tests/test_direct_versions.rs
+++ b/lib/tests/test_direct_versions.rs
@@ -38,27 +38,27 @@
 
 #[test]
 fn begin_by_without_a_newer_version() {
-    assert_eq!(declared(&[]).begin_by(1, LIMIT), None);
-    assert_eq!(declared(&[(2, 1_000)]).begin_by(2, LIMIT), None);
-    assert_eq!(declared(&[(2, 1_000)]).begin_by(3, LIMIT), None);
+    assert_eq!(declared(&[]).begin_deadline(1, LIMIT), None);
+    assert_eq!(declared(&[(2, 1_000)]).begin_deadline(2, LIMIT), None);
+    assert_eq!(declared(&[(2, 1_000)]).begin_deadline(3, LIMIT), None);
 }
 
 #[test]
 fn begin_by_counts_from_the_declaration() {
     let declarations = declared(&[(2, 1_000)]);
-    assert_eq!(declarations.begin_by(1, LIMIT), Some(Millis(6_000)));
+    assert_eq!(declarations.begin_deadline(1, LIMIT), Some(Millis(6_000)));
     // What was loaded as whatever was the newest may be any version.
-    assert_eq!(declarations.begin_by(0, LIMIT), Some(Millis(6_000)));
+    assert_eq!(declarations.begin_deadline(0, LIMIT), Some(Millis(6_000)));
 }
 
 /// A further declaration gives versions that were replaced before no further time.
 #[test]
 fn begin_by_outlasts_a_further_declaration() {
     let declarations = declared(&[(2, 1_000), (3, 3_400), (4, 5_800)]);
-    assert_eq!(declarations.begin_by(1, LIMIT), Some(Millis(6_000)));
-    assert_eq!(declarations.begin_by(2, LIMIT), Some(Millis(8_400)));
-    assert_eq!(declarations.begin_by(3, LIMIT), Some(Millis(10_800)));
-    assert_eq!(declarations.begin_by(4, LIMIT), None);
+    assert_eq!(declarations.begin_deadline(1, LIMIT), Some(Millis(6_000)));
+    assert_eq!(declarations.begin_deadline(2, LIMIT), Some(Millis(8_400)));
+    assert_eq!(declarations.begin_deadline(3, LIMIT), Some(Millis(10_800)));
+    assert_eq!(declarations.begin_deadline(4, LIMIT), None);
 }
 
 /// An older declaration that is heard of late takes nothing back.
@@ -66,7 +66,7 @@
 fn declare_older_left_aside() {
     let declarations = declared(&[(3, 1_000), (2, 2_000)]);
     assert_eq!(declarations.newest().map(|one| one.version), Some(3));
-    assert_eq!(declarations.begin_by(2, LIMIT), Some(Millis(6_000)));
+    assert_eq!(declarations.begin_deadline(2, LIMIT), Some(Millis(6_000)));
 }
 
 /// No series of declarations lets a version be begun on for longer than the earliest newer one says.
@@ -89,7 +89,7 @@
             for held in 0..=version {
                 let newer = all.iter().filter(|(version, _)| *version > held);
                 let expected = newer.map(|(_, since)| *since + LIMIT).min();
-                let found = declarations.begin_by(held, LIMIT);
+                let found = declarations.begin_deadline(held, LIMIT);
                 // What is past for good may count from any moment that is past.
                 let both_past = [expected, found]
                     .iter()
