--- a/lib/src/direct/admit.rs
+++ b/lib/src/direct/admit.rs
@@ -140,7 +140,7 @@
             return Answer::Busy(load);
         }
         if question.adapter.is_some() {
-            self.note_uses(engine, vec![Name::clone(adapter)], IN_USE);
+            self.record_uses(engine, vec![Name::clone(adapter)], IN_USE);
         }
         let part = Part {
             adapter: Name::clone(adapter),
@@ -154,7 +154,7 @@
         let Some((node, peer)) = self.view.owner(upstream.address) else {
             return Answer::Unknown;
         };
-        if self.is_silent(peer.address) {
+        if self.is_unresponsive(peer.address) {
             return Answer::Unknown;
         }
         let request = AdmitRequest {
@@ -191,7 +191,7 @@
             }
             Err(_) => {
                 log::info!("admit: no answer from {node} within {ANSWER}");
-                self.is_late(peer.address);
+                self.mark_late(peer.address);
                 Answer::Unknown
             }
         }
--- a/lib/src/direct/controllers/exchange.rs
+++ b/lib/src/direct/controllers/exchange.rs
@@ -19,7 +19,7 @@
 impl Controllers {
     /// Tells each owner what this node did at its engines.
     pub(super) fn exchange_all(self: &Arc<Self>) {
-        for (address, request) in self.exchanges() {
+        for (address, request) in self.take_exchange_requests() {
             let controllers = Arc::clone(self);
             tokio::spawn(async move { controllers.exchange(address, request).await });
         }
@@ -28,7 +28,7 @@
     /// Returns what this node has to tell other nodes, by their addresses.
     ///
     /// Uses that were noted are told once: they are gone from here then.
-    pub fn exchanges(&self) -> HashMap<SocketAddr, ExchangeRequest> {
+    pub fn take_exchange_requests(&self) -> HashMap<SocketAddr, ExchangeRequest> {
         let mut requests: HashMap<SocketAddr, ExchangeRequest> = HashMap::new();
         let uses = std::mem::take(&mut *self.uses.lock().unwrap_or_else(PoisonError::into_inner));
         let mut concerned: HashSet<SocketAddr> = self.awaited().keys().copied().collect();
@@ -43,7 +43,7 @@
                 }
             }
             if self.ownership.owns(upstream.address) {
-                self.note_uses(&upstream.incarnation, adapters, in_use(nodes));
+                self.record_uses(&upstream.incarnation, adapters, in_use(nodes));
                 continue;
             }
             let Some((_, peer)) = self.view.owner(upstream.address) else {
@@ -131,7 +131,7 @@
     }
 
     /// Has an owner's order queue hear of adapters that are in use here, or at another node.
-    pub(in crate::direct) fn note_uses(
+    pub(in crate::direct) fn record_uses(
         &self,
         incarnation: &str,
         adapters: Vec<Name>,
--- a/lib/src/direct/controllers/mod.rs
+++ b/lib/src/direct/controllers/mod.rs
@@ -139,7 +139,7 @@
     }
 
     /// Notes that a request of this node uses an adapter without being counted.
-    pub fn note_use(&self, upstream: &Upstream, adapter: &Name) {
+    pub fn record_use(&self, upstream: &Upstream, adapter: &Name) {
         let mut uses = self.uses.lock().unwrap_or_else(PoisonError::into_inner);
         let adapters = uses.entry(Name::clone(&upstream.incarnation)).or_default();
         if !adapters.contains(adapter) {
@@ -149,7 +149,7 @@
 
     /// Whether somebody who answers gives an engine its orders.
     #[must_use]
-    pub fn is_ordered(&self, upstream: &Upstream) -> bool {
+    pub fn has_live_owner(&self, upstream: &Upstream) -> bool {
         if self.ownership.owns(upstream.address) {
             return self.ownership.check(upstream.address).is_some();
         }
@@ -165,7 +165,7 @@
         version: u64,
     ) -> LoadOutcome {
         if self.ownership.owns(upstream.address) {
-            return self.load_here(upstream, adapter, version).await;
+            return self.load_locally(upstream, adapter, version).await;
         }
         let loaded = self.load_there(upstream, adapter, version).await;
         if let LoadOutcome::Ready(version) = loaded {
@@ -174,7 +174,7 @@
         loaded
     }
 
-    pub(super) async fn load_here(
+    pub(super) async fn load_locally(
         &self,
         upstream: &Arc<Upstream>,
         adapter: &Name,
@@ -252,7 +252,7 @@
     }
 
     /// Whether a node gave no answer the last time, and has not answered an exchange since.
-    pub(super) fn is_silent(&self, address: SocketAddr) -> bool {
+    pub(super) fn is_unresponsive(&self, address: SocketAddr) -> bool {
         self.silent().contains_key(&address)
     }
 
@@ -262,7 +262,7 @@
     }
 
     /// Notes that a node answers questions for a place too late, until an exchange has an answer.
-    pub(super) fn is_late(&self, address: SocketAddr) {
+    pub(super) fn mark_late(&self, address: SocketAddr) {
         self.silent().entry(address).or_insert(Silence::Late);
     }
 
--- a/lib/src/direct/request/send.rs
+++ b/lib/src/direct/request/send.rs
@@ -106,7 +106,7 @@
     /// Lets the owner hear of a request that it doesn't count, by the next exchange.
     fn note_uncounted(&self, target: &Target, permit: Option<&Permit>) {
         if let (Some(adapter), None) = (self.message.call.adapter(), permit) {
-            self.gate.controllers.note_use(&target.upstream, adapter);
+            self.gate.controllers.record_use(&target.upstream, adapter);
         }
     }
 
--- a/lib/src/direct/serve.rs
+++ b/lib/src/direct/serve.rs
@@ -90,7 +90,7 @@
             Some(upstream) if controllers.ownership.owns(upstream.address) => {
                 let adapter = Name::from(request.adapter);
                 controllers
-                    .load_here(&upstream, &adapter, request.version)
+                    .load_locally(&upstream, &adapter, request.version)
                     .await
             }
             _ => LoadOutcome::NotOwner,
@@ -149,7 +149,7 @@
                 let adapters = one.adapters.iter().map(|name| name.as_str().into());
                 let nodes = self.0.view.state().most_nodes;
                 self.0
-                    .note_uses(&one.incarnation, adapters.collect(), in_use(nodes));
+                    .record_uses(&one.incarnation, adapters.collect(), in_use(nodes));
                 standings.push(standing);
             }
         }
--- a/lib/src/direct/target.rs
+++ b/lib/src/direct/target.rs
@@ -305,7 +305,7 @@
     /// service is away there are many of them; asked one after the other, they used up the
     /// questions of a request that an engine further down could have served.
     fn can_load(&self, upstream: &Upstream, adapter: &Name) -> bool {
-        upstream.has_base(adapter) && self.gate.controllers.is_ordered(upstream)
+        upstream.has_base(adapter) && self.gate.controllers.has_live_owner(upstream)
     }
 
     /// Engines that could load the adapter, those with no older version of it first.
--- a/lib/tests/test_direct_admission.rs
+++ b/lib/tests/test_direct_admission.rs
@@ -408,7 +408,7 @@
         loaded = load => panic!("the load ended: {loaded:?}"),
         () = late => {}
     }
-    assert!(asking.controllers.is_ordered(&asking.upstream));
+    assert!(asking.controllers.has_live_owner(&asking.upstream));
 }
 
 /// Passes bytes on from a node to another one, unless they are held back.
--- a/lib/tests/test_direct_exchange.rs
+++ b/lib/tests/test_direct_exchange.rs
@@ -110,7 +110,7 @@
 
 fn told(controllers: &Controllers) -> Told {
     let mut told = Told::new();
-    for (address, request) in controllers.exchanges() {
+    for (address, request) in controllers.take_exchange_requests() {
         for mut one in request.uses {
             one.adapters.sort();
             let engine = (one.incarnation, one.running, one.adapters);
@@ -152,7 +152,7 @@
             let mut noted = BTreeMap::new();
             for engine in engines.iter().filter(|_| random.random_bool(0.05)) {
                 let adapter = Name::from("base/a2");
-                controllers.note_use(engine, &adapter);
+                controllers.record_use(engine, &adapter);
                 noted.insert(Name::clone(&engine.incarnation), adapter);
             }
             if round == 3 {
