--- a/lib/src/direct/claim/extension.rs
+++ b/lib/src/direct/claim/extension.rs
@@ -21,7 +21,7 @@
     /// Where it was asked.
     pub peer: SocketAddr,
     /// What it said, or why it said nothing.
-    pub why: String,
+    pub reason: String,
 }
 
 /// All other nodes, asked for their votes while the key-value service is unavailable.
@@ -73,8 +73,8 @@
         }
         let owned = owned.len();
         log::warn!("right: no renewal and no extension for {owned} engines: {error}");
-        for Refusal { peer, why } in refusals {
-            log::info!("right: {peer} does not vote for it: {why}");
+        for Refusal { peer, reason } in refusals {
+            log::info!("right: {peer} does not vote for it: {reason}");
         }
     }
 
@@ -86,7 +86,7 @@
         let Some(mut asked) = self.voters.others() else {
             return vec![Refusal {
                 peer: self.peer.address,
-                why: "no other node is known, and there were some".to_owned(),
+                reason: "no other node is known, and there were some".to_owned(),
             }];
         };
         loop {
--- a/lib/src/direct/controllers/vote.rs
+++ b/lib/src/direct/controllers/vote.rs
@@ -38,8 +38,8 @@
         let answers = asked.iter().map(|&peer| {
             let request = request.clone();
             async move {
-                let why = self.vote(peer, request).await.err()?;
-                Some(Refusal { peer, why })
+                let reason = self.vote(peer, request).await.err()?;
+                Some(Refusal { peer, reason })
             }
         });
         let answers = futures::future::join_all(answers).await;
--- a/lib/tests/test_direct_claims.rs
+++ b/lib/tests/test_direct_claims.rs
@@ -48,7 +48,7 @@
         }
         let refusal = |&peer| Refusal {
             peer,
-            why: "as the test wants".to_owned(),
+            reason: "as the test wants".to_owned(),
         };
         asked.iter().map(refusal).collect()
     }
