--- a/lib/src/direct/claim/extension.rs
+++ b/lib/src/direct/claim/extension.rs
@@ -61,7 +61,7 @@
             return;
         }
         let refusals = self.refusals(&owned).await;
-        let extended = refusals.is_empty() && self.ownership.lasts();
+        let extended = refusals.is_empty() && self.ownership.is_lease_valid();
         let outcome = if extended { "granted" } else { "refused" };
         self.metrics.extensions.with_label_values(&[outcome]).inc();
         if extended {
@@ -80,7 +80,7 @@
 
     /// Asks others until all vote for it or the right has ended, and returns who didn't.
     async fn refusals(&self, owned: &[(SocketAddr, u64)]) -> Vec<Refusal> {
-        if !self.ownership.lasts() {
+        if !self.ownership.is_lease_valid() {
             return Vec::new();
         }
         let Some(mut asked) = self.voters.others() else {
@@ -91,7 +91,7 @@
         };
         loop {
             let refusals = self.voters.refusals(&asked, owned).await;
-            if refusals.is_empty() || !self.ownership.lasts() {
+            if refusals.is_empty() || !self.ownership.is_lease_valid() {
                 return refusals;
             }
             tokio::time::sleep(ROUND_PAUSE.duration()).await;
--- a/lib/src/direct/claim/mod.rs
+++ b/lib/src/direct/claim/mod.rs
@@ -75,7 +75,7 @@
         // A node that has left must not claim anew what it gave up.
         while !self.ownership.left.load(Ordering::Relaxed) {
             let knew_all = self.view.config().is_some();
-            let is_unbroken = self.ownership.lasts();
+            let is_unbroken = self.ownership.is_lease_valid();
             self.ownership
                 .unbroken
                 .store(is_unbroken, Ordering::Relaxed);
@@ -137,7 +137,7 @@
                 *lease = Some(granted);
             }
             Some(held) => {
-                let lasted = self.ownership.lasts();
+                let lasted = self.ownership.is_lease_valid();
                 if self.renew(held).await? == Millis::ZERO {
                     log::warn!("right: the lease has lapsed");
                     *lease = None;
@@ -155,7 +155,7 @@
         if self.ownership.left.load(Ordering::Relaxed) {
             return Ok(());
         }
-        self.ownership.forget_lost();
+        self.ownership.drop_lost_claims();
         self.ownership
             .until
             .store((sent + OWNERSHIP_TERM).0, Ordering::Relaxed);
--- a/lib/src/direct/claim/release.rs
+++ b/lib/src/direct/claim/release.rs
@@ -44,7 +44,10 @@
     fn mark_left(&self, address: SocketAddr, owned: Owned) -> Write {
         let turn = self.turn();
         let before = (self.clock.now() + turn).since(owned.from);
-        let idle = self.ownership.since_order(address).unwrap_or(Millis::MAX);
+        let idle = self
+            .ownership
+            .time_since_order(address)
+            .unwrap_or(Millis::MAX);
         let claim = self.own_claim(Some(idle.min(before).min(turn)), owned.from);
         Write::Put(self.key(address), encoded(&claim), None)
     }
@@ -58,7 +61,7 @@
     /// keeps its successor waiting least.
     pub(super) async fn hand_over(&self, began: Millis) -> Result<(), Error> {
         let now = self.clock.now();
-        if now.since(began.max(self.ownership.handed_over())) < HANDOVER {
+        if now.since(began.max(self.ownership.last_handover())) < HANDOVER {
             return Ok(());
         }
         let Some((address, owned)) = self.surplus() else {
@@ -89,7 +92,11 @@
         owned
             .iter()
             .filter(|(address, _)| self.rank(&state, **address, 1) > 0)
-            .max_by_key(|(address, _)| self.ownership.since_order(**address).unwrap_or(Millis::MAX))
+            .max_by_key(|(address, _)| {
+                self.ownership
+                    .time_since_order(**address)
+                    .unwrap_or(Millis::MAX)
+            })
             .map(|(address, owned)| (*address, *owned))
     }
 }
--- a/lib/src/direct/claim/takeover.rs
+++ b/lib/src/direct/claim/takeover.rs
@@ -117,6 +117,6 @@
                 seen: now,
             },
         );
-        self.ownership.take(address, token, start);
+        self.ownership.acquire(address, token, start);
     }
 }
--- a/lib/src/direct/controllers/mod.rs
+++ b/lib/src/direct/controllers/mod.rs
@@ -151,7 +151,7 @@
     #[must_use]
     pub fn has_live_owner(&self, upstream: &Upstream) -> bool {
         if self.ownership.owns(upstream.address) {
-            return self.ownership.check(upstream.address).is_some();
+            return self.ownership.fencing_token(upstream.address).is_some();
         }
         let owner = self.view.owner(upstream.address);
         owner.is_some_and(|(_, peer)| !self.is_gone(peer.address))
@@ -368,7 +368,7 @@
     /// One whose right has gone must hear of time too, or those who wait at it would wait
     /// for as long as a load may take: four seconds on each planned stop.
     fn controller_to_tick(&self, upstream: &Arc<Upstream>) -> Option<ActorRef<EngineController>> {
-        if self.ownership.check(upstream.address).is_some() {
+        if self.ownership.fencing_token(upstream.address).is_some() {
             return self.controller(upstream);
         }
         let open = self.open.lock().unwrap_or_else(PoisonError::into_inner);
--- a/lib/src/direct/entry/gauges.rs
+++ b/lib/src/direct/entry/gauges.rs
@@ -20,7 +20,7 @@
         metrics.in_flight.set(count(self.active()));
         metrics
             .owned
-            .set(count(self.controllers.ownership.owned_engines()));
+            .set(count(self.controllers.ownership.owned_count()));
         let mut state = self.view.state();
         let version = state.config.as_ref().map_or(0, |config| config.version);
         metrics.revision.set(count(version));
--- a/lib/src/direct/orders/engine.rs
+++ b/lib/src/direct/orders/engine.rs
@@ -58,13 +58,13 @@
         let mut connection = upstream.link.take(FRESH).await?;
         // A VM can be suspended between any two lines; the right is looked at
         // last, on a clock that ran meanwhile.
-        let Some(token) = self.ownership.check(upstream.address) else {
+        let Some(token) = self.ownership.fencing_token(upstream.address) else {
             upstream.link.keep(connection, None);
             return Err(Lost::Unsent("no right to give orders".to_owned()));
         };
         order.fence = token;
         let request = self.dialect.order(&upstream.incarnation, &order);
-        self.ownership.ordered(upstream.address);
+        self.ownership.record_order(upstream.address);
         let sent = tokio::time::timeout(ANSWER.duration(), connection.send(request)).await;
         let (head, body) = sent
             .map_err(|_| Lost::Sent(format!("nothing within {ANSWER}")))??
--- a/lib/src/direct/orders/mod.rs
+++ b/lib/src/direct/orders/mod.rs
@@ -119,7 +119,7 @@
 
     fn has_right(&self) -> bool {
         let address = self.parts.upstream.address;
-        self.parts.ownership.check(address).is_some()
+        self.parts.ownership.fencing_token(address).is_some()
     }
 
     /// Leaves the engine alone for a while and asks it what it holds before the next order.
--- a/lib/src/direct/ownership.rs
+++ b/lib/src/direct/ownership.rs
@@ -57,7 +57,7 @@
 
     /// Returns the fencing token if an order may leave at this moment.
     #[must_use]
-    pub fn check(&self, address: SocketAddr) -> Option<u64> {
+    pub fn fencing_token(&self, address: SocketAddr) -> Option<u64> {
         let now = self.clock.now();
         if now.0 >= self.until.load(Ordering::Relaxed) {
             return None;
@@ -74,12 +74,12 @@
 
     /// Whether orders may leave as far as the lease goes.
     #[must_use]
-    pub(super) fn lasts(&self) -> bool {
+    pub(super) fn is_lease_valid(&self) -> bool {
         self.clock.now().0 < self.until.load(Ordering::Relaxed)
     }
 
     /// Drops what the view says is another's or nobody's.
-    pub(super) fn forget_lost(&self) {
+    pub(super) fn drop_lost_claims(&self) {
         let state = self.view.state();
         self.owned().retain(|address, owned| {
             state
@@ -90,7 +90,7 @@
     }
 
     /// Notes that an order leaves.
-    pub fn ordered(&self, address: SocketAddr) {
+    pub fn record_order(&self, address: SocketAddr) {
         let now = self.clock.now();
         self.last_order
             .lock()
@@ -100,7 +100,7 @@
 
     /// Returns how long ago the last order left, or none if there was none.
     #[must_use]
-    pub fn since_order(&self, address: SocketAddr) -> Option<Millis> {
+    pub fn time_since_order(&self, address: SocketAddr) -> Option<Millis> {
         let now = self.clock.now();
         self.last_order
             .lock()
@@ -110,7 +110,7 @@
     }
 
     /// Takes in that this node owns an engine, and from when on it may give it orders.
-    pub fn take(&self, address: SocketAddr, token: u64, from: Millis) {
+    pub fn acquire(&self, address: SocketAddr, token: u64, from: Millis) {
         self.owned().insert(address, Owned { token, from });
     }
 
@@ -147,13 +147,13 @@
     }
 
     /// Returns when this node last handed an engine over.
-    pub(super) fn handed_over(&self) -> Millis {
+    pub(super) fn last_handover(&self) -> Millis {
         Millis(self.handed_over.load(Ordering::Relaxed))
     }
 
     /// Returns how many engines this node owns.
     #[must_use]
-    pub fn owned_engines(&self) -> usize {
+    pub fn owned_count(&self) -> usize {
         self.owned().len()
     }
 
--- a/lib/tests/test_direct_admission.rs
+++ b/lib/tests/test_direct_admission.rs
@@ -210,7 +210,7 @@
         upstream
     };
     if name == owner {
-        ownership.take(upstream.address, 7, Millis::ZERO);
+        ownership.acquire(upstream.address, 7, Millis::ZERO);
     }
     let controllers = Arc::new(Controllers::new(
         view,
--- a/lib/tests/test_direct_claims.rs
+++ b/lib/tests/test_direct_claims.rs
@@ -223,14 +223,14 @@
 #[tokio::test(start_paused = true)]
 async fn claim_first_start_orders_at_once() {
     let (_memory, one) = owner().await;
-    assert!(one.ownership.check(address()).is_some());
+    assert!(one.ownership.fencing_token(address()).is_some());
 }
 
 /// A node claims no engine before its record tells others where to ask it.
 #[tokio::test(start_paused = true)]
 async fn claim_only_with_a_record() {
     let (memory, one) = owner().await;
-    assert!(one.ownership.check(address()).is_some());
+    assert!(one.ownership.fencing_token(address()).is_some());
     let key = Speech.own("node/one");
     assert!(memory.state().entries.contains_key(&key));
 }
@@ -241,7 +241,7 @@
     list_engine(&memory);
     let (one, two) = (node("one", &memory, true), node("two", &memory, true));
     pass(&[&one, &two], Millis(5_000)).await;
-    let rights = [&one, &two].map(|node| node.ownership.check(address()).is_some());
+    let rights = [&one, &two].map(|node| node.ownership.fencing_token(address()).is_some());
     assert!(rights[0] != rights[1], "{rights:?}");
 }
 
@@ -253,20 +253,20 @@
     let one = node("one", &memory, false);
     pass(&[&one], Millis(4_900)).await;
     assert!(one.ownership.owns(address()));
-    assert_eq!(one.ownership.check(address()), None);
+    assert_eq!(one.ownership.fencing_token(address()), None);
     pass(&[&one], Millis(1_000)).await;
-    assert!(one.ownership.check(address()).is_some());
+    assert!(one.ownership.fencing_token(address()).is_some());
 }
 
 /// A node whose claim was taken away gives no further orders, though its lease is renewed.
 #[tokio::test(start_paused = true)]
 async fn right_ends_with_a_claim_taken_away() {
     let (memory, one) = owner().await;
-    let former = one.ownership.check(address()).unwrap();
+    let former = one.ownership.fencing_token(address()).unwrap();
     let key = claim_key(&memory).unwrap();
     memory.change(|state| state.away = true);
     pass(&[&one], Millis(4_000)).await;
-    assert_eq!(one.ownership.check(address()), None);
+    assert_eq!(one.ownership.fencing_token(address()), None);
     let other = r#"{"node":"two","start":1,"left":null}"#;
     memory.change(|state| {
         state.away = false;
@@ -275,7 +275,7 @@
     });
     for _ in 0..100 {
         pass(&[&one], Millis(50)).await;
-        assert_ne!(one.ownership.check(address()), Some(former));
+        assert_ne!(one.ownership.fencing_token(address()), Some(former));
     }
 }
 
@@ -283,16 +283,16 @@
 #[tokio::test(start_paused = true)]
 async fn right_ends_while_suspended() {
     let (_memory, one) = owner().await;
-    assert!(one.ownership.check(address()).is_some());
+    assert!(one.ownership.fencing_token(address()).is_some());
     one.clock.advance(OWNERSHIP_TERM);
-    assert_eq!(one.ownership.check(address()), None);
+    assert_eq!(one.ownership.fencing_token(address()), None);
 }
 
 /// A dead node's engine gets a new owner, though not before the old right and a turn have passed.
 #[tokio::test(start_paused = true)]
 async fn claim_taken_over_after_a_death() {
     let (memory, one) = owner().await;
-    let former = one.ownership.check(address()).unwrap();
+    let former = one.ownership.fencing_token(address()).unwrap();
     let two = node("two", &memory, true);
     pass(&[&two], Millis(1_500)).await;
     drop(one);
@@ -300,9 +300,9 @@
     memory.change(|state| state.end(leases[0]));
     let waited = OWNERSHIP_TERM + Limits::default().turns;
     pass(&[&two], waited).await;
-    assert_eq!(two.ownership.check(address()), None);
+    assert_eq!(two.ownership.fencing_token(address()), None);
     pass(&[&two], LEASE).await;
-    assert!(two.ownership.check(address()).unwrap() > former);
+    assert!(two.ownership.fencing_token(address()).unwrap() > former);
 }
 
 /// After a planned stop a successor gives orders sooner than it may after a death.
@@ -312,21 +312,21 @@
     let two = node("two", &memory, true);
     pass(&[&one, &two], Millis(1_500)).await;
     one.claimer.leave().await.unwrap();
-    assert_eq!(one.ownership.check(address()), None);
+    assert_eq!(one.ownership.fencing_token(address()), None);
     drop(one);
     pass(&[&two], Millis(3_000)).await;
-    assert!(two.ownership.check(address()).is_some());
+    assert!(two.ownership.fencing_token(address()).is_some());
 }
 
 /// A node that starts again takes its claims back at once, instead of waiting itself out.
 #[tokio::test(start_paused = true)]
 async fn claim_of_former_start_is_taken_back() {
     let (memory, one) = owner().await;
-    let former = one.ownership.check(address()).unwrap();
+    let former = one.ownership.fencing_token(address()).unwrap();
     drop(one);
     let again = start("one", 2, &memory, false);
     pass(&[&again], Millis(1_000)).await;
-    assert!(again.ownership.check(address()).unwrap() > former);
+    assert!(again.ownership.fencing_token(address()).unwrap() > former);
 }
 
 /// An owner that has given an order leaves, and another node claims its engine.
@@ -334,12 +334,12 @@
     let (memory, one) = owner().await;
     let two = node("two", &memory, false);
     pass(&[&one, &two], Millis(1_500)).await;
-    one.ownership.ordered(address());
+    one.ownership.record_order(address());
     one.claimer.leave().await.unwrap();
     drop(one);
     pass(&[&two], Millis(1_500)).await;
     assert!(two.ownership.owns(address()));
-    assert_eq!(two.ownership.check(address()), None);
+    assert_eq!(two.ownership.fencing_token(address()), None);
     (memory, two)
 }
 
@@ -354,9 +354,9 @@
     let again = start_at(now, view, "two", 2, &memory, false);
     pass(&[&again], Millis(500)).await;
     assert!(again.ownership.owns(address()));
-    assert_eq!(again.ownership.check(address()), None);
+    assert_eq!(again.ownership.fencing_token(address()), None);
     pass(&[&again], Millis(2_000)).await;
-    assert!(again.ownership.check(address()).is_some());
+    assert!(again.ownership.fencing_token(address()).is_some());
 }
 
 /// A node that leaves while it waits for its turn has its successor give orders at once.
@@ -365,7 +365,7 @@
     let (memory, one) = owner().await;
     let (two, three) = (node("two", &memory, false), node("three", &memory, false));
     pass(&[&one, &two, &three], Millis(2_500)).await;
-    one.ownership.ordered(address());
+    one.ownership.record_order(address());
     one.claimer.leave().await.unwrap();
     drop(one);
     while !two.ownership.owns(address()) && !three.ownership.owns(address()) {
@@ -381,9 +381,9 @@
     while !second.ownership.owns(address()) {
         pass(&[&second], Millis(50)).await;
     }
-    assert_eq!(second.ownership.check(address()), None);
+    assert_eq!(second.ownership.fencing_token(address()), None);
     pass(&[&second], Millis(3_500)).await;
-    assert!(second.ownership.check(address()).is_some());
+    assert!(second.ownership.fencing_token(address()).is_some());
 }
 
 /// A node that has given its claims up doesn't claim them again with its next renewal.
@@ -393,7 +393,7 @@
     one.claimer.leave().await.unwrap();
     pass(&[&one], Millis(3_000)).await;
     assert!(!one.ownership.owns(address()));
-    assert_eq!(one.ownership.check(address()), None);
+    assert_eq!(one.ownership.fencing_token(address()), None);
 }
 
 /// In an outage an owner goes on by the votes of all others, and for no longer than they vote.
@@ -404,16 +404,16 @@
     memory.change(|state| state.away = true);
     for _ in 0..20 {
         pass(&[&one], Millis(500)).await;
-        assert!(one.ownership.check(address()).is_some());
+        assert!(one.ownership.fencing_token(address()).is_some());
     }
     // One that is not out of touch may see the claim vanish, and succeed.
     one.others.vote.store(false, Ordering::SeqCst);
     pass(&[&one], OWNERSHIP_TERM).await;
-    assert_eq!(one.ownership.check(address()), None);
+    assert_eq!(one.ownership.fencing_token(address()), None);
     // A vote comes too late for a right that has ended.
     one.others.vote.store(true, Ordering::SeqCst);
     pass(&[&one], OWNERSHIP_TERM).await;
-    assert_eq!(one.ownership.check(address()), None);
+    assert_eq!(one.ownership.fencing_token(address()), None);
 }
 
 /// A claim that lapsed in an outage goes back to its living owner, whom nobody has to wait out.
@@ -428,7 +428,7 @@
     let owner = |nodes: &[&Node]| {
         nodes
             .iter()
-            .position(|node| node.ownership.check(address()).is_some())
+            .position(|node| node.ownership.fencing_token(address()).is_some())
     };
     let before = owner(&all);
     assert!(before.is_some());
@@ -447,7 +447,7 @@
 #[tokio::test(start_paused = true)]
 async fn claim_taken_back_after_a_suspension_waits() {
     let (memory, one) = owner().await;
-    assert!(one.ownership.check(address()).is_some());
+    assert!(one.ownership.fencing_token(address()).is_some());
     let key = claim_key(&memory).unwrap();
     let leases = memory.state().leases.clone();
     let other = r#"{"node":"two","start":1,"left":null}"#;
@@ -461,10 +461,10 @@
     let waited = OWNERSHIP_TERM + Limits::default().turns;
     for _ in 0..waited.0 / 50 {
         pass(&[&one], Millis(50)).await;
-        assert_eq!(one.ownership.check(address()), None);
+        assert_eq!(one.ownership.fencing_token(address()), None);
     }
     pass(&[&one], LEASE).await;
-    assert!(one.ownership.check(address()).is_some());
+    assert!(one.ownership.fencing_token(address()).is_some());
 }
 
 /// A vote lost on a dead connection is asked for again before the right ends.
@@ -476,7 +476,7 @@
     memory.change(|state| state.away = true);
     for _ in 0..20 {
         pass(&[&one], Millis(500)).await;
-        assert!(one.ownership.check(address()).is_some());
+        assert!(one.ownership.fencing_token(address()).is_some());
     }
 }
 
@@ -491,9 +491,9 @@
     memory.change(|state| state.away = false);
     pass(&[&one], Millis(3_000)).await;
     assert!(one.ownership.owns(address()));
-    assert_eq!(one.ownership.check(address()), None);
+    assert_eq!(one.ownership.fencing_token(address()), None);
     pass(&[&one], OWNERSHIP_TERM + Limits::default().turns).await;
-    assert!(one.ownership.check(address()).is_some());
+    assert!(one.ownership.fencing_token(address()).is_some());
 }
 
 /// A node that has not begun, or has left, can't succeed an owner and votes for it.
@@ -517,7 +517,7 @@
 #[tokio::test(start_paused = true)]
 async fn votes_for_claims_that_stand() {
     let (_memory, one) = owner().await;
-    let token = one.ownership.check(address()).unwrap();
+    let token = one.ownership.fencing_token(address()).unwrap();
     assert!(one.ownership.votes_for("one", &[(address(), token)]));
     assert!(!one.ownership.votes_for("one", &[(address(), token + 1)]));
     assert!(!one.ownership.votes_for("two", &[(address(), token)]));
@@ -604,7 +604,7 @@
     list_engines(&memory, engines);
     let one = node("one", &memory, true);
     pass(&[&one], Millis(4_000)).await;
-    assert_eq!(one.ownership.owned_engines(), engines);
+    assert_eq!(one.ownership.owned_count(), engines);
     // Its view is up to four seconds old.
     one.limits.set(Limits {
         apply: Millis::from_secs(10),
@@ -621,12 +621,12 @@
         pass(&all, Millis(50)).await;
         for port in 9..17 {
             let engine = SocketAddr::from(([127, 0, 0, 1], port));
-            let orders = all.map(|node| node.ownership.check(engine).is_some());
+            let orders = all.map(|node| node.ownership.fencing_token(engine).is_some());
             let givers = orders.iter().filter(|gives| **gives).count();
             assert!(givers <= 1, "{engine}: {orders:?}");
         }
     }
-    let owned = all.map(|node| node.ownership.owned_engines());
+    let owned = all.map(|node| node.ownership.owned_count());
     assert_eq!(owned.iter().sum::<usize>(), engines, "{owned:?}");
     assert!(owned[0] <= 4, "{owned:?}");
 }
@@ -663,7 +663,7 @@
     pass(&all, Millis(4_000)).await;
     let owned: Vec<usize> = all
         .iter()
-        .map(|node| node.ownership.owned_engines())
+        .map(|node| node.ownership.owned_count())
         .collect();
     assert_eq!(
         owned.iter().sum::<usize>(),
@@ -697,7 +697,7 @@
     memory.change(|state| state.end(former));
     assert!(claim_key(&memory).is_some(), "the claim ended");
     pass(&[&again], Millis(4_000)).await;
-    assert!(again.ownership.check(address()).is_some());
+    assert!(again.ownership.fencing_token(address()).is_some());
 }
 
 /// A node's record is written before its lease ends, though reading the claims takes longer.
@@ -721,7 +721,7 @@
     let one = start_again("one", &memory);
     pass(&[&one], Millis(9_000)).await;
     assert!(one.ownership.owns(address()));
-    assert_eq!(one.ownership.check(address()), None);
+    assert_eq!(one.ownership.fencing_token(address()), None);
     pass(&[&one], Millis(1_500)).await;
-    assert!(one.ownership.check(address()).is_some());
+    assert!(one.ownership.fencing_token(address()).is_some());
 }
--- a/lib/tests/test_direct_exchange.rs
+++ b/lib/tests/test_direct_exchange.rs
@@ -62,7 +62,7 @@
             if random.random_bool(0.9) {
                 state.claim(engine.address, standing);
                 if owner == OWNERS - 1 {
-                    ownership.take(engine.address, 7, Millis::ZERO);
+                    ownership.acquire(engine.address, 7, Millis::ZERO);
                 }
             }
         }
