--- a/lib/src/direct/claim/extension.rs
+++ b/lib/src/direct/claim/extension.rs
@@ -35,7 +35,7 @@
     /// A node votes as [`Ownership::votes_for`] says, or by not running: its next start begins
     /// later than the question.
     ///
-    /// [`Ownership::votes_for`]: crate::direct::right::Right::votes_for
+    /// [`Ownership::votes_for`]: crate::direct::ownership::Ownership::votes_for
     async fn refusals(&self, asked: &[SocketAddr], owned: &[(SocketAddr, u64)]) -> Vec<Refusal>;
 }
 
