--- a/lib/src/direct/admit.rs
+++ b/lib/src/direct/admit.rs
@@ -11,7 +11,7 @@
 use tonic::{Status, Streaming};
 
 use super::admission::{Load, Part, Place};
-use super::ask::Controllers;
+use super::controllers::Controllers;
 use super::limits::IN_USE;
 use super::upstream::Upstream;
 use crate::clock::Millis;
@@ -105,7 +105,7 @@
 impl Controllers {
     /// Has a request counted in at an engine by whoever gives it orders.
     pub async fn admit(&self, upstream: &Arc<Upstream>, question: Question<'_>) -> Answer {
-        let answer = if self.right.owns(upstream.address) {
+        let answer = if self.ownership.owns(upstream.address) {
             self.admit_here(upstream, question)
         } else {
             self.admit_there(upstream, question).await
@@ -123,7 +123,7 @@
     pub(super) fn admit_here(&self, upstream: &Arc<Upstream>, question: Question<'_>) -> Answer {
         // Counting needs no right to give orders: an owner that has lost the key-value service
         // still knows best what runs at its engines.
-        if !self.right.owns(upstream.address) {
+        if !self.ownership.owns(upstream.address) {
             return Answer::Unknown;
         }
         let none = Name::from("");
@@ -140,7 +140,7 @@
             return Answer::Busy(load);
         }
         if question.adapter.is_some() {
-            self.note_uses(engine, vec![Name::clone(adapter)], IN_USE);
+            self.record_uses(engine, vec![Name::clone(adapter)], IN_USE);
         }
         let part = Part {
             adapter: Name::clone(adapter),
@@ -154,7 +154,7 @@
         let Some((node, peer)) = self.view.owner(upstream.address) else {
             return Answer::Unknown;
         };
-        if self.is_silent(peer.address) {
+        if self.is_unresponsive(peer.address) {
             return Answer::Unknown;
         }
         let request = AdmitRequest {
@@ -191,7 +191,7 @@
             }
             Err(_) => {
                 log::info!("admit: no answer from {node} within {ANSWER}");
-                self.is_late(peer.address);
+                self.mark_late(peer.address);
                 Answer::Unknown
             }
         }
--- a/lib/src/direct/attempt.rs
+++ b/lib/src/direct/attempt.rs
@@ -7,15 +7,15 @@
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::Incoming;
 
-use super::admit::Permit;
-use super::dialect::{Dialect, Dispatch, Reply};
-use super::metadata::{RequestKind, RequestMetadata};
-use super::upstream::{Running, Upstream};
-use super::versions::{self, Watch};
 use crate::clock::Millis;
 use crate::error::Code;
 use crate::poison::fingerprint::{Fingerprint, Identity};
 use crate::ports::link::{Connection, Lost};
+use super::admit::Permit;
+use super::dialect::{Dialect, Dispatch, Reply};
+use super::metadata::{RequestKind, RequestMetadata};
+use super::upstream::{Running, Upstream};
+use super::versions::{VersionWatch, self};
 
 /// The longest whole answer that is held, in bytes.
 const WHOLE_BYTES: usize = 16 << 20;
@@ -109,7 +109,7 @@
     /// The version of the adapter that was expected there.
     pub version: Option<u64>,
     /// Watches until when the run may begin, if it hasn't.
-    pub watch: Option<Watch>,
+    pub watch: Option<VersionWatch>,
     /// The connection that it comes over.
     pub connection: Connection,
     /// Holds the place in the upstream's count.
@@ -144,7 +144,7 @@
         dialect: &dyn Dialect,
         dispatch: &Dispatch,
         permit: Option<Permit>,
-        watch: Option<Watch>,
+        watch: Option<VersionWatch>,
     ) -> Result<UpstreamResponse, SendError> {
         let running = upstream.enter(self.metadata.adapter(), permit);
         let freshness = if self.kind.is_retryable() {
@@ -163,7 +163,7 @@
             upstream.link.keep(connection, None);
             return Err(SendError::Unsent("the upstream leaves".to_owned()));
         }
-        if watch.as_ref().is_some_and(Watch::has_expired) {
+        if watch.as_ref().is_some_and(VersionWatch::has_expired) {
             upstream.link.keep(connection, None);
             return Err(SendError::Withdrawn { sent: false });
         }
@@ -187,7 +187,7 @@
         if reply.not_run {
             let status = head.status.as_u16();
             finish(body, connection, upstream, &reply).await;
-            let replaced = watch.as_ref().is_some_and(Watch::is_replaced);
+            let replaced = watch.as_ref().is_some_and(VersionWatch::is_replaced);
             return Err(SendError::Rejected { status, replaced });
         }
         if head.status.is_success() && !reply.signed {
--- a/lib/src/direct/entry/mod.rs
+++ b/lib/src/direct/entry/mod.rs
@@ -13,8 +13,13 @@
 use bytes::Bytes;
 use http_body_util::combinators::UnsyncBoxBody;
 
-use super::ask::Controllers;
+use crate::clock::{Clock, Millis};
+use crate::error::Code;
+use crate::metrics::Metrics;
+use crate::name::Name;
+use crate::ports::metered::Metered;
 use super::budget::Budget;
+use super::controllers::Controllers;
 use super::dialect::Dialect;
 use super::drain::Drain;
 use super::limits::Current;
@@ -23,13 +28,8 @@
 use super::relay::ResponseAborted;
 use super::roles::{Mix, Roles};
 use super::upstream::Upstream;
-use super::versions::Replacements;
+use super::versions::PendingReplacements;
 use super::view::View;
-use crate::clock::{Clock, Millis};
-use crate::error::Code;
-use crate::metrics::Metrics;
-use crate::name::Name;
-use crate::ports::metered::Metered;
 
 /// Body of an answer to a caller.
 pub type Body = UnsyncBoxBody<Bytes, ResponseAborted>;
@@ -65,7 +65,7 @@
     /// What may not be sent any more.
     pub quarantine: Arc<Quarantine>,
     /// Versions that engines were asked to replace lately.
-    pub(super) replacements: Replacements,
+    pub(super) replacements: PendingReplacements,
     /// The key-value service.
     service: Arc<Metered>,
     budget: Mutex<Budget>,
@@ -120,7 +120,7 @@
             failure_domain,
             budget: Mutex::new(Budget::new(Arc::clone(&limits))),
             limits,
-            replacements: Replacements::default(),
+            replacements: PendingReplacements::default(),
             service,
             spreading: Mutex::default(),
             shares: Mutex::default(),
@@ -215,9 +215,9 @@
 
     /// Returns until when a request may begin on a version of an adapter; none is without end.
     #[must_use]
-    pub fn begin_by(&self, adapter: &str, version: u64) -> Option<Millis> {
+    pub fn begin_deadline(&self, adapter: &str, version: u64) -> Option<Millis> {
         let limit = self.limits.get().version;
-        self.view.begin_by(adapter, version, limit)
+        self.view.begin_deadline(adapter, version, limit)
     }
 
     /// Has an adapter made present at the first of some engines, without waiting.
--- a/lib/src/direct/node.rs
+++ b/lib/src/direct/node.rs
@@ -18,23 +18,23 @@
 use tokio::task::{JoinHandle, JoinSet};
 use tokio_util::sync::CancellationToken;
 
-use super::ask::Controllers;
+use crate::clock::{Boot, Clock, Millis};
+use crate::metrics::Metrics;
+use crate::name::Name;
+use crate::ports::{Error, Lease, Store};
+use crate::ports::link::guard;
+use crate::ports::metered::Metered;
+use crate::ports::poll::Poll;
+use super::peer_server;
 use super::claim::Claimer;
+use super::controllers::Controllers;
 use super::dialect::Dialect;
 use super::entry::Frontend;
 use super::fanout::Subscription;
 use super::follow::Follower;
 use super::limits::{Current, Limits};
-use super::peer_server;
-use super::right::Right;
+use super::ownership::Ownership;
 use super::view::{Peer, View};
-use crate::clock::{Boot, Clock, Millis};
-use crate::metrics::Metrics;
-use crate::name::Name;
-use crate::ports::link::guard;
-use crate::ports::metered::Metered;
-use crate::ports::poll::Poll;
-use crate::ports::{Error, Lease, Store};
 
 /// Time for the balancer to notice that the node takes no more callers.
 ///
@@ -146,10 +146,10 @@
             Arc::clone(&metrics),
             Arc::clone(&clock),
         ));
-        let right = Arc::new(Right::new(Arc::clone(&clock), Arc::clone(&view)));
+        let ownership = Arc::new(Ownership::new(Arc::clone(&clock), Arc::clone(&view)));
         let controllers = Arc::new(Controllers::new(
             Arc::clone(&view),
-            Arc::clone(&right),
+            Arc::clone(&ownership),
             Arc::clone(&reach.dialect),
             Arc::clone(&clock),
             Name::clone(&settings.node),
@@ -171,7 +171,7 @@
             dialect: Arc::clone(&reach.dialect),
             clock: Arc::clone(&clock),
             view: Arc::clone(&view),
-            right,
+            ownership,
             metrics,
             limits: Arc::clone(&limits),
             node: Name::clone(&settings.node),
--- a/lib/src/direct/orders/load.rs
+++ b/lib/src/direct/orders/load.rs
@@ -2,9 +2,9 @@
 
 use kameo::actor::ActorRef;
 
-use super::message::{Load, Loaded, LookDue, Looked};
-use super::slots::{Look, Slots, answer};
-use super::{Controller, MOST_IN_TRANSIT, MOST_INCOMING};
+use super::message::{LoadCommand, LoadOutcome, LookDue, Looked};
+use super::slots::{LoadProbe, Slots, answer};
+use super::{EngineController, MOST_IN_TRANSIT, MOST_INCOMING};
 use crate::clock::Millis;
 use crate::direct::dialect::{Action, Order, Ordered};
 use crate::name::Name;
@@ -29,18 +29,18 @@
     }
 }
 
-impl Controller {
-    pub(super) async fn start(&mut self, load: Load) {
+impl EngineController {
+    pub(super) async fn start(&mut self, load: LoadCommand) {
         if !self.takes_load() {
             if self.queue.len() < MOST_WAITING {
                 self.queue.push_back(load);
             } else {
-                answer(load.reply, Loaded::Full);
+                answer(load.reply, LoadOutcome::Full);
             }
             return;
         }
         if !self.make_room(&load.adapter).await {
-            answer(load.reply, Loaded::Full);
+            answer(load.reply, LoadOutcome::Full);
             return;
         }
         let version = (load.version > 0).then_some(load.version);
@@ -59,10 +59,10 @@
         })
     }
 
-    fn started(&mut self, load: Load, outcome: Option<Ordered>) {
+    fn started(&mut self, load: LoadCommand, outcome: Option<Ordered>) {
         let now = self.parts.clock.now();
         let Some(slots) = &mut self.slots else {
-            answer(load.reply, Loaded::Failed);
+            answer(load.reply, LoadOutcome::Failed);
             return;
         };
         match outcome {
@@ -74,12 +74,12 @@
                 slots.began(load, now);
                 self.publish();
             }
-            Some(Ordered::Fenced) => answer(load.reply, Loaded::NotOwner),
+            Some(Ordered::Fenced) => answer(load.reply, LoadOutcome::NotOwner),
             Some(Ordered::Conflict | Ordered::Elsewhere | Ordered::Refused) => {
                 self.pause();
-                answer(load.reply, Loaded::Full);
+                answer(load.reply, LoadOutcome::Full);
             }
-            None => answer(load.reply, Loaded::Failed),
+            None => answer(load.reply, LoadOutcome::Failed),
         }
     }
 
@@ -159,7 +159,7 @@
         }
     }
 
-    fn ask(&self, look: Look, actor: &ActorRef<Self>) {
+    fn ask(&self, look: LoadProbe, actor: &ActorRef<Self>) {
         let order = Order {
             action: Action::Load,
             model: Name::clone(&look.adapter),
--- a/lib/src/direct/orders/mod.rs
+++ b/lib/src/direct/orders/mod.rs
@@ -21,10 +21,10 @@
 use crate::clock::Millis;
 use crate::name::Name;
 use load::Wake;
-use slots::{LONGEST_LOAD, Slots, answer};
+use slots::{MAX_LOAD_TIME, Slots, answer};
 
-pub use engine::Parts;
-pub use message::{Load, Loaded, Tick, Used};
+pub use engine::EngineClient;
+pub use message::{LoadCommand, LoadOutcome, MarkInUse, Tick};
 
 /// Adapters that may be on their way to one engine.
 ///
@@ -40,14 +40,14 @@
 
 /// Gives one engine its orders.
 #[derive(Debug)]
-pub struct Controller {
-    parts: Parts,
+pub struct EngineController {
+    parts: EngineClient,
     slots: Option<Slots>,
     /// The slots may be wrong; the engine is asked before the next order.
     stale: bool,
     /// Until when the engine is left alone.
     blocked: Millis,
-    queue: VecDeque<Load>,
+    queue: VecDeque<LoadCommand>,
     /// Until when orders without an answer may be carried out, with the count that they expect.
     doubtful: Vec<(u64, Millis)>,
     base_ordered: Option<Millis>,
@@ -56,11 +56,11 @@
     wake: Option<Wake>,
 }
 
-impl Actor for Controller {
-    type Args = Parts;
+impl Actor for EngineController {
+    type Args = EngineClient;
     type Error = Infallible;
 
-    async fn on_start(parts: Parts, _: ActorRef<Self>) -> Result<Self, Infallible> {
+    async fn on_start(parts: EngineClient, _: ActorRef<Self>) -> Result<Self, Infallible> {
         Ok(Self {
             parts,
             slots: None,
@@ -75,21 +75,21 @@
     }
 }
 
-impl Controller {
-    async fn load(&mut self, load: Load) {
+impl EngineController {
+    async fn load(&mut self, load: LoadCommand) {
         if !self.has_right() {
-            answer(load.reply, Loaded::NotOwner);
+            answer(load.reply, LoadOutcome::NotOwner);
             return;
         }
         let now = self.parts.clock.now();
         if now < self.blocked {
             if let Some(load) = self.wait(load, now) {
-                answer(load.reply, Loaded::Full);
+                answer(load.reply, LoadOutcome::Full);
             }
             return;
         }
         if self.needs_report(&load) && !self.refresh().await {
-            answer(load.reply, Loaded::Failed);
+            answer(load.reply, LoadOutcome::Failed);
             return;
         }
         if let Some(load) = self.wait(load, now) {
@@ -101,7 +101,7 @@
     ///
     /// An order for a version that it already loads isn't counted, and one for an older version
     /// would take the newer away.
-    fn needs_report(&self, load: &Load) -> bool {
+    fn needs_report(&self, load: &LoadCommand) -> bool {
         let Some(slots) = &self.slots else {
             return true;
         };
@@ -109,7 +109,7 @@
     }
 
     /// Answers a question by what is held or on its way; returns it if an order is needed.
-    fn wait(&mut self, load: Load, now: Millis) -> Option<Load> {
+    fn wait(&mut self, load: LoadCommand, now: Millis) -> Option<LoadCommand> {
         let Some(slots) = &mut self.slots else {
             return Some(load);
         };
@@ -119,7 +119,7 @@
 
     fn has_right(&self) -> bool {
         let address = self.parts.upstream.address;
-        self.parts.right.check(address).is_some()
+        self.parts.ownership.fencing_token(address).is_some()
     }
 
     /// Leaves the engine alone for a while and asks it what it holds before the next order.
@@ -144,7 +144,7 @@
 
     async fn tick(&mut self) {
         if !self.has_right() {
-            self.give_up(Loaded::NotOwner);
+            self.give_up(LoadOutcome::NotOwner);
             return;
         }
         let now = self.parts.clock.now();
@@ -175,7 +175,7 @@
         };
         if self
             .base_ordered
-            .is_some_and(|at| now.since(at) < span + LONGEST_LOAD)
+            .is_some_and(|at| now.since(at) < span + MAX_LOAD_TIME)
         {
             self.refresh().await;
             return;
@@ -190,7 +190,7 @@
         }
     }
 
-    fn give_up(&mut self, loaded: Loaded) {
+    fn give_up(&mut self, loaded: LoadOutcome) {
         if let Some(slots) = self.slots.take() {
             slots.give_up(loaded);
         }
--- a/lib/src/direct/right.rs
+++ b/lib/src/direct/ownership.rs
@@ -22,7 +22,7 @@
 /// The claim must also still stand in the view: the platform can take a node's
 /// keys away at once while its lease goes on, and no renewal shows it.
 #[derive(Debug)]
-pub struct Right {
+pub struct Ownership {
     clock: Arc<dyn Clock>,
     view: Arc<View>,
     pub(super) until: AtomicU64,
@@ -35,7 +35,7 @@
     last_order: Mutex<HashMap<SocketAddr, Millis>>,
 }
 
-impl Right {
+impl Ownership {
     /// Makes a right that allows nothing.
     ///
     /// `clock` has to run while the VM is suspended: a node that wakes up must
@@ -57,7 +57,7 @@
 
     /// Returns the fencing token if an order may leave at this moment.
     #[must_use]
-    pub fn check(&self, address: SocketAddr) -> Option<u64> {
+    pub fn fencing_token(&self, address: SocketAddr) -> Option<u64> {
         let now = self.clock.now();
         if now.0 >= self.until.load(Ordering::Relaxed) {
             return None;
@@ -74,12 +74,12 @@
 
     /// Whether orders may leave as far as the lease goes.
     #[must_use]
-    pub(super) fn lasts(&self) -> bool {
+    pub(super) fn is_lease_valid(&self) -> bool {
         self.clock.now().0 < self.until.load(Ordering::Relaxed)
     }
 
     /// Drops what the view says is another's or nobody's.
-    pub(super) fn forget_lost(&self) {
+    pub(super) fn drop_lost_claims(&self) {
         let state = self.view.state();
         self.owned().retain(|address, owned| {
             state
@@ -90,7 +90,7 @@
     }
 
     /// Notes that an order leaves.
-    pub fn ordered(&self, address: SocketAddr) {
+    pub fn record_order(&self, address: SocketAddr) {
         let now = self.clock.now();
         self.last_order
             .lock()
@@ -100,7 +100,7 @@
 
     /// Returns how long ago the last order left, or none if there was none.
     #[must_use]
-    pub fn since_order(&self, address: SocketAddr) -> Option<Millis> {
+    pub fn time_since_order(&self, address: SocketAddr) -> Option<Millis> {
         let now = self.clock.now();
         self.last_order
             .lock()
@@ -110,7 +110,7 @@
     }
 
     /// Takes in that this node owns an engine, and from when on it may give it orders.
-    pub fn take(&self, address: SocketAddr, token: u64, from: Millis) {
+    pub fn acquire(&self, address: SocketAddr, token: u64, from: Millis) {
         self.owned().insert(address, Owned { token, from });
     }
 
@@ -120,9 +120,9 @@
         self.owned().contains_key(&address)
     }
 
-    /// Whether this node votes for another one to give orders under its claims for [`RIGHT`] from now.
+    /// Whether this node votes for another one to give orders under its claims for [`OWNERSHIP_TERM`] from now.
     ///
-    /// [`RIGHT`]: super::limits::RIGHT
+    /// [`OWNERSHIP_TERM`]: super::limits::RIGHT
     ///
     /// A node that has seen the claims stand sees them vanish later than now, and then waits
     /// for that long and a turn. So does one that has yet to begin, from when it begins. One
@@ -147,13 +147,13 @@
     }
 
     /// Returns when this node last handed an engine over.
-    pub(super) fn handed_over(&self) -> Millis {
+    pub(super) fn last_handover(&self) -> Millis {
         Millis(self.handed_over.load(Ordering::Relaxed))
     }
 
     /// Returns how many engines this node owns.
     #[must_use]
-    pub fn owned_engines(&self) -> usize {
+    pub fn owned_count(&self) -> usize {
         self.owned().len()
     }
 
--- a/lib/src/direct/peer_server.rs
+++ b/lib/src/direct/peer_server.rs
@@ -11,9 +11,9 @@
 use tonic::{Request, Response, Status, Streaming};
 
 use super::admit::{Answer, Question, Replies};
-use super::ask::Controllers;
+use super::controllers::Controllers;
 use super::limits::in_use;
-use super::orders::Loaded;
+use super::orders::LoadOutcome;
 use super::upstream::Upstream;
 use super::view::Evidence;
 use crate::clock::Millis;
@@ -87,19 +87,19 @@
         let request = request.into_inner();
         let controllers = &self.0;
         let loaded = match self.upstream(&request.incarnation) {
-            Some(upstream) if controllers.right.owns(upstream.address) => {
+            Some(upstream) if controllers.ownership.owns(upstream.address) => {
                 let adapter = Name::from(request.adapter);
                 controllers
-                    .load_here(&upstream, &adapter, request.version)
+                    .load_locally(&upstream, &adapter, request.version)
                     .await
             }
-            _ => Loaded::NotOwner,
+            _ => LoadOutcome::NotOwner,
         };
         let (outcome, version) = match loaded {
-            Loaded::Ready(version) => (Outcome::Ready, version),
-            Loaded::Full => (Outcome::Full, 0),
-            Loaded::NotOwner => (Outcome::NotOwner, 0),
-            Loaded::Failed => (Outcome::Failed, 0),
+            LoadOutcome::Ready(version) => (Outcome::Ready, version),
+            LoadOutcome::Full => (Outcome::Full, 0),
+            LoadOutcome::NotOwner => (Outcome::NotOwner, 0),
+            LoadOutcome::Failed => (Outcome::Failed, 0),
         };
         Ok(Response::new(LoadReply {
             outcome: outcome.into(),
@@ -120,7 +120,7 @@
                 .map_err(|_| Status::invalid_argument("an owned engine has no address"))?;
             owned.push((address, one.token));
         }
-        let supported = self.0.right.votes_for(&request.node, &owned);
+        let supported = self.0.ownership.votes_for(&request.node, &owned);
         Ok(Response::new(SupportReply { supported }))
     }
 
@@ -149,7 +149,7 @@
                 let adapters = one.adapters.iter().map(|name| name.as_str().into());
                 let nodes = self.0.view.state().most_nodes;
                 self.0
-                    .note_uses(&one.incarnation, adapters.collect(), in_use(nodes));
+                    .record_uses(&one.incarnation, adapters.collect(), in_use(nodes));
                 standings.push(standing);
             }
         }
--- a/lib/src/direct/request/send.rs
+++ b/lib/src/direct/request/send.rs
@@ -2,16 +2,16 @@
 
 use std::sync::Arc;
 
-use super::ActiveRequest;
-use crate::direct::admit::{self, Permit, Question};
+use crate::direct::request_log;
+use crate::direct::admit::{Permit, Question, self};
 use crate::direct::attempt::{SendError, UpstreamResponse};
 use crate::direct::dialect::{Dispatch, Memory};
-use crate::direct::request_log;
 use crate::direct::sends::Sends;
 use crate::direct::target::Target;
-use crate::direct::versions::Watch;
+use crate::direct::versions::VersionWatch;
 use crate::error::Code;
 use crate::name::Name;
+use super::ActiveRequest;
 
 impl ActiveRequest {
     pub(super) fn send(&mut self, sends: &mut Sends, target: Target, resume_after: Option<u64>) {
@@ -97,9 +97,9 @@
     }
 
     /// Watches until when the request may begin at a target.
-    fn watch(&self, target: &Target) -> Option<Watch> {
+    fn watch(&self, target: &Target) -> Option<VersionWatch> {
         let adapter = self.message.metadata.adapter()?;
-        Some(Watch::new(
+        Some(VersionWatch::new(
             Arc::clone(&self.frontend),
             Arc::clone(&target.upstream),
             Name::clone(adapter),
@@ -113,7 +113,7 @@
         if let (Some(adapter), None) = (self.message.metadata.adapter(), permit) {
             self.frontend
                 .controllers
-                .note_use(&target.upstream, adapter);
+                .record_use(&target.upstream, adapter);
         }
     }
 
--- a/lib/src/direct/request_log.rs
+++ b/lib/src/direct/request_log.rs
@@ -4,12 +4,12 @@
 //! decided, how old that was, and the outcome with its numbered code. No line
 //! holds a prompt, a body or a header of the caller.
 
+use crate::clock::Millis;
+use crate::error::{Code, Failure};
 use super::attempt::SendError;
-use super::orders::Loaded;
+use super::orders::LoadOutcome;
 use super::request::ActiveRequest;
 use super::upstream::Upstream;
-use crate::clock::Millis;
-use crate::error::{Code, Failure};
 
 /// How a request ended.
 #[derive(Debug)]
@@ -128,7 +128,7 @@
 
     /// Notes the answer, and returns how long it took.
     #[must_use]
-    pub fn finish(mut self, loaded: Loaded) -> Millis {
+    pub fn finish(mut self, loaded: LoadOutcome) -> Millis {
         self.outcome = loaded.name();
         self.request.now().since(self.began)
     }
--- a/lib/src/direct/sends.rs
+++ b/lib/src/direct/sends.rs
@@ -13,12 +13,12 @@
 use futures::stream::{FuturesUnordered, StreamExt};
 use smallvec::SmallVec;
 
+use crate::clock::Millis;
 use super::attempt::{RequestMessage, SendError, UpstreamResponse};
 use super::dialect::{Dialect, Dispatch};
 use super::target::Target;
 use super::upstream::Upstream;
-use super::versions::Watch;
-use crate::clock::Millis;
+use super::versions::VersionWatch;
 
 /// A send that has ended.
 #[derive(Debug)]
@@ -54,7 +54,7 @@
         dialect: &Arc<dyn Dialect>,
         target: Target,
         dispatch: Dispatch,
-        watch: Option<Watch>,
+        watch: Option<VersionWatch>,
         now: Millis,
     ) {
         let Target {
--- a/lib/src/direct/target.rs
+++ b/lib/src/direct/target.rs
@@ -5,22 +5,22 @@
 use smallvec::SmallVec;
 use xxhash_rust::xxh3::xxh3_64;
 
-use super::admit::{self, Permit, Question};
+use crate::clock::Millis;
+use crate::error::{Code, Failure};
+use crate::name::Name;
+use super::admit::{Permit, Question, self};
 use super::attempt::UpstreamResponse;
-use super::choice::{self, MOST_QUESTIONS};
+use super::choice::{MOST_QUESTIONS, self};
 use super::entry::{CLASS_LABEL, seconds};
 use super::metadata::RequestMetadata;
-use super::orders::Loaded;
+use super::orders::LoadOutcome;
 use super::pick::{Field, usual_share};
 use super::place::Asked;
 use super::request::{ActiveRequest, SELECTION_RETRY_PAUSE};
 use super::request_log::LoadAttempt;
 use super::roles::{Manner, Roles, may_move};
 use super::upstream::Upstream;
-use super::versions::{REPLACEMENT, WITHDRAWAL};
-use crate::clock::Millis;
-use crate::error::{Code, Failure};
-use crate::name::Name;
+use super::versions::{REPLACEMENT_LEAD, WITHDRAWAL_LEAD};
 
 /// Part of the objective that a request may wait for an upstream before it is refused.
 ///
@@ -260,8 +260,10 @@
         let Some(version) = upstream.version(adapter) else {
             return Millis::ZERO;
         };
-        match self.frontend.begin_by(adapter, version) {
-            Some(begin_by) => begin_by.since(self.now() + REPLACEMENT + WITHDRAWAL),
+        match self.frontend.begin_deadline(adapter, version) {
+            Some(begin_deadline) => {
+                begin_deadline.since(self.now() + REPLACEMENT_LEAD + WITHDRAWAL_LEAD)
+            }
             None => Millis::MAX,
         }
     }
@@ -291,10 +293,10 @@
                 .with_label_values(&[CLASS_LABEL])
                 .observe(seconds(took));
             match loaded {
-                Loaded::Ready(held) if held >= wanted && upstream.is_ready() => {
+                LoadOutcome::Ready(held) if held >= wanted && upstream.is_ready() => {
                     return Some(upstream);
                 }
-                Loaded::NotOwner => unowned += 1,
+                LoadOutcome::NotOwner => unowned += 1,
                 _ => asked += 1,
             }
         }
@@ -307,7 +309,7 @@
     /// service is away there are many of them; asked one after the other, they used up the
     /// questions of a request that an engine further down could have served.
     fn can_load(&self, upstream: &Upstream, adapter: &Name) -> bool {
-        upstream.has_base(adapter) && self.frontend.controllers.is_ordered(upstream)
+        upstream.has_base(adapter) && self.frontend.controllers.has_live_owner(upstream)
     }
 
     /// Engines that could load the adapter, those with no older version of it first.
--- a/lib/tests/test_direct_admission.rs
+++ b/lib/tests/test_direct_admission.rs
@@ -8,13 +8,13 @@
 use chivevalve::clock::{Clock, Manual, Millis, Monotonic};
 use chivevalve::direct::admission::{Load, Occupancy, Part, Place, Table};
 use chivevalve::direct::admit::{Answer, Question};
-use chivevalve::direct::ask::Controllers;
-use chivevalve::direct::choice::{self, MOST_QUESTIONS};
+use chivevalve::direct::choice::{MOST_QUESTIONS, self};
+use chivevalve::direct::controllers::Controllers;
 use chivevalve::direct::dialect::Listed;
 use chivevalve::direct::limits::exchange_pause;
+use chivevalve::direct::ownership::Ownership;
 use chivevalve::direct::peer_server::serve;
 use chivevalve::direct::pick::{Field, usual_share};
-use chivevalve::direct::right::Right;
 use chivevalve::direct::roles::Roles;
 use chivevalve::direct::upstream::{Running, Upstream};
 use chivevalve::direct::view::{Claim, Standing, View};
@@ -188,7 +188,7 @@
 fn node(name: &str, owner: &str, at: SocketAddr, adapters: &[(&str, u64)]) -> Node {
     let clock: Arc<dyn Clock> = Arc::new(Monotonic::start());
     let view = Arc::new(View::default());
-    let right = Arc::new(Right::new(Arc::clone(&clock), Arc::clone(&view)));
+    let ownership = Arc::new(Ownership::new(Arc::clone(&clock), Arc::clone(&view)));
     let upstream = {
         let mut state = view.state();
         state.list(&engine(0, 4, adapters), written(1), Millis::ZERO);
@@ -210,11 +210,11 @@
         upstream
     };
     if name == owner {
-        right.take(upstream.address, 7, Millis::ZERO);
+        ownership.acquire(upstream.address, 7, Millis::ZERO);
     }
     let controllers = Arc::new(Controllers::new(
         view,
-        right,
+        ownership,
         Arc::new(Speech),
         clock,
         name.into(),
@@ -408,7 +408,7 @@
         loaded = load => panic!("the load ended: {loaded:?}"),
         () = late => {}
     }
-    assert!(asking.controllers.is_ordered(&asking.upstream));
+    assert!(asking.controllers.has_live_owner(&asking.upstream));
 }
 
 /// Passes bytes on from a node to another one, unless they are held back.
--- a/lib/tests/test_direct_versions.rs
+++ b/lib/tests/test_direct_versions.rs
@@ -5,15 +5,15 @@
 use std::sync::Arc;
 
 use chivevalve::clock::{Clock, Manual, Millis};
-use chivevalve::direct::ask::Controllers;
 use chivevalve::direct::attempt::{RequestMessage, SendError};
+use chivevalve::direct::controllers::Controllers;
 use chivevalve::direct::dialect::{Dialect, Dispatch, Listed};
 use chivevalve::direct::entry::Frontend;
 use chivevalve::direct::limits::{Current, Limits};
 use chivevalve::direct::metadata::{RequestKind, RequestMetadata};
-use chivevalve::direct::right::Right;
+use chivevalve::direct::ownership::Ownership;
 use chivevalve::direct::upstream::Upstream;
-use chivevalve::direct::versions::{Declaration, Declarations, Watch};
+use chivevalve::direct::versions::{Declaration, Declarations, VersionWatch};
 use chivevalve::direct::view::View;
 use chivevalve::metrics::Metrics;
 use chivevalve::ports::metered::Metered;
@@ -38,27 +38,27 @@
 
 #[test]
 fn begin_by_without_a_newer_version() {
-    assert_eq!(declared(&[]).begin_by(1, LIMIT), None);
-    assert_eq!(declared(&[(2, 1_000)]).begin_by(2, LIMIT), None);
-    assert_eq!(declared(&[(2, 1_000)]).begin_by(3, LIMIT), None);
+    assert_eq!(declared(&[]).begin_deadline(1, LIMIT), None);
+    assert_eq!(declared(&[(2, 1_000)]).begin_deadline(2, LIMIT), None);
+    assert_eq!(declared(&[(2, 1_000)]).begin_deadline(3, LIMIT), None);
 }
 
 #[test]
 fn begin_by_counts_from_the_declaration() {
     let declarations = declared(&[(2, 1_000)]);
-    assert_eq!(declarations.begin_by(1, LIMIT), Some(Millis(6_000)));
+    assert_eq!(declarations.begin_deadline(1, LIMIT), Some(Millis(6_000)));
     // What was loaded as whatever was the newest may be any version.
-    assert_eq!(declarations.begin_by(0, LIMIT), Some(Millis(6_000)));
+    assert_eq!(declarations.begin_deadline(0, LIMIT), Some(Millis(6_000)));
 }
 
 /// A further declaration gives versions that were replaced before no further time.
 #[test]
 fn begin_by_outlasts_a_further_declaration() {
     let declarations = declared(&[(2, 1_000), (3, 3_400), (4, 5_800)]);
-    assert_eq!(declarations.begin_by(1, LIMIT), Some(Millis(6_000)));
-    assert_eq!(declarations.begin_by(2, LIMIT), Some(Millis(8_400)));
-    assert_eq!(declarations.begin_by(3, LIMIT), Some(Millis(10_800)));
-    assert_eq!(declarations.begin_by(4, LIMIT), None);
+    assert_eq!(declarations.begin_deadline(1, LIMIT), Some(Millis(6_000)));
+    assert_eq!(declarations.begin_deadline(2, LIMIT), Some(Millis(8_400)));
+    assert_eq!(declarations.begin_deadline(3, LIMIT), Some(Millis(10_800)));
+    assert_eq!(declarations.begin_deadline(4, LIMIT), None);
 }
 
 /// An older declaration that is heard of late takes nothing back.
@@ -66,7 +66,7 @@
 fn declare_older_left_aside() {
     let declarations = declared(&[(3, 1_000), (2, 2_000)]);
     assert_eq!(declarations.newest().map(|one| one.version), Some(3));
-    assert_eq!(declarations.begin_by(2, LIMIT), Some(Millis(6_000)));
+    assert_eq!(declarations.begin_deadline(2, LIMIT), Some(Millis(6_000)));
 }
 
 /// No series of declarations lets a version be begun on for longer than the earliest newer one says.
@@ -89,7 +89,7 @@
             for held in 0..=version {
                 let newer = all.iter().filter(|(version, _)| *version > held);
                 let expected = newer.map(|(_, since)| *since + LIMIT).min();
-                let found = declarations.begin_by(held, LIMIT);
+                let found = declarations.begin_deadline(held, LIMIT);
                 // What is past for good may count from any moment that is past.
                 let both_past = [expected, found]
                     .iter()
@@ -108,7 +108,7 @@
 }
 
 /// A send on version 1 that is watched, with the clock that it goes by and the bounds in force.
-fn watched() -> (Watch, Arc<Manual>, Arc<Frontend>) {
+fn watched() -> (VersionWatch, Arc<Manual>, Arc<Frontend>) {
     let manual = Arc::new(Manual::default());
     let clock: Arc<dyn Clock> = Arc::<Manual>::clone(&manual);
     let view = Arc::new(View::default());
@@ -124,7 +124,7 @@
     ));
     let controllers = Arc::new(Controllers::new(
         Arc::clone(&view),
-        Arc::new(Right::new(Arc::clone(&clock), Arc::clone(&view))),
+        Arc::new(Ownership::new(Arc::clone(&clock), Arc::clone(&view))),
         Arc::clone(&dialect),
         Arc::clone(&clock),
         "node-1".into(),
@@ -146,7 +146,7 @@
         Millis::ZERO,
     );
     let adapter = "base/a1".into();
-    let watch = Watch::new(Arc::clone(&frontend), Arc::new(engine), adapter, 1, true);
+    let watch = VersionWatch::new(Arc::clone(&frontend), Arc::new(engine), adapter, 1, true);
     (watch, manual, frontend)
 }
 
