--- a/lib/src/direct/claim/mod.rs
+++ b/lib/src/direct/claim/mod.rs
@@ -20,15 +20,15 @@
 
 use bytes::Bytes;
 
-use super::dialect::Dialect;
-use super::follow::NODES;
-use super::limits::{Current, LEASE, OWNERSHIP_TERM, RENEWAL, RENEWAL_ANSWER, TURN_MARGIN};
-use super::ownership::Ownership;
-use super::view::{CLAIMS, Claim, Peer, View};
 use crate::clock::{Clock, Millis};
 use crate::metrics::Metrics;
 use crate::name::Name;
 use crate::ports::{Error, Lease, LeaseId, Store, Transaction, Write};
+use super::dialect::Dialect;
+use super::follow::NODE_PREFIX;
+use super::limits::{Current, LEASE, OWNERSHIP_TERM, RENEWAL, RENEWAL_ANSWER, TURN_MARGIN};
+use super::ownership::Ownership;
+use super::view::{CLAIM_PREFIX, Claim, Peer, View};
 
 /// Pause between looks whether everything has been read after a start.
 const FIRST_LOOK: Millis = Millis(20);
@@ -80,7 +80,7 @@
                 .unbroken
                 .store(is_unbroken, Ordering::Relaxed);
             if let Err(error) = self.round(&mut lease, &mut began).await {
-                self.view.touched(false);
+                self.view.record_store_call(false);
                 self.extend(&error).await;
             }
             if knew_all {
@@ -129,7 +129,7 @@
                 if began.is_some() {
                     self.read_claims().await?;
                     if !self.ownership.unbroken.load(Ordering::Relaxed) {
-                        self.view.state().disown(&self.node);
+                        self.view.state().anonymize_previous_claims(&self.node);
                     }
                 }
                 began.get_or_insert_with(|| self.begin());
@@ -145,10 +145,10 @@
                     self.ownership.owned().clear();
                     return Box::pin(self.round(lease, began)).await;
                 }
-                self.view.touched(true);
+                self.view.record_store_call(true);
                 if !lasted {
                     self.read_claims().await?;
-                    self.view.state().disown(&self.node);
+                    self.view.state().anonymize_previous_claims(&self.node);
                 }
             }
         }
@@ -178,7 +178,7 @@
     /// Meanwhile the claims may have been taken away and others may have made
     /// theirs; what the view last saw is older than that.
     async fn read_claims(&self) -> Result<(), Error> {
-        let listing = self.store.list(&self.dialect.own(CLAIMS)).await?;
+        let listing = self.store.list(&self.dialect.own(CLAIM_PREFIX)).await?;
         let now = self.clock.now();
         self.view
             .state()
@@ -187,7 +187,7 @@
     }
 
     async fn register(&self, lease: LeaseId) -> Result<(), Error> {
-        let key = self.dialect.own(&format!("{NODES}{}", self.node));
+        let key = self.dialect.own(&format!("{NODE_PREFIX}{}", self.node));
         let transaction = Transaction {
             conditions: Vec::new(),
             writes: vec![Write::Put(key, encoded(&self.peer), Some(lease))],
@@ -212,7 +212,7 @@
     }
 
     fn key(&self, address: SocketAddr) -> String {
-        self.dialect.own(&format!("{CLAIMS}{address}"))
+        self.dialect.own(&format!("{CLAIM_PREFIX}{address}"))
     }
 }
 
--- a/lib/src/direct/claim/previous.rs
+++ b/lib/src/direct/claim/previous.rs
@@ -2,10 +2,10 @@
 
 use std::net::SocketAddr;
 
-use super::Claimer;
 use crate::clock::Millis;
 use crate::direct::limits::OWNERSHIP_TERM;
-use crate::direct::view::{Claim, Standing, State};
+use crate::direct::view::{Claim, ClaimEntry, State};
+use super::Claimer;
 
 /// What became of the node that gave an engine its orders before.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -54,13 +54,13 @@
         &self,
         state: &State,
         address: SocketAddr,
-        left: Option<&Standing>,
+        left: Option<&ClaimEntry>,
         began: Millis,
     ) -> (Previous, Millis) {
         let previous = self.previous(state, address, left);
         // What vanished before this node knew all claims is as unknown to it as what did before
         // its first lease.
-        let claims_read = state.claims_read.unwrap_or_else(|| self.clock.now());
+        let claims_read = state.claims_read_at.unwrap_or_else(|| self.clock.now());
         let from = previous.waited_out(self.turn(), began.max(claims_read));
         (previous, from)
     }
@@ -72,7 +72,7 @@
     }
 
     /// Returns what is known of an engine's previous owner.
-    fn previous(&self, state: &State, address: SocketAddr, left: Option<&Standing>) -> Previous {
+    fn previous(&self, state: &State, address: SocketAddr, left: Option<&ClaimEntry>) -> Previous {
         if let Some(left) = left {
             if left.claim.node == self.node {
                 return self.itself(&left.claim);
@@ -82,7 +82,7 @@
                 idle: left.claim.left.unwrap_or_default(),
             };
         }
-        match state.vanished.get(&address) {
+        match state.previous_claims.get(&address) {
             Some((claim, _)) if claim.node == self.node => self.itself(claim),
             Some((_, at)) => Previous::Vanished { at: *at },
             None if self.first_start => Previous::Nobody,
--- a/lib/src/direct/entry/mod.rs
+++ b/lib/src/direct/entry/mod.rs
@@ -167,7 +167,7 @@
 
     /// Takes what sending a request to a pool once more costs from the budget; false if it's spent.
     pub fn take_retry(&self, pool: &Name) -> bool {
-        let nodes = self.view.state().most_nodes;
+        let nodes = self.view.state().max_nodes_seen;
         self.budget().repeat(pool, self.clock.now(), nodes)
     }
 
@@ -179,7 +179,7 @@
 
     /// Whether the budget of a pool has room for a further send.
     pub fn has_retry_budget(&self, pool: &Name) -> bool {
-        let nodes = self.view.state().most_nodes;
+        let nodes = self.view.state().max_nodes_seen;
         self.budget().has_room(pool, self.clock.now(), nodes)
     }
 
--- a/lib/src/direct/fanout/subscription.rs
+++ b/lib/src/direct/fanout/subscription.rs
@@ -5,14 +5,14 @@
 use async_trait::async_trait;
 use tonic::{Code, Streaming};
 
-use super::tree::{choose, ranked};
-use super::wire::decode;
-use super::{Heard, Source};
 use crate::clock::Millis;
 use crate::direct::controllers::Controllers;
-use crate::direct::vet::Refusal;
+use crate::direct::validate::RejectReason;
 use crate::name::Name;
 use crate::schema::direct::{FollowRequest, Update as Sent};
+use super::{Received, Source};
+use super::tree::{choose, ranked};
+use super::wire::decode;
 
 /// The longest that beginning to listen may take.
 const CONNECT: Millis = Millis(400);
@@ -55,7 +55,7 @@
 
     /// Returns whom this node listens to at this moment.
     #[must_use]
-    pub fn listens_to(&self) -> Option<Name> {
+    pub fn publisher(&self) -> Option<Name> {
         let listening = self.stream.as_ref()?;
         Some(Name::clone(&listening.leader))
     }
@@ -102,41 +102,41 @@
 
 #[async_trait]
 impl Source for Subscription {
-    fn is_shared(&self) -> bool {
+    fn may_have_subscribers(&self) -> bool {
         let state = self.controllers.view.state();
         !ranked(&state, &self.failure_domain).is_empty()
     }
 
-    async fn next(&mut self, after: u64, within: Millis) -> Heard {
+    async fn next(&mut self, after: u64, within: Millis) -> Received {
         if self.stream.is_none() && self.begin(after).await.is_none() {
-            return Heard::Nobody;
+            return Received::NoSource;
         }
         let Some(listening) = &mut self.stream else {
-            return Heard::Nobody;
+            return Received::NoSource;
         };
         let message = tokio::time::timeout(within.duration(), listening.updates.message()).await;
         let Ok(message) = message else {
-            return Heard::Nothing;
+            return Received::Timeout;
         };
         let leader = &listening.leader;
         match message {
             Ok(Some(sent)) => {
                 let now = self.controllers.clock.now();
-                Heard::Update(decode(sent, listening.asked, now))
+                Received::Update(decode(sent, listening.asked, now))
             }
             Ok(None) => {
                 log::info!("follow: {leader} passes nothing on any more");
                 self.stream = None;
-                Heard::Nobody
+                Received::NoSource
             }
             Err(status) => {
                 log::info!("follow: {leader} passes nothing on any more: {status}");
                 if status.code() == TOO_LARGE {
-                    self.controllers.hub.refused(Refusal::Oversized);
+                    self.controllers.hub.count_rejected(RejectReason::Oversized);
                     self.avoid();
                 }
                 self.stream = None;
-                Heard::Nobody
+                Received::NoSource
             }
         }
     }
--- a/lib/src/direct/follow/entries.rs
+++ b/lib/src/direct/follow/entries.rs
@@ -3,13 +3,13 @@
 use std::collections::HashSet;
 use std::sync::Arc;
 
-use super::{Follower, NODES};
+use super::{Follower, NODE_PREFIX};
 use crate::clock::Millis;
 use crate::direct::dialect::Key;
-use crate::direct::presence::Written;
+use crate::direct::presence::EntryRevision;
+use crate::direct::validate::RejectReason;
 use crate::direct::versions::Declaration;
-use crate::direct::vet::Refusal;
-use crate::direct::view::{CLAIMS, Evidence, Peer, State, claimed};
+use crate::direct::view::{CLAIM_PREFIX, Peer, PutOutcome, State, claim_address};
 use crate::name::Name;
 use crate::ports::{Entry, Event};
 
@@ -58,9 +58,9 @@
     fn drop_own(&self, state: &mut State, present: &HashSet<String>, now: Millis) {
         state
             .nodes
-            .retain(|name, _| present.contains(&self.dialect.own(&format!("{NODES}{name}"))));
-        state.keep_claims(now, |address| {
-            present.contains(&self.dialect.own(&format!("{CLAIMS}{address}")))
+            .retain(|name, _| present.contains(&self.dialect.own(&format!("{NODE_PREFIX}{name}"))));
+        state.retain_claims(now, |address| {
+            present.contains(&self.dialect.own(&format!("{CLAIM_PREFIX}{address}")))
         });
         let is_present = |name: &str| present.contains(&self.dialect.own(name));
         state.ledger.keep(is_present);
@@ -89,14 +89,14 @@
         let told = match self.dialect.key(&entry.key) {
             Key::Config => self.dialect.config(&entry.value).map(|config| {
                 let version = config.version;
-                if state.configure(config) {
+                if state.apply_config(config) {
                     log::info!("follow: configuration {version} is in force");
                 }
             }),
             Key::Upstream(incarnation) => self
                 .dialect
                 .upstream(&incarnation, &entry.value)
-                .map(|listed| state.list(&listed, written(entry), now)),
+                .map(|listed| state.put_upstream(&listed, written(entry), now)),
             Key::Version => self.dialect.version(&entry.value).map(|(name, version)| {
                 let since = self.fresh;
                 self.declare(state, name, Declaration { version, since });
@@ -108,12 +108,12 @@
                 Ok(())
             }
             Key::Other => {
-                self.refuse(Refusal::Unused);
+                self.refuse(RejectReason::UnusedKey);
                 Ok(())
             }
         };
         if let Err(error) = told {
-            self.refuse(Refusal::Unreadable);
+            self.refuse(RejectReason::Unreadable);
             log::error!("follow: {} is left as it was: {error}", entry.key);
         }
     }
@@ -123,17 +123,18 @@
             Key::Upstream(incarnation) => {
                 // A page of the list may have shown an entry that was written behind this.
                 let known = state.upstreams.get(&incarnation);
-                if known.is_none_or(|upstream| upstream.written().revision < event.revision) {
+                if known.is_none_or(|upstream| upstream.entry_revision().revision < event.revision)
+                {
                     self.vanish(state, &incarnation);
                 }
             }
             Key::Own(name) => {
-                if let Some(node) = name.strip_prefix(NODES) {
+                if let Some(node) = name.strip_prefix(NODE_PREFIX) {
                     state.nodes.remove(node);
-                } else if let Some(address) = claimed(&name) {
-                    state.unclaim(address, now);
+                } else if let Some(address) = claim_address(&name) {
+                    state.remove_claim(address, now);
                 } else {
-                    state.remove_evidence(&name);
+                    state.remove_quarantine_record(&name);
                 }
             }
             Key::Config | Key::Version | Key::Other => {}
@@ -152,11 +153,11 @@
 }
 
 /// Takes in an entry of this system's own; returns why not if it is left aside.
-fn put_own(state: &mut State, name: &str, entry: &Entry, now: Millis) -> Option<Refusal> {
-    let is_readable = if let Some(node) = name.strip_prefix(NODES) {
+fn put_own(state: &mut State, name: &str, entry: &Entry, now: Millis) -> Option<RejectReason> {
+    let is_readable = if let Some(node) = name.strip_prefix(NODE_PREFIX) {
         match serde_json::from_slice::<Peer>(&entry.value) {
             Ok(peer) => {
-                state.join(node.into(), peer);
+                state.put_node(node.into(), peer);
                 true
             }
             Err(error) => {
@@ -164,20 +165,20 @@
                 false
             }
         }
-    } else if let Some(address) = claimed(name) {
+    } else if let Some(address) = claim_address(name) {
         state.put_claim(address, entry, now)
     } else {
-        return match state.put_evidence(name, &entry.value, Some(entry.revision), now) {
-            Evidence::Taken => None,
-            Evidence::Unreadable => Some(Refusal::Unreadable),
-            Evidence::Other => Some(Refusal::Unused),
+        return match state.put_quarantine_record(name, &entry.value, Some(entry.revision), now) {
+            PutOutcome::Applied => None,
+            PutOutcome::Unreadable => Some(RejectReason::Unreadable),
+            PutOutcome::Unrelated => Some(RejectReason::UnusedKey),
         };
     };
-    (!is_readable).then_some(Refusal::Unreadable)
+    (!is_readable).then_some(RejectReason::Unreadable)
 }
 
-fn written(entry: &Entry) -> Written {
-    Written {
+fn written(entry: &Entry) -> EntryRevision {
+    EntryRevision {
         revision: entry.revision,
         created: entry.created,
     }
--- a/lib/src/direct/node.rs
+++ b/lib/src/direct/node.rs
@@ -195,7 +195,7 @@
             view,
             Arc::clone(&limits),
         )
-        .within_domain(Arc::clone(&controllers.hub), Box::new(subscription));
+        .with_fanout(Arc::clone(&controllers.hub), Box::new(subscription));
         let closing = CancellationToken::new();
         let callers = listeners.callers.local_addr()?;
         let serving = serve_callers(listeners.callers, Arc::clone(&frontend), closing.clone());
@@ -430,8 +430,8 @@
     let service = service_fn(move |request| Arc::clone(&frontend).handle(request));
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
-        .header_read_timeout(limits.idle.duration())
-        .max_buf_size(limits.head.max(8 * 1024))
+        .header_read_timeout(limits.idle_timeout.duration())
+        .max_buf_size(limits.head_bytes.max(8 * 1024))
         .serve_connection(TokioIo::new(stream), service);
     let connection = graceful.watch(connection);
     tokio::spawn(async move {
--- a/lib/src/direct/peer_server.rs
+++ b/lib/src/direct/peer_server.rs
@@ -10,19 +10,16 @@
 use tonic::transport::Server;
 use tonic::{Request, Response, Status, Streaming};
 
+use crate::clock::Millis;
+use crate::name::Name;
+use crate::schema::direct::{AdmitRequest, ExchangeReply, ExchangeRequest, FollowRequest, LoadReply, LoadRequest, Outcome, SupportReply, SupportRequest, TellReply, TellRequest, Update};
+use crate::schema::direct::orders_server::{Orders, OrdersServer};
 use super::admit::{Answer, Question, Replies};
 use super::controllers::Controllers;
 use super::limits::in_use;
 use super::orders::LoadOutcome;
 use super::upstream::Upstream;
-use super::view::Evidence;
-use crate::clock::Millis;
-use crate::name::Name;
-use crate::schema::direct::orders_server::{Orders, OrdersServer};
-use crate::schema::direct::{
-    AdmitRequest, ExchangeReply, ExchangeRequest, FollowRequest, LoadReply, LoadRequest, Outcome,
-    SupportReply, SupportRequest, TellReply, TellRequest, Update,
-};
+use super::view::PutOutcome;
 
 /// Answers other nodes.
 #[derive(Debug)]
@@ -56,7 +53,7 @@
         request: Request<FollowRequest>,
     ) -> Result<Response<Self::FollowStream>, Status> {
         let after = request.into_inner().after;
-        Ok(Response::new(self.0.hub.listen(after)?.boxed()))
+        Ok(Response::new(self.0.hub.subscribe(after)?.boxed()))
     }
 
     async fn admit(
@@ -130,8 +127,8 @@
         let view = &self.0.view;
         let taken = view
             .state()
-            .put_evidence(&request.name, &request.value, None, now);
-        if taken != Evidence::Taken {
+            .put_quarantine_record(&request.name, &request.value, None, now);
+        if taken != PutOutcome::Applied {
             return Err(Status::invalid_argument("the record is none that is told"));
         }
         view.changed.notify_waiters();
@@ -147,7 +144,7 @@
         for one in &request.uses {
             if let Some(standing) = self.0.standing(one) {
                 let adapters = one.adapters.iter().map(|name| name.as_str().into());
-                let nodes = self.0.view.state().most_nodes;
+                let nodes = self.0.view.state().max_nodes_seen;
                 self.0
                     .record_uses(&one.incarnation, adapters.collect(), in_use(nodes));
                 standings.push(standing);
--- a/lib/src/direct/request/mod.rs
+++ b/lib/src/direct/request/mod.rs
@@ -253,10 +253,10 @@
     /// How long to wait for an answer's head before another upstream is looked for.
     fn patience(&self) -> Millis {
         let left = self.deadline.since(self.now());
-        if !self.message.kind.is_retryable() || self.possible_runs >= self.route.attempts {
+        if !self.message.kind.is_retryable() || self.possible_runs >= self.route.max_attempts {
             return left;
         }
-        let span = left.min(Millis(self.route.objective.0 * PATIENCE));
+        let span = left.min(Millis(self.route.latency_objective.0 * PATIENCE));
         let Some(end) = self.frontend.drain.deadline() else {
             return span;
         };
--- a/lib/src/direct/request/outcome.rs
+++ b/lib/src/direct/request/outcome.rs
@@ -170,7 +170,7 @@
     #[must_use]
     pub fn may_go_on(&self) -> bool {
         self.message.kind.is_retryable()
-            && self.possible_runs < self.route.attempts
+            && self.possible_runs < self.route.max_attempts
             && self.now() + SELECTION_RETRY_PAUSE < self.deadline
     }
 }
--- a/lib/src/direct/resume.rs
+++ b/lib/src/direct/resume.rs
@@ -243,7 +243,7 @@
         let pause = self
             .request
             .route
-            .pause
+            .max_event_gap
             .unwrap_or(USUAL_PAUSE)
             .max(SELECTION_RETRY_PAUSE);
         let given_up = self.request.now() + Millis(pause.0 * BORNE_PAUSES);
--- a/lib/src/direct/upstream.rs
+++ b/lib/src/direct/upstream.rs
@@ -5,13 +5,13 @@
 use std::sync::atomic::{AtomicBool, AtomicU32, AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, PoisonError};
 
-use super::admit::Permit;
-use super::dialect::{Held, Listed};
-use super::metadata::base_model_of;
-use super::presence::{Presence, Stage, Written};
 use crate::clock::Millis;
 use crate::name::Name;
 use crate::ports::link::{Bounds, Link};
+use super::admit::Permit;
+use super::dialect::{Held, Listed};
+use super::metadata::base_model_of;
+use super::presence::{EntryRevision, Presence, Stage};
 
 /// How long connecting to an upstream may take.
 ///
@@ -134,7 +134,7 @@
 impl Upstream {
     /// Makes an upstream from its entry in the list.
     #[must_use]
-    pub fn new(listed: &Listed, written: Written, connections: usize, now: Millis) -> Self {
+    pub fn new(listed: &Listed, written: EntryRevision, connections: usize, now: Millis) -> Self {
         let bounds = Bounds {
             connect: CONNECT,
             idle: IDLE,
@@ -166,8 +166,8 @@
     }
 
     /// Takes in an entry of the list, unless a newer one is known.
-    pub fn update(&self, listed: &Listed, written: Written) {
-        if self.note(|presence| presence.entry(written, listed.ready)) {
+    pub fn update(&self, listed: &Listed, written: EntryRevision) {
+        if self.note(|presence| presence.apply_entry(written, listed.ready)) {
             self.hold(&listed.held);
         }
     }
@@ -184,7 +184,7 @@
             log::info!(
                 upstream = &*self.incarnation,
                 before = before.name(),
-                revision = presence.written().revision;
+                revision = presence.entry_revision().revision;
                 "view: an upstream is {}", stage.name()
             );
         }
@@ -274,20 +274,20 @@
 
     /// Returns where its newest entry stands in the service's history.
     #[must_use]
-    pub fn written(&self) -> Written {
-        self.presence().written()
+    pub fn entry_revision(&self) -> EntryRevision {
+        self.presence().entry_revision()
     }
 
     /// Stops new work, as the upstream is no longer listed.
     pub fn retire(&self) {
-        self.note(Presence::gone);
+        self.note(Presence::mark_gone);
         self.link.clear();
     }
 
     /// Whether the upstream vanished from the list, or started again, without saying that it leaves.
     #[must_use]
     pub fn was_lost(&self) -> bool {
-        self.presence().is_lost()
+        self.presence().left_unannounced()
     }
 
     /// Returns a name for this start, unlike that of any other start of the same upstream.
@@ -298,7 +298,7 @@
 
     /// Takes in that the upstream is missing from the list, and may not have left.
     pub fn missing(&self) {
-        self.note(Presence::missing);
+        self.note(Presence::mark_missing);
     }
 
     /// Whether the upstream is missing from the list, and may not have left.
--- a/lib/tests/test_direct_admission.rs
+++ b/lib/tests/test_direct_admission.rs
@@ -17,10 +17,10 @@
 use chivevalve::direct::pick::{Field, usual_share};
 use chivevalve::direct::roles::Roles;
 use chivevalve::direct::upstream::{Running, Upstream};
-use chivevalve::direct::view::{Claim, Standing, View};
+use chivevalve::direct::view::{Claim, ClaimEntry, View};
 use chivevalve::name::Name;
 use chivevalve_platform::Speech;
-use direct_support::records::{listed, peer, written};
+use direct_support::records::{entry_revision, listed, peer};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -191,7 +191,7 @@
     let ownership = Arc::new(Ownership::new(Arc::clone(&clock), Arc::clone(&view)));
     let upstream = {
         let mut state = view.state();
-        state.list(&engine(0, 4, adapters), written(1), Millis::ZERO);
+        state.put_upstream(&engine(0, 4, adapters), entry_revision(1), Millis::ZERO);
         let claim = Claim {
             node: owner.into(),
             start: 1,
@@ -200,12 +200,12 @@
             boot: 0,
         };
         let upstream = Arc::clone(&state.upstreams["i-0"]);
-        let standing = Standing {
+        let standing = ClaimEntry {
             claim,
             revision: 7,
             seen: Millis::ZERO,
         };
-        state.claim(upstream.address, standing);
+        state.insert_claim(upstream.address, standing);
         state.nodes.insert(owner.into(), peer(at));
         upstream
     };
@@ -506,7 +506,7 @@
         .map(|_| {
             let entries = (0..ENGINES).map(|number| engine(number, SLOTS, &[(ADAPTER, 1)]));
             entries
-                .map(|entry| Arc::new(Upstream::new(&entry, written(1), 8, Millis::ZERO)))
+                .map(|entry| Arc::new(Upstream::new(&entry, entry_revision(1), 8, Millis::ZERO)))
                 .collect()
         })
         .collect();
--- a/lib/tests/test_direct_claims.rs
+++ b/lib/tests/test_direct_claims.rs
@@ -9,7 +9,7 @@
 use async_trait::async_trait;
 use chivevalve::clock::{Clock, Manual, Millis, Monotonic};
 use chivevalve::direct::claim::{Claimer, Refusal, Voters};
-use chivevalve::direct::config::{Config, Engine, Limits as Sent, Pool};
+use chivevalve::direct::config::{Config, Engine, Pool, RequestLimits};
 use chivevalve::direct::controllers::Controllers;
 use chivevalve::direct::dialect::{Dialect, Held, Listed};
 use chivevalve::direct::follow::Follower;
@@ -17,12 +17,12 @@
 use chivevalve::direct::orders::LoadOutcome;
 use chivevalve::direct::ownership::Ownership;
 use chivevalve::direct::upstream::Upstream;
-use chivevalve::direct::view::{Claim, Peer, Standing, View};
+use chivevalve::direct::view::{Claim, ClaimEntry, Peer, View};
 use chivevalve::ports::{Lease, Store};
 use chivevalve_platform::Speech;
 use direct_support::SERVER;
 use direct_support::memory::Memory;
-use direct_support::records::written;
+use direct_support::records::entry_revision;
 use tokio::task::JoinHandle;
 
 /// All other nodes, which say yes or no as the test wants.
@@ -156,19 +156,19 @@
 
 fn know_engine(view: &View) {
     let engine = Engine {
-        batch: 8,
+        max_batch: 8,
         adapter_slots: 4,
-        tokens: 100,
-        models: Vec::new(),
+        kv_capacity_tokens: 100,
+        model_load_times: Vec::new(),
     };
     let pool = Pool {
-        connections: 10,
+        max_connections: 10,
         engine: Some(engine),
     };
     let pools = [("engines".into(), pool)].into_iter().collect();
     let mut state = view.state();
-    state.configure(Config::new(1, Vec::new(), pools, Sent::default()));
-    state.list(&listed(), written(1), Millis(100_000));
+    state.apply_config(Config::new(1, Vec::new(), pools, RequestLimits::default()));
+    state.put_upstream(&listed(), entry_revision(1), Millis(100_000));
 }
 
 fn listed() -> Listed {
@@ -581,12 +581,12 @@
         from: Millis::ZERO,
         boot: 0,
     };
-    let standing = Standing {
+    let standing = ClaimEntry {
         claim,
         revision: 7,
         seen: Millis::ZERO,
     };
-    state.claim(self::address(), standing);
+    state.insert_claim(self::address(), standing);
     let peer = Peer {
         address,
         start: 1,
--- a/lib/tests/test_direct_exchange.rs
+++ b/lib/tests/test_direct_exchange.rs
@@ -12,10 +12,10 @@
 use chivevalve::direct::dialect::Listed;
 use chivevalve::direct::ownership::Ownership;
 use chivevalve::direct::upstream::{Running, Upstream};
-use chivevalve::direct::view::{Claim, Standing, View};
+use chivevalve::direct::view::{Claim, ClaimEntry, View};
 use chivevalve::name::Name;
 use chivevalve_platform::Speech;
-use direct_support::records::{listed, peer, written};
+use direct_support::records::{entry_revision, listed, peer};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64;
 
@@ -37,14 +37,14 @@
                 0 => silent,
                 other => SocketAddr::from(([127, 0, 0, 1], 10 + other)),
             };
-            state.join(format!("node-{owner}").into(), peer(address));
+            state.put_node(format!("node-{owner}").into(), peer(address));
         }
         for number in 0..ENGINES {
             let engine = Listed {
                 address: SocketAddr::from(([127, 0, 0, 2], number)),
                 ..listed(&format!("i-{number}"), &[("base/a1", 1)])
             };
-            state.list(&engine, written(1), Millis::ZERO);
+            state.put_upstream(&engine, entry_revision(1), Millis::ZERO);
             // Some owners aren't known, some have left, and some engines have none.
             let owner = random.random_range(0..OWNERS + 1);
             let claim = Claim {
@@ -54,13 +54,13 @@
                 from: Millis::ZERO,
                 boot: 0,
             };
-            let standing = Standing {
+            let standing = ClaimEntry {
                 claim,
                 revision: 7,
                 seen: Millis::ZERO,
             };
             if random.random_bool(0.9) {
-                state.claim(engine.address, standing);
+                state.insert_claim(engine.address, standing);
                 if owner == OWNERS - 1 {
                     ownership.acquire(engine.address, 7, Millis::ZERO);
                 }
--- a/lib/tests/test_direct_quarantine.rs
+++ b/lib/tests/test_direct_quarantine.rs
@@ -13,13 +13,13 @@
 use chivevalve::direct::outbox::{Others, Outbox};
 use chivevalve::direct::quarantine::{ENDS, Quarantine};
 use chivevalve::direct::upstream::Upstream;
-use chivevalve::direct::view::{Evidence, View};
+use chivevalve::direct::view::{PutOutcome, View};
 use chivevalve::name::Name;
 use chivevalve::poison::fingerprint::{Fingerprint, Identity};
 use chivevalve::poison::ledger::{Report, Sign};
 use chivevalve_platform::Speech;
 use direct_support::memory::Memory;
-use direct_support::records::{listed, written};
+use direct_support::records::{entry_revision, listed};
 
 /// There are no other nodes.
 #[derive(Debug)]
@@ -37,8 +37,8 @@
 #[async_trait]
 impl Others for Other {
     async fn tell(&self, name: &Name, value: &Bytes) {
-        let taken = self.0.state().put_evidence(name, value, None, NOW);
-        assert_eq!(taken, Evidence::Taken);
+        let taken = self.0.state().put_quarantine_record(name, value, None, NOW);
+        assert_eq!(taken, PutOutcome::Applied);
         self.0.changed.notify_waiters();
     }
 }
@@ -113,7 +113,7 @@
     drop(listener);
     let mut listed = listed("i-1", &[("base/a1", 1)]);
     listed.address = address;
-    Arc::new(Upstream::new(&listed, written(1), 8, Millis::ZERO))
+    Arc::new(Upstream::new(&listed, entry_revision(1), 8, Millis::ZERO))
 }
 
 async fn until(what: &str, holds: impl Fn() -> bool) {
@@ -135,7 +135,7 @@
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let mut listed = listed(name, &[]);
     listed.address = listener.local_addr().unwrap();
-    let upstream = Arc::new(Upstream::new(&listed, written(1), 8, Millis::ZERO));
+    let upstream = Arc::new(Upstream::new(&listed, entry_revision(1), 8, Millis::ZERO));
     (listener, upstream)
 }
 
@@ -168,7 +168,7 @@
         .quarantine
         .broke(&upstream, suspect.clone(), Sign::Begun);
     upstream.missing();
-    world.view.renew(Millis(60_000));
+    world.view.advance_as_of(Millis(60_000));
     pass(Millis(7_000)).await;
     upstream.retire();
     until("the report", || world.ends(&suspect) == 1).await;
@@ -201,7 +201,7 @@
         .quarantine
         .broke(&upstream, suspect.clone(), Sign::Begun);
     pass(Millis(2_000)).await;
-    world.view.renew(Millis(60_000));
+    world.view.advance_as_of(Millis(60_000));
     pass(Millis(1_000)).await;
     upstream.retire();
     pass(Millis(1_000)).await;
@@ -237,7 +237,7 @@
     let broken = Arc::clone(&upstream);
     let listed_upstream = Arc::new(Upstream::new(
         &listed("i-1", &[]),
-        written(1),
+        entry_revision(1),
         8,
         Millis::ZERO,
     ));
@@ -273,7 +273,7 @@
     assert!(world.quarantine.check(&suspect).is_ok());
     assert!(world.quarantine.check_send(&request("/other")).is_ok());
     // The list shows all of them alive.
-    world.view.renew(Millis(60_000));
+    world.view.advance_as_of(Millis(60_000));
     pass(Millis(7_000)).await;
     assert!(world.quarantine.check_send(&suspect).is_ok());
     assert_eq!(world.ends(&suspect), 0);
