--- a/lib/src/direct/entry/answer.rs
+++ b/lib/src/direct/entry/answer.rs
@@ -16,7 +16,7 @@
 use crate::direct::relay::{self, Cut};
 use crate::direct::request::ActiveRequest;
 use crate::error::{Code, Failure};
-use crate::poison::ledger::Sign;
+use crate::poison::ledger::Suspicion;
 use crate::ports::http::remove_hop_by_hop;
 
 /// How long a caller's wait is assumed to be if nothing bounds it.
@@ -190,7 +190,7 @@
                 Err(_) => return Err(Failure::new(Code::ExpiredRunning, "the time is up")),
             };
             request.blame(&upstream);
-            request.broke(&upstream, Sign::Begun);
+            request.broke(&upstream, Suspicion::Begun);
             if !request.may_go_on() {
                 return Err(Failure::new(Code::AnswerCut, told));
             }
--- a/lib/src/direct/quarantine.rs
+++ b/lib/src/direct/quarantine.rs
@@ -21,7 +21,7 @@
 use crate::metrics::Metrics;
 use crate::name::Name;
 use crate::poison::fingerprint::Fingerprint;
-use crate::poison::ledger::{LAPSE, Report, Sign, Suspect};
+use crate::poison::ledger::{LAPSE, Report, Suspicion, Suspect};
 use crate::poison::survivors::Survivors;
 use crate::ports::link::Listening;
 
@@ -149,14 +149,14 @@
     ///
     /// A broken connection alone says little: it can be cut, or the answer lost. What counts is
     /// the end of the upstream, which is looked for without keeping the request waiting.
-    pub fn broke(self: &Arc<Self>, upstream: &Arc<Upstream>, request: Fingerprint, sign: Sign) {
+    pub fn broke(self: &Arc<Self>, upstream: &Arc<Upstream>, request: Fingerprint, sign: Suspicion) {
         // One that leaves in order ends with whatever still runs there.
         if !upstream.is_ready() || self.survivors().contains(&request, self.clock.now()) {
             return;
         }
         let suspect = Suspect { request, sign };
         let start = upstream.start();
-        if sign == Sign::Begun {
+        if sign == Suspicion::Begun {
             self.open_case(&start, suspect.clone());
         }
         let is_first = {
--- a/lib/src/direct/relay.rs
+++ b/lib/src/direct/relay.rs
@@ -18,7 +18,7 @@
 use super::upstream::Upstream;
 use super::versions;
 use crate::clock::Millis;
-use crate::poison::ledger::Sign;
+use crate::poison::ledger::Suspicion;
 
 /// A pause in the stream, in the longest pauses of the route, at which it is continued elsewhere.
 ///
@@ -184,8 +184,8 @@
             return;
         }
         let sign = match self.progress {
-            Progress::Nothing => Sign::Begun,
-            Progress::Brought(_) => Sign::Possible,
+            Progress::Nothing => Suspicion::Begun,
+            Progress::Brought(_) => Suspicion::Possible,
             Progress::Settled => return,
         };
         self.request.broke(upstream, sign);
--- a/lib/src/direct/request/outcome.rs
+++ b/lib/src/direct/request/outcome.rs
@@ -10,7 +10,7 @@
 use crate::direct::upstream::Upstream;
 use crate::error::{Code, Failure};
 use crate::name::Name;
-use crate::poison::ledger::Sign;
+use crate::poison::ledger::Suspicion;
 
 /// Sends that reached no upstream, after which a request is given up.
 const MOST_UNSENT: u32 = 4;
@@ -131,7 +131,7 @@
         is_last: bool,
     ) -> Result<(), Failure> {
         if code == Code::UpstreamLost {
-            self.broke(upstream, Sign::Possible);
+            self.broke(upstream, Suspicion::Possible);
         }
         upstream.failed(self.now());
         if !self.may_go_on() {
--- a/lib/src/direct/request/suspicion.rs
+++ b/lib/src/direct/request/suspicion.rs
@@ -5,7 +5,7 @@
 use super::ActiveRequest;
 use crate::direct::upstream::Upstream;
 use crate::error::{Code, Failure};
-use crate::poison::ledger::Sign;
+use crate::poison::ledger::Suspicion;
 
 impl ActiveRequest {
     /// Whether the request may be sent to an upstream, for the first time or again.
@@ -50,7 +50,7 @@
     }
 
     /// Takes in that the connection to an upstream broke while the request stood there.
-    pub(in crate::direct) fn broke(&self, upstream: &Arc<Upstream>, sign: Sign) {
+    pub(in crate::direct) fn broke(&self, upstream: &Arc<Upstream>, sign: Suspicion) {
         let fingerprint = self.message.fingerprint().clone();
         log::info!(
             request = self.id(),
--- a/lib/src/entry/dispatch.rs
+++ b/lib/src/entry/dispatch.rs
@@ -20,7 +20,7 @@
 use crate::membership::fleet::Owner;
 use crate::name::Name;
 use crate::poison::fingerprint::Fingerprint;
-use crate::poison::ledger::Sign;
+use crate::poison::ledger::Suspicion;
 use crate::policy::placement::Pool;
 use crate::ports::Answer;
 use crate::request::Ticket;
@@ -183,8 +183,8 @@
 /// Notes that an upstream may have ended under a request that has brought nothing yet.
 fn note_lost(gateway: &Gateway, session: &mut Session, run: &Run, failure: &Failure) {
     let sign = match session.machine().state() {
-        State::Running => Sign::Begun,
-        _ => Sign::Possible,
+        State::Running => Suspicion::Begun,
+        _ => Suspicion::Possible,
     };
     gateway.note_lost(run, failure.code, sign);
 }
--- a/lib/src/entry/gateway.rs
+++ b/lib/src/entry/gateway.rs
@@ -30,7 +30,7 @@
 use crate::membership::fleet::State;
 use crate::name::Name;
 use crate::poison::fingerprint::{Fingerprint, Identity};
-use crate::poison::ledger::Sign;
+use crate::poison::ledger::Suspicion;
 use crate::policy::placement::{self, Pool, Router};
 use crate::request::Ticket;
 use crate::runner::Work;
@@ -97,7 +97,7 @@
     }
 
     /// Notes that the connection to an upstream broke under a request, if that is what failed.
-    pub fn note_lost(&self, run: &Run, code: Code, sign: Sign) {
+    pub fn note_lost(&self, run: &Run, code: Code, sign: Suspicion) {
         if matches!(code, Code::UpstreamLost | Code::AnswerCut) {
             let fleet = Arc::clone(&self.parts.fleet.borrow());
             let quarantine = self.quarantine();
--- a/lib/src/entry/quarantine.rs
+++ b/lib/src/entry/quarantine.rs
@@ -20,7 +20,7 @@
 use crate::metrics::Metrics;
 use crate::name::Name;
 use crate::poison::fingerprint::Fingerprint;
-use crate::poison::ledger::{LAPSE, Ledger, Report, Sign, Suspect};
+use crate::poison::ledger::{LAPSE, Ledger, Report, Suspicion, Suspect};
 use crate::poison::survivors::Survivors;
 
 /// How long after a connection broke an end of its upstream explains that.
@@ -168,7 +168,7 @@
     }
 
     /// Takes in that the connection to an upstream broke while a request stood there.
-    pub fn lost(&self, fleet: &Fleet, upstream: &Name, request: &Fingerprint, sign: Sign) {
+    pub fn lost(&self, fleet: &Fleet, upstream: &Name, request: &Fingerprint, sign: Suspicion) {
         let now = self.clock.now();
         let mut state = self.state();
         // One that leaves in order ends with whatever still runs there.
--- a/lib/src/entry/quarantine/share.rs
+++ b/lib/src/entry/quarantine/share.rs
@@ -9,7 +9,7 @@
 use crate::gossip::Share;
 use crate::name::Name;
 use crate::poison::fingerprint::Fingerprint;
-use crate::poison::ledger::{Sign, Suspect};
+use crate::poison::ledger::{Suspicion, Suspect};
 use crate::schema::peer::{self, Delta, Digest};
 
 /// Reports that are told: the newest, two kilobytes of hashes in an exchange.
@@ -146,7 +146,7 @@
         suspects: suspects
             .map(|suspect| peer::Suspect {
                 request: suspect.request.to_string(),
-                begun: suspect.sign == Sign::Begun,
+                begun: suspect.sign == Suspicion::Begun,
             })
             .collect(),
     }
@@ -154,9 +154,9 @@
 
 fn suspect(message: &peer::Suspect) -> Option<Suspect> {
     let sign = if message.begun {
-        Sign::Begun
+        Suspicion::Begun
     } else {
-        Sign::Possible
+        Suspicion::Possible
     };
     let request = Fingerprint::read(&message.request)?;
     Some(Suspect { request, sign })
--- a/lib/src/entry/relay.rs
+++ b/lib/src/entry/relay.rs
@@ -17,7 +17,7 @@
 use super::sse::Splitter;
 use crate::clock::Millis;
 use crate::error::{Code, Failure};
-use crate::poison::ledger::Sign;
+use crate::poison::ledger::Suspicion;
 
 /// Frames that wait for a caller before its upstream is slowed down.
 const PIECES: usize = 4;
@@ -283,7 +283,7 @@
     fn note_lost(&self, code: Code) {
         if !self.settled {
             let gateway = self.session.gateway();
-            gateway.note_lost(&self.flow.run, code, Sign::Possible);
+            gateway.note_lost(&self.flow.run, code, Suspicion::Possible);
         }
     }
 
--- a/lib/src/poison/ledger.rs
+++ b/lib/src/poison/ledger.rs
@@ -38,14 +38,14 @@
 /// How far a request that stood at an upstream is suspect.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Sign {
+pub enum Suspicion {
     /// It may have waited in the queue still, or has just brought its first event.
     Possible,
     /// The upstream had begun it and ended before it brought anything.
     Begun,
 }
 
-impl Sign {
+impl Suspicion {
     const fn weight(self) -> u32 {
         match self {
             Self::Possible => 1,
@@ -69,7 +69,7 @@
     /// The request.
     pub request: Fingerprint,
     /// How far it is suspect.
-    pub sign: Sign,
+    pub sign: Suspicion,
 }
 
 /// What one node says of one start of an upstream that ended.
@@ -96,7 +96,7 @@
     /// Makes a report of requests, each with its strongest sign, the most suspect first.
     #[must_use]
     pub fn new(upstream: Name, suspects: impl IntoIterator<Item = Suspect>) -> Self {
-        let mut signs: BTreeMap<Fingerprint, Sign> = BTreeMap::new();
+        let mut signs: BTreeMap<Fingerprint, Suspicion> = BTreeMap::new();
         for Suspect { request, sign } in suspects {
             let known = signs.entry(request).or_insert(sign);
             *known = sign.max(*known);
@@ -288,7 +288,7 @@
 ///
 /// Whoever explains most goes first, and takes the ends that it explains out of the count.
 fn judge<'a>(reports: impl Iterator<Item = &'a Report>) -> Judgement {
-    let mut ends: HashMap<&Name, HashMap<&Fingerprint, Sign>> = HashMap::new();
+    let mut ends: HashMap<&Name, HashMap<&Fingerprint, Suspicion>> = HashMap::new();
     for report in reports {
         let end = ends.entry(&report.upstream).or_default();
         for Suspect { request, sign } in &report.suspects {
@@ -319,7 +319,7 @@
 }
 
 fn sums<'a>(
-    ends: &HashMap<&Name, HashMap<&'a Fingerprint, Sign>>,
+    ends: &HashMap<&Name, HashMap<&'a Fingerprint, Suspicion>>,
 ) -> HashMap<&'a Fingerprint, Sum> {
     let mut sums: HashMap<&Fingerprint, Sum> = HashMap::new();
     for (request, sign) in ends.values().flatten() {
@@ -332,7 +332,7 @@
 
 /// Returns the request against which most speaks, if it is enough.
 fn heaviest<'a>(
-    ends: &HashMap<&Name, HashMap<&'a Fingerprint, Sign>>,
+    ends: &HashMap<&Name, HashMap<&'a Fingerprint, Suspicion>>,
 ) -> Option<(&'a Fingerprint, usize)> {
     sums(ends)
         .into_iter()
--- a/lib/tests/test_entry_quarantine.rs
+++ b/lib/tests/test_entry_quarantine.rs
@@ -9,7 +9,7 @@
 use chivevalve::membership::Fleet;
 use chivevalve::membership::fleet::{State, Upstream};
 use chivevalve::poison::fingerprint::{Fingerprint, Identity};
-use chivevalve::poison::ledger::Sign;
+use chivevalve::poison::ledger::Suspicion;
 use chivevalve::ports::Vm;
 use chivevalve::schema::peer::{Delta, Digest};
 use tokio::sync::watch;
@@ -70,7 +70,7 @@
         tokio::time::sleep(TURN.duration()).await;
     }
 
-    fn lose(&self, request: &Fingerprint, sign: Sign) {
+    fn lose(&self, request: &Fingerprint, sign: Suspicion) {
         let fleet = Arc::clone(&self.fleet.borrow());
         self.quarantine.lost(&fleet, &"e1".into(), request, sign);
     }
@@ -78,7 +78,7 @@
     /// Has an upstream end under requests that this node sent, and come back.
     async fn end_under(&self, requests: &[&Fingerprint]) {
         for request in requests {
-            self.lose(request, Sign::Begun);
+            self.lose(request, Suspicion::Begun);
         }
         self.show(State::Held).await;
         self.show(State::Usable).await;
@@ -138,7 +138,7 @@
     let (owner, entry) = (Node::start("owner"), Node::start("entry"));
     let poison = request("poison");
     for _ in 0..3 {
-        entry.lose(&poison, Sign::Begun);
+        entry.lose(&poison, Suspicion::Begun);
         owner.end_under(&[]).await;
         owner.tell(&entry);
         entry.clock.advance(Millis(10_000));
@@ -181,7 +181,7 @@
     let node = Node::start("n1");
     let proper = request("proper");
     for _ in 0..4 {
-        node.lose(&proper, Sign::Begun);
+        node.lose(&proper, Suspicion::Begun);
         node.clock.advance(Millis(10_000));
         node.end_under(&[]).await;
     }
--- a/lib/tests/test_gossip.rs
+++ b/lib/tests/test_gossip.rs
@@ -15,7 +15,7 @@
 use chivevalve::membership::Fleet;
 use chivevalve::membership::fleet::{State, Upstream};
 use chivevalve::poison::fingerprint::{Fingerprint, Identity};
-use chivevalve::poison::ledger::Sign;
+use chivevalve::poison::ledger::Suspicion;
 use chivevalve::ports::Vm;
 use chivevalve::schema::declaration::Operation;
 use chivevalve::schema::peer::{Delta, Digest, SnapshotPart};
@@ -284,7 +284,7 @@
     let (sender, followed) = tokio::sync::watch::channel(fleet(State::Usable));
     tokio::spawn(Arc::clone(seen).follow(followed));
     for _ in 0..3 {
-        seen.lost(&fleet(State::Usable), &"e1".into(), &poison, Sign::Begun);
+        seen.lost(&fleet(State::Usable), &"e1".into(), &poison, Suspicion::Begun);
         for state in [State::Held, State::Usable] {
             sender.send_replace(fleet(state));
             tokio::time::sleep(Duration::from_millis(1)).await;
--- a/lib/tests/test_poison.rs
+++ b/lib/tests/test_poison.rs
@@ -5,7 +5,7 @@
 use chivevalve::clock::Millis;
 use chivevalve::name::Name;
 use chivevalve::poison::fingerprint::{Fingerprint, Identity};
-use chivevalve::poison::ledger::{LAPSE, Ledger, Report, Sign, Suspect};
+use chivevalve::poison::ledger::{LAPSE, Ledger, Report, Suspicion, Suspect};
 use chivevalve::poison::survivors::Survivors;
 use quickcheck::{Gen, QuickCheck};
 
@@ -35,7 +35,7 @@
 
 impl World {
     /// Node `node` tells which of its requests stood at an upstream that ended.
-    fn ended(&mut self, upstream: u64, node: u64, suspects: &[(u64, Sign)]) -> Name {
+    fn ended(&mut self, upstream: u64, node: u64, suspects: &[(u64, Suspicion)]) -> Name {
         let name: Name = format!("end/u-{upstream}/n-{node}").into();
         let suspects = suspects.iter().map(|(request, sign)| Suspect {
             request: fingerprint(*request),
@@ -92,10 +92,10 @@
 fn blames_from_three_ends_on() {
     let mut world = World::default();
     for upstream in 0..2 {
-        world.ended(upstream, 0, &[(1, Sign::Begun)]);
+        world.ended(upstream, 0, &[(1, Suspicion::Begun)]);
         assert_eq!(world.blames(1), None);
     }
-    world.ended(2, 0, &[(1, Sign::Begun)]);
+    world.ended(2, 0, &[(1, Suspicion::Begun)]);
     assert_eq!(world.blames(1), Some(3));
 }
 
@@ -105,7 +105,7 @@
     let mut world = World::default();
     for upstream in 0..2 {
         for node in 0..3 {
-            world.ended(upstream, node, &[(1, Sign::Begun)]);
+            world.ended(upstream, node, &[(1, Suspicion::Begun)]);
         }
     }
     assert_eq!(world.blames(1), None);
@@ -116,9 +116,9 @@
 #[test]
 fn blames_add_up_over_nodes() {
     let mut world = World::default();
-    world.ended(0, 0, &[(1, Sign::Begun)]);
-    world.ended(1, 1, &[(1, Sign::Possible)]);
-    world.ended(2, 2, &[(1, Sign::Possible)]);
+    world.ended(0, 0, &[(1, Suspicion::Begun)]);
+    world.ended(1, 1, &[(1, Suspicion::Possible)]);
+    world.ended(2, 2, &[(1, Suspicion::Possible)]);
     assert_eq!(world.blames(1), Some(3));
 }
 
@@ -127,10 +127,10 @@
 fn blames_take_more_where_nothing_began() {
     let mut world = World::default();
     for upstream in 0..3 {
-        world.ended(upstream, 0, &[(1, Sign::Possible)]);
+        world.ended(upstream, 0, &[(1, Suspicion::Possible)]);
     }
     assert_eq!(world.blames(1), None);
-    world.ended(3, 0, &[(1, Sign::Possible)]);
+    world.ended(3, 0, &[(1, Suspicion::Possible)]);
     assert_eq!(world.blames(1), Some(4));
 }
 
@@ -141,11 +141,11 @@
 fn blames_spare_who_was_beside_it() {
     let mut world = World::default();
     for upstream in 0..3 {
-        let beside = (2, Sign::Possible);
-        world.ended(upstream, 0, &[(1, Sign::Begun), beside]);
-        world.ended(upstream, 1, &[(3, Sign::Possible)]);
+        let beside = (2, Suspicion::Possible);
+        world.ended(upstream, 0, &[(1, Suspicion::Begun), beside]);
+        world.ended(upstream, 1, &[(3, Suspicion::Possible)]);
     }
-    world.ended(3, 0, &[(1, Sign::Begun), (2, Sign::Begun)]);
+    world.ended(3, 0, &[(1, Suspicion::Begun), (2, Suspicion::Begun)]);
     assert_eq!(world.blames(1), Some(4));
     assert_eq!(world.blames(2), None);
     assert_eq!(world.blames(3), None);
@@ -158,7 +158,7 @@
 fn blames_pass_on_once_more_is_known() {
     let mut world = World::default();
     for upstream in 0..3 {
-        world.ended(upstream, 0, &[(1, Sign::Begun), (2, Sign::Begun)]);
+        world.ended(upstream, 0, &[(1, Suspicion::Begun), (2, Suspicion::Begun)]);
     }
     let (first, other) = if world.blames(1).is_some() {
         (1, 2)
@@ -166,7 +166,7 @@
         (2, 1)
     };
     assert_eq!(world.blames(other), None);
-    world.ended(3, 0, &[(other, Sign::Begun)]);
+    world.ended(3, 0, &[(other, Suspicion::Begun)]);
     assert_eq!(world.blames(other), Some(4));
     assert_eq!(world.blames(first), None);
 }
@@ -175,7 +175,7 @@
 fn blames_several_at_once() {
     let mut world = World::default();
     for upstream in 0..9 {
-        world.ended(upstream, 0, &[(upstream % 3, Sign::Begun)]);
+        world.ended(upstream, 0, &[(upstream % 3, Suspicion::Begun)]);
     }
     for request in 0..3 {
         assert_eq!(world.blames(request), Some(3));
@@ -187,14 +187,14 @@
 fn cleared_counts_for_what_was_before() {
     let mut world = World::default();
     for upstream in 0..3 {
-        world.ended(upstream, 0, &[(1, Sign::Begun)]);
+        world.ended(upstream, 0, &[(1, Suspicion::Begun)]);
     }
     world.revision += 1;
     world.ledger.clear(&fingerprint(1), Some(world.revision));
     assert_eq!(world.blames(1), None);
     for upstream in 3..6 {
         assert_eq!(world.blames(1), None);
-        world.ended(upstream, 0, &[(1, Sign::Begun)]);
+        world.ended(upstream, 0, &[(1, Suspicion::Begun)]);
     }
     assert_eq!(world.blames(1), Some(3));
 }
@@ -206,7 +206,7 @@
     let mut world = World::default();
     world.ledger.clear(&fingerprint(1), Some(9));
     for upstream in 0..3 {
-        world.ended(upstream, 0, &[(1, Sign::Begun)]);
+        world.ended(upstream, 0, &[(1, Suspicion::Begun)]);
     }
     assert_eq!(world.blames(1), None);
 }
@@ -216,11 +216,11 @@
     let mut world = World::default();
     let mut last = Name::from("");
     for upstream in 0..3 {
-        last = world.ended(upstream, 0, &[(1, Sign::Begun)]);
+        last = world.ended(upstream, 0, &[(1, Suspicion::Begun)]);
     }
     world.ledger.forget(&last);
     assert_eq!(world.blames(1), None);
-    world.ended(2, 0, &[(1, Sign::Begun)]);
+    world.ended(2, 0, &[(1, Suspicion::Begun)]);
     assert!(world.blames(1).is_some());
     assert_eq!(world.ledger.blames(&fingerprint(1), LAPSE), None);
     assert!(world.ledger.is_empty());
@@ -232,7 +232,7 @@
 fn report_memory_is_bounded() {
     let mut world = World::default();
     for upstream in 0..5_000 {
-        let suspects: Vec<_> = (0..2).map(|at| (upstream * 2 + at, Sign::Begun)).collect();
+        let suspects: Vec<_> = (0..2).map(|at| (upstream * 2 + at, Suspicion::Begun)).collect();
         world.ended(upstream, 0, &suspects);
     }
     assert_eq!(world.ledger.ends(&fingerprint(0), Millis::ZERO), 0);
@@ -255,7 +255,7 @@
 fn verdict<'a>(told: impl Iterator<Item = &'a Told>) -> Vec<Option<usize>> {
     let mut world = World::default();
     for (upstream, node, suspects) in told {
-        let signs = [Sign::Possible, Sign::Begun];
+        let signs = [Suspicion::Possible, Suspicion::Begun];
         let suspects: Vec<_> = suspects
             .iter()
             .map(|(request, begun)| (u64::from(request % 6), signs[usize::from(*begun)]))
