--- a/cli/src/commands/quarantine.rs
+++ b/cli/src/commands/quarantine.rs
@@ -5,7 +5,7 @@
 
 use chivevalve::direct::lift;
 use chivevalve::poison::fingerprint::Fingerprint;
-use chivevalve::poison::ledger::Standing;
+use chivevalve::poison::ledger::SuspectStatus;
 use chivevalve_platform::Speech;
 use chivevalve_platform::store::Client;
 
@@ -68,7 +68,7 @@
     output::answer(args.format, &standings, |standings| table(standings))
 }
 
-fn table(standings: &[Standing]) -> String {
+fn table(standings: &[SuspectStatus]) -> String {
     if standings.is_empty() {
         return "no upstream ended under a request lately\n".to_owned();
     }
--- a/lib/src/direct/lift.rs
+++ b/lib/src/direct/lift.rs
@@ -5,7 +5,7 @@
 use super::view::State;
 use crate::clock::Millis;
 use crate::poison::fingerprint::Fingerprint;
-use crate::poison::ledger::{LAPSE, Standing};
+use crate::poison::ledger::{LAPSE, SuspectStatus};
 use crate::ports::{Error, Lease, Store, Transaction, Write};
 
 /// Returns the requests that upstreams ended under, by the records in the key-value service.
@@ -13,7 +13,7 @@
 /// # Errors
 ///
 /// When the service can't be read.
-pub async fn list(store: &dyn Store, dialect: &dyn Dialect) -> Result<Vec<Standing>, Error> {
+pub async fn list(store: &dyn Store, dialect: &dyn Dialect) -> Result<Vec<SuspectStatus>, Error> {
     let listing = store.list(&dialect.own("")).await?;
     let mut state = State::default();
     for entry in &listing.entries {
--- a/lib/src/poison/ledger.rs
+++ b/lib/src/poison/ledger.rs
@@ -83,7 +83,7 @@
 
 /// How a request stands that upstreams ended under.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
-pub struct Standing {
+pub struct SuspectStatus {
     /// The request.
     pub request: Fingerprint,
     /// Upstreams that ended while it stood there.
@@ -236,7 +236,7 @@
     }
 
     /// Returns all requests that reports name, those to blame first.
-    pub fn standings(&mut self, now: Millis) -> Vec<Standing> {
+    pub fn standings(&mut self, now: Millis) -> Vec<SuspectStatus> {
         let mut upstreams: BTreeMap<Fingerprint, BTreeSet<Name>> = BTreeMap::new();
         for known in self.reports.values() {
             for suspect in &known.report.suspects {
@@ -244,12 +244,12 @@
                 ended.insert(Name::clone(&known.report.upstream));
             }
         }
-        let standings = upstreams.into_iter().map(|(request, upstreams)| Standing {
+        let standings = upstreams.into_iter().map(|(request, upstreams)| SuspectStatus {
             blamed: self.blames(&request, now).is_some(),
             upstreams: upstreams.into_iter().collect(),
             request,
         });
-        let mut standings: Vec<Standing> = standings.collect();
+        let mut standings: Vec<SuspectStatus> = standings.collect();
         standings.sort_by_key(|one| (!one.blamed, Reverse(one.upstreams.len())));
         standings
     }
