--- a/lib/src/direct/quarantine.rs
+++ b/lib/src/direct/quarantine.rs
@@ -21,7 +21,7 @@
 use crate::metrics::Metrics;
 use crate::name::Name;
 use crate::poison::fingerprint::Fingerprint;
-use crate::poison::ledger::{LAPSE, Report, Suspicion, Suspect};
+use crate::poison::ledger::{LAPSE, CrashReport, Suspicion, Suspect};
 use crate::poison::survivors::Survivors;
 use crate::ports::link::Listening;
 
@@ -263,7 +263,7 @@
         // Some connections are seen to break only after others were reported. In the place of the
         // first report, a second one would clear whom that one names.
         let known: Vec<Suspect> = ledger.reported(&name).cloned().collect();
-        let report = Report::new(start, known.into_iter().chain(suspects));
+        let report = CrashReport::new(start, known.into_iter().chain(suspects));
         self.outbox.put(&name, &report);
         ledger.report(name, report.clone(), None, now);
         for Suspect { request, .. } in &report.suspects {
--- a/lib/src/direct/quarantine/cases.rs
+++ b/lib/src/direct/quarantine/cases.rs
@@ -15,7 +15,7 @@
 use crate::error::{Code, Failure};
 use crate::name::Name;
 use crate::poison::fingerprint::Fingerprint;
-use crate::poison::ledger::{Report, Suspect};
+use crate::poison::ledger::{CrashReport, Suspect};
 
 /// Time that a node has to report an end that others hear of from it, until the first of them does.
 const REPORTED: Millis = Millis(1_000);
@@ -60,7 +60,7 @@
 
     pub(super) fn open_case(&self, start: &Name, suspect: Suspect) {
         let now = self.clock.now();
-        let report = Report::new(Name::clone(start), [suspect]);
+        let report = CrashReport::new(Name::clone(start), [suspect]);
         let name = case(start, &self.node);
         self.view.state().open.add(&name, &report, now);
     }
@@ -80,7 +80,7 @@
     }
 
     /// Looks into another node's case, and reports the end if that node doesn't.
-    async fn examine_told(&self, name: &Name, report: Report) {
+    async fn examine_told(&self, name: &Name, report: CrashReport) {
         let node = name.rsplit('/').next().unwrap_or_default();
         if let Some(upstream) = self.upstream_of(&report.upstream)
             && self.list_shows_end(&upstream).await
--- a/lib/src/direct/view.rs
+++ b/lib/src/direct/view.rs
@@ -20,7 +20,7 @@
 use crate::clock::Millis;
 use crate::name::Name;
 use crate::poison::fingerprint::Fingerprint;
-use crate::poison::ledger::{Ledger, Report};
+use crate::poison::ledger::{Ledger, CrashReport};
 use crate::poison::open::Open;
 use crate::ports::Entry;
 
@@ -386,7 +386,7 @@
         if !is_end && !name.starts_with(BROKE) {
             return Evidence::Other;
         }
-        match serde_json::from_slice::<Report>(value) {
+        match serde_json::from_slice::<CrashReport>(value) {
             Ok(report) if is_end => {
                 self.ledger.report(name.into(), report, revision, now);
                 Evidence::Taken
--- a/lib/src/entry/quarantine.rs
+++ b/lib/src/entry/quarantine.rs
@@ -20,7 +20,7 @@
 use crate::metrics::Metrics;
 use crate::name::Name;
 use crate::poison::fingerprint::Fingerprint;
-use crate::poison::ledger::{LAPSE, Ledger, Report, Suspicion, Suspect};
+use crate::poison::ledger::{LAPSE, Ledger, CrashReport, Suspicion, Suspect};
 use crate::poison::survivors::Survivors;
 
 /// How long after a connection broke an end of its upstream explains that.
@@ -279,7 +279,7 @@
         let was_known = state.told.contains_key(&name);
         let suspects = std::mem::take(&mut told.suspects);
         let all = known.iter().cloned().chain(suspects);
-        let report = Report::new(Name::clone(&told.end), all);
+        let report = CrashReport::new(Name::clone(&told.end), all);
         if was_known && report.suspects == known {
             return false;
         }
--- a/lib/src/poison/ledger.rs
+++ b/lib/src/poison/ledger.rs
@@ -74,7 +74,7 @@
 
 /// What one node says of one start of an upstream that ended.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Report {
+pub struct CrashReport {
     /// The start.
     pub upstream: Name,
     /// The node's own requests there.
@@ -92,7 +92,7 @@
     pub blamed: bool,
 }
 
-impl Report {
+impl CrashReport {
     /// Makes a report of requests, each with its strongest sign, the most suspect first.
     #[must_use]
     pub fn new(upstream: Name, suspects: impl IntoIterator<Item = Suspect>) -> Self {
@@ -114,7 +114,7 @@
 /// A report as this node knows it.
 #[derive(Debug)]
 struct Known {
-    report: Report,
+    report: CrashReport,
     /// Revision of the key-value service; none while it isn't written there.
     revision: Option<u64>,
     since: Millis,
@@ -149,7 +149,7 @@
     }
 
     /// Takes a report in under its name in the key-value service.
-    pub fn report(&mut self, name: Name, mut report: Report, revision: Option<u64>, now: Millis) {
+    pub fn report(&mut self, name: Name, mut report: CrashReport, revision: Option<u64>, now: Millis) {
         self.lapse(now);
         // Another node can tell of it after the key-value service has shown it.
         let known = self.reports.get(&name);
@@ -223,7 +223,7 @@
 
     /// Whether a request would be to blame if the upstreams of some more reports had ended.
     #[must_use]
-    pub fn would_blame(&self, request: &Fingerprint, more: &[&Report]) -> bool {
+    pub fn would_blame(&self, request: &Fingerprint, more: &[&CrashReport]) -> bool {
         let known = self.reports.values().map(|known| &known.report);
         let judgement = judge(known.chain(more.iter().copied()));
         judgement.blamed.contains_key(request)
@@ -287,7 +287,7 @@
 /// Returns who is to blame by these reports.
 ///
 /// Whoever explains most goes first, and takes the ends that it explains out of the count.
-fn judge<'a>(reports: impl Iterator<Item = &'a Report>) -> Judgement {
+fn judge<'a>(reports: impl Iterator<Item = &'a CrashReport>) -> Judgement {
     let mut ends: HashMap<&Name, HashMap<&Fingerprint, Suspicion>> = HashMap::new();
     for report in reports {
         let end = ends.entry(&report.upstream).or_default();
--- a/lib/src/poison/open.rs
+++ b/lib/src/poison/open.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use super::fingerprint::Fingerprint;
-use super::ledger::Report;
+use super::ledger::CrashReport;
 use crate::clock::Millis;
 use crate::name::Name;
 
@@ -17,7 +17,7 @@
 
 #[derive(Debug)]
 struct Case {
-    report: Report,
+    report: CrashReport,
     since: Millis,
 }
 
@@ -26,7 +26,7 @@
 pub struct Open {
     cases: BTreeMap<Name, Case>,
     /// Cases of other nodes that nobody looks into here yet.
-    told: Vec<(Name, Report)>,
+    told: Vec<(Name, CrashReport)>,
 }
 
 impl Open {
@@ -37,11 +37,11 @@
     }
 
     /// Opens a case of requests that had begun where a connection broke, or adds to it.
-    pub fn add(&mut self, name: &Name, report: &Report, now: Millis) {
+    pub fn add(&mut self, name: &Name, report: &CrashReport, now: Millis) {
         self.cases.retain(|_, case| now.since(case.since) < LASTS);
         let known = self.cases.get(name).map(|case| &case.report.suspects);
         let all = known.into_iter().flatten().chain(&report.suspects).cloned();
-        let report = Report::new(Name::clone(&report.upstream), all);
+        let report = CrashReport::new(Name::clone(&report.upstream), all);
         let since = self.cases.get(name).map_or(now, |case| case.since);
         self.cases.insert(Name::clone(name), Case { report, since });
         while self.cases.len() > MOST_OPEN {
@@ -54,7 +54,7 @@
     }
 
     /// Takes in a case that another node tells of.
-    pub fn tell(&mut self, name: Name, report: Report, now: Millis) {
+    pub fn tell(&mut self, name: Name, report: CrashReport, now: Millis) {
         if self.cases.contains_key(&name) || self.told.len() >= MOST_OPEN {
             return;
         }
@@ -63,13 +63,13 @@
     }
 
     /// Returns the cases that were told since the last call.
-    pub fn take_told(&mut self) -> Vec<(Name, Report)> {
+    pub fn take_told(&mut self) -> Vec<(Name, CrashReport)> {
         std::mem::take(&mut self.told)
     }
 
     /// Returns the requests of a case.
     #[must_use]
-    pub fn report(&self, name: &str) -> Option<Report> {
+    pub fn report(&self, name: &str) -> Option<CrashReport> {
         self.cases.get(name).map(|case| case.report.clone())
     }
 
@@ -80,13 +80,13 @@
 
     /// Returns the reports of a request's open cases and of all beside them; none if it has none.
     #[must_use]
-    pub fn around(&self, request: &Fingerprint, now: Millis) -> Vec<&Report> {
+    pub fn around(&self, request: &Fingerprint, now: Millis) -> Vec<&CrashReport> {
         let cases = self.cases.values();
-        let open: Vec<&Report> = cases
+        let open: Vec<&CrashReport> = cases
             .filter(|case| now.since(case.since) < LASTS)
             .map(|case| &case.report)
             .collect();
-        let names = |report: &&Report| {
+        let names = |report: &&CrashReport| {
             let mut suspects = report.suspects.iter();
             suspects.any(|suspect| suspect.request == *request)
         };
--- a/lib/tests/test_direct_quarantine.rs
+++ b/lib/tests/test_direct_quarantine.rs
@@ -16,7 +16,7 @@
 use chivevalve::direct::view::{Evidence, View};
 use chivevalve::name::Name;
 use chivevalve::poison::fingerprint::{Fingerprint, Identity};
-use chivevalve::poison::ledger::{Report, Suspicion};
+use chivevalve::poison::ledger::{CrashReport, Suspicion};
 use chivevalve_platform::Speech;
 use direct_support::memory::Memory;
 use direct_support::records::{listed, written};
@@ -87,7 +87,7 @@
     }
 
     /// The only report in the key-value service.
-    fn written(&self) -> Option<Report> {
+    fn written(&self) -> Option<CrashReport> {
         let state = self.store.state();
         let mut entries = state.entries.values();
         let entry = entries.find(|entry| entry.key.contains(ENDS))?;
--- a/lib/tests/test_poison.rs
+++ b/lib/tests/test_poison.rs
@@ -5,7 +5,7 @@
 use chivevalve::clock::Millis;
 use chivevalve::name::Name;
 use chivevalve::poison::fingerprint::{Fingerprint, Identity};
-use chivevalve::poison::ledger::{LAPSE, Ledger, Report, Suspicion, Suspect};
+use chivevalve::poison::ledger::{LAPSE, Ledger, CrashReport, Suspicion, Suspect};
 use chivevalve::poison::survivors::Survivors;
 use quickcheck::{Gen, QuickCheck};
 
@@ -41,7 +41,7 @@
             request: fingerprint(*request),
             sign: *sign,
         });
-        let report = Report {
+        let report = CrashReport {
             upstream: format!("u-{upstream}").into(),
             suspects: suspects.collect(),
         };
