--- a/lib/src/direct/view.rs
+++ b/lib/src/direct/view.rs
@@ -20,7 +20,7 @@
 use crate::clock::Millis;
 use crate::name::Name;
 use crate::poison::fingerprint::Fingerprint;
-use crate::poison::ledger::{Ledger, CrashReport};
+use crate::poison::ledger::{CrashLedger, CrashReport};
 use crate::poison::open::Open;
 use crate::ports::Entry;
 
@@ -93,7 +93,7 @@
     /// Most nodes ever seen at once.
     pub most_nodes: usize,
     /// What speaks against requests under which upstreams ended.
-    pub ledger: Ledger,
+    pub ledger: CrashLedger,
     /// Requests that stood where a connection broke, while nobody knows whether the upstream ended.
     pub open: Open,
     /// Nodes among which upstreams' connections were last shared out.
--- a/lib/src/entry/quarantine.rs
+++ b/lib/src/entry/quarantine.rs
@@ -20,7 +20,7 @@
 use crate::metrics::Metrics;
 use crate::name::Name;
 use crate::poison::fingerprint::Fingerprint;
-use crate::poison::ledger::{LAPSE, Ledger, CrashReport, Suspicion, Suspect};
+use crate::poison::ledger::{LAPSE, CrashLedger, CrashReport, Suspicion, Suspect};
 use crate::poison::survivors::Survivors;
 
 /// How long after a connection broke an end of its upstream explains that.
@@ -86,7 +86,7 @@
 
 #[derive(Debug, Default)]
 struct State {
-    ledger: Ledger,
+    ledger: CrashLedger,
     survivors: Survivors,
     lost: HashMap<Name, Vec<Loss>>,
     ends: HashMap<Name, End>,
--- a/lib/src/poison/ledger.rs
+++ b/lib/src/poison/ledger.rs
@@ -124,7 +124,7 @@
 ///
 /// The same reports give the same verdict at every node; nothing is agreed.
 #[derive(Debug, Default)]
-pub struct Ledger {
+pub struct CrashLedger {
     reports: BTreeMap<Name, Known>,
     /// Requests that survived, with the revision up to which reports of them don't count.
     cleared: HashMap<Fingerprint, u64>,
@@ -141,7 +141,7 @@
     ends: HashMap<Fingerprint, usize>,
 }
 
-impl Ledger {
+impl CrashLedger {
     /// Whether nothing speaks against anybody.
     #[must_use]
     pub fn is_empty(&self) -> bool {
--- a/lib/tests/test_poison.rs
+++ b/lib/tests/test_poison.rs
@@ -5,7 +5,7 @@
 use chivevalve::clock::Millis;
 use chivevalve::name::Name;
 use chivevalve::poison::fingerprint::{Fingerprint, Identity};
-use chivevalve::poison::ledger::{LAPSE, Ledger, CrashReport, Suspicion, Suspect};
+use chivevalve::poison::ledger::{LAPSE, CrashLedger, CrashReport, Suspicion, Suspect};
 use chivevalve::poison::survivors::Survivors;
 use quickcheck::{Gen, QuickCheck};
 
@@ -29,7 +29,7 @@
 /// A ledger to which nodes have told of upstreams that ended.
 #[derive(Debug, Default)]
 struct World {
-    ledger: Ledger,
+    ledger: CrashLedger,
     revision: u64,
 }
 
