--- a/lib/src/direct/lift.rs
+++ b/lib/src/direct/lift.rs
@@ -5,7 +5,7 @@
 use super::view::State;
 use crate::clock::Millis;
 use crate::poison::fingerprint::Fingerprint;
-use crate::poison::ledger::{LAPSE, SuspectStatus};
+use crate::poison::ledger::{REPORT_TTL, SuspectStatus};
 use crate::ports::{Error, Lease, Store, Transaction, Write};
 
 /// Returns the requests that upstreams ended under, by the records in the key-value service.
@@ -35,7 +35,7 @@
     dialect: &dyn Dialect,
     request: &Fingerprint,
 ) -> Result<(), Error> {
-    let lease = lease.grant(LAPSE).await?;
+    let lease = lease.grant(REPORT_TTL).await?;
     let key = dialect.own(&format!("{SURVIVED}{request}"));
     let value = serde_json::to_vec(request).map_err(|error| Error::Malformed(error.to_string()))?;
     let transaction = Transaction {
--- a/lib/src/direct/outbox.rs
+++ b/lib/src/direct/outbox.rs
@@ -14,7 +14,7 @@
 use super::dialect::Dialect;
 use crate::clock::{Clock, Millis};
 use crate::name::Name;
-use crate::poison::ledger::LAPSE;
+use crate::poison::ledger::REPORT_TTL;
 use crate::ports::{Error, Lease, LeaseId, Store, Transaction, Write};
 
 /// Records that one transaction writes; the service takes 32 rows.
@@ -205,11 +205,11 @@
         let now = self.clock.now();
         let granted = *self.granted();
         if let Some((lease, since)) = granted
-            && now.since(since).0 < LAPSE.0 / 2
+            && now.since(since).0 < REPORT_TTL.0 / 2
         {
             return Ok(lease);
         }
-        let lease = self.lease.grant(LAPSE).await?;
+        let lease = self.lease.grant(REPORT_TTL).await?;
         *self.granted() = Some((lease, now));
         Ok(lease)
     }
--- a/lib/src/direct/quarantine.rs
+++ b/lib/src/direct/quarantine.rs
@@ -21,7 +21,7 @@
 use crate::metrics::Metrics;
 use crate::name::Name;
 use crate::poison::fingerprint::Fingerprint;
-use crate::poison::ledger::{LAPSE, CrashReport, Suspicion, Suspect};
+use crate::poison::ledger::{REPORT_TTL, CrashReport, Suspicion, Suspect};
 use crate::poison::survivors::Survivors;
 use crate::ports::link::Listening;
 
@@ -126,7 +126,7 @@
             return Ok(());
         }
         let detail = format!("{ends} upstreams ended as they began to run this request");
-        Err(Failure::new(Code::Quarantined, detail).retry_after(LAPSE))
+        Err(Failure::new(Code::Quarantined, detail).retry_after(REPORT_TTL))
     }
 
     /// Waits until it is known whether a request that others report ended one more upstream.
@@ -237,7 +237,7 @@
             }
             // What answers so much later had not ended, and what ends it then is something else.
             let is_alive = upstream.served() != *served.get_or_insert_with(|| upstream.served());
-            if is_alive || now.since(began) >= LAPSE {
+            if is_alive || now.since(began) >= REPORT_TTL {
                 return false;
             }
         }
--- a/lib/src/entry/quarantine.rs
+++ b/lib/src/entry/quarantine.rs
@@ -20,7 +20,7 @@
 use crate::metrics::Metrics;
 use crate::name::Name;
 use crate::poison::fingerprint::Fingerprint;
-use crate::poison::ledger::{LAPSE, CrashLedger, CrashReport, Suspicion, Suspect};
+use crate::poison::ledger::{REPORT_TTL, CrashLedger, CrashReport, Suspicion, Suspect};
 use crate::poison::survivors::Survivors;
 
 /// How long after a connection broke an end of its upstream explains that.
@@ -153,7 +153,7 @@
             return Ok(());
         }
         let detail = format!("{ends} upstreams ended as they began to run this request");
-        Err(Failure::new(Code::Quarantined, detail).retry_after(LAPSE))
+        Err(Failure::new(Code::Quarantined, detail).retry_after(REPORT_TTL))
     }
 
     /// Takes in that an upstream ran a request without harm.
@@ -290,7 +290,7 @@
                 log::warn!(suspect = request.as_str(), ends = ends; "entry: a request is no longer sent");
             }
         }
-        state.told.retain(|_, one| now.since(one.since) < LAPSE);
+        state.told.retain(|_, one| now.since(one.since) < REPORT_TTL);
         state.told.insert(name, told);
         self.news.send_modify(|version| *version += 1);
         true
@@ -310,7 +310,7 @@
 impl State {
     /// Takes in that a request survived at `since`: reports from before count no more.
     fn clear(&mut self, request: &Fingerprint, since: Millis) {
-        self.cleared.retain(|_, at| since.since(*at) < LAPSE);
+        self.cleared.retain(|_, at| since.since(*at) < REPORT_TTL);
         let known = self.cleared.entry(request.clone()).or_default();
         *known = since.max(*known);
         self.ledger.clear(request, None);
--- a/lib/src/entry/quarantine/share.rs
+++ b/lib/src/entry/quarantine/share.rs
@@ -4,7 +4,7 @@
 
 use xxhash_rust::xxh3::xxh3_64;
 
-use super::{End, LAPSE, Quarantine, Sight, State, Told};
+use super::{End, REPORT_TTL, Quarantine, Sight, State, Told};
 use crate::clock::Millis;
 use crate::gossip::Share;
 use crate::name::Name;
@@ -67,7 +67,7 @@
     /// Takes in another node's report, and adds this node's requests at the same end.
     fn learn_end(&self, state: &mut State, report: &peer::EndReport, now: Millis) -> bool {
         let since = now.since(Millis(u64::from(report.age_ms)));
-        if report.node == *self.node || now.since(since) >= LAPSE {
+        if report.node == *self.node || now.since(since) >= REPORT_TTL {
             return false;
         }
         let upstream = Name::from(report.upstream.as_str());
@@ -113,7 +113,7 @@
         return false;
     };
     let at = now.since(Millis(u64::from(survivor.age_ms)));
-    if now.since(at) >= LAPSE || state.cleared.contains_key(&request) {
+    if now.since(at) >= REPORT_TTL || state.cleared.contains_key(&request) {
         return false;
     }
     state.clear(&request, at);
--- a/lib/src/poison/ledger.rs
+++ b/lib/src/poison/ledger.rs
@@ -19,7 +19,7 @@
 ///
 /// A caller that comes back later than this costs as many engines again; an engine's release
 /// that mends the cause is noticed after as long.
-pub const LAPSE: Millis = Millis::from_secs(600);
+pub const REPORT_TTL: Millis = Millis::from_secs(600);
 
 /// Ends of upstreams from which on a request is to blame.
 ///
@@ -270,7 +270,7 @@
     fn lapse(&mut self, now: Millis) {
         let before = self.reports.len();
         self.reports
-            .retain(|_, known| now.since(known.since) < LAPSE);
+            .retain(|_, known| now.since(known.since) < REPORT_TTL);
         while self.reports.len() >= MOST_REPORTS {
             let oldest = self.reports.iter().min_by_key(|(_, known)| known.since);
             let Some(name) = oldest.map(|(name, _)| Name::clone(name)) else {
--- a/lib/tests/test_poison.rs
+++ b/lib/tests/test_poison.rs
@@ -5,7 +5,7 @@
 use chivevalve::clock::Millis;
 use chivevalve::name::Name;
 use chivevalve::poison::fingerprint::{Fingerprint, Identity};
-use chivevalve::poison::ledger::{LAPSE, CrashLedger, CrashReport, Suspicion, Suspect};
+use chivevalve::poison::ledger::{REPORT_TTL, CrashLedger, CrashReport, Suspicion, Suspect};
 use chivevalve::poison::survivors::Survivors;
 use quickcheck::{Gen, QuickCheck};
 
@@ -222,7 +222,7 @@
     assert_eq!(world.blames(1), None);
     world.ended(2, 0, &[(1, Suspicion::Begun)]);
     assert!(world.blames(1).is_some());
-    assert_eq!(world.ledger.blames(&fingerprint(1), LAPSE), None);
+    assert_eq!(world.ledger.blames(&fingerprint(1), REPORT_TTL), None);
     assert!(world.ledger.is_empty());
 }
 
