--- a/lib/src/direct/quarantine.rs
+++ b/lib/src/direct/quarantine.rs
@@ -22,7 +22,7 @@
 use crate::name::Name;
 use crate::poison::fingerprint::Fingerprint;
 use crate::poison::ledger::{REPORT_TTL, CrashReport, Suspicion, Suspect};
-use crate::poison::survivors::Survivors;
+use crate::poison::harmless::HarmlessRequests;
 use crate::ports::link::Listening;
 
 /// Prefix of reports of upstreams that ended; the upstream's start and the node stand behind it.
@@ -74,7 +74,7 @@
     metrics: Arc<Metrics>,
     node: Name,
     outbox: Arc<Outbox>,
-    survivors: Mutex<Survivors>,
+    survivors: Mutex<HarmlessRequests>,
     /// This node's requests at upstreams that may have ended, by the upstream's start.
     examined: Mutex<HashMap<Name, Vec<Suspect>>>,
     /// Wakes whoever waits for the end of an examination.
@@ -296,7 +296,7 @@
         self.examined.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn survivors(&self) -> MutexGuard<'_, Survivors> {
+    fn survivors(&self) -> MutexGuard<'_, HarmlessRequests> {
         self.survivors
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
--- a/lib/src/entry/quarantine.rs
+++ b/lib/src/entry/quarantine.rs
@@ -21,7 +21,7 @@
 use crate::name::Name;
 use crate::poison::fingerprint::Fingerprint;
 use crate::poison::ledger::{REPORT_TTL, CrashLedger, CrashReport, Suspicion, Suspect};
-use crate::poison::survivors::Survivors;
+use crate::poison::harmless::HarmlessRequests;
 
 /// How long after a connection broke an end of its upstream explains that.
 ///
@@ -87,7 +87,7 @@
 #[derive(Debug, Default)]
 struct State {
     ledger: CrashLedger,
-    survivors: Survivors,
+    survivors: HarmlessRequests,
     lost: HashMap<Name, Vec<Loss>>,
     ends: HashMap<Name, End>,
     told: BTreeMap<Name, Told>,
--- a/lib/src/poison/survivors.rs
+++ b/lib/src/poison/harmless.rs
@@ -20,13 +20,13 @@
 
 /// Remembers what survived, in two generations, so that memory is bounded whoever sends what.
 #[derive(Debug, Default)]
-pub struct Survivors {
+pub struct HarmlessRequests {
     recent: HashSet<Fingerprint>,
     former: HashSet<Fingerprint>,
     turned: Millis,
 }
 
-impl Survivors {
+impl HarmlessRequests {
     /// Remembers a request that an engine ran without harm.
     pub fn remember(&mut self, fingerprint: Fingerprint, now: Millis) {
         self.turn(now);
--- a/lib/tests/test_poison.rs
+++ b/lib/tests/test_poison.rs
@@ -6,7 +6,7 @@
 use chivevalve::name::Name;
 use chivevalve::poison::fingerprint::{Fingerprint, Identity};
 use chivevalve::poison::ledger::{REPORT_TTL, CrashLedger, CrashReport, Suspicion, Suspect};
-use chivevalve::poison::survivors::Survivors;
+use chivevalve::poison::harmless::HarmlessRequests;
 use quickcheck::{Gen, QuickCheck};
 
 const IDENTITY: Identity<'_> = Identity {
@@ -241,7 +241,7 @@
 
 #[test]
 fn survivors_are_forgotten() {
-    let mut survivors = Survivors::default();
+    let mut survivors = HarmlessRequests::default();
     let now = Millis::from_secs(100);
     survivors.remember(fingerprint(1), now);
     assert!(survivors.contains(&fingerprint(1), now + Millis::from_secs(29)));
