--- a/lib/src/direct/view.rs
+++ b/lib/src/direct/view.rs
@@ -21,7 +21,7 @@
 use crate::name::Name;
 use crate::poison::fingerprint::Fingerprint;
 use crate::poison::ledger::{CrashLedger, CrashReport};
-use crate::poison::open::Open;
+use crate::poison::unconfirmed::UnconfirmedCrashes;
 use crate::ports::Entry;
 
 /// Another node, as its record in the key-value service has it.
@@ -95,7 +95,7 @@
     /// What speaks against requests under which upstreams ended.
     pub ledger: CrashLedger,
     /// Requests that stood where a connection broke, while nobody knows whether the upstream ended.
-    pub open: Open,
+    pub open: UnconfirmedCrashes,
     /// Nodes among which upstreams' connections were last shared out.
     shared_among: usize,
 }
--- a/lib/src/poison/mod.rs
+++ b/lib/src/poison/mod.rs
@@ -9,5 +9,5 @@
 
 pub mod fingerprint;
 pub mod ledger;
-pub mod open;
+pub mod unconfirmed;
 pub mod harmless;
--- a/lib/src/poison/open.rs
+++ b/lib/src/poison/unconfirmed.rs
@@ -23,13 +23,13 @@
 
 /// Open cases, by the upstream's start and the node whose requests stood there.
 #[derive(Debug, Default)]
-pub struct Open {
+pub struct UnconfirmedCrashes {
     cases: BTreeMap<Name, Case>,
     /// Cases of other nodes that nobody looks into here yet.
     told: Vec<(Name, CrashReport)>,
 }
 
-impl Open {
+impl UnconfirmedCrashes {
     /// Whether there is none.
     #[must_use]
     pub fn is_empty(&self) -> bool {
