--- a/lib/src/direct/lift.rs
+++ b/lib/src/direct/lift.rs
@@ -1,7 +1,7 @@
 //! What operators see of quarantined requests, and how they lift a quarantine.
 
 use super::dialect::{Dialect, Key};
-use super::quarantine::SURVIVED;
+use super::quarantine::HARMLESS_PREFIX;
 use super::view::State;
 use crate::clock::Millis;
 use crate::poison::fingerprint::Fingerprint;
@@ -36,7 +36,7 @@
     request: &Fingerprint,
 ) -> Result<(), Error> {
     let lease = lease.grant(REPORT_TTL).await?;
-    let key = dialect.own(&format!("{SURVIVED}{request}"));
+    let key = dialect.own(&format!("{HARMLESS_PREFIX}{request}"));
     let value = serde_json::to_vec(request).map_err(|error| Error::Malformed(error.to_string()))?;
     let transaction = Transaction {
         conditions: Vec::new(),
--- a/lib/src/direct/quarantine.rs
+++ b/lib/src/direct/quarantine.rs
@@ -26,13 +26,13 @@
 use crate::ports::link::Listening;
 
 /// Prefix of reports of upstreams that ended; the upstream's start and the node stand behind it.
-pub const ENDS: &str = "end/";
+pub const CRASH_REPORT_PREFIX: &str = "end/";
 
 /// Prefix of open cases, which nodes tell each other; start and node stand behind it.
-pub const BROKE: &str = "broke/";
+pub const UNCONFIRMED_CRASH_PREFIX: &str = "broke/";
 
 /// Prefix of requests that survived, with the fingerprint behind it.
-pub const SURVIVED: &str = "survived/";
+pub const HARMLESS_PREFIX: &str = "survived/";
 
 /// Time in which all connections to an upstream that ended are seen to break.
 ///
@@ -256,7 +256,7 @@
             );
         }
         let start = upstream.start();
-        let name = Name::from(format!("{ENDS}{start}/{node}"));
+        let name = Name::from(format!("{CRASH_REPORT_PREFIX}{start}/{node}"));
         let now = self.clock.now();
         let mut state = self.view.state();
         let ledger = &mut state.ledger;
@@ -278,7 +278,7 @@
     fn clear(&self, request: &Fingerprint) {
         log::info!(suspect = request.as_str(); "quarantine: survived");
         self.view.state().ledger.clear(request, None);
-        self.outbox.put(&format!("{SURVIVED}{request}"), request);
+        self.outbox.put(&format!("{HARMLESS_PREFIX}{request}"), request);
     }
 
     fn ends(&self, request: &Fingerprint) -> usize {
--- a/lib/src/direct/quarantine/cases.rs
+++ b/lib/src/direct/quarantine/cases.rs
@@ -9,7 +9,7 @@
 
 use xxhash_rust::xxh3::xxh3_64;
 
-use super::{BROKE, ENDS, Quarantine, WATCHED};
+use super::{UNCONFIRMED_CRASH_PREFIX, CRASH_REPORT_PREFIX, Quarantine, WATCHED};
 use crate::clock::Millis;
 use crate::direct::upstream::Upstream;
 use crate::error::{Code, Failure};
@@ -104,7 +104,7 @@
     }
 
     fn is_reported(&self, start: &str, node: &str) -> bool {
-        let name = format!("{ENDS}{start}/{node}");
+        let name = format!("{CRASH_REPORT_PREFIX}{start}/{node}");
         self.view.state().ledger.reported(&name).next().is_some()
     }
 
@@ -119,5 +119,5 @@
 }
 
 fn case(start: &str, node: &str) -> Name {
-    format!("{BROKE}{start}/{node}").into()
+    format!("{UNCONFIRMED_CRASH_PREFIX}{start}/{node}").into()
 }
--- a/lib/src/direct/view.rs
+++ b/lib/src/direct/view.rs
@@ -14,7 +14,7 @@
 use super::config::Config;
 use super::dialect::{Dialect, Key, Listed};
 use super::presence::Written;
-use super::quarantine::{BROKE, ENDS, SURVIVED};
+use super::quarantine::{UNCONFIRMED_CRASH_PREFIX, CRASH_REPORT_PREFIX, HARMLESS_PREFIX};
 use super::upstream::Upstream;
 use super::versions::{Declaration, Declarations};
 use crate::clock::Millis;
@@ -123,7 +123,7 @@
 
 /// Returns the request that a survivor's record is for.
 fn survivor(name: &str) -> Option<Fingerprint> {
-    Fingerprint::read(name.strip_prefix(SURVIVED)?)
+    Fingerprint::read(name.strip_prefix(HARMLESS_PREFIX)?)
 }
 
 /// Name of a claim, with the engine's address behind it.
@@ -382,8 +382,8 @@
             self.ledger.clear(&request, revision);
             return Evidence::Taken;
         }
-        let is_end = name.starts_with(ENDS);
-        if !is_end && !name.starts_with(BROKE) {
+        let is_end = name.starts_with(CRASH_REPORT_PREFIX);
+        if !is_end && !name.starts_with(UNCONFIRMED_CRASH_PREFIX) {
             return Evidence::Other;
         }
         match serde_json::from_slice::<CrashReport>(value) {
--- a/lib/tests/test_direct_quarantine.rs
+++ b/lib/tests/test_direct_quarantine.rs
@@ -11,7 +11,7 @@
 use bytes::Bytes;
 use chivevalve::clock::{Clock, Millis, Monotonic};
 use chivevalve::direct::outbox::{Others, Outbox};
-use chivevalve::direct::quarantine::{ENDS, Quarantine};
+use chivevalve::direct::quarantine::{CRASH_REPORT_PREFIX, Quarantine};
 use chivevalve::direct::upstream::Upstream;
 use chivevalve::direct::view::{Evidence, View};
 use chivevalve::name::Name;
@@ -90,7 +90,7 @@
     fn written(&self) -> Option<CrashReport> {
         let state = self.store.state();
         let mut entries = state.entries.values();
-        let entry = entries.find(|entry| entry.key.contains(ENDS))?;
+        let entry = entries.find(|entry| entry.key.contains(CRASH_REPORT_PREFIX))?;
         Some(serde_json::from_slice(&entry.value).unwrap())
     }
 }
