--- a/lib/src/direct/quarantine.rs
+++ b/lib/src/direct/quarantine.rs
@@ -64,7 +64,7 @@
 ///
 /// Engines that end under a request do so within some steps of its first token, and an event can
 /// hold just one token.
-pub const SETTLED: Millis = Millis(300);
+pub const HARMLESS_AFTER: Millis = Millis(300);
 
 /// What is known of requests that end upstreams.
 #[derive(Debug)]
--- a/lib/src/direct/relay.rs
+++ b/lib/src/direct/relay.rs
@@ -11,7 +11,7 @@
 use super::attempt::Answer;
 use super::entry::{CLASS, seconds};
 use super::handover::{Handover, Moved, Reply};
-use super::quarantine::SETTLED;
+use super::quarantine::HARMLESS_AFTER;
 use super::record::End;
 use super::request::ActiveRequest;
 use super::sequence::{Sequence, Step};
@@ -151,7 +151,7 @@
         }
         match self.progress {
             Progress::Nothing => self.progress = Progress::Brought(now),
-            Progress::Brought(first) if now.since(first) >= SETTLED => self.settle(),
+            Progress::Brought(first) if now.since(first) >= HARMLESS_AFTER => self.settle(),
             Progress::Brought(_) | Progress::Settled => {}
         }
         match self.passed_on.replace(now) {
--- a/lib/src/entry/quarantine.rs
+++ b/lib/src/entry/quarantine.rs
@@ -29,7 +29,7 @@
 const WATCHED: Millis = Millis(5_000);
 
 /// How long a run has to go on behind its first piece until it counts as survived.
-pub const SETTLED: Millis = Millis(300);
+pub const HARMLESS_AFTER: Millis = Millis(300);
 
 /// Ends that speak against a request from which on its survival is told to all nodes.
 const CLEARED_FROM: usize = 2;
--- a/lib/src/entry/relay.rs
+++ b/lib/src/entry/relay.rs
@@ -11,7 +11,7 @@
 
 use super::answer::{self, Body, Problem};
 use super::dispatch::{Flow, Form, Outcome};
-use super::quarantine::SETTLED;
+use super::quarantine::HARMLESS_AFTER;
 use super::service;
 use super::session::Session;
 use super::sse::Splitter;
@@ -266,7 +266,7 @@
         }
         self.last = Some(now);
         let first = *self.first.get_or_insert(now);
-        if now.since(first) >= SETTLED {
+        if now.since(first) >= HARMLESS_AFTER {
             self.settle();
         }
     }
