--- a/lib/src/direct/ask/tell.rs
+++ b/lib/src/direct/ask/tell.rs
@@ -7,7 +7,7 @@
 
 use super::Controllers;
 use crate::clock::Millis;
-use crate::direct::outbox::Others;
+use crate::direct::outbox::PeerBroadcast;
 use crate::name::Name;
 use crate::schema::direct::TellRequest;
 
@@ -15,7 +15,7 @@
 const TELL: Millis = Millis(300);
 
 #[async_trait]
-impl Others for Controllers {
+impl PeerBroadcast for Controllers {
     async fn tell(&self, name: &Name, value: &Bytes) {
         let others: Vec<SocketAddr> = {
             let state = self.view.state();
--- a/lib/src/direct/outbox.rs
+++ b/lib/src/direct/outbox.rs
@@ -34,7 +34,7 @@
 /// Without it each node counts for itself then, and a request that ends three engines ends three
 /// for each node.
 #[async_trait]
-pub trait Others: fmt::Debug + Send + Sync {
+pub trait PeerBroadcast: fmt::Debug + Send + Sync {
     /// Tells all other nodes that are known; none of them has to answer.
     async fn tell(&self, name: &Name, value: &Bytes);
 }
@@ -62,7 +62,7 @@
     lease: Arc<dyn Lease>,
     dialect: Arc<dyn Dialect>,
     clock: Arc<dyn Clock>,
-    others: Arc<dyn Others>,
+    others: Arc<dyn PeerBroadcast>,
     waiting: Mutex<Waiting>,
     /// Wakes whoever waits until nothing waits.
     emptied: Notify,
@@ -78,7 +78,7 @@
         lease: Arc<dyn Lease>,
         dialect: Arc<dyn Dialect>,
         clock: Arc<dyn Clock>,
-        others: Arc<dyn Others>,
+        others: Arc<dyn PeerBroadcast>,
     ) -> Self {
         Self {
             store,
--- a/lib/tests/test_direct_quarantine.rs
+++ b/lib/tests/test_direct_quarantine.rs
@@ -10,7 +10,7 @@
 use async_trait::async_trait;
 use bytes::Bytes;
 use chivevalve::clock::{Clock, Millis, Monotonic};
-use chivevalve::direct::outbox::{Others, Outbox};
+use chivevalve::direct::outbox::{PeerBroadcast, Outbox};
 use chivevalve::direct::quarantine::{CRASH_REPORT_PREFIX, Quarantine};
 use chivevalve::direct::upstream::Upstream;
 use chivevalve::direct::view::{Evidence, View};
@@ -26,7 +26,7 @@
 struct Nobody;
 
 #[async_trait]
-impl Others for Nobody {
+impl PeerBroadcast for Nobody {
     async fn tell(&self, _: &Name, _: &Bytes) {}
 }
 
@@ -35,7 +35,7 @@
 struct Other(Arc<View>);
 
 #[async_trait]
-impl Others for Other {
+impl PeerBroadcast for Other {
     async fn tell(&self, name: &Name, value: &Bytes) {
         let taken = self.0.state().put_evidence(name, value, None, NOW);
         assert_eq!(taken, Evidence::Taken);
@@ -56,7 +56,7 @@
     node("node-1", Arc::new(Nobody))
 }
 
-fn node(name: &str, others: Arc<dyn Others>) -> World {
+fn node(name: &str, others: Arc<dyn PeerBroadcast>) -> World {
     let view = Arc::new(View::default());
     let store = Arc::new(Memory::default());
     let clock: Arc<dyn Clock> = Arc::new(Monotonic::start());
