--- a/cli/src/daemon/platform.rs
+++ b/cli/src/daemon/platform.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use chivevalve::clock::Millis;
-use chivevalve::direct::node::{Node, Reach, Settings};
+use chivevalve::direct::node::{Node, PlatformClients, Settings};
 use chivevalve::direct::reload::Reload;
 use chivevalve_platform::settings::{self, Mistake};
 use chivevalve_platform::{Speech, store};
@@ -40,7 +40,7 @@
 async fn run(settings: Settings) -> Result<ExitCode> {
     let mut signals = Signals::new()?;
     let store = Arc::new(store::Client::new(settings.store));
-    let reach = Reach {
+    let reach = PlatformClients {
         dialect: Arc::new(Speech),
         store: Arc::<store::Client>::clone(&store),
         lease: Arc::<store::Client>::clone(&store),
--- a/lib/src/direct/node.rs
+++ b/lib/src/direct/node.rs
@@ -81,7 +81,7 @@
 
 /// What reaches the platform.
 #[derive(Debug, Clone)]
-pub struct Reach {
+pub struct PlatformClients {
     /// Formats.
     pub dialect: Arc<dyn Dialect>,
     /// The key-value service.
@@ -133,7 +133,7 @@
     /// # Errors
     ///
     /// When one of its addresses can't be listened at.
-    pub fn start(settings: &Settings, reach: Reach) -> Result<Self> {
+    pub fn start(settings: &Settings, reach: PlatformClients) -> Result<Self> {
         let listeners = Listeners::bind(settings)?;
         let clock: Arc<dyn Clock> = Arc::new(Boot);
         let view = Arc::new(View::default());
