--- a/lib/src/direct/node.rs
+++ b/lib/src/direct/node.rs
@@ -272,7 +272,7 @@
         let clock = Arc::clone(&self.gate.clock);
         let end = clock.now() + self.limits.get().stop - END_MARGIN;
         self.gate.stop.begin(end);
-        give_notice(self.claimer.leave()).await;
+        release_claims_before_close(self.claimer.leave()).await;
         self.closing.cancel();
         self.finish(end).await;
         self.report(end).await;
@@ -327,7 +327,7 @@
 ///
 /// The key-value service can be silent. Were it waited for first, the callers' port would be open
 /// for as much longer, and requests that come late would be cut off at the end of the stop.
-pub async fn give_notice(leave: impl Future<Output = Result<(), Error>>) {
+pub async fn release_claims_before_close(leave: impl Future<Output = Result<(), Error>>) {
     let noticed = tokio::time::sleep(NOTICE.duration());
     let (left, ()) = tokio::join!(tokio::time::timeout(NOTICE.duration(), leave), noticed);
     match left {
--- a/lib/tests/test_direct_stop.rs
+++ b/lib/tests/test_direct_stop.rs
@@ -1,7 +1,7 @@
 //! A planned stop, in virtual time.
 
 use chivevalve::clock::Millis;
-use chivevalve::direct::node::give_notice;
+use chivevalve::direct::node::release_claims_before_close;
 use chivevalve::ports::Error;
 use tokio::time::Instant;
 
@@ -16,7 +16,7 @@
 async fn give_notice_while_the_service_is_silent() {
     let took = async |leave: Millis| {
         let began = Instant::now();
-        give_notice(async move {
+        release_claims_before_close(async move {
             tokio::time::sleep(leave.duration()).await;
             Err(Error::NoAnswer("as the test says".to_owned()))
         })
