--- a/lib/src/direct/dialect.rs
+++ b/lib/src/direct/dialect.rs
@@ -18,7 +18,7 @@
 /// Why a value of the platform can't be read.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 #[error("{what} can't be read: {detail}")]
-pub struct Unreadable {
+pub struct DecodeError {
     /// What was read.
     pub what: &'static str,
     /// Where it went wrong.
@@ -253,21 +253,21 @@
     /// # Errors
     ///
     /// When it isn't what the platform promises.
-    fn config(&self, value: &[u8]) -> Result<Config, Unreadable>;
+    fn config(&self, value: &[u8]) -> Result<Config, DecodeError>;
 
     /// Reads an upstream's entry.
     ///
     /// # Errors
     ///
     /// When it isn't what the platform promises.
-    fn upstream(&self, incarnation: &Name, value: &[u8]) -> Result<Listed, Unreadable>;
+    fn upstream(&self, incarnation: &Name, value: &[u8]) -> Result<Listed, DecodeError>;
 
     /// Reads the newest version of an adapter (`BASE/NAME`) or a base model (`BASE`).
     ///
     /// # Errors
     ///
     /// When it isn't what the platform promises.
-    fn version(&self, value: &[u8]) -> Result<(Name, u64), Unreadable>;
+    fn version(&self, value: &[u8]) -> Result<(Name, u64), DecodeError>;
 
     /// Writes an order for one incarnation of an engine.
     fn order(&self, incarnation: &str, order: &Order) -> Request<Full<Bytes>>;
@@ -283,7 +283,7 @@
     /// # Errors
     ///
     /// When it isn't what the platform promises.
-    fn report(&self, body: &[u8]) -> Result<Report, Unreadable>;
+    fn report(&self, body: &[u8]) -> Result<Report, DecodeError>;
 
     /// Asks an engine to stop a request's run and to copy its memory to the engine at `to`.
     fn ask_transfer(
