--- a/lib/src/direct/dialect.rs
+++ b/lib/src/direct/dialect.rs
@@ -27,7 +27,7 @@
 
 /// An upstream as it describes itself in the platform's list.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Listed {
+pub struct UpstreamEntry {
     /// One start of the upstream; a restart has another.
     pub incarnation: Name,
     /// The pool that it belongs to.
@@ -260,7 +260,7 @@
     /// # Errors
     ///
     /// When it isn't what the platform promises.
-    fn upstream(&self, incarnation: &Name, value: &[u8]) -> Result<Listed, DecodeError>;
+    fn upstream(&self, incarnation: &Name, value: &[u8]) -> Result<UpstreamEntry, DecodeError>;
 
     /// Reads the newest version of an adapter (`BASE/NAME`) or a base model (`BASE`).
     ///
--- a/lib/src/direct/upstream.rs
+++ b/lib/src/direct/upstream.rs
@@ -7,7 +7,7 @@
 
 use super::admit::Permit;
 use super::call::base_of;
-use super::dialect::{Held, Listed};
+use super::dialect::{Held, UpstreamEntry};
 use super::presence::{Presence, Stage, Written};
 use crate::clock::Millis;
 use crate::name::Name;
@@ -134,7 +134,7 @@
 impl Upstream {
     /// Makes an upstream from its entry in the list.
     #[must_use]
-    pub fn new(listed: &Listed, written: Written, connections: usize, now: Millis) -> Self {
+    pub fn new(listed: &UpstreamEntry, written: Written, connections: usize, now: Millis) -> Self {
         let bounds = Bounds {
             connect: CONNECT,
             idle: IDLE,
@@ -166,7 +166,7 @@
     }
 
     /// Takes in an entry of the list, unless a newer one is known.
-    pub fn update(&self, listed: &Listed, written: Written) {
+    pub fn update(&self, listed: &UpstreamEntry, written: Written) {
         if self.note(|presence| presence.entry(written, listed.ready)) {
             self.hold(&listed.held);
         }
--- a/lib/src/direct/view.rs
+++ b/lib/src/direct/view.rs
@@ -12,7 +12,7 @@
 use tokio::sync::Notify;
 
 use super::config::Config;
-use super::dialect::{Dialect, Key, Listed};
+use super::dialect::{Dialect, Key, UpstreamEntry};
 use super::presence::Written;
 use super::quarantine::{UNCONFIRMED_CRASH_PREFIX, CRASH_REPORT_PREFIX, HARMLESS_PREFIX};
 use super::upstream::Upstream;
@@ -233,7 +233,7 @@
     ///
     /// An entry of an earlier start than is known is left aside: it was written late, or by
     /// somebody else. One of a later start is another upstream, which knows nothing of before.
-    pub fn list(&mut self, listed: &Listed, written: Written, now: Millis) {
+    pub fn list(&mut self, listed: &UpstreamEntry, written: Written, now: Millis) {
         let known = self.upstreams.get(&listed.incarnation);
         if known.is_some_and(|upstream| listed.held.born > upstream.born) {
             log::info!("view: {} has started again", listed.incarnation);
--- a/lib/tests/direct_support/records.rs
+++ b/lib/tests/direct_support/records.rs
@@ -3,14 +3,14 @@
 use std::net::SocketAddr;
 
 use chivevalve::clock::Millis;
-use chivevalve::direct::dialect::{Held, Listed};
+use chivevalve::direct::dialect::{Held, UpstreamEntry};
 use chivevalve::direct::presence::Written;
 use chivevalve::direct::view::Peer;
 use chivevalve::name::Name;
 
 /// An engine of failure domain `hall-a` that is ready and holds the base model and some adapters.
-pub fn listed(incarnation: &str, adapters: &[(&str, u64)]) -> Listed {
-    Listed {
+pub fn listed(incarnation: &str, adapters: &[(&str, u64)]) -> UpstreamEntry {
+    UpstreamEntry {
         incarnation: incarnation.into(),
         pool: "engines".into(),
         address: SocketAddr::from(([127, 0, 0, 1], 1)),
--- a/lib/tests/test_direct_admission.rs
+++ b/lib/tests/test_direct_admission.rs
@@ -10,7 +10,7 @@
 use chivevalve::direct::admit::{Answer, Question};
 use chivevalve::direct::ask::Controllers;
 use chivevalve::direct::choice::{self, MOST_QUESTIONS};
-use chivevalve::direct::dialect::Listed;
+use chivevalve::direct::dialect::UpstreamEntry;
 use chivevalve::direct::limits::exchange_pause;
 use chivevalve::direct::pick::{Field, usual_share};
 use chivevalve::direct::right::Right;
@@ -32,8 +32,8 @@
 /// Each engine reads and writes.
 static WHOLE: LazyLock<Roles> = LazyLock::new(Roles::default);
 
-fn engine(number: u16, slots: u32, adapters: &[(&str, u64)]) -> Listed {
-    Listed {
+fn engine(number: u16, slots: u32, adapters: &[(&str, u64)]) -> UpstreamEntry {
+    UpstreamEntry {
         address: SocketAddr::from(([127, 0, 0, 1], 9 + number)),
         slots,
         ..listed(&format!("i-{number}"), adapters)
--- a/lib/tests/test_direct_claims.rs
+++ b/lib/tests/test_direct_claims.rs
@@ -11,7 +11,7 @@
 use chivevalve::direct::ask::Controllers;
 use chivevalve::direct::claim::{Claimer, Refusal, Voters};
 use chivevalve::direct::config::{Config, Engine, Limits as Sent, Pool};
-use chivevalve::direct::dialect::{Dialect, Held, Listed};
+use chivevalve::direct::dialect::{Dialect, Held, UpstreamEntry};
 use chivevalve::direct::follow::Follower;
 use chivevalve::direct::limits::{Current, LEASE, Limits, RIGHT};
 use chivevalve::direct::orders::Loaded;
@@ -171,8 +171,8 @@
     state.list(&listed(), written(1), Millis(100_000));
 }
 
-fn listed() -> Listed {
-    Listed {
+fn listed() -> UpstreamEntry {
+    UpstreamEntry {
         incarnation: "i-1".into(),
         pool: "engines".into(),
         address: address(),
--- a/lib/tests/test_direct_exchange.rs
+++ b/lib/tests/test_direct_exchange.rs
@@ -9,7 +9,7 @@
 use chivevalve::clock::{Clock, Millis, Monotonic};
 use chivevalve::direct::admit::Question;
 use chivevalve::direct::ask::Controllers;
-use chivevalve::direct::dialect::Listed;
+use chivevalve::direct::dialect::UpstreamEntry;
 use chivevalve::direct::right::Right;
 use chivevalve::direct::upstream::{Running, Upstream};
 use chivevalve::direct::view::{Claim, Standing, View};
@@ -40,7 +40,7 @@
             state.join(format!("node-{owner}").into(), peer(address));
         }
         for number in 0..ENGINES {
-            let engine = Listed {
+            let engine = UpstreamEntry {
                 address: SocketAddr::from(([127, 0, 0, 2], number)),
                 ..listed(&format!("i-{number}"), &[("base/a1", 1)])
             };
--- a/lib/tests/test_direct_roles.rs
+++ b/lib/tests/test_direct_roles.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 
 use chivevalve::clock::Millis;
-use chivevalve::direct::dialect::{Held, Listed};
+use chivevalve::direct::dialect::{Held, UpstreamEntry};
 use chivevalve::direct::pick::Field;
 use chivevalve::direct::roles::{Manner, Mix, Roles, may_move};
 use chivevalve::direct::upstream::Upstream;
@@ -20,7 +20,7 @@
 }
 
 fn engine(number: u16) -> Arc<Upstream> {
-    let listed = Listed {
+    let listed = UpstreamEntry {
         incarnation: format!("i-{number}").into(),
         pool: "engines".into(),
         address: address(number),
--- a/lib/tests/test_direct_versions.rs
+++ b/lib/tests/test_direct_versions.rs
@@ -8,7 +8,7 @@
 use chivevalve::direct::ask::Controllers;
 use chivevalve::direct::attempt::{Message, Miss};
 use chivevalve::direct::call::{Call, Kind};
-use chivevalve::direct::dialect::{Dialect, Dispatch, Listed};
+use chivevalve::direct::dialect::{Dialect, Dispatch, UpstreamEntry};
 use chivevalve::direct::entry::Gate;
 use chivevalve::direct::limits::{Current, Limits};
 use chivevalve::direct::right::Right;
@@ -202,7 +202,7 @@
     declare(&gate, 2, Millis(1));
     manual.advance(LIMIT + LIMIT);
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-    let engine = Listed {
+    let engine = UpstreamEntry {
         address: listener.local_addr().unwrap(),
         ..listed("i-1", &[("base/a1", 1)])
     };
