--- a/lib/src/direct/ask/exchange.rs
+++ b/lib/src/direct/ask/exchange.rs
@@ -6,7 +6,7 @@
 
 use super::{Controllers, Silence};
 use crate::clock::Millis;
-use crate::direct::dialect::Held;
+use crate::direct::dialect::LoadedModels;
 use crate::direct::limits::in_use;
 use crate::direct::orders::Used;
 use crate::direct::upstream::Upstream;
@@ -116,7 +116,7 @@
                 continue;
             };
             upstream.heard_load(standing.running, self.clock.now());
-            upstream.hold(&Held {
+            upstream.hold(&LoadedModels {
                 born: standing.born,
                 sequence: standing.sequence,
                 models: standing.models.into_iter().map(Name::from).collect(),
--- a/lib/src/direct/dialect.rs
+++ b/lib/src/direct/dialect.rs
@@ -45,12 +45,12 @@
     /// Time left before it vanishes, if it was given notice.
     pub remaining: Option<Millis>,
     /// What it holds.
-    pub held: Held,
+    pub held: LoadedModels,
 }
 
 /// Base models and adapters that an engine holds.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
-pub struct Held {
+pub struct LoadedModels {
     /// When this start of the engine began, in milliseconds since 1970; 0 where none tells.
     pub born: u64,
     /// Number of orders that this start of the engine has accepted.
@@ -67,7 +67,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Report {
     /// What it holds.
-    pub held: Held,
+    pub held: LoadedModels,
     /// Whether an order is being carried out that keeps others away.
     pub busy: bool,
     /// Requests that wait.
--- a/lib/src/direct/orders/slots/mod.rs
+++ b/lib/src/direct/orders/slots/mod.rs
@@ -16,7 +16,7 @@
 
 use super::message::{Load, Loaded};
 use crate::clock::Millis;
-use crate::direct::dialect::{Held, Ordered, Report};
+use crate::direct::dialect::{LoadedModels, Ordered, Report};
 use crate::name::Name;
 use slot::{Loading, SLOW_LOOK, Slot, Waiter};
 use told::Told;
@@ -97,7 +97,7 @@
         true
     }
 
-    fn merge(&mut self, held: &Held, asked: Millis) {
+    fn merge(&mut self, held: &LoadedModels, asked: Millis) {
         let is_newer = held.sequence != self.sequence;
         let mut told = Told::by_name(held);
         let known = std::mem::take(&mut self.by_adapter);
@@ -326,7 +326,7 @@
 
     /// Returns what the engine holds for requests.
     #[must_use]
-    pub fn held(&self) -> Held {
+    pub fn held(&self) -> LoadedModels {
         let held = self
             .by_adapter
             .iter()
@@ -334,7 +334,7 @@
                 Slot::Present { version, .. } => Some((Name::clone(name), *version)),
                 Slot::Loading(_) => None,
             });
-        Held {
+        LoadedModels {
             born: self.born,
             sequence: self.sequence,
             models: self.models.clone(),
--- a/lib/src/direct/orders/slots/told.rs
+++ b/lib/src/direct/orders/slots/told.rs
@@ -4,7 +4,7 @@
 
 use super::slot::{Loading, Slot};
 use crate::clock::Millis;
-use crate::direct::dialect::Held;
+use crate::direct::dialect::LoadedModels;
 use crate::name::Name;
 
 /// What a report tells of one adapter.
@@ -17,7 +17,7 @@
 }
 
 impl Told {
-    pub(super) fn by_name(held: &Held) -> BTreeMap<Name, Self> {
+    pub(super) fn by_name(held: &LoadedModels) -> BTreeMap<Name, Self> {
         let mut all: BTreeMap<Name, Self> = BTreeMap::new();
         for (name, version) in &held.adapters {
             all.entry(Name::clone(name)).or_default().present = Some(*version);
--- a/lib/src/direct/upstream.rs
+++ b/lib/src/direct/upstream.rs
@@ -7,7 +7,7 @@
 
 use super::admit::Permit;
 use super::call::base_of;
-use super::dialect::{Held, UpstreamEntry};
+use super::dialect::{LoadedModels, UpstreamEntry};
 use super::presence::{Presence, Stage, Written};
 use crate::clock::Millis;
 use crate::name::Name;
@@ -201,7 +201,7 @@
     /// count begins anew then, so that news of the former start would look newer for as many
     /// orders as that one took, and requests would go to adapters that are gone. The time of
     /// the start goes first therefore.
-    pub fn hold(&self, held: &Held) {
+    pub fn hold(&self, held: &LoadedModels) {
         let mut holdings = self.holdings();
         if (held.born, held.sequence) < (holdings.born, holdings.sequence) {
             return;
@@ -214,9 +214,9 @@
 
     /// Returns what the upstream is known to hold.
     #[must_use]
-    pub fn held(&self) -> Held {
+    pub fn held(&self) -> LoadedModels {
         let holdings = self.holdings();
-        Held {
+        LoadedModels {
             born: holdings.born,
             sequence: holdings.sequence,
             models: holdings.models.clone(),
--- a/lib/tests/direct_support/records.rs
+++ b/lib/tests/direct_support/records.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use chivevalve::clock::Millis;
-use chivevalve::direct::dialect::{Held, UpstreamEntry};
+use chivevalve::direct::dialect::{LoadedModels, UpstreamEntry};
 use chivevalve::direct::presence::Written;
 use chivevalve::direct::view::Peer;
 use chivevalve::name::Name;
@@ -19,7 +19,7 @@
         ready: true,
         cold: Millis::ZERO,
         remaining: None,
-        held: Held {
+        held: LoadedModels {
             born: 0,
             sequence: 3,
             models: vec!["base".into()],
--- a/lib/tests/slots_model/engine.rs
+++ b/lib/tests/slots_model/engine.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use chivevalve::clock::Millis;
-use chivevalve::direct::dialect::{Held, Ordered, Report};
+use chivevalve::direct::dialect::{LoadedModels, Ordered, Report};
 use chivevalve::name::Name;
 
 /// The version that an order without one means.
@@ -25,11 +25,11 @@
 /// The engine.
 #[derive(Debug)]
 pub struct Engine {
-    held: Held,
+    held: LoadedModels,
     adapters: BTreeMap<Name, u64>,
     transits: BTreeMap<Name, Transit>,
     /// What it held, by the time since when.
-    past: Vec<(Millis, Held)>,
+    past: Vec<(Millis, LoadedModels)>,
     /// Orders to refuse.
     refusals: u64,
     /// Replacements wait for runs.
@@ -38,9 +38,9 @@
 
 impl Engine {
     pub fn new(now: Millis) -> Self {
-        let held = Held {
+        let held = LoadedModels {
             born: 1,
-            ..Held::default()
+            ..LoadedModels::default()
         };
         Self {
             past: vec![(now, held.clone())],
@@ -104,7 +104,7 @@
 
     /// Whether it held an adapter in a version not long ago; 0 is any.
     pub fn held_lately(&self, adapter: &str, version: u64, now: Millis) -> bool {
-        let holds = |held: &Held| {
+        let holds = |held: &LoadedModels| {
             let mut adapters = held.adapters.iter();
             adapters.any(|(name, held)| &**name == adapter && (version == 0 || *held == version))
         };
--- a/lib/tests/test_direct_claims.rs
+++ b/lib/tests/test_direct_claims.rs
@@ -11,7 +11,7 @@
 use chivevalve::direct::ask::Controllers;
 use chivevalve::direct::claim::{Claimer, Refusal, Voters};
 use chivevalve::direct::config::{Config, Engine, Limits as Sent, Pool};
-use chivevalve::direct::dialect::{Dialect, Held, UpstreamEntry};
+use chivevalve::direct::dialect::{Dialect, LoadedModels, UpstreamEntry};
 use chivevalve::direct::follow::Follower;
 use chivevalve::direct::limits::{Current, LEASE, Limits, RIGHT};
 use chivevalve::direct::orders::Loaded;
@@ -181,7 +181,7 @@
         ready: true,
         cold: Millis::ZERO,
         remaining: None,
-        held: Held::default(),
+        held: LoadedModels::default(),
     }
 }
 
--- a/lib/tests/test_direct_parts.rs
+++ b/lib/tests/test_direct_parts.rs
@@ -6,7 +6,7 @@
 
 use chivevalve::clock::Millis;
 use chivevalve::direct::budget::Budget;
-use chivevalve::direct::dialect::Held;
+use chivevalve::direct::dialect::LoadedModels;
 use chivevalve::direct::limits::{Current, Limits, Retries, exchange_pause, in_use};
 use chivevalve::direct::pick::{Field, MOST_HOMES};
 use chivevalve::direct::roles::Roles;
@@ -244,7 +244,7 @@
 #[test]
 fn hold_of_a_former_start_left_aside() {
     let engine = upstream("i-1", "hall-a");
-    let held = |born: u64, sequence: u64, adapter: &str| Held {
+    let held = |born: u64, sequence: u64, adapter: &str| LoadedModels {
         born,
         sequence,
         models: vec!["base".into()],
--- a/lib/tests/test_direct_roles.rs
+++ b/lib/tests/test_direct_roles.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 
 use chivevalve::clock::Millis;
-use chivevalve::direct::dialect::{Held, UpstreamEntry};
+use chivevalve::direct::dialect::{LoadedModels, UpstreamEntry};
 use chivevalve::direct::pick::Field;
 use chivevalve::direct::roles::{Manner, Mix, Roles, may_move};
 use chivevalve::direct::upstream::Upstream;
@@ -29,7 +29,7 @@
         ready: true,
         cold: Millis::ZERO,
         remaining: None,
-        held: Held::default(),
+        held: LoadedModels::default(),
     };
     Arc::new(Upstream::new(&listed, written(1), 8, Millis::ZERO))
 }
--- a/lib/tests/test_direct_slots.rs
+++ b/lib/tests/test_direct_slots.rs
@@ -3,7 +3,7 @@
 mod slots_model;
 
 use chivevalve::clock::Millis;
-use chivevalve::direct::dialect::{Held, Ordered, Report};
+use chivevalve::direct::dialect::{LoadedModels, Ordered, Report};
 use chivevalve::direct::orders::slots::{LONGEST_LOAD, Look, REPORT_AGE, Slots};
 use chivevalve::direct::orders::{Load, Loaded};
 use quickcheck::{Gen, QuickCheck};
@@ -14,11 +14,11 @@
 
 fn report(sequence: u64, adapters: &[(&str, u64)], incoming: &[(&str, u64)]) -> Report {
     let named = |all: &[(&str, u64)]| all.iter().map(|(name, v)| ((*name).into(), *v)).collect();
-    let held = Held {
+    let held = LoadedModels {
         sequence,
         adapters: named(adapters),
         incoming: named(incoming),
-        ..Held::default()
+        ..LoadedModels::default()
     };
     Report {
         held,
