--- a/lib/src/direct/dialect.rs
+++ b/lib/src/direct/dialect.rs
@@ -65,7 +65,7 @@
 
 /// What an engine says when it is asked.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
-pub struct Report {
+pub struct EngineStatus {
     /// What it holds.
     pub held: LoadedModels,
     /// Whether an order is being carried out that keeps others away.
@@ -283,7 +283,7 @@
     /// # Errors
     ///
     /// When it isn't what the platform promises.
-    fn report(&self, body: &[u8]) -> Result<Report, DecodeError>;
+    fn report(&self, body: &[u8]) -> Result<EngineStatus, DecodeError>;
 
     /// Asks an engine to stop a request's run and to copy its memory to the engine at `to`.
     fn ask_transfer(
--- a/lib/src/direct/orders/engine.rs
+++ b/lib/src/direct/orders/engine.rs
@@ -7,7 +7,7 @@
 use crate::clock::{Clock, Millis};
 use crate::direct::admission::Table;
 use crate::direct::config::Engine;
-use crate::direct::dialect::{Dialect, Order, Ordered, Report};
+use crate::direct::dialect::{Dialect, Order, Ordered, EngineStatus};
 use crate::direct::question;
 use crate::direct::right::Right;
 use crate::direct::upstream::Upstream;
@@ -80,13 +80,13 @@
     }
 
     /// Asks the engine what it holds; the error is for people.
-    pub(super) async fn report(&self) -> Result<Report, String> {
+    pub(super) async fn report(&self) -> Result<EngineStatus, String> {
         tokio::time::timeout(ANSWER.duration(), self.ask_report())
             .await
             .unwrap_or_else(|_| Err(format!("nothing within {ANSWER}")))
     }
 
-    async fn ask_report(&self) -> Result<Report, String> {
+    async fn ask_report(&self) -> Result<EngineStatus, String> {
         let request = self.dialect.ask_report(&self.upstream.incarnation);
         let (head, body) = question::ask(&*self.dialect, &self.upstream, request).await?;
         if !head.status.is_success() {
--- a/lib/src/direct/orders/slots/mod.rs
+++ b/lib/src/direct/orders/slots/mod.rs
@@ -16,7 +16,7 @@
 
 use super::message::{Load, Loaded};
 use crate::clock::Millis;
-use crate::direct::dialect::{LoadedModels, Ordered, Report};
+use crate::direct::dialect::{LoadedModels, Ordered, EngineStatus};
 use crate::name::Name;
 use slot::{Loading, SLOW_LOOK, Slot, Waiter};
 use told::Told;
@@ -67,7 +67,7 @@
 impl Slots {
     /// Takes in the first report of an engine, asked for at `asked`.
     #[must_use]
-    pub fn new(report: &Report, asked: Millis) -> Self {
+    pub fn new(report: &EngineStatus, asked: Millis) -> Self {
         let mut slots = Self {
             born: report.held.born,
             ..Self::default()
@@ -77,7 +77,7 @@
     }
 
     /// Takes in a report that was asked for at `asked`; false if it is older than what is known.
-    pub fn report(&mut self, report: &Report, asked: Millis) -> bool {
+    pub fn report(&mut self, report: &EngineStatus, asked: Millis) -> bool {
         let held = &report.held;
         if held.born > self.born {
             self.answer_all(Loaded::Failed);
--- a/lib/tests/slots_model/engine.rs
+++ b/lib/tests/slots_model/engine.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use chivevalve::clock::Millis;
-use chivevalve::direct::dialect::{LoadedModels, Ordered, Report};
+use chivevalve::direct::dialect::{LoadedModels, Ordered, EngineStatus};
 use chivevalve::name::Name;
 
 /// The version that an order without one means.
@@ -93,12 +93,12 @@
     }
 
     /// What a report says whose values are of this moment.
-    pub fn report(&self, at: Millis) -> Report {
+    pub fn report(&self, at: Millis) -> EngineStatus {
         let past = self.past.iter().rev().find(|(since, _)| *since <= at);
         let (_, held) = past.unwrap_or(&self.past[0]);
-        Report {
+        EngineStatus {
             held: held.clone(),
-            ..Report::default()
+            ..EngineStatus::default()
         }
     }
 
--- a/lib/tests/test_direct_slots.rs
+++ b/lib/tests/test_direct_slots.rs
@@ -3,7 +3,7 @@
 mod slots_model;
 
 use chivevalve::clock::Millis;
-use chivevalve::direct::dialect::{LoadedModels, Ordered, Report};
+use chivevalve::direct::dialect::{LoadedModels, Ordered, EngineStatus};
 use chivevalve::direct::orders::slots::{LONGEST_LOAD, Look, REPORT_AGE, Slots};
 use chivevalve::direct::orders::{Load, Loaded};
 use quickcheck::{Gen, QuickCheck};
@@ -12,7 +12,7 @@
 
 const NOW: Millis = Millis(10_000);
 
-fn report(sequence: u64, adapters: &[(&str, u64)], incoming: &[(&str, u64)]) -> Report {
+fn report(sequence: u64, adapters: &[(&str, u64)], incoming: &[(&str, u64)]) -> EngineStatus {
     let named = |all: &[(&str, u64)]| all.iter().map(|(name, v)| ((*name).into(), *v)).collect();
     let held = LoadedModels {
         sequence,
@@ -20,9 +20,9 @@
         incoming: named(incoming),
         ..LoadedModels::default()
     };
-    Report {
+    EngineStatus {
         held,
-        ..Report::default()
+        ..EngineStatus::default()
     }
 }
 
