--- a/lib/src/direct/dialect.rs
+++ b/lib/src/direct/dialect.rs
@@ -115,7 +115,7 @@
 
 /// How an engine answered an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Ordered {
+pub enum OrderOutcome {
     /// It is being carried out.
     Started,
     /// What it asks for holds already.
@@ -130,7 +130,7 @@
     Refused,
 }
 
-impl Ordered {
+impl OrderOutcome {
     /// Returns the name used in logs and metrics.
     #[must_use]
     pub const fn name(self) -> &'static str {
@@ -273,7 +273,7 @@
     fn order(&self, incarnation: &str, order: &Order) -> Request<Full<Bytes>>;
 
     /// Reads an engine's answer to an order.
-    fn ordered(&self, head: &response::Parts) -> Ordered;
+    fn ordered(&self, head: &response::Parts) -> OrderOutcome;
 
     /// Asks an engine for its report.
     fn ask_report(&self, incarnation: &str) -> Request<Full<Bytes>>;
--- a/lib/src/direct/orders/change.rs
+++ b/lib/src/direct/orders/change.rs
@@ -3,7 +3,7 @@
 use super::Controller;
 use super::slots::Slots;
 use crate::clock::Millis;
-use crate::direct::dialect::{Action, Order, Ordered};
+use crate::direct::dialect::{Action, Order, OrderOutcome};
 use crate::name::Name;
 use crate::ports::link::Lost;
 
@@ -34,7 +34,7 @@
         action: Action,
         model: &Name,
         version: Option<u64>,
-    ) -> Option<Ordered> {
+    ) -> Option<OrderOutcome> {
         let now = self.parts.clock.now();
         let alone = self.doubtful(now) == 0;
         let mut outcome = self.order(action, model, version).await;
@@ -45,21 +45,21 @@
             let sequence = self.slots.as_ref()?.sequence();
             self.doubtful.push((sequence, now + LATE));
             outcome = match self.order(action, model, version).await {
-                Some(Ordered::Conflict) if alone => Some(Ordered::Started),
+                Some(OrderOutcome::Conflict) if alone => Some(OrderOutcome::Started),
                 other => other,
             };
         }
         self.record(action, model, version, outcome);
-        let accepted = outcome == Some(Ordered::Started)
-            || (outcome == Some(Ordered::Holds) && action == Action::Unload);
+        let accepted = outcome == Some(OrderOutcome::Started)
+            || (outcome == Some(OrderOutcome::Holds) && action == Action::Unload);
         if accepted && let Some(slots) = &mut self.slots {
             slots.accepted(self.parts.clock.now());
         }
         outcome
     }
 
-    fn record(&self, action: Action, model: &Name, version: Option<u64>, outcome: Option<Ordered>) {
-        let outcome = outcome.map_or("none", Ordered::name);
+    fn record(&self, action: Action, model: &Name, version: Option<u64>, outcome: Option<OrderOutcome>) {
+        let outcome = outcome.map_or("none", OrderOutcome::name);
         let orders = &self.parts.metrics.orders;
         orders.with_label_values(&[action.name(), outcome]).inc();
         log::info!(
@@ -78,7 +78,7 @@
         action: Action,
         model: &Name,
         version: Option<u64>,
-    ) -> Option<Ordered> {
+    ) -> Option<OrderOutcome> {
         let sequence = self.slots.as_ref()?.sequence();
         let order = Order {
             action,
--- a/lib/src/direct/orders/engine.rs
+++ b/lib/src/direct/orders/engine.rs
@@ -7,7 +7,7 @@
 use crate::clock::{Clock, Millis};
 use crate::direct::admission::Table;
 use crate::direct::config::Engine;
-use crate::direct::dialect::{Dialect, Order, Ordered, EngineStatus};
+use crate::direct::dialect::{Dialect, Order, OrderOutcome, EngineStatus};
 use crate::direct::question;
 use crate::direct::right::Right;
 use crate::direct::upstream::Upstream;
@@ -53,7 +53,7 @@
 
 impl Parts {
     /// Sends an order if this node may give it at this moment.
-    pub(super) async fn give(&self, mut order: Order) -> Result<Ordered, Lost> {
+    pub(super) async fn give(&self, mut order: Order) -> Result<OrderOutcome, Lost> {
         let upstream = &self.upstream;
         let mut connection = upstream.link.take(FRESH).await?;
         // A VM can be suspended between any two lines; the right is looked at
--- a/lib/src/direct/orders/load.rs
+++ b/lib/src/direct/orders/load.rs
@@ -6,7 +6,7 @@
 use super::slots::{Look, Slots, answer};
 use super::{Controller, MOST_IN_TRANSIT, MOST_INCOMING};
 use crate::clock::Millis;
-use crate::direct::dialect::{Action, Order, Ordered};
+use crate::direct::dialect::{Action, Order, OrderOutcome};
 use crate::name::Name;
 
 /// Loads that may wait for a place on their way.
@@ -59,23 +59,23 @@
         })
     }
 
-    fn started(&mut self, load: Load, outcome: Option<Ordered>) {
+    fn started(&mut self, load: Load, outcome: Option<OrderOutcome>) {
         let now = self.parts.clock.now();
         let Some(slots) = &mut self.slots else {
             answer(load.reply, Loaded::Failed);
             return;
         };
         match outcome {
-            Some(Ordered::Holds) => {
+            Some(OrderOutcome::Holds) => {
                 slots.holds(load, now);
                 self.publish();
             }
-            Some(Ordered::Started) => {
+            Some(OrderOutcome::Started) => {
                 slots.began(load, now);
                 self.publish();
             }
-            Some(Ordered::Fenced) => answer(load.reply, Loaded::NotOwner),
-            Some(Ordered::Conflict | Ordered::Elsewhere | Ordered::Refused) => {
+            Some(OrderOutcome::Fenced) => answer(load.reply, Loaded::NotOwner),
+            Some(OrderOutcome::Conflict | OrderOutcome::Elsewhere | OrderOutcome::Refused) => {
                 self.pause();
                 answer(load.reply, Loaded::Full);
             }
@@ -103,7 +103,7 @@
             return false;
         };
         match outcome {
-            Some(Ordered::Holds) => {
+            Some(OrderOutcome::Holds) => {
                 slots.dropped(&victim);
                 self.publish();
                 self.has_room(adapter, now)
@@ -186,7 +186,7 @@
         };
         let is_known = slots.looked(&look, outcome, now);
         self.stale |= !is_known;
-        if outcome == Some(Ordered::Holds) {
+        if outcome == Some(OrderOutcome::Holds) {
             self.publish();
             self.next().await;
         }
--- a/lib/src/direct/orders/message.rs
+++ b/lib/src/direct/orders/message.rs
@@ -6,7 +6,7 @@
 use super::Controller;
 use super::slots::Look;
 use crate::clock::Millis;
-use crate::direct::dialect::Ordered;
+use crate::direct::dialect::OrderOutcome;
 use crate::name::Name;
 
 /// How an order to make an adapter present ended.
@@ -67,7 +67,7 @@
 #[derive(Debug)]
 pub(super) struct Looked {
     pub(super) look: Look,
-    pub(super) outcome: Option<Ordered>,
+    pub(super) outcome: Option<OrderOutcome>,
 }
 
 impl Message<Load> for Controller {
--- a/lib/src/direct/orders/mod.rs
+++ b/lib/src/direct/orders/mod.rs
@@ -16,7 +16,7 @@
 use kameo::Actor;
 use kameo::actor::ActorRef;
 
-use super::dialect::{Action, Ordered};
+use super::dialect::{Action, OrderOutcome};
 use super::limits::IN_USE;
 use crate::clock::Millis;
 use crate::name::Name;
@@ -185,7 +185,7 @@
             "orders: {} is to load {model}: {outcome:?}",
             self.parts.upstream.incarnation
         );
-        if matches!(outcome, Some(Ordered::Started)) {
+        if matches!(outcome, Some(OrderOutcome::Started)) {
             self.base_ordered = Some(now);
         }
     }
--- a/lib/src/direct/orders/slots/mod.rs
+++ b/lib/src/direct/orders/slots/mod.rs
@@ -16,7 +16,7 @@
 
 use super::message::{Load, Loaded};
 use crate::clock::Millis;
-use crate::direct::dialect::{LoadedModels, Ordered, EngineStatus};
+use crate::direct::dialect::{LoadedModels, OrderOutcome, EngineStatus};
 use crate::name::Name;
 use slot::{Loading, SLOW_LOOK, Slot, Waiter};
 use told::Told;
@@ -212,7 +212,7 @@
     }
 
     /// Takes in how the engine answered a look; false if a report has to tell what is wrong.
-    pub fn looked(&mut self, look: &Look, outcome: Option<Ordered>, now: Millis) -> bool {
+    pub fn looked(&mut self, look: &Look, outcome: Option<OrderOutcome>, now: Millis) -> bool {
         let is_current = look.sequence == self.sequence;
         let Some(Slot::Loading(loading)) = self.by_adapter.get_mut(&look.adapter) else {
             return true;
@@ -222,21 +222,21 @@
             return true;
         }
         match outcome {
-            Some(Ordered::Holds) => {
+            Some(OrderOutcome::Holds) => {
                 self.complete(&look.adapter, look.version, now);
                 true
             }
-            Some(Ordered::Fenced | Ordered::Elsewhere) => {
+            Some(OrderOutcome::Fenced | OrderOutcome::Elsewhere) => {
                 if let Some(Slot::Loading(loading)) = self.by_adapter.remove(&look.adapter) {
                     loading.answer(Loaded::Failed);
                 }
                 false
             }
-            Some(Ordered::Conflict) if is_current => {
+            Some(OrderOutcome::Conflict) if is_current => {
                 loading.next_look = now + SLOW_LOOK;
                 false
             }
-            Some(Ordered::Conflict | Ordered::Started | Ordered::Refused) | None => {
+            Some(OrderOutcome::Conflict | OrderOutcome::Started | OrderOutcome::Refused) | None => {
                 loading.next_look = now + loading.pause(now);
                 true
             }
--- a/lib/tests/slots_model/engine.rs
+++ b/lib/tests/slots_model/engine.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use chivevalve::clock::Millis;
-use chivevalve::direct::dialect::{LoadedModels, Ordered, EngineStatus};
+use chivevalve::direct::dialect::{LoadedModels, OrderOutcome, EngineStatus};
 use chivevalve::name::Name;
 
 /// The version that an order without one means.
@@ -125,14 +125,14 @@
                 .count()
     }
 
-    pub fn load(&mut self, adapter: &Name, version: u64, expected: u64, now: Millis) -> Ordered {
+    pub fn load(&mut self, adapter: &Name, version: u64, expected: u64, now: Millis) -> OrderOutcome {
         if self.refuses(expected) {
-            return Ordered::Conflict;
+            return OrderOutcome::Conflict;
         }
         let version = if version == 0 { NEWEST } else { version };
         match self.transits.get(adapter) {
-            Some(transit) if transit.version == version => return Ordered::Started,
-            None if self.adapters.get(adapter) == Some(&version) => return Ordered::Holds,
+            Some(transit) if transit.version == version => return OrderOutcome::Started,
+            None if self.adapters.get(adapter) == Some(&version) => return OrderOutcome::Holds,
             _ => {}
         }
         self.held.sequence += 1;
@@ -140,18 +140,18 @@
         self.transits
             .insert(Name::clone(adapter), Transit { version, until });
         self.remember(now);
-        Ordered::Started
+        OrderOutcome::Started
     }
 
-    pub fn unload(&mut self, adapter: &Name, expected: u64, now: Millis) -> Ordered {
+    pub fn unload(&mut self, adapter: &Name, expected: u64, now: Millis) -> OrderOutcome {
         if self.refuses(expected) {
-            return Ordered::Conflict;
+            return OrderOutcome::Conflict;
         }
         self.held.sequence += 1;
         self.adapters.remove(adapter);
         self.transits.remove(adapter);
         self.remember(now);
-        Ordered::Holds
+        OrderOutcome::Holds
     }
 
     fn refuses(&mut self, expected: u64) -> bool {
--- a/lib/tests/slots_model/mod.rs
+++ b/lib/tests/slots_model/mod.rs
@@ -3,7 +3,7 @@
 mod engine;
 
 use chivevalve::clock::Millis;
-use chivevalve::direct::dialect::Ordered;
+use chivevalve::direct::dialect::OrderOutcome;
 use chivevalve::direct::orders::slots::{LONGEST_LOAD, Look, REPORT_AGE, Slots};
 use chivevalve::direct::orders::{Load, Loaded};
 use chivevalve::name::Name;
@@ -38,7 +38,7 @@
     stale: bool,
     callers: Vec<Caller>,
     /// Answers to looks that are on their way back.
-    answers: Vec<(Look, Option<Ordered>)>,
+    answers: Vec<(Look, Option<OrderOutcome>)>,
     /// When something changed the engine of which this owner wasn't told.
     disturbed: Option<Millis>,
 }
@@ -135,7 +135,7 @@
             let Some(victim) = self.slots.least_used(self.now, |_| false) else {
                 return refuse(load);
             };
-            if self.engine.unload(&victim, self.slots.sequence(), self.now) != Ordered::Holds {
+            if self.engine.unload(&victim, self.slots.sequence(), self.now) != OrderOutcome::Holds {
                 self.stale = true;
                 return refuse(load);
             }
@@ -148,11 +148,11 @@
         let sequence = self.slots.sequence();
         let engine = &mut self.engine;
         match engine.load(&load.adapter, load.version, sequence, self.now) {
-            Ordered::Started => {
+            OrderOutcome::Started => {
                 self.slots.accepted(self.now);
                 self.slots.began(load, self.now);
             }
-            Ordered::Holds => self.slots.holds(load, self.now),
+            OrderOutcome::Holds => self.slots.holds(load, self.now),
             _ => {
                 self.stale = true;
                 refuse(load);
--- a/lib/tests/test_direct_slots.rs
+++ b/lib/tests/test_direct_slots.rs
@@ -3,7 +3,7 @@
 mod slots_model;
 
 use chivevalve::clock::Millis;
-use chivevalve::direct::dialect::{LoadedModels, Ordered, EngineStatus};
+use chivevalve::direct::dialect::{LoadedModels, OrderOutcome, EngineStatus};
 use chivevalve::direct::orders::slots::{LONGEST_LOAD, Look, REPORT_AGE, Slots};
 use chivevalve::direct::orders::{Load, Loaded};
 use quickcheck::{Gen, QuickCheck};
@@ -61,7 +61,7 @@
     assert!(answer.try_recv().is_err());
     let look = look_of(&mut slots, NOW + Millis(300));
     assert_eq!(look.sequence, 1);
-    assert!(slots.looked(&look, Some(Ordered::Holds), NOW + Millis(310)));
+    assert!(slots.looked(&look, Some(OrderOutcome::Holds), NOW + Millis(310)));
     assert_eq!(answer.try_recv(), Ok(Loaded::Ready(2)));
 }
 
@@ -78,7 +78,7 @@
 fn report_of_the_same_count_before_the_completion() {
     let (mut slots, _answer) = loading(2);
     let look = look_of(&mut slots, NOW + Millis(300));
-    slots.looked(&look, Some(Ordered::Holds), NOW + Millis(310));
+    slots.looked(&look, Some(OrderOutcome::Holds), NOW + Millis(310));
     slots.report(&report(1, &[], &[("base/a1", 2)]), NOW + Millis(320));
     assert_eq!(slots.held().adapters, [("base/a1".into(), 2)]);
     assert_eq!(slots.next_look(NOW + Millis(320)), None);
@@ -112,10 +112,10 @@
     slots.accepted(NOW);
     slots.began(load, NOW);
     // A look at the former version says nothing of the further one.
-    slots.looked(&look, Some(Ordered::Holds), NOW + Millis(50));
+    slots.looked(&look, Some(OrderOutcome::Holds), NOW + Millis(50));
     assert!(later.try_recv().is_err());
     let look = look_of(&mut slots, NOW + Millis(300));
-    slots.looked(&look, Some(Ordered::Holds), NOW + Millis(310));
+    slots.looked(&look, Some(OrderOutcome::Holds), NOW + Millis(310));
     assert_eq!(former.try_recv(), Ok(Loaded::Ready(3)));
     assert_eq!(later.try_recv(), Ok(Loaded::Ready(3)));
 }
@@ -133,7 +133,7 @@
     let (load, mut later) = asked(2);
     assert!(slots.wait(load, late).is_none());
     let look = look_of(&mut slots, late);
-    slots.looked(&look, Some(Ordered::Holds), late);
+    slots.looked(&look, Some(OrderOutcome::Holds), late);
     assert_eq!(later.try_recv(), Ok(Loaded::Ready(2)));
 }
 
@@ -173,7 +173,7 @@
     let (load, mut answer) = asked(2);
     assert!(slots.wait(load, NOW).is_none());
     let look = look_of(&mut slots, NOW);
-    slots.looked(&look, Some(Ordered::Holds), NOW + Millis(10));
+    slots.looked(&look, Some(OrderOutcome::Holds), NOW + Millis(10));
     assert_eq!(answer.try_recv(), Ok(Loaded::Ready(2)));
 }
 
@@ -192,9 +192,9 @@
 fn looked_conflict_of_the_known_count() {
     let (mut slots, _answer) = loading(2);
     let look = look_of(&mut slots, NOW + Millis(45));
-    assert!(!slots.looked(&look, Some(Ordered::Conflict), NOW + Millis(50)));
+    assert!(!slots.looked(&look, Some(OrderOutcome::Conflict), NOW + Millis(50)));
     slots.accepted(NOW + Millis(60));
-    assert!(slots.looked(&look, Some(Ordered::Conflict), NOW + Millis(70)));
+    assert!(slots.looked(&look, Some(OrderOutcome::Conflict), NOW + Millis(70)));
 }
 
 /// Which version was loaded as whatever is the newest, a report tells, also one from before its end.
@@ -203,7 +203,7 @@
     let (mut slots, mut answer) = loading(0);
     assert!(slots.is_unversioned("base/a1"));
     let look = look_of(&mut slots, NOW + Millis(300));
-    slots.looked(&look, Some(Ordered::Holds), NOW + Millis(310));
+    slots.looked(&look, Some(OrderOutcome::Holds), NOW + Millis(310));
     assert_eq!(answer.try_recv(), Ok(Loaded::Ready(0)));
     assert!(slots.is_unversioned("base/a1"));
     slots.report(&report(1, &[], &[("base/a1", 2)]), NOW + Millis(320));
