--- a/lib/src/direct/attempt.rs
+++ b/lib/src/direct/attempt.rs
@@ -9,7 +9,7 @@
 
 use super::admit::Permit;
 use super::call::{Call, Kind};
-use super::dialect::{Dialect, Dispatch, Reply};
+use super::dialect::{Dialect, DispatchHeaders, Reply};
 use super::upstream::{Running, Upstream};
 use super::versions::{self, Watch};
 use crate::clock::Millis;
@@ -142,7 +142,7 @@
         &self,
         upstream: &Arc<Upstream>,
         dialect: &dyn Dialect,
-        dispatch: &Dispatch,
+        dispatch: &DispatchHeaders,
         permit: Option<Permit>,
         watch: Option<Watch>,
     ) -> Result<Answer, Miss> {
@@ -208,7 +208,7 @@
         })
     }
 
-    fn request(&self, dialect: &dyn Dialect, dispatch: &Dispatch) -> Request<Full<Bytes>> {
+    fn request(&self, dialect: &dyn Dialect, dispatch: &DispatchHeaders) -> Request<Full<Bytes>> {
         let mut request = Request::new(Full::new(self.body.clone()));
         *request.method_mut() = self.method.clone();
         *request.uri_mut() = self.uri.clone();
--- a/lib/src/direct/dialect.rs
+++ b/lib/src/direct/dialect.rs
@@ -147,7 +147,7 @@
 
 /// What an entry node adds to a request on its way to an upstream.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
-pub struct Dispatch {
+pub struct DispatchHeaders {
     /// The incarnation that may take it.
     pub incarnation: Name,
     /// How long the upstream may work on it.
@@ -234,7 +234,7 @@
     /// Changes a caller's headers to those that an upstream gets.
     ///
     /// Headers that only this system may set are removed if a caller sent them.
-    fn dispatch(&self, headers: &mut HeaderMap, dispatch: &Dispatch);
+    fn dispatch(&self, headers: &mut HeaderMap, dispatch: &DispatchHeaders);
 
     /// Reads the head of an upstream's answer.
     fn reply(&self, head: &response::Parts) -> Reply;
--- a/lib/src/direct/request/send.rs
+++ b/lib/src/direct/request/send.rs
@@ -5,7 +5,7 @@
 use super::ActiveRequest;
 use crate::direct::admit::{self, Permit, Question};
 use crate::direct::attempt::{Answer, Miss};
-use crate::direct::dialect::{Dispatch, Memory};
+use crate::direct::dialect::{DispatchHeaders, Memory};
 use crate::direct::record;
 use crate::direct::sends::Sends;
 use crate::direct::target::Target;
@@ -15,7 +15,7 @@
 
 impl ActiveRequest {
     pub(super) fn send(&mut self, sends: &mut Sends, target: Target, resume_after: Option<u64>) {
-        let dispatch = Dispatch {
+        let dispatch = DispatchHeaders {
             resume_after: resume_after.or(self.message.call.resume_after),
             ..self.dispatch(&target)
         };
@@ -40,7 +40,7 @@
     ) -> Result<Answer, Miss> {
         self.check()
             .map_err(|failure| Miss::Lost(failure.code, failure.detail))?;
-        let dispatch = Dispatch {
+        let dispatch = DispatchHeaders {
             resume_after: last,
             memory: Some(memory),
             ..self.dispatch(place)
@@ -110,8 +110,8 @@
         }
     }
 
-    fn dispatch(&self, target: &Target) -> Dispatch {
-        Dispatch {
+    fn dispatch(&self, target: &Target) -> DispatchHeaders {
+        DispatchHeaders {
             incarnation: Name::clone(&target.upstream.incarnation),
             deadline: self.until.since(self.now()),
             urgency: self.message.kind.streamed().then_some(self.route.urgency),
--- a/lib/src/direct/sends.rs
+++ b/lib/src/direct/sends.rs
@@ -14,7 +14,7 @@
 use smallvec::SmallVec;
 
 use super::attempt::{Answer, Message, Miss};
-use super::dialect::{Dialect, Dispatch};
+use super::dialect::{Dialect, DispatchHeaders};
 use super::target::Target;
 use super::upstream::Upstream;
 use super::versions::Watch;
@@ -53,7 +53,7 @@
         message: &Arc<Message>,
         dialect: &Arc<dyn Dialect>,
         target: Target,
-        dispatch: Dispatch,
+        dispatch: DispatchHeaders,
         watch: Option<Watch>,
         now: Millis,
     ) {
--- a/lib/tests/test_direct_versions.rs
+++ b/lib/tests/test_direct_versions.rs
@@ -8,7 +8,7 @@
 use chivevalve::direct::ask::Controllers;
 use chivevalve::direct::attempt::{Message, Miss};
 use chivevalve::direct::call::{Call, Kind};
-use chivevalve::direct::dialect::{Dialect, Dispatch, UpstreamEntry};
+use chivevalve::direct::dialect::{Dialect, DispatchHeaders, UpstreamEntry};
 use chivevalve::direct::entry::Gate;
 use chivevalve::direct::limits::{Current, Limits};
 use chivevalve::direct::right::Right;
@@ -216,7 +216,7 @@
         kind: Kind::Stream { resumable: false },
         fingerprint: std::sync::OnceLock::new(),
     };
-    let dispatch = Dispatch {
+    let dispatch = DispatchHeaders {
         incarnation: "i-1".into(),
         deadline: LIMIT,
         urgency: None,
