--- a/lib/src/direct/dialect.rs
+++ b/lib/src/direct/dialect.rs
@@ -159,14 +159,14 @@
     /// The event after which a stream continues.
     pub resume_after: Option<u64>,
     /// Memory of this request that lies at an engine, to go on from.
-    pub memory: Option<Memory>,
+    pub memory: Option<KvCacheHandle>,
 }
 
 /// What an engine keeps of a run that was stopped, or copied to another engine.
 ///
 /// Whoever presents it continues that run without reading the prompt again; it can be used once.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Memory {
+pub struct KvCacheHandle {
     /// The engine that ran the request.
     pub source: SocketAddr,
     /// The engine's name for it.
--- a/lib/src/direct/handover.rs
+++ b/lib/src/direct/handover.rs
@@ -11,7 +11,7 @@
 use tokio_util::task::AbortOnDropHandle;
 
 use super::attempt::Answer;
-use super::dialect::{Memory, Transferred};
+use super::dialect::{KvCacheHandle, Transferred};
 use super::entry::Gate;
 use super::question;
 use super::target::Target;
@@ -45,7 +45,7 @@
 #[derive(Debug)]
 pub struct Moved {
     /// What to present there.
-    pub memory: Memory,
+    pub memory: KvCacheHandle,
     /// Engines that have it, the better one first.
     pub places: SmallVec<[Target; 2]>,
 }
@@ -106,7 +106,7 @@
             }
         };
         self.source.succeeded();
-        let memory = Memory {
+        let memory = KvCacheHandle {
             source: self.source.address,
             handle,
         };
--- a/lib/src/direct/request/send.rs
+++ b/lib/src/direct/request/send.rs
@@ -5,7 +5,7 @@
 use super::ActiveRequest;
 use crate::direct::admit::{self, Permit, Question};
 use crate::direct::attempt::{Answer, Miss};
-use crate::direct::dialect::{DispatchHeaders, Memory};
+use crate::direct::dialect::{DispatchHeaders, KvCacheHandle};
 use crate::direct::record;
 use crate::direct::sends::Sends;
 use crate::direct::target::Target;
@@ -35,7 +35,7 @@
     pub(in crate::direct) async fn continue_run(
         &self,
         place: &Target,
-        memory: Memory,
+        memory: KvCacheHandle,
         last: Option<u64>,
     ) -> Result<Answer, Miss> {
         self.check()
