--- a/lib/src/direct/dialect.rs
+++ b/lib/src/direct/dialect.rs
@@ -175,7 +175,7 @@
 
 /// How an engine answered the question to stop a run and copy its memory.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Transferred {
+pub enum TransferOutcome {
     /// The run has stopped and the other engine holds its memory under this handle.
     Copied(Name),
     /// The run has stopped, but its memory lies only where it ran.
@@ -184,7 +184,7 @@
     Unchanged,
 }
 
-impl Transferred {
+impl TransferOutcome {
     /// Returns the name used in logs and metrics.
     #[must_use]
     pub const fn name(&self) -> &'static str {
@@ -294,7 +294,7 @@
     ) -> Request<Full<Bytes>>;
 
     /// Reads an engine's answer to such a question.
-    fn transferred(&self, head: &response::Parts, body: &[u8]) -> Transferred;
+    fn transferred(&self, head: &response::Parts, body: &[u8]) -> TransferOutcome;
 
     /// Whether a readiness question has this path.
     fn asks_readiness(&self, path: &str) -> bool;
--- a/lib/src/direct/handover.rs
+++ b/lib/src/direct/handover.rs
@@ -11,7 +11,7 @@
 use tokio_util::task::AbortOnDropHandle;
 
 use super::attempt::Answer;
-use super::dialect::{KvCacheHandle, Transferred};
+use super::dialect::{KvCacheHandle, TransferOutcome};
 use super::entry::Gate;
 use super::question;
 use super::target::Target;
@@ -27,7 +27,7 @@
     source: Arc<Upstream>,
     /// Version of the adapter that the run began on.
     version: Option<u64>,
-    asked: AbortOnDropHandle<Transferred>,
+    asked: AbortOnDropHandle<TransferOutcome>,
 }
 
 /// What an engine said to the question to move a run.
@@ -94,12 +94,12 @@
             permit: None,
         };
         let (handle, places) = match asked {
-            Ok(Transferred::Copied(handle)) => {
+            Ok(TransferOutcome::Copied(handle)) => {
                 let target = self.target.take();
                 (handle, target.into_iter().chain([source]).collect())
             }
-            Ok(Transferred::Kept(handle)) => (handle, smallvec![source]),
-            Ok(Transferred::Unchanged) => return Reply::Unchanged,
+            Ok(TransferOutcome::Kept(handle)) => (handle, smallvec![source]),
+            Ok(TransferOutcome::Unchanged) => return Reply::Unchanged,
             Err(error) => {
                 log::error!("handover: the question ended early: {error}");
                 return Reply::Unchanged;
@@ -120,7 +120,7 @@
     source: Arc<Upstream>,
     target: Arc<Upstream>,
     left: Millis,
-) -> Transferred {
+) -> TransferOutcome {
     let request = gate
         .dialect
         .ask_transfer(&source.incarnation, &id, target.address);
@@ -129,11 +129,11 @@
         Ok(Ok((head, body))) => gate.dialect.transferred(&head, &body),
         Ok(Err(told)) => {
             log::info!(request = id.as_str(), cause = told.as_str(); "handover: no answer");
-            Transferred::Unchanged
+            TransferOutcome::Unchanged
         }
         Err(_) => {
             log::info!(request = id.as_str(); "handover: nothing within {left}");
-            Transferred::Unchanged
+            TransferOutcome::Unchanged
         }
     };
     gate.metrics
