--- a/lib/src/direct/attempt.rs
+++ b/lib/src/direct/attempt.rs
@@ -9,7 +9,7 @@
 
 use super::admit::Permit;
 use super::call::{Call, Kind};
-use super::dialect::{Dialect, DispatchHeaders, Reply};
+use super::dialect::{Dialect, DispatchHeaders, ResponseMetadata};
 use super::upstream::{Running, Upstream};
 use super::versions::{self, Watch};
 use crate::clock::Millis;
@@ -101,7 +101,7 @@
     /// Its head.
     pub head: response::Parts,
     /// What the head says.
-    pub reply: Reply,
+    pub reply: ResponseMetadata,
     /// The rest.
     pub body: Incoming,
     /// Where it comes from.
@@ -243,7 +243,7 @@
 }
 
 /// Reads the rest of an answer that is not passed on, so that its connection can be kept.
-async fn finish(body: Incoming, connection: Connection, upstream: &Upstream, reply: &Reply) {
+async fn finish(body: Incoming, connection: Connection, upstream: &Upstream, reply: &ResponseMetadata) {
     let rest = Limited::new(body, 64 * 1024).collect();
     let rest = tokio::time::timeout(FINISH.duration(), rest).await;
     if matches!(rest, Ok(Ok(_))) && !reply.closes {
--- a/lib/src/direct/dialect.rs
+++ b/lib/src/direct/dialect.rs
@@ -198,7 +198,7 @@
 
 /// What the head of an upstream's answer says beyond HTTP.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
-pub struct Reply {
+pub struct ResponseMetadata {
     /// Identity of the request that it answers.
     pub id: Option<Name>,
     /// Whether the upstream has signed it.
@@ -237,7 +237,7 @@
     fn dispatch(&self, headers: &mut HeaderMap, dispatch: &DispatchHeaders);
 
     /// Reads the head of an upstream's answer.
-    fn reply(&self, head: &response::Parts) -> Reply;
+    fn reply(&self, head: &response::Parts) -> ResponseMetadata;
 
     /// Tells what a key of the key-value service holds.
     fn key(&self, key: &str) -> Key;
