--- a/cli/src/commands/quarantine.rs
+++ b/cli/src/commands/quarantine.rs
@@ -6,7 +6,7 @@
 use chivevalve::direct::lift;
 use chivevalve::poison::fingerprint::Fingerprint;
 use chivevalve::poison::ledger::SuspectStatus;
-use chivevalve_platform::Speech;
+use chivevalve_platform::PlatformDialect;
 use chivevalve_platform::store::Client;
 
 use super::Command;
@@ -57,12 +57,12 @@
 ) -> Result<(), Failure> {
     let client = Arc::new(Client::new(address));
     if let Some(request) = request {
-        lift::lift(&*client, &*client, &Speech, &request)
+        lift::lift(&*client, &*client, &PlatformDialect, &request)
             .await
             .map_err(|error| Failure::Other(format!("the quarantine stands: {error}")))?;
         return output::print(&format!("{request} is sent again\n"));
     }
-    let standings = lift::list(&*client, &Speech)
+    let standings = lift::list(&*client, &PlatformDialect)
         .await
         .map_err(|error| Failure::Other(format!("the records can't be read: {error}")))?;
     output::answer(args.format, &standings, |standings| table(standings))
--- a/cli/src/daemon/platform.rs
+++ b/cli/src/daemon/platform.rs
@@ -7,7 +7,7 @@
 use chivevalve::direct::node::{Node, PlatformClients, Settings};
 use chivevalve::direct::reload::Reload;
 use chivevalve_platform::settings::{self, Mistake};
-use chivevalve_platform::{Speech, store};
+use chivevalve_platform::{PlatformDialect, store};
 use eyre::{Result, WrapErr};
 
 use super::exit;
@@ -41,7 +41,7 @@
     let mut signals = Signals::new()?;
     let store = Arc::new(store::Client::new(settings.store));
     let reach = PlatformClients {
-        dialect: Arc::new(Speech),
+        dialect: Arc::new(PlatformDialect),
         store: Arc::<store::Client>::clone(&store),
         lease: Arc::<store::Client>::clone(&store),
         poll: store,
--- a/lib/tests/test_direct_admission.rs
+++ b/lib/tests/test_direct_admission.rs
@@ -19,7 +19,7 @@
 use chivevalve::direct::upstream::{Running, Upstream};
 use chivevalve::direct::view::{Claim, Standing, View};
 use chivevalve::name::Name;
-use chivevalve_platform::Speech;
+use chivevalve_platform::PlatformDialect;
 use direct_support::records::{listed, peer, written};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64;
@@ -215,7 +215,7 @@
     let controllers = Arc::new(Controllers::new(
         view,
         right,
-        Arc::new(Speech),
+        Arc::new(PlatformDialect),
         clock,
         name.into(),
         Arc::default(),
--- a/lib/tests/test_direct_claims.rs
+++ b/lib/tests/test_direct_claims.rs
@@ -19,7 +19,7 @@
 use chivevalve::direct::upstream::Upstream;
 use chivevalve::direct::view::{Claim, Peer, Standing, View};
 use chivevalve::ports::{Lease, Store};
-use chivevalve_platform::Speech;
+use chivevalve_platform::PlatformDialect;
 use direct_support::SERVER;
 use direct_support::memory::Memory;
 use direct_support::records::written;
@@ -110,7 +110,7 @@
     clock.advance(now);
     let shared: Arc<dyn Clock> = Arc::<Manual>::clone(&clock);
     let right = Arc::new(Right::new(Arc::clone(&shared), Arc::clone(&view)));
-    let dialect: Arc<dyn Dialect> = Arc::new(Speech);
+    let dialect: Arc<dyn Dialect> = Arc::new(PlatformDialect);
     let limits = Arc::new(Current::default());
     let follower = Follower::new(
         Arc::<Memory>::clone(memory),
@@ -231,7 +231,7 @@
 async fn claim_only_with_a_record() {
     let (memory, one) = owner().await;
     assert!(one.right.check(address()).is_some());
-    let key = Speech.own("node/one");
+    let key = PlatformDialect.own("node/one");
     assert!(memory.state().entries.contains_key(&key));
 }
 
@@ -529,7 +529,7 @@
     Controllers::new(
         view,
         right,
-        Arc::new(Speech),
+        Arc::new(PlatformDialect),
         clock,
         "one".into(),
         Arc::default(),
@@ -705,7 +705,7 @@
     slow(&memory, "chivevalve/", Millis::from_secs(4));
     let one = start_again("one", &memory);
     pass(&[&one], Millis(1_000)).await;
-    let key = Speech.own("node/one");
+    let key = PlatformDialect.own("node/one");
     assert!(memory.state().entries.contains_key(&key));
 }
 
--- a/lib/tests/test_direct_exchange.rs
+++ b/lib/tests/test_direct_exchange.rs
@@ -14,7 +14,7 @@
 use chivevalve::direct::upstream::{Running, Upstream};
 use chivevalve::direct::view::{Claim, Standing, View};
 use chivevalve::name::Name;
-use chivevalve_platform::Speech;
+use chivevalve_platform::PlatformDialect;
 use direct_support::records::{listed, peer, written};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64;
@@ -68,7 +68,7 @@
         }
     }
     let me = format!("node-{}", OWNERS - 1).into();
-    let speech = Arc::new(Speech);
+    let speech = Arc::new(PlatformDialect);
     Arc::new(Controllers::new(
         view,
         right,
--- a/lib/tests/test_direct_fanout.rs
+++ b/lib/tests/test_direct_fanout.rs
@@ -26,7 +26,7 @@
     AdmitReply, AdmitRequest, Change, ExchangeReply, ExchangeRequest, FollowRequest, LoadReply,
     LoadRequest, SupportReply, SupportRequest, TellReply, TellRequest, Update as Sent,
 };
-use chivevalve_platform::Speech;
+use chivevalve_platform::PlatformDialect;
 use direct_support::SERVER;
 use direct_support::listen::Direct;
 use direct_support::memory::Memory;
@@ -279,7 +279,7 @@
     let follower = Follower::new(
         Arc::<Memory>::clone(memory),
         Arc::<Asked>::clone(&asked),
-        Arc::new(Speech),
+        Arc::new(PlatformDialect),
         clock,
         Arc::clone(&view),
         Arc::new(Current::default()),
@@ -432,7 +432,7 @@
     let controllers = Arc::new(Controllers::new(
         view,
         right,
-        Arc::new(Speech),
+        Arc::new(PlatformDialect),
         clock,
         node.into(),
         Arc::default(),
--- a/lib/tests/test_direct_follow.rs
+++ b/lib/tests/test_direct_follow.rs
@@ -10,7 +10,7 @@
 use chivevalve::direct::follow::Follower;
 use chivevalve::direct::limits::Current;
 use chivevalve::direct::view::View;
-use chivevalve_platform::Speech;
+use chivevalve_platform::PlatformDialect;
 use direct_support::SERVER;
 use direct_support::memory::{Memory, State};
 
@@ -32,7 +32,7 @@
     let follower = Follower::new(
         Arc::<Memory>::clone(&memory),
         Arc::<Memory>::clone(&memory),
-        Arc::new(Speech),
+        Arc::new(PlatformDialect),
         clock,
         Arc::clone(&view),
         Arc::new(Current::default()),
--- a/lib/tests/test_direct_presence.rs
+++ b/lib/tests/test_direct_presence.rs
@@ -11,7 +11,7 @@
 use chivevalve::direct::outage::Outage;
 use chivevalve::direct::presence::{Presence, Stage};
 use chivevalve::direct::view::View;
-use chivevalve_platform::Speech;
+use chivevalve_platform::PlatformDialect;
 use direct_support::SERVER;
 use direct_support::memory::Memory;
 use direct_support::records::written;
@@ -283,7 +283,7 @@
         let follower = Follower::new(
             Arc::<Memory>::clone(&memory),
             Arc::<Memory>::clone(&memory),
-            Arc::new(Speech),
+            Arc::new(PlatformDialect),
             Arc::clone(&clock),
             Arc::clone(&view),
             Arc::new(Current::default()),
--- a/lib/tests/test_direct_quarantine.rs
+++ b/lib/tests/test_direct_quarantine.rs
@@ -17,7 +17,7 @@
 use chivevalve::name::Name;
 use chivevalve::poison::fingerprint::{Fingerprint, Identity};
 use chivevalve::poison::ledger::{CrashReport, Suspicion};
-use chivevalve_platform::Speech;
+use chivevalve_platform::PlatformDialect;
 use direct_support::memory::Memory;
 use direct_support::records::{listed, written};
 
@@ -63,7 +63,7 @@
     let outbox = Arc::new(Outbox::new(
         Arc::<Memory>::clone(&store),
         Arc::<Memory>::clone(&store),
-        Arc::new(Speech),
+        Arc::new(PlatformDialect),
         Arc::clone(&clock),
         others,
     ));
--- a/lib/tests/test_direct_versions.rs
+++ b/lib/tests/test_direct_versions.rs
@@ -17,7 +17,7 @@
 use chivevalve::direct::view::View;
 use chivevalve::metrics::Metrics;
 use chivevalve::ports::metered::Metered;
-use chivevalve_platform::Speech;
+use chivevalve_platform::PlatformDialect;
 use direct_support::memory::Memory;
 use direct_support::records::{listed, written};
 use http::{HeaderMap, Method, Uri};
@@ -112,7 +112,7 @@
     let manual = Arc::new(Manual::default());
     let clock: Arc<dyn Clock> = Arc::<Manual>::clone(&manual);
     let view = Arc::new(View::default());
-    let dialect: Arc<dyn Dialect> = Arc::new(Speech);
+    let dialect: Arc<dyn Dialect> = Arc::new(PlatformDialect);
     let metrics = Arc::new(Metrics::new());
     let memory = Arc::new(Memory::default());
     let service = Arc::new(Metered::new(
@@ -224,7 +224,7 @@
         resume_after: None,
         memory: None,
     };
-    let sent = message.send(&engine, &Speech, &dispatch, None, Some(watch));
+    let sent = message.send(&engine, &PlatformDialect, &dispatch, None, Some(watch));
     let miss = sent.await.unwrap_err();
     assert_eq!(miss, Miss::Withdrawn { sent: false });
 }
