--- a/bench/src/fuzz_outcomes/harness/traffic/mod.rs
+++ b/bench/src/fuzz_outcomes/harness/traffic/mod.rs
@@ -1,6 +1,6 @@
 //! Requests through the world: entry nodes, owners and engines.
 //!
-//! Entry nodes stand here and decide by the product's [`fate::Machine`].
+//! Entry nodes stand here and decide by the product's [`retry::Machine`].
 
 mod engine;
 mod owner;
@@ -9,7 +9,7 @@
 
 use chivevalve::clock::Millis;
 use chivevalve::error::{Code, Failure, Fate};
-use chivevalve::fate::{self, Budget, Context, Rules, Verdict};
+use chivevalve::retry::{self, Budget, Context, Rules, Verdict};
 use chivevalve::membership::fleet::State;
 use chivevalve::name::Name;
 use rand::RngExt;
@@ -32,7 +32,7 @@
     start: u64,
     idempotent: bool,
     adapter: usize,
-    fate: fate::Machine,
+    fate: retry::Machine,
     tried: BTreeSet<Name>,
     attempt: u32,
     asked: Option<usize>,
@@ -64,7 +64,7 @@
             start: self.nodes[node].identity.incarnation,
             idempotent,
             adapter: usize::from(what >> 1) % 6,
-            fate: fate::Machine::new(Rules::default(), idempotent, deadline),
+            fate: retry::Machine::new(Rules::default(), idempotent, deadline),
             tried: BTreeSet::new(),
             attempt: 0,
             asked: None,
--- a/bench/src/fuzz_outcomes/harness/world.rs
+++ b/bench/src/fuzz_outcomes/harness/world.rs
@@ -12,7 +12,7 @@
 
 use chivevalve::clock::Millis;
 use chivevalve::error::Failure;
-use chivevalve::fate::Budget;
+use chivevalve::retry::Budget;
 use chivevalve::membership::guard::Guards;
 use chivevalve::membership::machine::{Answer, Call, Machine};
 use chivevalve::membership::node::{Claim, Identity};
--- a/bench/src/fuzz_outcomes/harness/world/faults.rs
+++ b/bench/src/fuzz_outcomes/harness/world/faults.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 
 use chivevalve::clock::Millis;
-use chivevalve::fate::Budget;
+use chivevalve::retry::Budget;
 use chivevalve::membership::Limits;
 use chivevalve::membership::machine::Machine;
 use chivevalve::membership::upstreams::Upstreams;
--- a/bench/src/policy/contender.rs
+++ b/bench/src/policy/contender.rs
@@ -8,7 +8,7 @@
 use chivevalve::adapter::Adapter;
 use chivevalve::clock::Millis;
 use chivevalve::error::{Code, Fate};
-use chivevalve::fate;
+use chivevalve::retry;
 use chivevalve::loads::Ask;
 use chivevalve::name::Name;
 use chivevalve::policy::loads;
@@ -279,7 +279,7 @@
 
 /// Whether an entry node makes only one more try, which goes where the request waits.
 fn ends_walk(route: &Route) -> bool {
-    route.tried.len() + 1 >= fate::Rules::default().redirects as usize
+    route.tried.len() + 1 >= retry::Rules::default().redirects as usize
 }
 
 /// Whether another upstream could do what this one refused.
--- a/lib/src/entry/dispatch.rs
+++ b/lib/src/entry/dispatch.rs
@@ -16,7 +16,7 @@
 use crate::claim::Claim;
 use crate::clock::Millis;
 use crate::error::{Code, Failure, Fate};
-use crate::fate::{Context, State, Verdict};
+use crate::retry::{Context, State, Verdict};
 use crate::membership::fleet::Owner;
 use crate::name::Name;
 use crate::poison::fingerprint::Fingerprint;
--- a/lib/src/entry/gateway.rs
+++ b/lib/src/entry/gateway.rs
@@ -25,7 +25,7 @@
 use crate::config::View;
 use crate::declaration::{Account, Template};
 use crate::error::{Code, Failure};
-use crate::fate::Budget;
+use crate::retry::Budget;
 use crate::membership::Fleet;
 use crate::membership::fleet::State;
 use crate::name::Name;
--- a/lib/src/entry/limits.rs
+++ b/lib/src/entry/limits.rs
@@ -2,7 +2,7 @@
 
 use crate::claim;
 use crate::clock::Millis;
-use crate::fate;
+use crate::retry;
 use crate::policy::placement;
 
 /// Bounds of one node's entry.
@@ -49,7 +49,7 @@
     /// Retries for each hundred first tries.
     pub retry_percent: u32,
     /// Tries of one request.
-    pub rules: fate::Rules,
+    pub rules: retry::Rules,
     /// How claims on idempotency keys are written and kept.
     pub claims: claim::Limits,
 }
@@ -77,7 +77,7 @@
             patience: Millis::from_secs(6),
             placement: placement::Limits::default(),
             retry_percent: 20,
-            rules: fate::Rules::default(),
+            rules: retry::Rules::default(),
             claims: claim::Limits::default(),
         }
     }
--- a/lib/src/entry/session.rs
+++ b/lib/src/entry/session.rs
@@ -4,7 +4,7 @@
 
 use crate::clock::Millis;
 use crate::error::{Code, Failure};
-use crate::fate::{Machine, State};
+use crate::retry::{Machine, State};
 use crate::name::Name;
 use crate::request::{Class, Id, Ticket};
 
--- a/lib/src/lib.rs
+++ b/lib/src/lib.rs
@@ -15,7 +15,7 @@
 pub mod direct;
 pub mod entry;
 pub mod error;
-pub mod fate;
+pub mod retry;
 pub mod gossip;
 pub mod loads;
 pub mod membership;
--- a/lib/tests/test_fate.rs
+++ b/lib/tests/test_fate.rs
@@ -7,7 +7,7 @@
 
 use chivevalve::clock::Millis;
 use chivevalve::error::{Code, Failure, Fate};
-use chivevalve::fate::{Budget, Context, Machine, Rules, Verdict};
+use chivevalve::retry::{Budget, Context, Machine, Rules, Verdict};
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 
 /// Fixed, so that CI tries the same stories each time.
