--- a/bench/src/fuzz_outcomes/harness/traffic/mod.rs
+++ b/bench/src/fuzz_outcomes/harness/traffic/mod.rs
@@ -9,7 +9,7 @@
 
 use chivevalve::clock::Millis;
 use chivevalve::error::{Code, Failure, Fate};
-use chivevalve::retry::{self, Budget, Context, Rules, Verdict};
+use chivevalve::retry::{self, Budget, Context, RetryPolicy, Verdict};
 use chivevalve::membership::fleet::State;
 use chivevalve::name::Name;
 use rand::RngExt;
@@ -64,7 +64,7 @@
             start: self.nodes[node].identity.incarnation,
             idempotent,
             adapter: usize::from(what >> 1) % 6,
-            fate: retry::Machine::new(Rules::default(), idempotent, deadline),
+            fate: retry::Machine::new(RetryPolicy::default(), idempotent, deadline),
             tried: BTreeSet::new(),
             attempt: 0,
             asked: None,
--- a/lib/src/entry/limits.rs
+++ b/lib/src/entry/limits.rs
@@ -49,7 +49,7 @@
     /// Retries for each hundred first tries.
     pub retry_percent: u32,
     /// Tries of one request.
-    pub rules: retry::Rules,
+    pub rules: retry::RetryPolicy,
     /// How claims on idempotency keys are written and kept.
     pub claims: claim::Limits,
 }
@@ -77,7 +77,7 @@
             patience: Millis::from_secs(6),
             placement: placement::Limits::default(),
             retry_percent: 20,
-            rules: retry::Rules::default(),
+            rules: retry::RetryPolicy::default(),
             claims: claim::Limits::default(),
         }
     }
--- a/lib/src/retry/mod.rs
+++ b/lib/src/retry/mod.rs
@@ -17,7 +17,7 @@
 
 /// How often and how long one request may be tried.
 #[derive(Debug, Clone, Copy)]
-pub struct Rules {
+pub struct RetryPolicy {
     /// Most tries of one request at upstreams, the first included.
     pub attempts: u32,
     /// Most tries that cost no upstream anything, such as at a node that no longer owns it.
@@ -31,7 +31,7 @@
     pub backoff: Backoff,
 }
 
-impl Default for Rules {
+impl Default for RetryPolicy {
     fn default() -> Self {
         Self {
             attempts: 4,
@@ -117,7 +117,7 @@
 /// One request's way from arrival to its end.
 #[derive(Debug)]
 pub struct Machine {
-    rules: Rules,
+    rules: RetryPolicy,
     idempotent: bool,
     deadline: Millis,
     state: State,
@@ -133,7 +133,7 @@
 impl Machine {
     /// Starts a request that nobody has seen yet.
     #[must_use]
-    pub fn new(rules: Rules, idempotent: bool, deadline: Millis) -> Self {
+    pub fn new(rules: RetryPolicy, idempotent: bool, deadline: Millis) -> Self {
         Self {
             rules,
             idempotent,
@@ -317,7 +317,7 @@
     const DEADLINE: Millis = Millis(10_000);
 
     fn machine(idempotent: bool) -> Machine {
-        Machine::new(Rules::default(), idempotent, DEADLINE)
+        Machine::new(RetryPolicy::default(), idempotent, DEADLINE)
     }
 
     fn context(now: u64) -> Context {
@@ -436,7 +436,7 @@
     #[test]
     fn fail_redirects_bounded() {
         let mut machine = machine(false);
-        for _ in 1..Rules::default().redirects {
+        for _ in 1..RetryPolicy::default().redirects {
             machine.send();
             assert!(matches!(
                 fail(&mut machine, Code::NotOwner),
--- a/lib/tests/test_fate.rs
+++ b/lib/tests/test_fate.rs
@@ -7,7 +7,7 @@
 
 use chivevalve::clock::Millis;
 use chivevalve::error::{Code, Failure, Fate};
-use chivevalve::retry::{Budget, Context, Machine, Rules, Verdict};
+use chivevalve::retry::{Budget, Context, Machine, RetryPolicy, Verdict};
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 
 /// Fixed, so that CI tries the same stories each time.
@@ -126,11 +126,11 @@
 
 /// Plays a story; returns what is wrong with how the machine dealt with it.
 fn play(story: &Story) -> Result<(), String> {
-    let rules = Rules {
+    let rules = RetryPolicy {
         attempts: story.attempts,
         redirects: story.redirects,
         unknowns: story.unknowns,
-        ..Rules::default()
+        ..RetryPolicy::default()
     };
     let mut machine = Machine::new(rules, story.idempotent, Millis(DEADLINE));
     let mut budget = Budget::new(story.percent, Millis::ZERO);
@@ -242,7 +242,7 @@
         Code::PassedOn,
         Code::Busy,
     ];
-    let mut machine = Machine::new(Rules::default(), true, Millis::MAX);
+    let mut machine = Machine::new(RetryPolicy::default(), true, Millis::MAX);
     let mut retries = 0;
     for _ in 0..ENDLESS {
         machine.send();
