--- a/bench/src/fuzz_outcomes/harness/traffic/mod.rs
+++ b/bench/src/fuzz_outcomes/harness/traffic/mod.rs
@@ -1,6 +1,6 @@
 //! Requests through the world: entry nodes, owners and engines.
 //!
-//! Entry nodes stand here and decide by the product's [`retry::Machine`].
+//! Entry nodes stand here and decide by the product's [`retry::RetryStateMachine`].
 
 mod engine;
 mod owner;
@@ -32,7 +32,7 @@
     start: u64,
     idempotent: bool,
     adapter: usize,
-    fate: retry::Machine,
+    fate: retry::RetryStateMachine,
     tried: BTreeSet<Name>,
     attempt: u32,
     asked: Option<usize>,
@@ -64,7 +64,7 @@
             start: self.nodes[node].identity.incarnation,
             idempotent,
             adapter: usize::from(what >> 1) % 6,
-            fate: retry::Machine::new(RetryPolicy::default(), idempotent, deadline),
+            fate: retry::RetryStateMachine::new(RetryPolicy::default(), idempotent, deadline),
             tried: BTreeSet::new(),
             attempt: 0,
             asked: None,
--- a/lib/src/entry/session.rs
+++ b/lib/src/entry/session.rs
@@ -4,7 +4,7 @@
 
 use crate::clock::Millis;
 use crate::error::{Code, Failure};
-use crate::retry::{Machine, State};
+use crate::retry::{RetryStateMachine, State};
 use crate::name::Name;
 use crate::request::{Class, Id, Ticket};
 
@@ -31,7 +31,7 @@
     account: Option<Name>,
     template: Option<Name>,
     class: Option<Class>,
-    machine: Option<Machine>,
+    machine: Option<RetryStateMachine>,
     place: Option<Place>,
     /// Covers the request's body and, if it is held back, its answer.
     pub reserve: Reserve,
@@ -97,7 +97,7 @@
         self.template = Some(Name::clone(&ticket.template));
         self.class = Some(ticket.class);
         let rules = self.gateway.parts.limits.rules;
-        self.machine = Some(Machine::new(rules, ticket.idempotent, ticket.deadline));
+        self.machine = Some(RetryStateMachine::new(rules, ticket.idempotent, ticket.deadline));
     }
 
     /// Returns the request's state machine.
@@ -105,7 +105,7 @@
     /// # Panics
     ///
     /// Before [`Session::decide`].
-    pub fn machine(&mut self) -> &mut Machine {
+    pub fn machine(&mut self) -> &mut RetryStateMachine {
         self.machine.as_mut().expect("the request was decided")
     }
 
--- a/lib/src/retry/mod.rs
+++ b/lib/src/retry/mod.rs
@@ -116,7 +116,7 @@
 
 /// One request's way from arrival to its end.
 #[derive(Debug)]
-pub struct Machine {
+pub struct RetryStateMachine {
     rules: RetryPolicy,
     idempotent: bool,
     deadline: Millis,
@@ -130,7 +130,7 @@
     passed: bool,
 }
 
-impl Machine {
+impl RetryStateMachine {
     /// Starts a request that nobody has seen yet.
     #[must_use]
     pub fn new(rules: RetryPolicy, idempotent: bool, deadline: Millis) -> Self {
@@ -316,8 +316,8 @@
 
     const DEADLINE: Millis = Millis(10_000);
 
-    fn machine(idempotent: bool) -> Machine {
-        Machine::new(RetryPolicy::default(), idempotent, DEADLINE)
+    fn machine(idempotent: bool) -> RetryStateMachine {
+        RetryStateMachine::new(RetryPolicy::default(), idempotent, DEADLINE)
     }
 
     fn context(now: u64) -> Context {
@@ -328,7 +328,7 @@
         }
     }
 
-    fn fail(machine: &mut Machine, code: Code) -> Verdict {
+    fn fail(machine: &mut RetryStateMachine, code: Code) -> Verdict {
         let mut budget = Budget::new(100, Millis::ZERO);
         machine.fail(Failure::new(code, ""), context(0), &mut budget)
     }
--- a/lib/tests/test_fate.rs
+++ b/lib/tests/test_fate.rs
@@ -7,7 +7,7 @@
 
 use chivevalve::clock::Millis;
 use chivevalve::error::{Code, Failure, Fate};
-use chivevalve::retry::{Budget, Context, Machine, RetryPolicy, Verdict};
+use chivevalve::retry::{Budget, Context, RetryStateMachine, RetryPolicy, Verdict};
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 
 /// Fixed, so that CI tries the same stories each time.
@@ -132,7 +132,7 @@
         unknowns: story.unknowns,
         ..RetryPolicy::default()
     };
-    let mut machine = Machine::new(rules, story.idempotent, Millis(DEADLINE));
+    let mut machine = RetryStateMachine::new(rules, story.idempotent, Millis(DEADLINE));
     let mut budget = Budget::new(story.percent, Millis::ZERO);
     let mut truth = Truth::default();
     let mut now = Millis::ZERO;
@@ -242,7 +242,7 @@
         Code::PassedOn,
         Code::Busy,
     ];
-    let mut machine = Machine::new(RetryPolicy::default(), true, Millis::MAX);
+    let mut machine = RetryStateMachine::new(RetryPolicy::default(), true, Millis::MAX);
     let mut retries = 0;
     for _ in 0..ENDLESS {
         machine.send();
