--- a/lib/src/entry/dispatch.rs
+++ b/lib/src/entry/dispatch.rs
@@ -16,7 +16,7 @@
 use crate::claim::Claim;
 use crate::clock::Millis;
 use crate::error::{Code, Failure, Fate};
-use crate::retry::{Context, State, Verdict};
+use crate::retry::{Context, RequestState, Verdict};
 use crate::membership::fleet::Owner;
 use crate::name::Name;
 use crate::poison::fingerprint::Fingerprint;
@@ -183,7 +183,7 @@
 /// Notes that an upstream may have ended under a request that has brought nothing yet.
 fn note_lost(gateway: &Gateway, session: &mut Session, run: &Run, failure: &Failure) {
     let sign = match session.machine().state() {
-        State::Running => Suspicion::Begun,
+        RequestState::Running => Suspicion::Begun,
         _ => Suspicion::Possible,
     };
     gateway.note_lost(run, failure.code, sign);
--- a/lib/src/entry/session.rs
+++ b/lib/src/entry/session.rs
@@ -4,7 +4,7 @@
 
 use crate::clock::Millis;
 use crate::error::{Code, Failure};
-use crate::retry::{RetryStateMachine, State};
+use crate::retry::{RetryStateMachine, RequestState};
 use crate::name::Name;
 use crate::request::{Class, Id, Ticket};
 
@@ -133,7 +133,7 @@
     /// Ends the request whose caller went away.
     pub fn abandon(&mut self) {
         let code = match &mut self.machine {
-            Some(machine) if machine.state() == State::Answered => return,
+            Some(machine) if machine.state() == RequestState::Answered => return,
             Some(machine) => machine.abandon(),
             None => Code::CallerGoneWaiting,
         };
--- a/lib/src/retry/mod.rs
+++ b/lib/src/retry/mod.rs
@@ -44,7 +44,7 @@
 
 /// Where a request stands.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum State {
+pub enum RequestState {
     /// No upstream can have it.
     NotSent,
     /// A runner has it; an upstream may have started it.
@@ -120,7 +120,7 @@
     rules: RetryPolicy,
     idempotent: bool,
     deadline: Millis,
-    state: State,
+    state: RequestState,
     attempts: u32,
     redirects: u32,
     unknowns: u32,
@@ -138,7 +138,7 @@
             rules,
             idempotent,
             deadline,
-            state: State::NotSent,
+            state: RequestState::NotSent,
             attempts: 0,
             redirects: 0,
             unknowns: 0,
@@ -149,7 +149,7 @@
 
     /// Returns where the request stands.
     #[must_use]
-    pub fn state(&self) -> State {
+    pub fn state(&self) -> RequestState {
         self.state
     }
 
@@ -162,7 +162,7 @@
     /// Returns whether it is certain that no try has run or will.
     #[must_use]
     pub fn certainly_not_run(&self) -> bool {
-        self.state == State::NotSent && self.unsettled.is_none()
+        self.state == RequestState::NotSent && self.unsettled.is_none()
     }
 
     /// Returns whether the try that comes next is the last one allowed.
@@ -173,13 +173,13 @@
 
     /// Notes that a runner gets the request now.
     pub fn send(&mut self) {
-        self.state = State::MaybeRun;
+        self.state = RequestState::MaybeRun;
         self.attempts += 1;
     }
 
     /// Notes that an upstream has begun to answer.
     pub fn begin(&mut self) {
-        self.state = State::Running;
+        self.state = RequestState::Running;
     }
 
     /// Notes that a part of the answer goes to the caller.
@@ -189,7 +189,7 @@
 
     /// Notes that the caller has the whole answer.
     pub fn finish(&mut self) {
-        self.state = State::Answered;
+        self.state = RequestState::Answered;
     }
 
     /// Ends a request whose caller went away, with the truth about it.
@@ -199,7 +199,7 @@
         } else {
             Code::CallerGoneRunning
         };
-        self.state = State::Ended;
+        self.state = RequestState::Ended;
         code
     }
 
@@ -208,7 +208,7 @@
     /// The failure that is returned covers all tries made before.
     pub fn end(&mut self, failure: Failure) -> Failure {
         let failure = self.truth(failure);
-        self.state = State::Ended;
+        self.state = RequestState::Ended;
         failure
     }
 
@@ -236,7 +236,7 @@
         // A code that says "not run" after the upstream has begun to answer is a
         // fault of whoever made it. Passing it on would invite the caller to
         // repeat what ran, so it is read as a cut answer.
-        if self.state == State::Running && failure.fate() == Fate::NotRun {
+        if self.state == RequestState::Running && failure.fate() == Fate::NotRun {
             return Failure {
                 code: Code::AnswerCut,
                 ..failure
@@ -247,10 +247,10 @@
 
     fn note(&mut self, failure: &Failure) {
         match failure.fate() {
-            Fate::NotRun => self.state = State::NotSent,
+            Fate::NotRun => self.state = RequestState::NotSent,
             Fate::Unknown => {
                 self.unknowns += 1;
-                self.state = State::MaybeRun;
+                self.state = RequestState::MaybeRun;
                 self.unsettled.get_or_insert_with(|| failure.clone());
             }
             Fate::Ran => {}
