--- a/lib/src/retry/mod.rs
+++ b/lib/src/retry/mod.rs
@@ -59,7 +59,7 @@
 
 /// What forbade a retry that the failure alone would have allowed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Denial {
+pub enum RetryDenial {
     /// It may have run, and running it twice would do harm.
     NotIdempotent,
     /// The caller has a part of the answer, and two runs are never spliced.
@@ -74,7 +74,7 @@
     Deadline,
 }
 
-impl Denial {
+impl RetryDenial {
     /// Returns the name that metrics use.
     #[must_use]
     pub const fn name(self) -> &'static str {
@@ -99,7 +99,7 @@
         /// What the caller is told.
         failure: Failure,
         /// What forbade a retry, if the failure alone would have allowed one.
-        denial: Option<Denial>,
+        denial: Option<RetryDenial>,
     },
 }
 
@@ -282,29 +282,29 @@
         fate: Fate,
         resume: Millis,
         budget: &mut Budget,
-    ) -> Option<Denial> {
+    ) -> Option<RetryDenial> {
         if self.passed {
-            return Some(Denial::AnswerBegun);
+            return Some(RetryDenial::AnswerBegun);
         }
         if !self.idempotent && (fate != Fate::NotRun || self.unsettled.is_some()) {
-            return Some(Denial::NotIdempotent);
+            return Some(RetryDenial::NotIdempotent);
         }
         if reaction == Reaction::Never || self.attempts >= self.rules.attempts {
-            return Some(Denial::Attempts);
+            return Some(RetryDenial::Attempts);
         }
         if self.redirects >= self.rules.redirects {
-            return Some(Denial::Attempts);
+            return Some(RetryDenial::Attempts);
         }
         if self.unknowns >= self.rules.unknowns {
-            return Some(Denial::Unknowns);
+            return Some(RetryDenial::Unknowns);
         }
         if resume >= self.deadline {
-            return Some(Denial::Deadline);
+            return Some(RetryDenial::Deadline);
         }
         // All requests of a dead owner need a redirect at once; charging them
         // would refuse most of them for nothing.
         if !reaction.is_free() && !budget.spend() {
-            return Some(Denial::Budget);
+            return Some(RetryDenial::Budget);
         }
         None
     }
@@ -333,7 +333,7 @@
         machine.fail(Failure::new(code, ""), context(0), &mut budget)
     }
 
-    fn ended(verdict: Verdict) -> (Code, Option<Denial>) {
+    fn ended(verdict: Verdict) -> (Code, Option<RetryDenial>) {
         match verdict {
             Verdict::End { failure, denial } => (failure.code, denial),
             Verdict::Retry(_) => panic!("retried"),
@@ -357,7 +357,7 @@
         let mut machine = machine(false);
         machine.send();
         let end = ended(fail(&mut machine, Code::UpstreamLost));
-        assert_eq!(end, (Code::UpstreamLost, Some(Denial::NotIdempotent)));
+        assert_eq!(end, (Code::UpstreamLost, Some(RetryDenial::NotIdempotent)));
     }
 
     /// A request whose first try was lost isn't reported as not run because the second was refused.
@@ -385,7 +385,7 @@
         fail(&mut machine, Code::UpstreamLost);
         machine.send();
         let end = ended(fail(&mut machine, Code::UpstreamLost));
-        assert_eq!(end, (Code::UpstreamLost, Some(Denial::Unknowns)));
+        assert_eq!(end, (Code::UpstreamLost, Some(RetryDenial::Unknowns)));
     }
 
     #[test]
@@ -395,7 +395,7 @@
         machine.begin();
         machine.pass();
         let end = ended(fail(&mut machine, Code::AnswerCut));
-        assert_eq!(end, (Code::AnswerCut, Some(Denial::AnswerBegun)));
+        assert_eq!(end, (Code::AnswerCut, Some(RetryDenial::AnswerBegun)));
     }
 
     #[test]
@@ -404,7 +404,7 @@
         machine.send();
         machine.begin();
         let end = ended(fail(&mut machine, Code::QueueFull));
-        assert_eq!(end, (Code::AnswerCut, Some(Denial::NotIdempotent)));
+        assert_eq!(end, (Code::AnswerCut, Some(RetryDenial::NotIdempotent)));
     }
 
     #[test]
@@ -419,7 +419,7 @@
         );
         assert_eq!(
             ended(verdict),
-            (Code::ConnectFailed, Some(Denial::Deadline))
+            (Code::ConnectFailed, Some(RetryDenial::Deadline))
         );
     }
 
@@ -430,7 +430,7 @@
         while budget.spend() {}
         machine.send();
         let verdict = machine.fail(Failure::new(Code::QueueFull, ""), context(0), &mut budget);
-        assert_eq!(ended(verdict), (Code::QueueFull, Some(Denial::Budget)));
+        assert_eq!(ended(verdict), (Code::QueueFull, Some(RetryDenial::Budget)));
     }
 
     #[test]
@@ -445,7 +445,7 @@
         }
         machine.send();
         let end = ended(fail(&mut machine, Code::NotOwner));
-        assert_eq!(end, (Code::NotOwner, Some(Denial::Attempts)));
+        assert_eq!(end, (Code::NotOwner, Some(RetryDenial::Attempts)));
     }
 
     #[test]
