--- a/bench/src/fuzz_outcomes/harness/traffic/mod.rs
+++ b/bench/src/fuzz_outcomes/harness/traffic/mod.rs
@@ -9,7 +9,7 @@
 
 use chivevalve::clock::Millis;
 use chivevalve::error::{Code, Failure, Fate};
-use chivevalve::retry::{self, Budget, Context, RetryPolicy, Verdict};
+use chivevalve::retry::{self, Budget, Context, RetryPolicy, RetryDecision};
 use chivevalve::membership::fleet::State;
 use chivevalve::name::Name;
 use rand::RngExt;
@@ -189,11 +189,11 @@
         };
         let budget: &mut Budget = &mut self.nodes[node].budget;
         match request.fate.fail(failure, context, budget) {
-            Verdict::Retry(pause) => {
+            RetryDecision::Retry(pause) => {
                 let start = request.start;
                 self.later(pause.0, Due::Node(node, start, Arrival::Retry(number)));
             }
-            Verdict::End { failure, .. } => self.tell_caller(number, &failure),
+            RetryDecision::End { failure, .. } => self.tell_caller(number, &failure),
         }
     }
 
--- a/lib/src/entry/dispatch.rs
+++ b/lib/src/entry/dispatch.rs
@@ -16,7 +16,7 @@
 use crate::claim::Claim;
 use crate::clock::Millis;
 use crate::error::{Code, Failure, Fate};
-use crate::retry::{Context, RequestState, Verdict};
+use crate::retry::{Context, RequestState, RetryDecision};
 use crate::membership::fleet::Owner;
 use crate::name::Name;
 use crate::poison::fingerprint::Fingerprint;
@@ -232,11 +232,11 @@
         .machine()
         .fail(failure, context, &mut lock(&gateway.budget));
     match verdict {
-        Verdict::Retry(pause) => {
+        RetryDecision::Retry(pause) => {
             metrics.retries.with_label_values(&[reason]).inc();
             Ok(pause)
         }
-        Verdict::End { failure, denial } => {
+        RetryDecision::End { failure, denial } => {
             if let Some(denial) = denial {
                 let labels = [denial.name()];
                 metrics.retries_denied.with_label_values(&labels).inc();
--- a/lib/src/retry/mod.rs
+++ b/lib/src/retry/mod.rs
@@ -91,7 +91,7 @@
 
 /// What to do after a failed try.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Verdict {
+pub enum RetryDecision {
     /// Try again after a pause.
     Retry(Millis),
     /// Tell the caller; the failure's fate covers all tries of the request.
@@ -213,7 +213,7 @@
     }
 
     /// Decides what follows a failed try.
-    pub fn fail(&mut self, failure: Failure, context: Context, budget: &mut Budget) -> Verdict {
+    pub fn fail(&mut self, failure: Failure, context: Context, budget: &mut Budget) -> RetryDecision {
         let failure = self.corrected(failure);
         self.note(&failure);
         let reaction = reaction(failure.code);
@@ -223,8 +223,8 @@
         }
         let pause = self.pause(reaction, context);
         match self.denial(reaction, failure.fate(), context.now + pause, budget) {
-            None => Verdict::Retry(pause),
-            Some(denial) => Verdict::End {
+            None => RetryDecision::Retry(pause),
+            Some(denial) => RetryDecision::End {
                 failure: self.end(failure),
                 denial: (reaction != Reaction::Never).then_some(denial),
             },
@@ -328,15 +328,15 @@
         }
     }
 
-    fn fail(machine: &mut RetryStateMachine, code: Code) -> Verdict {
+    fn fail(machine: &mut RetryStateMachine, code: Code) -> RetryDecision {
         let mut budget = Budget::new(100, Millis::ZERO);
         machine.fail(Failure::new(code, ""), context(0), &mut budget)
     }
 
-    fn ended(verdict: Verdict) -> (Code, Option<RetryDenial>) {
+    fn ended(verdict: RetryDecision) -> (Code, Option<RetryDenial>) {
         match verdict {
-            Verdict::End { failure, denial } => (failure.code, denial),
-            Verdict::Retry(_) => panic!("retried"),
+            RetryDecision::End { failure, denial } => (failure.code, denial),
+            RetryDecision::Retry(_) => panic!("retried"),
         }
     }
 
@@ -346,7 +346,7 @@
         machine.send();
         assert_eq!(
             fail(&mut machine, Code::QueueFull),
-            Verdict::Retry(Millis::ZERO)
+            RetryDecision::Retry(Millis::ZERO)
         );
         assert!(machine.certainly_not_run());
     }
@@ -367,7 +367,7 @@
         machine.send();
         assert!(matches!(
             fail(&mut machine, Code::UpstreamLost),
-            Verdict::Retry(_)
+            RetryDecision::Retry(_)
         ));
         machine.send();
         assert_eq!(
@@ -440,7 +440,7 @@
             machine.send();
             assert!(matches!(
                 fail(&mut machine, Code::NotOwner),
-                Verdict::Retry(_)
+                RetryDecision::Retry(_)
             ));
         }
         machine.send();
--- a/lib/tests/test_fate.rs
+++ b/lib/tests/test_fate.rs
@@ -7,7 +7,7 @@
 
 use chivevalve::clock::Millis;
 use chivevalve::error::{Code, Failure, Fate};
-use chivevalve::retry::{Budget, Context, RetryStateMachine, RetryPolicy, Verdict};
+use chivevalve::retry::{Budget, Context, RetryStateMachine, RetryPolicy, RetryDecision};
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 
 /// Fixed, so that CI tries the same stories each time.
@@ -156,11 +156,11 @@
         };
         let failure = Failure::new(attempt.code, "");
         match machine.fail(failure, context, &mut budget) {
-            Verdict::Retry(pause) => {
+            RetryDecision::Retry(pause) => {
                 retried(story, &truth)?;
                 now += pause;
             }
-            Verdict::End { failure, .. } => return ended(&failure, &truth),
+            RetryDecision::End { failure, .. } => return ended(&failure, &truth),
         }
         if machine.certainly_not_run() && truth.unknowns > 0 {
             return Err("called certainly not run".into());
@@ -252,8 +252,8 @@
             random: 0,
         };
         match machine.fail(Failure::new(code, ""), context, budget) {
-            Verdict::Retry(_) => retries += u64::from(!free.contains(&code)),
-            Verdict::End { .. } => return retries,
+            RetryDecision::Retry(_) => retries += u64::from(!free.contains(&code)),
+            RetryDecision::End { .. } => return retries,
         }
     }
     panic!("tried without end after {code}")
