--- a/bench/src/fuzz_outcomes/harness/traffic/mod.rs
+++ b/bench/src/fuzz_outcomes/harness/traffic/mod.rs
@@ -9,7 +9,7 @@
 
 use chivevalve::clock::Millis;
 use chivevalve::error::{Code, Failure, Fate};
-use chivevalve::retry::{self, Budget, Context, RetryPolicy, RetryDecision};
+use chivevalve::retry::{self, Budget, FailureContext, RetryPolicy, RetryDecision};
 use chivevalve::membership::fleet::State;
 use chivevalve::name::Name;
 use rand::RngExt;
@@ -182,7 +182,7 @@
             Err(failure) => failure,
         };
         request.asked = None;
-        let context = Context {
+        let context = FailureContext {
             now,
             untried,
             random,
--- a/lib/src/entry/dispatch.rs
+++ b/lib/src/entry/dispatch.rs
@@ -16,7 +16,7 @@
 use crate::claim::Claim;
 use crate::clock::Millis;
 use crate::error::{Code, Failure, Fate};
-use crate::retry::{Context, RequestState, RetryDecision};
+use crate::retry::{FailureContext, RequestState, RetryDecision};
 use crate::membership::fleet::Owner;
 use crate::name::Name;
 use crate::poison::fingerprint::Fingerprint;
@@ -215,7 +215,7 @@
     if blames_upstream(failure.code) {
         gateway.refused(&target.pool, target.index, adapter, failure.code, now);
     }
-    let context = Context {
+    let context = FailureContext {
         now,
         untried: target.others,
         random: gateway.random(),
--- a/lib/src/retry/mod.rs
+++ b/lib/src/retry/mod.rs
@@ -105,7 +105,7 @@
 
 /// The circumstances of a failed try.
 #[derive(Debug, Clone, Copy)]
-pub struct Context {
+pub struct FailureContext {
     /// The time.
     pub now: Millis,
     /// Whether there is an upstream that the request hasn't been tried on.
@@ -213,7 +213,7 @@
     }
 
     /// Decides what follows a failed try.
-    pub fn fail(&mut self, failure: Failure, context: Context, budget: &mut Budget) -> RetryDecision {
+    pub fn fail(&mut self, failure: Failure, context: FailureContext, budget: &mut Budget) -> RetryDecision {
         let failure = self.corrected(failure);
         self.note(&failure);
         let reaction = reaction(failure.code);
@@ -265,7 +265,7 @@
         }
     }
 
-    fn pause(&self, reaction: Reaction, context: Context) -> Millis {
+    fn pause(&self, reaction: Reaction, context: FailureContext) -> Millis {
         let settled = self.unsettled.is_none();
         let first = self.tries() <= 1;
         // A refusal costs its upstream nothing, so the first one is followed at
@@ -320,8 +320,8 @@
         RetryStateMachine::new(RetryPolicy::default(), idempotent, DEADLINE)
     }
 
-    fn context(now: u64) -> Context {
-        Context {
+    fn context(now: u64) -> FailureContext {
+        FailureContext {
             now: Millis(now),
             untried: true,
             random: 0,
--- a/lib/tests/test_fate.rs
+++ b/lib/tests/test_fate.rs
@@ -7,7 +7,7 @@
 
 use chivevalve::clock::Millis;
 use chivevalve::error::{Code, Failure, Fate};
-use chivevalve::retry::{Budget, Context, RetryStateMachine, RetryPolicy, RetryDecision};
+use chivevalve::retry::{Budget, FailureContext, RetryStateMachine, RetryPolicy, RetryDecision};
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 
 /// Fixed, so that CI tries the same stories each time.
@@ -149,7 +149,7 @@
         }
         truth.see(attempt);
         now += Millis(attempt.took);
-        let context = Context {
+        let context = FailureContext {
             now,
             untried: attempt.untried,
             random: attempt.random,
@@ -246,7 +246,7 @@
     let mut retries = 0;
     for _ in 0..ENDLESS {
         machine.send();
-        let context = Context {
+        let context = FailureContext {
             now: Millis::ZERO,
             untried: true,
             random: 0,
