--- a/bench/src/fuzz_outcomes/harness/traffic/mod.rs
+++ b/bench/src/fuzz_outcomes/harness/traffic/mod.rs
@@ -9,7 +9,7 @@
 
 use chivevalve::clock::Millis;
 use chivevalve::error::{Code, Failure, Fate};
-use chivevalve::retry::{self, Budget, FailureContext, RetryPolicy, RetryDecision};
+use chivevalve::retry::{self, RetryBudget, FailureContext, RetryPolicy, RetryDecision};
 use chivevalve::membership::fleet::State;
 use chivevalve::name::Name;
 use rand::RngExt;
@@ -187,7 +187,7 @@
             untried,
             random,
         };
-        let budget: &mut Budget = &mut self.nodes[node].budget;
+        let budget: &mut RetryBudget = &mut self.nodes[node].budget;
         match request.fate.fail(failure, context, budget) {
             RetryDecision::Retry(pause) => {
                 let start = request.start;
--- a/bench/src/fuzz_outcomes/harness/world.rs
+++ b/bench/src/fuzz_outcomes/harness/world.rs
@@ -12,7 +12,7 @@
 
 use chivevalve::clock::Millis;
 use chivevalve::error::Failure;
-use chivevalve::retry::Budget;
+use chivevalve::retry::RetryBudget;
 use chivevalve::membership::guard::Guards;
 use chivevalve::membership::machine::{Answer, Call, Machine};
 use chivevalve::membership::node::{Claim, Identity};
@@ -133,7 +133,7 @@
     pub served: BTreeMap<Name, Served>,
     pub upstreams: Upstreams,
     pub routes: BTreeMap<Id, Route>,
-    pub budget: Budget,
+    pub budget: RetryBudget,
     listed: u64,
     stalled: bool,
     left_over: u32,
@@ -244,7 +244,7 @@
             served: BTreeMap::new(),
             upstreams: Upstreams::new(self.guards),
             routes: BTreeMap::new(),
-            budget: Budget::new(20, Millis::ZERO),
+            budget: RetryBudget::new(20, Millis::ZERO),
             listed: 0,
             stalled: false,
             left_over: 0,
--- a/bench/src/fuzz_outcomes/harness/world/faults.rs
+++ b/bench/src/fuzz_outcomes/harness/world/faults.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 
 use chivevalve::clock::Millis;
-use chivevalve::retry::Budget;
+use chivevalve::retry::RetryBudget;
 use chivevalve::membership::Limits;
 use chivevalve::membership::machine::Machine;
 use chivevalve::membership::upstreams::Upstreams;
@@ -229,7 +229,7 @@
         node.upstreams = Upstreams::new(self.guards);
         node.listed = 0;
         let now = node.clock(self.now);
-        node.budget = Budget::new(20, now);
+        node.budget = RetryBudget::new(20, now);
         let limits = Limits {
             watchers: 2,
             settle: Millis(4000),
--- a/lib/src/entry/gateway.rs
+++ b/lib/src/entry/gateway.rs
@@ -25,7 +25,7 @@
 use crate::config::View;
 use crate::declaration::{Account, Template};
 use crate::error::{Code, Failure};
-use crate::retry::Budget;
+use crate::retry::RetryBudget;
 use crate::membership::Fleet;
 use crate::membership::fleet::State;
 use crate::name::Name;
@@ -51,7 +51,7 @@
     /// Bytes of bodies.
     pub buffer: Buffer,
     /// Retries left.
-    pub budget: Mutex<Budget>,
+    pub budget: Mutex<RetryBudget>,
     claims: Keeper,
     jitter: Mutex<Pcg64Mcg>,
     router: Mutex<Router>,
@@ -81,7 +81,7 @@
         Arc::new(Self {
             gate: Gate::new(limits.in_flight),
             buffer: Buffer::new(limits.buffered_bytes),
-            budget: Mutex::new(Budget::new(limits.retry_percent, parts.clock.now())),
+            budget: Mutex::new(RetryBudget::new(limits.retry_percent, parts.clock.now())),
             claims: Keeper::start(claims(&parts)),
             jitter: Mutex::new(Pcg64Mcg::seed_from_u64(parts.seed)),
             router: Mutex::new(Router::new(limits.placement.clone(), parts.seed)),
--- a/lib/src/retry/budget.rs
+++ b/lib/src/retry/budget.rs
@@ -18,13 +18,13 @@
 /// Under an outage each retry adds load exactly when there is least room for
 /// it; bounding their share keeps an outage from growing into a retry storm.
 #[derive(Debug)]
-pub struct Budget {
+pub struct RetryBudget {
     percent: u64,
     tokens: u64,
     filled: Millis,
 }
 
-impl Budget {
+impl RetryBudget {
     /// Starts a budget with this many retries for each hundred first tries.
     #[must_use]
     pub fn new(percent: u32, now: Millis) -> Self {
@@ -67,7 +67,7 @@
     /// Cause: each request knew only its own bound on tries.
     #[test]
     fn spend_all_fail() {
-        let mut budget = Budget::new(20, Millis::ZERO);
+        let mut budget = RetryBudget::new(20, Millis::ZERO);
         let mut retries = 0;
         for _ in 0..10_000 {
             budget.earn(Millis::ZERO);
@@ -78,7 +78,7 @@
 
     #[test]
     fn earn_quiet_node() {
-        let mut budget = Budget::new(0, Millis::ZERO);
+        let mut budget = RetryBudget::new(0, Millis::ZERO);
         while budget.spend() {}
         budget.earn(Millis::from_secs(1));
         assert!(budget.spend());
--- a/lib/src/retry/mod.rs
+++ b/lib/src/retry/mod.rs
@@ -9,7 +9,7 @@
 mod reaction;
 
 pub use backoff::Backoff;
-pub use budget::Budget;
+pub use budget::RetryBudget;
 
 use crate::clock::Millis;
 use crate::error::{Code, Failure, Fate};
@@ -69,7 +69,7 @@
     /// Too many tries of the request ended with an unknown fate.
     Unknowns,
     /// The node has spent its retries.
-    Budget,
+    RetryBudget,
     /// The deadline leaves no time for another try.
     Deadline,
 }
@@ -83,7 +83,7 @@
             Self::AnswerBegun => "answer_begun",
             Self::Attempts => "attempts",
             Self::Unknowns => "unknowns",
-            Self::Budget => "budget",
+            Self::RetryBudget => "budget",
             Self::Deadline => "deadline",
         }
     }
@@ -213,7 +213,7 @@
     }
 
     /// Decides what follows a failed try.
-    pub fn fail(&mut self, failure: Failure, context: FailureContext, budget: &mut Budget) -> RetryDecision {
+    pub fn fail(&mut self, failure: Failure, context: FailureContext, budget: &mut RetryBudget) -> RetryDecision {
         let failure = self.corrected(failure);
         self.note(&failure);
         let reaction = reaction(failure.code);
@@ -281,7 +281,7 @@
         reaction: Reaction,
         fate: Fate,
         resume: Millis,
-        budget: &mut Budget,
+        budget: &mut RetryBudget,
     ) -> Option<RetryDenial> {
         if self.passed {
             return Some(RetryDenial::AnswerBegun);
@@ -304,7 +304,7 @@
         // All requests of a dead owner need a redirect at once; charging them
         // would refuse most of them for nothing.
         if !reaction.is_free() && !budget.spend() {
-            return Some(RetryDenial::Budget);
+            return Some(RetryDenial::RetryBudget);
         }
         None
     }
@@ -329,7 +329,7 @@
     }
 
     fn fail(machine: &mut RetryStateMachine, code: Code) -> RetryDecision {
-        let mut budget = Budget::new(100, Millis::ZERO);
+        let mut budget = RetryBudget::new(100, Millis::ZERO);
         machine.fail(Failure::new(code, ""), context(0), &mut budget)
     }
 
@@ -410,7 +410,7 @@
     #[test]
     fn fail_deadline_near() {
         let mut machine = machine(true);
-        let mut budget = Budget::new(100, Millis::ZERO);
+        let mut budget = RetryBudget::new(100, Millis::ZERO);
         machine.send();
         let verdict = machine.fail(
             Failure::new(Code::ConnectFailed, ""),
@@ -426,11 +426,11 @@
     #[test]
     fn fail_budget_spent() {
         let mut machine = machine(true);
-        let mut budget = Budget::new(0, Millis::ZERO);
+        let mut budget = RetryBudget::new(0, Millis::ZERO);
         while budget.spend() {}
         machine.send();
         let verdict = machine.fail(Failure::new(Code::QueueFull, ""), context(0), &mut budget);
-        assert_eq!(ended(verdict), (Code::QueueFull, Some(RetryDenial::Budget)));
+        assert_eq!(ended(verdict), (Code::QueueFull, Some(RetryDenial::RetryBudget)));
     }
 
     #[test]
--- a/lib/tests/test_fate.rs
+++ b/lib/tests/test_fate.rs
@@ -7,7 +7,7 @@
 
 use chivevalve::clock::Millis;
 use chivevalve::error::{Code, Failure, Fate};
-use chivevalve::retry::{Budget, FailureContext, RetryStateMachine, RetryPolicy, RetryDecision};
+use chivevalve::retry::{RetryBudget, FailureContext, RetryStateMachine, RetryPolicy, RetryDecision};
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 
 /// Fixed, so that CI tries the same stories each time.
@@ -133,7 +133,7 @@
         ..RetryPolicy::default()
     };
     let mut machine = RetryStateMachine::new(rules, story.idempotent, Millis(DEADLINE));
-    let mut budget = Budget::new(story.percent, Millis::ZERO);
+    let mut budget = RetryBudget::new(story.percent, Millis::ZERO);
     let mut truth = Truth::default();
     let mut now = Millis::ZERO;
     for attempt in &story.tries {
@@ -214,7 +214,7 @@
 fn budget_bounds_all_requests() {
     fn holds(codes: Vec<u16>, percent: u32) -> bool {
         let percent = percent % 101;
-        let mut budget = Budget::new(percent, Millis::ZERO);
+        let mut budget = RetryBudget::new(percent, Millis::ZERO);
         let mut retries = 0;
         for code in &codes {
             budget.earn(Millis::ZERO);
@@ -232,7 +232,7 @@
 }
 
 /// Counts the charged retries of an idempotent request that always fails in one way.
-fn retries_of(code: Code, budget: &mut Budget) -> u64 {
+fn retries_of(code: Code, budget: &mut RetryBudget) -> u64 {
     let free = [
         Code::NotOwner,
         Code::PeerUnreachable,
