--- a/lib/src/direct/entry/gauges.rs
+++ b/lib/src/direct/entry/gauges.rs
@@ -26,7 +26,7 @@
         metrics.revision.set(count(version));
         metrics
             .quarantined
-            .set(count(state.ledger.blamed(self.clock.now())));
+            .set(count(state.ledger.blamed_count(self.clock.now())));
         let ready = state.upstreams.values().filter(|one| one.is_ready());
         let ready = ready.count();
         let doubted = state.upstreams.values().filter(|one| one.is_missing());
--- a/lib/src/direct/follow/entries.rs
+++ b/lib/src/direct/follow/entries.rs
@@ -63,7 +63,7 @@
             present.contains(&self.dialect.own(&format!("{CLAIMS}{address}")))
         });
         let is_present = |name: &str| present.contains(&self.dialect.own(name));
-        state.ledger.keep(is_present);
+        state.ledger.retain_reports(is_present);
     }
 
     /// Takes in changes that lead to how everything stood at a time.
--- a/lib/src/direct/lift.rs
+++ b/lib/src/direct/lift.rs
@@ -21,7 +21,7 @@
             state.put_evidence(&name, &entry.value, Some(entry.revision), Millis::ZERO);
         }
     }
-    Ok(state.ledger.standings(Millis::ZERO))
+    Ok(state.ledger.suspect_statuses(Millis::ZERO))
 }
 
 /// Has all nodes send a request again, by a record as of one that survived.
--- a/lib/src/direct/quarantine.rs
+++ b/lib/src/direct/quarantine.rs
@@ -117,7 +117,7 @@
     /// [`Code::Quarantined`] when upstreams ended under it.
     pub fn check(&self, request: &Fingerprint) -> Result<(), Failure> {
         let now = self.clock.now();
-        let ends = self.view.state().ledger.blames(request, now);
+        let ends = self.view.state().ledger.blamed_crashes(request, now);
         let Some(ends) = ends else {
             return Ok(());
         };
@@ -262,12 +262,12 @@
         let ledger = &mut state.ledger;
         // Some connections are seen to break only after others were reported. In the place of the
         // first report, a second one would clear whom that one names.
-        let known: Vec<Suspect> = ledger.reported(&name).cloned().collect();
+        let known: Vec<Suspect> = ledger.suspects_in(&name).cloned().collect();
         let report = CrashReport::new(start, known.into_iter().chain(suspects));
         self.outbox.put(&name, &report);
-        ledger.report(name, report.clone(), None, now);
+        ledger.add_report(name, report.clone(), None, now);
         for Suspect { request, .. } in &report.suspects {
-            if let Some(ends) = ledger.blames(request, now) {
+            if let Some(ends) = ledger.blamed_crashes(request, now) {
                 log::warn!(suspect = request.as_str(), ends = ends; "quarantine: no longer sent");
             }
         }
@@ -283,7 +283,7 @@
 
     fn ends(&self, request: &Fingerprint) -> usize {
         let now = self.clock.now();
-        self.view.state().ledger.ends(request, now)
+        self.view.state().ledger.crash_count(request, now)
     }
 
     fn is_examined(&self, request: &Fingerprint) -> bool {
--- a/lib/src/direct/quarantine/cases.rs
+++ b/lib/src/direct/quarantine/cases.rs
@@ -105,7 +105,7 @@
 
     fn is_reported(&self, start: &str, node: &str) -> bool {
         let name = format!("{CRASH_REPORT_PREFIX}{start}/{node}");
-        self.view.state().ledger.reported(&name).next().is_some()
+        self.view.state().ledger.suspects_in(&name).next().is_some()
     }
 
     /// Returns when this node reports in the place of another one.
--- a/lib/src/direct/view.rs
+++ b/lib/src/direct/view.rs
@@ -388,7 +388,7 @@
         }
         match serde_json::from_slice::<CrashReport>(value) {
             Ok(report) if is_end => {
-                self.ledger.report(name.into(), report, revision, now);
+                self.ledger.add_report(name.into(), report, revision, now);
                 Evidence::Taken
             }
             Ok(report) => {
@@ -405,8 +405,8 @@
     /// Takes in that such a record is gone.
     pub fn remove_evidence(&mut self, name: &str) {
         match survivor(name) {
-            Some(request) => self.ledger.forget_cleared(&request),
-            None => self.ledger.forget(name),
+            Some(request) => self.ledger.remove_clearance(&request),
+            None => self.ledger.remove_report(name),
         }
     }
 
--- a/lib/src/entry/quarantine.rs
+++ b/lib/src/entry/quarantine.rs
@@ -145,7 +145,7 @@
     pub fn check(&self, request: &Fingerprint) -> Result<(), Failure> {
         let now = self.clock.now();
         let mut state = self.state();
-        let Some(ends) = state.ledger.blames(request, now) else {
+        let Some(ends) = state.ledger.blamed_crashes(request, now) else {
             return Ok(());
         };
         if state.survivors.contains(request, now) {
@@ -162,7 +162,7 @@
         let mut state = self.state();
         state.survivors.remember(request.clone(), now);
         // One more end alone blames nobody, and each survival that is told is bytes at all nodes.
-        if state.ledger.ends(request, now) >= CLEARED_FROM {
+        if state.ledger.crash_count(request, now) >= CLEARED_FROM {
             self.clear(&mut state, request, now);
         }
     }
@@ -275,7 +275,7 @@
     /// Takes in a report of this node or another one; true if it was news.
     fn report(&self, state: &mut State, mut told: Told, now: Millis) -> bool {
         let name = Name::from(format!("{}/{}", told.end, told.node));
-        let known: Vec<Suspect> = state.ledger.reported(&name).cloned().collect();
+        let known: Vec<Suspect> = state.ledger.suspects_in(&name).cloned().collect();
         let was_known = state.told.contains_key(&name);
         let suspects = std::mem::take(&mut told.suspects);
         let all = known.iter().cloned().chain(suspects);
@@ -284,9 +284,9 @@
             return false;
         }
         told.suspects.clone_from(&report.suspects);
-        state.ledger.report(Name::clone(&name), report, None, now);
+        state.ledger.add_report(Name::clone(&name), report, None, now);
         for Suspect { request, .. } in &told.suspects {
-            if let Some(ends) = state.ledger.blames(request, now) {
+            if let Some(ends) = state.ledger.blamed_crashes(request, now) {
                 log::warn!(suspect = request.as_str(), ends = ends; "entry: a request is no longer sent");
             }
         }
--- a/lib/src/poison/ledger.rs
+++ b/lib/src/poison/ledger.rs
@@ -149,7 +149,7 @@
     }
 
     /// Takes a report in under its name in the key-value service.
-    pub fn report(&mut self, name: Name, mut report: CrashReport, revision: Option<u64>, now: Millis) {
+    pub fn add_report(&mut self, name: Name, mut report: CrashReport, revision: Option<u64>, now: Millis) {
         self.lapse(now);
         // Another node can tell of it after the key-value service has shown it.
         let known = self.reports.get(&name);
@@ -171,7 +171,7 @@
     }
 
     /// Returns the requests that a report names.
-    pub fn reported(&self, name: &str) -> impl Iterator<Item = &Suspect> + use<'_> {
+    pub fn suspects_in(&self, name: &str) -> impl Iterator<Item = &Suspect> + use<'_> {
         let known = self.reports.get(name);
         known.into_iter().flat_map(|known| &known.report.suspects)
     }
@@ -199,25 +199,25 @@
     }
 
     /// Takes in that the key-value service holds a report no more.
-    pub fn forget(&mut self, name: &str) {
+    pub fn remove_report(&mut self, name: &str) {
         self.reports.remove(name);
         self.judgement = None;
     }
 
     /// Takes in that the key-value service holds no survivor's record any more.
-    pub fn forget_cleared(&mut self, request: &Fingerprint) {
+    pub fn remove_clearance(&mut self, request: &Fingerprint) {
         self.cleared.remove(request);
     }
 
     /// Takes in a whole listing: what was written there and is missing has lapsed.
-    pub fn keep(&mut self, is_present: impl Fn(&str) -> bool) {
+    pub fn retain_reports(&mut self, is_present: impl Fn(&str) -> bool) {
         let lapsed = |name: &Name, known: &Known| known.revision.is_some() && !is_present(name);
         self.reports.retain(|name, known| !lapsed(name, known));
         self.judgement = None;
     }
 
     /// Returns how many upstreams ended under a request that is to blame for it.
-    pub fn blames(&mut self, request: &Fingerprint, now: Millis) -> Option<usize> {
+    pub fn blamed_crashes(&mut self, request: &Fingerprint, now: Millis) -> Option<usize> {
         self.judgement(now).blamed.get(request).copied()
     }
 
@@ -230,13 +230,13 @@
     }
 
     /// Returns how many upstreams ended while a request stood there.
-    pub fn ends(&mut self, request: &Fingerprint, now: Millis) -> usize {
+    pub fn crash_count(&mut self, request: &Fingerprint, now: Millis) -> usize {
         let ends = self.judgement(now).ends.get(request);
         ends.copied().unwrap_or_default()
     }
 
     /// Returns all requests that reports name, those to blame first.
-    pub fn standings(&mut self, now: Millis) -> Vec<SuspectStatus> {
+    pub fn suspect_statuses(&mut self, now: Millis) -> Vec<SuspectStatus> {
         let mut upstreams: BTreeMap<Fingerprint, BTreeSet<Name>> = BTreeMap::new();
         for known in self.reports.values() {
             for suspect in &known.report.suspects {
@@ -245,7 +245,7 @@
             }
         }
         let standings = upstreams.into_iter().map(|(request, upstreams)| SuspectStatus {
-            blamed: self.blames(&request, now).is_some(),
+            blamed: self.blamed_crashes(&request, now).is_some(),
             upstreams: upstreams.into_iter().collect(),
             request,
         });
@@ -255,7 +255,7 @@
     }
 
     /// Returns how many requests are to blame.
-    pub fn blamed(&mut self, now: Millis) -> usize {
+    pub fn blamed_count(&mut self, now: Millis) -> usize {
         self.judgement(now).blamed.len()
     }
 
--- a/lib/tests/test_direct_quarantine.rs
+++ b/lib/tests/test_direct_quarantine.rs
@@ -83,7 +83,7 @@
 
 impl World {
     fn ends(&self, request: &Fingerprint) -> usize {
-        self.view.state().ledger.ends(request, Millis::ZERO)
+        self.view.state().ledger.crash_count(request, Millis::ZERO)
     }
 
     /// The only report in the key-value service.
--- a/lib/tests/test_poison.rs
+++ b/lib/tests/test_poison.rs
@@ -48,12 +48,12 @@
         self.revision += 1;
         let revision = Some(self.revision);
         self.ledger
-            .report(Name::clone(&name), report, revision, Millis::ZERO);
+            .add_report(Name::clone(&name), report, revision, Millis::ZERO);
         name
     }
 
     fn blames(&mut self, request: u64) -> Option<usize> {
-        self.ledger.blames(&fingerprint(request), Millis::ZERO)
+        self.ledger.blamed_crashes(&fingerprint(request), Millis::ZERO)
     }
 }
 
@@ -218,11 +218,11 @@
     for upstream in 0..3 {
         last = world.ended(upstream, 0, &[(1, Suspicion::Begun)]);
     }
-    world.ledger.forget(&last);
+    world.ledger.remove_report(&last);
     assert_eq!(world.blames(1), None);
     world.ended(2, 0, &[(1, Suspicion::Begun)]);
     assert!(world.blames(1).is_some());
-    assert_eq!(world.ledger.blames(&fingerprint(1), REPORT_TTL), None);
+    assert_eq!(world.ledger.blamed_crashes(&fingerprint(1), REPORT_TTL), None);
     assert!(world.ledger.is_empty());
 }
 
@@ -235,8 +235,8 @@
         let suspects: Vec<_> = (0..2).map(|at| (upstream * 2 + at, Suspicion::Begun)).collect();
         world.ended(upstream, 0, &suspects);
     }
-    assert_eq!(world.ledger.ends(&fingerprint(0), Millis::ZERO), 0);
-    assert_eq!(world.ledger.ends(&fingerprint(9_999), Millis::ZERO), 1);
+    assert_eq!(world.ledger.crash_count(&fingerprint(0), Millis::ZERO), 0);
+    assert_eq!(world.ledger.crash_count(&fingerprint(9_999), Millis::ZERO), 1);
 }
 
 #[test]
