--- a/lib/src/direct/quarantine.rs
+++ b/lib/src/direct/quarantine.rs
@@ -149,14 +149,14 @@
     ///
     /// A broken connection alone says little: it can be cut, or the answer lost. What counts is
     /// the end of the upstream, which is looked for without keeping the request waiting.
-    pub fn broke(self: &Arc<Self>, upstream: &Arc<Upstream>, request: Fingerprint, sign: Suspicion) {
+    pub fn broke(self: &Arc<Self>, upstream: &Arc<Upstream>, request: Fingerprint, suspicion: Suspicion) {
         // One that leaves in order ends with whatever still runs there.
         if !upstream.is_ready() || self.survivors().contains(&request, self.clock.now()) {
             return;
         }
-        let suspect = Suspect { request, sign };
+        let suspect = Suspect { request, suspicion };
         let start = upstream.start();
-        if sign == Suspicion::Begun {
+        if suspicion == Suspicion::Begun {
             self.open_case(&start, suspect.clone());
         }
         let is_first = {
@@ -247,11 +247,11 @@
     /// Reports requests of a node at an upstream that ended, whoever saw that.
     fn report(&self, upstream: &Upstream, node: &str, suspects: Vec<Suspect>) {
         self.metrics.upstream_ends.inc();
-        for Suspect { request, sign } in &suspects {
+        for Suspect { request, suspicion } in &suspects {
             log::info!(
                 suspect = request.as_str(),
                 upstream = &*upstream.incarnation,
-                sign = sign.name();
+                sign = suspicion.name();
                 "quarantine: an upstream ended"
             );
         }
--- a/lib/src/entry/quarantine.rs
+++ b/lib/src/entry/quarantine.rs
@@ -168,7 +168,7 @@
     }
 
     /// Takes in that the connection to an upstream broke while a request stood there.
-    pub fn lost(&self, fleet: &Fleet, upstream: &Name, request: &Fingerprint, sign: Suspicion) {
+    pub fn lost(&self, fleet: &Fleet, upstream: &Name, request: &Fingerprint, suspicion: Suspicion) {
         let now = self.clock.now();
         let mut state = self.state();
         // One that leaves in order ends with whatever still runs there.
@@ -179,12 +179,12 @@
         }
         let suspect = Suspect {
             request: request.clone(),
-            sign,
+            suspicion,
         };
         log::info!(
             suspect = request.as_str(),
             upstream = &**upstream,
-            sign = sign.name();
+            sign = suspicion.name();
             "entry: an upstream broke under a request"
         );
         let losses = state.lost.entry(Name::clone(upstream)).or_default();
--- a/lib/src/entry/quarantine/share.rs
+++ b/lib/src/entry/quarantine/share.rs
@@ -131,7 +131,7 @@
     let mut text = format!("{}/{}", told.end, told.node);
     for suspect in &told.suspects {
         text.push_str(suspect.request.as_str());
-        text.push_str(suspect.sign.name());
+        text.push_str(suspect.suspicion.name());
     }
     xxh3_64(text.as_bytes())
 }
@@ -146,20 +146,20 @@
         suspects: suspects
             .map(|suspect| peer::Suspect {
                 request: suspect.request.to_string(),
-                begun: suspect.sign == Suspicion::Begun,
+                begun: suspect.suspicion == Suspicion::Begun,
             })
             .collect(),
     }
 }
 
 fn suspect(message: &peer::Suspect) -> Option<Suspect> {
-    let sign = if message.begun {
+    let suspicion = if message.begun {
         Suspicion::Begun
     } else {
         Suspicion::Possible
     };
     let request = Fingerprint::read(&message.request)?;
-    Some(Suspect { request, sign })
+    Some(Suspect { request, suspicion })
 }
 
 fn age(now: Millis, at: Millis) -> u32 {
--- a/lib/src/poison/ledger.rs
+++ b/lib/src/poison/ledger.rs
@@ -69,7 +69,8 @@
     /// The request.
     pub request: Fingerprint,
     /// How far it is suspect.
-    pub sign: Suspicion,
+    #[serde(rename = "sign")]
+    pub suspicion: Suspicion,
 }
 
 /// What one node says of one start of an upstream that ended.
@@ -93,19 +94,19 @@
 }
 
 impl CrashReport {
-    /// Makes a report of requests, each with its strongest sign, the most suspect first.
+    /// Makes a report of requests, each with its strongest suspicion, the most suspect first.
     #[must_use]
     pub fn new(upstream: Name, suspects: impl IntoIterator<Item = Suspect>) -> Self {
         let mut signs: BTreeMap<Fingerprint, Suspicion> = BTreeMap::new();
-        for Suspect { request, sign } in suspects {
-            let known = signs.entry(request).or_insert(sign);
-            *known = sign.max(*known);
+        for Suspect { request, suspicion } in suspects {
+            let known = signs.entry(request).or_insert(suspicion);
+            *known = suspicion.max(*known);
         }
         let suspects = signs.into_iter();
         let mut suspects: Vec<Suspect> = suspects
-            .map(|(request, sign)| Suspect { request, sign })
+            .map(|(request, suspicion)| Suspect { request, suspicion })
             .collect();
-        suspects.sort_by_key(|suspect| Reverse(suspect.sign));
+        suspects.sort_by_key(|suspect| Reverse(suspect.suspicion));
         suspects.truncate(MOST_SUSPECTS);
         Self { upstream, suspects }
     }
@@ -291,9 +292,9 @@
     let mut ends: HashMap<&Name, HashMap<&Fingerprint, Suspicion>> = HashMap::new();
     for report in reports {
         let end = ends.entry(&report.upstream).or_default();
-        for Suspect { request, sign } in &report.suspects {
-            let known = end.entry(request).or_insert(*sign);
-            *known = (*known).max(*sign);
+        for Suspect { request, suspicion } in &report.suspects {
+            let known = end.entry(request).or_insert(*suspicion);
+            *known = (*known).max(*suspicion);
         }
     }
     let counts = sums(&ends).into_iter();
@@ -322,9 +323,9 @@
     ends: &HashMap<&Name, HashMap<&'a Fingerprint, Suspicion>>,
 ) -> HashMap<&'a Fingerprint, Sum> {
     let mut sums: HashMap<&Fingerprint, Sum> = HashMap::new();
-    for (request, sign) in ends.values().flatten() {
+    for (request, suspicion) in ends.values().flatten() {
         let sum = sums.entry(request).or_default();
-        sum.weight += sign.weight();
+        sum.weight += suspicion.weight();
         sum.count += 1;
     }
     sums
--- a/lib/tests/test_poison.rs
+++ b/lib/tests/test_poison.rs
@@ -37,9 +37,9 @@
     /// Node `node` tells which of its requests stood at an upstream that ended.
     fn ended(&mut self, upstream: u64, node: u64, suspects: &[(u64, Suspicion)]) -> Name {
         let name: Name = format!("end/u-{upstream}/n-{node}").into();
-        let suspects = suspects.iter().map(|(request, sign)| Suspect {
+        let suspects = suspects.iter().map(|(request, suspicion)| Suspect {
             request: fingerprint(*request),
-            sign: *sign,
+            suspicion: *suspicion,
         });
         let report = CrashReport {
             upstream: format!("u-{upstream}").into(),
