--- a/lib/src/direct/quarantine.rs
+++ b/lib/src/direct/quarantine.rs
@@ -107,7 +107,7 @@
     #[must_use]
     pub fn is_empty(&self) -> bool {
         let state = self.view.state();
-        state.ledger.is_empty() && state.open.is_empty()
+        state.ledger.is_empty() && state.unconfirmed_crashes.is_empty()
     }
 
     /// Whether a request may stay where it was sent.
--- a/lib/src/direct/quarantine/cases.rs
+++ b/lib/src/direct/quarantine/cases.rs
@@ -35,7 +35,7 @@
         self.check(request)?;
         let now = self.clock.now();
         let state = self.view.state();
-        let open = state.open.around(request, now);
+        let open = state.unconfirmed_crashes.involving(request, now);
         if open.is_empty() || !state.ledger.would_blame(request, &open) {
             return Ok(());
         }
@@ -49,7 +49,7 @@
             let changed = self.view.changed.notified();
             let mut changed = std::pin::pin!(changed);
             changed.as_mut().enable();
-            let told = self.view.state().open.take_told();
+            let told = self.view.state().unconfirmed_crashes.take_from_peers();
             for (name, report) in told {
                 let quarantine = Arc::clone(&self);
                 tokio::spawn(async move { quarantine.examine_told(&name, report).await });
@@ -62,17 +62,17 @@
         let now = self.clock.now();
         let report = CrashReport::new(Name::clone(start), [suspect]);
         let name = case(start, &self.node);
-        self.view.state().open.add(&name, &report, now);
+        self.view.state().unconfirmed_crashes.add(&name, &report, now);
     }
 
     pub(super) fn close_case(&self, start: &Name, node: &str) {
-        self.view.state().open.close(&case(start, node));
+        self.view.state().unconfirmed_crashes.remove(&case(start, node));
     }
 
     /// Tells other nodes of a case that nothing but the list can decide.
     pub(super) fn tell_case(self: &Arc<Self>, start: &Name) {
         let name = case(start, &self.node);
-        let Some(report) = self.view.state().open.report(&name) else {
+        let Some(report) = self.view.state().unconfirmed_crashes.get(&name) else {
             return;
         };
         let outbox = Arc::clone(&self.outbox);
@@ -94,7 +94,7 @@
                 self.report(&upstream, node, report.suspects);
             }
         }
-        self.view.state().open.close(name);
+        self.view.state().unconfirmed_crashes.remove(name);
     }
 
     fn upstream_of(&self, start: &str) -> Option<Arc<Upstream>> {
--- a/lib/src/direct/view.rs
+++ b/lib/src/direct/view.rs
@@ -95,7 +95,7 @@
     /// What speaks against requests under which upstreams ended.
     pub ledger: CrashLedger,
     /// Requests that stood where a connection broke, while nobody knows whether the upstream ended.
-    pub open: UnconfirmedCrashes,
+    pub unconfirmed_crashes: UnconfirmedCrashes,
     /// Nodes among which upstreams' connections were last shared out.
     shared_among: usize,
 }
@@ -392,7 +392,7 @@
                 Evidence::Taken
             }
             Ok(report) => {
-                self.open.tell(name.into(), report, now);
+                self.unconfirmed_crashes.add_from_peer(name.into(), report, now);
                 Evidence::Taken
             }
             Err(error) => {
--- a/lib/src/poison/unconfirmed.rs
+++ b/lib/src/poison/unconfirmed.rs
@@ -54,7 +54,7 @@
     }
 
     /// Takes in a case that another node tells of.
-    pub fn tell(&mut self, name: Name, report: CrashReport, now: Millis) {
+    pub fn add_from_peer(&mut self, name: Name, report: CrashReport, now: Millis) {
         if self.cases.contains_key(&name) || self.told.len() >= MOST_OPEN {
             return;
         }
@@ -63,24 +63,24 @@
     }
 
     /// Returns the cases that were told since the last call.
-    pub fn take_told(&mut self) -> Vec<(Name, CrashReport)> {
+    pub fn take_from_peers(&mut self) -> Vec<(Name, CrashReport)> {
         std::mem::take(&mut self.told)
     }
 
     /// Returns the requests of a case.
     #[must_use]
-    pub fn report(&self, name: &str) -> Option<CrashReport> {
+    pub fn get(&self, name: &str) -> Option<CrashReport> {
         self.cases.get(name).map(|case| case.report.clone())
     }
 
     /// Closes a case: its upstream is known to have ended, or not to.
-    pub fn close(&mut self, name: &str) {
+    pub fn remove(&mut self, name: &str) {
         self.cases.remove(name);
     }
 
     /// Returns the reports of a request's open cases and of all beside them; none if it has none.
     #[must_use]
-    pub fn around(&self, request: &Fingerprint, now: Millis) -> Vec<&CrashReport> {
+    pub fn involving(&self, request: &Fingerprint, now: Millis) -> Vec<&CrashReport> {
         let cases = self.cases.values();
         let open: Vec<&CrashReport> = cases
             .filter(|case| now.since(case.since) < LASTS)
