--- a/lib/src/direct/quarantine.rs
+++ b/lib/src/direct/quarantine.rs
@@ -74,7 +74,7 @@
     metrics: Arc<Metrics>,
     node: Name,
     outbox: Arc<Outbox>,
-    survivors: Mutex<HarmlessRequests>,
+    harmless: Mutex<HarmlessRequests>,
     /// This node's requests at upstreams that may have ended, by the upstream's start.
     examined: Mutex<HashMap<Name, Vec<Suspect>>>,
     /// Wakes whoever waits for the end of an examination.
@@ -97,7 +97,7 @@
             metrics,
             node,
             outbox,
-            survivors: Mutex::default(),
+            harmless: Mutex::default(),
             examined: Mutex::default(),
             concluded: Notify::new(),
         }
@@ -121,7 +121,7 @@
         let Some(ends) = ends else {
             return Ok(());
         };
-        if self.survivors().contains(request, now) {
+        if self.harmless().contains(request, now) {
             self.clear(request);
             return Ok(());
         }
@@ -151,7 +151,7 @@
     /// the end of the upstream, which is looked for without keeping the request waiting.
     pub fn broke(self: &Arc<Self>, upstream: &Arc<Upstream>, request: Fingerprint, suspicion: Suspicion) {
         // One that leaves in order ends with whatever still runs there.
-        if !upstream.is_ready() || self.survivors().contains(&request, self.clock.now()) {
+        if !upstream.is_ready() || self.harmless().contains(&request, self.clock.now()) {
             return;
         }
         let suspect = Suspect { request, suspicion };
@@ -193,7 +193,7 @@
 
     /// Takes in that an upstream ran a request without harm.
     pub fn survived(&self, request: &Fingerprint) {
-        self.survivors().remember(request.clone(), self.clock.now());
+        self.harmless().insert(request.clone(), self.clock.now());
         // One more end alone blames nobody, and each record is a write.
         if self.ends(request) >= CLEARED_FROM {
             self.clear(request);
@@ -296,8 +296,8 @@
         self.examined.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn survivors(&self) -> MutexGuard<'_, HarmlessRequests> {
-        self.survivors
+    fn harmless(&self) -> MutexGuard<'_, HarmlessRequests> {
+        self.harmless
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
     }
--- a/lib/src/entry/quarantine.rs
+++ b/lib/src/entry/quarantine.rs
@@ -87,7 +87,7 @@
 #[derive(Debug, Default)]
 struct State {
     ledger: CrashLedger,
-    survivors: HarmlessRequests,
+    harmless: HarmlessRequests,
     lost: HashMap<Name, Vec<Loss>>,
     ends: HashMap<Name, End>,
     told: BTreeMap<Name, Told>,
@@ -148,7 +148,7 @@
         let Some(ends) = state.ledger.blamed_crashes(request, now) else {
             return Ok(());
         };
-        if state.survivors.contains(request, now) {
+        if state.harmless.contains(request, now) {
             self.clear(&mut state, request, now);
             return Ok(());
         }
@@ -160,7 +160,7 @@
     pub fn survived(&self, request: &Fingerprint) {
         let now = self.clock.now();
         let mut state = self.state();
-        state.survivors.remember(request.clone(), now);
+        state.harmless.insert(request.clone(), now);
         // One more end alone blames nobody, and each survival that is told is bytes at all nodes.
         if state.ledger.crash_count(request, now) >= CLEARED_FROM {
             self.clear(&mut state, request, now);
@@ -174,7 +174,7 @@
         // One that leaves in order ends with whatever still runs there.
         let is_leaving =
             usability(fleet, upstream).is_none_or(|usable| usable == Usability::Leaving);
-        if is_leaving || state.survivors.contains(request, now) {
+        if is_leaving || state.harmless.contains(request, now) {
             return;
         }
         let suspect = Suspect {
--- a/lib/src/poison/harmless.rs
+++ b/lib/src/poison/harmless.rs
@@ -28,7 +28,7 @@
 
 impl HarmlessRequests {
     /// Remembers a request that an engine ran without harm.
-    pub fn remember(&mut self, fingerprint: Fingerprint, now: Millis) {
+    pub fn insert(&mut self, fingerprint: Fingerprint, now: Millis) {
         self.turn(now);
         if self.recent.len() >= MOST {
             self.former = std::mem::take(&mut self.recent);
--- a/lib/tests/test_poison.rs
+++ b/lib/tests/test_poison.rs
@@ -241,12 +241,12 @@
 
 #[test]
 fn survivors_are_forgotten() {
-    let mut survivors = HarmlessRequests::default();
+    let mut harmless = HarmlessRequests::default();
     let now = Millis::from_secs(100);
-    survivors.remember(fingerprint(1), now);
-    assert!(survivors.contains(&fingerprint(1), now + Millis::from_secs(29)));
-    assert!(!survivors.contains(&fingerprint(2), now));
-    assert!(!survivors.contains(&fingerprint(1), now + Millis::from_secs(90)));
+    harmless.insert(fingerprint(1), now);
+    assert!(harmless.contains(&fingerprint(1), now + Millis::from_secs(29)));
+    assert!(!harmless.contains(&fingerprint(2), now));
+    assert!(!harmless.contains(&fingerprint(1), now + Millis::from_secs(90)));
 }
 
 /// A node's report: the upstream, the node, and its requests there with whether they had begun.
