--- a/lib/src/direct/node.rs
+++ b/lib/src/direct/node.rs
@@ -313,7 +313,7 @@
     /// Waits until all that this node saw of upstreams' ends is reported, until `end` at most.
     async fn report(&self, end: Millis) {
         let left = end.since(self.gate.clock.now());
-        let reported = self.gate.quarantine.reported();
+        let reported = self.gate.quarantine.flush_reports();
         if tokio::time::timeout(left.duration(), reported)
             .await
             .is_err()
--- a/lib/src/direct/quarantine.rs
+++ b/lib/src/direct/quarantine.rs
@@ -130,7 +130,7 @@
     }
 
     /// Waits until it is known whether a request that others report ended one more upstream.
-    pub async fn examined(&self, request: &Fingerprint) {
+    pub async fn wait_for_crash_check(&self, request: &Fingerprint) {
         let waiting = async {
             loop {
                 let concluded = self.concluded.notified();
@@ -149,7 +149,7 @@
     ///
     /// A broken connection alone says little: it can be cut, or the answer lost. What counts is
     /// the end of the upstream, which is looked for without keeping the request waiting.
-    pub fn broke(self: &Arc<Self>, upstream: &Arc<Upstream>, request: Fingerprint, suspicion: Suspicion) {
+    pub fn record_broken_connection(self: &Arc<Self>, upstream: &Arc<Upstream>, request: Fingerprint, suspicion: Suspicion) {
         // One that leaves in order ends with whatever still runs there.
         if !upstream.is_ready() || self.harmless().contains(&request, self.clock.now()) {
             return;
@@ -178,7 +178,7 @@
     /// Waits until nothing is examined any more and all reports are written.
     ///
     /// A node that ends before takes what it saw of an upstream's end with it.
-    pub async fn reported(&self) {
+    pub async fn flush_reports(&self) {
         loop {
             let concluded = self.concluded.notified();
             let mut concluded = std::pin::pin!(concluded);
@@ -192,7 +192,7 @@
     }
 
     /// Takes in that an upstream ran a request without harm.
-    pub fn survived(&self, request: &Fingerprint) {
+    pub fn record_harmless_run(&self, request: &Fingerprint) {
         self.harmless().insert(request.clone(), self.clock.now());
         // One more end alone blames nobody, and each record is a write.
         if self.ends(request) >= CLEARED_FROM {
--- a/lib/src/entry/dispatch.rs
+++ b/lib/src/entry/dispatch.rs
@@ -151,7 +151,7 @@
         match attempt(gateway, session, order, &target).await {
             Ok(outcome) => {
                 if !matches!(outcome, Outcome::Flow(_)) {
-                    gateway.quarantine().survived(&order.fingerprint);
+                    gateway.quarantine().record_harmless_run(&order.fingerprint);
                 }
                 return Ok(outcome);
             }
--- a/lib/src/entry/quarantine.rs
+++ b/lib/src/entry/quarantine.rs
@@ -157,7 +157,7 @@
     }
 
     /// Takes in that an upstream ran a request without harm.
-    pub fn survived(&self, request: &Fingerprint) {
+    pub fn record_harmless_run(&self, request: &Fingerprint) {
         let now = self.clock.now();
         let mut state = self.state();
         state.harmless.insert(request.clone(), now);
--- a/lib/src/entry/relay.rs
+++ b/lib/src/entry/relay.rs
@@ -275,7 +275,7 @@
     fn settle(&mut self) {
         if !std::mem::replace(&mut self.settled, true) {
             let quarantine = self.session.gateway().quarantine();
-            quarantine.survived(&self.flow.run.request);
+            quarantine.record_harmless_run(&self.flow.run.request);
         }
     }
 
--- a/lib/tests/test_direct_quarantine.rs
+++ b/lib/tests/test_direct_quarantine.rs
@@ -151,7 +151,7 @@
     let suspect = request("/x");
     world
         .quarantine
-        .broke(&upstream, suspect.clone(), Suspicion::Begun);
+        .record_broken_connection(&upstream, suspect.clone(), Suspicion::Begun);
     pass(Millis(30_000)).await;
     assert_eq!(world.ends(&suspect), 0);
     upstream.retire();
@@ -166,7 +166,7 @@
     let suspect = request("/x");
     world
         .quarantine
-        .broke(&upstream, suspect.clone(), Suspicion::Begun);
+        .record_broken_connection(&upstream, suspect.clone(), Suspicion::Begun);
     upstream.missing();
     world.view.renew(Millis(60_000));
     pass(Millis(7_000)).await;
@@ -182,7 +182,7 @@
     let suspect = request("/x");
     world
         .quarantine
-        .broke(&upstream, suspect.clone(), Suspicion::Begun);
+        .record_broken_connection(&upstream, suspect.clone(), Suspicion::Begun);
     pass(Millis(10_000)).await;
     upstream.succeeded();
     pass(Millis(1_000)).await;
@@ -199,7 +199,7 @@
     let suspect = request("/x");
     world
         .quarantine
-        .broke(&upstream, suspect.clone(), Suspicion::Begun);
+        .record_broken_connection(&upstream, suspect.clone(), Suspicion::Begun);
     pass(Millis(2_000)).await;
     world.view.renew(Millis(60_000));
     pass(Millis(1_000)).await;
@@ -215,9 +215,9 @@
     let upstream = ended();
     let (first, later) = (request("/first"), request("/later"));
     let quarantine = &world.quarantine;
-    quarantine.broke(&upstream, first.clone(), Suspicion::Begun);
+    quarantine.record_broken_connection(&upstream, first.clone(), Suspicion::Begun);
     until("the first report", || world.ends(&first) == 1).await;
-    quarantine.broke(&upstream, later.clone(), Suspicion::Possible);
+    quarantine.record_broken_connection(&upstream, later.clone(), Suspicion::Possible);
     until("the second report", || world.ends(&later) == 1).await;
     assert_eq!(world.ends(&first), 1);
     let both = || {
@@ -247,7 +247,7 @@
     let suspect = request("/x");
     killed
         .quarantine
-        .broke(&broken, suspect.clone(), Suspicion::Begun);
+        .record_broken_connection(&broken, suspect.clone(), Suspicion::Begun);
     pass(Millis(3_000)).await;
     // The list is never read there again.
     listed_upstream.retire();
@@ -266,7 +266,7 @@
         assert!(world.quarantine.check_send(&suspect).is_ok(), "{number}");
         world
             .quarantine
-            .broke(upstream, suspect.clone(), Suspicion::Begun);
+            .record_broken_connection(upstream, suspect.clone(), Suspicion::Begun);
     }
     assert!(world.quarantine.check_send(&suspect).is_err());
     // What was sent already stays: nothing is known against it.
@@ -288,7 +288,7 @@
         let (_listener, upstream) = named_behind_a_proxy(name);
         world
             .quarantine
-            .broke(&upstream, proper.clone(), Suspicion::Possible);
+            .record_broken_connection(&upstream, proper.clone(), Suspicion::Possible);
     }
     assert!(world.quarantine.check_send(&proper).is_ok());
 }
@@ -301,7 +301,7 @@
     let suspect = request("/x");
     let upstreams = ["i-1", "i-2", "i-3"].map(named_behind_a_proxy);
     for (_, upstream) in &upstreams {
-        one.quarantine.broke(upstream, suspect.clone(), Suspicion::Begun);
+        one.quarantine.record_broken_connection(upstream, suspect.clone(), Suspicion::Begun);
     }
     let is_held = || other.quarantine.check_send(&suspect).is_err();
     until("the cases", is_held).await;
--- a/lib/tests/test_entry_quarantine.rs
+++ b/lib/tests/test_entry_quarantine.rs
@@ -200,7 +200,7 @@
     assert!(!other.sends(&proper));
     one.clock.advance(Millis(100));
     other.clock.advance(Millis(100));
-    one.quarantine.survived(&proper);
+    one.quarantine.record_harmless_run(&proper);
     one.tell(&other);
     assert!(one.sends(&proper));
     assert!(other.sends(&proper));
@@ -221,7 +221,7 @@
     for node in [&one, &late] {
         node.clock.advance(Millis::from_secs(70));
     }
-    one.quarantine.survived(&proper);
+    one.quarantine.record_harmless_run(&proper);
     // Long enough for the node to remember the survival by its record alone.
     for node in [&one, &late] {
         node.clock.advance(Millis::from_secs(70));
@@ -235,7 +235,7 @@
 async fn survived_before_reports() {
     let (one, other) = (Node::start("n1"), Node::start("n2"));
     let proper = request("proper");
-    one.quarantine.survived(&proper);
+    one.quarantine.record_harmless_run(&proper);
     for _ in 0..3 {
         other.end_under(&[&proper]).await;
     }
