--- a/lib/src/direct/ask/tell.rs
+++ b/lib/src/direct/ask/tell.rs
@@ -16,7 +16,7 @@
 
 #[async_trait]
 impl PeerBroadcast for Controllers {
-    async fn tell(&self, name: &Name, value: &Bytes) {
+    async fn broadcast(&self, name: &Name, value: &Bytes) {
         let others: Vec<SocketAddr> = {
             let state = self.view.state();
             let nodes = state.nodes.iter();
--- a/lib/src/direct/outbox.rs
+++ b/lib/src/direct/outbox.rs
@@ -36,7 +36,7 @@
 #[async_trait]
 pub trait PeerBroadcast: fmt::Debug + Send + Sync {
     /// Tells all other nodes that are known; none of them has to answer.
-    async fn tell(&self, name: &Name, value: &Bytes);
+    async fn broadcast(&self, name: &Name, value: &Bytes);
 }
 
 /// A record that waits.
@@ -93,7 +93,7 @@
     }
 
     /// Writes a record soon, under its name among this system's own keys.
-    pub fn put(self: &Arc<Self>, name: &str, value: &impl Serialize) {
+    pub fn enqueue(self: &Arc<Self>, name: &str, value: &impl Serialize) {
         let value = match serde_json::to_vec(value) {
             Ok(value) => value.into(),
             Err(error) => {
@@ -123,15 +123,15 @@
     }
 
     /// Tells all other nodes of a record that isn't written.
-    pub async fn tell(&self, name: &Name, value: &impl Serialize) {
+    pub async fn broadcast(&self, name: &Name, value: &impl Serialize) {
         match serde_json::to_vec(value) {
-            Ok(value) => self.others.tell(name, &value.into()).await,
+            Ok(value) => self.others.broadcast(name, &value.into()).await,
             Err(error) => log::error!("outbox: {name} can't be written: {error}"),
         }
     }
 
     /// Waits until all records are written.
-    pub async fn written(&self) {
+    pub async fn flush(&self) {
         loop {
             let emptied = self.emptied.notified();
             let mut emptied = std::pin::pin!(emptied);
@@ -172,7 +172,7 @@
     async fn tell_others(&self, records: &mut [Record]) {
         for record in records.iter_mut().filter(|record| !record.is_told) {
             record.is_told = true;
-            self.others.tell(&record.name, &record.value).await;
+            self.others.broadcast(&record.name, &record.value).await;
         }
     }
 
--- a/lib/src/direct/quarantine.rs
+++ b/lib/src/direct/quarantine.rs
@@ -188,7 +188,7 @@
             }
             concluded.await;
         }
-        self.outbox.written().await;
+        self.outbox.flush().await;
     }
 
     /// Takes in that an upstream ran a request without harm.
@@ -264,7 +264,7 @@
         // first report, a second one would clear whom that one names.
         let known: Vec<Suspect> = ledger.suspects_in(&name).cloned().collect();
         let report = CrashReport::new(start, known.into_iter().chain(suspects));
-        self.outbox.put(&name, &report);
+        self.outbox.enqueue(&name, &report);
         ledger.add_report(name, report.clone(), None, now);
         for Suspect { request, .. } in &report.suspects {
             if let Some(ends) = ledger.blamed_crashes(request, now) {
@@ -278,7 +278,7 @@
     fn clear(&self, request: &Fingerprint) {
         log::info!(suspect = request.as_str(); "quarantine: survived");
         self.view.state().ledger.clear(request, None);
-        self.outbox.put(&format!("{HARMLESS_PREFIX}{request}"), request);
+        self.outbox.enqueue(&format!("{HARMLESS_PREFIX}{request}"), request);
     }
 
     fn ends(&self, request: &Fingerprint) -> usize {
--- a/lib/src/direct/quarantine/cases.rs
+++ b/lib/src/direct/quarantine/cases.rs
@@ -76,7 +76,7 @@
             return;
         };
         let outbox = Arc::clone(&self.outbox);
-        tokio::spawn(async move { outbox.tell(&name, &report).await });
+        tokio::spawn(async move { outbox.broadcast(&name, &report).await });
     }
 
     /// Looks into another node's case, and reports the end if that node doesn't.
--- a/lib/tests/test_direct_quarantine.rs
+++ b/lib/tests/test_direct_quarantine.rs
@@ -27,7 +27,7 @@
 
 #[async_trait]
 impl PeerBroadcast for Nobody {
-    async fn tell(&self, _: &Name, _: &Bytes) {}
+    async fn broadcast(&self, _: &Name, _: &Bytes) {}
 }
 
 /// One other node.
@@ -36,7 +36,7 @@
 
 #[async_trait]
 impl PeerBroadcast for Other {
-    async fn tell(&self, name: &Name, value: &Bytes) {
+    async fn broadcast(&self, name: &Name, value: &Bytes) {
         let taken = self.0.state().put_evidence(name, value, None, NOW);
         assert_eq!(taken, Evidence::Taken);
         self.0.changed.notify_waiters();
