--- a/lib/src/direct/ask/exchange.rs
+++ b/lib/src/direct/ask/exchange.rs
@@ -117,7 +117,7 @@
             };
             upstream.heard_load(standing.running, self.clock.now());
             upstream.hold(&LoadedModels {
-                born: standing.born,
+                started_at_ms: standing.born,
                 sequence: standing.sequence,
                 models: standing.models.into_iter().map(Name::from).collect(),
                 adapters: standing
@@ -164,7 +164,7 @@
         Some(Standing {
             incarnation: one.incarnation.clone(),
             running: others,
-            born: held.born,
+            born: held.started_at_ms,
             sequence: held.sequence,
             models: held.models.iter().map(ToString::to_string).collect(),
             adapters: held
--- a/lib/src/direct/ask/mod.rs
+++ b/lib/src/direct/ask/mod.rs
@@ -265,10 +265,10 @@
         let config = self.view.config()?;
         let engine = config.pools.get(&upstream.pool)?.engine.clone()?;
         let mut open = self.open.lock().unwrap_or_else(PoisonError::into_inner);
-        if let Some((born, controller)) = open.get(&upstream.incarnation)
+        if let Some((started_at_ms, controller)) = open.get(&upstream.incarnation)
             && controller.is_alive()
         {
-            if *born == upstream.born {
+            if *started_at_ms == upstream.started_at_ms {
                 return Some(controller.clone());
             }
             // Its book is of a start that has ended: the count in its orders would be wrong.
@@ -288,7 +288,7 @@
         let controller = Controller::spawn_with_mailbox(parts, mailbox::bounded(MAILBOX));
         open.insert(
             Name::clone(&upstream.incarnation),
-            (upstream.born, controller.clone()),
+            (upstream.started_at_ms, controller.clone()),
         );
         Some(controller)
     }
--- a/lib/src/direct/dialect.rs
+++ b/lib/src/direct/dialect.rs
@@ -52,7 +52,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct LoadedModels {
     /// When this start of the engine began, in milliseconds since 1970; 0 where none tells.
-    pub born: u64,
+    pub started_at_ms: u64,
     /// Number of orders that this start of the engine has accepted.
     pub sequence: u64,
     /// Names of base models.
--- a/lib/src/direct/orders/slots/mod.rs
+++ b/lib/src/direct/orders/slots/mod.rs
@@ -52,7 +52,7 @@
 /// What is known of an engine's slots.
 #[derive(Debug, Default)]
 pub struct Slots {
-    born: u64,
+    started_at_ms: u64,
     sequence: u64,
     /// When the engine was last known to accept an order.
     advanced: Millis,
@@ -69,7 +69,7 @@
     #[must_use]
     pub fn new(report: &EngineStatus, asked: Millis) -> Self {
         let mut slots = Self {
-            born: report.held.born,
+            started_at_ms: report.held.started_at_ms,
             ..Self::default()
         };
         slots.merge(&report.held, asked);
@@ -79,7 +79,7 @@
     /// Takes in a report that was asked for at `asked`; false if it is older than what is known.
     pub fn report(&mut self, report: &EngineStatus, asked: Millis) -> bool {
         let held = &report.held;
-        if held.born > self.born {
+        if held.started_at_ms > self.started_at_ms {
             self.answer_all(Loaded::Failed);
             *self = Self {
                 used: std::mem::take(&mut self.used),
@@ -87,9 +87,9 @@
             };
             return true;
         }
-        let is_older = held.born < self.born || held.sequence < self.sequence;
+        let is_older = held.started_at_ms < self.started_at_ms || held.sequence < self.sequence;
         // A count that stays behind was counted wrongly here.
-        let is_settled = held.born == self.born && asked >= self.advanced + REPORT_AGE;
+        let is_settled = held.started_at_ms == self.started_at_ms && asked >= self.advanced + REPORT_AGE;
         if is_older && !is_settled {
             return false;
         }
@@ -335,7 +335,7 @@
                 Slot::Loading(_) => None,
             });
         LoadedModels {
-            born: self.born,
+            started_at_ms: self.started_at_ms,
             sequence: self.sequence,
             models: self.models.clone(),
             adapters: held.collect(),
--- a/lib/src/direct/upstream.rs
+++ b/lib/src/direct/upstream.rs
@@ -55,7 +55,7 @@
 /// What is known of adapters, with the order count that it holds for.
 #[derive(Debug, Default)]
 struct Holdings {
-    born: u64,
+    started_at_ms: u64,
     sequence: u64,
     models: Vec<Name>,
     adapters: HashMap<Name, u64>,
@@ -85,7 +85,7 @@
     /// Requests that it processes at once.
     pub slots: u32,
     /// When this start began, as it says of itself; 0 where it doesn't tell.
-    pub born: u64,
+    pub started_at_ms: u64,
     /// When this node first saw it in the list.
     pub seen: Millis,
     /// Connections to it.
@@ -147,7 +147,7 @@
             place: listed.address.to_string().into(),
             failure_domain: Name::clone(&listed.failure_domain),
             slots: listed.slots.max(1),
-            born: listed.held.born,
+            started_at_ms: listed.held.started_at_ms,
             seen: now,
             link: Link::new(listed.address, bounds),
             takes_work: AtomicBool::new(listed.ready),
@@ -203,10 +203,10 @@
     /// the start goes first therefore.
     pub fn hold(&self, held: &LoadedModels) {
         let mut holdings = self.holdings();
-        if (held.born, held.sequence) < (holdings.born, holdings.sequence) {
+        if (held.started_at_ms, held.sequence) < (holdings.started_at_ms, holdings.sequence) {
             return;
         }
-        holdings.born = held.born;
+        holdings.started_at_ms = held.started_at_ms;
         holdings.sequence = held.sequence;
         holdings.models.clone_from(&held.models);
         holdings.adapters = held.adapters.iter().cloned().collect();
@@ -217,7 +217,7 @@
     pub fn held(&self) -> LoadedModels {
         let holdings = self.holdings();
         LoadedModels {
-            born: holdings.born,
+            started_at_ms: holdings.started_at_ms,
             sequence: holdings.sequence,
             models: holdings.models.clone(),
             adapters: holdings
@@ -293,7 +293,7 @@
     /// Returns a name for this start, unlike that of any other start of the same upstream.
     #[must_use]
     pub fn start(&self) -> Name {
-        format!("{}@{}", self.incarnation, self.born).into()
+        format!("{}@{}", self.incarnation, self.started_at_ms).into()
     }
 
     /// Takes in that the upstream is missing from the list, and may not have left.
--- a/lib/src/direct/view.rs
+++ b/lib/src/direct/view.rs
@@ -235,12 +235,12 @@
     /// somebody else. One of a later start is another upstream, which knows nothing of before.
     pub fn list(&mut self, listed: &UpstreamEntry, written: Written, now: Millis) {
         let known = self.upstreams.get(&listed.incarnation);
-        if known.is_some_and(|upstream| listed.held.born > upstream.born) {
+        if known.is_some_and(|upstream| listed.held.started_at_ms > upstream.started_at_ms) {
             log::info!("view: {} has started again", listed.incarnation);
             self.unlist(&listed.incarnation);
         }
         if let Some(upstream) = self.upstreams.get(&listed.incarnation) {
-            if listed.held.born == upstream.born {
+            if listed.held.started_at_ms == upstream.started_at_ms {
                 upstream.update(listed, written);
             }
         } else {
--- a/lib/tests/direct_support/records.rs
+++ b/lib/tests/direct_support/records.rs
@@ -20,7 +20,7 @@
         cold: Millis::ZERO,
         remaining: None,
         held: LoadedModels {
-            born: 0,
+            started_at_ms: 0,
             sequence: 3,
             models: vec!["base".into()],
             adapters: adapters
--- a/lib/tests/slots_model/engine.rs
+++ b/lib/tests/slots_model/engine.rs
@@ -39,7 +39,7 @@
 impl Engine {
     pub fn new(now: Millis) -> Self {
         let held = LoadedModels {
-            born: 1,
+            started_at_ms: 1,
             ..LoadedModels::default()
         };
         Self {
@@ -181,7 +181,7 @@
     }
 
     pub fn restart(&mut self) {
-        self.held.born += 1;
+        self.held.started_at_ms += 1;
         self.held.sequence = 0;
         self.adapters.clear();
         self.transits.clear();
--- a/lib/tests/test_direct_follow.rs
+++ b/lib/tests/test_direct_follow.rs
@@ -183,10 +183,10 @@
     let second = known();
     assert!(!first.is_ready());
     assert!(second.is_ready());
-    assert_eq!((first.born, second.born), (1_000, 2_000));
+    assert_eq!((first.started_at_ms, second.started_at_ms), (1_000, 2_000));
     put(1_000);
     pass(Millis(2_000)).await;
-    assert_eq!(known().born, 2_000);
+    assert_eq!(known().started_at_ms, 2_000);
 }
 
 /// An entry of another writer that can't be read is taken for all, or for an upstream.
--- a/lib/tests/test_direct_parts.rs
+++ b/lib/tests/test_direct_parts.rs
@@ -244,8 +244,8 @@
 #[test]
 fn hold_of_a_former_start_left_aside() {
     let engine = upstream("i-1", "hall-a");
-    let held = |born: u64, sequence: u64, adapter: &str| LoadedModels {
-        born,
+    let held = |started_at_ms: u64, sequence: u64, adapter: &str| LoadedModels {
+        started_at_ms,
         sequence,
         models: vec!["base".into()],
         adapters: vec![(adapter.into(), 1)],
--- a/lib/tests/test_direct_slots.rs
+++ b/lib/tests/test_direct_slots.rs
@@ -216,7 +216,7 @@
 fn report_of_a_restart() {
     let (mut slots, mut answer) = loading(2);
     let mut restarted = report(0, &[], &[]);
-    restarted.held.born = 7;
+    restarted.held.started_at_ms = 7;
     assert!(slots.report(&restarted, NOW + Millis(10)));
     assert_eq!(answer.try_recv(), Ok(Loaded::Failed));
     assert_eq!((slots.taken(), slots.sequence()), (0, 0));
