--- a/lib/src/direct/dialect.rs
+++ b/lib/src/direct/dialect.rs
@@ -90,7 +90,7 @@
     /// Who gives the order.
     pub holder: Name,
     /// Rises from one holder to the next.
-    pub fence: u64,
+    pub fencing_token: u64,
 }
 
 /// What an order does.
--- a/lib/src/direct/orders/change.rs
+++ b/lib/src/direct/orders/change.rs
@@ -86,7 +86,7 @@
             version,
             sequence,
             holder: Name::clone(&self.parts.holder),
-            fence: 0,
+            fencing_token: 0,
         };
         let result = self.parts.give(order).await;
         self.unanswered = matches!(result, Err(Lost::Sent(_)));
--- a/lib/src/direct/orders/engine.rs
+++ b/lib/src/direct/orders/engine.rs
@@ -62,7 +62,7 @@
             upstream.link.keep(connection, None);
             return Err(Lost::Unsent("no right to give orders".to_owned()));
         };
-        order.fence = token;
+        order.fencing_token = token;
         let request = self.dialect.order(&upstream.incarnation, &order);
         self.right.ordered(upstream.address);
         let sent = tokio::time::timeout(ANSWER.duration(), connection.send(request)).await;
--- a/lib/src/direct/orders/load.rs
+++ b/lib/src/direct/orders/load.rs
@@ -166,7 +166,7 @@
             version: (look.version > 0).then_some(look.version),
             sequence: look.sequence,
             holder: Name::clone(&self.parts.holder),
-            fence: 0,
+            fencing_token: 0,
         };
         let parts = self.parts.clone();
         let actor = actor.clone();
