--- a/lib/src/direct/dialect.rs
+++ b/lib/src/direct/dialect.rs
@@ -159,7 +159,7 @@
     /// The event after which a stream continues.
     pub resume_after: Option<u64>,
     /// Memory of this request that lies at an engine, to go on from.
-    pub memory: Option<KvCacheHandle>,
+    pub kv_cache: Option<KvCacheHandle>,
 }
 
 /// What an engine keeps of a run that was stopped, or copied to another engine.
--- a/lib/src/direct/request/send.rs
+++ b/lib/src/direct/request/send.rs
@@ -42,7 +42,7 @@
             .map_err(|failure| Miss::Lost(failure.code, failure.detail))?;
         let dispatch = DispatchHeaders {
             resume_after: last,
-            memory: Some(memory),
+            kv_cache: Some(memory),
             ..self.dispatch(place)
         };
         record::sent(self, &place.upstream, place.version, dispatch.deadline);
@@ -117,7 +117,7 @@
             urgency: self.message.kind.streamed().then_some(self.route.urgency),
             version: target.version,
             resume_after: None,
-            memory: None,
+            kv_cache: None,
         }
     }
 }
--- a/lib/tests/test_direct_versions.rs
+++ b/lib/tests/test_direct_versions.rs
@@ -222,7 +222,7 @@
         urgency: None,
         version: Some(1),
         resume_after: None,
-        memory: None,
+        kv_cache: None,
     };
     let sent = message.send(&engine, &PlatformDialect, &dispatch, None, Some(watch));
     let miss = sent.await.unwrap_err();
