--- a/lib/src/direct/attempt.rs
+++ b/lib/src/direct/attempt.rs
@@ -175,7 +175,7 @@
             () = versions::expired(watch.as_ref()) => return Err(Miss::Withdrawn { sent: true }),
         };
         let (head, body) = response.into_parts();
-        let reply = dialect.reply(&head);
+        let reply = dialect.response_metadata(&head);
         if reply.id != self.call.id {
             // Another request's answer came late over this connection. Whether
             // the upstream runs ours, nobody can tell.
@@ -213,7 +213,7 @@
         *request.method_mut() = self.method.clone();
         *request.uri_mut() = self.uri.clone();
         *request.headers_mut() = self.headers.clone();
-        dialect.dispatch(request.headers_mut(), dispatch);
+        dialect.apply_dispatch_headers(request.headers_mut(), dispatch);
         request
     }
 }
--- a/lib/src/direct/claim/mod.rs
+++ b/lib/src/direct/claim/mod.rs
@@ -174,7 +174,7 @@
     /// Meanwhile the claims may have been taken away and others may have made
     /// theirs; what the view last saw is older than that.
     async fn read_claims(&self) -> Result<(), Error> {
-        let listing = self.store.list(&self.dialect.own(CLAIMS)).await?;
+        let listing = self.store.list(&self.dialect.own_key(CLAIMS)).await?;
         let now = self.clock.now();
         self.view
             .state()
@@ -183,7 +183,7 @@
     }
 
     async fn register(&self, lease: LeaseId) -> Result<(), Error> {
-        let key = self.dialect.own(&format!("{NODES}{}", self.node));
+        let key = self.dialect.own_key(&format!("{NODES}{}", self.node));
         let transaction = Transaction {
             conditions: Vec::new(),
             writes: vec![Write::Put(key, encoded(&self.peer), Some(lease))],
@@ -208,7 +208,7 @@
     }
 
     fn key(&self, address: SocketAddr) -> String {
-        self.dialect.own(&format!("{CLAIMS}{address}"))
+        self.dialect.own_key(&format!("{CLAIMS}{address}"))
     }
 }
 
--- a/lib/src/direct/claim/takeover.rs
+++ b/lib/src/direct/claim/takeover.rs
@@ -67,7 +67,7 @@
         let mut state = self.view.state();
         let mut learnt = false;
         for entry in found {
-            if let Key::Own(name) = self.dialect.key(&entry.key)
+            if let Key::Own(name) = self.dialect.parse_key(&entry.key)
                 && let Some(address) = claimed(&name)
             {
                 state.put_claim(address, entry, now);
--- a/lib/src/direct/dialect.rs
+++ b/lib/src/direct/dialect.rs
@@ -229,64 +229,64 @@
 /// Translates between the platform's formats and ours.
 pub trait Dialect: fmt::Debug + Send + Sync {
     /// Reads what a caller's request says about itself.
-    fn call(&self, head: &request::Parts) -> Call;
+    fn request_metadata(&self, head: &request::Parts) -> Call;
 
     /// Changes a caller's headers to those that an upstream gets.
     ///
     /// Headers that only this system may set are removed if a caller sent them.
-    fn dispatch(&self, headers: &mut HeaderMap, dispatch: &DispatchHeaders);
+    fn apply_dispatch_headers(&self, headers: &mut HeaderMap, dispatch: &DispatchHeaders);
 
     /// Reads the head of an upstream's answer.
-    fn reply(&self, head: &response::Parts) -> ResponseMetadata;
+    fn response_metadata(&self, head: &response::Parts) -> ResponseMetadata;
 
     /// Tells what a key of the key-value service holds.
-    fn key(&self, key: &str) -> Key;
+    fn parse_key(&self, key: &str) -> Key;
 
     /// Prefixes under which everything lies that this node reads.
-    fn prefixes(&self) -> &'static [&'static str];
+    fn key_prefixes(&self) -> &'static [&'static str];
 
     /// The whole key of something of ours.
-    fn own(&self, name: &str) -> String;
+    fn own_key(&self, name: &str) -> String;
 
     /// Reads the configuration.
     ///
     /// # Errors
     ///
     /// When it isn't what the platform promises.
-    fn config(&self, value: &[u8]) -> Result<Config, DecodeError>;
+    fn decode_config(&self, value: &[u8]) -> Result<Config, DecodeError>;
 
     /// Reads an upstream's entry.
     ///
     /// # Errors
     ///
     /// When it isn't what the platform promises.
-    fn upstream(&self, incarnation: &Name, value: &[u8]) -> Result<UpstreamEntry, DecodeError>;
+    fn decode_upstream(&self, incarnation: &Name, value: &[u8]) -> Result<UpstreamEntry, DecodeError>;
 
     /// Reads the newest version of an adapter (`BASE/NAME`) or a base model (`BASE`).
     ///
     /// # Errors
     ///
     /// When it isn't what the platform promises.
-    fn version(&self, value: &[u8]) -> Result<(Name, u64), DecodeError>;
+    fn decode_version(&self, value: &[u8]) -> Result<(Name, u64), DecodeError>;
 
     /// Writes an order for one incarnation of an engine.
-    fn order(&self, incarnation: &str, order: &Order) -> Request<Full<Bytes>>;
+    fn order_request(&self, incarnation: &str, order: &Order) -> Request<Full<Bytes>>;
 
     /// Reads an engine's answer to an order.
-    fn ordered(&self, head: &response::Parts) -> OrderOutcome;
+    fn order_outcome(&self, head: &response::Parts) -> OrderOutcome;
 
     /// Asks an engine for its report.
-    fn ask_report(&self, incarnation: &str) -> Request<Full<Bytes>>;
+    fn status_request(&self, incarnation: &str) -> Request<Full<Bytes>>;
 
     /// Reads an engine's report.
     ///
     /// # Errors
     ///
     /// When it isn't what the platform promises.
-    fn report(&self, body: &[u8]) -> Result<EngineStatus, DecodeError>;
+    fn decode_status(&self, body: &[u8]) -> Result<EngineStatus, DecodeError>;
 
     /// Asks an engine to stop a request's run and to copy its memory to the engine at `to`.
-    fn ask_transfer(
+    fn transfer_request(
         &self,
         incarnation: &str,
         request: &str,
@@ -294,8 +294,8 @@
     ) -> Request<Full<Bytes>>;
 
     /// Reads an engine's answer to such a question.
-    fn transferred(&self, head: &response::Parts, body: &[u8]) -> TransferOutcome;
+    fn transfer_outcome(&self, head: &response::Parts, body: &[u8]) -> TransferOutcome;
 
     /// Whether a readiness question has this path.
-    fn asks_readiness(&self, path: &str) -> bool;
+    fn is_readiness_path(&self, path: &str) -> bool;
 }
--- a/lib/src/direct/entry/answer.rs
+++ b/lib/src/direct/entry/answer.rs
@@ -87,7 +87,7 @@
             self.count_end(failure.code.number());
             failure
         })?;
-        let call = self.dialect.call(&head);
+        let call = self.dialect.request_metadata(&head);
         let (route, body) = match accept(&config, &head, body).await {
             Ok(accepted) => accepted,
             Err(failure) => {
--- a/lib/src/direct/follow/entries.rs
+++ b/lib/src/direct/follow/entries.rs
@@ -23,7 +23,7 @@
         if self.holds_upstreams(prefix) {
             self.drop_upstreams(&mut state, &present);
         }
-        if self.dialect.own("").starts_with(prefix) {
+        if self.dialect.own_key("").starts_with(prefix) {
             self.drop_own(&mut state, &present, now);
         }
         for entry in entries {
@@ -39,7 +39,7 @@
     fn drop_upstreams(&self, state: &mut State, present: &HashSet<String>) {
         let listed: HashSet<Name> = present
             .iter()
-            .filter_map(|key| match self.dialect.key(key) {
+            .filter_map(|key| match self.dialect.parse_key(key) {
                 Key::Upstream(incarnation) => Some(incarnation),
                 _ => None,
             })
@@ -58,11 +58,11 @@
     fn drop_own(&self, state: &mut State, present: &HashSet<String>, now: Millis) {
         state
             .nodes
-            .retain(|name, _| present.contains(&self.dialect.own(&format!("{NODES}{name}"))));
+            .retain(|name, _| present.contains(&self.dialect.own_key(&format!("{NODES}{name}"))));
         state.keep_claims(now, |address| {
-            present.contains(&self.dialect.own(&format!("{CLAIMS}{address}")))
+            present.contains(&self.dialect.own_key(&format!("{CLAIMS}{address}")))
         });
-        let is_present = |name: &str| present.contains(&self.dialect.own(name));
+        let is_present = |name: &str| present.contains(&self.dialect.own_key(name));
         state.ledger.retain_reports(is_present);
     }
 
@@ -86,8 +86,8 @@
     }
 
     fn put(&self, state: &mut State, entry: &Entry, now: Millis) {
-        let told = match self.dialect.key(&entry.key) {
-            Key::Config => self.dialect.config(&entry.value).map(|config| {
+        let told = match self.dialect.parse_key(&entry.key) {
+            Key::Config => self.dialect.decode_config(&entry.value).map(|config| {
                 let version = config.version;
                 if state.configure(config) {
                     log::info!("follow: configuration {version} is in force");
@@ -95,9 +95,9 @@
             }),
             Key::Upstream(incarnation) => self
                 .dialect
-                .upstream(&incarnation, &entry.value)
+                .decode_upstream(&incarnation, &entry.value)
                 .map(|listed| state.list(&listed, written(entry), now)),
-            Key::Version => self.dialect.version(&entry.value).map(|(name, version)| {
+            Key::Version => self.dialect.decode_version(&entry.value).map(|(name, version)| {
                 let since = self.fresh;
                 self.declare(state, name, Declaration { version, since });
             }),
@@ -119,7 +119,7 @@
     }
 
     fn remove(&self, state: &mut State, event: &Event, now: Millis) {
-        match self.dialect.key(&event.key) {
+        match self.dialect.parse_key(&event.key) {
             Key::Upstream(incarnation) => {
                 // A page of the list may have shown an entry that was written behind this.
                 let known = state.upstreams.get(&incarnation);
--- a/lib/src/direct/follow/mod.rs
+++ b/lib/src/direct/follow/mod.rs
@@ -288,10 +288,10 @@
     /// Where all nodes start at once, the service takes seconds to send thousands of entries to
     /// each. Taken in only when all had arrived, a node's own former claims ended meanwhile.
     async fn read_all(&mut self) -> Result<u64, Error> {
-        reachable::wait(&*self.clock, &*self.store, &self.dialect.own(NODES)).await?;
+        reachable::wait(&*self.clock, &*self.store, &self.dialect.own_key(NODES)).await?;
         let began = self.clock.now();
         let mut revision = u64::MAX;
-        for prefix in self.dialect.prefixes() {
+        for prefix in self.dialect.key_prefixes() {
             let listing = self.store.list(prefix).await?;
             revision = revision.min(listing.revision);
             if self.holds_upstreams(prefix) {
@@ -309,6 +309,6 @@
 
     /// Whether upstreams stand under a prefix.
     fn holds_upstreams(&self, prefix: &str) -> bool {
-        matches!(self.dialect.key(&format!("{prefix}any")), Key::Upstream(_))
+        matches!(self.dialect.parse_key(&format!("{prefix}any")), Key::Upstream(_))
     }
 }
--- a/lib/src/direct/handover.rs
+++ b/lib/src/direct/handover.rs
@@ -123,10 +123,10 @@
 ) -> TransferOutcome {
     let request = gate
         .dialect
-        .ask_transfer(&source.incarnation, &id, target.address);
+        .transfer_request(&source.incarnation, &id, target.address);
     let asked = question::ask(&*gate.dialect, &source, request);
     let transferred = match tokio::time::timeout(left.duration(), asked).await {
-        Ok(Ok((head, body))) => gate.dialect.transferred(&head, &body),
+        Ok(Ok((head, body))) => gate.dialect.transfer_outcome(&head, &body),
         Ok(Err(told)) => {
             log::info!(request = id.as_str(), cause = told.as_str(); "handover: no answer");
             TransferOutcome::Unchanged
--- a/lib/src/direct/lift.rs
+++ b/lib/src/direct/lift.rs
@@ -14,10 +14,10 @@
 ///
 /// When the service can't be read.
 pub async fn list(store: &dyn Store, dialect: &dyn Dialect) -> Result<Vec<SuspectStatus>, Error> {
-    let listing = store.list(&dialect.own("")).await?;
+    let listing = store.list(&dialect.own_key("")).await?;
     let mut state = State::default();
     for entry in &listing.entries {
-        if let Key::Own(name) = dialect.key(&entry.key) {
+        if let Key::Own(name) = dialect.parse_key(&entry.key) {
             state.put_evidence(&name, &entry.value, Some(entry.revision), Millis::ZERO);
         }
     }
@@ -36,7 +36,7 @@
     request: &Fingerprint,
 ) -> Result<(), Error> {
     let lease = lease.grant(REPORT_TTL).await?;
-    let key = dialect.own(&format!("{HARMLESS_PREFIX}{request}"));
+    let key = dialect.own_key(&format!("{HARMLESS_PREFIX}{request}"));
     let value = serde_json::to_vec(request).map_err(|error| Error::Malformed(error.to_string()))?;
     let transaction = Transaction {
         conditions: Vec::new(),
--- a/lib/src/direct/node.rs
+++ b/lib/src/direct/node.rs
@@ -381,7 +381,7 @@
 
 fn readiness_of(gate: &Gate, request: &Request<Incoming>) -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::default());
-    if !gate.dialect.asks_readiness(request.uri().path()) {
+    if !gate.dialect.is_readiness_path(request.uri().path()) {
         *response.status_mut() = StatusCode::NOT_FOUND;
     } else if !gate.is_ready() {
         *response.status_mut() = StatusCode::SERVICE_UNAVAILABLE;
--- a/lib/src/direct/orders/engine.rs
+++ b/lib/src/direct/orders/engine.rs
@@ -63,7 +63,7 @@
             return Err(Lost::Unsent("no right to give orders".to_owned()));
         };
         order.fencing_token = token;
-        let request = self.dialect.order(&upstream.incarnation, &order);
+        let request = self.dialect.order_request(&upstream.incarnation, &order);
         self.right.ordered(upstream.address);
         let sent = tokio::time::timeout(ANSWER.duration(), connection.send(request)).await;
         let (head, body) = sent
@@ -71,12 +71,12 @@
             .into_parts();
         let rest = Limited::new(body, ORDER_BYTES).collect();
         if let Ok(Ok(_)) = tokio::time::timeout(ANSWER.duration(), rest).await {
-            let reply = self.dialect.reply(&head);
+            let reply = self.dialect.response_metadata(&head);
             if !reply.closes {
                 upstream.link.keep(connection, reply.keep);
             }
         }
-        Ok(self.dialect.ordered(&head))
+        Ok(self.dialect.order_outcome(&head))
     }
 
     /// Asks the engine what it holds; the error is for people.
@@ -87,13 +87,13 @@
     }
 
     async fn ask_report(&self) -> Result<EngineStatus, String> {
-        let request = self.dialect.ask_report(&self.upstream.incarnation);
+        let request = self.dialect.status_request(&self.upstream.incarnation);
         let (head, body) = question::ask(&*self.dialect, &self.upstream, request).await?;
         if !head.status.is_success() {
             return Err(format!("status {}", head.status));
         }
         self.dialect
-            .report(&body)
+            .decode_status(&body)
             .map_err(|error| error.to_string())
     }
 }
--- a/lib/src/direct/outbox.rs
+++ b/lib/src/direct/outbox.rs
@@ -190,7 +190,7 @@
     async fn send(&self, records: &[Record]) -> Result<(), Error> {
         let lease = self.lease().await?;
         let writes = records.iter().map(|record| {
-            let key = self.dialect.own(&record.name);
+            let key = self.dialect.own_key(&record.name);
             Write::Put(key, record.value.clone(), Some(lease))
         });
         let transaction = Transaction {
--- a/lib/src/direct/question.rs
+++ b/lib/src/direct/question.rs
@@ -39,7 +39,7 @@
         .await
         .map_err(|error| error.to_string())?
         .to_bytes();
-    let reply = dialect.reply(&head);
+    let reply = dialect.response_metadata(&head);
     if !reply.closes {
         upstream.link.keep(connection, reply.keep);
     }
--- a/lib/src/direct/view.rs
+++ b/lib/src/direct/view.rs
@@ -278,7 +278,7 @@
     pub fn replace_claims(&mut self, dialect: &dyn Dialect, entries: &[Entry], now: Millis) {
         let mut present = HashSet::new();
         for entry in entries {
-            let Key::Own(name) = dialect.key(&entry.key) else {
+            let Key::Own(name) = dialect.parse_key(&entry.key) else {
                 continue;
             };
             if let Some(address) = claimed(&name) {
--- a/lib/tests/test_direct_claims.rs
+++ b/lib/tests/test_direct_claims.rs
@@ -231,7 +231,7 @@
 async fn claim_only_with_a_record() {
     let (memory, one) = owner().await;
     assert!(one.right.check(address()).is_some());
-    let key = PlatformDialect.own("node/one");
+    let key = PlatformDialect.own_key("node/one");
     assert!(memory.state().entries.contains_key(&key));
 }
 
@@ -705,7 +705,7 @@
     slow(&memory, "chivevalve/", Millis::from_secs(4));
     let one = start_again("one", &memory);
     pass(&[&one], Millis(1_000)).await;
-    let key = PlatformDialect.own("node/one");
+    let key = PlatformDialect.own_key("node/one");
     assert!(memory.state().entries.contains_key(&key));
 }
 
--- a/lib/tests/test_direct_fanout_fuzz.rs
+++ b/lib/tests/test_direct_fanout_fuzz.rs
@@ -192,7 +192,7 @@
 ///
 /// Values that can't be read are written under keys of their own, where they mean nothing.
 fn replay(known: &mut Known, event: &Event) {
-    let name = match PlatformDialect.key(&event.key) {
+    let name = match PlatformDialect.parse_key(&event.key) {
         Key::Config => "config".to_owned(),
         Key::Upstream(name) => format!("upstream {name}"),
         Key::Version => event.key.replace("op/version/base.", "version base/"),
@@ -247,12 +247,12 @@
             let value = format!(
                 r#"{{"address":"127.0.0.1:7","start":{revision},"failure_domain":"hall-a"}}"#
             );
-            (PlatformDialect.own(&format!("{NODES}n{number}")), value)
+            (PlatformDialect.own_key(&format!("{NODES}n{number}")), value)
         }
         2 => {
             let value = format!(r#"{{"node":"n{number}","start":{revision},"left":null}}"#);
             let name = format!("{CLAIMS}{}", claim_address(number));
-            (PlatformDialect.own(&name), value)
+            (PlatformDialect.own_key(&name), value)
         }
         3 | 4 => {
             let value = SERVER.replace("\"sequence\":0", &format!("\"sequence\":{revision}"));
@@ -269,8 +269,8 @@
         7 => {
             let keys = [
                 "servers/junk".to_owned(),
-                PlatformDialect.own("node/junk"),
-                PlatformDialect.own("claim/junk"),
+                PlatformDialect.own_key("node/junk"),
+                PlatformDialect.own_key("claim/junk"),
             ];
             (keys[usize::from(number)].clone(), "\u{0}no JSON".to_owned())
         }
