--- a/bench/src/fuzz_outcomes/harness/traffic/mod.rs
+++ b/bench/src/fuzz_outcomes/harness/traffic/mod.rs
@@ -94,7 +94,7 @@
             return;
         };
         let request = &mut self.requests[number];
-        request.fate.send();
+        request.fate.record_send();
         request.attempt += 1;
         request.tried.insert(upstream.clone());
         request.asked = Some(to);
@@ -171,8 +171,8 @@
         }
         let failure = match result {
             Ok(of) => {
-                request.fate.begin();
-                request.fate.finish();
+                request.fate.record_response_start();
+                request.fate.record_complete();
                 request.answered = true;
                 if of != number || request.runs == 0 {
                     self.broken(Promise::OwnAnswer, format!("request {number} got {of}'s"));
@@ -184,11 +184,11 @@
         request.asked = None;
         let context = FailureContext {
             now,
-            untried,
+            has_untried_upstream: untried,
             random,
         };
         let budget: &mut RetryBudget = &mut self.nodes[node].budget;
-        match request.fate.fail(failure, context, budget) {
+        match request.fate.handle_failure(failure, context, budget) {
             RetryDecision::Retry(pause) => {
                 let start = request.start;
                 self.later(pause.0, Due::Node(node, start, Arrival::Retry(number)));
--- a/bench/src/policy/contender.rs
+++ b/bench/src/policy/contender.rs
@@ -279,7 +279,7 @@
 
 /// Whether an entry node makes only one more try, which goes where the request waits.
 fn ends_walk(route: &Route) -> bool {
-    route.tried.len() + 1 >= retry::RetryPolicy::default().redirects as usize
+    route.tried.len() + 1 >= retry::RetryPolicy::default().max_redirects as usize
 }
 
 /// Whether another upstream could do what this one refused.
--- a/lib/src/entry/dispatch.rs
+++ b/lib/src/entry/dispatch.rs
@@ -135,7 +135,7 @@
     claim: &mut Option<Claim>,
 ) -> Result<Outcome, Failure> {
     let now = gateway.parts.clock.now();
-    lock(&gateway.budget).earn(now);
+    lock(&gateway.budget).record_first_try(now);
     let mut tried = Tried::new();
     loop {
         gateway
@@ -217,7 +217,7 @@
     }
     let context = FailureContext {
         now,
-        untried: target.others,
+        has_untried_upstream: target.others,
         random: gateway.random(),
     };
     let metrics = &gateway.parts.metrics;
@@ -230,7 +230,7 @@
     );
     let verdict = session
         .machine()
-        .fail(failure, context, &mut lock(&gateway.budget));
+        .handle_failure(failure, context, &mut lock(&gateway.budget));
     match verdict {
         RetryDecision::Retry(pause) => {
             metrics.retries.with_label_values(&[reason]).inc();
@@ -304,7 +304,7 @@
     let made: u32 = tried.values().sum();
     // A request that came to rest wherever the walk happens to end would cost a
     // load there, at each upstream in turn under overload.
-    let walks_on = made + 1 < gateway.parts.limits.rules.redirects;
+    let walks_on = made + 1 < gateway.parts.limits.rules.max_redirects;
     let mut untried = replicas.iter().filter(|index| times(**index) == 0);
     let untried = untried.next().filter(|_| walks_on);
     let index = *untried.unwrap_or(wait);
@@ -327,8 +327,8 @@
     target: &Target,
 ) -> Result<Outcome, Failure> {
     let left = (order.deadline + GRACE).since(gateway.parts.clock.now());
-    let last = !target.others || session.machine().at_last_try();
-    session.machine().send();
+    let last = !target.others || session.machine().is_last_try();
+    session.machine().record_send();
     let attempt = Attempt {
         ticket: order.ticket.clone(),
         share: order.share,
@@ -340,7 +340,7 @@
     let runner = gateway.parts.reach.runner(&target.owner);
     let begin = async {
         let answer = runner.run(attempt).await?;
-        session.machine().begin();
+        session.machine().record_response_start();
         let run = order.run_at(target);
         receive(gateway, &mut session.reserve, order.form, answer, run).await
     };
--- a/lib/src/entry/relay.rs
+++ b/lib/src/entry/relay.rs
@@ -224,7 +224,7 @@
     /// Hands a piece over, frame by frame: a slow caller that takes some of a long
     /// piece reads, and only one that takes nothing is given up.
     async fn send(&mut self, mut piece: Bytes) -> Result<(), Stop> {
-        self.session.machine().pass();
+        self.session.machine().record_forwarded();
         while !piece.is_empty() {
             let frame = piece.split_to(piece.len().min(answer::FRAME));
             self.hand(frame).await?;
--- a/lib/src/entry/session.rs
+++ b/lib/src/entry/session.rs
@@ -112,7 +112,7 @@
     /// Ends the request with a whole answer.
     pub fn finish(&mut self) {
         if let Some(machine) = &mut self.machine {
-            machine.finish();
+            machine.record_complete();
         }
         self.record(None, "");
     }
--- a/lib/src/retry/budget.rs
+++ b/lib/src/retry/budget.rs
@@ -36,7 +36,7 @@
     }
 
     /// Notes a first try.
-    pub fn earn(&mut self, now: Millis) {
+    pub fn record_first_try(&mut self, now: Millis) {
         let trickle = now.since(self.filled).0.saturating_mul(TRICKLE * RETRY) / 1_000;
         if trickle > 0 {
             self.filled = now;
@@ -47,7 +47,7 @@
     }
 
     /// Takes one retry, if there is one.
-    pub fn spend(&mut self) -> bool {
+    pub fn try_spend(&mut self) -> bool {
         match self.tokens.checked_sub(RETRY) {
             Some(left) => {
                 self.tokens = left;
@@ -70,8 +70,8 @@
         let mut budget = RetryBudget::new(20, Millis::ZERO);
         let mut retries = 0;
         for _ in 0..10_000 {
-            budget.earn(Millis::ZERO);
-            retries += u64::from(budget.spend());
+            budget.record_first_try(Millis::ZERO);
+            retries += u64::from(budget.try_spend());
         }
         assert_eq!(retries, 10_000 / 5 + TRICKLE);
     }
@@ -79,8 +79,8 @@
     #[test]
     fn earn_quiet_node() {
         let mut budget = RetryBudget::new(0, Millis::ZERO);
-        while budget.spend() {}
-        budget.earn(Millis::from_secs(1));
-        assert!(budget.spend());
+        while budget.try_spend() {}
+        budget.record_first_try(Millis::from_secs(1));
+        assert!(budget.try_spend());
     }
 }
--- a/lib/src/retry/mod.rs
+++ b/lib/src/retry/mod.rs
@@ -19,14 +19,14 @@
 #[derive(Debug, Clone, Copy)]
 pub struct RetryPolicy {
     /// Most tries of one request at upstreams, the first included.
-    pub attempts: u32,
+    pub max_attempts: u32,
     /// Most tries that cost no upstream anything, such as at a node that no longer owns it.
-    pub redirects: u32,
+    pub max_redirects: u32,
     /// Most tries of one request whose fate is unknown.
     ///
     /// A request that crashes whatever runs it would otherwise take down one
     /// upstream after another; each crash shows as an unknown fate.
-    pub unknowns: u32,
+    pub max_unknowns: u32,
     /// Pauses between tries.
     pub backoff: Backoff,
 }
@@ -34,9 +34,9 @@
 impl Default for RetryPolicy {
     fn default() -> Self {
         Self {
-            attempts: 4,
-            redirects: 10,
-            unknowns: 2,
+            max_attempts: 4,
+            max_redirects: 10,
+            max_unknowns: 2,
             backoff: Backoff::default(),
         }
     }
@@ -109,7 +109,7 @@
     /// The time.
     pub now: Millis,
     /// Whether there is an upstream that the request hasn't been tried on.
-    pub untried: bool,
+    pub has_untried_upstream: bool,
     /// A random number, for the pause.
     pub random: u64,
 }
@@ -167,28 +167,28 @@
 
     /// Returns whether the try that comes next is the last one allowed.
     #[must_use]
-    pub fn at_last_try(&self) -> bool {
-        self.attempts + 1 >= self.rules.attempts || self.redirects + 1 >= self.rules.redirects
+    pub fn is_last_try(&self) -> bool {
+        self.attempts + 1 >= self.rules.max_attempts || self.redirects + 1 >= self.rules.max_redirects
     }
 
     /// Notes that a runner gets the request now.
-    pub fn send(&mut self) {
+    pub fn record_send(&mut self) {
         self.state = RequestState::MaybeRun;
         self.attempts += 1;
     }
 
     /// Notes that an upstream has begun to answer.
-    pub fn begin(&mut self) {
+    pub fn record_response_start(&mut self) {
         self.state = RequestState::Running;
     }
 
     /// Notes that a part of the answer goes to the caller.
-    pub fn pass(&mut self) {
+    pub fn record_forwarded(&mut self) {
         self.passed = true;
     }
 
     /// Notes that the caller has the whole answer.
-    pub fn finish(&mut self) {
+    pub fn record_complete(&mut self) {
         self.state = RequestState::Answered;
     }
 
@@ -213,7 +213,7 @@
     }
 
     /// Decides what follows a failed try.
-    pub fn fail(&mut self, failure: Failure, context: FailureContext, budget: &mut RetryBudget) -> RetryDecision {
+    pub fn handle_failure(&mut self, failure: Failure, context: FailureContext, budget: &mut RetryBudget) -> RetryDecision {
         let failure = self.corrected(failure);
         self.note(&failure);
         let reaction = reaction(failure.code);
@@ -270,7 +270,7 @@
         let first = self.tries() <= 1;
         // A refusal costs its upstream nothing, so the first one is followed at
         // once by a try elsewhere; from then on callers must not move in step.
-        if settled && context.untried && (first || reaction == Reaction::PassOn) {
+        if settled && context.has_untried_upstream && (first || reaction == Reaction::PassOn) {
             return Millis::ZERO;
         }
         self.rules.backoff.pause(self.tries(), context.random)
@@ -289,13 +289,13 @@
         if !self.idempotent && (fate != Fate::NotRun || self.unsettled.is_some()) {
             return Some(RetryDenial::NotIdempotent);
         }
-        if reaction == Reaction::Never || self.attempts >= self.rules.attempts {
+        if reaction == Reaction::Never || self.attempts >= self.rules.max_attempts {
             return Some(RetryDenial::Attempts);
         }
-        if self.redirects >= self.rules.redirects {
+        if self.redirects >= self.rules.max_redirects {
             return Some(RetryDenial::Attempts);
         }
-        if self.unknowns >= self.rules.unknowns {
+        if self.unknowns >= self.rules.max_unknowns {
             return Some(RetryDenial::Unknowns);
         }
         if resume >= self.deadline {
@@ -303,7 +303,7 @@
         }
         // All requests of a dead owner need a redirect at once; charging them
         // would refuse most of them for nothing.
-        if !reaction.is_free() && !budget.spend() {
+        if !reaction.is_free() && !budget.try_spend() {
             return Some(RetryDenial::RetryBudget);
         }
         None
@@ -323,14 +323,14 @@
     fn context(now: u64) -> FailureContext {
         FailureContext {
             now: Millis(now),
-            untried: true,
+            has_untried_upstream: true,
             random: 0,
         }
     }
 
     fn fail(machine: &mut RetryStateMachine, code: Code) -> RetryDecision {
         let mut budget = RetryBudget::new(100, Millis::ZERO);
-        machine.fail(Failure::new(code, ""), context(0), &mut budget)
+        machine.handle_failure(Failure::new(code, ""), context(0), &mut budget)
     }
 
     fn ended(verdict: RetryDecision) -> (Code, Option<RetryDenial>) {
@@ -343,7 +343,7 @@
     #[test]
     fn fail_refused_elsewhere_at_once() {
         let mut machine = machine(false);
-        machine.send();
+        machine.record_send();
         assert_eq!(
             fail(&mut machine, Code::QueueFull),
             RetryDecision::Retry(Millis::ZERO)
@@ -355,7 +355,7 @@
     #[test]
     fn fail_lost_not_idempotent() {
         let mut machine = machine(false);
-        machine.send();
+        machine.record_send();
         let end = ended(fail(&mut machine, Code::UpstreamLost));
         assert_eq!(end, (Code::UpstreamLost, Some(RetryDenial::NotIdempotent)));
     }
@@ -364,12 +364,12 @@
     #[test]
     fn fail_refused_after_lost() {
         let mut machine = machine(true);
-        machine.send();
+        machine.record_send();
         assert!(matches!(
             fail(&mut machine, Code::UpstreamLost),
             RetryDecision::Retry(_)
         ));
-        machine.send();
+        machine.record_send();
         assert_eq!(
             ended(fail(&mut machine, Code::Brownout)),
             (Code::UpstreamLost, None)
@@ -381,9 +381,9 @@
     #[test]
     fn fail_poisoned_request() {
         let mut machine = machine(true);
-        machine.send();
+        machine.record_send();
         fail(&mut machine, Code::UpstreamLost);
-        machine.send();
+        machine.record_send();
         let end = ended(fail(&mut machine, Code::UpstreamLost));
         assert_eq!(end, (Code::UpstreamLost, Some(RetryDenial::Unknowns)));
     }
@@ -391,9 +391,9 @@
     #[test]
     fn fail_answer_begun() {
         let mut machine = machine(true);
-        machine.send();
-        machine.begin();
-        machine.pass();
+        machine.record_send();
+        machine.record_response_start();
+        machine.record_forwarded();
         let end = ended(fail(&mut machine, Code::AnswerCut));
         assert_eq!(end, (Code::AnswerCut, Some(RetryDenial::AnswerBegun)));
     }
@@ -401,8 +401,8 @@
     #[test]
     fn fail_not_run_code_while_running() {
         let mut machine = machine(false);
-        machine.send();
-        machine.begin();
+        machine.record_send();
+        machine.record_response_start();
         let end = ended(fail(&mut machine, Code::QueueFull));
         assert_eq!(end, (Code::AnswerCut, Some(RetryDenial::NotIdempotent)));
     }
@@ -411,8 +411,8 @@
     fn fail_deadline_near() {
         let mut machine = machine(true);
         let mut budget = RetryBudget::new(100, Millis::ZERO);
-        machine.send();
-        let verdict = machine.fail(
+        machine.record_send();
+        let verdict = machine.handle_failure(
             Failure::new(Code::ConnectFailed, ""),
             context(DEADLINE.0),
             &mut budget,
@@ -427,23 +427,23 @@
     fn fail_budget_spent() {
         let mut machine = machine(true);
         let mut budget = RetryBudget::new(0, Millis::ZERO);
-        while budget.spend() {}
-        machine.send();
-        let verdict = machine.fail(Failure::new(Code::QueueFull, ""), context(0), &mut budget);
+        while budget.try_spend() {}
+        machine.record_send();
+        let verdict = machine.handle_failure(Failure::new(Code::QueueFull, ""), context(0), &mut budget);
         assert_eq!(ended(verdict), (Code::QueueFull, Some(RetryDenial::RetryBudget)));
     }
 
     #[test]
     fn fail_redirects_bounded() {
         let mut machine = machine(false);
-        for _ in 1..RetryPolicy::default().redirects {
-            machine.send();
+        for _ in 1..RetryPolicy::default().max_redirects {
+            machine.record_send();
             assert!(matches!(
                 fail(&mut machine, Code::NotOwner),
                 RetryDecision::Retry(_)
             ));
         }
-        machine.send();
+        machine.record_send();
         let end = ended(fail(&mut machine, Code::NotOwner));
         assert_eq!(end, (Code::NotOwner, Some(RetryDenial::Attempts)));
     }
@@ -453,7 +453,7 @@
         let mut waiting = machine(true);
         assert_eq!(waiting.abandon(), Code::CallerGoneWaiting);
         let mut sent = machine(true);
-        sent.send();
+        sent.record_send();
         assert_eq!(sent.abandon(), Code::CallerGoneRunning);
     }
 }
--- a/lib/tests/test_fate.rs
+++ b/lib/tests/test_fate.rs
@@ -127,9 +127,9 @@
 /// Plays a story; returns what is wrong with how the machine dealt with it.
 fn play(story: &Story) -> Result<(), String> {
     let rules = RetryPolicy {
-        attempts: story.attempts,
-        redirects: story.redirects,
-        unknowns: story.unknowns,
+        max_attempts: story.attempts,
+        max_redirects: story.redirects,
+        max_unknowns: story.unknowns,
         ..RetryPolicy::default()
     };
     let mut machine = RetryStateMachine::new(rules, story.idempotent, Millis(DEADLINE));
@@ -140,22 +140,22 @@
         if now.0 >= DEADLINE {
             return Err("tried after the deadline".into());
         }
-        machine.send();
+        machine.record_send();
         if attempt.answer >= Progress::Begun {
-            machine.begin();
+            machine.record_response_start();
         }
         if attempt.answer == Progress::Passed {
-            machine.pass();
+            machine.record_forwarded();
         }
         truth.see(attempt);
         now += Millis(attempt.took);
         let context = FailureContext {
             now,
-            untried: attempt.untried,
+            has_untried_upstream: attempt.untried,
             random: attempt.random,
         };
         let failure = Failure::new(attempt.code, "");
-        match machine.fail(failure, context, &mut budget) {
+        match machine.handle_failure(failure, context, &mut budget) {
             RetryDecision::Retry(pause) => {
                 retried(story, &truth)?;
                 now += pause;
@@ -217,7 +217,7 @@
         let mut budget = RetryBudget::new(percent, Millis::ZERO);
         let mut retries = 0;
         for code in &codes {
-            budget.earn(Millis::ZERO);
+            budget.record_first_try(Millis::ZERO);
             let code = Code::ALL[usize::from(*code) % Code::ALL.len()];
             retries += retries_of(code, &mut budget);
         }
@@ -245,13 +245,13 @@
     let mut machine = RetryStateMachine::new(RetryPolicy::default(), true, Millis::MAX);
     let mut retries = 0;
     for _ in 0..ENDLESS {
-        machine.send();
+        machine.record_send();
         let context = FailureContext {
             now: Millis::ZERO,
-            untried: true,
+            has_untried_upstream: true,
             random: 0,
         };
-        match machine.fail(Failure::new(code, ""), context, budget) {
+        match machine.handle_failure(Failure::new(code, ""), context, budget) {
             RetryDecision::Retry(_) => retries += u64::from(!free.contains(&code)),
             RetryDecision::End { .. } => return retries,
         }
