--- a/bench/src/fuzz_outcomes/harness/traffic/mod.rs
+++ b/bench/src/fuzz_outcomes/harness/traffic/mod.rs
@@ -9,9 +9,9 @@
 
 use chivevalve::clock::Millis;
 use chivevalve::error::{Code, Failure, Fate};
-use chivevalve::retry::{self, RetryBudget, FailureContext, RetryPolicy, RetryDecision};
 use chivevalve::membership::fleet::State;
 use chivevalve::name::Name;
+use chivevalve::retry::{self, FailureContext, RetryBudget, RetryDecision, RetryPolicy};
 use rand::RngExt;
 
 use super::oracle::Promise;
--- a/bench/src/fuzz_outcomes/harness/world.rs
+++ b/bench/src/fuzz_outcomes/harness/world.rs
@@ -12,7 +12,6 @@
 
 use chivevalve::clock::Millis;
 use chivevalve::error::Failure;
-use chivevalve::retry::RetryBudget;
 use chivevalve::membership::guard::Guards;
 use chivevalve::membership::machine::{Answer, Call, Machine};
 use chivevalve::membership::node::{Claim, Identity};
@@ -21,6 +20,7 @@
 use chivevalve::name::Name;
 use chivevalve::ports::{Error, Event};
 use chivevalve::request::Id;
+use chivevalve::retry::RetryBudget;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
--- a/bench/src/fuzz_outcomes/harness/world/faults.rs
+++ b/bench/src/fuzz_outcomes/harness/world/faults.rs
@@ -4,12 +4,12 @@
 use std::net::SocketAddr;
 
 use chivevalve::clock::Millis;
-use chivevalve::retry::RetryBudget;
 use chivevalve::membership::Limits;
 use chivevalve::membership::machine::Machine;
 use chivevalve::membership::upstreams::Upstreams;
 use chivevalve::name::Name;
 use chivevalve::ports::Vm;
+use chivevalve::retry::RetryBudget;
 use rand::RngExt;
 
 use super::super::oracle::{Promise, Violation};
--- a/lib/src/direct/attempt.rs
+++ b/lib/src/direct/attempt.rs
@@ -243,7 +243,12 @@
 }
 
 /// Reads the rest of an answer that is not passed on, so that its connection can be kept.
-async fn finish(body: Incoming, connection: Connection, upstream: &Upstream, reply: &ResponseMetadata) {
+async fn finish(
+    body: Incoming,
+    connection: Connection,
+    upstream: &Upstream,
+    reply: &ResponseMetadata,
+) {
     let rest = Limited::new(body, 64 * 1024).collect();
     let rest = tokio::time::timeout(FINISH.duration(), rest).await;
     if matches!(rest, Ok(Ok(_))) && !reply.closes {
--- a/lib/src/direct/dialect.rs
+++ b/lib/src/direct/dialect.rs
@@ -260,7 +260,11 @@
     /// # Errors
     ///
     /// When it isn't what the platform promises.
-    fn decode_upstream(&self, incarnation: &Name, value: &[u8]) -> Result<UpstreamEntry, DecodeError>;
+    fn decode_upstream(
+        &self,
+        incarnation: &Name,
+        value: &[u8],
+    ) -> Result<UpstreamEntry, DecodeError>;
 
     /// Reads the newest version of an adapter (`BASE/NAME`) or a base model (`BASE`).
     ///
--- a/lib/src/direct/follow/entries.rs
+++ b/lib/src/direct/follow/entries.rs
@@ -97,10 +97,13 @@
                 .dialect
                 .decode_upstream(&incarnation, &entry.value)
                 .map(|listed| state.list(&listed, written(entry), now)),
-            Key::Version => self.dialect.decode_version(&entry.value).map(|(name, version)| {
-                let since = self.fresh;
-                self.declare(state, name, Declaration { version, since });
-            }),
+            Key::Version => self
+                .dialect
+                .decode_version(&entry.value)
+                .map(|(name, version)| {
+                    let since = self.fresh;
+                    self.declare(state, name, Declaration { version, since });
+                }),
             Key::Own(name) => {
                 if let Some(refusal) = put_own(state, &name, entry, now) {
                     self.refuse(refusal);
--- a/lib/src/direct/follow/mod.rs
+++ b/lib/src/direct/follow/mod.rs
@@ -309,6 +309,9 @@
 
     /// Whether upstreams stand under a prefix.
     fn holds_upstreams(&self, prefix: &str) -> bool {
-        matches!(self.dialect.parse_key(&format!("{prefix}any")), Key::Upstream(_))
+        matches!(
+            self.dialect.parse_key(&format!("{prefix}any")),
+            Key::Upstream(_)
+        )
     }
 }
--- a/lib/src/direct/orders/change.rs
+++ b/lib/src/direct/orders/change.rs
@@ -58,7 +58,13 @@
         outcome
     }
 
-    fn record(&self, action: Action, model: &Name, version: Option<u64>, outcome: Option<OrderOutcome>) {
+    fn record(
+        &self,
+        action: Action,
+        model: &Name,
+        version: Option<u64>,
+        outcome: Option<OrderOutcome>,
+    ) {
         let outcome = outcome.map_or("none", OrderOutcome::name);
         let orders = &self.parts.metrics.orders;
         orders.with_label_values(&[action.name(), outcome]).inc();
--- a/lib/src/direct/orders/engine.rs
+++ b/lib/src/direct/orders/engine.rs
@@ -7,7 +7,7 @@
 use crate::clock::{Clock, Millis};
 use crate::direct::admission::Table;
 use crate::direct::config::Engine;
-use crate::direct::dialect::{Dialect, Order, OrderOutcome, EngineStatus};
+use crate::direct::dialect::{Dialect, EngineStatus, Order, OrderOutcome};
 use crate::direct::question;
 use crate::direct::right::Right;
 use crate::direct::upstream::Upstream;
--- a/lib/src/direct/orders/slots/mod.rs
+++ b/lib/src/direct/orders/slots/mod.rs
@@ -16,7 +16,7 @@
 
 use super::message::{Load, Loaded};
 use crate::clock::Millis;
-use crate::direct::dialect::{LoadedModels, OrderOutcome, EngineStatus};
+use crate::direct::dialect::{EngineStatus, LoadedModels, OrderOutcome};
 use crate::name::Name;
 use slot::{Loading, SLOW_LOOK, Slot, Waiter};
 use told::Told;
@@ -89,7 +89,8 @@
         }
         let is_older = held.started_at_ms < self.started_at_ms || held.sequence < self.sequence;
         // A count that stays behind was counted wrongly here.
-        let is_settled = held.started_at_ms == self.started_at_ms && asked >= self.advanced + REPORT_AGE;
+        let is_settled =
+            held.started_at_ms == self.started_at_ms && asked >= self.advanced + REPORT_AGE;
         if is_older && !is_settled {
             return false;
         }
--- a/lib/src/direct/quarantine.rs
+++ b/lib/src/direct/quarantine.rs
@@ -21,8 +21,8 @@
 use crate::metrics::Metrics;
 use crate::name::Name;
 use crate::poison::fingerprint::Fingerprint;
-use crate::poison::ledger::{REPORT_TTL, CrashReport, Suspicion, Suspect};
 use crate::poison::harmless::HarmlessRequests;
+use crate::poison::ledger::{CrashReport, REPORT_TTL, Suspect, Suspicion};
 use crate::ports::link::Listening;
 
 /// Prefix of reports of upstreams that ended; the upstream's start and the node stand behind it.
@@ -149,7 +149,12 @@
     ///
     /// A broken connection alone says little: it can be cut, or the answer lost. What counts is
     /// the end of the upstream, which is looked for without keeping the request waiting.
-    pub fn record_broken_connection(self: &Arc<Self>, upstream: &Arc<Upstream>, request: Fingerprint, suspicion: Suspicion) {
+    pub fn record_broken_connection(
+        self: &Arc<Self>,
+        upstream: &Arc<Upstream>,
+        request: Fingerprint,
+        suspicion: Suspicion,
+    ) {
         // One that leaves in order ends with whatever still runs there.
         if !upstream.is_ready() || self.harmless().contains(&request, self.clock.now()) {
             return;
@@ -278,7 +283,8 @@
     fn clear(&self, request: &Fingerprint) {
         log::info!(suspect = request.as_str(); "quarantine: survived");
         self.view.state().ledger.clear(request, None);
-        self.outbox.enqueue(&format!("{HARMLESS_PREFIX}{request}"), request);
+        self.outbox
+            .enqueue(&format!("{HARMLESS_PREFIX}{request}"), request);
     }
 
     fn ends(&self, request: &Fingerprint) -> usize {
@@ -297,8 +303,6 @@
     }
 
     fn harmless(&self) -> MutexGuard<'_, HarmlessRequests> {
-        self.harmless
-            .lock()
-            .unwrap_or_else(PoisonError::into_inner)
+        self.harmless.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/lib/src/direct/quarantine/cases.rs
+++ b/lib/src/direct/quarantine/cases.rs
@@ -9,7 +9,7 @@
 
 use xxhash_rust::xxh3::xxh3_64;
 
-use super::{UNCONFIRMED_CRASH_PREFIX, CRASH_REPORT_PREFIX, Quarantine, WATCHED};
+use super::{CRASH_REPORT_PREFIX, Quarantine, UNCONFIRMED_CRASH_PREFIX, WATCHED};
 use crate::clock::Millis;
 use crate::direct::upstream::Upstream;
 use crate::error::{Code, Failure};
@@ -62,11 +62,17 @@
         let now = self.clock.now();
         let report = CrashReport::new(Name::clone(start), [suspect]);
         let name = case(start, &self.node);
-        self.view.state().unconfirmed_crashes.add(&name, &report, now);
+        self.view
+            .state()
+            .unconfirmed_crashes
+            .add(&name, &report, now);
     }
 
     pub(super) fn close_case(&self, start: &Name, node: &str) {
-        self.view.state().unconfirmed_crashes.remove(&case(start, node));
+        self.view
+            .state()
+            .unconfirmed_crashes
+            .remove(&case(start, node));
     }
 
     /// Tells other nodes of a case that nothing but the list can decide.
--- a/lib/src/direct/request/suspicion.rs
+++ b/lib/src/direct/request/suspicion.rs
@@ -59,11 +59,15 @@
             sign = sign.name();
             "request: broke"
         );
-        self.gate.quarantine.record_broken_connection(upstream, fingerprint, sign);
+        self.gate
+            .quarantine
+            .record_broken_connection(upstream, fingerprint, sign);
     }
 
     /// Takes in that an upstream ran the request without harm.
     pub(in crate::direct) fn survived(&self) {
-        self.gate.quarantine.record_harmless_run(self.message.fingerprint());
+        self.gate
+            .quarantine
+            .record_harmless_run(self.message.fingerprint());
     }
 }
--- a/lib/src/direct/target.rs
+++ b/lib/src/direct/target.rs
@@ -67,7 +67,9 @@
         let patience = self.began + Millis(self.route.objective.0 / REFUSE_AFTER);
         let quarantine = &self.gate.quarantine;
         if !quarantine.is_empty() {
-            quarantine.wait_for_crash_check(self.message.fingerprint()).await;
+            quarantine
+                .wait_for_crash_check(self.message.fingerprint())
+                .await;
         }
         loop {
             self.check()?;
--- a/lib/src/direct/view.rs
+++ b/lib/src/direct/view.rs
@@ -14,7 +14,7 @@
 use super::config::Config;
 use super::dialect::{Dialect, Key, UpstreamEntry};
 use super::presence::Written;
-use super::quarantine::{UNCONFIRMED_CRASH_PREFIX, CRASH_REPORT_PREFIX, HARMLESS_PREFIX};
+use super::quarantine::{CRASH_REPORT_PREFIX, HARMLESS_PREFIX, UNCONFIRMED_CRASH_PREFIX};
 use super::upstream::Upstream;
 use super::versions::{Declaration, Declarations};
 use crate::clock::Millis;
@@ -392,7 +392,8 @@
                 Evidence::Taken
             }
             Ok(report) => {
-                self.unconfirmed_crashes.add_from_peer(name.into(), report, now);
+                self.unconfirmed_crashes
+                    .add_from_peer(name.into(), report, now);
                 Evidence::Taken
             }
             Err(error) => {
--- a/lib/src/entry/dispatch.rs
+++ b/lib/src/entry/dispatch.rs
@@ -16,7 +16,6 @@
 use crate::claim::Claim;
 use crate::clock::Millis;
 use crate::error::{Code, Failure, Fate};
-use crate::retry::{FailureContext, RequestState, RetryDecision};
 use crate::membership::fleet::Owner;
 use crate::name::Name;
 use crate::poison::fingerprint::Fingerprint;
@@ -24,6 +23,7 @@
 use crate::policy::placement::Pool;
 use crate::ports::Answer;
 use crate::request::Ticket;
+use crate::retry::{FailureContext, RequestState, RetryDecision};
 use crate::runner::{Attempt, Share, Work};
 
 /// How long after the deadline the owner's own word on the request is awaited.
--- a/lib/src/entry/gateway.rs
+++ b/lib/src/entry/gateway.rs
@@ -25,7 +25,6 @@
 use crate::config::View;
 use crate::declaration::{Account, Template};
 use crate::error::{Code, Failure};
-use crate::retry::RetryBudget;
 use crate::membership::Fleet;
 use crate::membership::fleet::State;
 use crate::name::Name;
@@ -33,6 +32,7 @@
 use crate::poison::ledger::Suspicion;
 use crate::policy::placement::{self, Pool, Router};
 use crate::request::Ticket;
+use crate::retry::RetryBudget;
 use crate::runner::Work;
 
 /// When a request may be decided on the configuration that its owner knows.
--- a/lib/src/entry/limits.rs
+++ b/lib/src/entry/limits.rs
@@ -2,8 +2,8 @@
 
 use crate::claim;
 use crate::clock::Millis;
-use crate::retry;
 use crate::policy::placement;
+use crate::retry;
 
 /// Bounds of one node's entry.
 #[derive(Debug, Clone)]
--- a/lib/src/entry/quarantine.rs
+++ b/lib/src/entry/quarantine.rs
@@ -20,8 +20,8 @@
 use crate::metrics::Metrics;
 use crate::name::Name;
 use crate::poison::fingerprint::Fingerprint;
-use crate::poison::ledger::{REPORT_TTL, CrashLedger, CrashReport, Suspicion, Suspect};
 use crate::poison::harmless::HarmlessRequests;
+use crate::poison::ledger::{CrashLedger, CrashReport, REPORT_TTL, Suspect, Suspicion};
 
 /// How long after a connection broke an end of its upstream explains that.
 ///
@@ -168,7 +168,13 @@
     }
 
     /// Takes in that the connection to an upstream broke while a request stood there.
-    pub fn lost(&self, fleet: &Fleet, upstream: &Name, request: &Fingerprint, suspicion: Suspicion) {
+    pub fn lost(
+        &self,
+        fleet: &Fleet,
+        upstream: &Name,
+        request: &Fingerprint,
+        suspicion: Suspicion,
+    ) {
         let now = self.clock.now();
         let mut state = self.state();
         // One that leaves in order ends with whatever still runs there.
@@ -284,13 +290,17 @@
             return false;
         }
         told.suspects.clone_from(&report.suspects);
-        state.ledger.add_report(Name::clone(&name), report, None, now);
+        state
+            .ledger
+            .add_report(Name::clone(&name), report, None, now);
         for Suspect { request, .. } in &told.suspects {
             if let Some(ends) = state.ledger.blamed_crashes(request, now) {
                 log::warn!(suspect = request.as_str(), ends = ends; "entry: a request is no longer sent");
             }
         }
-        state.told.retain(|_, one| now.since(one.since) < REPORT_TTL);
+        state
+            .told
+            .retain(|_, one| now.since(one.since) < REPORT_TTL);
         state.told.insert(name, told);
         self.news.send_modify(|version| *version += 1);
         true
--- a/lib/src/entry/quarantine/share.rs
+++ b/lib/src/entry/quarantine/share.rs
@@ -4,12 +4,12 @@
 
 use xxhash_rust::xxh3::xxh3_64;
 
-use super::{End, REPORT_TTL, Quarantine, Sight, State, Told};
+use super::{End, Quarantine, REPORT_TTL, Sight, State, Told};
 use crate::clock::Millis;
 use crate::gossip::Share;
 use crate::name::Name;
 use crate::poison::fingerprint::Fingerprint;
-use crate::poison::ledger::{Suspicion, Suspect};
+use crate::poison::ledger::{Suspect, Suspicion};
 use crate::schema::peer::{self, Delta, Digest};
 
 /// Reports that are told: the newest, two kilobytes of hashes in an exchange.
--- a/lib/src/entry/session.rs
+++ b/lib/src/entry/session.rs
@@ -4,9 +4,9 @@
 
 use crate::clock::Millis;
 use crate::error::{Code, Failure};
-use crate::retry::{RetryStateMachine, RequestState};
 use crate::name::Name;
 use crate::request::{Class, Id, Ticket};
+use crate::retry::{RequestState, RetryStateMachine};
 
 use super::answer::{self, Body, Problem};
 use super::gate::{Place, Reserve};
@@ -97,7 +97,11 @@
         self.template = Some(Name::clone(&ticket.template));
         self.class = Some(ticket.class);
         let rules = self.gateway.parts.limits.rules;
-        self.machine = Some(RetryStateMachine::new(rules, ticket.idempotent, ticket.deadline));
+        self.machine = Some(RetryStateMachine::new(
+            rules,
+            ticket.idempotent,
+            ticket.deadline,
+        ));
     }
 
     /// Returns the request's state machine.
--- a/lib/src/poison/ledger.rs
+++ b/lib/src/poison/ledger.rs
@@ -150,7 +150,13 @@
     }
 
     /// Takes a report in under its name in the key-value service.
-    pub fn add_report(&mut self, name: Name, mut report: CrashReport, revision: Option<u64>, now: Millis) {
+    pub fn add_report(
+        &mut self,
+        name: Name,
+        mut report: CrashReport,
+        revision: Option<u64>,
+        now: Millis,
+    ) {
         self.lapse(now);
         // Another node can tell of it after the key-value service has shown it.
         let known = self.reports.get(&name);
@@ -245,11 +251,13 @@
                 ended.insert(Name::clone(&known.report.upstream));
             }
         }
-        let standings = upstreams.into_iter().map(|(request, upstreams)| SuspectStatus {
-            blamed: self.blamed_crashes(&request, now).is_some(),
-            upstreams: upstreams.into_iter().collect(),
-            request,
-        });
+        let standings = upstreams
+            .into_iter()
+            .map(|(request, upstreams)| SuspectStatus {
+                blamed: self.blamed_crashes(&request, now).is_some(),
+                upstreams: upstreams.into_iter().collect(),
+                request,
+            });
         let mut standings: Vec<SuspectStatus> = standings.collect();
         standings.sort_by_key(|one| (!one.blamed, Reverse(one.upstreams.len())));
         standings
--- a/lib/src/poison/mod.rs
+++ b/lib/src/poison/mod.rs
@@ -8,6 +8,6 @@
 //! See docs/design/0011-poison-requests.md.
 
 pub mod fingerprint;
+pub mod harmless;
 pub mod ledger;
 pub mod unconfirmed;
-pub mod harmless;
--- a/lib/src/retry/mod.rs
+++ b/lib/src/retry/mod.rs
@@ -168,7 +168,8 @@
     /// Returns whether the try that comes next is the last one allowed.
     #[must_use]
     pub fn is_last_try(&self) -> bool {
-        self.attempts + 1 >= self.rules.max_attempts || self.redirects + 1 >= self.rules.max_redirects
+        self.attempts + 1 >= self.rules.max_attempts
+            || self.redirects + 1 >= self.rules.max_redirects
     }
 
     /// Notes that a runner gets the request now.
@@ -213,7 +214,12 @@
     }
 
     /// Decides what follows a failed try.
-    pub fn handle_failure(&mut self, failure: Failure, context: FailureContext, budget: &mut RetryBudget) -> RetryDecision {
+    pub fn handle_failure(
+        &mut self,
+        failure: Failure,
+        context: FailureContext,
+        budget: &mut RetryBudget,
+    ) -> RetryDecision {
         let failure = self.corrected(failure);
         self.note(&failure);
         let reaction = reaction(failure.code);
@@ -429,8 +435,12 @@
         let mut budget = RetryBudget::new(0, Millis::ZERO);
         while budget.try_spend() {}
         machine.record_send();
-        let verdict = machine.handle_failure(Failure::new(Code::QueueFull, ""), context(0), &mut budget);
-        assert_eq!(ended(verdict), (Code::QueueFull, Some(RetryDenial::RetryBudget)));
+        let verdict =
+            machine.handle_failure(Failure::new(Code::QueueFull, ""), context(0), &mut budget);
+        assert_eq!(
+            ended(verdict),
+            (Code::QueueFull, Some(RetryDenial::RetryBudget))
+        );
     }
 
     #[test]
--- a/lib/tests/slots_model/engine.rs
+++ b/lib/tests/slots_model/engine.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use chivevalve::clock::Millis;
-use chivevalve::direct::dialect::{LoadedModels, OrderOutcome, EngineStatus};
+use chivevalve::direct::dialect::{EngineStatus, LoadedModels, OrderOutcome};
 use chivevalve::name::Name;
 
 /// The version that an order without one means.
@@ -125,7 +125,13 @@
                 .count()
     }
 
-    pub fn load(&mut self, adapter: &Name, version: u64, expected: u64, now: Millis) -> OrderOutcome {
+    pub fn load(
+        &mut self,
+        adapter: &Name,
+        version: u64,
+        expected: u64,
+        now: Millis,
+    ) -> OrderOutcome {
         if self.refuses(expected) {
             return OrderOutcome::Conflict;
         }
--- a/lib/tests/test_direct_quarantine.rs
+++ b/lib/tests/test_direct_quarantine.rs
@@ -10,7 +10,7 @@
 use async_trait::async_trait;
 use bytes::Bytes;
 use chivevalve::clock::{Clock, Millis, Monotonic};
-use chivevalve::direct::outbox::{PeerBroadcast, Outbox};
+use chivevalve::direct::outbox::{Outbox, PeerBroadcast};
 use chivevalve::direct::quarantine::{CRASH_REPORT_PREFIX, Quarantine};
 use chivevalve::direct::upstream::Upstream;
 use chivevalve::direct::view::{Evidence, View};
@@ -301,7 +301,8 @@
     let suspect = request("/x");
     let upstreams = ["i-1", "i-2", "i-3"].map(named_behind_a_proxy);
     for (_, upstream) in &upstreams {
-        one.quarantine.record_broken_connection(upstream, suspect.clone(), Suspicion::Begun);
+        one.quarantine
+            .record_broken_connection(upstream, suspect.clone(), Suspicion::Begun);
     }
     let is_held = || other.quarantine.check_send(&suspect).is_err();
     until("the cases", is_held).await;
--- a/lib/tests/test_direct_slots.rs
+++ b/lib/tests/test_direct_slots.rs
@@ -3,7 +3,7 @@
 mod slots_model;
 
 use chivevalve::clock::Millis;
-use chivevalve::direct::dialect::{LoadedModels, OrderOutcome, EngineStatus};
+use chivevalve::direct::dialect::{EngineStatus, LoadedModels, OrderOutcome};
 use chivevalve::direct::orders::slots::{LONGEST_LOAD, Look, REPORT_AGE, Slots};
 use chivevalve::direct::orders::{Load, Loaded};
 use quickcheck::{Gen, QuickCheck};
--- a/lib/tests/test_fate.rs
+++ b/lib/tests/test_fate.rs
@@ -7,7 +7,9 @@
 
 use chivevalve::clock::Millis;
 use chivevalve::error::{Code, Failure, Fate};
-use chivevalve::retry::{RetryBudget, FailureContext, RetryStateMachine, RetryPolicy, RetryDecision};
+use chivevalve::retry::{
+    FailureContext, RetryBudget, RetryDecision, RetryPolicy, RetryStateMachine,
+};
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 
 /// Fixed, so that CI tries the same stories each time.
--- a/lib/tests/test_gossip.rs
+++ b/lib/tests/test_gossip.rs
@@ -284,7 +284,12 @@
     let (sender, followed) = tokio::sync::watch::channel(fleet(State::Usable));
     tokio::spawn(Arc::clone(seen).follow(followed));
     for _ in 0..3 {
-        seen.lost(&fleet(State::Usable), &"e1".into(), &poison, Suspicion::Begun);
+        seen.lost(
+            &fleet(State::Usable),
+            &"e1".into(),
+            &poison,
+            Suspicion::Begun,
+        );
         for state in [State::Held, State::Usable] {
             sender.send_replace(fleet(state));
             tokio::time::sleep(Duration::from_millis(1)).await;
--- a/lib/tests/test_poison.rs
+++ b/lib/tests/test_poison.rs
@@ -5,8 +5,8 @@
 use chivevalve::clock::Millis;
 use chivevalve::name::Name;
 use chivevalve::poison::fingerprint::{Fingerprint, Identity};
-use chivevalve::poison::ledger::{REPORT_TTL, CrashLedger, CrashReport, Suspicion, Suspect};
 use chivevalve::poison::harmless::HarmlessRequests;
+use chivevalve::poison::ledger::{CrashLedger, CrashReport, REPORT_TTL, Suspect, Suspicion};
 use quickcheck::{Gen, QuickCheck};
 
 const IDENTITY: Identity<'_> = Identity {
@@ -53,7 +53,8 @@
     }
 
     fn blames(&mut self, request: u64) -> Option<usize> {
-        self.ledger.blamed_crashes(&fingerprint(request), Millis::ZERO)
+        self.ledger
+            .blamed_crashes(&fingerprint(request), Millis::ZERO)
     }
 }
 
@@ -222,7 +223,10 @@
     assert_eq!(world.blames(1), None);
     world.ended(2, 0, &[(1, Suspicion::Begun)]);
     assert!(world.blames(1).is_some());
-    assert_eq!(world.ledger.blamed_crashes(&fingerprint(1), REPORT_TTL), None);
+    assert_eq!(
+        world.ledger.blamed_crashes(&fingerprint(1), REPORT_TTL),
+        None
+    );
     assert!(world.ledger.is_empty());
 }
 
@@ -232,11 +236,16 @@
 fn report_memory_is_bounded() {
     let mut world = World::default();
     for upstream in 0..5_000 {
-        let suspects: Vec<_> = (0..2).map(|at| (upstream * 2 + at, Suspicion::Begun)).collect();
+        let suspects: Vec<_> = (0..2)
+            .map(|at| (upstream * 2 + at, Suspicion::Begun))
+            .collect();
         world.ended(upstream, 0, &suspects);
     }
     assert_eq!(world.ledger.crash_count(&fingerprint(0), Millis::ZERO), 0);
-    assert_eq!(world.ledger.crash_count(&fingerprint(9_999), Millis::ZERO), 1);
+    assert_eq!(
+        world.ledger.crash_count(&fingerprint(9_999), Millis::ZERO),
+        1
+    );
 }
 
 #[test]
