--- a/bench/src/fuzz_outcomes/harness/traffic/mod.rs
+++ b/bench/src/fuzz_outcomes/harness/traffic/mod.rs
@@ -1,6 +1,6 @@
 //! Requests through the world: entry nodes, owners and engines.
 //!
-//! Entry nodes stand here and decide by the product's [`fate::Machine`].
+//! Entry nodes stand here and decide by the product's [`retry::RetryStateMachine`].
 
 mod engine;
 mod owner;
@@ -9,9 +9,9 @@
 
 use chivevalve::clock::Millis;
 use chivevalve::error::{Code, Failure, Fate};
-use chivevalve::fate::{self, Budget, Context, Rules, Verdict};
 use chivevalve::membership::fleet::State;
 use chivevalve::name::Name;
+use chivevalve::retry::{self, FailureContext, RetryBudget, RetryDecision, RetryPolicy};
 use rand::RngExt;
 
 use super::oracle::Promise;
@@ -32,7 +32,7 @@
     start: u64,
     idempotent: bool,
     adapter: usize,
-    fate: fate::Machine,
+    fate: retry::RetryStateMachine,
     tried: BTreeSet<Name>,
     attempt: u32,
     asked: Option<usize>,
@@ -64,7 +64,7 @@
             start: self.nodes[node].identity.incarnation,
             idempotent,
             adapter: usize::from(what >> 1) % 6,
-            fate: fate::Machine::new(Rules::default(), idempotent, deadline),
+            fate: retry::RetryStateMachine::new(RetryPolicy::default(), idempotent, deadline),
             tried: BTreeSet::new(),
             attempt: 0,
             asked: None,
@@ -94,7 +94,7 @@
             return;
         };
         let request = &mut self.requests[number];
-        request.fate.send();
+        request.fate.record_send();
         request.attempt += 1;
         request.tried.insert(upstream.clone());
         request.asked = Some(to);
@@ -171,8 +171,8 @@
         }
         let failure = match result {
             Ok(of) => {
-                request.fate.begin();
-                request.fate.finish();
+                request.fate.record_response_start();
+                request.fate.record_complete();
                 request.answered = true;
                 if of != number || request.runs == 0 {
                     self.broken(Promise::OwnAnswer, format!("request {number} got {of}'s"));
@@ -182,18 +182,18 @@
             Err(failure) => failure,
         };
         request.asked = None;
-        let context = Context {
+        let context = FailureContext {
             now,
-            untried,
+            has_untried_upstream: untried,
             random,
         };
-        let budget: &mut Budget = &mut self.nodes[node].budget;
-        match request.fate.fail(failure, context, budget) {
-            Verdict::Retry(pause) => {
+        let budget: &mut RetryBudget = &mut self.nodes[node].budget;
+        match request.fate.handle_failure(failure, context, budget) {
+            RetryDecision::Retry(pause) => {
                 let start = request.start;
                 self.later(pause.0, Due::Node(node, start, Arrival::Retry(number)));
             }
-            Verdict::End { failure, .. } => self.tell_caller(number, &failure),
+            RetryDecision::End { failure, .. } => self.tell_caller(number, &failure),
         }
     }
 
--- a/cli/src/daemon/platform.rs
+++ b/cli/src/daemon/platform.rs
@@ -4,10 +4,10 @@
 use std::sync::Arc;
 
 use chivevalve::clock::Millis;
-use chivevalve::direct::node::{Node, Reach, Settings};
+use chivevalve::direct::node::{Node, PlatformClients, Settings};
 use chivevalve::direct::reload::Reload;
 use chivevalve_platform::settings::{self, Mistake};
-use chivevalve_platform::{Speech, store};
+use chivevalve_platform::{PlatformDialect, store};
 use eyre::{Result, WrapErr};
 
 use super::exit;
@@ -40,8 +40,8 @@
 async fn run(settings: Settings) -> Result<ExitCode> {
     let mut signals = Signals::new()?;
     let store = Arc::new(store::Client::new(settings.store));
-    let reach = Reach {
-        dialect: Arc::new(Speech),
+    let reach = PlatformClients {
+        dialect: Arc::new(PlatformDialect),
         store: Arc::<store::Client>::clone(&store),
         lease: Arc::<store::Client>::clone(&store),
         poll: store,
--- a/lib/src/direct/attempt.rs
+++ b/lib/src/direct/attempt.rs
@@ -12,7 +12,7 @@
 use crate::poison::fingerprint::{Fingerprint, Identity};
 use crate::ports::link::{Connection, Lost};
 use super::admit::Permit;
-use super::dialect::{Dialect, Dispatch, Reply};
+use super::dialect::{Dialect, DispatchHeaders, ResponseMetadata};
 use super::metadata::{RequestKind, RequestMetadata};
 use super::upstream::{Running, Upstream};
 use super::versions::{VersionWatch, self};
@@ -101,7 +101,7 @@
     /// Its head.
     pub head: response::Parts,
     /// What the head says.
-    pub reply: Reply,
+    pub reply: ResponseMetadata,
     /// The rest.
     pub body: Incoming,
     /// Where it comes from.
@@ -142,7 +142,7 @@
         &self,
         upstream: &Arc<Upstream>,
         dialect: &dyn Dialect,
-        dispatch: &Dispatch,
+        dispatch: &DispatchHeaders,
         permit: Option<Permit>,
         watch: Option<VersionWatch>,
     ) -> Result<UpstreamResponse, SendError> {
@@ -175,7 +175,7 @@
             () = versions::expired(watch.as_ref()) => return Err(SendError::Withdrawn { sent: true }),
         };
         let (head, body) = response.into_parts();
-        let reply = dialect.reply(&head);
+        let reply = dialect.response_metadata(&head);
         if reply.id != self.metadata.id {
             // Another request's answer came late over this connection. Whether
             // the upstream runs ours, nobody can tell.
@@ -208,12 +208,12 @@
         })
     }
 
-    fn request(&self, dialect: &dyn Dialect, dispatch: &Dispatch) -> Request<Full<Bytes>> {
+    fn request(&self, dialect: &dyn Dialect, dispatch: &DispatchHeaders) -> Request<Full<Bytes>> {
         let mut request = Request::new(Full::new(self.body.clone()));
         *request.method_mut() = self.method.clone();
         *request.uri_mut() = self.uri.clone();
         *request.headers_mut() = self.headers.clone();
-        dialect.dispatch(request.headers_mut(), dispatch);
+        dialect.apply_dispatch_headers(request.headers_mut(), dispatch);
         request
     }
 }
@@ -243,7 +243,12 @@
 }
 
 /// Reads the rest of an answer that is not passed on, so that its connection can be kept.
-async fn finish(body: Incoming, connection: Connection, upstream: &Upstream, reply: &Reply) {
+async fn finish(
+    body: Incoming,
+    connection: Connection,
+    upstream: &Upstream,
+    reply: &ResponseMetadata,
+) {
     let rest = Limited::new(body, 64 * 1024).collect();
     let rest = tokio::time::timeout(FINISH.duration(), rest).await;
     if matches!(rest, Ok(Ok(_))) && !reply.closes {
--- a/lib/src/direct/claim/mod.rs
+++ b/lib/src/direct/claim/mod.rs
@@ -178,7 +178,7 @@
     /// Meanwhile the claims may have been taken away and others may have made
     /// theirs; what the view last saw is older than that.
     async fn read_claims(&self) -> Result<(), Error> {
-        let listing = self.store.list(&self.dialect.own(CLAIM_PREFIX)).await?;
+        let listing = self.store.list(&self.dialect.own_key(CLAIM_PREFIX)).await?;
         let now = self.clock.now();
         self.view
             .state()
@@ -187,7 +187,7 @@
     }
 
     async fn register(&self, lease: LeaseId) -> Result<(), Error> {
-        let key = self.dialect.own(&format!("{NODE_PREFIX}{}", self.node));
+        let key = self.dialect.own_key(&format!("{NODE_PREFIX}{}", self.node));
         let transaction = Transaction {
             conditions: Vec::new(),
             writes: vec![Write::Put(key, encoded(&self.peer), Some(lease))],
@@ -212,7 +212,7 @@
     }
 
     fn key(&self, address: SocketAddr) -> String {
-        self.dialect.own(&format!("{CLAIM_PREFIX}{address}"))
+        self.dialect.own_key(&format!("{CLAIM_PREFIX}{address}"))
     }
 }
 
--- a/lib/src/direct/controllers/exchange.rs
+++ b/lib/src/direct/controllers/exchange.rs
@@ -4,14 +4,14 @@
 use std::net::SocketAddr;
 use std::sync::{Arc, PoisonError};
 
-use super::{Controllers, Silence};
 use crate::clock::Millis;
-use crate::direct::dialect::Held;
+use crate::direct::dialect::LoadedModels;
 use crate::direct::limits::in_use;
 use crate::direct::orders::MarkInUse;
 use crate::direct::upstream::Upstream;
 use crate::name::Name;
 use crate::schema::direct::{ExchangeReply, ExchangeRequest, Resident, Standing, Use};
+use super::{Controllers, Silence};
 
 /// The longest that an exchange may take.
 const EXCHANGE: Millis = Millis(800);
@@ -116,8 +116,8 @@
                 continue;
             };
             upstream.heard_load(standing.running, self.clock.now());
-            upstream.hold(&Held {
-                born: standing.born,
+            upstream.hold(&LoadedModels {
+                started_at_ms: standing.born,
                 sequence: standing.sequence,
                 models: standing.models.into_iter().map(Name::from).collect(),
                 adapters: standing
@@ -164,7 +164,7 @@
         Some(Standing {
             incarnation: one.incarnation.clone(),
             running: others,
-            born: held.born,
+            born: held.started_at_ms,
             sequence: held.sequence,
             models: held.models.iter().map(ToString::to_string).collect(),
             adapters: held
--- a/lib/src/direct/dialect.rs
+++ b/lib/src/direct/dialect.rs
@@ -18,7 +18,7 @@
 /// Why a value of the platform can't be read.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 #[error("{what} can't be read: {detail}")]
-pub struct Unreadable {
+pub struct DecodeError {
     /// What was read.
     pub what: &'static str,
     /// Where it went wrong.
@@ -27,7 +27,7 @@
 
 /// An upstream as it describes itself in the platform's list.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Listed {
+pub struct UpstreamEntry {
     /// One start of the upstream; a restart has another.
     pub incarnation: Name,
     /// The pool that it belongs to.
@@ -45,14 +45,14 @@
     /// Time left before it vanishes, if it was given notice.
     pub remaining: Option<Millis>,
     /// What it holds.
-    pub held: Held,
+    pub held: LoadedModels,
 }
 
 /// Base models and adapters that an engine holds.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
-pub struct Held {
+pub struct LoadedModels {
     /// When this start of the engine began, in milliseconds since 1970; 0 where none tells.
-    pub born: u64,
+    pub started_at_ms: u64,
     /// Number of orders that this start of the engine has accepted.
     pub sequence: u64,
     /// Names of base models.
@@ -65,9 +65,9 @@
 
 /// What an engine says when it is asked.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
-pub struct Report {
+pub struct EngineStatus {
     /// What it holds.
-    pub held: Held,
+    pub held: LoadedModels,
     /// Whether an order is being carried out that keeps others away.
     pub busy: bool,
     /// Requests that wait.
@@ -90,7 +90,7 @@
     /// Who gives the order.
     pub holder: Name,
     /// Rises from one holder to the next.
-    pub fence: u64,
+    pub fencing_token: u64,
 }
 
 /// What an order does.
@@ -115,7 +115,7 @@
 
 /// How an engine answered an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Ordered {
+pub enum OrderOutcome {
     /// It is being carried out.
     Started,
     /// What it asks for holds already.
@@ -130,7 +130,7 @@
     Refused,
 }
 
-impl Ordered {
+impl OrderOutcome {
     /// Returns the name used in logs and metrics.
     #[must_use]
     pub const fn name(self) -> &'static str {
@@ -147,7 +147,7 @@
 
 /// What an entry node adds to a request on its way to an upstream.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
-pub struct Dispatch {
+pub struct DispatchHeaders {
     /// The incarnation that may take it.
     pub incarnation: Name,
     /// How long the upstream may work on it.
@@ -159,14 +159,14 @@
     /// The event after which a stream continues.
     pub resume_after: Option<u64>,
     /// Memory of this request that lies at an engine, to go on from.
-    pub memory: Option<Memory>,
+    pub kv_cache: Option<KvCacheHandle>,
 }
 
 /// What an engine keeps of a run that was stopped, or copied to another engine.
 ///
 /// Whoever presents it continues that run without reading the prompt again; it can be used once.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Memory {
+pub struct KvCacheHandle {
     /// The engine that ran the request.
     pub source: SocketAddr,
     /// The engine's name for it.
@@ -175,7 +175,7 @@
 
 /// How an engine answered the question to stop a run and copy its memory.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Transferred {
+pub enum TransferOutcome {
     /// The run has stopped and the other engine holds its memory under this handle.
     Copied(Name),
     /// The run has stopped, but its memory lies only where it ran.
@@ -184,7 +184,7 @@
     Unchanged,
 }
 
-impl Transferred {
+impl TransferOutcome {
     /// Returns the name used in logs and metrics.
     #[must_use]
     pub const fn name(&self) -> &'static str {
@@ -198,7 +198,7 @@
 
 /// What the head of an upstream's answer says beyond HTTP.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
-pub struct Reply {
+pub struct ResponseMetadata {
     /// Identity of the request that it answers.
     pub id: Option<Name>,
     /// Whether the upstream has signed it.
@@ -229,64 +229,68 @@
 /// Translates between the platform's formats and ours.
 pub trait Dialect: fmt::Debug + Send + Sync {
     /// Reads what a caller's request says about itself.
-    fn call(&self, head: &request::Parts) -> RequestMetadata;
+    fn request_metadata(&self, head: &request::Parts) -> RequestMetadata;
 
     /// Changes a caller's headers to those that an upstream gets.
     ///
     /// Headers that only this system may set are removed if a caller sent them.
-    fn dispatch(&self, headers: &mut HeaderMap, dispatch: &Dispatch);
+    fn apply_dispatch_headers(&self, headers: &mut HeaderMap, dispatch: &DispatchHeaders);
 
     /// Reads the head of an upstream's answer.
-    fn reply(&self, head: &response::Parts) -> Reply;
+    fn response_metadata(&self, head: &response::Parts) -> ResponseMetadata;
 
     /// Tells what a key of the key-value service holds.
-    fn key(&self, key: &str) -> Key;
+    fn parse_key(&self, key: &str) -> Key;
 
     /// Prefixes under which everything lies that this node reads.
-    fn prefixes(&self) -> &'static [&'static str];
+    fn key_prefixes(&self) -> &'static [&'static str];
 
     /// The whole key of something of ours.
-    fn own(&self, name: &str) -> String;
+    fn own_key(&self, name: &str) -> String;
 
     /// Reads the configuration.
     ///
     /// # Errors
     ///
     /// When it isn't what the platform promises.
-    fn config(&self, value: &[u8]) -> Result<Config, Unreadable>;
+    fn decode_config(&self, value: &[u8]) -> Result<Config, DecodeError>;
 
     /// Reads an upstream's entry.
     ///
     /// # Errors
     ///
     /// When it isn't what the platform promises.
-    fn upstream(&self, incarnation: &Name, value: &[u8]) -> Result<Listed, Unreadable>;
+    fn decode_upstream(
+        &self,
+        incarnation: &Name,
+        value: &[u8],
+    ) -> Result<UpstreamEntry, DecodeError>;
 
     /// Reads the newest version of an adapter (`BASE/NAME`) or a base model (`BASE`).
     ///
     /// # Errors
     ///
     /// When it isn't what the platform promises.
-    fn version(&self, value: &[u8]) -> Result<(Name, u64), Unreadable>;
+    fn decode_version(&self, value: &[u8]) -> Result<(Name, u64), DecodeError>;
 
     /// Writes an order for one incarnation of an engine.
-    fn order(&self, incarnation: &str, order: &Order) -> Request<Full<Bytes>>;
+    fn order_request(&self, incarnation: &str, order: &Order) -> Request<Full<Bytes>>;
 
     /// Reads an engine's answer to an order.
-    fn ordered(&self, head: &response::Parts) -> Ordered;
+    fn order_outcome(&self, head: &response::Parts) -> OrderOutcome;
 
     /// Asks an engine for its report.
-    fn ask_report(&self, incarnation: &str) -> Request<Full<Bytes>>;
+    fn status_request(&self, incarnation: &str) -> Request<Full<Bytes>>;
 
     /// Reads an engine's report.
     ///
     /// # Errors
     ///
     /// When it isn't what the platform promises.
-    fn report(&self, body: &[u8]) -> Result<Report, Unreadable>;
+    fn decode_status(&self, body: &[u8]) -> Result<EngineStatus, DecodeError>;
 
     /// Asks an engine to stop a request's run and to copy its memory to the engine at `to`.
-    fn ask_transfer(
+    fn transfer_request(
         &self,
         incarnation: &str,
         request: &str,
@@ -294,8 +298,8 @@
     ) -> Request<Full<Bytes>>;
 
     /// Reads an engine's answer to such a question.
-    fn transferred(&self, head: &response::Parts, body: &[u8]) -> Transferred;
+    fn transfer_outcome(&self, head: &response::Parts, body: &[u8]) -> TransferOutcome;
 
     /// Whether a readiness question has this path.
-    fn asks_readiness(&self, path: &str) -> bool;
+    fn is_readiness_path(&self, path: &str) -> bool;
 }
--- a/lib/src/direct/entry/handle.rs
+++ b/lib/src/direct/entry/handle.rs
@@ -7,17 +7,17 @@
 use http_body_util::{BodyExt, StreamBody};
 use hyper::body::Incoming;
 
-use super::accept::{accept, choose};
-use super::response::{refusal, response_head, whole_response};
-use super::{Body, Frontend};
 use crate::clock::Millis;
 use crate::direct::attempt::{RequestMessage, UpstreamResponse};
-use crate::direct::relay::{self, ResponseAborted};
+use crate::direct::relay::{ResponseAborted, self};
 use crate::direct::request::ActiveRequest;
-use crate::direct::request_log::{self, RequestOutcome};
+use crate::direct::request_log::{RequestOutcome, self};
 use crate::error::{Code, Failure};
-use crate::poison::ledger::Sign;
+use crate::poison::ledger::Suspicion;
 use crate::ports::http::remove_hop_by_hop;
+use super::{Body, Frontend};
+use super::accept::{accept, choose};
+use super::response::{refusal, response_head, whole_response};
 
 /// How long a caller's wait is assumed to be if nothing bounds it.
 const USUAL_WAIT: Millis = Millis::from_secs(30);
@@ -87,7 +87,7 @@
             self.count_end(failure.code.number());
             failure
         })?;
-        let metadata = self.dialect.call(&head);
+        let metadata = self.dialect.request_metadata(&head);
         let (route, body) = match accept(&config, &head, body).await {
             Ok(accepted) => accepted,
             Err(failure) => {
@@ -190,7 +190,7 @@
                 Err(_) => return Err(Failure::new(Code::ExpiredRunning, "the time is up")),
             };
             request.blame(&upstream);
-            request.broke(&upstream, Sign::Begun);
+            request.broke(&upstream, Suspicion::Begun);
             if !request.may_go_on() {
                 return Err(Failure::new(Code::AnswerCut, told));
             }
--- a/lib/src/direct/handover.rs
+++ b/lib/src/direct/handover.rs
@@ -10,13 +10,13 @@
 use smallvec::{SmallVec, smallvec};
 use tokio_util::task::AbortOnDropHandle;
 
-use super::attempt::UpstreamResponse;
+use crate::clock::Millis;
 use super::control_call;
-use super::dialect::{Memory, Transferred};
+use super::attempt::UpstreamResponse;
+use super::dialect::{KvCacheHandle, TransferOutcome};
 use super::entry::Frontend;
 use super::target::Target;
 use super::upstream::Upstream;
-use crate::clock::Millis;
 
 /// A run that is being moved.
 ///
@@ -27,7 +27,7 @@
     source: Arc<Upstream>,
     /// Version of the adapter that the run began on.
     version: Option<u64>,
-    asked: AbortOnDropHandle<Transferred>,
+    asked: AbortOnDropHandle<TransferOutcome>,
 }
 
 /// What an engine said to the question to move a run.
@@ -45,7 +45,7 @@
 #[derive(Debug)]
 pub struct StoppedRun {
     /// What to present there.
-    pub memory: Memory,
+    pub memory: KvCacheHandle,
     /// Engines that have it, the better one first.
     pub places: SmallVec<[Target; 2]>,
 }
@@ -94,19 +94,19 @@
             permit: None,
         };
         let (handle, places) = match asked {
-            Ok(Transferred::Copied(handle)) => {
+            Ok(TransferOutcome::Copied(handle)) => {
                 let target = self.target.take();
                 (handle, target.into_iter().chain([source]).collect())
             }
-            Ok(Transferred::Kept(handle)) => (handle, smallvec![source]),
-            Ok(Transferred::Unchanged) => return HandoverReply::Unchanged,
+            Ok(TransferOutcome::Kept(handle)) => (handle, smallvec![source]),
+            Ok(TransferOutcome::Unchanged) => return HandoverReply::Unchanged,
             Err(error) => {
                 log::error!("handover: the question ended early: {error}");
                 return HandoverReply::Unchanged;
             }
         };
         self.source.succeeded();
-        let memory = Memory {
+        let memory = KvCacheHandle {
             source: self.source.address,
             handle,
         };
@@ -120,20 +120,20 @@
     source: Arc<Upstream>,
     target: Arc<Upstream>,
     left: Millis,
-) -> Transferred {
+) -> TransferOutcome {
     let request = frontend
         .dialect
-        .ask_transfer(&source.incarnation, &id, target.address);
+        .transfer_request(&source.incarnation, &id, target.address);
     let asked = control_call::send(&*frontend.dialect, &source, request);
     let transferred = match tokio::time::timeout(left.duration(), asked).await {
-        Ok(Ok((head, body))) => frontend.dialect.transferred(&head, &body),
+        Ok(Ok((head, body))) => frontend.dialect.transfer_outcome(&head, &body),
         Ok(Err(told)) => {
             log::info!(request = id.as_str(), cause = told.as_str(); "handover: no answer");
-            Transferred::Unchanged
+            TransferOutcome::Unchanged
         }
         Err(_) => {
             log::info!(request = id.as_str(); "handover: nothing within {left}");
-            Transferred::Unchanged
+            TransferOutcome::Unchanged
         }
     };
     frontend
--- a/lib/src/direct/node.rs
+++ b/lib/src/direct/node.rs
@@ -81,7 +81,7 @@
 
 /// What reaches the platform.
 #[derive(Debug, Clone)]
-pub struct Reach {
+pub struct PlatformClients {
     /// Formats.
     pub dialect: Arc<dyn Dialect>,
     /// The key-value service.
@@ -133,7 +133,7 @@
     /// # Errors
     ///
     /// When one of its addresses can't be listened at.
-    pub fn start(settings: &Settings, reach: Reach) -> Result<Self> {
+    pub fn start(settings: &Settings, reach: PlatformClients) -> Result<Self> {
         let listeners = Listeners::bind(settings)?;
         let clock: Arc<dyn Clock> = Arc::new(Boot);
         let view = Arc::new(View::default());
@@ -274,7 +274,7 @@
         let clock = Arc::clone(&self.frontend.clock);
         let end = clock.now() + self.limits.get().stop - END_MARGIN;
         self.frontend.drain.begin(end);
-        give_notice(self.claimer.leave()).await;
+        release_claims_before_close(self.claimer.leave()).await;
         self.closing.cancel();
         self.finish(end).await;
         self.report(end).await;
@@ -318,7 +318,7 @@
     /// Waits until all that this node saw of upstreams' ends is reported, until `end` at most.
     async fn report(&self, end: Millis) {
         let left = end.since(self.frontend.clock.now());
-        let reported = self.frontend.quarantine.reported();
+        let reported = self.frontend.quarantine.flush_reports();
         if tokio::time::timeout(left.duration(), reported)
             .await
             .is_err()
@@ -332,7 +332,7 @@
 ///
 /// The key-value service can be silent. Were it waited for first, the callers' port would be open
 /// for as much longer, and requests that come late would be cut off at the end of the stop.
-pub async fn give_notice(leave: impl Future<Output = Result<(), Error>>) {
+pub async fn release_claims_before_close(leave: impl Future<Output = Result<(), Error>>) {
     let noticed = tokio::time::sleep(NOTICE.duration());
     let (left, ()) = tokio::join!(tokio::time::timeout(NOTICE.duration(), leave), noticed);
     match left {
@@ -386,7 +386,7 @@
 
 fn readiness_of(frontend: &Frontend, request: &Request<Incoming>) -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::default());
-    if !frontend.dialect.asks_readiness(request.uri().path()) {
+    if !frontend.dialect.is_readiness_path(request.uri().path()) {
         *response.status_mut() = StatusCode::NOT_FOUND;
     } else if !frontend.is_ready() {
         *response.status_mut() = StatusCode::SERVICE_UNAVAILABLE;
--- a/lib/src/direct/orders/load.rs
+++ b/lib/src/direct/orders/load.rs
@@ -2,12 +2,12 @@
 
 use kameo::actor::ActorRef;
 
-use super::message::{LoadCommand, LoadOutcome, LookDue, Looked};
-use super::slots::{LoadProbe, Slots, answer};
-use super::{EngineController, MOST_IN_TRANSIT, MOST_INCOMING};
 use crate::clock::Millis;
-use crate::direct::dialect::{Action, Order, Ordered};
+use crate::direct::dialect::{Action, Order, OrderOutcome};
 use crate::name::Name;
+use super::{EngineController, MOST_INCOMING, MOST_IN_TRANSIT};
+use super::message::{LoadCommand, LoadOutcome, LookDue, Looked};
+use super::slots::{LoadProbe, Slots, answer};
 
 /// Loads that may wait for a place on their way.
 ///
@@ -59,23 +59,23 @@
         })
     }
 
-    fn started(&mut self, load: LoadCommand, outcome: Option<Ordered>) {
+    fn started(&mut self, load: LoadCommand, outcome: Option<OrderOutcome>) {
         let now = self.parts.clock.now();
         let Some(slots) = &mut self.slots else {
             answer(load.reply, LoadOutcome::Failed);
             return;
         };
         match outcome {
-            Some(Ordered::Holds) => {
+            Some(OrderOutcome::Holds) => {
                 slots.holds(load, now);
                 self.publish();
             }
-            Some(Ordered::Started) => {
+            Some(OrderOutcome::Started) => {
                 slots.began(load, now);
                 self.publish();
             }
-            Some(Ordered::Fenced) => answer(load.reply, LoadOutcome::NotOwner),
-            Some(Ordered::Conflict | Ordered::Elsewhere | Ordered::Refused) => {
+            Some(OrderOutcome::Fenced) => answer(load.reply, LoadOutcome::NotOwner),
+            Some(OrderOutcome::Conflict | OrderOutcome::Elsewhere | OrderOutcome::Refused) => {
                 self.pause();
                 answer(load.reply, LoadOutcome::Full);
             }
@@ -103,7 +103,7 @@
             return false;
         };
         match outcome {
-            Some(Ordered::Holds) => {
+            Some(OrderOutcome::Holds) => {
                 slots.dropped(&victim);
                 self.publish();
                 self.has_room(adapter, now)
@@ -166,7 +166,7 @@
             version: (look.version > 0).then_some(look.version),
             sequence: look.sequence,
             holder: Name::clone(&self.parts.holder),
-            fence: 0,
+            fencing_token: 0,
         };
         let parts = self.parts.clone();
         let actor = actor.clone();
@@ -186,7 +186,7 @@
         };
         let is_known = slots.looked(&look, outcome, now);
         self.stale |= !is_known;
-        if outcome == Some(Ordered::Holds) {
+        if outcome == Some(OrderOutcome::Holds) {
             self.publish();
             self.next().await;
         }
--- a/lib/src/direct/orders/message.rs
+++ b/lib/src/direct/orders/message.rs
@@ -3,11 +3,11 @@
 use kameo::message::{Context, Message};
 use tokio::sync::oneshot;
 
-use super::EngineController;
-use super::slots::LoadProbe;
 use crate::clock::Millis;
-use crate::direct::dialect::Ordered;
+use crate::direct::dialect::OrderOutcome;
 use crate::name::Name;
+use super::EngineController;
+use super::slots::LoadProbe;
 
 /// How an order to make an adapter present ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -67,7 +67,7 @@
 #[derive(Debug)]
 pub(super) struct Looked {
     pub(super) look: LoadProbe,
-    pub(super) outcome: Option<Ordered>,
+    pub(super) outcome: Option<OrderOutcome>,
 }
 
 impl Message<LoadCommand> for EngineController {
--- a/lib/src/direct/orders/mod.rs
+++ b/lib/src/direct/orders/mod.rs
@@ -16,12 +16,12 @@
 use kameo::Actor;
 use kameo::actor::ActorRef;
 
-use super::dialect::{Action, Ordered};
-use super::limits::IN_USE;
 use crate::clock::Millis;
 use crate::name::Name;
 use load::Wake;
 use slots::{MAX_LOAD_TIME, Slots, answer};
+use super::dialect::{Action, OrderOutcome};
+use super::limits::IN_USE;
 
 pub use engine::EngineClient;
 pub use message::{LoadCommand, LoadOutcome, MarkInUse, Tick};
@@ -185,7 +185,7 @@
             "orders: {} is to load {model}: {outcome:?}",
             self.parts.upstream.incarnation
         );
-        if matches!(outcome, Some(Ordered::Started)) {
+        if matches!(outcome, Some(OrderOutcome::Started)) {
             self.base_ordered = Some(now);
         }
     }
--- a/lib/src/direct/orders/slots/mod.rs
+++ b/lib/src/direct/orders/slots/mod.rs
@@ -14,11 +14,11 @@
 
 use smallvec::SmallVec;
 
-use super::message::{LoadCommand, LoadOutcome};
 use crate::clock::Millis;
-use crate::direct::dialect::{Held, Ordered, Report};
+use crate::direct::dialect::{EngineStatus, LoadedModels, OrderOutcome};
 use crate::name::Name;
 use slot::{Loading, SLOW_LOOK, Slot, Waiter};
+use super::message::{LoadCommand, LoadOutcome};
 use told::Told;
 
 pub(super) use slot::answer;
@@ -52,7 +52,7 @@
 /// What is known of an engine's slots.
 #[derive(Debug, Default)]
 pub struct Slots {
-    born: u64,
+    started_at_ms: u64,
     sequence: u64,
     /// When the engine was last known to accept an order.
     advanced: Millis,
@@ -67,9 +67,9 @@
 impl Slots {
     /// Takes in the first report of an engine, asked for at `asked`.
     #[must_use]
-    pub fn new(report: &Report, asked: Millis) -> Self {
+    pub fn new(report: &EngineStatus, asked: Millis) -> Self {
         let mut slots = Self {
-            born: report.held.born,
+            started_at_ms: report.held.started_at_ms,
             ..Self::default()
         };
         slots.merge(&report.held, asked);
@@ -77,9 +77,9 @@
     }
 
     /// Takes in a report that was asked for at `asked`; false if it is older than what is known.
-    pub fn report(&mut self, report: &Report, asked: Millis) -> bool {
+    pub fn report(&mut self, report: &EngineStatus, asked: Millis) -> bool {
         let held = &report.held;
-        if held.born > self.born {
+        if held.started_at_ms > self.started_at_ms {
             self.answer_all(LoadOutcome::Failed);
             *self = Self {
                 used: std::mem::take(&mut self.used),
@@ -87,9 +87,10 @@
             };
             return true;
         }
-        let is_older = held.born < self.born || held.sequence < self.sequence;
+        let is_older = held.started_at_ms < self.started_at_ms || held.sequence < self.sequence;
         // A count that stays behind was counted wrongly here.
-        let is_settled = held.born == self.born && asked >= self.advanced + MAX_REPORT_AGE;
+        let is_settled =
+            held.started_at_ms == self.started_at_ms && asked >= self.advanced + MAX_REPORT_AGE;
         if is_older && !is_settled {
             return false;
         }
@@ -97,7 +98,7 @@
         true
     }
 
-    fn merge(&mut self, held: &Held, asked: Millis) {
+    fn merge(&mut self, held: &LoadedModels, asked: Millis) {
         let is_newer = held.sequence != self.sequence;
         let mut told = Told::by_name(held);
         let known = std::mem::take(&mut self.by_adapter);
@@ -212,7 +213,7 @@
     }
 
     /// Takes in how the engine answered a look; false if a report has to tell what is wrong.
-    pub fn looked(&mut self, look: &LoadProbe, outcome: Option<Ordered>, now: Millis) -> bool {
+    pub fn looked(&mut self, look: &LoadProbe, outcome: Option<OrderOutcome>, now: Millis) -> bool {
         let is_current = look.sequence == self.sequence;
         let Some(Slot::Loading(loading)) = self.by_adapter.get_mut(&look.adapter) else {
             return true;
@@ -222,21 +223,21 @@
             return true;
         }
         match outcome {
-            Some(Ordered::Holds) => {
+            Some(OrderOutcome::Holds) => {
                 self.complete(&look.adapter, look.version, now);
                 true
             }
-            Some(Ordered::Fenced | Ordered::Elsewhere) => {
+            Some(OrderOutcome::Fenced | OrderOutcome::Elsewhere) => {
                 if let Some(Slot::Loading(loading)) = self.by_adapter.remove(&look.adapter) {
                     loading.answer(LoadOutcome::Failed);
                 }
                 false
             }
-            Some(Ordered::Conflict) if is_current => {
+            Some(OrderOutcome::Conflict) if is_current => {
                 loading.next_look = now + SLOW_LOOK;
                 false
             }
-            Some(Ordered::Conflict | Ordered::Started | Ordered::Refused) | None => {
+            Some(OrderOutcome::Conflict | OrderOutcome::Started | OrderOutcome::Refused) | None => {
                 loading.next_look = now + loading.pause(now);
                 true
             }
@@ -326,7 +327,7 @@
 
     /// Returns what the engine holds for requests.
     #[must_use]
-    pub fn held(&self) -> Held {
+    pub fn held(&self) -> LoadedModels {
         let held = self
             .by_adapter
             .iter()
@@ -334,8 +335,8 @@
                 Slot::Present { version, .. } => Some((Name::clone(name), *version)),
                 Slot::Loading(_) => None,
             });
-        Held {
-            born: self.born,
+        LoadedModels {
+            started_at_ms: self.started_at_ms,
             sequence: self.sequence,
             models: self.models.clone(),
             adapters: held.collect(),
--- a/lib/src/direct/outbox.rs
+++ b/lib/src/direct/outbox.rs
@@ -14,7 +14,7 @@
 use super::dialect::Dialect;
 use crate::clock::{Clock, Millis};
 use crate::name::Name;
-use crate::poison::ledger::LAPSE;
+use crate::poison::ledger::REPORT_TTL;
 use crate::ports::{Error, Lease, LeaseId, Store, Transaction, Write};
 
 /// Records that one transaction writes; the service takes 32 rows.
@@ -34,9 +34,9 @@
 /// Without it each node counts for itself then, and a request that ends three engines ends three
 /// for each node.
 #[async_trait]
-pub trait Others: fmt::Debug + Send + Sync {
+pub trait PeerBroadcast: fmt::Debug + Send + Sync {
     /// Tells all other nodes that are known; none of them has to answer.
-    async fn tell(&self, name: &Name, value: &Bytes);
+    async fn broadcast(&self, name: &Name, value: &Bytes);
 }
 
 /// A record that waits.
@@ -62,7 +62,7 @@
     lease: Arc<dyn Lease>,
     dialect: Arc<dyn Dialect>,
     clock: Arc<dyn Clock>,
-    others: Arc<dyn Others>,
+    others: Arc<dyn PeerBroadcast>,
     waiting: Mutex<Waiting>,
     /// Wakes whoever waits until nothing waits.
     emptied: Notify,
@@ -78,7 +78,7 @@
         lease: Arc<dyn Lease>,
         dialect: Arc<dyn Dialect>,
         clock: Arc<dyn Clock>,
-        others: Arc<dyn Others>,
+        others: Arc<dyn PeerBroadcast>,
     ) -> Self {
         Self {
             store,
@@ -93,7 +93,7 @@
     }
 
     /// Writes a record soon, under its name among this system's own keys.
-    pub fn put(self: &Arc<Self>, name: &str, value: &impl Serialize) {
+    pub fn enqueue(self: &Arc<Self>, name: &str, value: &impl Serialize) {
         let value = match serde_json::to_vec(value) {
             Ok(value) => value.into(),
             Err(error) => {
@@ -123,15 +123,15 @@
     }
 
     /// Tells all other nodes of a record that isn't written.
-    pub async fn tell(&self, name: &Name, value: &impl Serialize) {
+    pub async fn broadcast(&self, name: &Name, value: &impl Serialize) {
         match serde_json::to_vec(value) {
-            Ok(value) => self.others.tell(name, &value.into()).await,
+            Ok(value) => self.others.broadcast(name, &value.into()).await,
             Err(error) => log::error!("outbox: {name} can't be written: {error}"),
         }
     }
 
     /// Waits until all records are written.
-    pub async fn written(&self) {
+    pub async fn flush(&self) {
         loop {
             let emptied = self.emptied.notified();
             let mut emptied = std::pin::pin!(emptied);
@@ -172,7 +172,7 @@
     async fn tell_others(&self, records: &mut [Record]) {
         for record in records.iter_mut().filter(|record| !record.is_told) {
             record.is_told = true;
-            self.others.tell(&record.name, &record.value).await;
+            self.others.broadcast(&record.name, &record.value).await;
         }
     }
 
@@ -190,7 +190,7 @@
     async fn send(&self, records: &[Record]) -> Result<(), Error> {
         let lease = self.lease().await?;
         let writes = records.iter().map(|record| {
-            let key = self.dialect.own(&record.name);
+            let key = self.dialect.own_key(&record.name);
             Write::Put(key, record.value.clone(), Some(lease))
         });
         let transaction = Transaction {
@@ -205,11 +205,11 @@
         let now = self.clock.now();
         let granted = *self.granted();
         if let Some((lease, since)) = granted
-            && now.since(since).0 < LAPSE.0 / 2
+            && now.since(since).0 < REPORT_TTL.0 / 2
         {
             return Ok(lease);
         }
-        let lease = self.lease.grant(LAPSE).await?;
+        let lease = self.lease.grant(REPORT_TTL).await?;
         *self.granted() = Some((lease, now));
         Ok(lease)
     }
--- a/lib/src/direct/quarantine_admin.rs
+++ b/lib/src/direct/quarantine_admin.rs
@@ -1,11 +1,11 @@
 //! What operators see of quarantined requests, and how they lift a quarantine.
 
 use super::dialect::{Dialect, Key};
-use super::quarantine::SURVIVED;
+use super::quarantine::HARMLESS_PREFIX;
 use super::view::State;
 use crate::clock::Millis;
 use crate::poison::fingerprint::Fingerprint;
-use crate::poison::ledger::{LAPSE, Standing};
+use crate::poison::ledger::{REPORT_TTL, SuspectStatus};
 use crate::ports::{Error, Lease, Store, Transaction, Write};
 
 /// Returns the requests that upstreams ended under, by the records in the key-value service.
@@ -13,15 +13,15 @@
 /// # Errors
 ///
 /// When the service can't be read.
-pub async fn list(store: &dyn Store, dialect: &dyn Dialect) -> Result<Vec<Standing>, Error> {
-    let listing = store.list(&dialect.own("")).await?;
+pub async fn list(store: &dyn Store, dialect: &dyn Dialect) -> Result<Vec<SuspectStatus>, Error> {
+    let listing = store.list(&dialect.own_key("")).await?;
     let mut state = State::default();
     for entry in &listing.entries {
-        if let Key::Own(name) = dialect.key(&entry.key) {
+        if let Key::Own(name) = dialect.parse_key(&entry.key) {
             state.put_quarantine_record(&name, &entry.value, Some(entry.revision), Millis::ZERO);
         }
     }
-    Ok(state.ledger.standings(Millis::ZERO))
+    Ok(state.ledger.suspect_statuses(Millis::ZERO))
 }
 
 /// Has all nodes send a request again, by a record as of one that survived.
@@ -35,8 +35,8 @@
     dialect: &dyn Dialect,
     request: &Fingerprint,
 ) -> Result<(), Error> {
-    let lease = lease.grant(LAPSE).await?;
-    let key = dialect.own(&format!("{SURVIVED}{request}"));
+    let lease = lease.grant(REPORT_TTL).await?;
+    let key = dialect.own_key(&format!("{HARMLESS_PREFIX}{request}"));
     let value = serde_json::to_vec(request).map_err(|error| Error::Malformed(error.to_string()))?;
     let transaction = Transaction {
         conditions: Vec::new(),
--- a/lib/src/direct/relay.rs
+++ b/lib/src/direct/relay.rs
@@ -8,17 +8,17 @@
 use hyper::body::Frame;
 use thiserror::Error;
 
+use crate::clock::Millis;
+use crate::poison::ledger::Suspicion;
+use super::versions;
 use super::attempt::UpstreamResponse;
 use super::entry::{CLASS_LABEL, seconds};
 use super::event_sequence::{EventSequence, StreamStep};
 use super::handover::{Handover, HandoverReply, StoppedRun};
-use super::quarantine::SETTLED;
+use super::quarantine::HARMLESS_AFTER;
 use super::request::ActiveRequest;
 use super::request_log::RequestOutcome;
 use super::upstream::Upstream;
-use super::versions;
-use crate::clock::Millis;
-use crate::poison::ledger::Sign;
 
 /// A pause in the stream, in the longest pauses of the route, at which it is continued elsewhere.
 ///
@@ -151,7 +151,7 @@
         }
         match self.progress {
             Progress::Nothing => self.progress = Progress::Brought(now),
-            Progress::Brought(first) if now.since(first) >= SETTLED => self.settle(),
+            Progress::Brought(first) if now.since(first) >= HARMLESS_AFTER => self.settle(),
             Progress::Brought(_) | Progress::Settled => {}
         }
         match self.passed_on.replace(now) {
@@ -184,8 +184,8 @@
             return;
         }
         let sign = match self.progress {
-            Progress::Nothing => Sign::Begun,
-            Progress::Brought(_) => Sign::Possible,
+            Progress::Nothing => Suspicion::Begun,
+            Progress::Brought(_) => Suspicion::Possible,
             Progress::Settled => return,
         };
         self.request.broke(upstream, sign);
--- a/lib/src/direct/request/outcome.rs
+++ b/lib/src/direct/request/outcome.rs
@@ -2,15 +2,15 @@
 
 use std::sync::Arc;
 
-use super::{ActiveRequest, SELECTION_RETRY_PAUSE};
 use crate::clock::Millis;
-use crate::direct::attempt::{SendError, UpstreamResponse};
 use crate::direct::request_log;
+use crate::direct::attempt::{SendError, UpstreamResponse};
 use crate::direct::sends::{Sends, Sent};
 use crate::direct::upstream::Upstream;
 use crate::error::{Code, Failure};
 use crate::name::Name;
-use crate::poison::ledger::Sign;
+use crate::poison::ledger::Suspicion;
+use super::{ActiveRequest, SELECTION_RETRY_PAUSE};
 
 /// Sends that reached no upstream, after which a request is given up.
 const MOST_UNSENT: u32 = 4;
@@ -132,7 +132,7 @@
         is_last: bool,
     ) -> Result<(), Failure> {
         if code == Code::UpstreamLost {
-            self.broke(upstream, Sign::Possible);
+            self.broke(upstream, Suspicion::Possible);
         }
         upstream.failed(self.now());
         if !self.may_go_on() {
--- a/lib/src/direct/request/quarantine.rs
+++ b/lib/src/direct/request/quarantine.rs
@@ -5,7 +5,7 @@
 use super::ActiveRequest;
 use crate::direct::upstream::Upstream;
 use crate::error::{Code, Failure};
-use crate::poison::ledger::Sign;
+use crate::poison::ledger::Suspicion;
 
 impl ActiveRequest {
     /// Whether the request may be sent to an upstream, for the first time or again.
@@ -50,7 +50,7 @@
     }
 
     /// Takes in that the connection to an upstream broke while the request stood there.
-    pub(in crate::direct) fn broke(&self, upstream: &Arc<Upstream>, sign: Sign) {
+    pub(in crate::direct) fn broke(&self, upstream: &Arc<Upstream>, sign: Suspicion) {
         let fingerprint = self.message.fingerprint().clone();
         log::info!(
             request = self.id(),
@@ -59,13 +59,14 @@
             sign = sign.name();
             "request: broke"
         );
-        self.frontend.quarantine.broke(upstream, fingerprint, sign);
+        self.frontend.quarantine
+            .record_broken_connection(upstream, fingerprint, sign);
     }
 
     /// Takes in that an upstream ran the request without harm.
     pub(in crate::direct) fn survived(&self) {
         self.frontend
             .quarantine
-            .survived(self.message.fingerprint());
+            .record_harmless_run(self.message.fingerprint());
     }
 }
--- a/lib/src/direct/request/send.rs
+++ b/lib/src/direct/request/send.rs
@@ -5,7 +5,7 @@
 use crate::direct::request_log;
 use crate::direct::admit::{Permit, Question, self};
 use crate::direct::attempt::{SendError, UpstreamResponse};
-use crate::direct::dialect::{Dispatch, Memory};
+use crate::direct::dialect::{DispatchHeaders, KvCacheHandle};
 use crate::direct::sends::Sends;
 use crate::direct::target::Target;
 use crate::direct::versions::VersionWatch;
@@ -15,7 +15,7 @@
 
 impl ActiveRequest {
     pub(super) fn send(&mut self, sends: &mut Sends, target: Target, resume_after: Option<u64>) {
-        let dispatch = Dispatch {
+        let dispatch = DispatchHeaders {
             resume_after: resume_after.or(self.message.metadata.resume_after),
             ..self.dispatch(&target)
         };
@@ -35,14 +35,14 @@
     pub(in crate::direct) async fn continue_run(
         &self,
         place: &Target,
-        memory: Memory,
+        memory: KvCacheHandle,
         last: Option<u64>,
     ) -> Result<UpstreamResponse, SendError> {
         self.check_quarantine()
             .map_err(|failure| SendError::Lost(failure.code, failure.detail))?;
-        let dispatch = Dispatch {
+        let dispatch = DispatchHeaders {
             resume_after: last,
-            memory: Some(memory),
+            kv_cache: Some(memory),
             ..self.dispatch(place)
         };
         request_log::sent(self, &place.upstream, place.version, dispatch.deadline);
@@ -117,8 +117,8 @@
         }
     }
 
-    fn dispatch(&self, target: &Target) -> Dispatch {
-        Dispatch {
+    fn dispatch(&self, target: &Target) -> DispatchHeaders {
+        DispatchHeaders {
             incarnation: Name::clone(&target.upstream.incarnation),
             deadline: self.deadline.since(self.now()),
             urgency: self
@@ -128,7 +128,7 @@
                 .then_some(self.route.urgency),
             version: target.version,
             resume_after: None,
-            memory: None,
+            kv_cache: None,
         }
     }
 }
--- a/lib/src/direct/sends.rs
+++ b/lib/src/direct/sends.rs
@@ -15,7 +15,7 @@
 
 use crate::clock::Millis;
 use super::attempt::{RequestMessage, SendError, UpstreamResponse};
-use super::dialect::{Dialect, Dispatch};
+use super::dialect::{Dialect, DispatchHeaders};
 use super::target::Target;
 use super::upstream::Upstream;
 use super::versions::VersionWatch;
@@ -53,7 +53,7 @@
         message: &Arc<RequestMessage>,
         dialect: &Arc<dyn Dialect>,
         target: Target,
-        dispatch: Dispatch,
+        dispatch: DispatchHeaders,
         watch: Option<VersionWatch>,
         now: Millis,
     ) {
--- a/lib/src/direct/target.rs
+++ b/lib/src/direct/target.rs
@@ -67,7 +67,9 @@
         let patience = self.arrived_at + Millis(self.route.latency_objective.0 / REFUSE_AFTER);
         let quarantine = &self.frontend.quarantine;
         if !quarantine.is_empty() {
-            quarantine.examined(self.message.fingerprint()).await;
+            quarantine
+                .wait_for_crash_check(self.message.fingerprint())
+                .await;
         }
         loop {
             self.check_quarantine()?;
--- a/lib/src/direct/upstream.rs
+++ b/lib/src/direct/upstream.rs
@@ -9,7 +9,7 @@
 use crate::name::Name;
 use crate::ports::link::{Bounds, Link};
 use super::admit::Permit;
-use super::dialect::{Held, Listed};
+use super::dialect::{LoadedModels, UpstreamEntry};
 use super::metadata::base_model_of;
 use super::presence::{EntryRevision, Presence, Stage};
 
@@ -55,7 +55,7 @@
 /// What is known of adapters, with the order count that it holds for.
 #[derive(Debug, Default)]
 struct Holdings {
-    born: u64,
+    started_at_ms: u64,
     sequence: u64,
     models: Vec<Name>,
     adapters: HashMap<Name, u64>,
@@ -85,7 +85,7 @@
     /// Requests that it processes at once.
     pub slots: u32,
     /// When this start began, as it says of itself; 0 where it doesn't tell.
-    pub born: u64,
+    pub started_at_ms: u64,
     /// When this node first saw it in the list.
     pub seen: Millis,
     /// Connections to it.
@@ -134,7 +134,7 @@
 impl Upstream {
     /// Makes an upstream from its entry in the list.
     #[must_use]
-    pub fn new(listed: &Listed, written: EntryRevision, connections: usize, now: Millis) -> Self {
+    pub fn new(listed: &UpstreamEntry, written: EntryRevision, connections: usize, now: Millis) -> Self {
         let bounds = Bounds {
             connect: CONNECT,
             idle: IDLE,
@@ -147,7 +147,7 @@
             place: listed.address.to_string().into(),
             failure_domain: Name::clone(&listed.failure_domain),
             slots: listed.slots.max(1),
-            born: listed.held.born,
+            started_at_ms: listed.held.started_at_ms,
             seen: now,
             link: Link::new(listed.address, bounds),
             takes_work: AtomicBool::new(listed.ready),
@@ -166,7 +166,7 @@
     }
 
     /// Takes in an entry of the list, unless a newer one is known.
-    pub fn update(&self, listed: &Listed, written: EntryRevision) {
+    pub fn update(&self, listed: &UpstreamEntry, written: EntryRevision) {
         if self.note(|presence| presence.apply_entry(written, listed.ready)) {
             self.hold(&listed.held);
         }
@@ -201,12 +201,12 @@
     /// count begins anew then, so that news of the former start would look newer for as many
     /// orders as that one took, and requests would go to adapters that are gone. The time of
     /// the start goes first therefore.
-    pub fn hold(&self, held: &Held) {
+    pub fn hold(&self, held: &LoadedModels) {
         let mut holdings = self.holdings();
-        if (held.born, held.sequence) < (holdings.born, holdings.sequence) {
+        if (held.started_at_ms, held.sequence) < (holdings.started_at_ms, holdings.sequence) {
             return;
         }
-        holdings.born = held.born;
+        holdings.started_at_ms = held.started_at_ms;
         holdings.sequence = held.sequence;
         holdings.models.clone_from(&held.models);
         holdings.adapters = held.adapters.iter().cloned().collect();
@@ -214,10 +214,10 @@
 
     /// Returns what the upstream is known to hold.
     #[must_use]
-    pub fn held(&self) -> Held {
+    pub fn held(&self) -> LoadedModels {
         let holdings = self.holdings();
-        Held {
-            born: holdings.born,
+        LoadedModels {
+            started_at_ms: holdings.started_at_ms,
             sequence: holdings.sequence,
             models: holdings.models.clone(),
             adapters: holdings
@@ -293,7 +293,7 @@
     /// Returns a name for this start, unlike that of any other start of the same upstream.
     #[must_use]
     pub fn start(&self) -> Name {
-        format!("{}@{}", self.incarnation, self.born).into()
+        format!("{}@{}", self.incarnation, self.started_at_ms).into()
     }
 
     /// Takes in that the upstream is missing from the list, and may not have left.
--- a/lib/src/direct/view.rs
+++ b/lib/src/direct/view.rs
@@ -11,18 +11,18 @@
 use serde::{Deserialize, Serialize};
 use tokio::sync::Notify;
 
-use super::config::Config;
-use super::dialect::{Dialect, Key, Listed};
-use super::presence::EntryRevision;
-use super::quarantine::{BROKE, ENDS, SURVIVED};
-use super::upstream::Upstream;
-use super::versions::{Declaration, Declarations};
 use crate::clock::Millis;
 use crate::name::Name;
 use crate::poison::fingerprint::Fingerprint;
-use crate::poison::ledger::{Ledger, Report};
-use crate::poison::open::Open;
+use crate::poison::ledger::{CrashLedger, CrashReport};
+use crate::poison::unconfirmed::UnconfirmedCrashes;
 use crate::ports::Entry;
+use super::config::Config;
+use super::dialect::{Dialect, Key, UpstreamEntry};
+use super::presence::EntryRevision;
+use super::quarantine::{CRASH_REPORT_PREFIX, HARMLESS_PREFIX, UNCONFIRMED_CRASH_PREFIX};
+use super::upstream::Upstream;
+use super::versions::{Declaration, Declarations};
 
 /// Another node, as its record in the key-value service has it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -93,9 +93,9 @@
     /// Most nodes ever seen at once.
     pub max_nodes_seen: usize,
     /// What speaks against requests under which upstreams ended.
-    pub ledger: Ledger,
+    pub ledger: CrashLedger,
     /// Requests that stood where a connection broke, while nobody knows whether the upstream ended.
-    pub open: Open,
+    pub unconfirmed_crashes: UnconfirmedCrashes,
     /// Nodes among which upstreams' connections were last shared out.
     shared_among: usize,
 }
@@ -123,7 +123,7 @@
 
 /// Returns the request that a survivor's record is for.
 fn survivor(name: &str) -> Option<Fingerprint> {
-    Fingerprint::read(name.strip_prefix(SURVIVED)?)
+    Fingerprint::read(name.strip_prefix(HARMLESS_PREFIX)?)
 }
 
 /// Name of a claim, with the engine's address behind it.
@@ -236,14 +236,14 @@
     ///
     /// An entry of an earlier start than is known is left aside: it was written late, or by
     /// somebody else. One of a later start is another upstream, which knows nothing of before.
-    pub fn put_upstream(&mut self, listed: &Listed, written: EntryRevision, now: Millis) {
+    pub fn put_upstream(&mut self, listed: &UpstreamEntry, written: EntryRevision, now: Millis) {
         let known = self.upstreams.get(&listed.incarnation);
-        if known.is_some_and(|upstream| listed.held.born > upstream.born) {
+        if known.is_some_and(|upstream| listed.held.started_at_ms > upstream.started_at_ms) {
             log::info!("view: {} has started again", listed.incarnation);
             self.remove_upstream(&listed.incarnation);
         }
         if let Some(upstream) = self.upstreams.get(&listed.incarnation) {
-            if listed.held.born == upstream.born {
+            if listed.held.started_at_ms == upstream.started_at_ms {
                 upstream.update(listed, written);
             }
         } else {
@@ -281,7 +281,7 @@
     pub fn replace_claims(&mut self, dialect: &dyn Dialect, entries: &[Entry], now: Millis) {
         let mut present = HashSet::new();
         for entry in entries {
-            let Key::Own(name) = dialect.key(&entry.key) else {
+            let Key::Own(name) = dialect.parse_key(&entry.key) else {
                 continue;
             };
             if let Some(address) = claim_address(&name) {
@@ -386,17 +386,18 @@
             self.ledger.clear(&request, revision);
             return PutOutcome::Applied;
         }
-        let is_end = name.starts_with(ENDS);
-        if !is_end && !name.starts_with(BROKE) {
+        let is_end = name.starts_with(CRASH_REPORT_PREFIX);
+        if !is_end && !name.starts_with(UNCONFIRMED_CRASH_PREFIX) {
             return PutOutcome::Unrelated;
         }
-        match serde_json::from_slice::<Report>(value) {
+        match serde_json::from_slice::<CrashReport>(value) {
             Ok(report) if is_end => {
-                self.ledger.report(name.into(), report, revision, now);
+                self.ledger.add_report(name.into(), report, revision, now);
                 PutOutcome::Applied
             }
             Ok(report) => {
-                self.open.tell(name.into(), report, now);
+                self.unconfirmed_crashes
+                    .add_from_peer(name.into(), report, now);
                 PutOutcome::Applied
             }
             Err(error) => {
@@ -409,8 +410,8 @@
     /// Takes in that such a record is gone.
     pub fn remove_quarantine_record(&mut self, name: &str) {
         match survivor(name) {
-            Some(request) => self.ledger.forget_cleared(&request),
-            None => self.ledger.forget(name),
+            Some(request) => self.ledger.remove_clearance(&request),
+            None => self.ledger.remove_report(name),
         }
     }
 
--- a/lib/src/entry/gateway.rs
+++ b/lib/src/entry/gateway.rs
@@ -25,14 +25,14 @@
 use crate::config::View;
 use crate::declaration::{Account, Template};
 use crate::error::{Code, Failure};
-use crate::fate::Budget;
 use crate::membership::Fleet;
 use crate::membership::fleet::State;
 use crate::name::Name;
 use crate::poison::fingerprint::{Fingerprint, Identity};
-use crate::poison::ledger::Sign;
+use crate::poison::ledger::Suspicion;
 use crate::policy::placement::{self, Pool, Router};
 use crate::request::Ticket;
+use crate::retry::RetryBudget;
 use crate::runner::Work;
 
 /// When a request may be decided on the configuration that its owner knows.
@@ -51,7 +51,7 @@
     /// Bytes of bodies.
     pub buffer: Buffer,
     /// Retries left.
-    pub budget: Mutex<Budget>,
+    pub budget: Mutex<RetryBudget>,
     claims: Keeper,
     jitter: Mutex<Pcg64Mcg>,
     router: Mutex<Router>,
@@ -81,7 +81,7 @@
         Arc::new(Self {
             gate: Gate::new(limits.in_flight),
             buffer: Buffer::new(limits.buffered_bytes),
-            budget: Mutex::new(Budget::new(limits.retry_percent, parts.clock.now())),
+            budget: Mutex::new(RetryBudget::new(limits.retry_percent, parts.clock.now())),
             claims: Keeper::start(claims(&parts)),
             jitter: Mutex::new(Pcg64Mcg::seed_from_u64(parts.seed)),
             router: Mutex::new(Router::new(limits.placement.clone(), parts.seed)),
@@ -97,7 +97,7 @@
     }
 
     /// Notes that the connection to an upstream broke under a request, if that is what failed.
-    pub fn note_lost(&self, run: &Run, code: Code, sign: Sign) {
+    pub fn note_lost(&self, run: &Run, code: Code, sign: Suspicion) {
         if matches!(code, Code::UpstreamLost | Code::AnswerCut) {
             let fleet = Arc::clone(&self.parts.fleet.borrow());
             let quarantine = self.quarantine();
--- a/lib/src/poison/ledger.rs
+++ b/lib/src/poison/ledger.rs
@@ -19,7 +19,7 @@
 ///
 /// A caller that comes back later than this costs as many engines again; an engine's release
 /// that mends the cause is noticed after as long.
-pub const LAPSE: Millis = Millis::from_secs(600);
+pub const REPORT_TTL: Millis = Millis::from_secs(600);
 
 /// Ends of upstreams from which on a request is to blame.
 ///
@@ -38,14 +38,14 @@
 /// How far a request that stood at an upstream is suspect.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Sign {
+pub enum Suspicion {
     /// It may have waited in the queue still, or has just brought its first event.
     Possible,
     /// The upstream had begun it and ended before it brought anything.
     Begun,
 }
 
-impl Sign {
+impl Suspicion {
     const fn weight(self) -> u32 {
         match self {
             Self::Possible => 1,
@@ -69,12 +69,13 @@
     /// The request.
     pub request: Fingerprint,
     /// How far it is suspect.
-    pub sign: Sign,
+    #[serde(rename = "sign")]
+    pub suspicion: Suspicion,
 }
 
 /// What one node says of one start of an upstream that ended.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Report {
+pub struct CrashReport {
     /// The start.
     pub upstream: Name,
     /// The node's own requests there.
@@ -83,7 +84,7 @@
 
 /// How a request stands that upstreams ended under.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
-pub struct Standing {
+pub struct SuspectStatus {
     /// The request.
     pub request: Fingerprint,
     /// Upstreams that ended while it stood there.
@@ -92,20 +93,20 @@
     pub blamed: bool,
 }
 
-impl Report {
-    /// Makes a report of requests, each with its strongest sign, the most suspect first.
+impl CrashReport {
+    /// Makes a report of requests, each with its strongest suspicion, the most suspect first.
     #[must_use]
     pub fn new(upstream: Name, suspects: impl IntoIterator<Item = Suspect>) -> Self {
-        let mut signs: BTreeMap<Fingerprint, Sign> = BTreeMap::new();
-        for Suspect { request, sign } in suspects {
-            let known = signs.entry(request).or_insert(sign);
-            *known = sign.max(*known);
+        let mut signs: BTreeMap<Fingerprint, Suspicion> = BTreeMap::new();
+        for Suspect { request, suspicion } in suspects {
+            let known = signs.entry(request).or_insert(suspicion);
+            *known = suspicion.max(*known);
         }
         let suspects = signs.into_iter();
         let mut suspects: Vec<Suspect> = suspects
-            .map(|(request, sign)| Suspect { request, sign })
+            .map(|(request, suspicion)| Suspect { request, suspicion })
             .collect();
-        suspects.sort_by_key(|suspect| Reverse(suspect.sign));
+        suspects.sort_by_key(|suspect| Reverse(suspect.suspicion));
         suspects.truncate(MOST_SUSPECTS);
         Self { upstream, suspects }
     }
@@ -114,7 +115,7 @@
 /// A report as this node knows it.
 #[derive(Debug)]
 struct Known {
-    report: Report,
+    report: CrashReport,
     /// Revision of the key-value service; none while it isn't written there.
     revision: Option<u64>,
     since: Millis,
@@ -124,7 +125,7 @@
 ///
 /// The same reports give the same verdict at every node; nothing is agreed.
 #[derive(Debug, Default)]
-pub struct Ledger {
+pub struct CrashLedger {
     reports: BTreeMap<Name, Known>,
     /// Requests that survived, with the revision up to which reports of them don't count.
     cleared: HashMap<Fingerprint, u64>,
@@ -141,7 +142,7 @@
     ends: HashMap<Fingerprint, usize>,
 }
 
-impl Ledger {
+impl CrashLedger {
     /// Whether nothing speaks against anybody.
     #[must_use]
     pub fn is_empty(&self) -> bool {
@@ -149,7 +150,13 @@
     }
 
     /// Takes a report in under its name in the key-value service.
-    pub fn report(&mut self, name: Name, mut report: Report, revision: Option<u64>, now: Millis) {
+    pub fn add_report(
+        &mut self,
+        name: Name,
+        mut report: CrashReport,
+        revision: Option<u64>,
+        now: Millis,
+    ) {
         self.lapse(now);
         // Another node can tell of it after the key-value service has shown it.
         let known = self.reports.get(&name);
@@ -171,7 +178,7 @@
     }
 
     /// Returns the requests that a report names.
-    pub fn reported(&self, name: &str) -> impl Iterator<Item = &Suspect> + use<'_> {
+    pub fn suspects_in(&self, name: &str) -> impl Iterator<Item = &Suspect> + use<'_> {
         let known = self.reports.get(name);
         known.into_iter().flat_map(|known| &known.report.suspects)
     }
@@ -199,44 +206,44 @@
     }
 
     /// Takes in that the key-value service holds a report no more.
-    pub fn forget(&mut self, name: &str) {
+    pub fn remove_report(&mut self, name: &str) {
         self.reports.remove(name);
         self.judgement = None;
     }
 
     /// Takes in that the key-value service holds no survivor's record any more.
-    pub fn forget_cleared(&mut self, request: &Fingerprint) {
+    pub fn remove_clearance(&mut self, request: &Fingerprint) {
         self.cleared.remove(request);
     }
 
     /// Takes in a whole listing: what was written there and is missing has lapsed.
-    pub fn keep(&mut self, is_present: impl Fn(&str) -> bool) {
+    pub fn retain_reports(&mut self, is_present: impl Fn(&str) -> bool) {
         let lapsed = |name: &Name, known: &Known| known.revision.is_some() && !is_present(name);
         self.reports.retain(|name, known| !lapsed(name, known));
         self.judgement = None;
     }
 
     /// Returns how many upstreams ended under a request that is to blame for it.
-    pub fn blames(&mut self, request: &Fingerprint, now: Millis) -> Option<usize> {
+    pub fn blamed_crashes(&mut self, request: &Fingerprint, now: Millis) -> Option<usize> {
         self.judgement(now).blamed.get(request).copied()
     }
 
     /// Whether a request would be to blame if the upstreams of some more reports had ended.
     #[must_use]
-    pub fn would_blame(&self, request: &Fingerprint, more: &[&Report]) -> bool {
+    pub fn would_blame(&self, request: &Fingerprint, more: &[&CrashReport]) -> bool {
         let known = self.reports.values().map(|known| &known.report);
         let judgement = judge(known.chain(more.iter().copied()));
         judgement.blamed.contains_key(request)
     }
 
     /// Returns how many upstreams ended while a request stood there.
-    pub fn ends(&mut self, request: &Fingerprint, now: Millis) -> usize {
+    pub fn crash_count(&mut self, request: &Fingerprint, now: Millis) -> usize {
         let ends = self.judgement(now).ends.get(request);
         ends.copied().unwrap_or_default()
     }
 
     /// Returns all requests that reports name, those to blame first.
-    pub fn standings(&mut self, now: Millis) -> Vec<Standing> {
+    pub fn suspect_statuses(&mut self, now: Millis) -> Vec<SuspectStatus> {
         let mut upstreams: BTreeMap<Fingerprint, BTreeSet<Name>> = BTreeMap::new();
         for known in self.reports.values() {
             for suspect in &known.report.suspects {
@@ -244,18 +251,20 @@
                 ended.insert(Name::clone(&known.report.upstream));
             }
         }
-        let standings = upstreams.into_iter().map(|(request, upstreams)| Standing {
-            blamed: self.blames(&request, now).is_some(),
-            upstreams: upstreams.into_iter().collect(),
-            request,
-        });
-        let mut standings: Vec<Standing> = standings.collect();
+        let standings = upstreams
+            .into_iter()
+            .map(|(request, upstreams)| SuspectStatus {
+                blamed: self.blamed_crashes(&request, now).is_some(),
+                upstreams: upstreams.into_iter().collect(),
+                request,
+            });
+        let mut standings: Vec<SuspectStatus> = standings.collect();
         standings.sort_by_key(|one| (!one.blamed, Reverse(one.upstreams.len())));
         standings
     }
 
     /// Returns how many requests are to blame.
-    pub fn blamed(&mut self, now: Millis) -> usize {
+    pub fn blamed_count(&mut self, now: Millis) -> usize {
         self.judgement(now).blamed.len()
     }
 
@@ -270,7 +279,7 @@
     fn lapse(&mut self, now: Millis) {
         let before = self.reports.len();
         self.reports
-            .retain(|_, known| now.since(known.since) < LAPSE);
+            .retain(|_, known| now.since(known.since) < REPORT_TTL);
         while self.reports.len() >= MOST_REPORTS {
             let oldest = self.reports.iter().min_by_key(|(_, known)| known.since);
             let Some(name) = oldest.map(|(name, _)| Name::clone(name)) else {
@@ -287,13 +296,13 @@
 /// Returns who is to blame by these reports.
 ///
 /// Whoever explains most goes first, and takes the ends that it explains out of the count.
-fn judge<'a>(reports: impl Iterator<Item = &'a Report>) -> Judgement {
-    let mut ends: HashMap<&Name, HashMap<&Fingerprint, Sign>> = HashMap::new();
+fn judge<'a>(reports: impl Iterator<Item = &'a CrashReport>) -> Judgement {
+    let mut ends: HashMap<&Name, HashMap<&Fingerprint, Suspicion>> = HashMap::new();
     for report in reports {
         let end = ends.entry(&report.upstream).or_default();
-        for Suspect { request, sign } in &report.suspects {
-            let known = end.entry(request).or_insert(*sign);
-            *known = (*known).max(*sign);
+        for Suspect { request, suspicion } in &report.suspects {
+            let known = end.entry(request).or_insert(*suspicion);
+            *known = (*known).max(*suspicion);
         }
     }
     let counts = sums(&ends).into_iter();
@@ -319,12 +328,12 @@
 }
 
 fn sums<'a>(
-    ends: &HashMap<&Name, HashMap<&'a Fingerprint, Sign>>,
+    ends: &HashMap<&Name, HashMap<&'a Fingerprint, Suspicion>>,
 ) -> HashMap<&'a Fingerprint, Sum> {
     let mut sums: HashMap<&Fingerprint, Sum> = HashMap::new();
-    for (request, sign) in ends.values().flatten() {
+    for (request, suspicion) in ends.values().flatten() {
         let sum = sums.entry(request).or_default();
-        sum.weight += sign.weight();
+        sum.weight += suspicion.weight();
         sum.count += 1;
     }
     sums
@@ -332,7 +341,7 @@
 
 /// Returns the request against which most speaks, if it is enough.
 fn heaviest<'a>(
-    ends: &HashMap<&Name, HashMap<&'a Fingerprint, Sign>>,
+    ends: &HashMap<&Name, HashMap<&'a Fingerprint, Suspicion>>,
 ) -> Option<(&'a Fingerprint, usize)> {
     sums(ends)
         .into_iter()
--- a/lib/src/fate/mod.rs
+++ b/lib/src/retry/mod.rs
@@ -9,7 +9,7 @@
 mod reaction;
 
 pub use backoff::Backoff;
-pub use budget::Budget;
+pub use budget::RetryBudget;
 
 use crate::clock::Millis;
 use crate::error::{Code, Failure, Fate};
@@ -17,26 +17,26 @@
 
 /// How often and how long one request may be tried.
 #[derive(Debug, Clone, Copy)]
-pub struct Rules {
+pub struct RetryPolicy {
     /// Most tries of one request at upstreams, the first included.
-    pub attempts: u32,
+    pub max_attempts: u32,
     /// Most tries that cost no upstream anything, such as at a node that no longer owns it.
-    pub redirects: u32,
+    pub max_redirects: u32,
     /// Most tries of one request whose fate is unknown.
     ///
     /// A request that crashes whatever runs it would otherwise take down one
     /// upstream after another; each crash shows as an unknown fate.
-    pub unknowns: u32,
+    pub max_unknowns: u32,
     /// Pauses between tries.
     pub backoff: Backoff,
 }
 
-impl Default for Rules {
+impl Default for RetryPolicy {
     fn default() -> Self {
         Self {
-            attempts: 4,
-            redirects: 10,
-            unknowns: 2,
+            max_attempts: 4,
+            max_redirects: 10,
+            max_unknowns: 2,
             backoff: Backoff::default(),
         }
     }
@@ -44,7 +44,7 @@
 
 /// Where a request stands.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum State {
+pub enum RequestState {
     /// No upstream can have it.
     NotSent,
     /// A runner has it; an upstream may have started it.
@@ -59,7 +59,7 @@
 
 /// What forbade a retry that the failure alone would have allowed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Denial {
+pub enum RetryDenial {
     /// It may have run, and running it twice would do harm.
     NotIdempotent,
     /// The caller has a part of the answer, and two runs are never spliced.
@@ -69,12 +69,12 @@
     /// Too many tries of the request ended with an unknown fate.
     Unknowns,
     /// The node has spent its retries.
-    Budget,
+    RetryBudget,
     /// The deadline leaves no time for another try.
     Deadline,
 }
 
-impl Denial {
+impl RetryDenial {
     /// Returns the name that metrics use.
     #[must_use]
     pub const fn name(self) -> &'static str {
@@ -83,7 +83,7 @@
             Self::AnswerBegun => "answer_begun",
             Self::Attempts => "attempts",
             Self::Unknowns => "unknowns",
-            Self::Budget => "budget",
+            Self::RetryBudget => "budget",
             Self::Deadline => "deadline",
         }
     }
@@ -91,7 +91,7 @@
 
 /// What to do after a failed try.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Verdict {
+pub enum RetryDecision {
     /// Try again after a pause.
     Retry(Millis),
     /// Tell the caller; the failure's fate covers all tries of the request.
@@ -99,28 +99,28 @@
         /// What the caller is told.
         failure: Failure,
         /// What forbade a retry, if the failure alone would have allowed one.
-        denial: Option<Denial>,
+        denial: Option<RetryDenial>,
     },
 }
 
 /// The circumstances of a failed try.
 #[derive(Debug, Clone, Copy)]
-pub struct Context {
+pub struct FailureContext {
     /// The time.
     pub now: Millis,
     /// Whether there is an upstream that the request hasn't been tried on.
-    pub untried: bool,
+    pub has_untried_upstream: bool,
     /// A random number, for the pause.
     pub random: u64,
 }
 
 /// One request's way from arrival to its end.
 #[derive(Debug)]
-pub struct Machine {
-    rules: Rules,
+pub struct RetryStateMachine {
+    rules: RetryPolicy,
     idempotent: bool,
     deadline: Millis,
-    state: State,
+    state: RequestState,
     attempts: u32,
     redirects: u32,
     unknowns: u32,
@@ -130,15 +130,15 @@
     passed: bool,
 }
 
-impl Machine {
+impl RetryStateMachine {
     /// Starts a request that nobody has seen yet.
     #[must_use]
-    pub fn new(rules: Rules, idempotent: bool, deadline: Millis) -> Self {
+    pub fn new(rules: RetryPolicy, idempotent: bool, deadline: Millis) -> Self {
         Self {
             rules,
             idempotent,
             deadline,
-            state: State::NotSent,
+            state: RequestState::NotSent,
             attempts: 0,
             redirects: 0,
             unknowns: 0,
@@ -149,7 +149,7 @@
 
     /// Returns where the request stands.
     #[must_use]
-    pub fn state(&self) -> State {
+    pub fn state(&self) -> RequestState {
         self.state
     }
 
@@ -162,34 +162,35 @@
     /// Returns whether it is certain that no try has run or will.
     #[must_use]
     pub fn certainly_not_run(&self) -> bool {
-        self.state == State::NotSent && self.unsettled.is_none()
+        self.state == RequestState::NotSent && self.unsettled.is_none()
     }
 
     /// Returns whether the try that comes next is the last one allowed.
     #[must_use]
-    pub fn at_last_try(&self) -> bool {
-        self.attempts + 1 >= self.rules.attempts || self.redirects + 1 >= self.rules.redirects
+    pub fn is_last_try(&self) -> bool {
+        self.attempts + 1 >= self.rules.max_attempts
+            || self.redirects + 1 >= self.rules.max_redirects
     }
 
     /// Notes that a runner gets the request now.
-    pub fn send(&mut self) {
-        self.state = State::MaybeRun;
+    pub fn record_send(&mut self) {
+        self.state = RequestState::MaybeRun;
         self.attempts += 1;
     }
 
     /// Notes that an upstream has begun to answer.
-    pub fn begin(&mut self) {
-        self.state = State::Running;
+    pub fn record_response_start(&mut self) {
+        self.state = RequestState::Running;
     }
 
     /// Notes that a part of the answer goes to the caller.
-    pub fn pass(&mut self) {
+    pub fn record_forwarded(&mut self) {
         self.passed = true;
     }
 
     /// Notes that the caller has the whole answer.
-    pub fn finish(&mut self) {
-        self.state = State::Answered;
+    pub fn record_complete(&mut self) {
+        self.state = RequestState::Answered;
     }
 
     /// Ends a request whose caller went away, with the truth about it.
@@ -199,7 +200,7 @@
         } else {
             Code::CallerGoneRunning
         };
-        self.state = State::Ended;
+        self.state = RequestState::Ended;
         code
     }
 
@@ -208,12 +209,17 @@
     /// The failure that is returned covers all tries made before.
     pub fn end(&mut self, failure: Failure) -> Failure {
         let failure = self.truth(failure);
-        self.state = State::Ended;
+        self.state = RequestState::Ended;
         failure
     }
 
     /// Decides what follows a failed try.
-    pub fn fail(&mut self, failure: Failure, context: Context, budget: &mut Budget) -> Verdict {
+    pub fn handle_failure(
+        &mut self,
+        failure: Failure,
+        context: FailureContext,
+        budget: &mut RetryBudget,
+    ) -> RetryDecision {
         let failure = self.corrected(failure);
         self.note(&failure);
         let reaction = reaction(failure.code);
@@ -223,8 +229,8 @@
         }
         let pause = self.pause(reaction, context);
         match self.denial(reaction, failure.fate(), context.now + pause, budget) {
-            None => Verdict::Retry(pause),
-            Some(denial) => Verdict::End {
+            None => RetryDecision::Retry(pause),
+            Some(denial) => RetryDecision::End {
                 failure: self.end(failure),
                 denial: (reaction != Reaction::Never).then_some(denial),
             },
@@ -236,7 +242,7 @@
         // A code that says "not run" after the upstream has begun to answer is a
         // fault of whoever made it. Passing it on would invite the caller to
         // repeat what ran, so it is read as a cut answer.
-        if self.state == State::Running && failure.fate() == Fate::NotRun {
+        if self.state == RequestState::Running && failure.fate() == Fate::NotRun {
             return Failure {
                 code: Code::AnswerCut,
                 ..failure
@@ -247,10 +253,10 @@
 
     fn note(&mut self, failure: &Failure) {
         match failure.fate() {
-            Fate::NotRun => self.state = State::NotSent,
+            Fate::NotRun => self.state = RequestState::NotSent,
             Fate::Unknown => {
                 self.unknowns += 1;
-                self.state = State::MaybeRun;
+                self.state = RequestState::MaybeRun;
                 self.unsettled.get_or_insert_with(|| failure.clone());
             }
             Fate::Ran => {}
@@ -265,12 +271,12 @@
         }
     }
 
-    fn pause(&self, reaction: Reaction, context: Context) -> Millis {
+    fn pause(&self, reaction: Reaction, context: FailureContext) -> Millis {
         let settled = self.unsettled.is_none();
         let first = self.tries() <= 1;
         // A refusal costs its upstream nothing, so the first one is followed at
         // once by a try elsewhere; from then on callers must not move in step.
-        if settled && context.untried && (first || reaction == Reaction::PassOn) {
+        if settled && context.has_untried_upstream && (first || reaction == Reaction::PassOn) {
             return Millis::ZERO;
         }
         self.rules.backoff.pause(self.tries(), context.random)
@@ -281,30 +287,30 @@
         reaction: Reaction,
         fate: Fate,
         resume: Millis,
-        budget: &mut Budget,
-    ) -> Option<Denial> {
+        budget: &mut RetryBudget,
+    ) -> Option<RetryDenial> {
         if self.passed {
-            return Some(Denial::AnswerBegun);
+            return Some(RetryDenial::AnswerBegun);
         }
         if !self.idempotent && (fate != Fate::NotRun || self.unsettled.is_some()) {
-            return Some(Denial::NotIdempotent);
+            return Some(RetryDenial::NotIdempotent);
         }
-        if reaction == Reaction::Never || self.attempts >= self.rules.attempts {
-            return Some(Denial::Attempts);
+        if reaction == Reaction::Never || self.attempts >= self.rules.max_attempts {
+            return Some(RetryDenial::Attempts);
         }
-        if self.redirects >= self.rules.redirects {
-            return Some(Denial::Attempts);
+        if self.redirects >= self.rules.max_redirects {
+            return Some(RetryDenial::Attempts);
         }
-        if self.unknowns >= self.rules.unknowns {
-            return Some(Denial::Unknowns);
+        if self.unknowns >= self.rules.max_unknowns {
+            return Some(RetryDenial::Unknowns);
         }
         if resume >= self.deadline {
-            return Some(Denial::Deadline);
+            return Some(RetryDenial::Deadline);
         }
         // All requests of a dead owner need a redirect at once; charging them
         // would refuse most of them for nothing.
-        if !reaction.is_free() && !budget.spend() {
-            return Some(Denial::Budget);
+        if !reaction.is_free() && !budget.try_spend() {
+            return Some(RetryDenial::RetryBudget);
         }
         None
     }
@@ -316,37 +322,37 @@
 
     const DEADLINE: Millis = Millis(10_000);
 
-    fn machine(idempotent: bool) -> Machine {
-        Machine::new(Rules::default(), idempotent, DEADLINE)
+    fn machine(idempotent: bool) -> RetryStateMachine {
+        RetryStateMachine::new(RetryPolicy::default(), idempotent, DEADLINE)
     }
 
-    fn context(now: u64) -> Context {
-        Context {
+    fn context(now: u64) -> FailureContext {
+        FailureContext {
             now: Millis(now),
-            untried: true,
+            has_untried_upstream: true,
             random: 0,
         }
     }
 
-    fn fail(machine: &mut Machine, code: Code) -> Verdict {
-        let mut budget = Budget::new(100, Millis::ZERO);
-        machine.fail(Failure::new(code, ""), context(0), &mut budget)
+    fn fail(machine: &mut RetryStateMachine, code: Code) -> RetryDecision {
+        let mut budget = RetryBudget::new(100, Millis::ZERO);
+        machine.handle_failure(Failure::new(code, ""), context(0), &mut budget)
     }
 
-    fn ended(verdict: Verdict) -> (Code, Option<Denial>) {
+    fn ended(verdict: RetryDecision) -> (Code, Option<RetryDenial>) {
         match verdict {
-            Verdict::End { failure, denial } => (failure.code, denial),
-            Verdict::Retry(_) => panic!("retried"),
+            RetryDecision::End { failure, denial } => (failure.code, denial),
+            RetryDecision::Retry(_) => panic!("retried"),
         }
     }
 
     #[test]
     fn fail_refused_elsewhere_at_once() {
         let mut machine = machine(false);
-        machine.send();
+        machine.record_send();
         assert_eq!(
             fail(&mut machine, Code::QueueFull),
-            Verdict::Retry(Millis::ZERO)
+            RetryDecision::Retry(Millis::ZERO)
         );
         assert!(machine.certainly_not_run());
     }
@@ -355,21 +361,21 @@
     #[test]
     fn fail_lost_not_idempotent() {
         let mut machine = machine(false);
-        machine.send();
+        machine.record_send();
         let end = ended(fail(&mut machine, Code::UpstreamLost));
-        assert_eq!(end, (Code::UpstreamLost, Some(Denial::NotIdempotent)));
+        assert_eq!(end, (Code::UpstreamLost, Some(RetryDenial::NotIdempotent)));
     }
 
     /// A request whose first try was lost isn't reported as not run because the second was refused.
     #[test]
     fn fail_refused_after_lost() {
         let mut machine = machine(true);
-        machine.send();
+        machine.record_send();
         assert!(matches!(
             fail(&mut machine, Code::UpstreamLost),
-            Verdict::Retry(_)
+            RetryDecision::Retry(_)
         ));
-        machine.send();
+        machine.record_send();
         assert_eq!(
             ended(fail(&mut machine, Code::Brownout)),
             (Code::UpstreamLost, None)
@@ -381,71 +387,75 @@
     #[test]
     fn fail_poisoned_request() {
         let mut machine = machine(true);
-        machine.send();
+        machine.record_send();
         fail(&mut machine, Code::UpstreamLost);
-        machine.send();
+        machine.record_send();
         let end = ended(fail(&mut machine, Code::UpstreamLost));
-        assert_eq!(end, (Code::UpstreamLost, Some(Denial::Unknowns)));
+        assert_eq!(end, (Code::UpstreamLost, Some(RetryDenial::Unknowns)));
     }
 
     #[test]
     fn fail_answer_begun() {
         let mut machine = machine(true);
-        machine.send();
-        machine.begin();
-        machine.pass();
+        machine.record_send();
+        machine.record_response_start();
+        machine.record_forwarded();
         let end = ended(fail(&mut machine, Code::AnswerCut));
-        assert_eq!(end, (Code::AnswerCut, Some(Denial::AnswerBegun)));
+        assert_eq!(end, (Code::AnswerCut, Some(RetryDenial::AnswerBegun)));
     }
 
     #[test]
     fn fail_not_run_code_while_running() {
         let mut machine = machine(false);
-        machine.send();
-        machine.begin();
+        machine.record_send();
+        machine.record_response_start();
         let end = ended(fail(&mut machine, Code::QueueFull));
-        assert_eq!(end, (Code::AnswerCut, Some(Denial::NotIdempotent)));
+        assert_eq!(end, (Code::AnswerCut, Some(RetryDenial::NotIdempotent)));
     }
 
     #[test]
     fn fail_deadline_near() {
         let mut machine = machine(true);
-        let mut budget = Budget::new(100, Millis::ZERO);
-        machine.send();
-        let verdict = machine.fail(
+        let mut budget = RetryBudget::new(100, Millis::ZERO);
+        machine.record_send();
+        let verdict = machine.handle_failure(
             Failure::new(Code::ConnectFailed, ""),
             context(DEADLINE.0),
             &mut budget,
         );
         assert_eq!(
             ended(verdict),
-            (Code::ConnectFailed, Some(Denial::Deadline))
+            (Code::ConnectFailed, Some(RetryDenial::Deadline))
         );
     }
 
     #[test]
     fn fail_budget_spent() {
         let mut machine = machine(true);
-        let mut budget = Budget::new(0, Millis::ZERO);
-        while budget.spend() {}
-        machine.send();
-        let verdict = machine.fail(Failure::new(Code::QueueFull, ""), context(0), &mut budget);
-        assert_eq!(ended(verdict), (Code::QueueFull, Some(Denial::Budget)));
+        let mut budget = RetryBudget::new(0, Millis::ZERO);
+        while budget.try_spend() {}
+        machine.record_send();
+        let verdict =
+            machine.handle_failure(Failure::new(Code::QueueFull, ""), context(0), &mut budget);
+        assert_eq!(
+            ended(verdict),
+            (Code::QueueFull, Some(RetryDenial::RetryBudget))
+        );
     }
 
     #[test]
     fn fail_redirects_bounded() {
         let mut machine = machine(false);
-        for _ in 1..Rules::default().redirects {
-            machine.send();
+        for _ in 1..RetryPolicy::default().max_redirects {
+            machine.record_send();
             assert!(matches!(
                 fail(&mut machine, Code::NotOwner),
-                Verdict::Retry(_)
+                RetryDecision::Retry(_)
             ));
         }
-        machine.send();
+        machine.record_send();
         let end = ended(fail(&mut machine, Code::NotOwner));
-        assert_eq!(end, (Code::NotOwner, Some(Denial::Attempts)));
+        assert_eq!(end, (Code::NotOwner, Some(RetryDenial::Attempts)));
     }
 
     #[test]
@@ -453,7 +463,7 @@
         let mut waiting = machine(true);
         assert_eq!(waiting.abandon(), Code::CallerGoneWaiting);
         let mut sent = machine(true);
-        sent.send();
+        sent.record_send();
         assert_eq!(sent.abandon(), Code::CallerGoneRunning);
     }
 }
--- a/lib/tests/test_direct_admission.rs
+++ b/lib/tests/test_direct_admission.rs
@@ -10,7 +10,7 @@
 use chivevalve::direct::admit::{Answer, Question};
 use chivevalve::direct::choice::{MOST_QUESTIONS, self};
 use chivevalve::direct::controllers::Controllers;
-use chivevalve::direct::dialect::Listed;
+use chivevalve::direct::dialect::UpstreamEntry;
 use chivevalve::direct::limits::exchange_pause;
 use chivevalve::direct::ownership::Ownership;
 use chivevalve::direct::peer_server::serve;
@@ -19,7 +19,7 @@
 use chivevalve::direct::upstream::{Running, Upstream};
 use chivevalve::direct::view::{Claim, ClaimEntry, View};
 use chivevalve::name::Name;
-use chivevalve_platform::Speech;
+use chivevalve_platform::PlatformDialect;
 use direct_support::records::{entry_revision, listed, peer};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64;
@@ -32,8 +32,8 @@
 /// Each engine reads and writes.
 static WHOLE: LazyLock<Roles> = LazyLock::new(Roles::default);
 
-fn engine(number: u16, slots: u32, adapters: &[(&str, u64)]) -> Listed {
-    Listed {
+fn engine(number: u16, slots: u32, adapters: &[(&str, u64)]) -> UpstreamEntry {
+    UpstreamEntry {
         address: SocketAddr::from(([127, 0, 0, 1], 9 + number)),
         slots,
         ..listed(&format!("i-{number}"), adapters)
@@ -215,7 +215,7 @@
     let controllers = Arc::new(Controllers::new(
         view,
         ownership,
-        Arc::new(Speech),
+        Arc::new(PlatformDialect),
         clock,
         name.into(),
         Arc::default(),
--- a/lib/tests/test_direct_claims.rs
+++ b/lib/tests/test_direct_claims.rs
@@ -11,7 +11,7 @@
 use chivevalve::direct::claim::{Claimer, Refusal, Voters};
 use chivevalve::direct::config::{Config, Engine, Pool, RequestLimits};
 use chivevalve::direct::controllers::Controllers;
-use chivevalve::direct::dialect::{Dialect, Held, Listed};
+use chivevalve::direct::dialect::{Dialect, LoadedModels, UpstreamEntry};
 use chivevalve::direct::follow::Follower;
 use chivevalve::direct::limits::{Current, LEASE, Limits, OWNERSHIP_TERM};
 use chivevalve::direct::orders::LoadOutcome;
@@ -19,7 +19,7 @@
 use chivevalve::direct::upstream::Upstream;
 use chivevalve::direct::view::{Claim, ClaimEntry, Peer, View};
 use chivevalve::ports::{Lease, Store};
-use chivevalve_platform::Speech;
+use chivevalve_platform::PlatformDialect;
 use direct_support::SERVER;
 use direct_support::memory::Memory;
 use direct_support::records::entry_revision;
@@ -110,7 +110,7 @@
     clock.advance(now);
     let shared: Arc<dyn Clock> = Arc::<Manual>::clone(&clock);
     let ownership = Arc::new(Ownership::new(Arc::clone(&shared), Arc::clone(&view)));
-    let dialect: Arc<dyn Dialect> = Arc::new(Speech);
+    let dialect: Arc<dyn Dialect> = Arc::new(PlatformDialect);
     let limits = Arc::new(Current::default());
     let follower = Follower::new(
         Arc::<Memory>::clone(memory),
@@ -171,8 +171,8 @@
     state.put_upstream(&listed(), entry_revision(1), Millis(100_000));
 }
 
-fn listed() -> Listed {
-    Listed {
+fn listed() -> UpstreamEntry {
+    UpstreamEntry {
         incarnation: "i-1".into(),
         pool: "engines".into(),
         address: address(),
@@ -181,7 +181,7 @@
         ready: true,
         cold: Millis::ZERO,
         remaining: None,
-        held: Held::default(),
+        held: LoadedModels::default(),
     }
 }
 
@@ -231,7 +231,7 @@
 async fn claim_only_with_a_record() {
     let (memory, one) = owner().await;
     assert!(one.ownership.fencing_token(address()).is_some());
-    let key = Speech.own("node/one");
+    let key = PlatformDialect.own_key("node/one");
     assert!(memory.state().entries.contains_key(&key));
 }
 
@@ -529,7 +529,7 @@
     Controllers::new(
         view,
         ownership,
-        Arc::new(Speech),
+        Arc::new(PlatformDialect),
         clock,
         "one".into(),
         Arc::default(),
@@ -708,7 +708,7 @@
     slow(&memory, "chivevalve/", Millis::from_secs(4));
     let one = start_again("one", &memory);
     pass(&[&one], Millis(1_000)).await;
-    let key = Speech.own("node/one");
+    let key = PlatformDialect.own_key("node/one");
     assert!(memory.state().entries.contains_key(&key));
 }
 
--- a/lib/tests/test_direct_exchange.rs
+++ b/lib/tests/test_direct_exchange.rs
@@ -9,12 +9,12 @@
 use chivevalve::clock::{Clock, Millis, Monotonic};
 use chivevalve::direct::admit::Question;
 use chivevalve::direct::controllers::Controllers;
-use chivevalve::direct::dialect::Listed;
+use chivevalve::direct::dialect::UpstreamEntry;
 use chivevalve::direct::ownership::Ownership;
 use chivevalve::direct::upstream::{Running, Upstream};
 use chivevalve::direct::view::{Claim, ClaimEntry, View};
 use chivevalve::name::Name;
-use chivevalve_platform::Speech;
+use chivevalve_platform::PlatformDialect;
 use direct_support::records::{entry_revision, listed, peer};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64;
@@ -40,7 +40,7 @@
             state.put_node(format!("node-{owner}").into(), peer(address));
         }
         for number in 0..ENGINES {
-            let engine = Listed {
+            let engine = UpstreamEntry {
                 address: SocketAddr::from(([127, 0, 0, 2], number)),
                 ..listed(&format!("i-{number}"), &[("base/a1", 1)])
             };
@@ -68,7 +68,7 @@
         }
     }
     let me = format!("node-{}", OWNERS - 1).into();
-    let speech = Arc::new(Speech);
+    let speech = Arc::new(PlatformDialect);
     Arc::new(Controllers::new(
         view,
         ownership,
--- a/lib/tests/test_direct_versions.rs
+++ b/lib/tests/test_direct_versions.rs
@@ -7,7 +7,7 @@
 use chivevalve::clock::{Clock, Manual, Millis};
 use chivevalve::direct::attempt::{RequestMessage, SendError};
 use chivevalve::direct::controllers::Controllers;
-use chivevalve::direct::dialect::{Dialect, Dispatch, Listed};
+use chivevalve::direct::dialect::{Dialect, DispatchHeaders, UpstreamEntry};
 use chivevalve::direct::entry::Frontend;
 use chivevalve::direct::limits::{Current, Limits};
 use chivevalve::direct::metadata::{RequestKind, RequestMetadata};
@@ -17,7 +17,7 @@
 use chivevalve::direct::view::View;
 use chivevalve::metrics::Metrics;
 use chivevalve::ports::metered::Metered;
-use chivevalve_platform::Speech;
+use chivevalve_platform::PlatformDialect;
 use direct_support::memory::Memory;
 use direct_support::records::{entry_revision, listed};
 use http::{HeaderMap, Method, Uri};
@@ -112,7 +112,7 @@
     let manual = Arc::new(Manual::default());
     let clock: Arc<dyn Clock> = Arc::<Manual>::clone(&manual);
     let view = Arc::new(View::default());
-    let dialect: Arc<dyn Dialect> = Arc::new(Speech);
+    let dialect: Arc<dyn Dialect> = Arc::new(PlatformDialect);
     let metrics = Arc::new(Metrics::new());
     let memory = Arc::new(Memory::default());
     let service = Arc::new(Metered::new(
@@ -202,7 +202,7 @@
     declare(&frontend, 2, Millis(1));
     manual.advance(LIMIT + LIMIT);
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-    let engine = Listed {
+    let engine = UpstreamEntry {
         address: listener.local_addr().unwrap(),
         ..listed("i-1", &[("base/a1", 1)])
     };
@@ -216,15 +216,15 @@
         kind: RequestKind::Stream { resumable: false },
         fingerprint: std::sync::OnceLock::new(),
     };
-    let dispatch = Dispatch {
+    let dispatch = DispatchHeaders {
         incarnation: "i-1".into(),
         deadline: LIMIT,
         urgency: None,
         version: Some(1),
         resume_after: None,
-        memory: None,
+        kv_cache: None,
     };
-    let sent = message.send(&engine, &Speech, &dispatch, None, Some(watch));
+    let sent = message.send(&engine, &PlatformDialect, &dispatch, None, Some(watch));
     let miss = sent.await.unwrap_err();
     assert_eq!(miss, SendError::Withdrawn { sent: false });
 }
