--- a/lib/src/direct/claim/previous.rs
+++ b/lib/src/direct/claim/previous.rs
@@ -2,10 +2,10 @@
 
 use std::net::SocketAddr;
 
+use super::Claimer;
 use crate::clock::Millis;
 use crate::direct::limits::OWNERSHIP_TERM;
 use crate::direct::view::{Claim, ClaimEntry, State};
-use super::Claimer;
 
 /// What became of the node that gave an engine its orders before.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
--- a/lib/src/direct/entry/handle.rs
+++ b/lib/src/direct/entry/handle.rs
@@ -7,17 +7,17 @@
 use http_body_util::{BodyExt, StreamBody};
 use hyper::body::Incoming;
 
+use super::accept::{accept, choose};
+use super::response::{refusal, response_head, whole_response};
+use super::{Body, Frontend};
 use crate::clock::Millis;
 use crate::direct::attempt::{RequestMessage, UpstreamResponse};
-use crate::direct::relay::{ResponseAborted, self};
+use crate::direct::relay::{self, ResponseAborted};
 use crate::direct::request::ActiveRequest;
-use crate::direct::request_log::{RequestOutcome, self};
+use crate::direct::request_log::{self, RequestOutcome};
 use crate::error::{Code, Failure};
 use crate::poison::ledger::Suspicion;
 use crate::ports::http::remove_hop_by_hop;
-use super::{Body, Frontend};
-use super::accept::{accept, choose};
-use super::response::{refusal, response_head, whole_response};
 
 /// How long a caller's wait is assumed to be if nothing bounds it.
 const USUAL_WAIT: Millis = Millis::from_secs(30);
--- a/lib/src/direct/fanout/subscription.rs
+++ b/lib/src/direct/fanout/subscription.rs
@@ -5,14 +5,14 @@
 use async_trait::async_trait;
 use tonic::{Code, Streaming};
 
+use super::tree::{choose, ranked};
+use super::wire::decode;
+use super::{Received, Source};
 use crate::clock::Millis;
 use crate::direct::controllers::Controllers;
 use crate::direct::validate::RejectReason;
 use crate::name::Name;
 use crate::schema::direct::{FollowRequest, Update as Sent};
-use super::{Received, Source};
-use super::tree::{choose, ranked};
-use super::wire::decode;
 
 /// The longest that beginning to listen may take.
 const CONNECT: Millis = Millis(400);
--- a/lib/src/direct/follow/entries.rs
+++ b/lib/src/direct/follow/entries.rs
@@ -56,9 +56,9 @@
     }
 
     fn drop_own(&self, state: &mut State, present: &HashSet<String>, now: Millis) {
-        state
-            .nodes
-            .retain(|name, _| present.contains(&self.dialect.own_key(&format!("{NODE_PREFIX}{name}"))));
+        state.nodes.retain(|name, _| {
+            present.contains(&self.dialect.own_key(&format!("{NODE_PREFIX}{name}")))
+        });
         state.retain_claims(now, |address| {
             present.contains(&self.dialect.own_key(&format!("{CLAIM_PREFIX}{address}")))
         });
--- a/lib/src/direct/handover.rs
+++ b/lib/src/direct/handover.rs
@@ -10,13 +10,13 @@
 use smallvec::{SmallVec, smallvec};
 use tokio_util::task::AbortOnDropHandle;
 
-use crate::clock::Millis;
-use super::control_call;
 use super::attempt::UpstreamResponse;
+use super::control_call;
 use super::dialect::{KvCacheHandle, TransferOutcome};
 use super::entry::Frontend;
 use super::target::Target;
 use super::upstream::Upstream;
+use crate::clock::Millis;
 
 /// A run that is being moved.
 ///
--- a/lib/src/direct/orders/change.rs
+++ b/lib/src/direct/orders/change.rs
@@ -1,11 +1,11 @@
 //! Orders as they are given, and the count of those that the engine accepted.
 
+use super::EngineController;
+use super::slots::Slots;
 use crate::clock::Millis;
 use crate::direct::dialect::{Action, Order, OrderOutcome};
 use crate::name::Name;
 use crate::ports::link::Lost;
-use super::EngineController;
-use super::slots::Slots;
 
 /// How often an order is given while it has no answer.
 const TRIES: u32 = 3;
--- a/lib/src/direct/orders/load.rs
+++ b/lib/src/direct/orders/load.rs
@@ -2,12 +2,12 @@
 
 use kameo::actor::ActorRef;
 
+use super::message::{LoadCommand, LoadOutcome, LookDue, Looked};
+use super::slots::{LoadProbe, Slots, answer};
+use super::{EngineController, MOST_IN_TRANSIT, MOST_INCOMING};
 use crate::clock::Millis;
 use crate::direct::dialect::{Action, Order, OrderOutcome};
 use crate::name::Name;
-use super::{EngineController, MOST_INCOMING, MOST_IN_TRANSIT};
-use super::message::{LoadCommand, LoadOutcome, LookDue, Looked};
-use super::slots::{LoadProbe, Slots, answer};
 
 /// Loads that may wait for a place on their way.
 ///
--- a/lib/src/direct/orders/message.rs
+++ b/lib/src/direct/orders/message.rs
@@ -3,11 +3,11 @@
 use kameo::message::{Context, Message};
 use tokio::sync::oneshot;
 
+use super::EngineController;
+use super::slots::LoadProbe;
 use crate::clock::Millis;
 use crate::direct::dialect::OrderOutcome;
 use crate::name::Name;
-use super::EngineController;
-use super::slots::LoadProbe;
 
 /// How an order to make an adapter present ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
--- a/lib/src/direct/orders/slots/mod.rs
+++ b/lib/src/direct/orders/slots/mod.rs
@@ -14,11 +14,11 @@
 
 use smallvec::SmallVec;
 
+use super::message::{LoadCommand, LoadOutcome};
 use crate::clock::Millis;
 use crate::direct::dialect::{EngineStatus, LoadedModels, OrderOutcome};
 use crate::name::Name;
 use slot::{Loading, SLOW_LOOK, Slot, Waiter};
-use super::message::{LoadCommand, LoadOutcome};
 use told::Told;
 
 pub(super) use slot::answer;
--- a/lib/src/direct/relay.rs
+++ b/lib/src/direct/relay.rs
@@ -8,9 +8,6 @@
 use hyper::body::Frame;
 use thiserror::Error;
 
-use crate::clock::Millis;
-use crate::poison::ledger::Suspicion;
-use super::versions;
 use super::attempt::UpstreamResponse;
 use super::entry::{CLASS_LABEL, seconds};
 use super::event_sequence::{EventSequence, StreamStep};
@@ -19,6 +16,9 @@
 use super::request::ActiveRequest;
 use super::request_log::RequestOutcome;
 use super::upstream::Upstream;
+use super::versions;
+use crate::clock::Millis;
+use crate::poison::ledger::Suspicion;
 
 /// A pause in the stream, in the longest pauses of the route, at which it is continued elsewhere.
 ///
--- a/lib/src/direct/request/quarantine.rs
+++ b/lib/src/direct/request/quarantine.rs
@@ -59,7 +59,8 @@
             sign = sign.name();
             "request: broke"
         );
-        self.frontend.quarantine
+        self.frontend
+            .quarantine
             .record_broken_connection(upstream, fingerprint, sign);
     }
 
--- a/lib/src/direct/request/send.rs
+++ b/lib/src/direct/request/send.rs
@@ -2,16 +2,16 @@
 
 use std::sync::Arc;
 
-use crate::direct::request_log;
-use crate::direct::admit::{Permit, Question, self};
+use super::ActiveRequest;
+use crate::direct::admit::{self, Permit, Question};
 use crate::direct::attempt::{SendError, UpstreamResponse};
 use crate::direct::dialect::{DispatchHeaders, KvCacheHandle};
+use crate::direct::request_log;
 use crate::direct::sends::Sends;
 use crate::direct::target::Target;
 use crate::direct::versions::VersionWatch;
 use crate::error::Code;
 use crate::name::Name;
-use super::ActiveRequest;
 
 impl ActiveRequest {
     pub(super) fn send(&mut self, sends: &mut Sends, target: Target, resume_after: Option<u64>) {
--- a/lib/src/direct/request_log.rs
+++ b/lib/src/direct/request_log.rs
@@ -4,12 +4,12 @@
 //! decided, how old that was, and the outcome with its numbered code. No line
 //! holds a prompt, a body or a header of the caller.
 
-use crate::clock::Millis;
-use crate::error::{Code, Failure};
 use super::attempt::SendError;
 use super::orders::LoadOutcome;
 use super::request::ActiveRequest;
 use super::upstream::Upstream;
+use crate::clock::Millis;
+use crate::error::{Code, Failure};
 
 /// How a request ended.
 #[derive(Debug)]
--- a/lib/src/direct/sends.rs
+++ b/lib/src/direct/sends.rs
@@ -13,12 +13,12 @@
 use futures::stream::{FuturesUnordered, StreamExt};
 use smallvec::SmallVec;
 
-use crate::clock::Millis;
 use super::attempt::{RequestMessage, SendError, UpstreamResponse};
 use super::dialect::{Dialect, DispatchHeaders};
 use super::target::Target;
 use super::upstream::Upstream;
 use super::versions::VersionWatch;
+use crate::clock::Millis;
 
 /// A send that has ended.
 #[derive(Debug)]
--- a/lib/src/direct/target.rs
+++ b/lib/src/direct/target.rs
@@ -5,12 +5,9 @@
 use smallvec::SmallVec;
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::clock::Millis;
-use crate::error::{Code, Failure};
-use crate::name::Name;
-use super::admit::{Permit, Question, self};
+use super::admit::{self, Permit, Question};
 use super::attempt::UpstreamResponse;
-use super::choice::{MOST_QUESTIONS, self};
+use super::choice::{self, MOST_QUESTIONS};
 use super::entry::{CLASS_LABEL, seconds};
 use super::metadata::RequestMetadata;
 use super::orders::LoadOutcome;
@@ -21,6 +18,9 @@
 use super::roles::{Manner, Roles, may_move};
 use super::upstream::Upstream;
 use super::versions::{REPLACEMENT_LEAD, WITHDRAWAL_LEAD};
+use crate::clock::Millis;
+use crate::error::{Code, Failure};
+use crate::name::Name;
 
 /// Part of the objective that a request may wait for an upstream before it is refused.
 ///
--- a/lib/src/direct/upstream.rs
+++ b/lib/src/direct/upstream.rs
@@ -5,13 +5,13 @@
 use std::sync::atomic::{AtomicBool, AtomicU32, AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, PoisonError};
 
-use crate::clock::Millis;
-use crate::name::Name;
-use crate::ports::link::{Bounds, Link};
 use super::admit::Permit;
 use super::dialect::{LoadedModels, UpstreamEntry};
 use super::metadata::base_model_of;
 use super::presence::{EntryRevision, Presence, Stage};
+use crate::clock::Millis;
+use crate::name::Name;
+use crate::ports::link::{Bounds, Link};
 
 /// How long connecting to an upstream may take.
 ///
@@ -134,7 +134,12 @@
 impl Upstream {
     /// Makes an upstream from its entry in the list.
     #[must_use]
-    pub fn new(listed: &UpstreamEntry, written: EntryRevision, connections: usize, now: Millis) -> Self {
+    pub fn new(
+        listed: &UpstreamEntry,
+        written: EntryRevision,
+        connections: usize,
+        now: Millis,
+    ) -> Self {
         let bounds = Bounds {
             connect: CONNECT,
             idle: IDLE,
--- a/lib/src/direct/versions.rs
+++ b/lib/src/direct/versions.rs
@@ -14,11 +14,11 @@
 
 use smallvec::SmallVec;
 
-use crate::clock::Millis;
-use crate::name::Name;
 use super::entry::Frontend;
 use super::orders::LoadOutcome;
 use super::upstream::Upstream;
+use crate::clock::Millis;
+use crate::name::Name;
 
 /// Time that a withdrawal takes at most, from the closing of its connection until the engine
 /// no longer begins the request.
--- a/lib/src/direct/view.rs
+++ b/lib/src/direct/view.rs
@@ -11,18 +11,18 @@
 use serde::{Deserialize, Serialize};
 use tokio::sync::Notify;
 
-use crate::clock::Millis;
-use crate::name::Name;
-use crate::poison::fingerprint::Fingerprint;
-use crate::poison::ledger::{CrashLedger, CrashReport};
-use crate::poison::unconfirmed::UnconfirmedCrashes;
-use crate::ports::Entry;
 use super::config::Config;
 use super::dialect::{Dialect, Key, UpstreamEntry};
 use super::presence::EntryRevision;
 use super::quarantine::{CRASH_REPORT_PREFIX, HARMLESS_PREFIX, UNCONFIRMED_CRASH_PREFIX};
 use super::upstream::Upstream;
 use super::versions::{Declaration, Declarations};
+use crate::clock::Millis;
+use crate::name::Name;
+use crate::poison::fingerprint::Fingerprint;
+use crate::poison::ledger::{CrashLedger, CrashReport};
+use crate::poison::unconfirmed::UnconfirmedCrashes;
+use crate::ports::Entry;
 
 /// Another node, as its record in the key-value service has it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
--- a/lib/tests/slots_model/mod.rs
+++ b/lib/tests/slots_model/mod.rs
@@ -4,11 +4,11 @@
 
 use chivevalve::clock::Millis;
 use chivevalve::direct::dialect::OrderOutcome;
-use chivevalve::direct::orders::{LoadCommand, LoadOutcome};
 use chivevalve::direct::orders::slots::{LoadProbe, MAX_LOAD_TIME, MAX_REPORT_AGE, Slots};
+use chivevalve::direct::orders::{LoadCommand, LoadOutcome};
 use chivevalve::name::Name;
 use engine::Engine;
-use tokio::sync::oneshot::{Receiver, self};
+use tokio::sync::oneshot::{self, Receiver};
 
 /// The engine's slots.
 const PLACES: usize = 4;
--- a/lib/tests/test_direct_admission.rs
+++ b/lib/tests/test_direct_admission.rs
@@ -8,7 +8,7 @@
 use chivevalve::clock::{Clock, Manual, Millis, Monotonic};
 use chivevalve::direct::admission::{Load, Occupancy, Part, Place, Table};
 use chivevalve::direct::admit::{Answer, Question};
-use chivevalve::direct::choice::{MOST_QUESTIONS, self};
+use chivevalve::direct::choice::{self, MOST_QUESTIONS};
 use chivevalve::direct::controllers::Controllers;
 use chivevalve::direct::dialect::UpstreamEntry;
 use chivevalve::direct::limits::exchange_pause;
--- a/lib/tests/test_direct_fanout_fuzz.rs
+++ b/lib/tests/test_direct_fanout_fuzz.rs
@@ -250,7 +250,10 @@
             let value = format!(
                 r#"{{"address":"127.0.0.1:7","start":{revision},"failure_domain":"hall-a"}}"#
             );
-            (PlatformDialect.own_key(&format!("{NODE_PREFIX}n{number}")), value)
+            (
+                PlatformDialect.own_key(&format!("{NODE_PREFIX}n{number}")),
+                value,
+            )
         }
         2 => {
             let value = format!(r#"{{"node":"n{number}","start":{revision},"left":null}}"#);
--- a/lib/tests/test_direct_slots.rs
+++ b/lib/tests/test_direct_slots.rs
@@ -4,11 +4,11 @@
 
 use chivevalve::clock::Millis;
 use chivevalve::direct::dialect::{EngineStatus, LoadedModels, OrderOutcome};
-use chivevalve::direct::orders::{LoadCommand, LoadOutcome};
 use chivevalve::direct::orders::slots::{LoadProbe, MAX_LOAD_TIME, MAX_REPORT_AGE, Slots};
+use chivevalve::direct::orders::{LoadCommand, LoadOutcome};
 use quickcheck::{Gen, QuickCheck};
 use slots_model::World;
-use tokio::sync::oneshot::{Receiver, self};
+use tokio::sync::oneshot::{self, Receiver};
 
 const NOW: Millis = Millis(10_000);
 
