--- a/lib/src/direct/mod.rs
+++ b/lib/src/direct/mod.rs
@@ -28,7 +28,7 @@
 pub mod orders;
 pub mod outage;
 pub mod outbox;
-pub mod pick;
+pub mod selection;
 mod place;
 pub mod presence;
 pub mod quarantine;
--- a/lib/src/direct/place.rs
+++ b/lib/src/direct/place.rs
@@ -9,7 +9,7 @@
 use super::admission::Load;
 use super::admit::{self, Permit, Question};
 use super::choice::{self, MOST_QUESTIONS};
-use super::pick::Field;
+use super::selection::Field;
 use super::request::ActiveRequest;
 use super::target::{FIRST_HOMES, Target};
 use super::upstream::Upstream;
--- a/lib/src/direct/target.rs
+++ b/lib/src/direct/target.rs
@@ -11,7 +11,7 @@
 use super::choice::{self, MOST_QUESTIONS};
 use super::entry::{CLASS, seconds};
 use super::orders::Loaded;
-use super::pick::{Field, usual_share};
+use super::selection::{Field, usual_share};
 use super::place::Asked;
 use super::record::Asking;
 use super::request::{ActiveRequest, LOOK};
--- a/lib/tests/test_direct_admission.rs
+++ b/lib/tests/test_direct_admission.rs
@@ -12,7 +12,7 @@
 use chivevalve::direct::choice::{self, MOST_QUESTIONS};
 use chivevalve::direct::dialect::Listed;
 use chivevalve::direct::limits::exchange_pause;
-use chivevalve::direct::pick::{Field, usual_share};
+use chivevalve::direct::selection::{Field, usual_share};
 use chivevalve::direct::right::Right;
 use chivevalve::direct::roles::Roles;
 use chivevalve::direct::serve::serve;
--- a/lib/tests/test_direct_parts.rs
+++ b/lib/tests/test_direct_parts.rs
@@ -8,7 +8,7 @@
 use chivevalve::direct::budget::Budget;
 use chivevalve::direct::dialect::Held;
 use chivevalve::direct::limits::{Current, Limits, Retries, exchange_pause, in_use};
-use chivevalve::direct::pick::{Field, MOST_HOMES};
+use chivevalve::direct::selection::{Field, MOST_HOMES};
 use chivevalve::direct::roles::Roles;
 use chivevalve::direct::sse::Splitter;
 use chivevalve::direct::upstream::Upstream;
--- a/lib/tests/test_direct_roles.rs
+++ b/lib/tests/test_direct_roles.rs
@@ -7,7 +7,7 @@
 
 use chivevalve::clock::Millis;
 use chivevalve::direct::dialect::{Held, Listed};
-use chivevalve::direct::pick::Field;
+use chivevalve::direct::selection::Field;
 use chivevalve::direct::roles::{Manner, Mix, Roles, may_move};
 use chivevalve::direct::upstream::Upstream;
 use chivevalve::name::Name;
