--- a/lib/src/direct/mod.rs
+++ b/lib/src/direct/mod.rs
@@ -14,7 +14,7 @@
 pub mod attempt;
 pub mod budget;
 pub mod call;
-pub mod choice;
+pub mod admission_policy;
 pub mod claim;
 pub mod config;
 pub mod dialect;
--- a/lib/src/direct/place.rs
+++ b/lib/src/direct/place.rs
@@ -1,6 +1,6 @@
 //! A place for a request at an engine, asked of the engines' owners.
 //!
-//! The load is told in [`super::choice`], which holds the decisions; here they are carried out.
+//! The load is told in [`super::admission_policy`], which holds the decisions; here they are carried out.
 
 use std::sync::Arc;
 
@@ -8,7 +8,7 @@
 
 use super::admission::Load;
 use super::admit::{self, Permit, Question};
-use super::choice::{self, MOST_QUESTIONS};
+use super::admission_policy::{self, MOST_QUESTIONS};
 use super::selection::Field;
 use super::request::ActiveRequest;
 use super::target::{FIRST_HOMES, Target};
@@ -36,7 +36,7 @@
             limit: 0,
             loaded: false,
             tokens: self.message.call.tokens.map_or(0, |(prompt, _)| prompt),
-            patience: choice::calm_wait(self.route.objective),
+            patience: admission_policy::calm_wait(self.route.objective),
         }
     }
 
@@ -82,7 +82,7 @@
             }
             self.copy(field, adapter, wanted, &upstream);
             let question = Question {
-                limit: choice::calm_limit(upstream.slots),
+                limit: admission_policy::calm_limit(upstream.slots),
                 ..self.question(Some(adapter), wanted)
             };
             match self.gate.controllers.admit(&upstream, question).await {
@@ -114,16 +114,16 @@
             return Asked::Load(None);
         };
         let reads = field.reads(upstream);
-        if choice::is_crowded(*load, upstream.slots, reads) {
+        if admission_policy::is_crowded(*load, upstream.slots, reads) {
             self.spread(field, adapter, wanted, reads);
         }
         let now = self.now();
         let (passed, left) = (now.since(self.began), self.until.since(now));
-        let late = choice::come_back(load.wait, self.route.objective, passed, left);
+        let late = admission_policy::come_back(load.wait, self.route.objective, passed, left);
         if let (Some(back), true) = (late, self.sent == 0) {
             return Asked::TooLate(back);
         }
-        if choice::is_worth_load(load.wait) {
+        if admission_policy::is_worth_load(load.wait) {
             return Asked::Load(Some(Self::at(Arc::clone(upstream), adapter)));
         }
         let question = self.question(Some(adapter), wanted);
@@ -185,7 +185,7 @@
                 && upstream.is_ready()
                 && !upstream.suspended(now)
                 && !self.tried.contains(&upstream.incarnation)
-                && upstream.load() < choice::calm_limit(upstream.slots)
+                && upstream.load() < admission_policy::calm_limit(upstream.slots)
         })
     }
 
@@ -218,12 +218,12 @@
         let objective = self.route.objective;
         if only_calm {
             let calm = homes.iter().zip(&loads).filter(|(upstream, load)| {
-                load.is_some_and(|load| choice::is_calm(load, upstream.slots, objective))
+                load.is_some_and(|load| admission_policy::is_calm(load, upstream.slots, objective))
             });
             return calm.map(|(upstream, _)| Arc::clone(upstream)).collect();
         }
         if let [Some(one), Some(other)] = loads[..]
-            && choice::is_better_home(one, other, objective)
+            && admission_policy::is_better_home(one, other, objective)
         {
             homes.swap(0, 1);
         }
--- a/lib/src/direct/target.rs
+++ b/lib/src/direct/target.rs
@@ -8,7 +8,7 @@
 use super::admit::{self, Permit, Question};
 use super::attempt::Answer;
 use super::call::Call;
-use super::choice::{self, MOST_QUESTIONS};
+use super::admission_policy::{self, MOST_QUESTIONS};
 use super::entry::{CLASS, seconds};
 use super::orders::Loaded;
 use super::selection::{Field, usual_share};
@@ -233,7 +233,7 @@
             asked.push(Name::clone(&upstream.incarnation));
             let question = Question {
                 limit: upstream.slots,
-                patience: choice::calm_wait(self.route.objective)
+                patience: admission_policy::calm_wait(self.route.objective)
                     .min(self.time_to_begin(&upstream, adapter)),
                 ..self.question(Some(adapter), 0)
             };
@@ -242,7 +242,7 @@
                     return Some(Self::admitted(upstream, adapter, Some(permit)));
                 }
                 admit::Answer::Absent(_) => upstream.lost(adapter),
-                admit::Answer::Unknown if upstream.load() < choice::calm_limit(upstream.slots) => {
+                admit::Answer::Unknown if upstream.load() < admission_policy::calm_limit(upstream.slots) => {
                     return Some(Self::admitted(upstream, adapter, None));
                 }
                 admit::Answer::Busy(_) | admit::Answer::Unknown => {}
--- a/lib/tests/test_direct_admission.rs
+++ b/lib/tests/test_direct_admission.rs
@@ -9,7 +9,7 @@
 use chivevalve::direct::admission::{Load, Occupancy, Part, Place, Table};
 use chivevalve::direct::admit::{Answer, Question};
 use chivevalve::direct::ask::Controllers;
-use chivevalve::direct::choice::{self, MOST_QUESTIONS};
+use chivevalve::direct::admission_policy::{self, MOST_QUESTIONS};
 use chivevalve::direct::dialect::Listed;
 use chivevalve::direct::limits::exchange_pause;
 use chivevalve::direct::selection::{Field, usual_share};
@@ -134,9 +134,9 @@
         alike,
         wait: Millis::ZERO,
     };
-    assert!(!choice::is_crowded(load(3), 12, false));
-    assert!(choice::is_crowded(load(4), 12, false));
-    assert!(choice::is_crowded(load(1), 12, true));
+    assert!(!admission_policy::is_crowded(load(3), 12, false));
+    assert!(admission_policy::is_crowded(load(4), 12, false));
+    assert!(admission_policy::is_crowded(load(1), 12, true));
 }
 
 /// An adapter's first engine is left only where it makes the caller wait noticeably longer.
@@ -147,7 +147,7 @@
         alike: 0,
         wait: Millis(wait),
     };
-    let better = |first, second| choice::is_better_home(load(first), load(second), Millis(600));
+    let better = |first, second| admission_policy::is_better_home(load(first), load(second), Millis(600));
     assert!(!better(300, 0));
     assert!(!better(400, 250));
     assert!(better(400, 100));
@@ -161,7 +161,7 @@
             alike: 0,
             wait: Millis(wait),
         };
-        choice::is_calm(load, 12, Millis(600))
+        admission_policy::is_calm(load, 12, Millis(600))
     };
     assert!(calm(5, 150));
     assert!(!calm(6, 0));
@@ -171,7 +171,7 @@
 #[test]
 fn come_back_only_where_the_caller_would_have_gone() {
     let (objective, left) = (Millis(600), Millis(12_000));
-    let back = |wait, passed, left| choice::come_back(Millis(wait), objective, passed, left);
+    let back = |wait, passed, left| admission_policy::come_back(Millis(wait), objective, passed, left);
     assert_eq!(back(2_000, Millis::ZERO, left), None);
     assert_eq!(back(2_500, Millis::ZERO, left), Some(Millis(1_250)));
     assert_eq!(back(2_000, Millis(500), left), Some(Millis(1_000)));
@@ -585,7 +585,7 @@
         let upstream = field.least(fresh).unwrap();
         let load = table.load(&upstream.incarnation, ADAPTER, upstream.slots);
         upstream.heard_load(load.running - upstream.running(), field.now);
-        if load.running < choice::calm_limit(upstream.slots) {
+        if load.running < admission_policy::calm_limit(upstream.slots) {
             return upstream;
         }
         asked.push((load.wait, load.running, upstream));
