--- a/lib/src/direct/admission_policy.rs
+++ b/lib/src/direct/admission_policy.rs
@@ -4,7 +4,7 @@
 //! thousands that need a small part of one, sent by hundreds of nodes that see a few requests a
 //! second each. docs/design/0008-admission-by-owners.md weighs the ways.
 
-use super::admission::Load;
+use super::occupancy::Load;
 use crate::clock::Millis;
 
 /// Engines that are asked for a place, before the least busy of them takes the request.
--- a/lib/src/direct/admit.rs
+++ b/lib/src/direct/admit.rs
@@ -10,7 +10,7 @@
 use tokio::sync::oneshot;
 use tonic::{Status, Streaming};
 
-use super::admission::{Load, Part, Place};
+use super::occupancy::{Load, Part, Place};
 use super::ask::Controllers;
 use super::limits::IN_USE;
 use super::upstream::Upstream;
--- a/lib/src/direct/ask/mod.rs
+++ b/lib/src/direct/ask/mod.rs
@@ -13,7 +13,7 @@
 use tokio::sync::oneshot;
 use tonic::transport::{Channel, Endpoint};
 
-use super::admission::Table;
+use super::occupancy::Table;
 use super::dialect::Dialect;
 use super::fanout::Hub;
 use super::limits::exchange_pause;
--- a/lib/src/direct/mod.rs
+++ b/lib/src/direct/mod.rs
@@ -8,7 +8,7 @@
 //!
 //! The platform's names and formats stand behind [`dialect::Dialect`].
 
-pub mod admission;
+pub mod occupancy;
 pub mod admit;
 pub mod ask;
 pub mod attempt;
--- a/lib/src/direct/orders/engine.rs
+++ b/lib/src/direct/orders/engine.rs
@@ -5,7 +5,7 @@
 use http_body_util::{BodyExt, Limited};
 
 use crate::clock::{Clock, Millis};
-use crate::direct::admission::Table;
+use crate::direct::occupancy::Table;
 use crate::direct::config::Engine;
 use crate::direct::dialect::{Dialect, Order, Ordered, Report};
 use crate::direct::question;
--- a/lib/src/direct/place.rs
+++ b/lib/src/direct/place.rs
@@ -6,7 +6,7 @@
 
 use smallvec::SmallVec;
 
-use super::admission::Load;
+use super::occupancy::Load;
 use super::admit::{self, Permit, Question};
 use super::admission_policy::{self, MOST_QUESTIONS};
 use super::selection::Field;
--- a/lib/tests/test_direct_admission.rs
+++ b/lib/tests/test_direct_admission.rs
@@ -6,7 +6,7 @@
 use std::sync::{Arc, LazyLock};
 
 use chivevalve::clock::{Clock, Manual, Millis, Monotonic};
-use chivevalve::direct::admission::{Load, Occupancy, Part, Place, Table};
+use chivevalve::direct::occupancy::{Load, Occupancy, Part, Place, Table};
 use chivevalve::direct::admit::{Answer, Question};
 use chivevalve::direct::ask::Controllers;
 use chivevalve::direct::admission_policy::{self, MOST_QUESTIONS};
