--- a/lib/src/direct/mod.rs
+++ b/lib/src/direct/mod.rs
@@ -29,7 +29,7 @@
 pub mod outage;
 pub mod outbox;
 pub mod selection;
-mod place;
+mod acquire;
 pub mod presence;
 pub mod quarantine;
 pub mod question;
--- a/lib/src/direct/target.rs
+++ b/lib/src/direct/target.rs
@@ -12,7 +12,7 @@
 use super::entry::{CLASS, seconds};
 use super::orders::Loaded;
 use super::selection::{Field, usual_share};
-use super::place::Asked;
+use super::acquire::Asked;
 use super::record::Asking;
 use super::request::{ActiveRequest, LOOK};
 use super::roles::{Manner, Roles, may_move};
