--- a/lib/src/direct/follow/mod.rs
+++ b/lib/src/direct/follow/mod.rs
@@ -14,7 +14,7 @@
 use super::fanout::{Heard, Hub, Source, Update};
 use super::limits::{Current, POLL_WAIT, STORE_PAUSE};
 use super::outage::{Doubt, Outage};
-use super::reachable::{self, Reached};
+use super::hedging::{self, Reached};
 use super::vet::{Refusal, vet};
 use super::view::View;
 use crate::clock::{Clock, Millis};
@@ -153,7 +153,7 @@
             };
         }
         let is_answer = |result: &Result<_, _>| !matches!(result, Err(poll::Error::Failed(_)));
-        let reached = reachable::ask(&*self.clock, question, is_answer).await;
+        let reached = hedging::ask(&*self.clock, question, is_answer).await;
         if let Some(in_vain) = reached.in_vain {
             self.outage.failed(in_vain, self.clock.now());
         }
@@ -288,7 +288,7 @@
     /// Where all nodes start at once, the service takes seconds to send thousands of entries to
     /// each. Taken in only when all had arrived, a node's own former claims ended meanwhile.
     async fn read_all(&mut self) -> Result<u64, Error> {
-        reachable::wait(&*self.clock, &*self.store, &self.dialect.own(NODES)).await?;
+        hedging::wait(&*self.clock, &*self.store, &self.dialect.own(NODES)).await?;
         let began = self.clock.now();
         let mut revision = u64::MAX;
         for prefix in self.dialect.prefixes() {
--- a/lib/src/direct/mod.rs
+++ b/lib/src/direct/mod.rs
@@ -33,7 +33,7 @@
 pub mod presence;
 pub mod quarantine;
 pub mod question;
-mod reachable;
+mod hedging;
 pub mod record;
 pub mod relay;
 pub mod reload;
