--- a/lib/src/direct/acquire.rs
+++ b/lib/src/direct/acquire.rs
@@ -9,7 +9,7 @@
 use super::occupancy::Load;
 use super::admit::{self, Permit, Question};
 use super::admission_policy::{self, MOST_QUESTIONS};
-use super::selection::Field;
+use super::selection::Selector;
 use super::request::ActiveRequest;
 use super::target::{FIRST_HOMES, Target};
 use super::upstream::Upstream;
@@ -41,7 +41,7 @@
     }
 
     /// Finds an engine for a request that uses no adapter.
-    pub(super) async fn with_base(&self, field: &Field<'_>, model: &Name) -> Option<Target> {
+    pub(super) async fn with_base(&self, field: &Selector<'_>, model: &Name) -> Option<Target> {
         let upstream = field.first(self.manner(), |upstream| upstream.has_base(model))?;
         let question = self.question(None, 0);
         let permit = match self.gate.controllers.admit(&upstream, question).await {
@@ -58,7 +58,7 @@
     /// Asks engines that are believed to hold the adapter for a place, the better ones first.
     pub(super) async fn ask_holders(
         &self,
-        field: &Field<'_>,
+        field: &Selector<'_>,
         adapter: &Name,
         wanted: u64,
     ) -> Asked {
@@ -102,7 +102,7 @@
     /// Decides between engines that are all no longer calm.
     async fn settle(
         &self,
-        field: &Field<'_>,
+        field: &Selector<'_>,
         adapter: &Name,
         wanted: u64,
         busy: &[(Arc<Upstream>, Load)],
--- a/lib/src/direct/selection.rs
+++ b/lib/src/direct/selection.rs
@@ -48,7 +48,7 @@
 
 /// Where a request may go.
 #[derive(Debug)]
-pub struct Field<'a> {
+pub struct Selector<'a> {
     /// All upstreams of the pool.
     pub upstreams: &'a [Arc<Upstream>],
     /// Upstreams that this request was sent to before.
@@ -81,7 +81,7 @@
     sum / upstreams.len().max(1) as f64
 }
 
-impl Field<'_> {
+impl Selector<'_> {
     /// Returns the least loaded of the upstreams that fit and take new work.
     ///
     /// One that failed lately, or was tried before, is taken only if no other fits.
--- a/lib/src/direct/target.rs
+++ b/lib/src/direct/target.rs
@@ -11,7 +11,7 @@
 use super::admission_policy::{self, MOST_QUESTIONS};
 use super::entry::{CLASS, seconds};
 use super::orders::Loaded;
-use super::selection::{Field, usual_share};
+use super::selection::{Selector, usual_share};
 use super::acquire::Asked;
 use super::record::Asking;
 use super::request::{ActiveRequest, LOOK};
@@ -140,8 +140,8 @@
         &'a self,
         upstreams: &'a [Arc<Upstream>],
         roles: &'a Roles,
-    ) -> Field<'a> {
-        Field {
+    ) -> Selector<'a> {
+        Selector {
             upstreams,
             tried: &self.tried,
             home: &self.gate.failure_domain,
@@ -164,7 +164,7 @@
     /// # Errors
     ///
     /// A refusal when the request would begin too late wherever it is sent.
-    async fn holder(&self, field: &Field<'_>, adapter: &Name) -> Result<Option<Target>, Failure> {
+    async fn holder(&self, field: &Selector<'_>, adapter: &Name) -> Result<Option<Target>, Failure> {
         let newest = self.gate.view.newest(adapter);
         let wanted = newest.map_or(0, |newest| newest.version);
         let waiting = match self.ask_holders(field, adapter, wanted).await {
@@ -217,7 +217,7 @@
     /// while the newest one is loaded elsewhere in less time than most queues take. A request
     /// that doesn't show when it begins waits for the newest. Where the newest one's engines have
     /// queues, a free place begins a request sooner than they or a further load would.
-    async fn older(&self, field: &Field<'_>, adapter: &Name, newest: u64) -> Option<Target> {
+    async fn older(&self, field: &Selector<'_>, adapter: &Name, newest: u64) -> Option<Target> {
         if !self.message.kind.streamed() {
             return None;
         }
@@ -307,7 +307,7 @@
     }
 
     /// Engines that could load the adapter, those with no older version of it first.
-    fn homes(&self, field: &Field<'_>, adapter: &Name) -> Vec<Arc<Upstream>> {
+    fn homes(&self, field: &Selector<'_>, adapter: &Name) -> Vec<Arc<Upstream>> {
         let mut homes = field.homes(adapter, |upstream| self.can_load(upstream, adapter));
         let reads = self.manner() == Manner::Reads;
         homes.sort_by_key(|upstream| field.reads(upstream) != reads);
@@ -321,7 +321,7 @@
     /// Engines that rejected the request for the load of a newer version, which they go on with.
     fn replacing<'a>(
         &'a self,
-        field: &Field<'a>,
+        field: &Selector<'a>,
         adapter: &'a Name,
     ) -> impl Iterator<Item = Arc<Upstream>> + use<'a> {
         let rejected = |upstream: &&Arc<Upstream>| {
@@ -336,7 +336,7 @@
     ///
     /// All nodes know the same order of engines; chance keeps those that notice the crowd
     /// together from asking the same one, so that replicas double with each load.
-    pub(super) fn spread(&self, field: &Field<'_>, adapter: &Name, wanted: u64, reads: bool) {
+    pub(super) fn spread(&self, field: &Selector<'_>, adapter: &Name, wanted: u64, reads: bool) {
         let holders = field.upstreams.iter();
         let replicas = holders
             .filter(|upstream| upstream.version(adapter).is_some())
@@ -356,7 +356,7 @@
     }
 
     /// Has a reader hold an adapter whose prompts are read at a writer, sooner the more there are.
-    pub(super) fn copy(&self, field: &Field<'_>, adapter: &Name, wanted: u64, found: &Upstream) {
+    pub(super) fn copy(&self, field: &Selector<'_>, adapter: &Name, wanted: u64, found: &Upstream) {
         let chosen = xxh3_64(self.id().as_bytes()).is_multiple_of(COPY_ONE_IN);
         if !field.roles.is_split() || field.reads(found) || !chosen {
             return;
--- a/lib/tests/test_direct_admission.rs
+++ b/lib/tests/test_direct_admission.rs
@@ -12,7 +12,7 @@
 use chivevalve::direct::admission_policy::{self, MOST_QUESTIONS};
 use chivevalve::direct::dialect::Listed;
 use chivevalve::direct::limits::exchange_pause;
-use chivevalve::direct::selection::{Field, usual_share};
+use chivevalve::direct::selection::{Selector, usual_share};
 use chivevalve::direct::right::Right;
 use chivevalve::direct::roles::Roles;
 use chivevalve::direct::serve::serve;
@@ -540,7 +540,7 @@
         while due >= 1.0 {
             due -= 1.0;
             let upstreams = &nodes[rng.random_range(0..NODES)];
-            let field = Field {
+            let field = Selector {
                 upstreams,
                 tried: &[],
                 home: "hall-a",
@@ -573,7 +573,7 @@
 }
 
 /// Asks owners as a request does: the better ones first, then the least busy of them.
-fn ask(field: &Field<'_>, table: &Table) -> Arc<Upstream> {
+fn ask(field: &Selector<'_>, table: &Table) -> Arc<Upstream> {
     let mut asked: Vec<(Millis, u32, Arc<Upstream>)> = Vec::new();
     while asked.len() < MOST_QUESTIONS {
         let fresh = |upstream: &Upstream| {
--- a/lib/tests/test_direct_parts.rs
+++ b/lib/tests/test_direct_parts.rs
@@ -8,7 +8,7 @@
 use chivevalve::direct::budget::Budget;
 use chivevalve::direct::dialect::Held;
 use chivevalve::direct::limits::{Current, Limits, Retries, exchange_pause, in_use};
-use chivevalve::direct::selection::{Field, MOST_HOMES};
+use chivevalve::direct::selection::{Selector, MOST_HOMES};
 use chivevalve::direct::roles::Roles;
 use chivevalve::direct::sse::Splitter;
 use chivevalve::direct::upstream::Upstream;
@@ -39,8 +39,8 @@
 /// Each engine reads and writes.
 static WHOLE: LazyLock<Roles> = LazyLock::new(Roles::default);
 
-fn field<'a>(upstreams: &'a [Arc<Upstream>], tried: &'a [Name], salt: u64) -> Field<'a> {
-    Field {
+fn field<'a>(upstreams: &'a [Arc<Upstream>], tried: &'a [Name], salt: u64) -> Selector<'a> {
+    Selector {
         upstreams,
         tried,
         home: "hall-a",
@@ -272,7 +272,7 @@
     }
     let first_at = |at: Millis, pause: Option<Millis>| {
         let chosen = |salt: &u64| {
-            let field = Field {
+            let field = Selector {
                 now: at,
                 pause,
                 ..field(&upstreams, &[], *salt)
--- a/lib/tests/test_direct_roles.rs
+++ b/lib/tests/test_direct_roles.rs
@@ -7,7 +7,7 @@
 
 use chivevalve::clock::Millis;
 use chivevalve::direct::dialect::{Held, Listed};
-use chivevalve::direct::selection::Field;
+use chivevalve::direct::selection::Selector;
 use chivevalve::direct::roles::{Manner, Mix, Roles, may_move};
 use chivevalve::direct::upstream::Upstream;
 use chivevalve::name::Name;
@@ -162,7 +162,7 @@
 fn first_by_manner_and_holders() {
     let engines: Vec<Arc<Upstream>> = (1..=2).map(engine).collect();
     let roles = Roles::split(engines.iter().map(|engine| engine.address), 1);
-    let field = Field {
+    let field = Selector {
         upstreams: &engines,
         tried: &[],
         home: "hall-a",
@@ -213,7 +213,7 @@
         let tried = [Name::clone(&engines[3].incarnation)];
         let held: Vec<bool> = engines.iter().map(|_| random.random_bool(0.2)).collect();
         let fits = |engine: &Upstream| held[usize::from(engine.address.port()) - 1];
-        let field = Field {
+        let field = Selector {
             upstreams: &engines,
             tried: &tried,
             home: "hall-a",
