--- a/lib/src/direct/selection.rs
+++ b/lib/src/direct/selection.rs
@@ -73,7 +73,7 @@
 /// Returns what part of their places other nodes use at the mean of some upstreams.
 #[must_use]
 #[allow(clippy::cast_precision_loss, reason = "some hundred upstreams")]
-pub fn usual_share(upstreams: &[Arc<Upstream>]) -> f64 {
+pub fn mean_remote_utilization(upstreams: &[Arc<Upstream>]) -> f64 {
     let sum: f64 = upstreams
         .iter()
         .map(|upstream| upstream.elsewhere_share())
--- a/lib/src/direct/target.rs
+++ b/lib/src/direct/target.rs
@@ -11,7 +11,7 @@
 use super::admission_policy::{self, MOST_QUESTIONS};
 use super::entry::{CLASS, seconds};
 use super::orders::Loaded;
-use super::selection::{Selector, usual_share};
+use super::selection::{Selector, mean_remote_utilization};
 use super::acquire::Asked;
 use super::record::Asking;
 use super::request::{ActiveRequest, LOOK};
@@ -155,7 +155,7 @@
                 .call
                 .model
                 .is_some()
-                .then(|| usual_share(upstreams)),
+                .then(|| mean_remote_utilization(upstreams)),
         }
     }
 
--- a/lib/tests/test_direct_admission.rs
+++ b/lib/tests/test_direct_admission.rs
@@ -12,7 +12,7 @@
 use chivevalve::direct::admission_policy::{self, MOST_QUESTIONS};
 use chivevalve::direct::dialect::Listed;
 use chivevalve::direct::limits::exchange_pause;
-use chivevalve::direct::selection::{Selector, usual_share};
+use chivevalve::direct::selection::{Selector, mean_remote_utilization};
 use chivevalve::direct::right::Right;
 use chivevalve::direct::roles::Roles;
 use chivevalve::direct::serve::serve;
@@ -549,7 +549,7 @@
                 pause: None,
                 roles: &WHOLE,
                 id: rng.random(),
-                usual: asks.then(|| usual_share(upstreams)),
+                usual: asks.then(|| mean_remote_utilization(upstreams)),
             };
             let chosen = if asks {
                 ask(&field, &table)
