--- a/lib/src/direct/selection.rs
+++ b/lib/src/direct/selection.rs
@@ -44,7 +44,7 @@
 
 /// Upstreams of an adapter's order that are looked at for one load: five times as many as are
 /// asked.
-pub const MOST_HOMES: usize = 64;
+pub const MAX_PLACEMENT_CANDIDATES: usize = 64;
 
 /// Where a request may go.
 #[derive(Debug)]
@@ -144,7 +144,7 @@
     /// Returns upstreams that take new work and fit in an adapter's order of placement, those that
     /// may have left last.
     ///
-    /// Of many the first [`MOST_HOMES`] are returned: a request asks some dozen at most, and
+    /// Of many the first [`MAX_PLACEMENT_CANDIDATES`] are returned: a request asks some dozen at most, and
     /// looking at thousands for each load cost a small VM milliseconds.
     #[must_use]
     pub fn homes(&self, adapter: &str, fits: impl Fn(&Upstream) -> bool) -> Vec<Arc<Upstream>> {
@@ -162,7 +162,7 @@
             .into_iter()
             .map(|(_, _, upstream)| upstream)
             .filter(|upstream| fits(upstream))
-            .take(MOST_HOMES)
+            .take(MAX_PLACEMENT_CANDIDATES)
             .cloned()
             .collect()
     }
--- a/lib/tests/test_direct_parts.rs
+++ b/lib/tests/test_direct_parts.rs
@@ -8,7 +8,7 @@
 use chivevalve::direct::budget::Budget;
 use chivevalve::direct::dialect::Held;
 use chivevalve::direct::limits::{Current, Limits, Retries, exchange_pause, in_use};
-use chivevalve::direct::selection::{Selector, MOST_HOMES};
+use chivevalve::direct::selection::{Selector, MAX_PLACEMENT_CANDIDATES};
 use chivevalve::direct::roles::Roles;
 use chivevalve::direct::sse::Splitter;
 use chivevalve::direct::upstream::Upstream;
@@ -323,10 +323,10 @@
         })
         .collect();
     let all = field(&upstreams, &[], 0).homes("base/a1", |_| true);
-    assert_eq!(all.len(), MOST_HOMES);
+    assert_eq!(all.len(), MAX_PLACEMENT_CANDIDATES);
     let first = Arc::clone(&all[0]);
     let others = field(&upstreams, &[], 0).homes("base/a1", |one| one.address != first.address);
-    assert_eq!(others.len(), MOST_HOMES);
+    assert_eq!(others.len(), MAX_PLACEMENT_CANDIDATES);
     let places = |homes: &[Arc<Upstream>]| homes.iter().map(|one| one.address).collect::<Vec<_>>();
-    assert_eq!(places(&all[1..]), places(&others[..MOST_HOMES - 1]));
+    assert_eq!(places(&all[1..]), places(&others[..MAX_PLACEMENT_CANDIDATES - 1]));
 }
