--- a/lib/src/direct/acquire.rs
+++ b/lib/src/direct/acquire.rs
@@ -8,7 +8,7 @@
 
 use super::occupancy::Load;
 use super::admit::{self, Permit, Question};
-use super::admission_policy::{self, MOST_QUESTIONS};
+use super::admission_policy::{self, MAX_ADMISSION_QUERIES};
 use super::selection::Selector;
 use super::request::ActiveRequest;
 use super::target::{FIRST_HOMES, Target};
@@ -63,8 +63,8 @@
         wanted: u64,
     ) -> Asked {
         let turned_away = self.rejected > 0;
-        let mut busy: SmallVec<[(Arc<Upstream>, Load); MOST_QUESTIONS]> = SmallVec::new();
-        while busy.len() < MOST_QUESTIONS {
+        let mut busy: SmallVec<[(Arc<Upstream>, Load); MAX_ADMISSION_QUERIES]> = SmallVec::new();
+        while busy.len() < MAX_ADMISSION_QUERIES {
             let holds = |upstream: &Upstream| {
                 let asked =
                     |(one, _): &(Arc<Upstream>, Load)| one.incarnation == upstream.incarnation;
--- a/lib/src/direct/admission_policy.rs
+++ b/lib/src/direct/admission_policy.rs
@@ -11,7 +11,7 @@
 ///
 /// A question takes three to six milliseconds. The second choice avoids most queues; a third
 /// one helps adapters with many replicas in a burst.
-pub const MOST_QUESTIONS: usize = 3;
+pub const MAX_ADMISSION_QUERIES: usize = 3;
 
 /// Part of an engine's places up to which it takes a request without a look at others.
 ///
--- a/lib/src/direct/target.rs
+++ b/lib/src/direct/target.rs
@@ -8,7 +8,7 @@
 use super::admit::{self, Permit, Question};
 use super::attempt::Answer;
 use super::call::Call;
-use super::admission_policy::{self, MOST_QUESTIONS};
+use super::admission_policy::{self, MAX_ADMISSION_QUERIES};
 use super::entry::{CLASS, seconds};
 use super::orders::Loaded;
 use super::selection::{Selector, mean_remote_utilization};
@@ -221,8 +221,8 @@
         if !self.message.kind.streamed() {
             return None;
         }
-        let mut asked: SmallVec<[Name; MOST_QUESTIONS]> = SmallVec::new();
-        while asked.len() < MOST_QUESTIONS {
+        let mut asked: SmallVec<[Name; MAX_ADMISSION_QUERIES]> = SmallVec::new();
+        while asked.len() < MAX_ADMISSION_QUERIES {
             let fits = |upstream: &Upstream| {
                 upstream.version(adapter).is_some_and(|held| held < newest)
                     && !asked.contains(&upstream.incarnation)
--- a/lib/tests/test_direct_admission.rs
+++ b/lib/tests/test_direct_admission.rs
@@ -9,7 +9,7 @@
 use chivevalve::direct::occupancy::{Load, Occupancy, Part, Place, Table};
 use chivevalve::direct::admit::{Answer, Question};
 use chivevalve::direct::ask::Controllers;
-use chivevalve::direct::admission_policy::{self, MOST_QUESTIONS};
+use chivevalve::direct::admission_policy::{self, MAX_ADMISSION_QUERIES};
 use chivevalve::direct::dialect::Listed;
 use chivevalve::direct::limits::exchange_pause;
 use chivevalve::direct::selection::{Selector, mean_remote_utilization};
@@ -575,7 +575,7 @@
 /// Asks owners as a request does: the better ones first, then the least busy of them.
 fn ask(field: &Selector<'_>, table: &Table) -> Arc<Upstream> {
     let mut asked: Vec<(Millis, u32, Arc<Upstream>)> = Vec::new();
-    while asked.len() < MOST_QUESTIONS {
+    while asked.len() < MAX_ADMISSION_QUERIES {
         let fresh = |upstream: &Upstream| {
             let same = |(_, _, one): &(Millis, u32, Arc<Upstream>)| {
                 one.incarnation == upstream.incarnation
