--- a/lib/src/direct/admit.rs
+++ b/lib/src/direct/admit.rs
@@ -10,7 +10,7 @@
 use tokio::sync::oneshot;
 use tonic::{Status, Streaming};
 
-use super::occupancy::{Load, Part, Place};
+use super::occupancy::{Load, CountedRequest, Place};
 use super::ask::Controllers;
 use super::limits::IN_USE;
 use super::upstream::Upstream;
@@ -142,7 +142,7 @@
         if question.adapter.is_some() {
             self.note_uses(engine, vec![Name::clone(adapter)], IN_USE);
         }
-        let part = Part {
+        let part = CountedRequest {
             adapter: Name::clone(adapter),
             tokens: question.tokens,
         };
--- a/lib/src/direct/occupancy.rs
+++ b/lib/src/direct/occupancy.rs
@@ -31,7 +31,7 @@
 
 /// A request's part in an engine's count.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Part {
+pub struct CountedRequest {
     /// The adapter that it uses; empty for none.
     pub adapter: Name,
     /// Tokens of its prompt.
@@ -66,7 +66,7 @@
 
 impl Occupancy {
     /// Counts a request in, and returns the tokens to be read until its prompt is.
-    pub fn enter(&mut self, part: &Part) -> u64 {
+    pub fn enter(&mut self, part: &CountedRequest) -> u64 {
         self.running += 1;
         let adapter = Name::clone(&part.adapter);
         *self.by_adapter.entry(adapter).or_default() += 1;
@@ -80,7 +80,7 @@
         clippy::cast_precision_loss,
         reason = "some seconds and thousands of tokens"
     )]
-    pub fn read(&mut self, part: &Part, ahead: u64, took: Millis) {
+    pub fn read(&mut self, part: &CountedRequest, ahead: u64, took: Millis) {
         self.unread = self.unread.saturating_sub(u64::from(part.tokens));
         if ahead > 0 && part.tokens > 0 {
             let sample = took.0 as f64 / ahead as f64;
@@ -90,7 +90,7 @@
 
     /// Counts a request out that stayed for `stay`.
     #[allow(clippy::cast_precision_loss, reason = "some seconds")]
-    pub fn leave(&mut self, part: &Part, stay: Millis) {
+    pub fn leave(&mut self, part: &CountedRequest, stay: Millis) {
         self.running = self.running.saturating_sub(1);
         if let Some(count) = self.by_adapter.get_mut(&part.adapter) {
             *count -= 1;
@@ -102,7 +102,7 @@
     }
 
     /// Takes in that a request leaves whose prompt was never read.
-    pub fn forget_unread(&mut self, part: &Part) {
+    pub fn forget_unread(&mut self, part: &CountedRequest) {
         self.unread = self.unread.saturating_sub(u64::from(part.tokens));
     }
 
@@ -160,7 +160,7 @@
 pub struct Place {
     table: Arc<Table>,
     engine: Name,
-    part: Part,
+    part: CountedRequest,
     since: Millis,
     /// Tokens to be read until its prompt is; none once that is done.
     ahead: Option<u64>,
@@ -235,7 +235,7 @@
 
     /// Counts a request in.
     #[must_use]
-    pub fn enter(self: &Arc<Self>, engine: &Name, part: Part) -> Place {
+    pub fn enter(self: &Arc<Self>, engine: &Name, part: CountedRequest) -> Place {
         let ahead = self
             .engines()
             .entry(Name::clone(engine))
--- a/lib/tests/test_direct_admission.rs
+++ b/lib/tests/test_direct_admission.rs
@@ -6,7 +6,7 @@
 use std::sync::{Arc, LazyLock};
 
 use chivevalve::clock::{Clock, Manual, Millis, Monotonic};
-use chivevalve::direct::occupancy::{Load, Occupancy, Part, Place, Table};
+use chivevalve::direct::occupancy::{Load, Occupancy, CountedRequest, Place, Table};
 use chivevalve::direct::admit::{Answer, Question};
 use chivevalve::direct::ask::Controllers;
 use chivevalve::direct::admission_policy::{self, MAX_ADMISSION_QUERIES};
@@ -40,8 +40,8 @@
     }
 }
 
-fn part(adapter: &Name, tokens: u32) -> Part {
-    Part {
+fn part(adapter: &Name, tokens: u32) -> CountedRequest {
+    CountedRequest {
         adapter: Name::clone(adapter),
         tokens,
     }
