--- a/lib/src/direct/acquire.rs
+++ b/lib/src/direct/acquire.rs
@@ -6,7 +6,7 @@
 
 use smallvec::SmallVec;
 
-use super::occupancy::Load;
+use super::occupancy::EngineLoad;
 use super::admit::{self, Permit, Question};
 use super::admission_policy::{self, MAX_ADMISSION_QUERIES};
 use super::selection::Selector;
@@ -63,11 +63,11 @@
         wanted: u64,
     ) -> Asked {
         let turned_away = self.rejected > 0;
-        let mut busy: SmallVec<[(Arc<Upstream>, Load); MAX_ADMISSION_QUERIES]> = SmallVec::new();
+        let mut busy: SmallVec<[(Arc<Upstream>, EngineLoad); MAX_ADMISSION_QUERIES]> = SmallVec::new();
         while busy.len() < MAX_ADMISSION_QUERIES {
             let holds = |upstream: &Upstream| {
                 let asked =
-                    |(one, _): &(Arc<Upstream>, Load)| one.incarnation == upstream.incarnation;
+                    |(one, _): &(Arc<Upstream>, EngineLoad)| one.incarnation == upstream.incarnation;
                 upstream.version(adapter).is_some_and(|held| held >= wanted)
                     && !busy.iter().any(asked)
             };
@@ -105,7 +105,7 @@
         field: &Selector<'_>,
         adapter: &Name,
         wanted: u64,
-        busy: &[(Arc<Upstream>, Load)],
+        busy: &[(Arc<Upstream>, EngineLoad)],
     ) -> Asked {
         let least = busy
             .iter()
@@ -214,7 +214,7 @@
             self.gate.controllers.admit(upstream, question)
         });
         let answers = futures::future::join_all(asking).await;
-        let loads: Vec<Option<Load>> = answers.iter().map(admit::Answer::load).collect();
+        let loads: Vec<Option<EngineLoad>> = answers.iter().map(admit::Answer::load).collect();
         let objective = self.route.objective;
         if only_calm {
             let calm = homes.iter().zip(&loads).filter(|(upstream, load)| {
--- a/lib/src/direct/admission_policy.rs
+++ b/lib/src/direct/admission_policy.rs
@@ -4,7 +4,7 @@
 //! thousands that need a small part of one, sent by hundreds of nodes that see a few requests a
 //! second each. docs/design/0008-admission-by-owners.md weighs the ways.
 
-use super::occupancy::Load;
+use super::occupancy::EngineLoad;
 use crate::clock::Millis;
 
 /// Engines that are asked for a place, before the least busy of them takes the request.
@@ -65,7 +65,7 @@
 
 /// Whether another engine should hold the adapter too, seen from one that is no longer calm.
 #[must_use]
-pub fn is_crowded(load: Load, slots: u32, reads: bool) -> bool {
+pub fn is_crowded(load: EngineLoad, slots: u32, reads: bool) -> bool {
     let part = if reads { READER_SPREAD_AT } else { SPREAD_AT };
     f64::from(load.alike) > part * f64::from(slots)
 }
@@ -76,13 +76,13 @@
 /// that comes back meets the replica that its engine kept: with homes that changed for less,
 /// engines brought a quarter more adapters from the weight store.
 #[must_use]
-pub fn is_better_home(first: Load, second: Load, objective: Millis) -> bool {
+pub fn is_better_home(first: EngineLoad, second: EngineLoad, objective: Millis) -> bool {
     first.wait.0 > objective.0 / 2 && second.wait.0 < first.wait.0 / 2
 }
 
 /// Whether an engine would begin a request without much of a wait.
 #[must_use]
-pub fn is_calm(load: Load, slots: u32, objective: Millis) -> bool {
+pub fn is_calm(load: EngineLoad, slots: u32, objective: Millis) -> bool {
     load.running < calm_limit(slots) && load.wait <= calm_wait(objective)
 }
 
--- a/lib/src/direct/admit.rs
+++ b/lib/src/direct/admit.rs
@@ -10,7 +10,7 @@
 use tokio::sync::oneshot;
 use tonic::{Status, Streaming};
 
-use super::occupancy::{Load, CountedRequest, Place};
+use super::occupancy::{EngineLoad, CountedRequest, Place};
 use super::ask::Controllers;
 use super::limits::IN_USE;
 use super::upstream::Upstream;
@@ -54,11 +54,11 @@
 #[derive(Debug)]
 pub enum Answer {
     /// The request counts while the permit lives.
-    Admitted(Permit, Load),
+    Admitted(Permit, EngineLoad),
     /// As many requests as the limit says are there.
-    Busy(Load),
+    Busy(EngineLoad),
     /// The engine doesn't hold the adapter.
-    Absent(Load),
+    Absent(EngineLoad),
     /// Nobody counts there, or the owner didn't answer.
     Unknown,
 }
@@ -77,7 +77,7 @@
 
     /// Returns how much the engine has to do, if the owner said so.
     #[must_use]
-    pub fn load(&self) -> Option<Load> {
+    pub fn load(&self) -> Option<EngineLoad> {
         match self {
             Self::Admitted(_, load) | Self::Busy(load) | Self::Absent(load) => Some(*load),
             Self::Unknown => None,
@@ -199,7 +199,7 @@
 }
 
 fn read(replies: Streaming<AdmitReply>, reply: &AdmitReply, unread: oneshot::Sender<()>) -> Answer {
-    let load = Load {
+    let load = EngineLoad {
         running: reply.running,
         alike: reply.alike,
         wait: Millis(reply.wait_ms),
--- a/lib/src/direct/occupancy.rs
+++ b/lib/src/direct/occupancy.rs
@@ -139,7 +139,7 @@
 
 /// What a node that wants to send a request learns of an engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Load {
+pub struct EngineLoad {
     /// Requests there, without the one that asks.
     pub running: u32,
     /// Those of the same adapter.
@@ -203,16 +203,16 @@
 
     /// Returns how much an engine has to do for one more request.
     #[must_use]
-    pub fn load(&self, engine: &Name, adapter: &str, slots: u32) -> Load {
+    pub fn load(&self, engine: &Name, adapter: &str, slots: u32) -> EngineLoad {
         let engines = self.engines();
         let Some(occupancy) = engines.get(engine) else {
-            return Load {
+            return EngineLoad {
                 running: 0,
                 alike: 0,
                 wait: Millis::ZERO,
             };
         };
-        Load {
+        EngineLoad {
             running: occupancy.running(),
             alike: occupancy.running_of(adapter),
             wait: occupancy.wait(slots),
--- a/lib/tests/test_direct_admission.rs
+++ b/lib/tests/test_direct_admission.rs
@@ -6,7 +6,7 @@
 use std::sync::{Arc, LazyLock};
 
 use chivevalve::clock::{Clock, Manual, Millis, Monotonic};
-use chivevalve::direct::occupancy::{Load, Occupancy, CountedRequest, Place, Table};
+use chivevalve::direct::occupancy::{EngineLoad, Occupancy, CountedRequest, Place, Table};
 use chivevalve::direct::admit::{Answer, Question};
 use chivevalve::direct::ask::Controllers;
 use chivevalve::direct::admission_policy::{self, MAX_ADMISSION_QUERIES};
@@ -129,7 +129,7 @@
 
 #[test]
 fn is_crowded_by_one_adapter_only() {
-    let load = |alike| Load {
+    let load = |alike| EngineLoad {
         running: 8,
         alike,
         wait: Millis::ZERO,
@@ -142,7 +142,7 @@
 /// An adapter's first engine is left only where it makes the caller wait noticeably longer.
 #[test]
 fn is_better_home_only_where_the_first_is_late() {
-    let load = |wait| Load {
+    let load = |wait| EngineLoad {
         running: 9,
         alike: 0,
         wait: Millis(wait),
@@ -156,7 +156,7 @@
 #[test]
 fn is_calm_with_places_and_no_wait() {
     let calm = |running, wait| {
-        let load = Load {
+        let load = EngineLoad {
             running,
             alike: 0,
             wait: Millis(wait),
