--- a/lib/src/direct/admit.rs
+++ b/lib/src/direct/admit.rs
@@ -10,7 +10,7 @@
 use tokio::sync::oneshot;
 use tonic::{Status, Streaming};
 
-use super::occupancy::{EngineLoad, CountedRequest, Place};
+use super::occupancy::{EngineLoad, CountedRequest, OccupancyGuard};
 use super::ask::Controllers;
 use super::limits::IN_USE;
 use super::upstream::Upstream;
@@ -31,7 +31,7 @@
 /// Where the request is counted.
 #[derive(Debug)]
 enum Counted {
-    Here(Place),
+    Here(OccupancyGuard),
     /// Dropping the call tells the owner, at the latest when the connection is lost.
     There {
         /// Dropped to end this node's side of the call.
--- a/lib/src/direct/occupancy.rs
+++ b/lib/src/direct/occupancy.rs
@@ -157,7 +157,7 @@
 
 /// A request's place in the count, until it is dropped.
 #[derive(Debug)]
-pub struct Place {
+pub struct OccupancyGuard {
     table: Arc<Table>,
     engine: Name,
     part: CountedRequest,
@@ -166,7 +166,7 @@
     ahead: Option<u64>,
 }
 
-impl Place {
+impl OccupancyGuard {
     /// Takes in that the engine has read the request's prompt.
     pub fn read(&mut self) {
         let Some(ahead) = self.ahead.take() else {
@@ -179,7 +179,7 @@
     }
 }
 
-impl Drop for Place {
+impl Drop for OccupancyGuard {
     fn drop(&mut self) {
         let stay = self.table.clock.now().since(self.since);
         if let Some(occupancy) = self.table.engines().get_mut(&self.engine) {
@@ -235,13 +235,13 @@
 
     /// Counts a request in.
     #[must_use]
-    pub fn enter(self: &Arc<Self>, engine: &Name, part: CountedRequest) -> Place {
+    pub fn enter(self: &Arc<Self>, engine: &Name, part: CountedRequest) -> OccupancyGuard {
         let ahead = self
             .engines()
             .entry(Name::clone(engine))
             .or_default()
             .enter(&part);
-        Place {
+        OccupancyGuard {
             table: Arc::clone(self),
             engine: Name::clone(engine),
             part,
--- a/lib/tests/test_direct_admission.rs
+++ b/lib/tests/test_direct_admission.rs
@@ -6,7 +6,7 @@
 use std::sync::{Arc, LazyLock};
 
 use chivevalve::clock::{Clock, Manual, Millis, Monotonic};
-use chivevalve::direct::occupancy::{EngineLoad, Occupancy, CountedRequest, Place, Table};
+use chivevalve::direct::occupancy::{EngineLoad, Occupancy, CountedRequest, OccupancyGuard, Table};
 use chivevalve::direct::admit::{Answer, Question};
 use chivevalve::direct::ask::Controllers;
 use chivevalve::direct::admission_policy::{self, MAX_ADMISSION_QUERIES};
@@ -492,7 +492,7 @@
     came: Millis,
     ends: Millis,
     /// Counts it at its node and at the engine's owner until it ends.
-    _counted: (Running, Place),
+    _counted: (Running, OccupancyGuard),
 }
 
 /// Plays the load and returns the share of requests that began later than the objective.
