--- a/lib/src/direct/ask/mod.rs
+++ b/lib/src/direct/ask/mod.rs
@@ -13,7 +13,7 @@
 use tokio::sync::oneshot;
 use tonic::transport::{Channel, Endpoint};
 
-use super::occupancy::Table;
+use super::occupancy::OccupancyTable;
 use super::dialect::Dialect;
 use super::fanout::Hub;
 use super::limits::exchange_pause;
@@ -77,7 +77,7 @@
     /// Nodes that gave no answer the last time.
     silent: Mutex<HashMap<SocketAddr, Silence>>,
     /// Requests of all nodes at the engines that this node orders.
-    pub(super) table: Arc<Table>,
+    pub(super) table: Arc<OccupancyTable>,
     /// Changes of the key-value service, for nodes of this failure domain.
     pub hub: Arc<Hub>,
     /// Loads that this node waits for, by the owner that was asked.
@@ -125,7 +125,7 @@
             view,
             right,
             dialect,
-            table: Arc::new(Table::new(Arc::clone(&clock))),
+            table: Arc::new(OccupancyTable::new(Arc::clone(&clock))),
             hub: Arc::new(Hub::new(Arc::clone(&clock), Arc::clone(&metrics))),
             clock,
             node,
--- a/lib/src/direct/occupancy.rs
+++ b/lib/src/direct/occupancy.rs
@@ -150,7 +150,7 @@
 
 /// The engines that this node counts requests for.
 #[derive(Debug)]
-pub struct Table {
+pub struct OccupancyTable {
     clock: Arc<dyn Clock>,
     engines: Mutex<HashMap<Name, Occupancy>>,
 }
@@ -158,7 +158,7 @@
 /// A request's place in the count, until it is dropped.
 #[derive(Debug)]
 pub struct OccupancyGuard {
-    table: Arc<Table>,
+    table: Arc<OccupancyTable>,
     engine: Name,
     part: CountedRequest,
     since: Millis,
@@ -191,7 +191,7 @@
     }
 }
 
-impl Table {
+impl OccupancyTable {
     /// Makes a table in which nothing is counted.
     #[must_use]
     pub fn new(clock: Arc<dyn Clock>) -> Self {
--- a/lib/src/direct/orders/engine.rs
+++ b/lib/src/direct/orders/engine.rs
@@ -5,7 +5,7 @@
 use http_body_util::{BodyExt, Limited};
 
 use crate::clock::{Clock, Millis};
-use crate::direct::occupancy::Table;
+use crate::direct::occupancy::OccupancyTable;
 use crate::direct::config::Engine;
 use crate::direct::dialect::{Dialect, Order, Ordered, Report};
 use crate::direct::question;
@@ -48,7 +48,7 @@
     /// The node's metrics.
     pub metrics: Arc<Metrics>,
     /// Requests of all nodes at this node's engines.
-    pub table: Arc<Table>,
+    pub table: Arc<OccupancyTable>,
 }
 
 impl Parts {
--- a/lib/tests/test_direct_admission.rs
+++ b/lib/tests/test_direct_admission.rs
@@ -6,7 +6,7 @@
 use std::sync::{Arc, LazyLock};
 
 use chivevalve::clock::{Clock, Manual, Millis, Monotonic};
-use chivevalve::direct::occupancy::{EngineLoad, Occupancy, CountedRequest, OccupancyGuard, Table};
+use chivevalve::direct::occupancy::{EngineLoad, Occupancy, CountedRequest, OccupancyGuard, OccupancyTable};
 use chivevalve::direct::admit::{Answer, Question};
 use chivevalve::direct::ask::Controllers;
 use chivevalve::direct::admission_policy::{self, MAX_ADMISSION_QUERIES};
@@ -105,7 +105,7 @@
 #[test]
 fn place_dropped_is_free() {
     let clock: Arc<dyn Clock> = Arc::new(Manual::default());
-    let table = Arc::new(Table::new(clock));
+    let table = Arc::new(OccupancyTable::new(clock));
     let (engine, adapter) = (Name::from("i-1"), Name::from(ADAPTER));
     let place = table.enter(&engine, part(&adapter, 0));
     assert!(table.uses("i-1", ADAPTER));
@@ -119,7 +119,7 @@
 #[test]
 fn place_outlives_its_engine() {
     let clock: Arc<dyn Clock> = Arc::new(Manual::default());
-    let table = Arc::new(Table::new(clock));
+    let table = Arc::new(OccupancyTable::new(clock));
     let place = table.enter(&"i-1".into(), part(&ADAPTER.into(), 0));
     table.retain(|_| false);
     assert_eq!(table.running("i-1"), 0);
@@ -500,7 +500,7 @@
 fn late_share(asks: bool) -> f64 {
     let clock = Arc::new(Manual::default());
     let shared: Arc<dyn Clock> = Arc::<Manual>::clone(&clock);
-    let table = Arc::new(Table::new(shared));
+    let table = Arc::new(OccupancyTable::new(shared));
     let adapter = Name::from(ADAPTER);
     let nodes: Vec<Vec<Arc<Upstream>>> = (0..NODES)
         .map(|_| {
@@ -573,7 +573,7 @@
 }
 
 /// Asks owners as a request does: the better ones first, then the least busy of them.
-fn ask(field: &Selector<'_>, table: &Table) -> Arc<Upstream> {
+fn ask(field: &Selector<'_>, table: &OccupancyTable) -> Arc<Upstream> {
     let mut asked: Vec<(Millis, u32, Arc<Upstream>)> = Vec::new();
     while asked.len() < MAX_ADMISSION_QUERIES {
         let fresh = |upstream: &Upstream| {
