--- a/lib/src/direct/acquire.rs
+++ b/lib/src/direct/acquire.rs
@@ -7,7 +7,7 @@
 use smallvec::SmallVec;
 
 use super::occupancy::EngineLoad;
-use super::admit::{self, Permit, Question};
+use super::admit::{self, Permit, AdmitQuery};
 use super::admission_policy::{self, MAX_ADMISSION_QUERIES};
 use super::selection::Selector;
 use super::request::ActiveRequest;
@@ -29,8 +29,8 @@
 
 impl ActiveRequest {
     /// Asks for a place at any load.
-    pub(super) fn question<'a>(&self, adapter: Option<&'a Name>, version: u64) -> Question<'a> {
-        Question {
+    pub(super) fn question<'a>(&self, adapter: Option<&'a Name>, version: u64) -> AdmitQuery<'a> {
+        AdmitQuery {
             adapter,
             version,
             limit: 0,
@@ -81,7 +81,7 @@
                 break;
             }
             self.copy(field, adapter, wanted, &upstream);
-            let question = Question {
+            let question = AdmitQuery {
                 limit: admission_policy::calm_limit(upstream.slots),
                 ..self.question(Some(adapter), wanted)
             };
@@ -140,7 +140,7 @@
         &self,
         upstream: Arc<Upstream>,
         adapter: &Name,
-        question: Question<'_>,
+        question: AdmitQuery<'_>,
     ) -> Option<Target> {
         match self.gate.controllers.admit(&upstream, question).await {
             admit::Answer::Admitted(permit, _) => {
@@ -206,7 +206,7 @@
     ) -> Vec<Arc<Upstream>> {
         let first = &homes[..FIRST_HOMES.min(homes.len())];
         let asking = first.iter().map(|upstream| {
-            let question = Question {
+            let question = AdmitQuery {
                 limit: 1,
                 patience: Millis::ZERO,
                 ..self.question(Some(adapter), wanted)
--- a/lib/src/direct/admit.rs
+++ b/lib/src/direct/admit.rs
@@ -87,7 +87,7 @@
 
 /// What is asked of an owner.
 #[derive(Debug, Clone, Copy)]
-pub struct Question<'a> {
+pub struct AdmitQuery<'a> {
     /// The adapter that the request uses, if any.
     pub adapter: Option<&'a Name>,
     /// The least version that will do; 0 is any.
@@ -104,7 +104,7 @@
 
 impl Controllers {
     /// Has a request counted in at an engine by whoever gives it orders.
-    pub async fn admit(&self, upstream: &Arc<Upstream>, question: Question<'_>) -> Answer {
+    pub async fn admit(&self, upstream: &Arc<Upstream>, question: AdmitQuery<'_>) -> Answer {
         let answer = if self.right.owns(upstream.address) {
             self.admit_here(upstream, question)
         } else {
@@ -120,7 +120,7 @@
     }
 
     /// Answers for an engine that this node orders.
-    pub(super) fn admit_here(&self, upstream: &Arc<Upstream>, question: Question<'_>) -> Answer {
+    pub(super) fn admit_here(&self, upstream: &Arc<Upstream>, question: AdmitQuery<'_>) -> Answer {
         // Counting needs no right to give orders: an owner that has lost the key-value service
         // still knows best what runs at its engines.
         if !self.right.owns(upstream.address) {
@@ -150,7 +150,7 @@
         Answer::Admitted(Permit(Counted::Here(place)), load)
     }
 
-    async fn admit_there(&self, upstream: &Arc<Upstream>, question: Question<'_>) -> Answer {
+    async fn admit_there(&self, upstream: &Arc<Upstream>, question: AdmitQuery<'_>) -> Answer {
         let Some((node, peer)) = self.view.owner(upstream.address) else {
             return Answer::Unknown;
         };
--- a/lib/src/direct/request/send.rs
+++ b/lib/src/direct/request/send.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use super::ActiveRequest;
-use crate::direct::admit::{self, Permit, Question};
+use crate::direct::admit::{self, Permit, AdmitQuery};
 use crate::direct::attempt::{Answer, Miss};
 use crate::direct::dialect::{Dispatch, Memory};
 use crate::direct::record;
@@ -74,7 +74,7 @@
 
     /// Has a run that was moved counted in where it goes on.
     async fn permit(&self, place: &Target) -> Option<Permit> {
-        let question = Question {
+        let question = AdmitQuery {
             loaded: true,
             // Its prompt isn't read again.
             tokens: 0,
--- a/lib/src/direct/serve.rs
+++ b/lib/src/direct/serve.rs
@@ -10,7 +10,7 @@
 use tonic::transport::Server;
 use tonic::{Request, Response, Status, Streaming};
 
-use super::admit::{Answer, Question, Replies};
+use super::admit::{Answer, AdmitQuery, Replies};
 use super::ask::Controllers;
 use super::limits::in_use;
 use super::orders::Loaded;
@@ -68,7 +68,7 @@
             return Err(Status::invalid_argument("there is no question"));
         };
         let adapter = (!request.adapter.is_empty()).then(|| Name::from(request.adapter));
-        let question = Question {
+        let question = AdmitQuery {
             adapter: adapter.as_ref(),
             version: request.version,
             limit: request.limit,
--- a/lib/src/direct/target.rs
+++ b/lib/src/direct/target.rs
@@ -5,7 +5,7 @@
 use smallvec::SmallVec;
 use xxhash_rust::xxh3::xxh3_64;
 
-use super::admit::{self, Permit, Question};
+use super::admit::{self, Permit, AdmitQuery};
 use super::attempt::Answer;
 use super::call::Call;
 use super::admission_policy::{self, MAX_ADMISSION_QUERIES};
@@ -189,7 +189,7 @@
             .await;
         homes.extend(self.replacing(field, adapter));
         if let Some(upstream) = self.loaded(homes, adapter, wanted).await {
-            let question = Question {
+            let question = AdmitQuery {
                 loaded: true,
                 ..self.question(Some(adapter), wanted)
             };
@@ -231,7 +231,7 @@
             };
             let upstream = field.first(self.manner(), fits)?;
             asked.push(Name::clone(&upstream.incarnation));
-            let question = Question {
+            let question = AdmitQuery {
                 limit: upstream.slots,
                 patience: admission_policy::calm_wait(self.route.objective)
                     .min(self.time_to_begin(&upstream, adapter)),
--- a/lib/tests/test_direct_admission.rs
+++ b/lib/tests/test_direct_admission.rs
@@ -7,7 +7,7 @@
 
 use chivevalve::clock::{Clock, Manual, Millis, Monotonic};
 use chivevalve::direct::occupancy::{EngineLoad, Occupancy, CountedRequest, OccupancyGuard, OccupancyTable};
-use chivevalve::direct::admit::{Answer, Question};
+use chivevalve::direct::admit::{Answer, AdmitQuery};
 use chivevalve::direct::ask::Controllers;
 use chivevalve::direct::admission_policy::{self, MAX_ADMISSION_QUERIES};
 use chivevalve::direct::dialect::Listed;
@@ -226,8 +226,8 @@
     }
 }
 
-fn question(adapter: &Name, limit: u32) -> Question<'_> {
-    Question {
+fn question(adapter: &Name, limit: u32) -> AdmitQuery<'_> {
+    AdmitQuery {
         adapter: Some(adapter),
         version: 0,
         limit,
@@ -319,7 +319,7 @@
 async fn admit_waits_until_prompts_are_read() {
     let (owner, other) = two_nodes().await;
     let adapter = Name::from(ADAPTER);
-    let long = Question {
+    let long = AdmitQuery {
         tokens: 20_000,
         ..question(&adapter, 4)
     };
@@ -354,7 +354,7 @@
         .admit(&other.upstream, question(&adapter, 0))
         .await;
     assert!(matches!(answer, Answer::Absent(_)), "{answer:?}");
-    let loaded = Question {
+    let loaded = AdmitQuery {
         loaded: true,
         ..question(&adapter, 0)
     };
--- a/lib/tests/test_direct_exchange.rs
+++ b/lib/tests/test_direct_exchange.rs
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 
 use chivevalve::clock::{Clock, Millis, Monotonic};
-use chivevalve::direct::admit::Question;
+use chivevalve::direct::admit::AdmitQuery;
 use chivevalve::direct::ask::Controllers;
 use chivevalve::direct::dialect::Listed;
 use chivevalve::direct::right::Right;
@@ -157,7 +157,7 @@
             }
             if round == 3 {
                 // A question without an answer shows that the owner is silent.
-                let question = Question {
+                let question = AdmitQuery {
                     adapter: None,
                     version: 0,
                     limit: 0,
