--- a/lib/src/direct/admit.rs
+++ b/lib/src/direct/admit.rs
@@ -220,14 +220,14 @@
 
 /// The answer to another node: one message, and silence while the request runs.
 #[derive(Debug)]
-pub struct Replies {
+pub struct AdmitReplies {
     reply: Option<AdmitReply>,
     permit: Option<Permit>,
     /// The other node's side; its end says that the prompt is read.
     questions: Option<Streaming<AdmitRequest>>,
 }
 
-impl Replies {
+impl AdmitReplies {
     /// Makes the answer that keeps a request counted until the other node drops the call.
     #[must_use]
     pub fn new(answer: Answer, questions: Streaming<AdmitRequest>) -> Self {
@@ -251,7 +251,7 @@
     }
 }
 
-impl Stream for Replies {
+impl Stream for AdmitReplies {
     type Item = Result<AdmitReply, Status>;
 
     fn poll_next(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<Option<Self::Item>> {
--- a/lib/src/direct/serve.rs
+++ b/lib/src/direct/serve.rs
@@ -10,7 +10,7 @@
 use tonic::transport::Server;
 use tonic::{Request, Response, Status, Streaming};
 
-use super::admit::{Answer, AdmitQuery, Replies};
+use super::admit::{Answer, AdmitQuery, AdmitReplies};
 use super::ask::Controllers;
 use super::limits::in_use;
 use super::orders::Loaded;
@@ -48,7 +48,7 @@
 
 #[async_trait]
 impl Orders for Service {
-    type AdmitStream = Replies;
+    type AdmitStream = AdmitReplies;
     type FollowStream = BoxStream<'static, Result<Update, Status>>;
 
     async fn follow(
@@ -62,7 +62,7 @@
     async fn admit(
         &self,
         request: Request<Streaming<AdmitRequest>>,
-    ) -> Result<Response<Replies>, Status> {
+    ) -> Result<Response<AdmitReplies>, Status> {
         let mut questions = request.into_inner();
         let Some(request) = questions.message().await? else {
             return Err(Status::invalid_argument("there is no question"));
@@ -80,7 +80,7 @@
             Some(upstream) => self.0.admit_here(&upstream, question),
             None => Answer::Unknown,
         };
-        Ok(Response::new(Replies::new(answer, questions)))
+        Ok(Response::new(AdmitReplies::new(answer, questions)))
     }
 
     async fn load(&self, request: Request<LoadRequest>) -> Result<Response<LoadReply>, Status> {
