--- a/lib/src/direct/budget.rs
+++ b/lib/src/direct/budget.rs
@@ -6,7 +6,7 @@
 use std::collections::{HashMap, VecDeque};
 use std::sync::Arc;
 
-use super::limits::{Current, Retries};
+use super::limits::{SharedLimits, Retries};
 use crate::clock::Millis;
 use crate::name::Name;
 
@@ -29,14 +29,14 @@
 /// Counts requests and repeats for each pool.
 #[derive(Debug)]
 pub struct Budget {
-    limits: Arc<Current>,
+    limits: Arc<SharedLimits>,
     steps: HashMap<Name, VecDeque<Step>>,
 }
 
 impl Budget {
     /// Makes a budget with nothing counted.
     #[must_use]
-    pub fn new(limits: Arc<Current>) -> Self {
+    pub fn new(limits: Arc<SharedLimits>) -> Self {
         Self {
             limits,
             steps: HashMap::new(),
--- a/lib/src/direct/claim/mod.rs
+++ b/lib/src/direct/claim/mod.rs
@@ -22,7 +22,7 @@
 
 use super::dialect::Dialect;
 use super::follow::NODES;
-use super::limits::{Current, LEASE, RENEWAL, RENEWAL_ANSWER, RIGHT, TURN_MARGIN};
+use super::limits::{SharedLimits, LEASE, RENEWAL, RENEWAL_ANSWER, RIGHT, TURN_MARGIN};
 use super::right::Right;
 use super::view::{CLAIMS, Claim, Peer, View};
 use crate::clock::{Clock, Millis};
@@ -56,7 +56,7 @@
     /// The node's metrics.
     pub metrics: Arc<Metrics>,
     /// Bounds in force.
-    pub limits: Arc<Current>,
+    pub limits: Arc<SharedLimits>,
     /// This node's name.
     pub node: Name,
     /// This node's record.
--- a/lib/src/direct/entry/mod.rs
+++ b/lib/src/direct/entry/mod.rs
@@ -16,7 +16,7 @@
 use super::ask::Controllers;
 use super::budget::Budget;
 use super::dialect::Dialect;
-use super::limits::Current;
+use super::limits::SharedLimits;
 use super::outbox::Outbox;
 use super::quarantine::Quarantine;
 use super::relay::Cut;
@@ -61,7 +61,7 @@
     /// Where the node is.
     pub failure_domain: Name,
     /// Bounds in force.
-    pub limits: Arc<Current>,
+    pub limits: Arc<SharedLimits>,
     /// What may not be sent any more.
     pub quarantine: Arc<Quarantine>,
     /// Versions that engines were asked to replace lately.
@@ -93,7 +93,7 @@
         dialect: Arc<dyn Dialect>,
         clock: Arc<dyn Clock>,
         failure_domain: Name,
-        limits: Arc<Current>,
+        limits: Arc<SharedLimits>,
         service: Arc<Metered>,
     ) -> Self {
         let outbox = Arc::new(Outbox::new(
--- a/lib/src/direct/follow/mod.rs
+++ b/lib/src/direct/follow/mod.rs
@@ -12,7 +12,7 @@
 
 use super::dialect::{Dialect, Key};
 use super::fanout::{Heard, Hub, Source, Update};
-use super::limits::{Current, POLL_WAIT, STORE_PAUSE};
+use super::limits::{SharedLimits, POLL_WAIT, STORE_PAUSE};
 use super::outage::{Doubt, Outage};
 use super::hedging::{self, Reached};
 use super::vet::{Refusal, vet};
@@ -38,7 +38,7 @@
     dialect: Arc<dyn Dialect>,
     clock: Arc<dyn Clock>,
     view: Arc<View>,
-    limits: Arc<Current>,
+    limits: Arc<SharedLimits>,
     outage: Outage,
     /// What is held of upstreams that are missing after the last outage.
     doubt: Option<Doubt>,
@@ -59,7 +59,7 @@
         dialect: Arc<dyn Dialect>,
         clock: Arc<dyn Clock>,
         view: Arc<View>,
-        limits: Arc<Current>,
+        limits: Arc<SharedLimits>,
     ) -> Self {
         let outage = Outage::new(clock.now());
         Self {
--- a/lib/src/direct/limits.rs
+++ b/lib/src/direct/limits.rs
@@ -60,9 +60,9 @@
 /// A deployment may change them while its nodes run; a part that kept its own copy
 /// would go by the old ones until the next start.
 #[derive(Debug, Default)]
-pub struct Current(Mutex<Limits>);
+pub struct SharedLimits(Mutex<Limits>);
 
-impl Current {
+impl SharedLimits {
     /// Puts bounds in force.
     #[must_use]
     pub fn new(limits: Limits) -> Self {
--- a/lib/src/direct/node.rs
+++ b/lib/src/direct/node.rs
@@ -24,7 +24,7 @@
 use super::entry::Gate;
 use super::fanout::Subscription;
 use super::follow::Follower;
-use super::limits::{Current, Limits};
+use super::limits::{SharedLimits, Limits};
 use super::right::Right;
 use super::serve;
 use super::view::{Peer, View};
@@ -120,7 +120,7 @@
     metrics: SocketAddr,
     gate: Arc<Gate>,
     claimer: Arc<Claimer>,
-    limits: Arc<Current>,
+    limits: Arc<SharedLimits>,
     closing: CancellationToken,
     /// Ends once the port is closed and no caller's connection is left.
     serving: JoinHandle<()>,
@@ -137,7 +137,7 @@
         let listeners = Listeners::bind(settings)?;
         let clock: Arc<dyn Clock> = Arc::new(Boot);
         let view = Arc::new(View::default());
-        let limits = Arc::new(Current::new(settings.limits));
+        let limits = Arc::new(SharedLimits::new(settings.limits));
         let metrics = Arc::new(Metrics::new());
         let service = Arc::new(Metered::new(
             reach.store,
@@ -243,7 +243,7 @@
 
     /// Returns the bounds in force, to put others in force while the node runs.
     #[must_use]
-    pub fn limits(&self) -> Arc<Current> {
+    pub fn limits(&self) -> Arc<SharedLimits> {
         Arc::clone(&self.limits)
     }
 
--- a/lib/src/direct/reload.rs
+++ b/lib/src/direct/reload.rs
@@ -8,7 +8,7 @@
 
 use std::sync::{Arc, Mutex, PoisonError};
 
-use super::limits::Current;
+use super::limits::SharedLimits;
 use super::node::Settings;
 
 /// What became of a look at the settings.
@@ -27,7 +27,7 @@
 /// The settings of a running node.
 #[derive(Debug)]
 pub struct Reload {
-    limits: Arc<Current>,
+    limits: Arc<SharedLimits>,
     started: Settings,
     last: Mutex<Result<Settings, String>>,
 }
@@ -35,7 +35,7 @@
 impl Reload {
     /// Begins with the settings that the node was started with.
     #[must_use]
-    pub fn new(started: Settings, limits: Arc<Current>) -> Self {
+    pub fn new(started: Settings, limits: Arc<SharedLimits>) -> Self {
         Self {
             limits,
             last: Mutex::new(Ok(started.clone())),
--- a/lib/tests/test_direct_claims.rs
+++ b/lib/tests/test_direct_claims.rs
@@ -13,7 +13,7 @@
 use chivevalve::direct::config::{Config, Engine, Limits as Sent, Pool};
 use chivevalve::direct::dialect::{Dialect, Held, Listed};
 use chivevalve::direct::follow::Follower;
-use chivevalve::direct::limits::{Current, LEASE, Limits, RIGHT};
+use chivevalve::direct::limits::{SharedLimits, LEASE, Limits, RIGHT};
 use chivevalve::direct::orders::Loaded;
 use chivevalve::direct::right::Right;
 use chivevalve::direct::upstream::Upstream;
@@ -60,7 +60,7 @@
     right: Arc<Right>,
     claimer: Arc<Claimer>,
     others: Arc<Others>,
-    limits: Arc<Current>,
+    limits: Arc<SharedLimits>,
     tasks: Vec<JoinHandle<()>>,
 }
 
@@ -111,7 +111,7 @@
     let shared: Arc<dyn Clock> = Arc::<Manual>::clone(&clock);
     let right = Arc::new(Right::new(Arc::clone(&shared), Arc::clone(&view)));
     let dialect: Arc<dyn Dialect> = Arc::new(Speech);
-    let limits = Arc::new(Current::default());
+    let limits = Arc::new(SharedLimits::default());
     let follower = Follower::new(
         Arc::<Memory>::clone(memory),
         Arc::<Memory>::clone(memory),
--- a/lib/tests/test_direct_fanout.rs
+++ b/lib/tests/test_direct_fanout.rs
@@ -13,7 +13,7 @@
 use chivevalve::direct::ask::Controllers;
 use chivevalve::direct::fanout::{Heard, Hub, Source, Subscription, Update};
 use chivevalve::direct::follow::Follower;
-use chivevalve::direct::limits::Current;
+use chivevalve::direct::limits::SharedLimits;
 use chivevalve::direct::right::Right;
 use chivevalve::direct::serve::serve;
 use chivevalve::direct::view::View;
@@ -282,7 +282,7 @@
         Arc::new(Speech),
         clock,
         Arc::clone(&view),
-        Arc::new(Current::default()),
+        Arc::new(SharedLimits::default()),
     )
     .within_domain(Arc::clone(&hub), Box::new(source));
     Node {
--- a/lib/tests/test_direct_fanout_fuzz.rs
+++ b/lib/tests/test_direct_fanout_fuzz.rs
@@ -15,7 +15,7 @@
 use chivevalve::direct::dialect::{Dialect, Key};
 use chivevalve::direct::fanout::{Heard, Hub, Source, Update};
 use chivevalve::direct::follow::{Follower, NODES};
-use chivevalve::direct::limits::Current;
+use chivevalve::direct::limits::SharedLimits;
 use chivevalve::direct::vet::Refusal;
 use chivevalve::direct::view::{CLAIMS, View};
 use chivevalve::metrics::Metrics;
@@ -302,7 +302,7 @@
         Arc::new(Speech),
         Arc::clone(&clock),
         Arc::clone(&view),
-        Arc::new(Current::default()),
+        Arc::new(SharedLimits::default()),
     )
     .within_domain(Arc::clone(&hub), source(clock));
     tokio::spawn(follower.run());
--- a/lib/tests/test_direct_follow.rs
+++ b/lib/tests/test_direct_follow.rs
@@ -8,7 +8,7 @@
 use chivevalve::clock::{Clock, Millis, Monotonic};
 use chivevalve::direct::fanout::{Heard, Hub, Source, Update};
 use chivevalve::direct::follow::Follower;
-use chivevalve::direct::limits::Current;
+use chivevalve::direct::limits::SharedLimits;
 use chivevalve::direct::view::View;
 use chivevalve_platform::Speech;
 use direct_support::SERVER;
@@ -35,7 +35,7 @@
         Arc::new(Speech),
         clock,
         Arc::clone(&view),
-        Arc::new(Current::default()),
+        Arc::new(SharedLimits::default()),
     );
     tokio::spawn(extend(follower, &memory).run());
     Followed { memory, view }
@@ -311,7 +311,7 @@
         .memory
         .change(|state| state.put("op/version/base.a1", entry, None));
     pass(Millis(1_000)).await;
-    let limit = Current::default().get().version;
+    let limit = SharedLimits::default().get().version;
     let begin_by = followed.view.begin_by("base/a1", 1, limit).unwrap();
     assert!(begin_by <= clock.now(), "{begin_by}");
 }
--- a/lib/tests/test_direct_parts.rs
+++ b/lib/tests/test_direct_parts.rs
@@ -7,7 +7,7 @@
 use chivevalve::clock::Millis;
 use chivevalve::direct::budget::Budget;
 use chivevalve::direct::dialect::Held;
-use chivevalve::direct::limits::{Current, Limits, Retries, exchange_pause, in_use};
+use chivevalve::direct::limits::{SharedLimits, Limits, Retries, exchange_pause, in_use};
 use chivevalve::direct::selection::{Selector, MAX_PLACEMENT_CANDIDATES};
 use chivevalve::direct::roles::Roles;
 use chivevalve::direct::sse::Splitter;
@@ -23,8 +23,8 @@
     extra: 54,
 };
 
-fn retries() -> Arc<Current> {
-    Arc::new(Current::new(Limits {
+fn retries() -> Arc<SharedLimits> {
+    Arc::new(SharedLimits::new(Limits {
         retries: RETRIES,
         ..Limits::default()
     }))
--- a/lib/tests/test_direct_presence.rs
+++ b/lib/tests/test_direct_presence.rs
@@ -7,7 +7,7 @@
 
 use chivevalve::clock::{Clock, Millis, Monotonic};
 use chivevalve::direct::follow::Follower;
-use chivevalve::direct::limits::{Current, Limits};
+use chivevalve::direct::limits::{SharedLimits, Limits};
 use chivevalve::direct::outage::Outage;
 use chivevalve::direct::presence::{Presence, Stage};
 use chivevalve::direct::view::View;
@@ -286,7 +286,7 @@
             Arc::new(Speech),
             Arc::clone(&clock),
             Arc::clone(&view),
-            Arc::new(Current::default()),
+            Arc::new(SharedLimits::default()),
         );
         let truth = (0..UPSTREAMS).map(|upstream| (upstream, Truth::default()));
         let world = Self {
--- a/lib/tests/test_direct_reload.rs
+++ b/lib/tests/test_direct_reload.rs
@@ -4,7 +4,7 @@
 
 use chivevalve::clock::Millis;
 use chivevalve::direct::budget::Budget;
-use chivevalve::direct::limits::{Current, Limits, Retries};
+use chivevalve::direct::limits::{SharedLimits, Limits, Retries};
 use chivevalve::direct::node::Settings;
 use chivevalve::direct::reload::{Reload, Taken};
 
@@ -23,8 +23,8 @@
     }
 }
 
-fn reload() -> (Reload, Arc<Current>) {
-    let limits = Arc::new(Current::default());
+fn reload() -> (Reload, Arc<SharedLimits>) {
+    let limits = Arc::new(SharedLimits::default());
     (Reload::new(settings(), Arc::clone(&limits)), limits)
 }
 
