--- a/lib/src/direct/budget.rs
+++ b/lib/src/direct/budget.rs
@@ -6,7 +6,7 @@
 use std::collections::{HashMap, VecDeque};
 use std::sync::Arc;
 
-use super::limits::{SharedLimits, Retries};
+use super::limits::{SharedLimits, RetryLimits};
 use crate::clock::Millis;
 use crate::name::Name;
 
@@ -69,7 +69,7 @@
     }
 
     fn allowed(&mut self, pool: &Name, now: Millis, nodes: usize) -> bool {
-        let Retries { ratio, extra, .. } = self.limits.get().retries;
+        let RetryLimits { ratio, extra, .. } = self.limits.get().retries;
         self.step(pool, now);
         let steps = &self.steps[pool];
         let requests: u32 = steps.iter().map(|step| step.requests).sum();
--- a/lib/src/direct/limits.rs
+++ b/lib/src/direct/limits.rs
@@ -22,12 +22,12 @@
     /// Silence of an upstream after which its entry vanishes.
     pub lapse: Millis,
     /// The budget for sending requests again, of all nodes together.
-    pub retries: Retries,
+    pub retries: RetryLimits,
 }
 
 /// How many requests may be sent a further time.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Retries {
+pub struct RetryLimits {
     /// Further sends for each request in a window.
     pub ratio: f64,
     /// The window's length.
@@ -46,7 +46,7 @@
             apply: Millis(2_000),
             rejoin: Millis(3_000),
             lapse: Millis(3_600),
-            retries: Retries {
+            retries: RetryLimits {
                 ratio: 0.2,
                 window: Millis::from_secs(10),
                 extra: 50,
--- a/lib/tests/test_direct_parts.rs
+++ b/lib/tests/test_direct_parts.rs
@@ -7,7 +7,7 @@
 use chivevalve::clock::Millis;
 use chivevalve::direct::budget::Budget;
 use chivevalve::direct::dialect::Held;
-use chivevalve::direct::limits::{SharedLimits, Limits, Retries, exchange_pause, in_use};
+use chivevalve::direct::limits::{SharedLimits, Limits, RetryLimits, exchange_pause, in_use};
 use chivevalve::direct::selection::{Selector, MAX_PLACEMENT_CANDIDATES};
 use chivevalve::direct::roles::Roles;
 use chivevalve::direct::sse::Splitter;
@@ -17,7 +17,7 @@
 use direct_support::records::{listed, written};
 use quickcheck::{Gen, QuickCheck};
 
-const RETRIES: Retries = Retries {
+const RETRIES: RetryLimits = RetryLimits {
     ratio: 0.2,
     window: Millis(10_000),
     extra: 54,
--- a/lib/tests/test_direct_reload.rs
+++ b/lib/tests/test_direct_reload.rs
@@ -4,7 +4,7 @@
 
 use chivevalve::clock::Millis;
 use chivevalve::direct::budget::Budget;
-use chivevalve::direct::limits::{SharedLimits, Limits, Retries};
+use chivevalve::direct::limits::{SharedLimits, Limits, RetryLimits};
 use chivevalve::direct::node::Settings;
 use chivevalve::direct::reload::{Reload, Taken};
 
@@ -37,7 +37,7 @@
     assert!(budget.repeat(&pool, Millis(0), 1));
     let mut changed = settings();
     changed.limits.turns = Millis(5_000);
-    changed.limits.retries = Retries {
+    changed.limits.retries = RetryLimits {
         extra: 0,
         ratio: 0.0,
         ..changed.limits.retries
