--- a/lib/src/direct/budget.rs
+++ b/lib/src/direct/budget.rs
@@ -28,12 +28,12 @@
 
 /// Counts requests and repeats for each pool.
 #[derive(Debug)]
-pub struct Budget {
+pub struct RetryBudget {
     limits: Arc<SharedLimits>,
     steps: HashMap<Name, VecDeque<Step>>,
 }
 
-impl Budget {
+impl RetryBudget {
     /// Makes a budget with nothing counted.
     #[must_use]
     pub fn new(limits: Arc<SharedLimits>) -> Self {
--- a/lib/src/direct/entry/mod.rs
+++ b/lib/src/direct/entry/mod.rs
@@ -14,7 +14,7 @@
 use http_body_util::combinators::UnsyncBoxBody;
 
 use super::ask::Controllers;
-use super::budget::Budget;
+use super::budget::RetryBudget;
 use super::dialect::Dialect;
 use super::limits::SharedLimits;
 use super::outbox::Outbox;
@@ -68,7 +68,7 @@
     pub(super) replacements: Replacements,
     /// The key-value service.
     service: Arc<Metered>,
-    budget: Mutex<Budget>,
+    budget: Mutex<RetryBudget>,
     spreading: Mutex<HashMap<Name, Millis>>,
     shares: Mutex<HashMap<Name, Share>>,
     /// The node's planned stop.
@@ -118,7 +118,7 @@
             dialect,
             clock,
             failure_domain,
-            budget: Mutex::new(Budget::new(Arc::clone(&limits))),
+            budget: Mutex::new(RetryBudget::new(Arc::clone(&limits))),
             limits,
             replacements: Replacements::default(),
             service,
@@ -183,7 +183,7 @@
         self.budget().has_room(pool, self.clock.now(), nodes)
     }
 
-    fn budget(&self) -> MutexGuard<'_, Budget> {
+    fn budget(&self) -> MutexGuard<'_, RetryBudget> {
         self.budget.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
--- a/lib/tests/test_direct_parts.rs
+++ b/lib/tests/test_direct_parts.rs
@@ -5,7 +5,7 @@
 use std::sync::{Arc, LazyLock};
 
 use chivevalve::clock::Millis;
-use chivevalve::direct::budget::Budget;
+use chivevalve::direct::budget::RetryBudget;
 use chivevalve::direct::dialect::Held;
 use chivevalve::direct::limits::{SharedLimits, Limits, RetryLimits, exchange_pause, in_use};
 use chivevalve::direct::selection::{Selector, MAX_PLACEMENT_CANDIDATES};
@@ -93,7 +93,7 @@
     let pool = Name::from("engines");
     let mut total = 0;
     for _ in 0..7 {
-        let mut budget = Budget::new(retries());
+        let mut budget = RetryBudget::new(retries());
         for step in 0..200 {
             let now = Millis(step * 50);
             budget.request(&pool, now);
@@ -110,7 +110,7 @@
 #[test]
 fn budget_window_slides() {
     let pool = Name::from("engines");
-    let mut budget = Budget::new(retries());
+    let mut budget = RetryBudget::new(retries());
     while budget.repeat(&pool, Millis(100), 1) {}
     assert!(!budget.repeat(&pool, Millis(9_000), 1));
     assert!(budget.repeat(&pool, Millis(11_000), 1));
--- a/lib/tests/test_direct_reload.rs
+++ b/lib/tests/test_direct_reload.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use chivevalve::clock::Millis;
-use chivevalve::direct::budget::Budget;
+use chivevalve::direct::budget::RetryBudget;
 use chivevalve::direct::limits::{SharedLimits, Limits, RetryLimits};
 use chivevalve::direct::node::Settings;
 use chivevalve::direct::reload::{Reload, Taken};
@@ -32,7 +32,7 @@
 #[test]
 fn take_bounds_at_once() {
     let (reload, limits) = reload();
-    let mut budget = Budget::new(Arc::clone(&limits));
+    let mut budget = RetryBudget::new(Arc::clone(&limits));
     let pool = "engines".into();
     assert!(budget.repeat(&pool, Millis(0), 1));
     let mut changed = settings();
