--- a/lib/src/direct/roles.rs
+++ b/lib/src/direct/roles.rs
@@ -25,14 +25,14 @@
 
 /// How a request divides its work between reading its prompt and writing its answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Manner {
+pub enum Workload {
     /// It reads much and writes little: nothing is gained by moving it.
     Reads,
     /// Its answer is what takes time, or nothing is known.
     Writes,
 }
 
-impl Manner {
+impl Workload {
     /// Judges a request by its tokens: those of the prompt, and the most of its answer.
     ///
     /// A request that tells no tokens, or none of an answer, counts as one that writes.
--- a/lib/src/direct/selection.rs
+++ b/lib/src/direct/selection.rs
@@ -5,7 +5,7 @@
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-use super::roles::{Manner, Roles};
+use super::roles::{Workload, Roles};
 use super::upstream::Upstream;
 use crate::clock::Millis;
 use crate::name::Name;
@@ -100,14 +100,14 @@
     /// behind its first event. Else its answer is written where its prompt is read, better at
     /// a writer: streams that stayed at a reader were late by a pause in 62 to 85 of 100
     /// cases, those at a writer in 2 to 12.
-    pub fn first(&self, manner: Manner, fits: impl Fn(&Upstream) -> bool) -> Option<Arc<Upstream>> {
+    pub fn first(&self, manner: Workload, fits: impl Fn(&Upstream) -> bool) -> Option<Arc<Upstream>> {
         let [reader, writer] = self.least_of_each(fits);
         let sound = |found: &Option<Arc<Upstream>>| {
             found.as_ref().is_some_and(|found| !self.avoided(found))
         };
         let reads = match manner {
-            Manner::Reads => sound(&reader),
-            Manner::Writes => sound(&reader) && sound(&writer),
+            Workload::Reads => sound(&reader),
+            Workload::Writes => sound(&reader) && sound(&writer),
         };
         if reads {
             return reader;
--- a/lib/src/direct/target.rs
+++ b/lib/src/direct/target.rs
@@ -15,7 +15,7 @@
 use super::acquire::Asked;
 use super::record::Asking;
 use super::request::{ActiveRequest, LOOK};
-use super::roles::{Manner, Roles, may_move};
+use super::roles::{Workload, Roles, may_move};
 use super::upstream::Upstream;
 use super::versions::{REPLACEMENT, WITHDRAWAL};
 use crate::clock::Millis;
@@ -132,8 +132,8 @@
         found.map(|upstream| Self::at(upstream, adapter))
     }
 
-    pub(super) fn manner(&self) -> Manner {
-        Manner::of(self.message.call.tokens)
+    pub(super) fn manner(&self) -> Workload {
+        Workload::of(self.message.call.tokens)
     }
 
     pub(super) fn field<'a>(
@@ -309,7 +309,7 @@
     /// Engines that could load the adapter, those with no older version of it first.
     fn homes(&self, field: &Selector<'_>, adapter: &Name) -> Vec<Arc<Upstream>> {
         let mut homes = field.homes(adapter, |upstream| self.can_load(upstream, adapter));
-        let reads = self.manner() == Manner::Reads;
+        let reads = self.manner() == Workload::Reads;
         homes.sort_by_key(|upstream| field.reads(upstream) != reads);
         if let Some(rest) = homes.get_mut(FIRST_HOMES..) {
             rest.sort_by_key(|upstream| upstream.held_count());
--- a/lib/tests/test_direct_roles.rs
+++ b/lib/tests/test_direct_roles.rs
@@ -8,7 +8,7 @@
 use chivevalve::clock::Millis;
 use chivevalve::direct::dialect::{Held, Listed};
 use chivevalve::direct::selection::Selector;
-use chivevalve::direct::roles::{Manner, Mix, Roles, may_move};
+use chivevalve::direct::roles::{Workload, Mix, Roles, may_move};
 use chivevalve::direct::upstream::Upstream;
 use chivevalve::name::Name;
 use direct_support::records::written;
@@ -74,13 +74,13 @@
 
 #[test]
 fn manner_by_tokens() {
-    assert_eq!(Manner::of(Some((2_400, 90))), Manner::Reads);
-    assert_eq!(Manner::of(Some((826, 954))), Manner::Writes);
-    assert_eq!(Manner::of(Some((800, 100))), Manner::Writes);
+    assert_eq!(Workload::of(Some((2_400, 90))), Workload::Reads);
+    assert_eq!(Workload::of(Some((826, 954))), Workload::Writes);
+    assert_eq!(Workload::of(Some((800, 100))), Workload::Writes);
     // What tells nothing of its answer may write for long.
-    assert_eq!(Manner::of(Some((2_400, 0))), Manner::Writes);
-    assert_eq!(Manner::of(None), Manner::Writes);
-    assert_eq!(Manner::of(Some((u32::MAX, u32::MAX))), Manner::Writes);
+    assert_eq!(Workload::of(Some((2_400, 0))), Workload::Writes);
+    assert_eq!(Workload::of(None), Workload::Writes);
+    assert_eq!(Workload::of(Some((u32::MAX, u32::MAX))), Workload::Writes);
 }
 
 #[test]
@@ -175,7 +175,7 @@
     };
     let reader = engines.iter().find(|engine| field.reads(engine)).unwrap();
     let writer = engines.iter().find(|engine| !field.reads(engine)).unwrap();
-    let begins = |manner: Manner, held: &[&Arc<Upstream>]| {
+    let begins = |manner: Workload, held: &[&Arc<Upstream>]| {
         let found = field.first(manner, |engine| {
             held.iter()
                 .any(|holder| holder.incarnation == engine.incarnation)
@@ -183,16 +183,16 @@
         found.map(|found| found.address)
     };
     let both = [reader, writer];
-    assert_eq!(begins(Manner::Writes, &both), Some(reader.address));
-    assert_eq!(begins(Manner::Writes, &[writer]), Some(writer.address));
-    assert_eq!(begins(Manner::Writes, &[reader]), Some(reader.address));
-    assert_eq!(begins(Manner::Reads, &both), Some(reader.address));
-    assert_eq!(begins(Manner::Reads, &[writer]), Some(writer.address));
-    assert_eq!(begins(Manner::Writes, &[]), None);
+    assert_eq!(begins(Workload::Writes, &both), Some(reader.address));
+    assert_eq!(begins(Workload::Writes, &[writer]), Some(writer.address));
+    assert_eq!(begins(Workload::Writes, &[reader]), Some(reader.address));
+    assert_eq!(begins(Workload::Reads, &both), Some(reader.address));
+    assert_eq!(begins(Workload::Reads, &[writer]), Some(writer.address));
+    assert_eq!(begins(Workload::Writes, &[]), None);
     // A reader that fails is passed over while a writer can take the request.
     reader.unreachable(Millis(1_000));
-    assert_eq!(begins(Manner::Reads, &both), Some(writer.address));
-    assert_eq!(begins(Manner::Writes, &both), Some(writer.address));
+    assert_eq!(begins(Workload::Reads, &both), Some(writer.address));
+    assert_eq!(begins(Workload::Writes, &both), Some(writer.address));
 }
 
 /// Compares with the least loaded of all readers, and of all writers, looked for one by one.
@@ -231,10 +231,10 @@
                 !found.suspended(field.now) && !tried.contains(&found.incarnation)
             })
         };
-        for manner in [Manner::Reads, Manner::Writes] {
+        for manner in [Workload::Reads, Workload::Writes] {
             let reads = match manner {
-                Manner::Reads => sound(&reader),
-                Manner::Writes => sound(&reader) && sound(&writer),
+                Workload::Reads => sound(&reader),
+                Workload::Writes => sound(&reader) && sound(&writer),
             };
             let expected = match (&reader, &writer) {
                 (Some(reader), _) if reads => Some(reader),
