--- a/lib/src/direct/entry/mod.rs
+++ b/lib/src/direct/entry/mod.rs
@@ -20,7 +20,7 @@
 use super::outbox::Outbox;
 use super::quarantine::Quarantine;
 use super::relay::Cut;
-use super::roles::{Mix, Roles};
+use super::roles::{PrefillScaler, Roles};
 use super::stop::Stop;
 use super::upstream::Upstream;
 use super::versions::Replacements;
@@ -79,7 +79,7 @@
 /// How the engines of a pool share their work at this moment.
 #[derive(Debug, Default)]
 struct Share {
-    mix: Mix,
+    mix: PrefillScaler,
     roles: Arc<Roles>,
     made: Millis,
 }
@@ -205,7 +205,7 @@
     }
 
     /// Takes in something about the mix of requests for a pool.
-    pub fn observe(&self, pool: &Name, seen: impl FnOnce(&mut Mix)) {
+    pub fn observe(&self, pool: &Name, seen: impl FnOnce(&mut PrefillScaler)) {
         seen(&mut self.shares().entry(Name::clone(pool)).or_default().mix);
     }
 
--- a/lib/src/direct/roles.rs
+++ b/lib/src/direct/roles.rs
@@ -162,7 +162,7 @@
 
 /// What this node has seen of streams in one pool, and how many engines it has read apart.
 #[derive(Debug)]
-pub struct Mix {
+pub struct PrefillScaler {
     seen: f64,
     late: HashMap<SocketAddr, f64>,
     split: bool,
@@ -171,7 +171,7 @@
     changed: Millis,
 }
 
-impl Default for Mix {
+impl Default for PrefillScaler {
     fn default() -> Self {
         Self {
             seen: 0.0,
@@ -184,7 +184,7 @@
     }
 }
 
-impl Mix {
+impl PrefillScaler {
     /// Takes in whether a stream that stayed where it was read had a pause that was too long.
     ///
     /// Streams that stayed at a reader say nothing: what is read there is meant to be read there.
--- a/lib/tests/test_direct_roles.rs
+++ b/lib/tests/test_direct_roles.rs
@@ -8,7 +8,7 @@
 use chivevalve::clock::Millis;
 use chivevalve::direct::dialect::{Held, Listed};
 use chivevalve::direct::selection::Selector;
-use chivevalve::direct::roles::{Workload, Mix, Roles, may_move};
+use chivevalve::direct::roles::{Workload, PrefillScaler, Roles, may_move};
 use chivevalve::direct::upstream::Upstream;
 use chivevalve::name::Name;
 use direct_support::records::written;
@@ -35,8 +35,8 @@
 }
 
 /// A mix that has seen as many streams late by a pause as make it keep reading apart.
-fn late_mix() -> Mix {
-    let mut mix = Mix::default();
+fn late_mix() -> PrefillScaler {
+    let mut mix = PrefillScaler::default();
     for number in 0..40 {
         mix.stayed(address(number % 12), number % 5 == 0);
     }
@@ -85,7 +85,7 @@
 
 #[test]
 fn readers_none_while_pauses_are_short() {
-    let mut mix = Mix::default();
+    let mut mix = PrefillScaler::default();
     for number in 0..1_000 {
         mix.stayed(address(number % 12), number % 50 == 0);
     }
@@ -140,7 +140,7 @@
 /// Late streams of a few slow engines aren't taken for prompts that delay everyone.
 #[test]
 fn readers_none_for_a_few_slow_engines() {
-    let mut mix = Mix::default();
+    let mut mix = PrefillScaler::default();
     for number in 0..1_000 {
         let engine = number % 18;
         mix.stayed(address(engine), engine < 2);
@@ -151,7 +151,7 @@
 /// A few late streams right after a start set no engine apart for reading.
 #[test]
 fn readers_none_before_enough_is_seen() {
-    let mut mix = Mix::default();
+    let mut mix = PrefillScaler::default();
     for number in 0..7 {
         mix.stayed(address(number), true);
         assert_eq!(mix.readers(12, Millis(9_000)), 0);
