--- a/lib/src/direct/attempt.rs
+++ b/lib/src/direct/attempt.rs
@@ -10,7 +10,7 @@
 use super::admit::Permit;
 use super::call::{Call, Kind};
 use super::dialect::{Dialect, Dispatch, Reply};
-use super::upstream::{Running, Upstream};
+use super::upstream::{InFlightRequest, Upstream};
 use super::versions::{self, Watch};
 use crate::clock::Millis;
 use crate::error::Code;
@@ -113,7 +113,7 @@
     /// The connection that it comes over.
     pub connection: Connection,
     /// Holds the place in the upstream's count.
-    pub running: Running,
+    pub running: InFlightRequest,
 }
 
 impl Message {
--- a/lib/src/direct/upstream.rs
+++ b/lib/src/direct/upstream.rs
@@ -105,7 +105,7 @@
 
 /// Counts a request at an upstream until it is dropped.
 #[derive(Debug)]
-pub struct Running {
+pub struct InFlightRequest {
     upstream: Arc<Upstream>,
     /// The adapter of a request that the owner doesn't count.
     uncounted: Option<Name>,
@@ -113,7 +113,7 @@
     permit: Option<Permit>,
 }
 
-impl Running {
+impl InFlightRequest {
     /// Takes in that the upstream has read the request's prompt.
     pub fn read(&mut self) {
         if let Some(permit) = &mut self.permit {
@@ -122,7 +122,7 @@
     }
 }
 
-impl Drop for Running {
+impl Drop for InFlightRequest {
     fn drop(&mut self) {
         self.upstream.running.fetch_sub(1, Ordering::Relaxed);
         if let Some(adapter) = &self.uncounted {
@@ -309,13 +309,13 @@
 
     /// Counts a request that this node sends.
     #[must_use]
-    pub fn enter(self: &Arc<Self>, adapter: Option<&Name>, permit: Option<Permit>) -> Running {
+    pub fn enter(self: &Arc<Self>, adapter: Option<&Name>, permit: Option<Permit>) -> InFlightRequest {
         self.running.fetch_add(1, Ordering::Relaxed);
         let uncounted = adapter.filter(|_| permit.is_none());
         if let Some(adapter) = uncounted {
             *self.using().entry(Name::clone(adapter)).or_default() += 1;
         }
-        Running {
+        InFlightRequest {
             upstream: Arc::clone(self),
             uncounted: uncounted.cloned(),
             permit,
--- a/lib/tests/test_direct_admission.rs
+++ b/lib/tests/test_direct_admission.rs
@@ -16,7 +16,7 @@
 use chivevalve::direct::right::Right;
 use chivevalve::direct::roles::Roles;
 use chivevalve::direct::serve::serve;
-use chivevalve::direct::upstream::{Running, Upstream};
+use chivevalve::direct::upstream::{InFlightRequest, Upstream};
 use chivevalve::direct::view::{Claim, Standing, View};
 use chivevalve::name::Name;
 use chivevalve_platform::Speech;
@@ -492,7 +492,7 @@
     came: Millis,
     ends: Millis,
     /// Counts it at its node and at the engine's owner until it ends.
-    _counted: (Running, OccupancyGuard),
+    _counted: (InFlightRequest, OccupancyGuard),
 }
 
 /// Plays the load and returns the share of requests that began later than the objective.
--- a/lib/tests/test_direct_exchange.rs
+++ b/lib/tests/test_direct_exchange.rs
@@ -11,7 +11,7 @@
 use chivevalve::direct::ask::Controllers;
 use chivevalve::direct::dialect::Listed;
 use chivevalve::direct::right::Right;
-use chivevalve::direct::upstream::{Running, Upstream};
+use chivevalve::direct::upstream::{InFlightRequest, Upstream};
 use chivevalve::direct::view::{Claim, Standing, View};
 use chivevalve::name::Name;
 use chivevalve_platform::Speech;
@@ -121,7 +121,7 @@
 }
 
 /// Has requests run at some engines; most of them use their adapter uncounted.
-fn run(random: &mut Pcg64, engines: &[Arc<Upstream>]) -> Vec<Running> {
+fn run(random: &mut Pcg64, engines: &[Arc<Upstream>]) -> Vec<InFlightRequest> {
     let chosen = engines.iter().filter(|_| random.random_bool(0.1));
     let chosen: Vec<_> = chosen.collect();
     let adapter = Name::from("base/a1");
