--- a/lib/src/direct/request/mod.rs
+++ b/lib/src/direct/request/mod.rs
@@ -13,7 +13,7 @@
 use super::config::Route;
 use super::entry::Gate;
 use super::record::{self, End};
-use super::sends::Sends;
+use super::sends::PendingSends;
 use super::target::Target;
 use super::upstream::Upstream;
 use crate::clock::Millis;
@@ -131,7 +131,7 @@
     }
 
     async fn next_answer(&mut self, resume_after: Option<u64>) -> Result<Answer, Failure> {
-        let mut sends = Sends::default();
+        let mut sends = PendingSends::default();
         (self.unsent, self.rejected) = (0, 0);
         loop {
             if sends.is_empty() {
@@ -186,7 +186,7 @@
     /// When its time is up.
     async fn look_further(
         &mut self,
-        sends: &mut Sends,
+        sends: &mut PendingSends,
         resume_after: Option<u64>,
     ) -> Result<Option<Answer>, Failure> {
         let Some(newest) = sends.newest().map(Arc::clone) else {
--- a/lib/src/direct/request/outcome.rs
+++ b/lib/src/direct/request/outcome.rs
@@ -6,7 +6,7 @@
 use crate::clock::Millis;
 use crate::direct::attempt::{Answer, Miss};
 use crate::direct::record;
-use crate::direct::sends::{Sends, Sent};
+use crate::direct::sends::{PendingSends, Sent};
 use crate::direct::upstream::Upstream;
 use crate::error::{Code, Failure};
 use crate::name::Name;
@@ -25,7 +25,7 @@
     /// Takes in how a send ended; none if the request goes on.
     pub(super) fn conclude(
         &mut self,
-        sends: &Sends,
+        sends: &PendingSends,
         sent: Sent,
     ) -> Result<Option<Answer>, Failure> {
         let is_last = sends.is_empty();
--- a/lib/src/direct/request/send.rs
+++ b/lib/src/direct/request/send.rs
@@ -7,14 +7,14 @@
 use crate::direct::attempt::{Answer, Miss};
 use crate::direct::dialect::{Dispatch, Memory};
 use crate::direct::record;
-use crate::direct::sends::Sends;
+use crate::direct::sends::PendingSends;
 use crate::direct::target::Target;
 use crate::direct::versions::Watch;
 use crate::error::Code;
 use crate::name::Name;
 
 impl ActiveRequest {
-    pub(super) fn send(&mut self, sends: &mut Sends, target: Target, resume_after: Option<u64>) {
+    pub(super) fn send(&mut self, sends: &mut PendingSends, target: Target, resume_after: Option<u64>) {
         let dispatch = Dispatch {
             resume_after: resume_after.or(self.message.call.resume_after),
             ..self.dispatch(&target)
--- a/lib/src/direct/sends.rs
+++ b/lib/src/direct/sends.rs
@@ -41,12 +41,12 @@
 
 /// Sends in progress; dropping them closes their connections.
 #[derive(Debug, Default)]
-pub struct Sends {
+pub struct PendingSends {
     answers: FuturesUnordered<BoxFuture<'static, Sent>>,
     waiting: SmallVec<[Waiting; 2]>,
 }
 
-impl Sends {
+impl PendingSends {
     /// Sends a request at `now`.
     pub fn begin(
         &mut self,
