--- a/lib/src/direct/claim/mod.rs
+++ b/lib/src/direct/claim/mod.rs
@@ -22,7 +22,7 @@
 
 use super::dialect::Dialect;
 use super::follow::NODES;
-use super::limits::{SharedLimits, LEASE, RENEWAL, RENEWAL_ANSWER, RIGHT, TURN_MARGIN};
+use super::limits::{SharedLimits, LEASE_TTL, RENEWAL, RENEWAL_ANSWER, RIGHT, TURN_MARGIN};
 use super::right::Right;
 use super::view::{CLAIMS, Claim, Peer, View};
 use crate::clock::{Clock, Millis};
@@ -121,7 +121,7 @@
         let sent = self.clock.now();
         match *lease {
             None => {
-                let granted = self.lease.grant(LEASE).await?;
+                let granted = self.lease.grant(LEASE_TTL).await?;
                 // A first lease has no claims of this start yet, and the follower reads those
                 // of others. Read here as well, thousands of claims took longer than the lease.
                 if began.is_some() {
--- a/lib/src/direct/limits.rs
+++ b/lib/src/direct/limits.rs
@@ -85,11 +85,11 @@
 ///
 /// A dead node's engines get no orders for this long and [`RIGHT`] and the
 /// turn's length more, so it is short; renewals are priced, so it isn't shorter.
-pub const LEASE: Millis = Millis(3_000);
+pub const LEASE_TTL: Millis = Millis(3_000);
 
 /// How long after sending a renewal a node may give orders.
 ///
-/// Less than [`LEASE`], so that a node whose keys lapse has stopped before.
+/// Less than [`LEASE_TTL`], so that a node whose keys lapse has stopped before.
 pub const RIGHT: Millis = Millis(2_000);
 
 /// Pause between renewals: two may fail before the right ends.
--- a/lib/tests/test_direct_claims.rs
+++ b/lib/tests/test_direct_claims.rs
@@ -13,7 +13,7 @@
 use chivevalve::direct::config::{Config, Engine, Limits as Sent, Pool};
 use chivevalve::direct::dialect::{Dialect, Held, Listed};
 use chivevalve::direct::follow::Follower;
-use chivevalve::direct::limits::{SharedLimits, LEASE, Limits, RIGHT};
+use chivevalve::direct::limits::{SharedLimits, LEASE_TTL, Limits, RIGHT};
 use chivevalve::direct::orders::Loaded;
 use chivevalve::direct::right::Right;
 use chivevalve::direct::upstream::Upstream;
@@ -301,7 +301,7 @@
     let waited = RIGHT + Limits::default().turns;
     pass(&[&two], waited).await;
     assert_eq!(two.right.check(address()), None);
-    pass(&[&two], LEASE).await;
+    pass(&[&two], LEASE_TTL).await;
     assert!(two.right.check(address()).unwrap() > former);
 }
 
@@ -463,7 +463,7 @@
         pass(&[&one], Millis(50)).await;
         assert_eq!(one.right.check(address()), None);
     }
-    pass(&[&one], LEASE).await;
+    pass(&[&one], LEASE_TTL).await;
     assert!(one.right.check(address()).is_some());
 }
 
