--- a/lib/src/direct/claim/mod.rs
+++ b/lib/src/direct/claim/mod.rs
@@ -22,7 +22,7 @@
 
 use super::dialect::Dialect;
 use super::follow::NODES;
-use super::limits::{SharedLimits, LEASE_TTL, RENEWAL, RENEWAL_ANSWER, RIGHT, TURN_MARGIN};
+use super::limits::{SharedLimits, LEASE_TTL, RENEWAL_INTERVAL, RENEWAL_ANSWER, RIGHT, TURN_MARGIN};
 use super::right::Right;
 use super::view::{CLAIMS, Claim, Peer, View};
 use crate::clock::{Clock, Millis};
@@ -82,7 +82,7 @@
                 self.extend(&error).await;
             }
             if knew_all {
-                tokio::time::sleep(RENEWAL.duration()).await;
+                tokio::time::sleep(RENEWAL_INTERVAL.duration()).await;
             } else {
                 self.wait_for_view().await;
             }
@@ -92,7 +92,7 @@
     /// Waits until the follower has read what a round can claim by, a round's pause at most.
     async fn wait_for_view(&self) {
         let began = self.clock.now();
-        while !self.can_claim() && self.clock.now().since(began) < RENEWAL {
+        while !self.can_claim() && self.clock.now().since(began) < RENEWAL_INTERVAL {
             tokio::time::sleep(FIRST_LOOK.duration()).await;
         }
     }
--- a/lib/src/direct/claim/release.rs
+++ b/lib/src/direct/claim/release.rs
@@ -5,7 +5,7 @@
 
 use super::{CLAIMS_AT_ONCE, Claimer, encoded};
 use crate::clock::Millis;
-use crate::direct::limits::RENEWAL;
+use crate::direct::limits::RENEWAL_INTERVAL;
 use crate::direct::right::Owned;
 use crate::ports::{Condition, Error, Transaction, Write};
 
@@ -16,7 +16,7 @@
 const MOST_SHARES: usize = 2;
 
 /// Pause between handovers: two rounds.
-const HANDOVER: Millis = Millis(RENEWAL.0 * 2);
+const HANDOVER: Millis = Millis(RENEWAL_INTERVAL.0 * 2);
 
 impl Claimer {
     /// Gives claims up, with the time since the last order, so that successors wait less.
--- a/lib/src/direct/limits.rs
+++ b/lib/src/direct/limits.rs
@@ -93,7 +93,7 @@
 pub const RIGHT: Millis = Millis(2_000);
 
 /// Pause between renewals: two may fail before the right ends.
-pub const RENEWAL: Millis = Millis(650);
+pub const RENEWAL_INTERVAL: Millis = Millis(650);
 
 /// The longest that a renewal may take to answer: twice the slowest service's 240 ms.
 pub const RENEWAL_ANSWER: Millis = Millis(500);
