--- a/lib/src/direct/claim/mod.rs
+++ b/lib/src/direct/claim/mod.rs
@@ -22,7 +22,7 @@
 
 use super::dialect::Dialect;
 use super::follow::NODES;
-use super::limits::{SharedLimits, LEASE_TTL, RENEWAL_INTERVAL, RENEWAL_ANSWER, RIGHT, TURN_MARGIN};
+use super::limits::{SharedLimits, LEASE_TTL, RENEWAL_INTERVAL, RENEWAL_TIMEOUT, RIGHT, TURN_MARGIN};
 use super::right::Right;
 use super::view::{CLAIMS, Claim, Peer, View};
 use crate::clock::{Clock, Millis};
@@ -164,9 +164,9 @@
 
     /// Renews the lease, without waiting so long that no second try fits into the right.
     async fn renew(&self, lease: LeaseId) -> Result<Millis, Error> {
-        tokio::time::timeout(RENEWAL_ANSWER.duration(), self.lease.renew(lease))
+        tokio::time::timeout(RENEWAL_TIMEOUT.duration(), self.lease.renew(lease))
             .await
-            .map_err(|_| Error::NoAnswer(format!("no renewal within {RENEWAL_ANSWER}")))?
+            .map_err(|_| Error::NoAnswer(format!("no renewal within {RENEWAL_TIMEOUT}")))?
     }
 
     /// Reads all claims anew after the right had lapsed.
--- a/lib/src/direct/limits.rs
+++ b/lib/src/direct/limits.rs
@@ -96,7 +96,7 @@
 pub const RENEWAL_INTERVAL: Millis = Millis(650);
 
 /// The longest that a renewal may take to answer: twice the slowest service's 240 ms.
-pub const RENEWAL_ANSWER: Millis = Millis(500);
+pub const RENEWAL_TIMEOUT: Millis = Millis(500);
 
 /// The longest that a call for changes waits.
 ///
