--- a/lib/src/direct/follow/mod.rs
+++ b/lib/src/direct/follow/mod.rs
@@ -12,7 +12,7 @@
 
 use super::dialect::{Dialect, Key};
 use super::fanout::{Heard, Hub, Source, Update};
-use super::limits::{SharedLimits, POLL_WAIT, STORE_PAUSE};
+use super::limits::{SharedLimits, POLL_TIMEOUT, STORE_PAUSE};
 use super::outage::{Doubt, Outage};
 use super::hedging::{self, Reached};
 use super::vet::{Refusal, vet};
@@ -207,7 +207,7 @@
         let wait = if is_shared {
             self.limits.get().leader_wait()
         } else {
-            POLL_WAIT
+            POLL_TIMEOUT
         };
         self.within_doubt(wait).max(RETURN_WAIT)
     }
--- a/lib/src/direct/limits.rs
+++ b/lib/src/direct/limits.rs
@@ -102,7 +102,7 @@
 ///
 /// A connection can go silent for good, and only this bound shows it; a leaving
 /// upstream has to be known within [`Limits::leaving`].
-pub const POLL_WAIT: Millis = Millis(2_000);
+pub const POLL_TIMEOUT: Millis = Millis(2_000);
 
 /// Part of the time within which changes have to be known that passes between calls for changes.
 ///
--- a/lib/src/direct/outage.rs
+++ b/lib/src/direct/outage.rs
@@ -7,7 +7,7 @@
 //! docs/design/0014-presence-of-upstreams.md.
 
 use crate::clock::Millis;
-use crate::direct::limits::{Limits, POLL_WAIT};
+use crate::direct::limits::{Limits, POLL_TIMEOUT};
 
 /// How long calls fail, or nothing comes beyond a call's usual wait, before that is an outage.
 const SILENCE: Millis = Millis(1_000);
@@ -87,7 +87,7 @@
         // A call that waited since before the outage can be answered in its midst.
         let failing = failures.map_or(Millis::ZERO, |failures| now.since(failures.since));
         let is_outage =
-            silent > POLL_WAIT + SILENCE || failing > SILENCE || (doubting && failures.is_some());
+            silent > POLL_TIMEOUT + SILENCE || failing > SILENCE || (doubting && failures.is_some());
         is_outage.then_some(Return {
             at: now,
             silent,
