--- a/lib/src/direct/admit.rs
+++ b/lib/src/direct/admit.rs
@@ -12,7 +12,7 @@
 
 use super::occupancy::{EngineLoad, CountedRequest, OccupancyGuard};
 use super::ask::Controllers;
-use super::limits::IN_USE;
+use super::limits::IN_USE_GRACE;
 use super::upstream::Upstream;
 use crate::clock::Millis;
 use crate::name::Name;
@@ -140,7 +140,7 @@
             return Answer::Busy(load);
         }
         if question.adapter.is_some() {
-            self.note_uses(engine, vec![Name::clone(adapter)], IN_USE);
+            self.note_uses(engine, vec![Name::clone(adapter)], IN_USE_GRACE);
         }
         let part = CountedRequest {
             adapter: Name::clone(adapter),
--- a/lib/src/direct/limits.rs
+++ b/lib/src/direct/limits.rs
@@ -139,7 +139,7 @@
 /// Between a load and the request's arrival lie some milliseconds, or a second where its node
 /// is slow. An engine protects what runs by itself, but an eviction that waits for runs keeps
 /// all other orders of its engine waiting.
-pub const IN_USE: Millis = Millis(1_200);
+pub const IN_USE_GRACE: Millis = Millis(1_200);
 
 /// Shortest pause between exchanges with another node.
 const EXCHANGE: Millis = Millis(500);
@@ -159,7 +159,7 @@
 /// Such a node tells of its requests with each exchange, and one may be lost.
 #[must_use]
 pub fn in_use(nodes: usize) -> Millis {
-    IN_USE.max(Millis(exchange_pause(nodes).0 * 2 + 200))
+    IN_USE_GRACE.max(Millis(exchange_pause(nodes).0 * 2 + 200))
 }
 
 impl Limits {
--- a/lib/src/direct/orders/mod.rs
+++ b/lib/src/direct/orders/mod.rs
@@ -17,7 +17,7 @@
 use kameo::actor::ActorRef;
 
 use super::dialect::{Action, Ordered};
-use super::limits::IN_USE;
+use super::limits::IN_USE_GRACE;
 use crate::clock::Millis;
 use crate::name::Name;
 use load::Wake;
@@ -113,7 +113,7 @@
         let Some(slots) = &mut self.slots else {
             return Some(load);
         };
-        slots.uses(Name::clone(&load.adapter), now + IN_USE);
+        slots.uses(Name::clone(&load.adapter), now + IN_USE_GRACE);
         slots.wait(load, now)
     }
 
