--- a/lib/src/direct/follow/mod.rs
+++ b/lib/src/direct/follow/mod.rs
@@ -12,7 +12,7 @@
 
 use super::dialect::{Dialect, Key};
 use super::fanout::{Heard, Hub, Source, Update};
-use super::limits::{SharedLimits, POLL_TIMEOUT, STORE_PAUSE};
+use super::limits::{SharedLimits, POLL_TIMEOUT, STORE_RETRY_PAUSE};
 use super::outage::{Doubt, Outage};
 use super::hedging::{self, Reached};
 use super::vet::{Refusal, vet};
@@ -95,7 +95,7 @@
                 Err(error) => {
                     log::warn!("follow: can't read everything: {error}");
                     self.outage.failed(made, self.clock.now());
-                    tokio::time::sleep(STORE_PAUSE.duration()).await;
+                    tokio::time::sleep(STORE_RETRY_PAUSE.duration()).await;
                 }
             }
         }
@@ -131,7 +131,7 @@
                     if let Some(hub) = &self.hub {
                         hub.lose();
                     }
-                    STORE_PAUSE
+                    STORE_RETRY_PAUSE
                 }
             };
             tokio::time::sleep(pause.duration()).await;
--- a/lib/src/direct/limits.rs
+++ b/lib/src/direct/limits.rs
@@ -207,7 +207,7 @@
 }
 
 /// Pause after a failed call to the key-value service.
-pub const STORE_PAUSE: Millis = Millis(200);
+pub const STORE_RETRY_PAUSE: Millis = Millis(200);
 
 /// Margin for clocks' rates and for orders on their way, when waiting out another node's right.
 pub const TURN_MARGIN: Millis = Millis(300);
