--- a/lib/src/direct/claim/mod.rs
+++ b/lib/src/direct/claim/mod.rs
@@ -22,7 +22,7 @@
 
 use super::dialect::Dialect;
 use super::follow::NODES;
-use super::limits::{SharedLimits, LEASE_TTL, RENEWAL_INTERVAL, RENEWAL_TIMEOUT, RIGHT, TURN_MARGIN};
+use super::limits::{SharedLimits, LEASE_TTL, RENEWAL_INTERVAL, RENEWAL_TIMEOUT, RIGHT, ORDER_GAP_MARGIN};
 use super::right::Right;
 use super::view::{CLAIMS, Claim, Peer, View};
 use crate::clock::{Clock, Millis};
@@ -204,7 +204,7 @@
 
     /// Returns the least time between the last order of one node and the first one of another.
     fn turn(&self) -> Millis {
-        self.limits.get().turns + TURN_MARGIN
+        self.limits.get().turns + ORDER_GAP_MARGIN
     }
 
     fn key(&self, address: SocketAddr) -> String {
--- a/lib/src/direct/limits.rs
+++ b/lib/src/direct/limits.rs
@@ -210,4 +210,4 @@
 pub const STORE_RETRY_PAUSE: Millis = Millis(200);
 
 /// Margin for clocks' rates and for orders on their way, when waiting out another node's right.
-pub const TURN_MARGIN: Millis = Millis(300);
+pub const ORDER_GAP_MARGIN: Millis = Millis(300);
