--- a/lib/src/direct/ask/mod.rs
+++ b/lib/src/direct/ask/mod.rs
@@ -16,7 +16,7 @@
 use super::occupancy::OccupancyTable;
 use super::dialect::Dialect;
 use super::fanout::Hub;
-use super::limits::exchange_pause;
+use super::limits::exchange_interval;
 use super::orders::{Controller, Load, Loaded, Parts, Tick};
 use super::right::Right;
 use super::upstream::Upstream;
@@ -325,7 +325,7 @@
             self.tick();
             let now = self.clock.now();
             let nodes = self.view.state().most_nodes;
-            if now.since(exchanged) >= exchange_pause(nodes) {
+            if now.since(exchanged) >= exchange_interval(nodes) {
                 exchanged = now;
                 self.exchange_all();
             }
--- a/lib/src/direct/limits.rs
+++ b/lib/src/direct/limits.rs
@@ -149,7 +149,7 @@
 
 /// Returns the pause between exchanges in a deployment of this many nodes.
 #[must_use]
-pub fn exchange_pause(nodes: usize) -> Millis {
+pub fn exchange_interval(nodes: usize) -> Millis {
     let nodes = u64::try_from(nodes).unwrap_or(u64::MAX);
     EXCHANGE.max(Millis(EXCHANGE_PER_NODE.0.saturating_mul(nodes)))
 }
@@ -159,7 +159,7 @@
 /// Such a node tells of its requests with each exchange, and one may be lost.
 #[must_use]
 pub fn in_use(nodes: usize) -> Millis {
-    IN_USE_GRACE.max(Millis(exchange_pause(nodes).0 * 2 + 200))
+    IN_USE_GRACE.max(Millis(exchange_interval(nodes).0 * 2 + 200))
 }
 
 impl Limits {
--- a/lib/tests/test_direct_admission.rs
+++ b/lib/tests/test_direct_admission.rs
@@ -11,7 +11,7 @@
 use chivevalve::direct::ask::Controllers;
 use chivevalve::direct::admission_policy::{self, MAX_ADMISSION_QUERIES};
 use chivevalve::direct::dialect::Listed;
-use chivevalve::direct::limits::exchange_pause;
+use chivevalve::direct::limits::exchange_interval;
 use chivevalve::direct::selection::{Selector, mean_remote_utilization};
 use chivevalve::direct::right::Right;
 use chivevalve::direct::roles::Roles;
@@ -528,7 +528,7 @@
             }
         }
         for (number, upstreams) in nodes.iter().enumerate() {
-            let exchanges = exchange_pause(NODES).0 / STEP.0;
+            let exchanges = exchange_interval(NODES).0 / STEP.0;
             if (now.0 / STEP.0) % exchanges == number as u64 % exchanges {
                 for upstream in upstreams {
                     let all = table.running(&upstream.incarnation);
--- a/lib/tests/test_direct_parts.rs
+++ b/lib/tests/test_direct_parts.rs
@@ -7,7 +7,7 @@
 use chivevalve::clock::Millis;
 use chivevalve::direct::budget::RetryBudget;
 use chivevalve::direct::dialect::Held;
-use chivevalve::direct::limits::{SharedLimits, Limits, RetryLimits, exchange_pause, in_use};
+use chivevalve::direct::limits::{SharedLimits, Limits, RetryLimits, exchange_interval, in_use};
 use chivevalve::direct::selection::{Selector, MAX_PLACEMENT_CANDIDATES};
 use chivevalve::direct::roles::Roles;
 use chivevalve::direct::sse::Splitter;
@@ -224,11 +224,11 @@
 /// Cause: a node's exchanges grow with the nodes.
 #[test]
 fn exchange_pause_bounds_a_node() {
-    assert_eq!(exchange_pause(7), Millis(500));
+    assert_eq!(exchange_interval(7), Millis(500));
     for nodes in [79, 320] {
-        let a_second = nodes as u64 * 1000 / exchange_pause(nodes).0;
+        let a_second = nodes as u64 * 1000 / exchange_interval(nodes).0;
         assert!(a_second <= 84, "{a_second} at {nodes}");
-        assert!(in_use(nodes) > exchange_pause(nodes));
+        assert!(in_use(nodes) > exchange_interval(nodes));
     }
 }
 
