--- a/lib/src/direct/follow/mod.rs
+++ b/lib/src/direct/follow/mod.rs
@@ -116,7 +116,7 @@
                     if more {
                         Millis::ZERO
                     } else {
-                        self.within_doubt(self.limits.get().poll_pause())
+                        self.within_doubt(self.limits.get().poll_interval())
                     }
                 }
                 Err(poll::Error::Compacted) => {
--- a/lib/src/direct/limits.rs
+++ b/lib/src/direct/limits.rs
@@ -165,7 +165,7 @@
 impl Limits {
     /// Returns the pause between two calls for changes.
     #[must_use]
-    pub fn poll_pause(&self) -> Millis {
+    pub fn poll_interval(&self) -> Millis {
         self.change_part(POLL_SHARE)
     }
 
--- a/lib/tests/test_direct_parts.rs
+++ b/lib/tests/test_direct_parts.rs
@@ -235,7 +235,7 @@
 #[test]
 fn poll_pause_leaves_time_for_the_call() {
     let limits = Limits::default();
-    assert_eq!(limits.poll_pause(), Millis(800));
+    assert_eq!(limits.poll_interval(), Millis(800));
 }
 
 /// Symptom: requests are turned away for adapters that an engine no longer holds.
