--- a/lib/src/direct/follow/mod.rs
+++ b/lib/src/direct/follow/mod.rs
@@ -205,7 +205,7 @@
             .as_ref()
             .is_some_and(|source| source.is_shared());
         let wait = if is_shared {
-            self.limits.get().leader_wait()
+            self.limits.get().leader_poll_timeout()
         } else {
             POLL_TIMEOUT
         };
--- a/lib/src/direct/limits.rs
+++ b/lib/src/direct/limits.rs
@@ -171,7 +171,7 @@
 
     /// Returns how long a call for changes waits at a node that others listen to.
     #[must_use]
-    pub fn leader_wait(&self) -> Millis {
+    pub fn leader_poll_timeout(&self) -> Millis {
         self.change_part(LEADER_WAIT_SHARE)
     }
 
