--- a/lib/src/direct/follow/mod.rs
+++ b/lib/src/direct/follow/mod.rs
@@ -221,7 +221,7 @@
             return revision;
         };
         loop {
-            let oldest = self.fresh.unwrap_or_default() + self.limits.get().oldest_update();
+            let oldest = self.fresh.unwrap_or_default() + self.limits.get().max_update_age();
             let left = oldest.since(self.clock.now());
             if left == Millis::ZERO {
                 self.count("nobody");
--- a/lib/src/direct/limits.rs
+++ b/lib/src/direct/limits.rs
@@ -177,7 +177,7 @@
 
     /// Returns the age of the newest change that was passed on, from which on a node asks itself.
     #[must_use]
-    pub fn oldest_update(&self) -> Millis {
+    pub fn max_update_age(&self) -> Millis {
         self.change_part(OLDEST_SHARE)
     }
 
