--- a/lib/src/direct/claim/candidate.rs
+++ b/lib/src/direct/claim/candidate.rs
@@ -83,7 +83,7 @@
             .unwrap_or(gathered.max(upstream.seen));
         let passed = now.since(since);
         // Whoever comes later than that waits longer in any case.
-        let rank = self.rank(state, address, passed.0 / limits.claim_rank().0 + 1);
+        let rank = self.rank(state, address, passed.0 / limits.claim_delay_per_rank().0 + 1);
         if passed < self.patience(state, address, rank, limits) {
             return None;
         }
@@ -101,7 +101,7 @@
 
     /// Returns how long an engine must have had no owner before this node claims it.
     fn patience(&self, state: &State, address: SocketAddr, rank: u64, limits: &Limits) -> Millis {
-        let wait = Millis(limits.claim_rank().0 * rank);
+        let wait = Millis(limits.claim_delay_per_rank().0 * rank);
         match state.vanished.get(&address) {
             Some((previous, _)) if previous.node == self.node => Millis::ZERO,
             // All claims can lapse in an outage; a previous owner that lives needs no waiting
--- a/lib/src/direct/limits.rs
+++ b/lib/src/direct/limits.rs
@@ -189,7 +189,7 @@
 
     /// Returns how long a claim waits for each node that comes before the one that makes it.
     #[must_use]
-    pub fn claim_rank(&self) -> Millis {
+    pub fn claim_delay_per_rank(&self) -> Millis {
         self.change_part(CLAIM_RANK_SHARE).max(Millis(1))
     }
 
