--- a/lib/src/direct/acquire.rs
+++ b/lib/src/direct/acquire.rs
@@ -45,7 +45,7 @@
         let upstream = field.first(self.manner(), |upstream| upstream.has_base(model))?;
         let question = self.question(None, 0);
         let permit = match self.gate.controllers.admit(&upstream, question).await {
-            admit::Answer::Admitted(permit, _) => Some(permit),
+            admit::AdmitDecision::Admitted(permit, _) => Some(permit),
             _ => None,
         };
         Some(Target {
@@ -86,12 +86,12 @@
                 ..self.question(Some(adapter), wanted)
             };
             match self.gate.controllers.admit(&upstream, question).await {
-                admit::Answer::Admitted(permit, _) => {
+                admit::AdmitDecision::Admitted(permit, _) => {
                     return Asked::Place(Self::admitted(upstream, adapter, Some(permit)));
                 }
-                admit::Answer::Busy(load) => busy.push((upstream, load)),
-                admit::Answer::Absent(_) => upstream.lost(adapter),
-                admit::Answer::Unknown => {
+                admit::AdmitDecision::Busy(load) => busy.push((upstream, load)),
+                admit::AdmitDecision::Absent(_) => upstream.lost(adapter),
+                admit::AdmitDecision::Unknown => {
                     return Asked::Place(Self::admitted(upstream, adapter, None));
                 }
             }
@@ -143,14 +143,14 @@
         question: AdmitQuery<'_>,
     ) -> Option<Target> {
         match self.gate.controllers.admit(&upstream, question).await {
-            admit::Answer::Admitted(permit, _) => {
+            admit::AdmitDecision::Admitted(permit, _) => {
                 Some(Self::admitted(upstream, adapter, Some(permit)))
             }
-            admit::Answer::Absent(_) => {
+            admit::AdmitDecision::Absent(_) => {
                 upstream.lost(adapter);
                 None
             }
-            admit::Answer::Busy(_) | admit::Answer::Unknown => {
+            admit::AdmitDecision::Busy(_) | admit::AdmitDecision::Unknown => {
                 Some(Self::admitted(upstream, adapter, None))
             }
         }
@@ -214,7 +214,7 @@
             self.gate.controllers.admit(upstream, question)
         });
         let answers = futures::future::join_all(asking).await;
-        let loads: Vec<Option<EngineLoad>> = answers.iter().map(admit::Answer::load).collect();
+        let loads: Vec<Option<EngineLoad>> = answers.iter().map(admit::AdmitDecision::load).collect();
         let objective = self.route.objective;
         if only_calm {
             let calm = homes.iter().zip(&loads).filter(|(upstream, load)| {
--- a/lib/src/direct/admit.rs
+++ b/lib/src/direct/admit.rs
@@ -52,7 +52,7 @@
 
 /// What an owner said.
 #[derive(Debug)]
-pub enum Answer {
+pub enum AdmitDecision {
     /// The request counts while the permit lives.
     Admitted(Permit, EngineLoad),
     /// As many requests as the limit says are there.
@@ -63,7 +63,7 @@
     Unknown,
 }
 
-impl Answer {
+impl AdmitDecision {
     /// Returns the name used in metrics.
     #[must_use]
     pub const fn name(&self) -> &'static str {
@@ -104,7 +104,7 @@
 
 impl Controllers {
     /// Has a request counted in at an engine by whoever gives it orders.
-    pub async fn admit(&self, upstream: &Arc<Upstream>, question: AdmitQuery<'_>) -> Answer {
+    pub async fn admit(&self, upstream: &Arc<Upstream>, question: AdmitQuery<'_>) -> AdmitDecision {
         let answer = if self.right.owns(upstream.address) {
             self.admit_here(upstream, question)
         } else {
@@ -120,11 +120,11 @@
     }
 
     /// Answers for an engine that this node orders.
-    pub(super) fn admit_here(&self, upstream: &Arc<Upstream>, question: AdmitQuery<'_>) -> Answer {
+    pub(super) fn admit_here(&self, upstream: &Arc<Upstream>, question: AdmitQuery<'_>) -> AdmitDecision {
         // Counting needs no right to give orders: an owner that has lost the key-value service
         // still knows best what runs at its engines.
         if !self.right.owns(upstream.address) {
-            return Answer::Unknown;
+            return AdmitDecision::Unknown;
         }
         let none = Name::from("");
         let adapter = question.adapter.unwrap_or(&none);
@@ -133,11 +133,11 @@
         let held = upstream.version(adapter);
         let absent = held.is_none_or(|held| held < question.version);
         if question.adapter.is_some() && absent && !question.loaded {
-            return Answer::Absent(load);
+            return AdmitDecision::Absent(load);
         }
         let is_busy = load.running >= question.limit || load.wait > question.patience;
         if question.limit > 0 && is_busy {
-            return Answer::Busy(load);
+            return AdmitDecision::Busy(load);
         }
         if question.adapter.is_some() {
             self.note_uses(engine, vec![Name::clone(adapter)], IN_USE_GRACE);
@@ -147,15 +147,15 @@
             tokens: question.tokens,
         };
         let place = self.table.enter(engine, part);
-        Answer::Admitted(Permit(Counted::Here(place)), load)
+        AdmitDecision::Admitted(Permit(Counted::Here(place)), load)
     }
 
-    async fn admit_there(&self, upstream: &Arc<Upstream>, question: AdmitQuery<'_>) -> Answer {
+    async fn admit_there(&self, upstream: &Arc<Upstream>, question: AdmitQuery<'_>) -> AdmitDecision {
         let Some((node, peer)) = self.view.owner(upstream.address) else {
-            return Answer::Unknown;
+            return AdmitDecision::Unknown;
         };
         if self.is_silent(peer.address) {
-            return Answer::Unknown;
+            return AdmitDecision::Unknown;
         }
         let request = AdmitRequest {
             incarnation: upstream.incarnation.to_string(),
@@ -184,21 +184,21 @@
         };
         match tokio::time::timeout(ANSWER.duration(), asking).await {
             Ok(Ok((replies, Some(reply)))) => read(replies, &reply, unread),
-            Ok(Ok((_, None))) => Answer::Unknown,
+            Ok(Ok((_, None))) => AdmitDecision::Unknown,
             Ok(Err(status)) => {
                 log::info!("admit: {node} does not answer: {}", status.message());
-                Answer::Unknown
+                AdmitDecision::Unknown
             }
             Err(_) => {
                 log::info!("admit: no answer from {node} within {ANSWER}");
                 self.is_late(peer.address);
-                Answer::Unknown
+                AdmitDecision::Unknown
             }
         }
     }
 }
 
-fn read(replies: Streaming<AdmitReply>, reply: &AdmitReply, unread: oneshot::Sender<()>) -> Answer {
+fn read(replies: Streaming<AdmitReply>, reply: &AdmitReply, unread: oneshot::Sender<()>) -> AdmitDecision {
     let load = EngineLoad {
         running: reply.running,
         alike: reply.alike,
@@ -210,11 +210,11 @@
                 unread: Some(unread),
                 _call: Box::new(replies),
             };
-            Answer::Admitted(Permit(counted), load)
+            AdmitDecision::Admitted(Permit(counted), load)
         }
-        Admission::Busy => Answer::Busy(load),
-        Admission::Absent => Answer::Absent(load),
-        Admission::Unknown | Admission::Unspecified => Answer::Unknown,
+        Admission::Busy => AdmitDecision::Busy(load),
+        Admission::Absent => AdmitDecision::Absent(load),
+        Admission::Unknown | Admission::Unspecified => AdmitDecision::Unknown,
     }
 }
 
@@ -230,12 +230,12 @@
 impl AdmitReplies {
     /// Makes the answer that keeps a request counted until the other node drops the call.
     #[must_use]
-    pub fn new(answer: Answer, questions: Streaming<AdmitRequest>) -> Self {
+    pub fn new(answer: AdmitDecision, questions: Streaming<AdmitRequest>) -> Self {
         let (admission, load, permit) = match answer {
-            Answer::Admitted(permit, load) => (Admission::Admitted, Some(load), Some(permit)),
-            Answer::Busy(load) => (Admission::Busy, Some(load), None),
-            Answer::Absent(load) => (Admission::Absent, Some(load), None),
-            Answer::Unknown => (Admission::Unknown, None, None),
+            AdmitDecision::Admitted(permit, load) => (Admission::Admitted, Some(load), Some(permit)),
+            AdmitDecision::Busy(load) => (Admission::Busy, Some(load), None),
+            AdmitDecision::Absent(load) => (Admission::Absent, Some(load), None),
+            AdmitDecision::Unknown => (Admission::Unknown, None, None),
         };
         let reply = AdmitReply {
             admission: admission.into(),
--- a/lib/src/direct/request/send.rs
+++ b/lib/src/direct/request/send.rs
@@ -84,7 +84,7 @@
             )
         };
         let permit = match self.gate.controllers.admit(&place.upstream, question).await {
-            admit::Answer::Admitted(permit, _) => Some(permit),
+            admit::AdmitDecision::Admitted(permit, _) => Some(permit),
             _ => None,
         };
         self.note_uncounted(place, permit.as_ref());
--- a/lib/src/direct/serve.rs
+++ b/lib/src/direct/serve.rs
@@ -10,7 +10,7 @@
 use tonic::transport::Server;
 use tonic::{Request, Response, Status, Streaming};
 
-use super::admit::{Answer, AdmitQuery, AdmitReplies};
+use super::admit::{AdmitDecision, AdmitQuery, AdmitReplies};
 use super::ask::Controllers;
 use super::limits::in_use;
 use super::orders::Loaded;
@@ -78,7 +78,7 @@
         };
         let answer = match self.upstream(&request.incarnation) {
             Some(upstream) => self.0.admit_here(&upstream, question),
-            None => Answer::Unknown,
+            None => AdmitDecision::Unknown,
         };
         Ok(Response::new(AdmitReplies::new(answer, questions)))
     }
--- a/lib/src/direct/target.rs
+++ b/lib/src/direct/target.rs
@@ -238,14 +238,14 @@
                 ..self.question(Some(adapter), 0)
             };
             match self.gate.controllers.admit(&upstream, question).await {
-                admit::Answer::Admitted(permit, _) => {
+                admit::AdmitDecision::Admitted(permit, _) => {
                     return Some(Self::admitted(upstream, adapter, Some(permit)));
                 }
-                admit::Answer::Absent(_) => upstream.lost(adapter),
-                admit::Answer::Unknown if upstream.load() < admission_policy::calm_limit(upstream.slots) => {
+                admit::AdmitDecision::Absent(_) => upstream.lost(adapter),
+                admit::AdmitDecision::Unknown if upstream.load() < admission_policy::calm_limit(upstream.slots) => {
                     return Some(Self::admitted(upstream, adapter, None));
                 }
-                admit::Answer::Busy(_) | admit::Answer::Unknown => {}
+                admit::AdmitDecision::Busy(_) | admit::AdmitDecision::Unknown => {}
             }
         }
         None
--- a/lib/tests/test_direct_admission.rs
+++ b/lib/tests/test_direct_admission.rs
@@ -7,7 +7,7 @@
 
 use chivevalve::clock::{Clock, Manual, Millis, Monotonic};
 use chivevalve::direct::occupancy::{EngineLoad, Occupancy, CountedRequest, OccupancyGuard, OccupancyTable};
-use chivevalve::direct::admit::{Answer, AdmitQuery};
+use chivevalve::direct::admit::{AdmitDecision, AdmitQuery};
 use chivevalve::direct::ask::Controllers;
 use chivevalve::direct::admission_policy::{self, MAX_ADMISSION_QUERIES};
 use chivevalve::direct::dialect::Listed;
@@ -256,7 +256,7 @@
                 .admit(&owner.upstream, question(&adapter, 1))
                 .await;
             let running = match answer {
-                Answer::Admitted(_, load) | Answer::Busy(load) => load.running,
+                AdmitDecision::Admitted(_, load) | AdmitDecision::Busy(load) => load.running,
                 other => panic!("{other:?}"),
             };
             if running == number {
@@ -282,13 +282,13 @@
         .controllers
         .admit(&owner.upstream, question(&adapter, 2))
         .await;
-    assert!(matches!(&first, Answer::Admitted(_, load) if load.running == 0));
-    assert!(matches!(&second, Answer::Admitted(_, load) if load.alike == 1));
+    assert!(matches!(&first, AdmitDecision::Admitted(_, load) if load.running == 0));
+    assert!(matches!(&second, AdmitDecision::Admitted(_, load) if load.alike == 1));
     let third = other
         .controllers
         .admit(&other.upstream, question(&adapter, 2))
         .await;
-    assert!(matches!(third, Answer::Busy(load) if load.running == 2));
+    assert!(matches!(third, AdmitDecision::Busy(load) if load.running == 2));
     assert_eq!(other.upstream.load(), 2);
     drop(first);
     until_counted(&owner, 1).await;
@@ -324,17 +324,17 @@
         ..question(&adapter, 4)
     };
     let first = other.controllers.admit(&other.upstream, long).await;
-    let Answer::Admitted(mut permit, _) = first else {
+    let AdmitDecision::Admitted(mut permit, _) = first else {
         panic!("{first:?}");
     };
     let second = other.controllers.admit(&other.upstream, long).await;
     assert!(
-        matches!(second, Answer::Busy(load) if load.wait == Millis(800)),
+        matches!(second, AdmitDecision::Busy(load) if load.wait == Millis(800)),
         "{second:?}"
     );
     permit.read();
     let read = async {
-        while let Answer::Busy(_) = owner.controllers.admit(&owner.upstream, long).await {
+        while let AdmitDecision::Busy(_) = owner.controllers.admit(&owner.upstream, long).await {
             tokio::time::sleep(Millis(5).duration()).await;
         }
     };
@@ -353,13 +353,13 @@
         .controllers
         .admit(&other.upstream, question(&adapter, 0))
         .await;
-    assert!(matches!(answer, Answer::Absent(_)), "{answer:?}");
+    assert!(matches!(answer, AdmitDecision::Absent(_)), "{answer:?}");
     let loaded = AdmitQuery {
         loaded: true,
         ..question(&adapter, 0)
     };
     let answer = other.controllers.admit(&other.upstream, loaded).await;
-    assert!(matches!(answer, Answer::Admitted(..)), "{answer:?}");
+    assert!(matches!(answer, AdmitDecision::Admitted(..)), "{answer:?}");
 }
 
 /// An owner that doesn't answer is asked once, and costs later requests no time.
@@ -379,7 +379,7 @@
             .controllers
             .admit(&asking.upstream, question(&adapter, 0))
             .await;
-        assert!(matches!(answer, Answer::Unknown), "{answer:?}");
+        assert!(matches!(answer, AdmitDecision::Unknown), "{answer:?}");
         assert!(began.elapsed() <= Millis(130).duration());
     }
     let began = tokio::time::Instant::now();
@@ -401,7 +401,7 @@
         let adapter = Name::from(ADAPTER);
         let question = question(&adapter, 0);
         let answer = asking.controllers.admit(&asking.upstream, question).await;
-        assert!(matches!(answer, Answer::Unknown), "{answer:?}");
+        assert!(matches!(answer, AdmitDecision::Unknown), "{answer:?}");
         tokio::time::sleep(Millis(300).duration()).await;
     };
     tokio::select! {
@@ -449,7 +449,7 @@
     let answer = other
         .controllers
         .admit(&other.upstream, question(&adapter, 0));
-    let Answer::Admitted(permit, _) = answer.await else {
+    let AdmitDecision::Admitted(permit, _) = answer.await else {
         panic!("there is no place");
     };
     hold.send_replace(true);
@@ -459,7 +459,7 @@
             .admit(&other.upstream, question(&adapter, 0))
     });
     for answer in futures::future::join_all(late).await {
-        assert!(matches!(answer, Answer::Unknown), "{answer:?}");
+        assert!(matches!(answer, AdmitDecision::Unknown), "{answer:?}");
     }
     hold.send_replace(false);
     tokio::time::sleep(Millis(300).duration()).await;
