--- a/lib/src/direct/request/outcome.rs
+++ b/lib/src/direct/request/outcome.rs
@@ -6,7 +6,7 @@
 use crate::clock::Millis;
 use crate::direct::attempt::{Answer, Miss};
 use crate::direct::record;
-use crate::direct::sends::{PendingSends, Sent};
+use crate::direct::sends::{PendingSends, FinishedSend};
 use crate::direct::upstream::Upstream;
 use crate::error::{Code, Failure};
 use crate::name::Name;
@@ -26,7 +26,7 @@
     pub(super) fn conclude(
         &mut self,
         sends: &PendingSends,
-        sent: Sent,
+        sent: FinishedSend,
     ) -> Result<Option<Answer>, Failure> {
         let is_last = sends.is_empty();
         match sent.result {
--- a/lib/src/direct/sends.rs
+++ b/lib/src/direct/sends.rs
@@ -22,7 +22,7 @@
 
 /// A send that has ended.
 #[derive(Debug)]
-pub struct Sent {
+pub struct FinishedSend {
     /// Where it went.
     pub upstream: Arc<Upstream>,
     /// When it was sent.
@@ -42,7 +42,7 @@
 /// Sends in progress; dropping them closes their connections.
 #[derive(Debug, Default)]
 pub struct PendingSends {
-    answers: FuturesUnordered<BoxFuture<'static, Sent>>,
+    answers: FuturesUnordered<BoxFuture<'static, FinishedSend>>,
     waiting: SmallVec<[Waiting; 2]>,
 }
 
@@ -68,7 +68,7 @@
         self.answers.push(Box::pin(async move {
             let sending = message.send(&upstream, &*dialect, &dispatch, permit, watch);
             let result = sending.await;
-            Sent {
+            FinishedSend {
                 upstream,
                 at: now,
                 result,
@@ -108,7 +108,7 @@
     /// Waits for the next send to end; none if nothing is on its way.
     ///
     /// Nothing is lost when this is dropped before it returns.
-    pub async fn next(&mut self) -> Option<Sent> {
+    pub async fn next(&mut self) -> Option<FinishedSend> {
         let sent = self.answers.next().await?;
         self.waiting
             .retain(|one| one.upstream.incarnation != sent.upstream.incarnation);
