--- a/lib/src/direct/request/mod.rs
+++ b/lib/src/direct/request/mod.rs
@@ -212,7 +212,7 @@
             target = self.target() => target,
         };
         match target {
-            Ok(target) if !self.stands_at(&target.upstream) && !sends.reaches(&target.upstream) => {
+            Ok(target) if !self.stands_at(&target.upstream) && !sends.includes(&target.upstream) => {
                 self.gate.count_retry("silent");
                 self.send(sends, target, resume_after);
             }
--- a/lib/src/direct/sends.rs
+++ b/lib/src/direct/sends.rs
@@ -84,7 +84,7 @@
 
     /// Whether a send to an upstream is on its way.
     #[must_use]
-    pub fn reaches(&self, upstream: &Upstream) -> bool {
+    pub fn includes(&self, upstream: &Upstream) -> bool {
         let same = |one: &Waiting| one.upstream.incarnation == upstream.incarnation;
         self.waiting.iter().any(same)
     }
