--- a/lib/src/direct/claim/candidate.rs
+++ b/lib/src/direct/claim/candidate.rs
@@ -68,7 +68,7 @@
         limits: &Limits,
         (began, now): (Millis, Millis),
     ) -> Option<Candidate> {
-        let gathered = began + limits.gather();
+        let gathered = began + limits.discovery_window();
         let address = upstream.address;
         let standing = state.claims.get(&address);
         if let Some(standing) = standing.filter(|standing| self.is_previous_start(standing)) {
--- a/lib/src/direct/limits.rs
+++ b/lib/src/direct/limits.rs
@@ -183,7 +183,7 @@
 
     /// Returns the time for other nodes to appear before engines are shared out.
     #[must_use]
-    pub fn gather(&self) -> Millis {
+    pub fn discovery_window(&self) -> Millis {
         self.change_part(GATHER_SHARE)
     }
 
