--- a/lib/src/direct/ask/exchange.rs
+++ b/lib/src/direct/ask/exchange.rs
@@ -7,7 +7,7 @@
 use super::{Controllers, Silence};
 use crate::clock::Millis;
 use crate::direct::dialect::Held;
-use crate::direct::limits::in_use;
+use crate::direct::limits::in_use_grace;
 use crate::direct::orders::Used;
 use crate::direct::upstream::Upstream;
 use crate::name::Name;
@@ -43,7 +43,7 @@
                 }
             }
             if self.right.owns(upstream.address) {
-                self.note_uses(&upstream.incarnation, adapters, in_use(nodes));
+                self.note_uses(&upstream.incarnation, adapters, in_use_grace(nodes));
                 continue;
             }
             let Some((_, peer)) = self.view.owner(upstream.address) else {
--- a/lib/src/direct/limits.rs
+++ b/lib/src/direct/limits.rs
@@ -158,7 +158,7 @@
 ///
 /// Such a node tells of its requests with each exchange, and one may be lost.
 #[must_use]
-pub fn in_use(nodes: usize) -> Millis {
+pub fn in_use_grace(nodes: usize) -> Millis {
     IN_USE_GRACE.max(Millis(exchange_interval(nodes).0 * 2 + 200))
 }
 
--- a/lib/src/direct/serve.rs
+++ b/lib/src/direct/serve.rs
@@ -12,7 +12,7 @@
 
 use super::admit::{AdmitDecision, AdmitQuery, AdmitReplies};
 use super::ask::Controllers;
-use super::limits::in_use;
+use super::limits::in_use_grace;
 use super::orders::Loaded;
 use super::upstream::Upstream;
 use super::view::Evidence;
@@ -149,7 +149,7 @@
                 let adapters = one.adapters.iter().map(|name| name.as_str().into());
                 let nodes = self.0.view.state().most_nodes;
                 self.0
-                    .note_uses(&one.incarnation, adapters.collect(), in_use(nodes));
+                    .note_uses(&one.incarnation, adapters.collect(), in_use_grace(nodes));
                 standings.push(standing);
             }
         }
--- a/lib/tests/test_direct_parts.rs
+++ b/lib/tests/test_direct_parts.rs
@@ -7,7 +7,7 @@
 use chivevalve::clock::Millis;
 use chivevalve::direct::budget::RetryBudget;
 use chivevalve::direct::dialect::Held;
-use chivevalve::direct::limits::{SharedLimits, Limits, RetryLimits, exchange_interval, in_use};
+use chivevalve::direct::limits::{SharedLimits, Limits, RetryLimits, exchange_interval, in_use_grace};
 use chivevalve::direct::selection::{Selector, MAX_PLACEMENT_CANDIDATES};
 use chivevalve::direct::roles::Roles;
 use chivevalve::direct::sse::Splitter;
@@ -228,7 +228,7 @@
     for nodes in [79, 320] {
         let a_second = nodes as u64 * 1000 / exchange_interval(nodes).0;
         assert!(a_second <= 84, "{a_second} at {nodes}");
-        assert!(in_use(nodes) > exchange_interval(nodes));
+        assert!(in_use_grace(nodes) > exchange_interval(nodes));
     }
 }
 
