--- a/lib/src/direct/ask/exchange.rs
+++ b/lib/src/direct/ask/exchange.rs
@@ -37,7 +37,7 @@
         for upstream in upstreams {
             let mut adapters = uses.get(&upstream.incarnation).cloned().unwrap_or_default();
             // A long stream uses its adapter though it was asked for long ago.
-            for adapter in upstream.in_use() {
+            for adapter in upstream.uncounted_adapters() {
                 if !adapters.contains(&adapter) {
                     adapters.push(adapter);
                 }
--- a/lib/src/direct/upstream.rs
+++ b/lib/src/direct/upstream.rs
@@ -324,7 +324,7 @@
 
     /// Returns the adapters that requests of this node use which the owner doesn't count.
     #[must_use]
-    pub fn in_use(&self) -> Vec<Name> {
+    pub fn uncounted_adapters(&self) -> Vec<Name> {
         self.using().keys().cloned().collect()
     }
 
--- a/lib/tests/test_direct_exchange.rs
+++ b/lib/tests/test_direct_exchange.rs
@@ -93,9 +93,9 @@
         let Some((_, owner)) = controllers.view.owner(engine.address) else {
             continue;
         };
-        let mut adapters = engine.in_use();
+        let mut adapters = engine.uncounted_adapters();
         let noted = noted.get(&engine.incarnation).cloned();
-        adapters.extend(noted.filter(|noted| !engine.in_use().contains(noted)));
+        adapters.extend(noted.filter(|noted| !engine.uncounted_adapters().contains(noted)));
         let is_idle = adapters.is_empty() && engine.running() == 0;
         if controllers.right.owns(engine.address) || (is_idle && owner.address != silent) {
             continue;
--- a/lib/tests/test_direct_parts.rs
+++ b/lib/tests/test_direct_parts.rs
@@ -213,9 +213,9 @@
     let first = one.enter(Some(&adapter), None);
     let second = one.enter(Some(&adapter), None);
     drop(first);
-    assert_eq!(one.in_use(), [Name::clone(&adapter)]);
+    assert_eq!(one.uncounted_adapters(), [Name::clone(&adapter)]);
     drop(second);
-    assert!(one.in_use().is_empty());
+    assert!(one.uncounted_adapters().is_empty());
     assert_eq!(one.running(), 0);
 }
 
