--- a/lib/src/direct/budget.rs
+++ b/lib/src/direct/budget.rs
@@ -44,7 +44,7 @@
     }
 
     /// Counts a request for a pool.
-    pub fn request(&mut self, pool: &Name, now: Millis) {
+    pub fn record_request(&mut self, pool: &Name, now: Millis) {
         self.step(pool, now).requests += 1;
     }
 
--- a/lib/src/direct/entry/answer.rs
+++ b/lib/src/direct/entry/answer.rs
@@ -104,7 +104,7 @@
         self.budget
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
-            .request(&pool, began);
+            .record_request(&pool, began);
         let mut headers = head.headers;
         remove_hop_by_hop(&mut headers);
         headers.remove(header::CONTENT_LENGTH);
--- a/lib/tests/test_direct_parts.rs
+++ b/lib/tests/test_direct_parts.rs
@@ -96,7 +96,7 @@
         let mut budget = RetryBudget::new(retries());
         for step in 0..200 {
             let now = Millis(step * 50);
-            budget.request(&pool, now);
+            budget.record_request(&pool, now);
             for _ in 0..5 {
                 total += u32::from(budget.repeat(&pool, now, 7));
             }
