--- a/lib/src/direct/budget.rs
+++ b/lib/src/direct/budget.rs
@@ -49,7 +49,7 @@
     }
 
     /// Counts a further send that no leave was taken for.
-    pub fn spend(&mut self, pool: &Name, now: Millis) {
+    pub fn record_retry(&mut self, pool: &Name, now: Millis) {
         self.step(pool, now).repeats += 1;
     }
 
--- a/lib/src/direct/entry/mod.rs
+++ b/lib/src/direct/entry/mod.rs
@@ -174,7 +174,7 @@
     /// Counts a send to a pool that turned out to be a further one.
     pub fn spend_repeat(&self, pool: &Name) {
         let now = self.clock.now();
-        self.budget().spend(pool, now);
+        self.budget().record_retry(pool, now);
     }
 
     /// Whether the budget of a pool has room for a further send.
