--- a/lib/src/direct/budget.rs
+++ b/lib/src/direct/budget.rs
@@ -59,7 +59,7 @@
     }
 
     /// Counts a further send of a request, if the bound allows it.
-    pub fn repeat(&mut self, pool: &Name, now: Millis, nodes: usize) -> bool {
+    pub fn try_retry(&mut self, pool: &Name, now: Millis, nodes: usize) -> bool {
         let allowed = self.allowed(pool, now, nodes);
         let step = self.step(pool, now);
         if allowed {
--- a/lib/src/direct/entry/mod.rs
+++ b/lib/src/direct/entry/mod.rs
@@ -168,7 +168,7 @@
     /// Takes what sending a request to a pool once more costs from the budget; false if it's spent.
     pub fn take_repeat(&self, pool: &Name) -> bool {
         let nodes = self.view.state().most_nodes;
-        self.budget().repeat(pool, self.clock.now(), nodes)
+        self.budget().try_retry(pool, self.clock.now(), nodes)
     }
 
     /// Counts a send to a pool that turned out to be a further one.
--- a/lib/tests/test_direct_parts.rs
+++ b/lib/tests/test_direct_parts.rs
@@ -98,7 +98,7 @@
             let now = Millis(step * 50);
             budget.record_request(&pool, now);
             for _ in 0..5 {
-                total += u32::from(budget.repeat(&pool, now, 7));
+                total += u32::from(budget.try_retry(&pool, now, 7));
             }
         }
     }
@@ -111,9 +111,9 @@
 fn budget_window_slides() {
     let pool = Name::from("engines");
     let mut budget = RetryBudget::new(retries());
-    while budget.repeat(&pool, Millis(100), 1) {}
-    assert!(!budget.repeat(&pool, Millis(9_000), 1));
-    assert!(budget.repeat(&pool, Millis(11_000), 1));
+    while budget.try_retry(&pool, Millis(100), 1) {}
+    assert!(!budget.try_retry(&pool, Millis(9_000), 1));
+    assert!(budget.try_retry(&pool, Millis(11_000), 1));
 }
 
 #[test]
--- a/lib/tests/test_direct_reload.rs
+++ b/lib/tests/test_direct_reload.rs
@@ -34,7 +34,7 @@
     let (reload, limits) = reload();
     let mut budget = RetryBudget::new(Arc::clone(&limits));
     let pool = "engines".into();
-    assert!(budget.repeat(&pool, Millis(0), 1));
+    assert!(budget.try_retry(&pool, Millis(0), 1));
     let mut changed = settings();
     changed.limits.turns = Millis(5_000);
     changed.limits.retries = RetryLimits {
@@ -44,7 +44,7 @@
     };
     assert_eq!(reload.take(Ok(changed.clone())), Taken::InForce);
     assert_eq!(limits.get().turns, Millis(5_000));
-    assert!(!budget.repeat(&pool, Millis(0), 1));
+    assert!(!budget.try_retry(&pool, Millis(0), 1));
     assert_eq!(reload.take(Ok(changed)), Taken::Same);
 }
 
