--- a/lib/src/direct/roles.rs
+++ b/lib/src/direct/roles.rs
@@ -27,7 +27,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Workload {
     /// It reads much and writes little: nothing is gained by moving it.
-    Reads,
+    PrefillHeavy,
     /// Its answer is what takes time, or nothing is known.
     Writes,
 }
@@ -42,7 +42,7 @@
             Some((prompt, answer))
                 if answer > 0 && prompt > answer.saturating_mul(MOSTLY_READS) =>
             {
-                Self::Reads
+                Self::PrefillHeavy
             }
             _ => Self::Writes,
         }
--- a/lib/src/direct/selection.rs
+++ b/lib/src/direct/selection.rs
@@ -106,7 +106,7 @@
             found.as_ref().is_some_and(|found| !self.avoided(found))
         };
         let reads = match manner {
-            Workload::Reads => sound(&reader),
+            Workload::PrefillHeavy => sound(&reader),
             Workload::Writes => sound(&reader) && sound(&writer),
         };
         if reads {
--- a/lib/src/direct/target.rs
+++ b/lib/src/direct/target.rs
@@ -309,7 +309,7 @@
     /// Engines that could load the adapter, those with no older version of it first.
     fn homes(&self, field: &Selector<'_>, adapter: &Name) -> Vec<Arc<Upstream>> {
         let mut homes = field.homes(adapter, |upstream| self.can_load(upstream, adapter));
-        let reads = self.manner() == Workload::Reads;
+        let reads = self.manner() == Workload::PrefillHeavy;
         homes.sort_by_key(|upstream| field.reads(upstream) != reads);
         if let Some(rest) = homes.get_mut(FIRST_HOMES..) {
             rest.sort_by_key(|upstream| upstream.held_count());
--- a/lib/tests/test_direct_roles.rs
+++ b/lib/tests/test_direct_roles.rs
@@ -74,7 +74,7 @@
 
 #[test]
 fn manner_by_tokens() {
-    assert_eq!(Workload::of(Some((2_400, 90))), Workload::Reads);
+    assert_eq!(Workload::of(Some((2_400, 90))), Workload::PrefillHeavy);
     assert_eq!(Workload::of(Some((826, 954))), Workload::Writes);
     assert_eq!(Workload::of(Some((800, 100))), Workload::Writes);
     // What tells nothing of its answer may write for long.
@@ -186,12 +186,12 @@
     assert_eq!(begins(Workload::Writes, &both), Some(reader.address));
     assert_eq!(begins(Workload::Writes, &[writer]), Some(writer.address));
     assert_eq!(begins(Workload::Writes, &[reader]), Some(reader.address));
-    assert_eq!(begins(Workload::Reads, &both), Some(reader.address));
-    assert_eq!(begins(Workload::Reads, &[writer]), Some(writer.address));
+    assert_eq!(begins(Workload::PrefillHeavy, &both), Some(reader.address));
+    assert_eq!(begins(Workload::PrefillHeavy, &[writer]), Some(writer.address));
     assert_eq!(begins(Workload::Writes, &[]), None);
     // A reader that fails is passed over while a writer can take the request.
     reader.unreachable(Millis(1_000));
-    assert_eq!(begins(Workload::Reads, &both), Some(writer.address));
+    assert_eq!(begins(Workload::PrefillHeavy, &both), Some(writer.address));
     assert_eq!(begins(Workload::Writes, &both), Some(writer.address));
 }
 
@@ -231,9 +231,9 @@
                 !found.suspended(field.now) && !tried.contains(&found.incarnation)
             })
         };
-        for manner in [Workload::Reads, Workload::Writes] {
+        for manner in [Workload::PrefillHeavy, Workload::Writes] {
             let reads = match manner {
-                Workload::Reads => sound(&reader),
+                Workload::PrefillHeavy => sound(&reader),
                 Workload::Writes => sound(&reader) && sound(&writer),
             };
             let expected = match (&reader, &writer) {
