--- a/lib/src/direct/roles.rs
+++ b/lib/src/direct/roles.rs
@@ -29,7 +29,7 @@
     /// It reads much and writes little: nothing is gained by moving it.
     PrefillHeavy,
     /// Its answer is what takes time, or nothing is known.
-    Writes,
+    DecodeHeavy,
 }
 
 impl Workload {
@@ -44,7 +44,7 @@
             {
                 Self::PrefillHeavy
             }
-            _ => Self::Writes,
+            _ => Self::DecodeHeavy,
         }
     }
 }
--- a/lib/src/direct/selection.rs
+++ b/lib/src/direct/selection.rs
@@ -107,7 +107,7 @@
         };
         let reads = match manner {
             Workload::PrefillHeavy => sound(&reader),
-            Workload::Writes => sound(&reader) && sound(&writer),
+            Workload::DecodeHeavy => sound(&reader) && sound(&writer),
         };
         if reads {
             return reader;
--- a/lib/tests/test_direct_roles.rs
+++ b/lib/tests/test_direct_roles.rs
@@ -75,12 +75,12 @@
 #[test]
 fn manner_by_tokens() {
     assert_eq!(Workload::of(Some((2_400, 90))), Workload::PrefillHeavy);
-    assert_eq!(Workload::of(Some((826, 954))), Workload::Writes);
-    assert_eq!(Workload::of(Some((800, 100))), Workload::Writes);
+    assert_eq!(Workload::of(Some((826, 954))), Workload::DecodeHeavy);
+    assert_eq!(Workload::of(Some((800, 100))), Workload::DecodeHeavy);
     // What tells nothing of its answer may write for long.
-    assert_eq!(Workload::of(Some((2_400, 0))), Workload::Writes);
-    assert_eq!(Workload::of(None), Workload::Writes);
-    assert_eq!(Workload::of(Some((u32::MAX, u32::MAX))), Workload::Writes);
+    assert_eq!(Workload::of(Some((2_400, 0))), Workload::DecodeHeavy);
+    assert_eq!(Workload::of(None), Workload::DecodeHeavy);
+    assert_eq!(Workload::of(Some((u32::MAX, u32::MAX))), Workload::DecodeHeavy);
 }
 
 #[test]
@@ -183,16 +183,16 @@
         found.map(|found| found.address)
     };
     let both = [reader, writer];
-    assert_eq!(begins(Workload::Writes, &both), Some(reader.address));
-    assert_eq!(begins(Workload::Writes, &[writer]), Some(writer.address));
-    assert_eq!(begins(Workload::Writes, &[reader]), Some(reader.address));
+    assert_eq!(begins(Workload::DecodeHeavy, &both), Some(reader.address));
+    assert_eq!(begins(Workload::DecodeHeavy, &[writer]), Some(writer.address));
+    assert_eq!(begins(Workload::DecodeHeavy, &[reader]), Some(reader.address));
     assert_eq!(begins(Workload::PrefillHeavy, &both), Some(reader.address));
     assert_eq!(begins(Workload::PrefillHeavy, &[writer]), Some(writer.address));
-    assert_eq!(begins(Workload::Writes, &[]), None);
+    assert_eq!(begins(Workload::DecodeHeavy, &[]), None);
     // A reader that fails is passed over while a writer can take the request.
     reader.unreachable(Millis(1_000));
     assert_eq!(begins(Workload::PrefillHeavy, &both), Some(writer.address));
-    assert_eq!(begins(Workload::Writes, &both), Some(writer.address));
+    assert_eq!(begins(Workload::DecodeHeavy, &both), Some(writer.address));
 }
 
 /// Compares with the least loaded of all readers, and of all writers, looked for one by one.
@@ -231,10 +231,10 @@
                 !found.suspended(field.now) && !tried.contains(&found.incarnation)
             })
         };
-        for manner in [Workload::PrefillHeavy, Workload::Writes] {
+        for manner in [Workload::PrefillHeavy, Workload::DecodeHeavy] {
             let reads = match manner {
                 Workload::PrefillHeavy => sound(&reader),
-                Workload::Writes => sound(&reader) && sound(&writer),
+                Workload::DecodeHeavy => sound(&reader) && sound(&writer),
             };
             let expected = match (&reader, &writer) {
                 (Some(reader), _) if reads => Some(reader),
