--- a/lib/src/direct/acquire.rs
+++ b/lib/src/direct/acquire.rs
@@ -113,7 +113,7 @@
         let Some((upstream, load)) = least else {
             return Asked::Load(None);
         };
-        let reads = field.reads(upstream);
+        let reads = field.is_prefill(upstream);
         if admission_policy::is_crowded(*load, upstream.slots, reads) {
             self.spread(field, adapter, wanted, reads);
         }
--- a/lib/src/direct/entry/gauges.rs
+++ b/lib/src/direct/entry/gauges.rs
@@ -35,7 +35,7 @@
         let upstreams: Vec<Arc<Upstream>> = state.upstreams.values().cloned().collect();
         // Roles are made from the view: with its lock held here the node would stand still.
         drop(state);
-        let is_reader = |one: &&Arc<Upstream>| self.roles(&one.pool).reads(one.address);
+        let is_reader = |one: &&Arc<Upstream>| self.roles(&one.pool).is_prefill(one.address);
         let reading = upstreams.iter().filter(is_reader).count();
         let counts = [
             ("usable", ready),
--- a/lib/src/direct/record.rs
+++ b/lib/src/direct/record.rs
@@ -68,7 +68,7 @@
             request.now().since(since).0
         }),
         load = upstream.load(),
-        reader = request.gate.roles(&request.pool).reads(upstream.address),
+        reader = request.gate.roles(&request.pool).is_prefill(upstream.address),
         tokens = request.message.call.tokens.map_or(0, |(prompt, _)| prompt),
         load_age_ms = request.now().since(upstream.heard_at()).0,
         list_age_ms = request.now().since(request.gate.view.as_of()).0,
--- a/lib/src/direct/relay.rs
+++ b/lib/src/direct/relay.rs
@@ -250,7 +250,7 @@
         let request = &self.request;
         let engine = answer.upstream.address;
         let stayed = request.pace.moved == 0 && !self.asked_to_move;
-        if !stayed || self.judged || request.gate.roles(&request.pool).reads(engine) {
+        if !stayed || self.judged || request.gate.roles(&request.pool).is_prefill(engine) {
             return;
         }
         request
@@ -269,7 +269,7 @@
         if request
             .gate
             .roles(&request.pool)
-            .reads(answer.upstream.address)
+            .is_prefill(answer.upstream.address)
         {
             let part =
                 now.since(request.sent_at).0 as f64 / request.route.objective.0.max(1) as f64;
--- a/lib/src/direct/roles.rs
+++ b/lib/src/direct/roles.rs
@@ -102,7 +102,7 @@
 
     /// Whether an engine reads for others.
     #[must_use]
-    pub fn reads(&self, engine: SocketAddr) -> bool {
+    pub fn is_prefill(&self, engine: SocketAddr) -> bool {
         self.readers.binary_search(&engine).is_ok()
     }
 }
--- a/lib/src/direct/selection.rs
+++ b/lib/src/direct/selection.rs
@@ -127,7 +127,7 @@
         let takers = self.upstreams.iter();
         for upstream in takers.filter(|upstream| upstream.is_ready() && fits(upstream)) {
             let cost = self.cost(upstream);
-            let known = &mut least[usize::from(!self.reads(upstream))];
+            let known = &mut least[usize::from(!self.is_prefill(upstream))];
             if known.is_none_or(|(least, _)| cost.total_cmp(&least).is_lt()) {
                 *known = Some((cost, upstream));
             }
@@ -137,8 +137,8 @@
 
     /// Whether an upstream reads prompts for the others.
     #[must_use]
-    pub fn reads(&self, upstream: &Upstream) -> bool {
-        self.roles.reads(upstream.address)
+    pub fn is_prefill(&self, upstream: &Upstream) -> bool {
+        self.roles.is_prefill(upstream.address)
     }
 
     /// Returns upstreams that take new work and fit in an adapter's order of placement, those that
--- a/lib/src/direct/target.rs
+++ b/lib/src/direct/target.rs
@@ -101,13 +101,13 @@
     pub(super) fn writer(&self, answer: &Answer, ask: bool) -> Option<Target> {
         let source = &answer.upstream;
         let roles = self.gate.roles(&self.pool);
-        if !roles.reads(source.address) {
+        if !roles.is_prefill(source.address) {
             return None;
         }
         let upstreams = self.gate.view.pool(&self.pool);
         let field = self.field(&upstreams, &roles);
         let takes = |upstream: &Upstream| {
-            !field.reads(upstream)
+            !field.is_prefill(upstream)
                 && !upstream.suspended(field.now)
                 && upstream.load() < upstream.slots
         };
@@ -125,7 +125,7 @@
         let found = field.least(|upstream| takes(upstream) && fits(upstream));
         if found.is_none() && ask {
             let mut homes = self.homes(&field, adapter);
-            homes.retain(|upstream| !field.reads(upstream));
+            homes.retain(|upstream| !field.is_prefill(upstream));
             self.gate
                 .load_soon(homes, adapter, newest.unwrap_or_default());
         }
@@ -310,7 +310,7 @@
     fn homes(&self, field: &Selector<'_>, adapter: &Name) -> Vec<Arc<Upstream>> {
         let mut homes = field.homes(adapter, |upstream| self.can_load(upstream, adapter));
         let reads = self.manner() == Workload::PrefillHeavy;
-        homes.sort_by_key(|upstream| field.reads(upstream) != reads);
+        homes.sort_by_key(|upstream| field.is_prefill(upstream) != reads);
         if let Some(rest) = homes.get_mut(FIRST_HOMES..) {
             rest.sort_by_key(|upstream| upstream.held_count());
         }
@@ -343,7 +343,7 @@
             .count();
         let mut homes = field.homes(adapter, |upstream| {
             upstream.version(adapter).is_none()
-                && field.reads(upstream) == reads
+                && field.is_prefill(upstream) == reads
                 && upstream.load() < upstream.slots
                 && self.can_load(upstream, adapter)
         });
@@ -358,11 +358,11 @@
     /// Has a reader hold an adapter whose prompts are read at a writer, sooner the more there are.
     pub(super) fn copy(&self, field: &Selector<'_>, adapter: &Name, wanted: u64, found: &Upstream) {
         let chosen = xxh3_64(self.id().as_bytes()).is_multiple_of(COPY_ONE_IN);
-        if !field.roles.is_split() || field.reads(found) || !chosen {
+        if !field.roles.is_split() || field.is_prefill(found) || !chosen {
             return;
         }
         let homes = field.homes(adapter, |upstream| {
-            field.reads(upstream) && self.can_load(upstream, adapter)
+            field.is_prefill(upstream) && self.can_load(upstream, adapter)
         });
         self.gate.load_soon(homes, adapter, wanted);
     }
--- a/lib/tests/test_direct_roles.rs
+++ b/lib/tests/test_direct_roles.rs
@@ -48,7 +48,7 @@
     let engines: Vec<SocketAddr> = (1..=12).map(address).collect();
     let roles = Roles::split(engines.iter().copied(), 4);
     assert_eq!(roles, Roles::split(engines.iter().rev().copied(), 4));
-    let readers = engines.iter().filter(|engine| roles.reads(**engine));
+    let readers = engines.iter().filter(|engine| roles.is_prefill(**engine));
     assert_eq!(readers.count(), 4);
 }
 
@@ -60,7 +60,7 @@
     for gone in &engines {
         let left = || engines.iter().copied().filter(|engine| engine != gone);
         let after = Roles::split(left(), 4);
-        let changed = left().filter(|engine| before.reads(*engine) != after.reads(*engine));
+        let changed = left().filter(|engine| before.is_prefill(*engine) != after.is_prefill(*engine));
         assert!(changed.count() <= 1, "{gone} leaves");
     }
 }
@@ -69,7 +69,7 @@
 fn split_into_none() {
     let roles = Roles::split((1..=3).map(address), 0);
     assert!(!roles.is_split());
-    assert!(!roles.reads(address(1)));
+    assert!(!roles.is_prefill(address(1)));
 }
 
 #[test]
@@ -173,8 +173,8 @@
         id: 0,
         usual: None,
     };
-    let reader = engines.iter().find(|engine| field.reads(engine)).unwrap();
-    let writer = engines.iter().find(|engine| !field.reads(engine)).unwrap();
+    let reader = engines.iter().find(|engine| field.is_prefill(engine)).unwrap();
+    let writer = engines.iter().find(|engine| !field.is_prefill(engine)).unwrap();
     let begins = |manner: Workload, held: &[&Arc<Upstream>]| {
         let found = field.first(manner, |engine| {
             held.iter()
@@ -224,8 +224,8 @@
             id: seed,
             usual: Some(0.3),
         };
-        let reader = field.least(|engine| field.reads(engine) && fits(engine));
-        let writer = field.least(|engine| !field.reads(engine) && fits(engine));
+        let reader = field.least(|engine| field.is_prefill(engine) && fits(engine));
+        let writer = field.least(|engine| !field.is_prefill(engine) && fits(engine));
         let sound = |found: &Option<Arc<Upstream>>| {
             found.as_ref().is_some_and(|found| {
                 !found.suspended(field.now) && !tried.contains(&found.incarnation)
