--- a/lib/src/direct/roles.rs
+++ b/lib/src/direct/roles.rs
@@ -96,7 +96,7 @@
 
     /// Whether some engines only read.
     #[must_use]
-    pub fn is_split(&self) -> bool {
+    pub fn is_disaggregated(&self) -> bool {
         !self.readers.is_empty()
     }
 
--- a/lib/src/direct/target.rs
+++ b/lib/src/direct/target.rs
@@ -358,7 +358,7 @@
     /// Has a reader hold an adapter whose prompts are read at a writer, sooner the more there are.
     pub(super) fn copy(&self, field: &Selector<'_>, adapter: &Name, wanted: u64, found: &Upstream) {
         let chosen = xxh3_64(self.id().as_bytes()).is_multiple_of(COPY_ONE_IN);
-        if !field.roles.is_split() || field.is_prefill(found) || !chosen {
+        if !field.roles.is_disaggregated() || field.is_prefill(found) || !chosen {
             return;
         }
         let homes = field.homes(adapter, |upstream| {
--- a/lib/tests/test_direct_roles.rs
+++ b/lib/tests/test_direct_roles.rs
@@ -68,7 +68,7 @@
 #[test]
 fn split_into_none() {
     let roles = Roles::split((1..=3).map(address), 0);
-    assert!(!roles.is_split());
+    assert!(!roles.is_disaggregated());
     assert!(!roles.is_prefill(address(1)));
 }
 
