--- a/lib/src/direct/relay.rs
+++ b/lib/src/direct/relay.rs
@@ -255,7 +255,7 @@
         }
         request
             .gate
-            .observe(&request.pool, |mix| mix.stayed(engine, late));
+            .observe(&request.pool, |mix| mix.record_stream(engine, late));
         self.judged = true;
     }
 
--- a/lib/src/direct/roles.rs
+++ b/lib/src/direct/roles.rs
@@ -188,7 +188,7 @@
     /// Takes in whether a stream that stayed where it was read had a pause that was too long.
     ///
     /// Streams that stayed at a reader say nothing: what is read there is meant to be read there.
-    pub fn stayed(&mut self, engine: SocketAddr, late: bool) {
+    pub fn record_stream(&mut self, engine: SocketAddr, late: bool) {
         let kept = 1.0 - 1.0 / STREAMS;
         self.seen = self.seen * kept + 1.0;
         for sum in self.late.values_mut() {
--- a/lib/tests/test_direct_roles.rs
+++ b/lib/tests/test_direct_roles.rs
@@ -38,7 +38,7 @@
 fn late_mix() -> PrefillScaler {
     let mut mix = PrefillScaler::default();
     for number in 0..40 {
-        mix.stayed(address(number % 12), number % 5 == 0);
+        mix.record_stream(address(number % 12), number % 5 == 0);
     }
     mix
 }
@@ -87,7 +87,7 @@
 fn readers_none_while_pauses_are_short() {
     let mut mix = PrefillScaler::default();
     for number in 0..1_000 {
-        mix.stayed(address(number % 12), number % 50 == 0);
+        mix.record_stream(address(number % 12), number % 50 == 0);
     }
     assert_eq!(mix.readers(12, Millis(9_000)), 0);
 }
@@ -128,11 +128,11 @@
     let mut mix = late_mix();
     assert_eq!(mix.readers(12, Millis(9_000)), 4);
     for number in 0..150 {
-        mix.stayed(address(number % 12), false);
+        mix.record_stream(address(number % 12), false);
     }
     assert_eq!(mix.readers(12, Millis(9_000)), 4);
     for number in 0..1_000 {
-        mix.stayed(address(number % 12), false);
+        mix.record_stream(address(number % 12), false);
     }
     assert_eq!(mix.readers(12, Millis(9_000)), 0);
 }
@@ -143,7 +143,7 @@
     let mut mix = PrefillScaler::default();
     for number in 0..1_000 {
         let engine = number % 18;
-        mix.stayed(address(engine), engine < 2);
+        mix.record_stream(address(engine), engine < 2);
         assert_eq!(mix.readers(18, Millis(9_000)), 0, "after {number} streams");
     }
 }
@@ -153,7 +153,7 @@
 fn readers_none_before_enough_is_seen() {
     let mut mix = PrefillScaler::default();
     for number in 0..7 {
-        mix.stayed(address(number), true);
+        mix.record_stream(address(number), true);
         assert_eq!(mix.readers(12, Millis(9_000)), 0);
     }
 }
