--- a/lib/src/direct/roles.rs
+++ b/lib/src/direct/roles.rs
@@ -221,7 +221,7 @@
     }
 
     /// Takes in what part of its objective a request waited at a reader for its first event.
-    pub fn read(&mut self, part: f64) {
+    pub fn record_prefill_wait(&mut self, part: f64) {
         self.wait += WAIT_WEIGHT * (part - self.wait);
     }
 
--- a/lib/tests/test_direct_roles.rs
+++ b/lib/tests/test_direct_roles.rs
@@ -107,7 +107,7 @@
     let mut last = mix.readers(12, Millis(9_000));
     for number in 1..=9 {
         for _ in 0..100 {
-            mix.read(0.9);
+            mix.record_prefill_wait(0.9);
         }
         let readers = mix.readers(12, Millis(9_000 + number * 2_000));
         assert!((last..=last + 1).contains(&readers), "{last} to {readers}");
@@ -116,7 +116,7 @@
     assert_eq!(last, 6);
     for number in 10..=20 {
         for _ in 0..100 {
-            mix.read(0.01);
+            mix.record_prefill_wait(0.01);
         }
         last = mix.readers(12, Millis(9_000 + number * 2_000));
     }
