--- a/lib/src/direct/entry/mod.rs
+++ b/lib/src/direct/entry/mod.rs
@@ -198,7 +198,7 @@
             let upstreams = self.view.pool(pool);
             let ready = upstreams.iter().filter(|upstream| upstream.is_ready());
             let engines: Vec<SocketAddr> = ready.map(|upstream| upstream.address).collect();
-            let readers = share.mix.readers(engines.len(), now);
+            let readers = share.mix.prefill_count(engines.len(), now);
             share.roles = Arc::new(Roles::split(engines, readers));
         }
         Arc::clone(&share.roles)
--- a/lib/src/direct/roles.rs
+++ b/lib/src/direct/roles.rs
@@ -232,7 +232,7 @@
         clippy::cast_sign_loss,
         reason = "a part of some hundred engines"
     )]
-    pub fn readers(&mut self, engines: usize, now: Millis) -> usize {
+    pub fn prefill_count(&mut self, engines: usize, now: Millis) -> usize {
         if engines < 2 {
             return 0;
         }
--- a/lib/tests/test_direct_roles.rs
+++ b/lib/tests/test_direct_roles.rs
@@ -89,27 +89,27 @@
     for number in 0..1_000 {
         mix.record_stream(address(number % 12), number % 50 == 0);
     }
-    assert_eq!(mix.readers(12, Millis(9_000)), 0);
+    assert_eq!(mix.prefill_count(12, Millis(9_000)), 0);
 }
 
 #[test]
 fn readers_a_third_at_first_and_none_of_one() {
     let mut mix = late_mix();
-    assert_eq!(mix.readers(12, Millis(9_000)), 4);
-    assert_eq!(mix.readers(1, Millis(9_000)), 0);
-    assert_eq!(mix.readers(2, Millis(9_000)), 1);
+    assert_eq!(mix.prefill_count(12, Millis(9_000)), 4);
+    assert_eq!(mix.prefill_count(1, Millis(9_000)), 0);
+    assert_eq!(mix.prefill_count(2, Millis(9_000)), 1);
 }
 
 /// The number of reading engines follows the wait for the first event, both up and down.
 #[test]
 fn readers_follow_the_wait_for_the_first_event() {
     let mut mix = late_mix();
-    let mut last = mix.readers(12, Millis(9_000));
+    let mut last = mix.prefill_count(12, Millis(9_000));
     for number in 1..=9 {
         for _ in 0..100 {
             mix.record_prefill_wait(0.9);
         }
-        let readers = mix.readers(12, Millis(9_000 + number * 2_000));
+        let readers = mix.prefill_count(12, Millis(9_000 + number * 2_000));
         assert!((last..=last + 1).contains(&readers), "{last} to {readers}");
         last = readers;
     }
@@ -118,7 +118,7 @@
         for _ in 0..100 {
             mix.record_prefill_wait(0.01);
         }
-        last = mix.readers(12, Millis(9_000 + number * 2_000));
+        last = mix.prefill_count(12, Millis(9_000 + number * 2_000));
     }
     assert_eq!(last, 2);
 }
@@ -126,15 +126,15 @@
 #[test]
 fn readers_none_again_when_pauses_stay_short() {
     let mut mix = late_mix();
-    assert_eq!(mix.readers(12, Millis(9_000)), 4);
+    assert_eq!(mix.prefill_count(12, Millis(9_000)), 4);
     for number in 0..150 {
         mix.record_stream(address(number % 12), false);
     }
-    assert_eq!(mix.readers(12, Millis(9_000)), 4);
+    assert_eq!(mix.prefill_count(12, Millis(9_000)), 4);
     for number in 0..1_000 {
         mix.record_stream(address(number % 12), false);
     }
-    assert_eq!(mix.readers(12, Millis(9_000)), 0);
+    assert_eq!(mix.prefill_count(12, Millis(9_000)), 0);
 }
 
 /// Late streams of a few slow engines aren't taken for prompts that delay everyone.
@@ -144,7 +144,7 @@
     for number in 0..1_000 {
         let engine = number % 18;
         mix.record_stream(address(engine), engine < 2);
-        assert_eq!(mix.readers(18, Millis(9_000)), 0, "after {number} streams");
+        assert_eq!(mix.prefill_count(18, Millis(9_000)), 0, "after {number} streams");
     }
 }
 
@@ -154,7 +154,7 @@
     let mut mix = PrefillScaler::default();
     for number in 0..7 {
         mix.record_stream(address(number), true);
-        assert_eq!(mix.readers(12, Millis(9_000)), 0);
+        assert_eq!(mix.prefill_count(12, Millis(9_000)), 0);
     }
 }
 
