--- a/lib/src/direct/selection.rs
+++ b/lib/src/direct/selection.rs
@@ -85,7 +85,7 @@
     /// Returns the least loaded of the upstreams that fit and take new work.
     ///
     /// One that failed lately, or was tried before, is taken only if no other fits.
-    pub fn least(&self, fits: impl Fn(&Upstream) -> bool) -> Option<Arc<Upstream>> {
+    pub fn least_loaded(&self, fits: impl Fn(&Upstream) -> bool) -> Option<Arc<Upstream>> {
         self.upstreams
             .iter()
             .filter(|upstream| upstream.is_ready() && fits(upstream))
@@ -118,7 +118,7 @@
         reader
     }
 
-    /// Returns the least loaded reader and the least loaded writer, as [`Self::least`] chooses.
+    /// Returns the least loaded reader and the least loaded writer, as [`Self::least_loaded`] chooses.
     ///
     /// One look at each upstream serves both: a request asks up to three
     /// times before it is sent, each time about all upstreams of its pool.
--- a/lib/src/direct/target.rs
+++ b/lib/src/direct/target.rs
@@ -75,7 +75,7 @@
             let roles = self.gate.roles(&self.pool);
             let field = self.field(&upstreams, &roles);
             let found = match &self.message.call.model {
-                None => field.least(|_| true).map(anywhere),
+                None => field.least_loaded(|_| true).map(anywhere),
                 Some(model) => match self.message.call.adapter() {
                     None => self.with_base(&field, model).await,
                     Some(adapter) => self.holder(&field, adapter).await?,
@@ -114,7 +114,7 @@
         let Some(adapter) = self.message.call.adapter() else {
             let model = self.message.call.model.as_ref()?;
             return field
-                .least(|upstream| takes(upstream) && upstream.has_base(model))
+                .least_loaded(|upstream| takes(upstream) && upstream.has_base(model))
                 .map(anywhere);
         };
         let newest = self.gate.view.newest(adapter).map(|newest| newest.version);
@@ -122,7 +122,7 @@
             let held = upstream.version(adapter);
             held.is_some_and(|held| may_move(answer.version, held, newest))
         };
-        let found = field.least(|upstream| takes(upstream) && fits(upstream));
+        let found = field.least_loaded(|upstream| takes(upstream) && fits(upstream));
         if found.is_none() && ask {
             let mut homes = self.homes(&field, adapter);
             homes.retain(|upstream| !field.is_prefill(upstream));
--- a/lib/tests/test_direct_admission.rs
+++ b/lib/tests/test_direct_admission.rs
@@ -554,7 +554,7 @@
             let chosen = if asks {
                 ask(&field, &table)
             } else {
-                field.least(|_| true).unwrap()
+                field.least_loaded(|_| true).unwrap()
             };
             let request = Request {
                 came: now,
@@ -582,7 +582,7 @@
             };
             !asked.iter().any(same)
         };
-        let upstream = field.least(fresh).unwrap();
+        let upstream = field.least_loaded(fresh).unwrap();
         let load = table.load(&upstream.incarnation, ADAPTER, upstream.slots);
         upstream.heard_load(load.running - upstream.running(), field.now);
         if load.running < admission_policy::calm_limit(upstream.slots) {
--- a/lib/tests/test_direct_parts.rs
+++ b/lib/tests/test_direct_parts.rs
@@ -119,10 +119,10 @@
 #[test]
 fn least_prefers_free_then_near() {
     let upstreams = [upstream("i-1", "hall-b"), upstream("i-2", "hall-a")];
-    let chosen = field(&upstreams, &[], 1).least(|_| true).unwrap();
+    let chosen = field(&upstreams, &[], 1).least_loaded(|_| true).unwrap();
     assert_eq!(&*chosen.incarnation, "i-2");
     let _busy: Vec<_> = (0..5).map(|_| upstreams[1].enter(None, None)).collect();
-    let chosen = field(&upstreams, &[], 1).least(|_| true).unwrap();
+    let chosen = field(&upstreams, &[], 1).least_loaded(|_| true).unwrap();
     assert_eq!(&*chosen.incarnation, "i-1");
 }
 
@@ -131,13 +131,13 @@
 fn least_doubted_only_if_others_are_crowded() {
     let upstreams = [upstream("i-1", "hall-a"), upstream("i-2", "hall-b")];
     upstreams[0].missing();
-    let chosen = field(&upstreams, &[], 1).least(|_| true).unwrap();
+    let chosen = field(&upstreams, &[], 1).least_loaded(|_| true).unwrap();
     assert_eq!(&*chosen.incarnation, "i-2");
     let _busy: Vec<_> = (0..7).map(|_| upstreams[1].enter(None, None)).collect();
-    let chosen = field(&upstreams, &[], 1).least(|_| true).unwrap();
+    let chosen = field(&upstreams, &[], 1).least_loaded(|_| true).unwrap();
     assert_eq!(&*chosen.incarnation, "i-1");
     upstreams[1].retire();
-    assert!(field(&upstreams, &[], 1).least(|_| true).is_some());
+    assert!(field(&upstreams, &[], 1).least_loaded(|_| true).is_some());
 }
 
 /// An adapter is loaded at an engine that may have left though others take it.
@@ -158,13 +158,13 @@
 fn least_tried_only_if_none_else() {
     let upstreams = [upstream("i-1", "hall-a"), upstream("i-2", "hall-b")];
     let tried = [Name::from("i-1")];
-    let chosen = field(&upstreams, &tried, 1).least(|_| true).unwrap();
+    let chosen = field(&upstreams, &tried, 1).least_loaded(|_| true).unwrap();
     assert_eq!(&*chosen.incarnation, "i-2");
     upstreams[1].retire();
-    let chosen = field(&upstreams, &tried, 1).least(|_| true).unwrap();
+    let chosen = field(&upstreams, &tried, 1).least_loaded(|_| true).unwrap();
     assert_eq!(&*chosen.incarnation, "i-1");
     upstreams[0].retire();
-    assert!(field(&upstreams, &tried, 1).least(|_| true).is_none());
+    assert!(field(&upstreams, &tried, 1).least_loaded(|_| true).is_none());
 }
 
 /// Symptom: one of several idle servers gets all requests.
@@ -175,7 +175,7 @@
     let upstreams = [upstream("i-1", "hall-a"), upstream("i-2", "hall-a")];
     let first = (0..100)
         .filter(|salt| {
-            let chosen = field(&upstreams, &[], *salt).least(|_| true).unwrap();
+            let chosen = field(&upstreams, &[], *salt).least_loaded(|_| true).unwrap();
             &*chosen.incarnation == "i-1"
         })
         .count();
@@ -277,7 +277,7 @@
                 pause,
                 ..field(&upstreams, &[], *salt)
             };
-            &*field.least(|_| true).unwrap().incarnation == "i-1"
+            &*field.least_loaded(|_| true).unwrap().incarnation == "i-1"
         };
         (0..100).filter(chosen).count()
     };
--- a/lib/tests/test_direct_roles.rs
+++ b/lib/tests/test_direct_roles.rs
@@ -224,8 +224,8 @@
             id: seed,
             usual: Some(0.3),
         };
-        let reader = field.least(|engine| field.is_prefill(engine) && fits(engine));
-        let writer = field.least(|engine| !field.is_prefill(engine) && fits(engine));
+        let reader = field.least_loaded(|engine| field.is_prefill(engine) && fits(engine));
+        let writer = field.least_loaded(|engine| !field.is_prefill(engine) && fits(engine));
         let sound = |found: &Option<Arc<Upstream>>| {
             found.as_ref().is_some_and(|found| {
                 !found.suspended(field.now) && !tried.contains(&found.incarnation)
