--- a/lib/src/direct/acquire.rs
+++ b/lib/src/direct/acquire.rs
@@ -42,7 +42,7 @@
 
     /// Finds an engine for a request that uses no adapter.
     pub(super) async fn with_base(&self, field: &Selector<'_>, model: &Name) -> Option<Target> {
-        let upstream = field.first(self.manner(), |upstream| upstream.has_base(model))?;
+        let upstream = field.select(self.manner(), |upstream| upstream.has_base(model))?;
         let question = self.question(None, 0);
         let permit = match self.gate.controllers.admit(&upstream, question).await {
             admit::AdmitDecision::Admitted(permit, _) => Some(permit),
@@ -71,7 +71,7 @@
                 upstream.version(adapter).is_some_and(|held| held >= wanted)
                     && !busy.iter().any(asked)
             };
-            let Some(upstream) = field.first(self.manner(), holds) else {
+            let Some(upstream) = field.select(self.manner(), holds) else {
                 break;
             };
             // One that only fails some requests keeps them: copies of all its adapters
--- a/lib/src/direct/selection.rs
+++ b/lib/src/direct/selection.rs
@@ -100,7 +100,7 @@
     /// behind its first event. Else its answer is written where its prompt is read, better at
     /// a writer: streams that stayed at a reader were late by a pause in 62 to 85 of 100
     /// cases, those at a writer in 2 to 12.
-    pub fn first(&self, manner: Workload, fits: impl Fn(&Upstream) -> bool) -> Option<Arc<Upstream>> {
+    pub fn select(&self, manner: Workload, fits: impl Fn(&Upstream) -> bool) -> Option<Arc<Upstream>> {
         let [reader, writer] = self.least_of_each(fits);
         let sound = |found: &Option<Arc<Upstream>>| {
             found.as_ref().is_some_and(|found| !self.avoided(found))
--- a/lib/src/direct/target.rs
+++ b/lib/src/direct/target.rs
@@ -205,7 +205,7 @@
         // above, and is better than none now.
         let holds =
             |upstream: &Upstream| upstream.version(adapter).is_some_and(|held| held >= wanted);
-        match field.first(self.manner(), holds) {
+        match field.select(self.manner(), holds) {
             Some(upstream) => Ok(self.counted(upstream, adapter, question).await),
             None => Ok(None),
         }
@@ -229,7 +229,7 @@
                     && !upstream.is_unreachable(field.now)
                     && self.time_to_begin(upstream, adapter) > Millis::ZERO
             };
-            let upstream = field.first(self.manner(), fits)?;
+            let upstream = field.select(self.manner(), fits)?;
             asked.push(Name::clone(&upstream.incarnation));
             let question = AdmitQuery {
                 limit: upstream.slots,
--- a/lib/tests/test_direct_roles.rs
+++ b/lib/tests/test_direct_roles.rs
@@ -176,7 +176,7 @@
     let reader = engines.iter().find(|engine| field.is_prefill(engine)).unwrap();
     let writer = engines.iter().find(|engine| !field.is_prefill(engine)).unwrap();
     let begins = |manner: Workload, held: &[&Arc<Upstream>]| {
-        let found = field.first(manner, |engine| {
+        let found = field.select(manner, |engine| {
             held.iter()
                 .any(|holder| holder.incarnation == engine.incarnation)
         });
@@ -241,7 +241,7 @@
                 (Some(reader), _) if !sound(&writer) => Some(reader),
                 (_, writer) => writer.as_ref(),
             };
-            let found = field.first(manner, fits);
+            let found = field.select(manner, fits);
             let name = |one: &Arc<Upstream>| Name::clone(&one.incarnation);
             assert_eq!(found.as_ref().map(name), expected.map(name), "seed {seed}");
         }
