--- a/lib/src/direct/selection.rs
+++ b/lib/src/direct/selection.rs
@@ -147,7 +147,7 @@
     /// Of many the first [`MAX_PLACEMENT_CANDIDATES`] are returned: a request asks some dozen at most, and
     /// looking at thousands for each load cost a small VM milliseconds.
     #[must_use]
-    pub fn homes(&self, adapter: &str, fits: impl Fn(&Upstream) -> bool) -> Vec<Arc<Upstream>> {
+    pub fn placement_candidates(&self, adapter: &str, fits: impl Fn(&Upstream) -> bool) -> Vec<Arc<Upstream>> {
         let mut homes: Vec<(Reverse<bool>, u64, &Arc<Upstream>)> = self
             .upstreams
             .iter()
--- a/lib/src/direct/target.rs
+++ b/lib/src/direct/target.rs
@@ -308,7 +308,7 @@
 
     /// Engines that could load the adapter, those with no older version of it first.
     fn homes(&self, field: &Selector<'_>, adapter: &Name) -> Vec<Arc<Upstream>> {
-        let mut homes = field.homes(adapter, |upstream| self.can_load(upstream, adapter));
+        let mut homes = field.placement_candidates(adapter, |upstream| self.can_load(upstream, adapter));
         let reads = self.manner() == Workload::PrefillHeavy;
         homes.sort_by_key(|upstream| field.is_prefill(upstream) != reads);
         if let Some(rest) = homes.get_mut(FIRST_HOMES..) {
@@ -341,7 +341,7 @@
         let replicas = holders
             .filter(|upstream| upstream.version(adapter).is_some())
             .count();
-        let mut homes = field.homes(adapter, |upstream| {
+        let mut homes = field.placement_candidates(adapter, |upstream| {
             upstream.version(adapter).is_none()
                 && field.is_prefill(upstream) == reads
                 && upstream.load() < upstream.slots
@@ -361,7 +361,7 @@
         if !field.roles.is_disaggregated() || field.is_prefill(found) || !chosen {
             return;
         }
-        let homes = field.homes(adapter, |upstream| {
+        let homes = field.placement_candidates(adapter, |upstream| {
             field.is_prefill(upstream) && self.can_load(upstream, adapter)
         });
         self.gate.load_soon(homes, adapter, wanted);
--- a/lib/tests/test_direct_parts.rs
+++ b/lib/tests/test_direct_parts.rs
@@ -146,7 +146,7 @@
     let upstreams: Vec<_> = (0..6)
         .map(|number| upstream(&format!("i-{number}"), "hall-a"))
         .collect();
-    let order = || field(&upstreams, &[], 1).homes("base/a1", |_| true);
+    let order = || field(&upstreams, &[], 1).placement_candidates("base/a1", |_| true);
     let first = Arc::clone(&order()[0]);
     first.missing();
     let homes = order();
@@ -322,10 +322,10 @@
             Arc::new(Upstream::new(&entry, written(1), 8, Millis::ZERO))
         })
         .collect();
-    let all = field(&upstreams, &[], 0).homes("base/a1", |_| true);
+    let all = field(&upstreams, &[], 0).placement_candidates("base/a1", |_| true);
     assert_eq!(all.len(), MAX_PLACEMENT_CANDIDATES);
     let first = Arc::clone(&all[0]);
-    let others = field(&upstreams, &[], 0).homes("base/a1", |one| one.address != first.address);
+    let others = field(&upstreams, &[], 0).placement_candidates("base/a1", |one| one.address != first.address);
     assert_eq!(others.len(), MAX_PLACEMENT_CANDIDATES);
     let places = |homes: &[Arc<Upstream>]| homes.iter().map(|one| one.address).collect::<Vec<_>>();
     assert_eq!(places(&all[1..]), places(&others[..MAX_PLACEMENT_CANDIDATES - 1]));
