--- a/lib/src/direct/request/mod.rs
+++ b/lib/src/direct/request/mod.rs
@@ -161,7 +161,7 @@
 
     /// Finds where to send while nothing is on its way, with its part of the budget taken if it is a repeat.
     async fn next_target(&mut self) -> Result<Target, Failure> {
-        let target = self.target().await?;
+        let target = self.find_target().await?;
         if self.stands_at(&target.upstream) {
             return Err(self.refusal(Code::NoUpstream, "no other upstream can take it now"));
         }
@@ -209,7 +209,7 @@
         let target = tokio::select! {
             biased;
             Some(sent) = sends.next() => return self.conclude(sends, sent),
-            target = self.target() => target,
+            target = self.find_target() => target,
         };
         match target {
             Ok(target) if !self.stands_at(&target.upstream) && !sends.includes(&target.upstream) => {
--- a/lib/src/direct/target.rs
+++ b/lib/src/direct/target.rs
@@ -63,7 +63,7 @@
 
 impl ActiveRequest {
     /// Finds where to send, waiting a little if nothing fits.
-    pub(super) async fn target(&self) -> Result<Target, Failure> {
+    pub(super) async fn find_target(&self) -> Result<Target, Failure> {
         let patience = self.began + Millis(self.route.objective.0 / REFUSE_AFTER);
         let quarantine = &self.gate.quarantine;
         if !quarantine.is_empty() {
