--- a/lib/src/direct/relay.rs
+++ b/lib/src/direct/relay.rs
@@ -293,7 +293,7 @@
             return;
         }
         let first = self.request.pace.pieces == 1;
-        if let Some(target) = self.request.writer(answer, first) {
+        if let Some(target) = self.request.decode_target(answer, first) {
             let left = self.request.until.since(self.request.now());
             let handover =
                 Handover::begin(&self.request.gate, self.request.id(), answer, target, left);
--- a/lib/src/direct/target.rs
+++ b/lib/src/direct/target.rs
@@ -98,7 +98,7 @@
     ///
     /// With `ask`, a writer is asked to hold the adapter where none does, so that a later
     /// event of this stream can move it.
-    pub(super) fn writer(&self, answer: &Answer, ask: bool) -> Option<Target> {
+    pub(super) fn decode_target(&self, answer: &Answer, ask: bool) -> Option<Target> {
         let source = &answer.upstream;
         let roles = self.gate.roles(&self.pool);
         if !roles.is_prefill(source.address) {
