--- a/lib/src/direct/acquire.rs
+++ b/lib/src/direct/acquire.rs
@@ -29,7 +29,7 @@
 
 impl ActiveRequest {
     /// Asks for a place at any load.
-    pub(super) fn question<'a>(&self, adapter: Option<&'a Name>, version: u64) -> AdmitQuery<'a> {
+    pub(super) fn admit_query<'a>(&self, adapter: Option<&'a Name>, version: u64) -> AdmitQuery<'a> {
         AdmitQuery {
             adapter,
             version,
@@ -43,7 +43,7 @@
     /// Finds an engine for a request that uses no adapter.
     pub(super) async fn with_base(&self, field: &Selector<'_>, model: &Name) -> Option<Target> {
         let upstream = field.select(self.manner(), |upstream| upstream.has_base(model))?;
-        let question = self.question(None, 0);
+        let question = self.admit_query(None, 0);
         let permit = match self.gate.controllers.admit(&upstream, question).await {
             admit::AdmitDecision::Admitted(permit, _) => Some(permit),
             _ => None,
@@ -83,7 +83,7 @@
             self.copy(field, adapter, wanted, &upstream);
             let question = AdmitQuery {
                 limit: admission_policy::calm_limit(upstream.slots),
-                ..self.question(Some(adapter), wanted)
+                ..self.admit_query(Some(adapter), wanted)
             };
             match self.gate.controllers.admit(&upstream, question).await {
                 admit::AdmitDecision::Admitted(permit, _) => {
@@ -126,7 +126,7 @@
         if admission_policy::is_worth_load(load.wait) {
             return Asked::Load(Some(Self::at(Arc::clone(upstream), adapter)));
         }
-        let question = self.question(Some(adapter), wanted);
+        let question = self.admit_query(Some(adapter), wanted);
         let target = self.counted(Arc::clone(upstream), adapter, question).await;
         target.map_or(Asked::Load(None), Asked::Place)
     }
@@ -209,7 +209,7 @@
             let question = AdmitQuery {
                 limit: 1,
                 patience: Millis::ZERO,
-                ..self.question(Some(adapter), wanted)
+                ..self.admit_query(Some(adapter), wanted)
             };
             self.gate.controllers.admit(upstream, question)
         });
--- a/lib/src/direct/request/send.rs
+++ b/lib/src/direct/request/send.rs
@@ -78,7 +78,7 @@
             loaded: true,
             // Its prompt isn't read again.
             tokens: 0,
-            ..self.question(
+            ..self.admit_query(
                 self.message.call.adapter(),
                 place.version.unwrap_or_default(),
             )
--- a/lib/src/direct/target.rs
+++ b/lib/src/direct/target.rs
@@ -191,11 +191,11 @@
         if let Some(upstream) = self.loaded(homes, adapter, wanted).await {
             let question = AdmitQuery {
                 loaded: true,
-                ..self.question(Some(adapter), wanted)
+                ..self.admit_query(Some(adapter), wanted)
             };
             return Ok(self.counted(upstream, adapter, question).await);
         }
-        let question = self.question(Some(adapter), wanted);
+        let question = self.admit_query(Some(adapter), wanted);
         if let Some(waiting) = waiting
             && let Some(target) = self.counted(waiting.upstream, adapter, question).await
         {
@@ -235,7 +235,7 @@
                 limit: upstream.slots,
                 patience: admission_policy::calm_wait(self.route.objective)
                     .min(self.time_to_begin(&upstream, adapter)),
-                ..self.question(Some(adapter), 0)
+                ..self.admit_query(Some(adapter), 0)
             };
             match self.gate.controllers.admit(&upstream, question).await {
                 admit::AdmitDecision::Admitted(permit, _) => {
