--- a/lib/src/direct/acquire.rs
+++ b/lib/src/direct/acquire.rs
@@ -33,7 +33,7 @@
         AdmitQuery {
             adapter,
             version,
-            limit: 0,
+            max_running: 0,
             loaded: false,
             tokens: self.message.call.tokens.map_or(0, |(prompt, _)| prompt),
             patience: admission_policy::calm_wait(self.route.objective),
@@ -82,7 +82,7 @@
             }
             self.copy(field, adapter, wanted, &upstream);
             let question = AdmitQuery {
-                limit: admission_policy::calm_limit(upstream.slots),
+                max_running: admission_policy::calm_limit(upstream.slots),
                 ..self.admit_query(Some(adapter), wanted)
             };
             match self.gate.controllers.admit(&upstream, question).await {
@@ -207,7 +207,7 @@
         let first = &homes[..FIRST_HOMES.min(homes.len())];
         let asking = first.iter().map(|upstream| {
             let question = AdmitQuery {
-                limit: 1,
+                max_running: 1,
                 patience: Millis::ZERO,
                 ..self.admit_query(Some(adapter), wanted)
             };
--- a/lib/src/direct/admit.rs
+++ b/lib/src/direct/admit.rs
@@ -93,7 +93,7 @@
     /// The least version that will do; 0 is any.
     pub version: u64,
     /// Requests there from which on this one isn't counted in; 0 counts it in always.
-    pub limit: u32,
+    pub max_running: u32,
     /// Whether the adapter was loaded there for this request a moment ago.
     pub loaded: bool,
     /// Tokens of the prompt that the engine has to read.
@@ -135,8 +135,8 @@
         if question.adapter.is_some() && absent && !question.loaded {
             return AdmitDecision::Absent(load);
         }
-        let is_busy = load.running >= question.limit || load.wait > question.patience;
-        if question.limit > 0 && is_busy {
+        let is_busy = load.running >= question.max_running || load.wait > question.patience;
+        if question.max_running > 0 && is_busy {
             return AdmitDecision::Busy(load);
         }
         if question.adapter.is_some() {
@@ -164,7 +164,7 @@
                 .map(ToString::to_string)
                 .unwrap_or_default(),
             version: question.version,
-            limit: question.limit,
+            limit: question.max_running,
             loaded: question.loaded,
             tokens: question.tokens,
             patience_ms: question.patience.0,
--- a/lib/src/direct/serve.rs
+++ b/lib/src/direct/serve.rs
@@ -71,7 +71,7 @@
         let question = AdmitQuery {
             adapter: adapter.as_ref(),
             version: request.version,
-            limit: request.limit,
+            max_running: request.limit,
             loaded: request.loaded,
             tokens: request.tokens,
             patience: Millis(request.patience_ms),
--- a/lib/src/direct/target.rs
+++ b/lib/src/direct/target.rs
@@ -232,7 +232,7 @@
             let upstream = field.select(self.manner(), fits)?;
             asked.push(Name::clone(&upstream.incarnation));
             let question = AdmitQuery {
-                limit: upstream.slots,
+                max_running: upstream.slots,
                 patience: admission_policy::calm_wait(self.route.objective)
                     .min(self.time_to_begin(&upstream, adapter)),
                 ..self.admit_query(Some(adapter), 0)
--- a/lib/tests/test_direct_admission.rs
+++ b/lib/tests/test_direct_admission.rs
@@ -226,11 +226,11 @@
     }
 }
 
-fn question(adapter: &Name, limit: u32) -> AdmitQuery<'_> {
+fn question(adapter: &Name, max_running: u32) -> AdmitQuery<'_> {
     AdmitQuery {
         adapter: Some(adapter),
         version: 0,
-        limit,
+        max_running,
         loaded: false,
         tokens: 0,
         patience: Millis(150),
--- a/lib/tests/test_direct_exchange.rs
+++ b/lib/tests/test_direct_exchange.rs
@@ -160,7 +160,7 @@
                 let question = AdmitQuery {
                     adapter: None,
                     version: 0,
-                    limit: 0,
+                    max_running: 0,
                     loaded: false,
                     tokens: 0,
                     patience: Millis::ZERO,
