--- a/lib/src/direct/acquire.rs
+++ b/lib/src/direct/acquire.rs
@@ -36,7 +36,7 @@
             max_running: 0,
             loaded: false,
             tokens: self.message.call.tokens.map_or(0, |(prompt, _)| prompt),
-            patience: admission_policy::calm_wait(self.route.objective),
+            max_wait: admission_policy::calm_wait(self.route.objective),
         }
     }
 
@@ -208,7 +208,7 @@
         let asking = first.iter().map(|upstream| {
             let question = AdmitQuery {
                 max_running: 1,
-                patience: Millis::ZERO,
+                max_wait: Millis::ZERO,
                 ..self.admit_query(Some(adapter), wanted)
             };
             self.gate.controllers.admit(upstream, question)
--- a/lib/src/direct/admit.rs
+++ b/lib/src/direct/admit.rs
@@ -99,7 +99,7 @@
     /// Tokens of the prompt that the engine has to read.
     pub tokens: u32,
     /// The longest wait with which the request is counted in where there is a limit.
-    pub patience: Millis,
+    pub max_wait: Millis,
 }
 
 impl Controllers {
@@ -135,7 +135,7 @@
         if question.adapter.is_some() && absent && !question.loaded {
             return AdmitDecision::Absent(load);
         }
-        let is_busy = load.running >= question.max_running || load.wait > question.patience;
+        let is_busy = load.running >= question.max_running || load.wait > question.max_wait;
         if question.max_running > 0 && is_busy {
             return AdmitDecision::Busy(load);
         }
@@ -167,7 +167,7 @@
             limit: question.max_running,
             loaded: question.loaded,
             tokens: question.tokens,
-            patience_ms: question.patience.0,
+            patience_ms: question.max_wait.0,
         };
         // This side of the call ends when the sender is dropped.
         let (unread, is_read) = oneshot::channel::<()>();
--- a/lib/src/direct/serve.rs
+++ b/lib/src/direct/serve.rs
@@ -74,7 +74,7 @@
             max_running: request.limit,
             loaded: request.loaded,
             tokens: request.tokens,
-            patience: Millis(request.patience_ms),
+            max_wait: Millis(request.patience_ms),
         };
         let answer = match self.upstream(&request.incarnation) {
             Some(upstream) => self.0.admit_here(&upstream, question),
--- a/lib/src/direct/target.rs
+++ b/lib/src/direct/target.rs
@@ -233,7 +233,7 @@
             asked.push(Name::clone(&upstream.incarnation));
             let question = AdmitQuery {
                 max_running: upstream.slots,
-                patience: admission_policy::calm_wait(self.route.objective)
+                max_wait: admission_policy::calm_wait(self.route.objective)
                     .min(self.time_to_begin(&upstream, adapter)),
                 ..self.admit_query(Some(adapter), 0)
             };
--- a/lib/tests/test_direct_admission.rs
+++ b/lib/tests/test_direct_admission.rs
@@ -233,7 +233,7 @@
         max_running,
         loaded: false,
         tokens: 0,
-        patience: Millis(150),
+        max_wait: Millis(150),
     }
 }
 
--- a/lib/tests/test_direct_exchange.rs
+++ b/lib/tests/test_direct_exchange.rs
@@ -163,7 +163,7 @@
                     max_running: 0,
                     loaded: false,
                     tokens: 0,
-                    patience: Millis::ZERO,
+                    max_wait: Millis::ZERO,
                 };
                 let engine = engines.iter().find(owned_by).unwrap();
                 drop(controllers.admit(engine, question).await);
