--- a/lib/src/direct/admission_policy.rs
+++ b/lib/src/direct/admission_policy.rs
@@ -67,7 +67,7 @@
 #[must_use]
 pub fn is_crowded(load: EngineLoad, slots: u32, reads: bool) -> bool {
     let part = if reads { READER_SPREAD_AT } else { SPREAD_AT };
-    f64::from(load.alike) > part * f64::from(slots)
+    f64::from(load.same_adapter) > part * f64::from(slots)
 }
 
 /// Whether the second engine in an adapter's order is to load it, by what runs at the first ones.
--- a/lib/src/direct/admit.rs
+++ b/lib/src/direct/admit.rs
@@ -201,7 +201,7 @@
 fn read(replies: Streaming<AdmitReply>, reply: &AdmitReply, unread: oneshot::Sender<()>) -> AdmitDecision {
     let load = EngineLoad {
         running: reply.running,
-        alike: reply.alike,
+        same_adapter: reply.alike,
         wait: Millis(reply.wait_ms),
     };
     match reply.admission() {
@@ -240,7 +240,7 @@
         let reply = AdmitReply {
             admission: admission.into(),
             running: load.map_or(0, |load| load.running),
-            alike: load.map_or(0, |load| load.alike),
+            alike: load.map_or(0, |load| load.same_adapter),
             wait_ms: load.map_or(0, |load| load.wait.0),
         };
         Self {
--- a/lib/src/direct/occupancy.rs
+++ b/lib/src/direct/occupancy.rs
@@ -143,7 +143,7 @@
     /// Requests there, without the one that asks.
     pub running: u32,
     /// Those of the same adapter.
-    pub alike: u32,
+    pub same_adapter: u32,
     /// Time until the engine is expected to begin to read the prompt of the one that asks.
     pub wait: Millis,
 }
@@ -208,13 +208,13 @@
         let Some(occupancy) = engines.get(engine) else {
             return EngineLoad {
                 running: 0,
-                alike: 0,
+                same_adapter: 0,
                 wait: Millis::ZERO,
             };
         };
         EngineLoad {
             running: occupancy.running(),
-            alike: occupancy.running_of(adapter),
+            same_adapter: occupancy.running_of(adapter),
             wait: occupancy.wait(slots),
         }
     }
--- a/lib/tests/test_direct_admission.rs
+++ b/lib/tests/test_direct_admission.rs
@@ -129,9 +129,9 @@
 
 #[test]
 fn is_crowded_by_one_adapter_only() {
-    let load = |alike| EngineLoad {
+    let load = |same_adapter| EngineLoad {
         running: 8,
-        alike,
+        same_adapter,
         wait: Millis::ZERO,
     };
     assert!(!admission_policy::is_crowded(load(3), 12, false));
@@ -144,7 +144,7 @@
 fn is_better_home_only_where_the_first_is_late() {
     let load = |wait| EngineLoad {
         running: 9,
-        alike: 0,
+        same_adapter: 0,
         wait: Millis(wait),
     };
     let better = |first, second| admission_policy::is_better_home(load(first), load(second), Millis(600));
@@ -158,7 +158,7 @@
     let calm = |running, wait| {
         let load = EngineLoad {
             running,
-            alike: 0,
+            same_adapter: 0,
             wait: Millis(wait),
         };
         admission_policy::is_calm(load, 12, Millis(600))
@@ -283,7 +283,7 @@
         .admit(&owner.upstream, question(&adapter, 2))
         .await;
     assert!(matches!(&first, AdmitDecision::Admitted(_, load) if load.running == 0));
-    assert!(matches!(&second, AdmitDecision::Admitted(_, load) if load.alike == 1));
+    assert!(matches!(&second, AdmitDecision::Admitted(_, load) if load.same_adapter == 1));
     let third = other
         .controllers
         .admit(&other.upstream, question(&adapter, 2))
