--- a/lib/src/direct/upstream.rs
+++ b/lib/src/direct/upstream.rs
@@ -364,12 +364,12 @@
     #[must_use]
     #[allow(clippy::cast_precision_loss, reason = "some seconds")]
     pub fn certainty(&self, now: Millis) -> f64 {
-        (-(now.since(self.heard_at()).0 as f64) / NEWS_HALVES).exp2()
+        (-(now.since(self.remote_load_at()).0 as f64) / NEWS_HALVES).exp2()
     }
 
     /// Returns when the load of other nodes was last heard of.
     #[must_use]
-    pub fn heard_at(&self) -> Millis {
+    pub fn remote_load_at(&self) -> Millis {
         Millis(self.heard.load(Ordering::Relaxed))
     }
 
