--- a/lib/src/direct/admit.rs
+++ b/lib/src/direct/admit.rs
@@ -114,7 +114,7 @@
         counter.with_label_values(&[answer.name()]).inc();
         if let Some(load) = answer.load() {
             let elsewhere = load.running.saturating_sub(upstream.running());
-            upstream.heard_load(elsewhere, self.clock.now());
+            upstream.record_remote_load(elsewhere, self.clock.now());
         }
         answer
     }
--- a/lib/src/direct/ask/exchange.rs
+++ b/lib/src/direct/ask/exchange.rs
@@ -115,7 +115,7 @@
             let Some(upstream) = state.upstreams.get(standing.incarnation.as_str()) else {
                 continue;
             };
-            upstream.heard_load(standing.running, self.clock.now());
+            upstream.record_remote_load(standing.running, self.clock.now());
             upstream.hold(&Held {
                 born: standing.born,
                 sequence: standing.sequence,
--- a/lib/src/direct/ask/mod.rs
+++ b/lib/src/direct/ask/mod.rs
@@ -343,7 +343,7 @@
             upstream.link.sweep();
             if self.right.owns(upstream.address) {
                 let running = self.table.running(&upstream.incarnation);
-                upstream.heard_load(running.saturating_sub(upstream.running()), now);
+                upstream.record_remote_load(running.saturating_sub(upstream.running()), now);
             }
             if let Some(controller) = self.controller_to_tick(&upstream)
                 && controller.tell(Tick).try_send().is_err()
--- a/lib/src/direct/upstream.rs
+++ b/lib/src/direct/upstream.rs
@@ -374,7 +374,7 @@
     }
 
     /// Takes in how many requests other nodes have there.
-    pub fn heard_load(&self, elsewhere: u32, now: Millis) {
+    pub fn record_remote_load(&self, elsewhere: u32, now: Millis) {
         self.heard.store(now.0, Ordering::Relaxed);
         self.elsewhere.store(elsewhere, Ordering::Relaxed);
     }
--- a/lib/tests/test_direct_admission.rs
+++ b/lib/tests/test_direct_admission.rs
@@ -532,7 +532,7 @@
             if (now.0 / STEP.0) % exchanges == number as u64 % exchanges {
                 for upstream in upstreams {
                     let all = table.running(&upstream.incarnation);
-                    upstream.heard_load(all - upstream.running(), now);
+                    upstream.record_remote_load(all - upstream.running(), now);
                 }
             }
         }
@@ -584,7 +584,7 @@
         };
         let upstream = field.least_loaded(fresh).unwrap();
         let load = table.load(&upstream.incarnation, ADAPTER, upstream.slots);
-        upstream.heard_load(load.running - upstream.running(), field.now);
+        upstream.record_remote_load(load.running - upstream.running(), field.now);
         if load.running < admission_policy::calm_limit(upstream.slots) {
             return upstream;
         }
--- a/lib/tests/test_direct_roles.rs
+++ b/lib/tests/test_direct_roles.rs
@@ -205,7 +205,7 @@
         let mut running = Vec::new();
         for engine in &engines {
             running.extend((0..random.random_range(0..4)).map(|_| engine.enter(None, None)));
-            engine.heard_load(random.random_range(0..6), Millis(900));
+            engine.record_remote_load(random.random_range(0..6), Millis(900));
             if random.random_bool(0.1) {
                 engine.unreachable(Millis(1_000));
             }
