--- a/lib/src/direct/selection.rs
+++ b/lib/src/direct/selection.rs
@@ -76,7 +76,7 @@
 pub fn mean_remote_utilization(upstreams: &[Arc<Upstream>]) -> f64 {
     let sum: f64 = upstreams
         .iter()
-        .map(|upstream| upstream.elsewhere_share())
+        .map(|upstream| upstream.remote_utilization())
         .sum();
     sum / upstreams.len().max(1) as f64
 }
@@ -188,11 +188,11 @@
     fn occupied(&self, upstream: &Upstream) -> f64 {
         let own = f64::from(upstream.running()) / f64::from(upstream.slots);
         let Some(usual) = self.usual else {
-            return own + upstream.elsewhere_share();
+            return own + upstream.remote_utilization();
         };
         let known = upstream.certainty(self.now);
         let unknown = usual + SCATTER * (Self::share(upstream, self.id) - 0.5);
-        own + known * upstream.elsewhere_share() + (1.0 - known) * unknown
+        own + known * upstream.remote_utilization() + (1.0 - known) * unknown
     }
 
     /// Part of the upstream's places in use, with handicaps.
--- a/lib/src/direct/upstream.rs
+++ b/lib/src/direct/upstream.rs
@@ -356,7 +356,7 @@
 
     /// Returns what part of its places other nodes were last heard to use.
     #[must_use]
-    pub fn elsewhere_share(&self) -> f64 {
+    pub fn remote_utilization(&self) -> f64 {
         f64::from(self.elsewhere.load(Ordering::Relaxed)) / f64::from(self.slots)
     }
 
