--- a/lib/src/direct/selection.rs
+++ b/lib/src/direct/selection.rs
@@ -190,7 +190,7 @@
         let Some(usual) = self.usual else {
             return own + upstream.remote_utilization();
         };
-        let known = upstream.certainty(self.now);
+        let known = upstream.remote_load_confidence(self.now);
         let unknown = usual + SCATTER * (Self::share(upstream, self.id) - 0.5);
         own + known * upstream.remote_utilization() + (1.0 - known) * unknown
     }
--- a/lib/src/direct/upstream.rs
+++ b/lib/src/direct/upstream.rs
@@ -363,7 +363,7 @@
     /// Returns how far what was heard of other nodes' requests still tells of now, from 0 to 1.
     #[must_use]
     #[allow(clippy::cast_precision_loss, reason = "some seconds")]
-    pub fn certainty(&self, now: Millis) -> f64 {
+    pub fn remote_load_confidence(&self, now: Millis) -> f64 {
         (-(now.since(self.remote_load_at()).0 as f64) / NEWS_HALVES).exp2()
     }
 
