--- a/lib/src/direct/target.rs
+++ b/lib/src/direct/target.rs
@@ -312,7 +312,7 @@
         let reads = self.manner() == Workload::PrefillHeavy;
         homes.sort_by_key(|upstream| field.is_prefill(upstream) != reads);
         if let Some(rest) = homes.get_mut(FIRST_HOMES..) {
-            rest.sort_by_key(|upstream| upstream.held_count());
+            rest.sort_by_key(|upstream| upstream.adapter_count());
         }
         homes.sort_by_key(|upstream| upstream.version(adapter).is_some());
         homes
--- a/lib/src/direct/upstream.rs
+++ b/lib/src/direct/upstream.rs
@@ -249,7 +249,7 @@
 
     /// Returns how many adapters the upstream is known to hold.
     #[must_use]
-    pub fn held_count(&self) -> usize {
+    pub fn adapter_count(&self) -> usize {
         self.holdings().adapters.len()
     }
 
