--- a/lib/src/direct/acquire.rs
+++ b/lib/src/direct/acquire.rs
@@ -42,7 +42,7 @@
 
     /// Finds an engine for a request that uses no adapter.
     pub(super) async fn with_base(&self, field: &Selector<'_>, model: &Name) -> Option<Target> {
-        let upstream = field.select(self.manner(), |upstream| upstream.has_base(model))?;
+        let upstream = field.select(self.manner(), |upstream| upstream.has_base_model(model))?;
         let question = self.admit_query(None, 0);
         let permit = match self.gate.controllers.admit(&upstream, question).await {
             admit::AdmitDecision::Admitted(permit, _) => Some(permit),
@@ -178,7 +178,7 @@
         pool.iter().any(|upstream| {
             let holds = match adapter {
                 Some(adapter) => self.time_to_begin(upstream, adapter) > Millis::ZERO,
-                None => upstream.has_base(model),
+                None => upstream.has_base_model(model),
             };
             holds
                 && upstream.incarnation != but.incarnation
--- a/lib/src/direct/target.rs
+++ b/lib/src/direct/target.rs
@@ -114,7 +114,7 @@
         let Some(adapter) = self.message.call.adapter() else {
             let model = self.message.call.model.as_ref()?;
             return field
-                .least_loaded(|upstream| takes(upstream) && upstream.has_base(model))
+                .least_loaded(|upstream| takes(upstream) && upstream.has_base_model(model))
                 .map(anywhere);
         };
         let newest = self.gate.view.newest(adapter).map(|newest| newest.version);
@@ -303,7 +303,7 @@
     /// service is away there are many of them; asked one after the other, they used up the
     /// questions of a request that an engine further down could have served.
     fn can_load(&self, upstream: &Upstream, adapter: &Name) -> bool {
-        upstream.has_base(adapter) && self.gate.controllers.is_ordered(upstream)
+        upstream.has_base_model(adapter) && self.gate.controllers.is_ordered(upstream)
     }
 
     /// Engines that could load the adapter, those with no older version of it first.
--- a/lib/src/direct/upstream.rs
+++ b/lib/src/direct/upstream.rs
@@ -255,7 +255,7 @@
 
     /// Whether the upstream holds the base model of `model`.
     #[must_use]
-    pub fn has_base(&self, model: &str) -> bool {
+    pub fn has_base_model(&self, model: &str) -> bool {
         let base = base_of(model);
         self.holdings().models.iter().any(|held| &**held == base)
     }
