--- a/lib/src/direct/quarantine.rs
+++ b/lib/src/direct/quarantine.rs
@@ -241,7 +241,7 @@
                 return false;
             }
         }
-        upstream.was_lost()
+        upstream.left_unannounced()
     }
 
     /// Reports requests of a node at an upstream that ended, whoever saw that.
--- a/lib/src/direct/request/outcome.rs
+++ b/lib/src/direct/request/outcome.rs
@@ -80,7 +80,7 @@
             Miss::Unsent(told) => self.was_not_sent(upstream, &told),
             Miss::Rejected { status, .. } => self.was_rejected(upstream, status),
             Miss::Withdrawn { sent } => self.was_withdrawn(sent),
-            Miss::Lost(code, told) => self.was_lost(upstream, code, told, is_last),
+            Miss::Lost(code, told) => self.left_unannounced(upstream, code, told, is_last),
         }
     }
 
@@ -123,7 +123,7 @@
         Err(Failure::new(Code::VersionReplaced, told))
     }
 
-    fn was_lost(
+    fn left_unannounced(
         &mut self,
         upstream: &Arc<Upstream>,
         code: Code,
--- a/lib/src/direct/upstream.rs
+++ b/lib/src/direct/upstream.rs
@@ -286,7 +286,7 @@
 
     /// Whether the upstream vanished from the list, or started again, without saying that it leaves.
     #[must_use]
-    pub fn was_lost(&self) -> bool {
+    pub fn left_unannounced(&self) -> bool {
         self.presence().is_lost()
     }
 
