--- a/lib/src/direct/ask/mod.rs
+++ b/lib/src/direct/ask/mod.rs
@@ -164,7 +164,7 @@
         }
         let loaded = self.load_there(upstream, adapter, version).await;
         if let Loaded::Ready(version) = loaded {
-            upstream.gained(adapter, version);
+            upstream.set_adapter(adapter, version);
         }
         loaded
     }
@@ -189,7 +189,7 @@
         }
         let loaded = loaded.await.unwrap_or(Loaded::Failed);
         if let Loaded::Ready(version) = loaded {
-            upstream.gained(adapter, version);
+            upstream.set_adapter(adapter, version);
         }
         loaded
     }
--- a/lib/src/direct/upstream.rs
+++ b/lib/src/direct/upstream.rs
@@ -230,7 +230,7 @@
     }
 
     /// Takes in that an adapter is present.
-    pub fn gained(&self, adapter: &Name, version: u64) {
+    pub fn set_adapter(&self, adapter: &Name, version: u64) {
         self.holdings()
             .adapters
             .insert(Name::clone(adapter), version);
