--- a/lib/src/direct/acquire.rs
+++ b/lib/src/direct/acquire.rs
@@ -90,7 +90,7 @@
                     return Asked::Place(Self::admitted(upstream, adapter, Some(permit)));
                 }
                 admit::AdmitDecision::Busy(load) => busy.push((upstream, load)),
-                admit::AdmitDecision::Absent(_) => upstream.lost(adapter),
+                admit::AdmitDecision::Absent(_) => upstream.remove_adapter(adapter),
                 admit::AdmitDecision::Unknown => {
                     return Asked::Place(Self::admitted(upstream, adapter, None));
                 }
@@ -147,7 +147,7 @@
                 Some(Self::admitted(upstream, adapter, Some(permit)))
             }
             admit::AdmitDecision::Absent(_) => {
-                upstream.lost(adapter);
+                upstream.remove_adapter(adapter);
                 None
             }
             admit::AdmitDecision::Busy(_) | admit::AdmitDecision::Unknown => {
--- a/lib/src/direct/request/outcome.rs
+++ b/lib/src/direct/request/outcome.rs
@@ -102,7 +102,7 @@
         if let Some(adapter) = self.message.call.adapter()
             && status == 421
         {
-            upstream.lost(adapter);
+            upstream.remove_adapter(adapter);
         }
         if self.rejected >= MOST_REJECTED {
             return Err(self.refusal(Code::UpstreamRefused, "upstreams are full"));
--- a/lib/src/direct/target.rs
+++ b/lib/src/direct/target.rs
@@ -241,7 +241,7 @@
                 admit::AdmitDecision::Admitted(permit, _) => {
                     return Some(Self::admitted(upstream, adapter, Some(permit)));
                 }
-                admit::AdmitDecision::Absent(_) => upstream.lost(adapter),
+                admit::AdmitDecision::Absent(_) => upstream.remove_adapter(adapter),
                 admit::AdmitDecision::Unknown if upstream.load() < admission_policy::calm_limit(upstream.slots) => {
                     return Some(Self::admitted(upstream, adapter, None));
                 }
--- a/lib/src/direct/upstream.rs
+++ b/lib/src/direct/upstream.rs
@@ -237,7 +237,7 @@
     }
 
     /// Takes in that an adapter is absent, or there in another version.
-    pub fn lost(&self, adapter: &str) {
+    pub fn remove_adapter(&self, adapter: &str) {
         self.holdings().adapters.remove(adapter);
     }
 
