--- a/lib/src/direct/ask/exchange.rs
+++ b/lib/src/direct/ask/exchange.rs
@@ -116,7 +116,7 @@
                 continue;
             };
             upstream.record_remote_load(standing.running, self.clock.now());
-            upstream.hold(&Held {
+            upstream.update_held(&Held {
                 born: standing.born,
                 sequence: standing.sequence,
                 models: standing.models.into_iter().map(Name::from).collect(),
--- a/lib/src/direct/orders/change.rs
+++ b/lib/src/direct/orders/change.rs
@@ -140,7 +140,7 @@
     /// Lets this node's requests and exchanges see what the engine holds.
     pub(super) fn publish(&self) {
         if let Some(slots) = &self.slots {
-            self.parts.upstream.hold(&slots.held());
+            self.parts.upstream.update_held(&slots.held());
         }
     }
 }
--- a/lib/src/direct/upstream.rs
+++ b/lib/src/direct/upstream.rs
@@ -161,14 +161,14 @@
             health: Mutex::default(),
             pace: Mutex::default(),
         };
-        upstream.hold(&listed.held);
+        upstream.update_held(&listed.held);
         upstream
     }
 
     /// Takes in an entry of the list, unless a newer one is known.
     pub fn update(&self, listed: &Listed, written: Written) {
         if self.note(|presence| presence.entry(written, listed.ready)) {
-            self.hold(&listed.held);
+            self.update_held(&listed.held);
         }
     }
 
@@ -201,7 +201,7 @@
     /// count begins anew then, so that news of the former start would look newer for as many
     /// orders as that one took, and requests would go to adapters that are gone. The time of
     /// the start goes first therefore.
-    pub fn hold(&self, held: &Held) {
+    pub fn update_held(&self, held: &Held) {
         let mut holdings = self.holdings();
         if (held.born, held.sequence) < (holdings.born, holdings.sequence) {
             return;
--- a/lib/tests/test_direct_parts.rs
+++ b/lib/tests/test_direct_parts.rs
@@ -198,11 +198,11 @@
 #[test]
 fn hold_older_news_left_aside() {
     let one = upstream("i-1", "hall-a");
-    one.hold(&listed("i-1", &[("base/a2", 5)]).held);
+    one.update_held(&listed("i-1", &[("base/a2", 5)]).held);
     assert_eq!(one.version("base/a2"), Some(5));
     let mut older = listed("i-1", &[]).held;
     older.sequence = 2;
-    one.hold(&older);
+    one.update_held(&older);
     assert_eq!(one.version("base/a2"), Some(5));
 }
 
@@ -251,11 +251,11 @@
         adapters: vec![(adapter.into(), 1)],
         incoming: Vec::new(),
     };
-    engine.hold(&held(1_000, 5, "base/a5"));
-    engine.hold(&held(2_000, 1, "base/a7"));
+    engine.update_held(&held(1_000, 5, "base/a5"));
+    engine.update_held(&held(2_000, 1, "base/a7"));
     assert_eq!(engine.version("base/a5"), None);
     assert_eq!(engine.version("base/a7"), Some(1));
-    engine.hold(&held(1_000, 6, "base/a5"));
+    engine.update_held(&held(1_000, 6, "base/a5"));
     assert_eq!(engine.version("base/a7"), Some(1));
 }
 
