--- a/lib/src/direct/attempt.rs
+++ b/lib/src/direct/attempt.rs
@@ -146,7 +146,7 @@
         permit: Option<Permit>,
         watch: Option<Watch>,
     ) -> Result<Answer, Miss> {
-        let running = upstream.enter(self.call.adapter(), permit);
+        let running = upstream.start_request(self.call.adapter(), permit);
         let freshness = if self.kind.repeatable() {
             USABLE
         } else {
--- a/lib/tests/test_direct_admission.rs
+++ b/lib/tests/test_direct_admission.rs
@@ -560,7 +560,7 @@
                 came: now,
                 ends: Millis::MAX,
                 _counted: (
-                    chosen.enter(Some(&adapter), None),
+                    chosen.start_request(Some(&adapter), None),
                     table.enter(&chosen.incarnation, part(&adapter, 0)),
                 ),
             };
--- a/lib/tests/test_direct_exchange.rs
+++ b/lib/tests/test_direct_exchange.rs
@@ -127,7 +127,7 @@
     let adapter = Name::from("base/a1");
     chosen
         .into_iter()
-        .map(|engine| engine.enter(random.random_bool(0.8).then_some(&adapter), None))
+        .map(|engine| engine.start_request(random.random_bool(0.8).then_some(&adapter), None))
         .collect()
 }
 
--- a/lib/tests/test_direct_parts.rs
+++ b/lib/tests/test_direct_parts.rs
@@ -121,7 +121,7 @@
     let upstreams = [upstream("i-1", "hall-b"), upstream("i-2", "hall-a")];
     let chosen = field(&upstreams, &[], 1).least_loaded(|_| true).unwrap();
     assert_eq!(&*chosen.incarnation, "i-2");
-    let _busy: Vec<_> = (0..5).map(|_| upstreams[1].enter(None, None)).collect();
+    let _busy: Vec<_> = (0..5).map(|_| upstreams[1].start_request(None, None)).collect();
     let chosen = field(&upstreams, &[], 1).least_loaded(|_| true).unwrap();
     assert_eq!(&*chosen.incarnation, "i-1");
 }
@@ -133,7 +133,7 @@
     upstreams[0].missing();
     let chosen = field(&upstreams, &[], 1).least_loaded(|_| true).unwrap();
     assert_eq!(&*chosen.incarnation, "i-2");
-    let _busy: Vec<_> = (0..7).map(|_| upstreams[1].enter(None, None)).collect();
+    let _busy: Vec<_> = (0..7).map(|_| upstreams[1].start_request(None, None)).collect();
     let chosen = field(&upstreams, &[], 1).least_loaded(|_| true).unwrap();
     assert_eq!(&*chosen.incarnation, "i-1");
     upstreams[1].retire();
@@ -210,8 +210,8 @@
 fn in_use_until_the_last_request_ends() {
     let one = upstream("i-1", "hall-a");
     let adapter = Name::from("base/a1");
-    let first = one.enter(Some(&adapter), None);
-    let second = one.enter(Some(&adapter), None);
+    let first = one.start_request(Some(&adapter), None);
+    let second = one.start_request(Some(&adapter), None);
     drop(first);
     assert_eq!(one.uncounted_adapters(), [Name::clone(&adapter)]);
     drop(second);
--- a/lib/tests/test_direct_roles.rs
+++ b/lib/tests/test_direct_roles.rs
@@ -204,7 +204,7 @@
         let roles = Roles::split(engines.iter().map(|engine| engine.address), 10);
         let mut running = Vec::new();
         for engine in &engines {
-            running.extend((0..random.random_range(0..4)).map(|_| engine.enter(None, None)));
+            running.extend((0..random.random_range(0..4)).map(|_| engine.start_request(None, None)));
             engine.record_remote_load(random.random_range(0..6), Millis(900));
             if random.random_bool(0.1) {
                 engine.unreachable(Millis(1_000));
