--- a/lib/src/direct/acquire.rs
+++ b/lib/src/direct/acquire.rs
@@ -185,7 +185,7 @@
                 && upstream.is_ready()
                 && !upstream.suspended(now)
                 && !self.tried.contains(&upstream.incarnation)
-                && upstream.load() < admission_policy::calm_limit(upstream.slots)
+                && upstream.total_running() < admission_policy::calm_limit(upstream.slots)
         })
     }
 
--- a/lib/src/direct/record.rs
+++ b/lib/src/direct/record.rs
@@ -67,7 +67,7 @@
             let since = newest.since.unwrap_or_default();
             request.now().since(since).0
         }),
-        load = upstream.load(),
+        load = upstream.total_running(),
         reader = request.gate.roles(&request.pool).is_prefill(upstream.address),
         tokens = request.message.call.tokens.map_or(0, |(prompt, _)| prompt),
         load_age_ms = request.now().since(upstream.remote_load_at()).0,
--- a/lib/src/direct/target.rs
+++ b/lib/src/direct/target.rs
@@ -109,7 +109,7 @@
         let takes = |upstream: &Upstream| {
             !field.is_prefill(upstream)
                 && !upstream.suspended(field.now)
-                && upstream.load() < upstream.slots
+                && upstream.total_running() < upstream.slots
         };
         let Some(adapter) = self.message.call.adapter() else {
             let model = self.message.call.model.as_ref()?;
@@ -242,7 +242,7 @@
                     return Some(Self::admitted(upstream, adapter, Some(permit)));
                 }
                 admit::AdmitDecision::Absent(_) => upstream.remove_adapter(adapter),
-                admit::AdmitDecision::Unknown if upstream.load() < admission_policy::calm_limit(upstream.slots) => {
+                admit::AdmitDecision::Unknown if upstream.total_running() < admission_policy::calm_limit(upstream.slots) => {
                     return Some(Self::admitted(upstream, adapter, None));
                 }
                 admit::AdmitDecision::Busy(_) | admit::AdmitDecision::Unknown => {}
@@ -344,7 +344,7 @@
         let mut homes = field.placement_candidates(adapter, |upstream| {
             upstream.version(adapter).is_none()
                 && field.is_prefill(upstream) == reads
-                && upstream.load() < upstream.slots
+                && upstream.total_running() < upstream.slots
                 && self.can_load(upstream, adapter)
         });
         let among = u64::try_from(replicas.clamp(1, homes.len().max(1))).unwrap_or(1);
--- a/lib/src/direct/upstream.rs
+++ b/lib/src/direct/upstream.rs
@@ -350,7 +350,7 @@
 
     /// Requests of all nodes, as last heard.
     #[must_use]
-    pub fn load(&self) -> u32 {
+    pub fn total_running(&self) -> u32 {
         self.running() + self.elsewhere.load(Ordering::Relaxed)
     }
 
--- a/lib/tests/test_direct_admission.rs
+++ b/lib/tests/test_direct_admission.rs
@@ -289,7 +289,7 @@
         .admit(&other.upstream, question(&adapter, 2))
         .await;
     assert!(matches!(third, AdmitDecision::Busy(load) if load.running == 2));
-    assert_eq!(other.upstream.load(), 2);
+    assert_eq!(other.upstream.total_running(), 2);
     drop(first);
     until_counted(&owner, 1).await;
 }
