--- a/lib/src/direct/request/outcome.rs
+++ b/lib/src/direct/request/outcome.rs
@@ -133,7 +133,7 @@
         if code == Code::UpstreamLost {
             self.broke(upstream, Sign::Possible);
         }
-        upstream.failed(self.now());
+        upstream.record_failure(self.now());
         if !self.may_go_on() {
             return Err(Failure::new(code, told));
         }
@@ -161,7 +161,7 @@
 
     /// Notes that an upstream is silent, broke an answer off, or says that it failed.
     pub fn blame(&mut self, upstream: &Upstream) {
-        upstream.failed(self.now());
+        upstream.record_failure(self.now());
         self.tried.push(Name::clone(&upstream.incarnation));
     }
 
--- a/lib/src/direct/upstream.rs
+++ b/lib/src/direct/upstream.rs
@@ -400,7 +400,7 @@
     }
 
     /// Takes in that a request failed at the upstream's fault.
-    pub fn failed(&self, now: Millis) {
+    pub fn record_failure(&self, now: Millis) {
         let mut health = self.health();
         health.failures += 1;
         if health.failures >= TOLERATED {
@@ -417,7 +417,7 @@
             health.failures += 1;
             health.unreachable = true;
         }
-        self.failed(now);
+        self.record_failure(now);
     }
 
     /// Takes in that a request went well.
--- a/lib/tests/test_direct_parts.rs
+++ b/lib/tests/test_direct_parts.rs
@@ -185,9 +185,9 @@
 #[test]
 fn suspended_after_failures_until_it_ends() {
     let one = upstream("i-1", "hall-a");
-    one.failed(Millis(1_000));
+    one.record_failure(Millis(1_000));
     assert!(!one.suspended(Millis(1_000)));
-    one.failed(Millis(1_000));
+    one.record_failure(Millis(1_000));
     assert!(one.suspended(Millis(1_100)));
     assert!(!one.suspended(Millis(1_400)));
 }
