--- a/lib/src/direct/request/outcome.rs
+++ b/lib/src/direct/request/outcome.rs
@@ -86,7 +86,7 @@
 
     fn was_not_sent(&mut self, upstream: &Upstream, told: &str) -> Result<(), Failure> {
         self.sent -= 1;
-        upstream.unreachable(self.now());
+        upstream.record_unreachable(self.now());
         self.unsent += 1;
         self.gate.count_retry("unsent");
         if self.unsent >= MOST_UNSENT {
--- a/lib/src/direct/upstream.rs
+++ b/lib/src/direct/upstream.rs
@@ -411,7 +411,7 @@
     }
 
     /// Takes in that no connection could be made: one such failure says enough.
-    pub fn unreachable(&self, now: Millis) {
+    pub fn record_unreachable(&self, now: Millis) {
         {
             let mut health = self.health();
             health.failures += 1;
--- a/lib/tests/test_direct_roles.rs
+++ b/lib/tests/test_direct_roles.rs
@@ -190,7 +190,7 @@
     assert_eq!(begins(Workload::PrefillHeavy, &[writer]), Some(writer.address));
     assert_eq!(begins(Workload::DecodeHeavy, &[]), None);
     // A reader that fails is passed over while a writer can take the request.
-    reader.unreachable(Millis(1_000));
+    reader.record_unreachable(Millis(1_000));
     assert_eq!(begins(Workload::PrefillHeavy, &both), Some(writer.address));
     assert_eq!(begins(Workload::DecodeHeavy, &both), Some(writer.address));
 }
@@ -207,7 +207,7 @@
             running.extend((0..random.random_range(0..4)).map(|_| engine.start_request(None, None)));
             engine.record_remote_load(random.random_range(0..6), Millis(900));
             if random.random_bool(0.1) {
-                engine.unreachable(Millis(1_000));
+                engine.record_unreachable(Millis(1_000));
             }
         }
         let tried = [Name::clone(&engines[3].incarnation)];
