--- a/lib/src/direct/handover.rs
+++ b/lib/src/direct/handover.rs
@@ -105,7 +105,7 @@
                 return Reply::Unchanged;
             }
         };
-        self.source.succeeded();
+        self.source.record_success();
         let memory = Memory {
             source: self.source.address,
             handle,
--- a/lib/src/direct/relay.rs
+++ b/lib/src/direct/relay.rs
@@ -354,7 +354,7 @@
 
     fn keep(&mut self) {
         if let Some(answer) = self.answer.take() {
-            answer.upstream.succeeded();
+            answer.upstream.record_success();
             if !answer.reply.closes {
                 answer
                     .upstream
--- a/lib/src/direct/request/outcome.rs
+++ b/lib/src/direct/request/outcome.rs
@@ -46,7 +46,7 @@
     /// at another upstream.
     fn judge(&mut self, answer: Answer, is_last: bool) -> Option<Answer> {
         if !answer.head.status.is_server_error() {
-            answer.upstream.succeeded();
+            answer.upstream.record_success();
             return Some(answer);
         }
         self.blame(&answer.upstream);
--- a/lib/src/direct/upstream.rs
+++ b/lib/src/direct/upstream.rs
@@ -421,7 +421,7 @@
     }
 
     /// Takes in that a request went well.
-    pub fn succeeded(&self) {
+    pub fn record_success(&self) {
         self.served.fetch_add(1, Ordering::Relaxed);
         let mut health = self.health();
         health.failures = health.failures.saturating_sub(1);
--- a/lib/tests/test_direct_quarantine.rs
+++ b/lib/tests/test_direct_quarantine.rs
@@ -184,7 +184,7 @@
         .quarantine
         .broke(&upstream, suspect.clone(), Sign::Begun);
     pass(Millis(10_000)).await;
-    upstream.succeeded();
+    upstream.record_success();
     pass(Millis(1_000)).await;
     upstream.retire();
     pass(Millis(1_000)).await;
