--- a/lib/src/direct/upstream.rs
+++ b/lib/src/direct/upstream.rs
@@ -430,7 +430,7 @@
 
     /// Returns how many requests went well.
     #[must_use]
-    pub fn served(&self) -> u32 {
+    pub fn successes(&self) -> u32 {
         self.served.load(Ordering::Relaxed)
     }
 
