--- a/lib/src/direct/relay.rs
+++ b/lib/src/direct/relay.rs
@@ -205,7 +205,7 @@
         let metrics = &self.request.gate.metrics;
         metrics.between_tokens.observe(seconds(pause));
         if let Some(answer) = &self.answer {
-            answer.upstream.paused(pause, now);
+            answer.upstream.record_pause(pause, now);
         }
         let pace = &mut self.request.pace;
         if pause > pace.longest {
--- a/lib/src/direct/upstream.rs
+++ b/lib/src/direct/upstream.rs
@@ -381,7 +381,7 @@
 
     /// Takes in a pause between two events of a stream.
     #[allow(clippy::cast_precision_loss, reason = "some seconds")]
-    pub fn paused(&self, pause: Millis, now: Millis) {
+    pub fn record_pause(&self, pause: Millis, now: Millis) {
         let mut pace = self.pace();
         pace.mean += PACE_WEIGHT * (pause.0 as f64 - pace.mean);
         pace.at = now;
--- a/lib/tests/test_direct_parts.rs
+++ b/lib/tests/test_direct_parts.rs
@@ -267,8 +267,8 @@
     let upstreams = [upstream("i-1", "hall-a"), upstream("i-2", "hall-a")];
     let now = Millis(1_000);
     for _ in 0..30 {
-        upstreams[0].paused(Millis(180), now);
-        upstreams[1].paused(Millis(40), now);
+        upstreams[0].record_pause(Millis(180), now);
+        upstreams[1].record_pause(Millis(40), now);
     }
     let first_at = |at: Millis, pause: Option<Millis>| {
         let chosen = |salt: &u64| {
