--- a/lib/src/direct/acquire.rs
+++ b/lib/src/direct/acquire.rs
@@ -183,7 +183,7 @@
             holds
                 && upstream.incarnation != but.incarnation
                 && upstream.is_ready()
-                && !upstream.suspended(now)
+                && !upstream.is_suspended(now)
                 && !self.tried.contains(&upstream.incarnation)
                 && upstream.total_running() < admission_policy::calm_limit(upstream.slots)
         })
--- a/lib/src/direct/selection.rs
+++ b/lib/src/direct/selection.rs
@@ -168,7 +168,7 @@
     }
 
     fn avoided(&self, upstream: &Upstream) -> bool {
-        upstream.suspended(self.now) || self.tried.contains(&upstream.incarnation)
+        upstream.is_suspended(self.now) || self.tried.contains(&upstream.incarnation)
     }
 
     /// A number from 0 to 1 for this request at this upstream.
@@ -209,7 +209,7 @@
             cost += PAUSES * upstream.mean_pause(self.now) / (most.0.max(1) as f64);
         }
         cost += TIE * Self::share(upstream, self.salt);
-        if upstream.suspended(self.now) {
+        if upstream.is_suspended(self.now) {
             cost += 100.0;
         }
         if self.tried.contains(&upstream.incarnation) {
--- a/lib/src/direct/target.rs
+++ b/lib/src/direct/target.rs
@@ -108,7 +108,7 @@
         let field = self.field(&upstreams, &roles);
         let takes = |upstream: &Upstream| {
             !field.is_prefill(upstream)
-                && !upstream.suspended(field.now)
+                && !upstream.is_suspended(field.now)
                 && upstream.total_running() < upstream.slots
         };
         let Some(adapter) = self.message.call.adapter() else {
--- a/lib/src/direct/upstream.rs
+++ b/lib/src/direct/upstream.rs
@@ -443,7 +443,7 @@
 
     /// Whether the upstream is left alone for a while.
     #[must_use]
-    pub fn suspended(&self, now: Millis) -> bool {
+    pub fn is_suspended(&self, now: Millis) -> bool {
         self.health().until > now
     }
 
--- a/lib/tests/test_direct_parts.rs
+++ b/lib/tests/test_direct_parts.rs
@@ -186,10 +186,10 @@
 fn suspended_after_failures_until_it_ends() {
     let one = upstream("i-1", "hall-a");
     one.record_failure(Millis(1_000));
-    assert!(!one.suspended(Millis(1_000)));
+    assert!(!one.is_suspended(Millis(1_000)));
     one.record_failure(Millis(1_000));
-    assert!(one.suspended(Millis(1_100)));
-    assert!(!one.suspended(Millis(1_400)));
+    assert!(one.is_suspended(Millis(1_100)));
+    assert!(!one.is_suspended(Millis(1_400)));
 }
 
 /// Symptom: requests go to an engine that dropped their adapter.
--- a/lib/tests/test_direct_roles.rs
+++ b/lib/tests/test_direct_roles.rs
@@ -228,7 +228,7 @@
         let writer = field.least_loaded(|engine| !field.is_prefill(engine) && fits(engine));
         let sound = |found: &Option<Arc<Upstream>>| {
             found.as_ref().is_some_and(|found| {
-                !found.suspended(field.now) && !tried.contains(&found.incarnation)
+                !found.is_suspended(field.now) && !tried.contains(&found.incarnation)
             })
         };
         for manner in [Workload::PrefillHeavy, Workload::DecodeHeavy] {
