--- a/lib/src/direct/follow/missing.rs
+++ b/lib/src/direct/follow/missing.rs
@@ -33,7 +33,7 @@
         if self.doubt.is_some()
             && let Some(upstream) = state.upstreams.get(incarnation)
         {
-            upstream.missing();
+            upstream.mark_missing();
             return;
         }
         log::info!("follow: upstream {incarnation} is gone");
--- a/lib/src/direct/upstream.rs
+++ b/lib/src/direct/upstream.rs
@@ -297,7 +297,7 @@
     }
 
     /// Takes in that the upstream is missing from the list, and may not have left.
-    pub fn missing(&self) {
+    pub fn mark_missing(&self) {
         self.note(Presence::missing);
     }
 
--- a/lib/tests/test_direct_parts.rs
+++ b/lib/tests/test_direct_parts.rs
@@ -130,7 +130,7 @@
 #[test]
 fn least_doubted_only_if_others_are_crowded() {
     let upstreams = [upstream("i-1", "hall-a"), upstream("i-2", "hall-b")];
-    upstreams[0].missing();
+    upstreams[0].mark_missing();
     let chosen = field(&upstreams, &[], 1).least_loaded(|_| true).unwrap();
     assert_eq!(&*chosen.incarnation, "i-2");
     let _busy: Vec<_> = (0..7).map(|_| upstreams[1].start_request(None, None)).collect();
@@ -148,7 +148,7 @@
         .collect();
     let order = || field(&upstreams, &[], 1).placement_candidates("base/a1", |_| true);
     let first = Arc::clone(&order()[0]);
-    first.missing();
+    first.mark_missing();
     let homes = order();
     assert_eq!(homes.len(), 6);
     assert_eq!(homes[5].incarnation, first.incarnation);
--- a/lib/tests/test_direct_quarantine.rs
+++ b/lib/tests/test_direct_quarantine.rs
@@ -167,7 +167,7 @@
     world
         .quarantine
         .broke(&upstream, suspect.clone(), Sign::Begun);
-    upstream.missing();
+    upstream.mark_missing();
     world.view.renew(Millis(60_000));
     pass(Millis(7_000)).await;
     upstream.retire();
