--- a/lib/src/direct/quarantine.rs
+++ b/lib/src/direct/quarantine.rs
@@ -155,7 +155,7 @@
             return;
         }
         let suspect = Suspect { request, sign };
-        let start = upstream.start();
+        let start = upstream.start_id();
         if sign == Sign::Begun {
             self.open_case(&start, suspect.clone());
         }
@@ -204,11 +204,11 @@
     async fn examine(self: &Arc<Self>, upstream: &Arc<Upstream>) {
         tokio::time::sleep(GATHER.duration()).await;
         let has_ended = self.has_ended(upstream).await;
-        let suspects = self.examining().remove(&upstream.start());
+        let suspects = self.examining().remove(&upstream.start_id());
         if let (true, Some(suspects)) = (has_ended, suspects) {
             self.report(upstream, &self.node, suspects);
         }
-        self.close_case(&upstream.start(), &self.node);
+        self.close_case(&upstream.start_id(), &self.node);
         self.concluded.notify_waiters();
     }
 
@@ -221,7 +221,7 @@
         if upstream.link.probe().await == Listening::Refused {
             return true;
         }
-        self.tell_case(&upstream.start());
+        self.tell_case(&upstream.start_id());
         self.list_shows_end(upstream).await
     }
 
@@ -255,7 +255,7 @@
                 "quarantine: an upstream ended"
             );
         }
-        let start = upstream.start();
+        let start = upstream.start_id();
         let name = Name::from(format!("{ENDS}{start}/{node}"));
         let now = self.clock.now();
         let mut state = self.view.state();
--- a/lib/src/direct/quarantine/cases.rs
+++ b/lib/src/direct/quarantine/cases.rs
@@ -100,7 +100,7 @@
     fn upstream_of(&self, start: &str) -> Option<Arc<Upstream>> {
         let state = self.view.state();
         let mut upstreams = state.upstreams.values();
-        upstreams.find(|one| *one.start() == *start).cloned()
+        upstreams.find(|one| *one.start_id() == *start).cloned()
     }
 
     fn is_reported(&self, start: &str, node: &str) -> bool {
--- a/lib/src/direct/upstream.rs
+++ b/lib/src/direct/upstream.rs
@@ -292,7 +292,7 @@
 
     /// Returns a name for this start, unlike that of any other start of the same upstream.
     #[must_use]
-    pub fn start(&self) -> Name {
+    pub fn start_id(&self) -> Name {
         format!("{}@{}", self.incarnation, self.born).into()
     }
 
