--- a/lib/src/direct/claim/candidate.rs
+++ b/lib/src/direct/claim/candidate.rs
@@ -80,7 +80,7 @@
         let since = standing
             .map(|standing| standing.seen)
             .or_else(|| state.vanished.get(&address).map(|(_, at)| *at))
-            .unwrap_or(gathered.max(upstream.seen));
+            .unwrap_or(gathered.max(upstream.first_seen));
         let passed = now.since(since);
         // Whoever comes later than that waits longer in any case.
         let rank = self.rank(state, address, passed.0 / limits.claim_delay_per_rank().0 + 1);
--- a/lib/src/direct/upstream.rs
+++ b/lib/src/direct/upstream.rs
@@ -87,7 +87,7 @@
     /// When this start began, as it says of itself; 0 where it doesn't tell.
     pub born: u64,
     /// When this node first saw it in the list.
-    pub seen: Millis,
+    pub first_seen: Millis,
     /// Connections to it.
     pub link: Link,
     /// Whether it takes new work, which each choice asks of all upstreams.
@@ -148,7 +148,7 @@
             failure_domain: Name::clone(&listed.failure_domain),
             slots: listed.slots.max(1),
             born: listed.held.born,
-            seen: now,
+            first_seen: now,
             link: Link::new(listed.address, bounds),
             takes_work: AtomicBool::new(listed.ready),
             presence: Mutex::new(Presence::new(written, listed.ready)),
