--- a/lib/src/direct/admit.rs
+++ b/lib/src/direct/admit.rs
@@ -42,9 +42,9 @@
 
 impl Permit {
     /// Tells the owner that the engine has read the request's prompt.
-    pub fn read(&mut self) {
+    pub fn prefill_done(&mut self) {
         match &mut self.0 {
-            Counted::Here(place) => place.read(),
+            Counted::Here(place) => place.prefill_done(),
             Counted::There { unread, .. } => *unread = None,
         }
     }
@@ -265,7 +265,7 @@
         if let Some(questions) = &mut this.questions {
             match questions.poll_next_unpin(context) {
                 Poll::Ready(None) => {
-                    permit.read();
+                    permit.prefill_done();
                     this.questions = None;
                 }
                 // The call was dropped; the count must not outlast it.
--- a/lib/src/direct/occupancy.rs
+++ b/lib/src/direct/occupancy.rs
@@ -168,7 +168,7 @@
 
 impl OccupancyGuard {
     /// Takes in that the engine has read the request's prompt.
-    pub fn read(&mut self) {
+    pub fn prefill_done(&mut self) {
         let Some(ahead) = self.ahead.take() else {
             return;
         };
--- a/lib/src/direct/relay.rs
+++ b/lib/src/direct/relay.rs
@@ -147,7 +147,7 @@
         let now = self.request.now();
         self.request.gate.metrics.tokens.inc();
         if let Some(answer) = &mut self.answer {
-            answer.running.read();
+            answer.running.prefill_done();
         }
         match self.progress {
             Progress::Nothing => self.progress = Progress::Brought(now),
--- a/lib/src/direct/upstream.rs
+++ b/lib/src/direct/upstream.rs
@@ -115,9 +115,9 @@
 
 impl InFlightRequest {
     /// Takes in that the upstream has read the request's prompt.
-    pub fn read(&mut self) {
+    pub fn prefill_done(&mut self) {
         if let Some(permit) = &mut self.permit {
-            permit.read();
+            permit.prefill_done();
         }
     }
 }
--- a/lib/tests/test_direct_admission.rs
+++ b/lib/tests/test_direct_admission.rs
@@ -332,7 +332,7 @@
         matches!(second, AdmitDecision::Busy(load) if load.wait == Millis(800)),
         "{second:?}"
     );
-    permit.read();
+    permit.prefill_done();
     let read = async {
         while let AdmitDecision::Busy(_) = owner.controllers.admit(&owner.upstream, long).await {
             tokio::time::sleep(Millis(5).duration()).await;
