--- a/lib/src/direct/limits.rs
+++ b/lib/src/direct/limits.rs
@@ -8,7 +8,7 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Limits {
     /// Time from the request to stop until the process is killed.
-    pub stop: Millis,
+    pub shutdown: Millis,
     /// Least time between orders of two nodes to one engine.
     pub turns: Millis,
     /// Time within which a new version of an adapter has to be the only one begun on.
@@ -39,7 +39,7 @@
 impl Default for Limits {
     fn default() -> Self {
         Self {
-            stop: Millis::from_secs(8),
+            shutdown: Millis::from_secs(8),
             turns: Millis(3_000),
             version: Millis(5_000),
             leaving: Millis(2_000),
--- a/lib/src/direct/node.rs
+++ b/lib/src/direct/node.rs
@@ -270,7 +270,7 @@
     /// Returns whether every request was answered in its own time.
     pub async fn drain(mut self) -> bool {
         let clock = Arc::clone(&self.gate.clock);
-        let end = clock.now() + self.limits.get().stop - END_MARGIN;
+        let end = clock.now() + self.limits.get().shutdown - END_MARGIN;
         self.gate.stop.begin(end);
         give_notice(self.claimer.leave()).await;
         self.closing.cancel();
--- a/lib/tests/test_direct_reload.rs
+++ b/lib/tests/test_direct_reload.rs
@@ -53,13 +53,13 @@
 fn take_mistake_keeps_the_last_good_ones() {
     let (reload, limits) = reload();
     let mut changed = settings();
-    changed.limits.stop = Millis(4_000);
+    changed.limits.shutdown = Millis(4_000);
     let mistake = || Err("node is missing".to_owned());
     assert_eq!(reload.take(mistake()), Taken::Refused);
     assert_eq!(reload.take(mistake()), Taken::Same);
     assert_eq!(limits.get(), Limits::default());
     assert_eq!(reload.take(Ok(changed)), Taken::InForce);
-    assert_eq!(limits.get().stop, Millis(4_000));
+    assert_eq!(limits.get().shutdown, Millis(4_000));
 }
 
 #[test]
