--- a/lib/src/direct/claim/mod.rs
+++ b/lib/src/direct/claim/mod.rs
@@ -204,7 +204,7 @@
 
     /// Returns the least time between the last order of one node and the first one of another.
     fn turn(&self) -> Millis {
-        self.limits.get().turns + ORDER_GAP_MARGIN
+        self.limits.get().order_gap + ORDER_GAP_MARGIN
     }
 
     fn key(&self, address: SocketAddr) -> String {
--- a/lib/src/direct/limits.rs
+++ b/lib/src/direct/limits.rs
@@ -10,7 +10,7 @@
     /// Time from the request to stop until the process is killed.
     pub shutdown: Millis,
     /// Least time between orders of two nodes to one engine.
-    pub turns: Millis,
+    pub order_gap: Millis,
     /// Time within which a new version of an adapter has to be the only one begun on.
     pub version: Millis,
     /// Time within which a leaving upstream must get no new work.
@@ -40,7 +40,7 @@
     fn default() -> Self {
         Self {
             shutdown: Millis::from_secs(8),
-            turns: Millis(3_000),
+            order_gap: Millis(3_000),
             version: Millis(5_000),
             leaving: Millis(2_000),
             apply: Millis(2_000),
--- a/lib/tests/test_direct_claims.rs
+++ b/lib/tests/test_direct_claims.rs
@@ -298,7 +298,7 @@
     drop(one);
     let leases = memory.state().leases.clone();
     memory.change(|state| state.end(leases[0]));
-    let waited = RIGHT + Limits::default().turns;
+    let waited = RIGHT + Limits::default().order_gap;
     pass(&[&two], waited).await;
     assert_eq!(two.right.check(address()), None);
     pass(&[&two], LEASE_TTL).await;
@@ -458,7 +458,7 @@
         state.drop_history();
     });
     one.clock.advance(Millis(10_000));
-    let waited = RIGHT + Limits::default().turns;
+    let waited = RIGHT + Limits::default().order_gap;
     for _ in 0..waited.0 / 50 {
         pass(&[&one], Millis(50)).await;
         assert_eq!(one.right.check(address()), None);
@@ -492,7 +492,7 @@
     pass(&[&one], Millis(3_000)).await;
     assert!(one.right.owns(address()));
     assert_eq!(one.right.check(address()), None);
-    pass(&[&one], RIGHT + Limits::default().turns).await;
+    pass(&[&one], RIGHT + Limits::default().order_gap).await;
     assert!(one.right.check(address()).is_some());
 }
 
--- a/lib/tests/test_direct_reload.rs
+++ b/lib/tests/test_direct_reload.rs
@@ -36,14 +36,14 @@
     let pool = "engines".into();
     assert!(budget.try_retry(&pool, Millis(0), 1));
     let mut changed = settings();
-    changed.limits.turns = Millis(5_000);
+    changed.limits.order_gap = Millis(5_000);
     changed.limits.retries = RetryLimits {
         extra: 0,
         ratio: 0.0,
         ..changed.limits.retries
     };
     assert_eq!(reload.take(Ok(changed.clone())), Taken::InForce);
-    assert_eq!(limits.get().turns, Millis(5_000));
+    assert_eq!(limits.get().order_gap, Millis(5_000));
     assert!(!budget.try_retry(&pool, Millis(0), 1));
     assert_eq!(reload.take(Ok(changed)), Taken::Same);
 }
