--- a/lib/src/direct/entry/mod.rs
+++ b/lib/src/direct/entry/mod.rs
@@ -216,7 +216,7 @@
     /// Returns until when a request may begin on a version of an adapter; none is without end.
     #[must_use]
     pub fn begin_by(&self, adapter: &str, version: u64) -> Option<Millis> {
-        let limit = self.limits.get().version;
+        let limit = self.limits.get().version_rollout;
         self.view.begin_by(adapter, version, limit)
     }
 
--- a/lib/src/direct/follow/entries.rs
+++ b/lib/src/direct/follow/entries.rs
@@ -142,7 +142,7 @@
 
     /// Takes in a version that operators declared.
     fn declare(&self, state: &mut State, adapter: Name, declaration: Declaration) {
-        let limit = self.limits.get().version;
+        let limit = self.limits.get().version_rollout;
         let told = format!("version {} of {adapter}", declaration.version);
         let declarations = state.versions.entry(adapter).or_default();
         if declarations.declare(declaration, limit) {
--- a/lib/src/direct/limits.rs
+++ b/lib/src/direct/limits.rs
@@ -12,7 +12,7 @@
     /// Least time between orders of two nodes to one engine.
     pub order_gap: Millis,
     /// Time within which a new version of an adapter has to be the only one begun on.
-    pub version: Millis,
+    pub version_rollout: Millis,
     /// Time within which a leaving upstream must get no new work.
     pub leaving: Millis,
     /// Time within which a configuration has to be in force.
@@ -41,7 +41,7 @@
         Self {
             shutdown: Millis::from_secs(8),
             order_gap: Millis(3_000),
-            version: Millis(5_000),
+            version_rollout: Millis(5_000),
             leaving: Millis(2_000),
             apply: Millis(2_000),
             rejoin: Millis(3_000),
--- a/lib/src/direct/versions.rs
+++ b/lib/src/direct/versions.rs
@@ -1,12 +1,12 @@
 //! Versions of adapters as operators declare them, and until when each may be begun on.
 //!
-//! A declaration forbids all versions below it once [`Limits::version`] has passed since it was
+//! A declaration forbids all versions below it once [`Limits::version_rollout`] has passed since it was
 //! acknowledged, whatever is declared behind it. The promise holds where a request begins, with
 //! its first event at the engine, and not where it is sent: in between lies the engine's queue,
 //! whose length no margin bounds. So each send is watched until it has begun. See
 //! docs/design/0012-versions.md.
 //!
-//! [`Limits::version`]: super::limits::Limits::version
+//! [`Limits::version_rollout`]: super::limits::Limits::version_rollout
 
 use std::collections::HashSet;
 use std::convert::Infallible;
--- a/lib/tests/test_direct_follow.rs
+++ b/lib/tests/test_direct_follow.rs
@@ -311,7 +311,7 @@
         .memory
         .change(|state| state.put("op/version/base.a1", entry, None));
     pass(Millis(1_000)).await;
-    let limit = SharedLimits::default().get().version;
+    let limit = SharedLimits::default().get().version_rollout;
     let begin_by = followed.view.begin_by("base/a1", 1, limit).unwrap();
     assert!(begin_by <= clock.now(), "{begin_by}");
 }
--- a/lib/tests/test_direct_versions.rs
+++ b/lib/tests/test_direct_versions.rs
@@ -188,7 +188,7 @@
     let expired = tokio::spawn(async move { watch.expired().await });
     pass(&manual, Millis(1_000)).await;
     gate.limits.set(Limits {
-        version: Millis(3_000),
+        version_rollout: Millis(3_000),
         ..Limits::default()
     });
     pass(&manual, Millis(2_000)).await;
