--- a/lib/src/direct/limits.rs
+++ b/lib/src/direct/limits.rs
@@ -14,7 +14,7 @@
     /// Time within which a new version of an adapter has to be the only one begun on.
     pub version_rollout: Millis,
     /// Time within which a leaving upstream must get no new work.
-    pub leaving: Millis,
+    pub leave_notice: Millis,
     /// Time within which a configuration has to be in force.
     pub apply: Millis,
     /// Time from a node's return within which it has to know what changed while it was away.
@@ -42,7 +42,7 @@
             shutdown: Millis::from_secs(8),
             order_gap: Millis(3_000),
             version_rollout: Millis(5_000),
-            leaving: Millis(2_000),
+            leave_notice: Millis(2_000),
             apply: Millis(2_000),
             rejoin: Millis(3_000),
             lapse: Millis(3_600),
@@ -101,7 +101,7 @@
 /// The longest that a call for changes waits.
 ///
 /// A connection can go silent for good, and only this bound shows it; a leaving
-/// upstream has to be known within [`Limits::leaving`].
+/// upstream has to be known within [`Limits::leave_notice`].
 pub const POLL_TIMEOUT: Millis = Millis(2_000);
 
 /// Part of the time within which changes have to be known that passes between calls for changes.
@@ -201,7 +201,7 @@
         reason = "some seconds"
     )]
     fn change_part(&self, part: f64) -> Millis {
-        let shortest = self.apply.min(self.leaving);
+        let shortest = self.apply.min(self.leave_notice);
         Millis((shortest.0 as f64 * part) as u64)
     }
 }
--- a/lib/tests/test_direct_claims.rs
+++ b/lib/tests/test_direct_claims.rs
@@ -608,7 +608,7 @@
     // Its view is up to four seconds old.
     one.limits.set(Limits {
         apply: Millis::from_secs(10),
-        leaving: Millis::from_secs(10),
+        leave_notice: Millis::from_secs(10),
         ..Limits::default()
     });
     let two = node("two", &memory, false);
@@ -651,7 +651,7 @@
     // Their calls for changes pause for four seconds, which their claims don't know of.
     let late = Limits {
         apply: Millis::from_secs(10),
-        leaving: Millis::from_secs(10),
+        leave_notice: Millis::from_secs(10),
         ..Limits::default()
     };
     for limits in [late, Limits::default()] {
