--- a/lib/src/direct/limits.rs
+++ b/lib/src/direct/limits.rs
@@ -16,7 +16,7 @@
     /// Time within which a leaving upstream must get no new work.
     pub leave_notice: Millis,
     /// Time within which a configuration has to be in force.
-    pub apply: Millis,
+    pub config_apply: Millis,
     /// Time from a node's return within which it has to know what changed while it was away.
     pub rejoin: Millis,
     /// Silence of an upstream after which its entry vanishes.
@@ -43,7 +43,7 @@
             order_gap: Millis(3_000),
             version_rollout: Millis(5_000),
             leave_notice: Millis(2_000),
-            apply: Millis(2_000),
+            config_apply: Millis(2_000),
             rejoin: Millis(3_000),
             lapse: Millis(3_600),
             retries: RetryLimits {
@@ -201,7 +201,7 @@
         reason = "some seconds"
     )]
     fn change_part(&self, part: f64) -> Millis {
-        let shortest = self.apply.min(self.leave_notice);
+        let shortest = self.config_apply.min(self.leave_notice);
         Millis((shortest.0 as f64 * part) as u64)
     }
 }
--- a/lib/tests/test_direct_claims.rs
+++ b/lib/tests/test_direct_claims.rs
@@ -607,7 +607,7 @@
     assert_eq!(one.right.owned_engines(), engines);
     // Its view is up to four seconds old.
     one.limits.set(Limits {
-        apply: Millis::from_secs(10),
+        config_apply: Millis::from_secs(10),
         leave_notice: Millis::from_secs(10),
         ..Limits::default()
     });
@@ -650,7 +650,7 @@
     let all: Vec<&Node> = nodes.iter().collect();
     // Their calls for changes pause for four seconds, which their claims don't know of.
     let late = Limits {
-        apply: Millis::from_secs(10),
+        config_apply: Millis::from_secs(10),
         leave_notice: Millis::from_secs(10),
         ..Limits::default()
     };
--- a/lib/tests/test_direct_reload.rs
+++ b/lib/tests/test_direct_reload.rs
@@ -67,7 +67,7 @@
     let (reload, limits) = reload();
     let mut changed = settings();
     changed.store = "127.0.0.1:2".parse().unwrap();
-    changed.limits.apply = Millis(1_000);
+    changed.limits.config_apply = Millis(1_000);
     assert_eq!(reload.take(Ok(changed)), Taken::NextStart);
-    assert_eq!(limits.get().apply, Millis(1_000));
+    assert_eq!(limits.get().config_apply, Millis(1_000));
 }
