--- a/lib/src/direct/limits.rs
+++ b/lib/src/direct/limits.rs
@@ -20,7 +20,7 @@
     /// Time from a node's return within which it has to know what changed while it was away.
     pub rejoin: Millis,
     /// Silence of an upstream after which its entry vanishes.
-    pub lapse: Millis,
+    pub entry_expiry: Millis,
     /// The budget for sending requests again, of all nodes together.
     pub retries: RetryLimits,
 }
@@ -45,7 +45,7 @@
             leave_notice: Millis(2_000),
             config_apply: Millis(2_000),
             rejoin: Millis(3_000),
-            lapse: Millis(3_600),
+            entry_expiry: Millis(3_600),
             retries: RetryLimits {
                 ratio: 0.2,
                 window: Millis::from_secs(10),
--- a/lib/src/direct/outage.rs
+++ b/lib/src/direct/outage.rs
@@ -138,6 +138,6 @@
             return false;
         };
         let is_known = (1..=self.known).contains(&created);
-        is_known && as_of >= to && to.since(from) >= limits.lapse
+        is_known && as_of >= to && to.since(from) >= limits.entry_expiry
     }
 }
--- a/lib/tests/test_direct_presence.rs
+++ b/lib/tests/test_direct_presence.rs
@@ -368,7 +368,7 @@
         self.memory.change(|state| state.away = true);
         self.pass(span).await?;
         let now = self.clock.now();
-        if is_lapsing && span >= Limits::default().lapse {
+        if is_lapsing && span >= Limits::default().entry_expiry {
             for (upstream, truth) in &mut self.truth {
                 self.memory.change(|state| state.remove(&key(*upstream)));
                 let back = Millis(self.rand.random_range(0..BACK));
