--- a/lib/src/direct/acquire.rs
+++ b/lib/src/direct/acquire.rs
@@ -6,11 +6,11 @@
 
 use smallvec::SmallVec;
 
-use super::occupancy::EngineLoad;
-use super::admit::{self, Permit, AdmitQuery};
 use super::admission_policy::{self, MAX_ADMISSION_QUERIES};
-use super::selection::Selector;
+use super::admit::{self, AdmitQuery, Permit};
+use super::occupancy::EngineLoad;
 use super::request::ActiveRequest;
+use super::selection::Selector;
 use super::target::{FIRST_HOMES, Target};
 use super::upstream::Upstream;
 use crate::clock::Millis;
@@ -29,7 +29,11 @@
 
 impl ActiveRequest {
     /// Asks for a place at any load.
-    pub(super) fn admit_query<'a>(&self, adapter: Option<&'a Name>, version: u64) -> AdmitQuery<'a> {
+    pub(super) fn admit_query<'a>(
+        &self,
+        adapter: Option<&'a Name>,
+        version: u64,
+    ) -> AdmitQuery<'a> {
         AdmitQuery {
             adapter,
             version,
@@ -63,11 +67,13 @@
         wanted: u64,
     ) -> Asked {
         let turned_away = self.rejected > 0;
-        let mut busy: SmallVec<[(Arc<Upstream>, EngineLoad); MAX_ADMISSION_QUERIES]> = SmallVec::new();
+        let mut busy: SmallVec<[(Arc<Upstream>, EngineLoad); MAX_ADMISSION_QUERIES]> =
+            SmallVec::new();
         while busy.len() < MAX_ADMISSION_QUERIES {
             let holds = |upstream: &Upstream| {
-                let asked =
-                    |(one, _): &(Arc<Upstream>, EngineLoad)| one.incarnation == upstream.incarnation;
+                let asked = |(one, _): &(Arc<Upstream>, EngineLoad)| {
+                    one.incarnation == upstream.incarnation
+                };
                 upstream.version(adapter).is_some_and(|held| held >= wanted)
                     && !busy.iter().any(asked)
             };
@@ -214,7 +220,8 @@
             self.gate.controllers.admit(upstream, question)
         });
         let answers = futures::future::join_all(asking).await;
-        let loads: Vec<Option<EngineLoad>> = answers.iter().map(admit::AdmitDecision::load).collect();
+        let loads: Vec<Option<EngineLoad>> =
+            answers.iter().map(admit::AdmitDecision::load).collect();
         let objective = self.route.objective;
         if only_calm {
             let calm = homes.iter().zip(&loads).filter(|(upstream, load)| {
--- a/lib/src/direct/admit.rs
+++ b/lib/src/direct/admit.rs
@@ -10,9 +10,9 @@
 use tokio::sync::oneshot;
 use tonic::{Status, Streaming};
 
-use super::occupancy::{EngineLoad, CountedRequest, OccupancyGuard};
 use super::ask::Controllers;
 use super::limits::IN_USE_GRACE;
+use super::occupancy::{CountedRequest, EngineLoad, OccupancyGuard};
 use super::upstream::Upstream;
 use crate::clock::Millis;
 use crate::name::Name;
@@ -120,7 +120,11 @@
     }
 
     /// Answers for an engine that this node orders.
-    pub(super) fn admit_here(&self, upstream: &Arc<Upstream>, question: AdmitQuery<'_>) -> AdmitDecision {
+    pub(super) fn admit_here(
+        &self,
+        upstream: &Arc<Upstream>,
+        question: AdmitQuery<'_>,
+    ) -> AdmitDecision {
         // Counting needs no right to give orders: an owner that has lost the key-value service
         // still knows best what runs at its engines.
         if !self.right.owns(upstream.address) {
@@ -150,7 +154,11 @@
         AdmitDecision::Admitted(Permit(Counted::Here(place)), load)
     }
 
-    async fn admit_there(&self, upstream: &Arc<Upstream>, question: AdmitQuery<'_>) -> AdmitDecision {
+    async fn admit_there(
+        &self,
+        upstream: &Arc<Upstream>,
+        question: AdmitQuery<'_>,
+    ) -> AdmitDecision {
         let Some((node, peer)) = self.view.owner(upstream.address) else {
             return AdmitDecision::Unknown;
         };
@@ -198,7 +206,11 @@
     }
 }
 
-fn read(replies: Streaming<AdmitReply>, reply: &AdmitReply, unread: oneshot::Sender<()>) -> AdmitDecision {
+fn read(
+    replies: Streaming<AdmitReply>,
+    reply: &AdmitReply,
+    unread: oneshot::Sender<()>,
+) -> AdmitDecision {
     let load = EngineLoad {
         running: reply.running,
         same_adapter: reply.alike,
@@ -232,7 +244,9 @@
     #[must_use]
     pub fn new(answer: AdmitDecision, questions: Streaming<AdmitRequest>) -> Self {
         let (admission, load, permit) = match answer {
-            AdmitDecision::Admitted(permit, load) => (Admission::Admitted, Some(load), Some(permit)),
+            AdmitDecision::Admitted(permit, load) => {
+                (Admission::Admitted, Some(load), Some(permit))
+            }
             AdmitDecision::Busy(load) => (Admission::Busy, Some(load), None),
             AdmitDecision::Absent(load) => (Admission::Absent, Some(load), None),
             AdmitDecision::Unknown => (Admission::Unknown, None, None),
--- a/lib/src/direct/ask/mod.rs
+++ b/lib/src/direct/ask/mod.rs
@@ -13,10 +13,10 @@
 use tokio::sync::oneshot;
 use tonic::transport::{Channel, Endpoint};
 
-use super::occupancy::OccupancyTable;
 use super::dialect::Dialect;
 use super::fanout::Hub;
 use super::limits::exchange_interval;
+use super::occupancy::OccupancyTable;
 use super::orders::{Controller, Load, Loaded, Parts, Tick};
 use super::right::Right;
 use super::upstream::Upstream;
--- a/lib/src/direct/budget.rs
+++ b/lib/src/direct/budget.rs
@@ -6,7 +6,7 @@
 use std::collections::{HashMap, VecDeque};
 use std::sync::Arc;
 
-use super::limits::{SharedLimits, RetryLimits};
+use super::limits::{RetryLimits, SharedLimits};
 use crate::clock::Millis;
 use crate::name::Name;
 
--- a/lib/src/direct/claim/candidate.rs
+++ b/lib/src/direct/claim/candidate.rs
@@ -83,7 +83,11 @@
             .unwrap_or(gathered.max(upstream.first_seen));
         let passed = now.since(since);
         // Whoever comes later than that waits longer in any case.
-        let rank = self.rank(state, address, passed.0 / limits.claim_delay_per_rank().0 + 1);
+        let rank = self.rank(
+            state,
+            address,
+            passed.0 / limits.claim_delay_per_rank().0 + 1,
+        );
         if passed < self.patience(state, address, rank, limits) {
             return None;
         }
--- a/lib/src/direct/claim/mod.rs
+++ b/lib/src/direct/claim/mod.rs
@@ -22,7 +22,9 @@
 
 use super::dialect::Dialect;
 use super::follow::NODES;
-use super::limits::{SharedLimits, LEASE_TTL, RENEWAL_INTERVAL, RENEWAL_TIMEOUT, RIGHT, ORDER_GAP_MARGIN};
+use super::limits::{
+    LEASE_TTL, ORDER_GAP_MARGIN, RENEWAL_INTERVAL, RENEWAL_TIMEOUT, RIGHT, SharedLimits,
+};
 use super::right::Right;
 use super::view::{CLAIMS, Claim, Peer, View};
 use crate::clock::{Clock, Millis};
--- a/lib/src/direct/follow/mod.rs
+++ b/lib/src/direct/follow/mod.rs
@@ -12,9 +12,9 @@
 
 use super::dialect::{Dialect, Key};
 use super::fanout::{Heard, Hub, Source, Update};
-use super::limits::{SharedLimits, POLL_TIMEOUT, STORE_RETRY_PAUSE};
-use super::outage::{Doubt, Outage};
 use super::hedging::{self, Reached};
+use super::limits::{POLL_TIMEOUT, STORE_RETRY_PAUSE, SharedLimits};
+use super::outage::{Doubt, Outage};
 use super::vet::{Refusal, vet};
 use super::view::View;
 use crate::clock::{Clock, Millis};
--- a/lib/src/direct/mod.rs
+++ b/lib/src/direct/mod.rs
@@ -8,13 +8,13 @@
 //!
 //! The platform's names and formats stand behind [`dialect::Dialect`].
 
-pub mod occupancy;
+mod acquire;
+pub mod admission_policy;
 pub mod admit;
 pub mod ask;
 pub mod attempt;
 pub mod budget;
 pub mod call;
-pub mod admission_policy;
 pub mod claim;
 pub mod config;
 pub mod dialect;
@@ -22,18 +22,17 @@
 pub mod fanout;
 pub mod follow;
 pub mod handover;
+mod hedging;
 pub mod lift;
 pub mod limits;
 pub mod node;
+pub mod occupancy;
 pub mod orders;
 pub mod outage;
 pub mod outbox;
-pub mod selection;
-mod acquire;
 pub mod presence;
 pub mod quarantine;
 pub mod question;
-mod hedging;
 pub mod record;
 pub mod relay;
 pub mod reload;
@@ -41,6 +40,7 @@
 mod resume;
 pub mod right;
 pub mod roles;
+pub mod selection;
 pub mod sends;
 pub mod sequence;
 pub mod serve;
--- a/lib/src/direct/node.rs
+++ b/lib/src/direct/node.rs
@@ -24,7 +24,7 @@
 use super::entry::Gate;
 use super::fanout::Subscription;
 use super::follow::Follower;
-use super::limits::{SharedLimits, Limits};
+use super::limits::{Limits, SharedLimits};
 use super::right::Right;
 use super::serve;
 use super::view::{Peer, View};
--- a/lib/src/direct/orders/engine.rs
+++ b/lib/src/direct/orders/engine.rs
@@ -5,9 +5,9 @@
 use http_body_util::{BodyExt, Limited};
 
 use crate::clock::{Clock, Millis};
-use crate::direct::occupancy::OccupancyTable;
 use crate::direct::config::Engine;
 use crate::direct::dialect::{Dialect, Order, Ordered, Report};
+use crate::direct::occupancy::OccupancyTable;
 use crate::direct::question;
 use crate::direct::right::Right;
 use crate::direct::upstream::Upstream;
--- a/lib/src/direct/outage.rs
+++ b/lib/src/direct/outage.rs
@@ -86,8 +86,9 @@
         self.answered = self.answered.max(now);
         // A call that waited since before the outage can be answered in its midst.
         let failing = failures.map_or(Millis::ZERO, |failures| now.since(failures.since));
-        let is_outage =
-            silent > POLL_TIMEOUT + SILENCE || failing > SILENCE || (doubting && failures.is_some());
+        let is_outage = silent > POLL_TIMEOUT + SILENCE
+            || failing > SILENCE
+            || (doubting && failures.is_some());
         is_outage.then_some(Return {
             at: now,
             silent,
--- a/lib/src/direct/quarantine.rs
+++ b/lib/src/direct/quarantine.rs
@@ -236,7 +236,8 @@
                 continue;
             }
             // What answers so much later had not ended, and what ends it then is something else.
-            let is_alive = upstream.successes() != *served.get_or_insert_with(|| upstream.successes());
+            let is_alive =
+                upstream.successes() != *served.get_or_insert_with(|| upstream.successes());
             if is_alive || now.since(began) >= LAPSE {
                 return false;
             }
--- a/lib/src/direct/relay.rs
+++ b/lib/src/direct/relay.rs
@@ -273,7 +273,9 @@
         {
             let part =
                 now.since(request.sent_at).0 as f64 / request.route.objective.0.max(1) as f64;
-            request.gate.observe(&request.pool, |mix| mix.record_prefill_wait(part));
+            request
+                .gate
+                .observe(&request.pool, |mix| mix.record_prefill_wait(part));
         }
     }
 
--- a/lib/src/direct/request/mod.rs
+++ b/lib/src/direct/request/mod.rs
@@ -212,7 +212,9 @@
             target = self.find_target() => target,
         };
         match target {
-            Ok(target) if !self.stands_at(&target.upstream) && !sends.includes(&target.upstream) => {
+            Ok(target)
+                if !self.stands_at(&target.upstream) && !sends.includes(&target.upstream) =>
+            {
                 self.gate.count_retry("silent");
                 self.send(sends, target, resume_after);
             }
--- a/lib/src/direct/request/outcome.rs
+++ b/lib/src/direct/request/outcome.rs
@@ -6,7 +6,7 @@
 use crate::clock::Millis;
 use crate::direct::attempt::{Answer, Miss};
 use crate::direct::record;
-use crate::direct::sends::{PendingSends, FinishedSend};
+use crate::direct::sends::{FinishedSend, PendingSends};
 use crate::direct::upstream::Upstream;
 use crate::error::{Code, Failure};
 use crate::name::Name;
--- a/lib/src/direct/request/send.rs
+++ b/lib/src/direct/request/send.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use super::ActiveRequest;
-use crate::direct::admit::{self, Permit, AdmitQuery};
+use crate::direct::admit::{self, AdmitQuery, Permit};
 use crate::direct::attempt::{Answer, Miss};
 use crate::direct::dialect::{Dispatch, Memory};
 use crate::direct::record;
@@ -14,7 +14,12 @@
 use crate::name::Name;
 
 impl ActiveRequest {
-    pub(super) fn send(&mut self, sends: &mut PendingSends, target: Target, resume_after: Option<u64>) {
+    pub(super) fn send(
+        &mut self,
+        sends: &mut PendingSends,
+        target: Target,
+        resume_after: Option<u64>,
+    ) {
         let dispatch = Dispatch {
             resume_after: resume_after.or(self.message.call.resume_after),
             ..self.dispatch(&target)
--- a/lib/src/direct/selection.rs
+++ b/lib/src/direct/selection.rs
@@ -5,7 +5,7 @@
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-use super::roles::{Workload, Roles};
+use super::roles::{Roles, Workload};
 use super::upstream::Upstream;
 use crate::clock::Millis;
 use crate::name::Name;
@@ -100,7 +100,11 @@
     /// behind its first event. Else its answer is written where its prompt is read, better at
     /// a writer: streams that stayed at a reader were late by a pause in 62 to 85 of 100
     /// cases, those at a writer in 2 to 12.
-    pub fn select(&self, manner: Workload, fits: impl Fn(&Upstream) -> bool) -> Option<Arc<Upstream>> {
+    pub fn select(
+        &self,
+        manner: Workload,
+        fits: impl Fn(&Upstream) -> bool,
+    ) -> Option<Arc<Upstream>> {
         let [reader, writer] = self.least_of_each(fits);
         let sound = |found: &Option<Arc<Upstream>>| {
             found.as_ref().is_some_and(|found| !self.avoided(found))
@@ -147,7 +151,11 @@
     /// Of many the first [`MAX_PLACEMENT_CANDIDATES`] are returned: a request asks some dozen at most, and
     /// looking at thousands for each load cost a small VM milliseconds.
     #[must_use]
-    pub fn placement_candidates(&self, adapter: &str, fits: impl Fn(&Upstream) -> bool) -> Vec<Arc<Upstream>> {
+    pub fn placement_candidates(
+        &self,
+        adapter: &str,
+        fits: impl Fn(&Upstream) -> bool,
+    ) -> Vec<Arc<Upstream>> {
         let mut homes: Vec<(Reverse<bool>, u64, &Arc<Upstream>)> = self
             .upstreams
             .iter()
--- a/lib/src/direct/target.rs
+++ b/lib/src/direct/target.rs
@@ -5,17 +5,17 @@
 use smallvec::SmallVec;
 use xxhash_rust::xxh3::xxh3_64;
 
-use super::admit::{self, Permit, AdmitQuery};
+use super::acquire::Asked;
+use super::admission_policy::{self, MAX_ADMISSION_QUERIES};
+use super::admit::{self, AdmitQuery, Permit};
 use super::attempt::Answer;
 use super::call::Call;
-use super::admission_policy::{self, MAX_ADMISSION_QUERIES};
 use super::entry::{CLASS, seconds};
 use super::orders::Loaded;
-use super::selection::{Selector, mean_remote_utilization};
-use super::acquire::Asked;
 use super::record::Asking;
 use super::request::{ActiveRequest, LOOK};
-use super::roles::{Workload, Roles, may_move};
+use super::roles::{Roles, Workload, may_move};
+use super::selection::{Selector, mean_remote_utilization};
 use super::upstream::Upstream;
 use super::versions::{REPLACEMENT, WITHDRAWAL};
 use crate::clock::Millis;
@@ -164,7 +164,11 @@
     /// # Errors
     ///
     /// A refusal when the request would begin too late wherever it is sent.
-    async fn holder(&self, field: &Selector<'_>, adapter: &Name) -> Result<Option<Target>, Failure> {
+    async fn holder(
+        &self,
+        field: &Selector<'_>,
+        adapter: &Name,
+    ) -> Result<Option<Target>, Failure> {
         let newest = self.gate.view.newest(adapter);
         let wanted = newest.map_or(0, |newest| newest.version);
         let waiting = match self.ask_holders(field, adapter, wanted).await {
@@ -242,7 +246,9 @@
                     return Some(Self::admitted(upstream, adapter, Some(permit)));
                 }
                 admit::AdmitDecision::Absent(_) => upstream.remove_adapter(adapter),
-                admit::AdmitDecision::Unknown if upstream.total_running() < admission_policy::calm_limit(upstream.slots) => {
+                admit::AdmitDecision::Unknown
+                    if upstream.total_running() < admission_policy::calm_limit(upstream.slots) =>
+                {
                     return Some(Self::admitted(upstream, adapter, None));
                 }
                 admit::AdmitDecision::Busy(_) | admit::AdmitDecision::Unknown => {}
@@ -308,7 +314,8 @@
 
     /// Engines that could load the adapter, those with no older version of it first.
     fn homes(&self, field: &Selector<'_>, adapter: &Name) -> Vec<Arc<Upstream>> {
-        let mut homes = field.placement_candidates(adapter, |upstream| self.can_load(upstream, adapter));
+        let mut homes =
+            field.placement_candidates(adapter, |upstream| self.can_load(upstream, adapter));
         let reads = self.manner() == Workload::PrefillHeavy;
         homes.sort_by_key(|upstream| field.is_prefill(upstream) != reads);
         if let Some(rest) = homes.get_mut(FIRST_HOMES..) {
--- a/lib/src/direct/upstream.rs
+++ b/lib/src/direct/upstream.rs
@@ -309,7 +309,11 @@
 
     /// Counts a request that this node sends.
     #[must_use]
-    pub fn start_request(self: &Arc<Self>, adapter: Option<&Name>, permit: Option<Permit>) -> InFlightRequest {
+    pub fn start_request(
+        self: &Arc<Self>,
+        adapter: Option<&Name>,
+        permit: Option<Permit>,
+    ) -> InFlightRequest {
         self.running.fetch_add(1, Ordering::Relaxed);
         let uncounted = adapter.filter(|_| permit.is_none());
         if let Some(adapter) = uncounted {
--- a/lib/tests/test_direct_admission.rs
+++ b/lib/tests/test_direct_admission.rs
@@ -6,15 +6,17 @@
 use std::sync::{Arc, LazyLock};
 
 use chivevalve::clock::{Clock, Manual, Millis, Monotonic};
-use chivevalve::direct::occupancy::{EngineLoad, Occupancy, CountedRequest, OccupancyGuard, OccupancyTable};
+use chivevalve::direct::admission_policy::{self, MAX_ADMISSION_QUERIES};
 use chivevalve::direct::admit::{AdmitDecision, AdmitQuery};
 use chivevalve::direct::ask::Controllers;
-use chivevalve::direct::admission_policy::{self, MAX_ADMISSION_QUERIES};
 use chivevalve::direct::dialect::Listed;
 use chivevalve::direct::limits::exchange_interval;
-use chivevalve::direct::selection::{Selector, mean_remote_utilization};
+use chivevalve::direct::occupancy::{
+    CountedRequest, EngineLoad, Occupancy, OccupancyGuard, OccupancyTable,
+};
 use chivevalve::direct::right::Right;
 use chivevalve::direct::roles::Roles;
+use chivevalve::direct::selection::{Selector, mean_remote_utilization};
 use chivevalve::direct::serve::serve;
 use chivevalve::direct::upstream::{InFlightRequest, Upstream};
 use chivevalve::direct::view::{Claim, Standing, View};
@@ -147,7 +149,8 @@
         same_adapter: 0,
         wait: Millis(wait),
     };
-    let better = |first, second| admission_policy::is_better_home(load(first), load(second), Millis(600));
+    let better =
+        |first, second| admission_policy::is_better_home(load(first), load(second), Millis(600));
     assert!(!better(300, 0));
     assert!(!better(400, 250));
     assert!(better(400, 100));
@@ -171,7 +174,8 @@
 #[test]
 fn come_back_only_where_the_caller_would_have_gone() {
     let (objective, left) = (Millis(600), Millis(12_000));
-    let back = |wait, passed, left| admission_policy::come_back(Millis(wait), objective, passed, left);
+    let back =
+        |wait, passed, left| admission_policy::come_back(Millis(wait), objective, passed, left);
     assert_eq!(back(2_000, Millis::ZERO, left), None);
     assert_eq!(back(2_500, Millis::ZERO, left), Some(Millis(1_250)));
     assert_eq!(back(2_000, Millis(500), left), Some(Millis(1_000)));
--- a/lib/tests/test_direct_claims.rs
+++ b/lib/tests/test_direct_claims.rs
@@ -13,7 +13,7 @@
 use chivevalve::direct::config::{Config, Engine, Limits as Sent, Pool};
 use chivevalve::direct::dialect::{Dialect, Held, Listed};
 use chivevalve::direct::follow::Follower;
-use chivevalve::direct::limits::{SharedLimits, LEASE_TTL, Limits, RIGHT};
+use chivevalve::direct::limits::{LEASE_TTL, Limits, RIGHT, SharedLimits};
 use chivevalve::direct::orders::Loaded;
 use chivevalve::direct::right::Right;
 use chivevalve::direct::upstream::Upstream;
--- a/lib/tests/test_direct_parts.rs
+++ b/lib/tests/test_direct_parts.rs
@@ -7,9 +7,11 @@
 use chivevalve::clock::Millis;
 use chivevalve::direct::budget::RetryBudget;
 use chivevalve::direct::dialect::Held;
-use chivevalve::direct::limits::{SharedLimits, Limits, RetryLimits, exchange_interval, in_use_grace};
-use chivevalve::direct::selection::{Selector, MAX_PLACEMENT_CANDIDATES};
+use chivevalve::direct::limits::{
+    Limits, RetryLimits, SharedLimits, exchange_interval, in_use_grace,
+};
 use chivevalve::direct::roles::Roles;
+use chivevalve::direct::selection::{MAX_PLACEMENT_CANDIDATES, Selector};
 use chivevalve::direct::sse::Splitter;
 use chivevalve::direct::upstream::Upstream;
 use chivevalve::direct::view::View;
@@ -121,7 +123,9 @@
     let upstreams = [upstream("i-1", "hall-b"), upstream("i-2", "hall-a")];
     let chosen = field(&upstreams, &[], 1).least_loaded(|_| true).unwrap();
     assert_eq!(&*chosen.incarnation, "i-2");
-    let _busy: Vec<_> = (0..5).map(|_| upstreams[1].start_request(None, None)).collect();
+    let _busy: Vec<_> = (0..5)
+        .map(|_| upstreams[1].start_request(None, None))
+        .collect();
     let chosen = field(&upstreams, &[], 1).least_loaded(|_| true).unwrap();
     assert_eq!(&*chosen.incarnation, "i-1");
 }
@@ -133,7 +137,9 @@
     upstreams[0].mark_missing();
     let chosen = field(&upstreams, &[], 1).least_loaded(|_| true).unwrap();
     assert_eq!(&*chosen.incarnation, "i-2");
-    let _busy: Vec<_> = (0..7).map(|_| upstreams[1].start_request(None, None)).collect();
+    let _busy: Vec<_> = (0..7)
+        .map(|_| upstreams[1].start_request(None, None))
+        .collect();
     let chosen = field(&upstreams, &[], 1).least_loaded(|_| true).unwrap();
     assert_eq!(&*chosen.incarnation, "i-1");
     upstreams[1].retire();
@@ -164,7 +170,11 @@
     let chosen = field(&upstreams, &tried, 1).least_loaded(|_| true).unwrap();
     assert_eq!(&*chosen.incarnation, "i-1");
     upstreams[0].retire();
-    assert!(field(&upstreams, &tried, 1).least_loaded(|_| true).is_none());
+    assert!(
+        field(&upstreams, &tried, 1)
+            .least_loaded(|_| true)
+            .is_none()
+    );
 }
 
 /// Symptom: one of several idle servers gets all requests.
@@ -175,7 +185,9 @@
     let upstreams = [upstream("i-1", "hall-a"), upstream("i-2", "hall-a")];
     let first = (0..100)
         .filter(|salt| {
-            let chosen = field(&upstreams, &[], *salt).least_loaded(|_| true).unwrap();
+            let chosen = field(&upstreams, &[], *salt)
+                .least_loaded(|_| true)
+                .unwrap();
             &*chosen.incarnation == "i-1"
         })
         .count();
@@ -325,8 +337,12 @@
     let all = field(&upstreams, &[], 0).placement_candidates("base/a1", |_| true);
     assert_eq!(all.len(), MAX_PLACEMENT_CANDIDATES);
     let first = Arc::clone(&all[0]);
-    let others = field(&upstreams, &[], 0).placement_candidates("base/a1", |one| one.address != first.address);
+    let others = field(&upstreams, &[], 0)
+        .placement_candidates("base/a1", |one| one.address != first.address);
     assert_eq!(others.len(), MAX_PLACEMENT_CANDIDATES);
     let places = |homes: &[Arc<Upstream>]| homes.iter().map(|one| one.address).collect::<Vec<_>>();
-    assert_eq!(places(&all[1..]), places(&others[..MAX_PLACEMENT_CANDIDATES - 1]));
+    assert_eq!(
+        places(&all[1..]),
+        places(&others[..MAX_PLACEMENT_CANDIDATES - 1])
+    );
 }
--- a/lib/tests/test_direct_presence.rs
+++ b/lib/tests/test_direct_presence.rs
@@ -7,7 +7,7 @@
 
 use chivevalve::clock::{Clock, Millis, Monotonic};
 use chivevalve::direct::follow::Follower;
-use chivevalve::direct::limits::{SharedLimits, Limits};
+use chivevalve::direct::limits::{Limits, SharedLimits};
 use chivevalve::direct::outage::Outage;
 use chivevalve::direct::presence::{Presence, Stage};
 use chivevalve::direct::view::View;
--- a/lib/tests/test_direct_reload.rs
+++ b/lib/tests/test_direct_reload.rs
@@ -4,7 +4,7 @@
 
 use chivevalve::clock::Millis;
 use chivevalve::direct::budget::RetryBudget;
-use chivevalve::direct::limits::{SharedLimits, Limits, RetryLimits};
+use chivevalve::direct::limits::{Limits, RetryLimits, SharedLimits};
 use chivevalve::direct::node::Settings;
 use chivevalve::direct::reload::{Reload, Taken};
 
--- a/lib/tests/test_direct_roles.rs
+++ b/lib/tests/test_direct_roles.rs
@@ -7,8 +7,8 @@
 
 use chivevalve::clock::Millis;
 use chivevalve::direct::dialect::{Held, Listed};
+use chivevalve::direct::roles::{PrefillScaler, Roles, Workload, may_move};
 use chivevalve::direct::selection::Selector;
-use chivevalve::direct::roles::{Workload, PrefillScaler, Roles, may_move};
 use chivevalve::direct::upstream::Upstream;
 use chivevalve::name::Name;
 use direct_support::records::written;
@@ -60,7 +60,8 @@
     for gone in &engines {
         let left = || engines.iter().copied().filter(|engine| engine != gone);
         let after = Roles::split(left(), 4);
-        let changed = left().filter(|engine| before.is_prefill(*engine) != after.is_prefill(*engine));
+        let changed =
+            left().filter(|engine| before.is_prefill(*engine) != after.is_prefill(*engine));
         assert!(changed.count() <= 1, "{gone} leaves");
     }
 }
@@ -80,7 +81,10 @@
     // What tells nothing of its answer may write for long.
     assert_eq!(Workload::of(Some((2_400, 0))), Workload::DecodeHeavy);
     assert_eq!(Workload::of(None), Workload::DecodeHeavy);
-    assert_eq!(Workload::of(Some((u32::MAX, u32::MAX))), Workload::DecodeHeavy);
+    assert_eq!(
+        Workload::of(Some((u32::MAX, u32::MAX))),
+        Workload::DecodeHeavy
+    );
 }
 
 #[test]
@@ -144,7 +148,11 @@
     for number in 0..1_000 {
         let engine = number % 18;
         mix.record_stream(address(engine), engine < 2);
-        assert_eq!(mix.prefill_count(18, Millis(9_000)), 0, "after {number} streams");
+        assert_eq!(
+            mix.prefill_count(18, Millis(9_000)),
+            0,
+            "after {number} streams"
+        );
     }
 }
 
@@ -173,8 +181,14 @@
         id: 0,
         usual: None,
     };
-    let reader = engines.iter().find(|engine| field.is_prefill(engine)).unwrap();
-    let writer = engines.iter().find(|engine| !field.is_prefill(engine)).unwrap();
+    let reader = engines
+        .iter()
+        .find(|engine| field.is_prefill(engine))
+        .unwrap();
+    let writer = engines
+        .iter()
+        .find(|engine| !field.is_prefill(engine))
+        .unwrap();
     let begins = |manner: Workload, held: &[&Arc<Upstream>]| {
         let found = field.select(manner, |engine| {
             held.iter()
@@ -184,10 +198,19 @@
     };
     let both = [reader, writer];
     assert_eq!(begins(Workload::DecodeHeavy, &both), Some(reader.address));
-    assert_eq!(begins(Workload::DecodeHeavy, &[writer]), Some(writer.address));
-    assert_eq!(begins(Workload::DecodeHeavy, &[reader]), Some(reader.address));
+    assert_eq!(
+        begins(Workload::DecodeHeavy, &[writer]),
+        Some(writer.address)
+    );
+    assert_eq!(
+        begins(Workload::DecodeHeavy, &[reader]),
+        Some(reader.address)
+    );
     assert_eq!(begins(Workload::PrefillHeavy, &both), Some(reader.address));
-    assert_eq!(begins(Workload::PrefillHeavy, &[writer]), Some(writer.address));
+    assert_eq!(
+        begins(Workload::PrefillHeavy, &[writer]),
+        Some(writer.address)
+    );
     assert_eq!(begins(Workload::DecodeHeavy, &[]), None);
     // A reader that fails is passed over while a writer can take the request.
     reader.record_unreachable(Millis(1_000));
@@ -204,7 +227,8 @@
         let roles = Roles::split(engines.iter().map(|engine| engine.address), 10);
         let mut running = Vec::new();
         for engine in &engines {
-            running.extend((0..random.random_range(0..4)).map(|_| engine.start_request(None, None)));
+            running
+                .extend((0..random.random_range(0..4)).map(|_| engine.start_request(None, None)));
             engine.record_remote_load(random.random_range(0..6), Millis(900));
             if random.random_bool(0.1) {
                 engine.record_unreachable(Millis(1_000));
--- a/lib/tests/test_direct_versions.rs
+++ b/lib/tests/test_direct_versions.rs
@@ -10,7 +10,7 @@
 use chivevalve::direct::call::{Call, Kind};
 use chivevalve::direct::dialect::{Dialect, Dispatch, Listed};
 use chivevalve::direct::entry::Gate;
-use chivevalve::direct::limits::{SharedLimits, Limits};
+use chivevalve::direct::limits::{Limits, SharedLimits};
 use chivevalve::direct::right::Right;
 use chivevalve::direct::upstream::Upstream;
 use chivevalve::direct::versions::{Declaration, Declarations, Watch};
