--- a/lib/src/direct/follow/mod.rs
+++ b/lib/src/direct/follow/mod.rs
@@ -12,7 +12,7 @@
 
 use super::dialect::{Dialect, Key};
 use super::fanout::{Heard, Hub, Source, Update};
-use super::hedging::{self, Reached};
+use super::hedging::{self, HedgedResult};
 use super::limits::{POLL_TIMEOUT, STORE_RETRY_PAUSE, SharedLimits};
 use super::outage::{Doubt, Outage};
 use super::vet::{Refusal, vet};
@@ -142,11 +142,11 @@
     ///
     /// While the service is away it is asked so often that its return is known to some hundred
     /// milliseconds, which a doubt about vanished entries rests on.
-    async fn ask(&mut self, revision: u64, wait: Millis) -> Reached<Result<Changes, poll::Error>> {
+    async fn ask(&mut self, revision: u64, wait: Millis) -> HedgedResult<Result<Changes, poll::Error>> {
         let question = || self.poll.changes("", revision, wait);
         if !self.outage.is_going_on() {
             let asked = self.clock.now();
-            return Reached {
+            return HedgedResult {
                 result: question().await,
                 asked,
                 in_vain: None,
--- a/lib/src/direct/hedging.rs
+++ b/lib/src/direct/hedging.rs
@@ -20,7 +20,7 @@
 
 /// How a question that was asked several times ended.
 #[derive(Debug)]
-pub struct Reached<T> {
+pub struct HedgedResult<T> {
     /// The first answer, or the last failure.
     pub result: T,
     /// When the question was asked that ended so.
@@ -37,7 +37,7 @@
     clock: &dyn Clock,
     question: impl Fn() -> F,
     is_answer: impl Fn(&T) -> bool,
-) -> Reached<T> {
+) -> HedgedResult<T> {
     let asking = || {
         let asked = clock.now();
         question().map(move |result| (result, asked))
@@ -54,7 +54,7 @@
         };
         if let Ok(Some((result, asked))) = tokio::time::timeout(span, questions.next()).await {
             if is_answer(&result) || questions.is_empty() {
-                return Reached {
+                return HedgedResult {
                     result,
                     asked,
                     in_vain,
