--- a/lib/src/direct/follow/mod.rs
+++ b/lib/src/direct/follow/mod.rs
@@ -153,7 +153,7 @@
             };
         }
         let is_answer = |result: &Result<_, _>| !matches!(result, Err(poll::Error::Failed(_)));
-        let reached = hedging::ask(&*self.clock, question, is_answer).await;
+        let reached = hedging::hedged(&*self.clock, question, is_answer).await;
         if let Some(in_vain) = reached.in_vain {
             self.outage.failed(in_vain, self.clock.now());
         }
--- a/lib/src/direct/hedging.rs
+++ b/lib/src/direct/hedging.rs
@@ -33,7 +33,7 @@
 ///
 /// Another question is asked beside one that has no answer yet, since the service may have
 /// returned behind it.
-pub async fn ask<T, F: Future<Output = T>>(
+pub async fn hedged<T, F: Future<Output = T>>(
     clock: &dyn Clock,
     question: impl Fn() -> F,
     is_answer: impl Fn(&T) -> bool,
@@ -83,6 +83,6 @@
         }
         result.is_ok()
     };
-    let reached = ask(clock, || store.get(key), answered).await;
+    let reached = hedged(clock, || store.get(key), answered).await;
     reached.result.map(drop)
 }
