--- a/lib/src/direct/follow/mod.rs
+++ b/lib/src/direct/follow/mod.rs
@@ -288,7 +288,7 @@
     /// Where all nodes start at once, the service takes seconds to send thousands of entries to
     /// each. Taken in only when all had arrived, a node's own former claims ended meanwhile.
     async fn read_all(&mut self) -> Result<u64, Error> {
-        hedging::wait(&*self.clock, &*self.store, &self.dialect.own(NODES)).await?;
+        hedging::wait_until_available(&*self.clock, &*self.store, &self.dialect.own(NODES)).await?;
         let began = self.clock.now();
         let mut revision = u64::MAX;
         for prefix in self.dialect.prefixes() {
