--- a/lib/src/direct/follow/mod.rs
+++ b/lib/src/direct/follow/mod.rs
@@ -149,12 +149,12 @@
             return HedgedResult {
                 result: question().await,
                 asked,
-                in_vain: None,
+                last_unanswered: None,
             };
         }
         let is_answer = |result: &Result<_, _>| !matches!(result, Err(poll::Error::Failed(_)));
         let reached = hedging::hedged(&*self.clock, question, is_answer).await;
-        if let Some(in_vain) = reached.in_vain {
+        if let Some(in_vain) = reached.last_unanswered {
             self.outage.failed(in_vain, self.clock.now());
         }
         reached
--- a/lib/src/direct/hedging.rs
+++ b/lib/src/direct/hedging.rs
@@ -26,7 +26,7 @@
     /// When the question was asked that ended so.
     pub asked: Millis,
     /// When the last one was asked that had no answer though there was time for one.
-    pub in_vain: Option<Millis>,
+    pub last_unanswered: Option<Millis>,
 }
 
 /// Asks the same again and again until there is an answer, or nothing is left to wait for.
@@ -43,7 +43,7 @@
         question().map(move |result| (result, asked))
     };
     let mut newest = clock.now();
-    let mut in_vain = None;
+    let mut last_unanswered = None;
     let mut questions = FuturesUnordered::new();
     questions.push(asking());
     loop {
@@ -57,11 +57,11 @@
                 return HedgedResult {
                     result,
                     asked,
-                    in_vain,
+                    last_unanswered,
                 };
             }
         } else {
-            in_vain = Some(newest);
+            last_unanswered = Some(newest);
             newest = clock.now();
             questions.push(asking());
         }
