--- a/lib/src/direct/follow/mod.rs
+++ b/lib/src/direct/follow/mod.rs
@@ -142,7 +142,11 @@
     ///
     /// While the service is away it is asked so often that its return is known to some hundred
     /// milliseconds, which a doubt about vanished entries rests on.
-    async fn ask(&mut self, revision: u64, wait: Millis) -> HedgedResult<Result<Changes, poll::Error>> {
+    async fn ask(
+        &mut self,
+        revision: u64,
+        wait: Millis,
+    ) -> HedgedResult<Result<Changes, poll::Error>> {
         let question = || self.poll.changes("", revision, wait);
         if !self.outage.is_going_on() {
             let asked = self.clock.now();
--- a/lib/src/direct/hedging.rs
+++ b/lib/src/direct/hedging.rs
@@ -76,7 +76,11 @@
 /// # Errors
 ///
 /// The service's refusal, when no other question is on its way.
-pub async fn wait_until_available(clock: &dyn Clock, store: &dyn Store, key: &str) -> Result<(), Error> {
+pub async fn wait_until_available(
+    clock: &dyn Clock,
+    store: &dyn Store,
+    key: &str,
+) -> Result<(), Error> {
     let answered = |result: &Result<_, Error>| {
         if let Err(error) = result {
             log::info!("follow: the key-value service did not answer: {error}");
