--- a/lib/src/direct/attempt.rs
+++ b/lib/src/direct/attempt.rs
@@ -7,15 +7,15 @@
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::Incoming;
 
-use super::admit::Permit;
-use super::dialect::{Dialect, DispatchHeaders, ResponseMetadata};
-use super::metadata::{RequestKind, RequestMetadata};
-use super::upstream::{Running, Upstream};
-use super::versions::{self, VersionWatch};
 use crate::clock::Millis;
 use crate::error::Code;
 use crate::poison::fingerprint::{Fingerprint, Identity};
 use crate::ports::link::{Connection, Lost};
+use super::admit::Permit;
+use super::dialect::{Dialect, DispatchHeaders, ResponseMetadata};
+use super::metadata::{RequestKind, RequestMetadata};
+use super::upstream::{InFlightRequest, Upstream};
+use super::versions::{VersionWatch, self};
 
 /// The longest whole answer that is held, in bytes.
 const WHOLE_BYTES: usize = 16 << 20;
@@ -113,7 +113,7 @@
     /// The connection that it comes over.
     pub connection: Connection,
     /// Holds the place in the upstream's count.
-    pub running: Running,
+    pub running: InFlightRequest,
 }
 
 impl RequestMessage {
@@ -146,7 +146,7 @@
         permit: Option<Permit>,
         watch: Option<VersionWatch>,
     ) -> Result<UpstreamResponse, SendError> {
-        let running = upstream.enter(self.metadata.adapter(), permit);
+        let running = upstream.start_request(self.metadata.adapter(), permit);
         let freshness = if self.kind.is_retryable() {
             USABLE
         } else {
--- a/lib/src/direct/claim/mod.rs
+++ b/lib/src/direct/claim/mod.rs
@@ -20,15 +20,15 @@
 
 use bytes::Bytes;
 
-use super::dialect::Dialect;
-use super::follow::NODE_PREFIX;
-use super::limits::{Current, LEASE, OWNERSHIP_TERM, RENEWAL, RENEWAL_ANSWER, TURN_MARGIN};
-use super::ownership::Ownership;
-use super::view::{CLAIM_PREFIX, Claim, Peer, View};
 use crate::clock::{Clock, Millis};
 use crate::metrics::Metrics;
 use crate::name::Name;
 use crate::ports::{Error, Lease, LeaseId, Store, Transaction, Write};
+use super::dialect::Dialect;
+use super::follow::NODE_PREFIX;
+use super::limits::{LEASE_TTL, ORDER_GAP_MARGIN, OWNERSHIP_TERM, RENEWAL_INTERVAL, RENEWAL_TIMEOUT, SharedLimits};
+use super::ownership::Ownership;
+use super::view::{CLAIM_PREFIX, Claim, Peer, View};
 
 /// Pause between looks whether everything has been read after a start.
 const FIRST_LOOK: Millis = Millis(20);
@@ -56,7 +56,7 @@
     /// The node's metrics.
     pub metrics: Arc<Metrics>,
     /// Bounds in force.
-    pub limits: Arc<Current>,
+    pub limits: Arc<SharedLimits>,
     /// This node's name.
     pub node: Name,
     /// This node's record.
@@ -84,7 +84,7 @@
                 self.extend(&error).await;
             }
             if knew_all {
-                tokio::time::sleep(RENEWAL.duration()).await;
+                tokio::time::sleep(RENEWAL_INTERVAL.duration()).await;
             } else {
                 self.wait_for_view().await;
             }
@@ -94,7 +94,7 @@
     /// Waits until the follower has read what a round can claim by, a round's pause at most.
     async fn wait_for_view(&self) {
         let began = self.clock.now();
-        while !self.can_claim() && self.clock.now().since(began) < RENEWAL {
+        while !self.can_claim() && self.clock.now().since(began) < RENEWAL_INTERVAL {
             tokio::time::sleep(FIRST_LOOK.duration()).await;
         }
     }
@@ -123,7 +123,7 @@
         let sent = self.clock.now();
         match *lease {
             None => {
-                let granted = self.lease.grant(LEASE).await?;
+                let granted = self.lease.grant(LEASE_TTL).await?;
                 // A first lease has no claims of this start yet, and the follower reads those
                 // of others. Read here as well, thousands of claims took longer than the lease.
                 if began.is_some() {
@@ -168,9 +168,9 @@
 
     /// Renews the lease, without waiting so long that no second try fits into the right.
     async fn renew(&self, lease: LeaseId) -> Result<Millis, Error> {
-        tokio::time::timeout(RENEWAL_ANSWER.duration(), self.lease.renew(lease))
+        tokio::time::timeout(RENEWAL_TIMEOUT.duration(), self.lease.renew(lease))
             .await
-            .map_err(|_| Error::NoAnswer(format!("no renewal within {RENEWAL_ANSWER}")))?
+            .map_err(|_| Error::NoAnswer(format!("no renewal within {RENEWAL_TIMEOUT}")))?
     }
 
     /// Reads all claims anew after the right had lapsed.
@@ -208,7 +208,7 @@
 
     /// Returns the least time between the last order of one node and the first one of another.
     fn turn(&self) -> Millis {
-        self.limits.get().turns + TURN_MARGIN
+        self.limits.get().order_gap + ORDER_GAP_MARGIN
     }
 
     fn key(&self, address: SocketAddr) -> String {
--- a/lib/src/direct/controllers/exchange.rs
+++ b/lib/src/direct/controllers/exchange.rs
@@ -4,14 +4,14 @@
 use std::net::SocketAddr;
 use std::sync::{Arc, PoisonError};
 
-use super::{Controllers, Silence};
 use crate::clock::Millis;
 use crate::direct::dialect::LoadedModels;
-use crate::direct::limits::in_use;
+use crate::direct::limits::in_use_grace;
 use crate::direct::orders::MarkInUse;
 use crate::direct::upstream::Upstream;
 use crate::name::Name;
 use crate::schema::direct::{ExchangeReply, ExchangeRequest, Resident, Standing, Use};
+use super::{Controllers, Silence};
 
 /// The longest that an exchange may take.
 const EXCHANGE: Millis = Millis(800);
@@ -37,13 +37,13 @@
         for upstream in upstreams {
             let mut adapters = uses.get(&upstream.incarnation).cloned().unwrap_or_default();
             // A long stream uses its adapter though it was asked for long ago.
-            for adapter in upstream.in_use() {
+            for adapter in upstream.uncounted_adapters() {
                 if !adapters.contains(&adapter) {
                     adapters.push(adapter);
                 }
             }
             if self.ownership.owns(upstream.address) {
-                self.record_uses(&upstream.incarnation, adapters, in_use(nodes));
+                self.record_uses(&upstream.incarnation, adapters, in_use_grace(nodes));
                 continue;
             }
             let Some((_, peer)) = self.view.owner(upstream.address) else {
@@ -115,8 +115,8 @@
             let Some(upstream) = state.upstreams.get(standing.incarnation.as_str()) else {
                 continue;
             };
-            upstream.heard_load(standing.running, self.clock.now());
-            upstream.hold(&LoadedModels {
+            upstream.record_remote_load(standing.running, self.clock.now());
+            upstream.update_held(&LoadedModels {
                 started_at_ms: standing.born,
                 sequence: standing.sequence,
                 models: standing.models.into_iter().map(Name::from).collect(),
--- a/lib/src/direct/controllers/mod.rs
+++ b/lib/src/direct/controllers/mod.rs
@@ -13,19 +13,19 @@
 use tokio::sync::oneshot;
 use tonic::transport::{Channel, Endpoint};
 
-use super::admission::Table;
+use crate::clock::{Clock, Millis};
+use crate::metrics::Metrics;
+use crate::name::Name;
+use crate::schema::direct::{LoadReply, LoadRequest, Outcome};
+use crate::schema::direct::orders_client::OrdersClient;
 use super::dialect::Dialect;
 use super::fanout::Hub;
-use super::limits::exchange_pause;
+use super::limits::exchange_interval;
+use super::occupancy::OccupancyTable;
 use super::orders::{EngineClient, EngineController, LoadCommand, LoadOutcome, Tick};
 use super::ownership::Ownership;
 use super::upstream::Upstream;
 use super::view::View;
-use crate::clock::{Clock, Millis};
-use crate::metrics::Metrics;
-use crate::name::Name;
-use crate::schema::direct::orders_client::OrdersClient;
-use crate::schema::direct::{LoadReply, LoadRequest, Outcome};
 
 /// How long connecting to another node may take.
 const CONNECT: Millis = Millis(400);
@@ -77,7 +77,7 @@
     /// Nodes that gave no answer the last time.
     silent: Mutex<HashMap<SocketAddr, Silence>>,
     /// Requests of all nodes at the engines that this node orders.
-    pub(super) table: Arc<Table>,
+    pub(super) table: Arc<OccupancyTable>,
     /// Changes of the key-value service, for nodes of this failure domain.
     pub hub: Arc<Hub>,
     /// Loads that this node waits for, by the owner that was asked.
@@ -125,7 +125,7 @@
             view,
             ownership,
             dialect,
-            table: Arc::new(Table::new(Arc::clone(&clock))),
+            table: Arc::new(OccupancyTable::new(Arc::clone(&clock))),
             hub: Arc::new(Hub::new(Arc::clone(&clock), Arc::clone(&metrics))),
             clock,
             node,
@@ -169,7 +169,7 @@
         }
         let loaded = self.load_there(upstream, adapter, version).await;
         if let LoadOutcome::Ready(version) = loaded {
-            upstream.gained(adapter, version);
+            upstream.set_adapter(adapter, version);
         }
         loaded
     }
@@ -194,7 +194,7 @@
         }
         let loaded = loaded.await.unwrap_or(LoadOutcome::Failed);
         if let LoadOutcome::Ready(version) = loaded {
-            upstream.gained(adapter, version);
+            upstream.set_adapter(adapter, version);
         }
         loaded
     }
@@ -335,7 +335,7 @@
             self.tick();
             let now = self.clock.now();
             let nodes = self.view.state().max_nodes_seen;
-            if now.since(exchanged) >= exchange_pause(nodes) {
+            if now.since(exchanged) >= exchange_interval(nodes) {
                 exchanged = now;
                 self.exchange_all();
             }
@@ -353,7 +353,7 @@
             upstream.link.sweep();
             if self.ownership.owns(upstream.address) {
                 let running = self.table.running(&upstream.incarnation);
-                upstream.heard_load(running.saturating_sub(upstream.running()), now);
+                upstream.record_remote_load(running.saturating_sub(upstream.running()), now);
             }
             if let Some(controller) = self.controller_to_tick(&upstream)
                 && controller.tell(Tick).try_send().is_err()
--- a/lib/src/direct/entry/mod.rs
+++ b/lib/src/direct/entry/mod.rs
@@ -13,23 +13,23 @@
 use bytes::Bytes;
 use http_body_util::combinators::UnsyncBoxBody;
 
-use super::budget::Budget;
+use crate::clock::{Clock, Millis};
+use crate::error::Code;
+use crate::metrics::Metrics;
+use crate::name::Name;
+use crate::ports::metered::Metered;
+use super::budget::RetryBudget;
 use super::controllers::Controllers;
 use super::dialect::Dialect;
 use super::drain::Drain;
-use super::limits::Current;
+use super::limits::SharedLimits;
 use super::outbox::Outbox;
 use super::quarantine::Quarantine;
 use super::relay::ResponseAborted;
-use super::roles::{Mix, Roles};
+use super::roles::{PrefillScaler, Roles};
 use super::upstream::Upstream;
 use super::versions::PendingReplacements;
 use super::view::View;
-use crate::clock::{Clock, Millis};
-use crate::error::Code;
-use crate::metrics::Metrics;
-use crate::name::Name;
-use crate::ports::metered::Metered;
 
 /// Body of an answer to a caller.
 pub type Body = UnsyncBoxBody<Bytes, ResponseAborted>;
@@ -61,14 +61,14 @@
     /// Where the node is.
     pub failure_domain: Name,
     /// Bounds in force.
-    pub limits: Arc<Current>,
+    pub limits: Arc<SharedLimits>,
     /// What may not be sent any more.
     pub quarantine: Arc<Quarantine>,
     /// Versions that engines were asked to replace lately.
     pub(super) replacements: PendingReplacements,
     /// The key-value service.
     service: Arc<Metered>,
-    budget: Mutex<Budget>,
+    budget: Mutex<RetryBudget>,
     spreading: Mutex<HashMap<Name, Millis>>,
     shares: Mutex<HashMap<Name, Share>>,
     /// The node's planned stop.
@@ -79,7 +79,7 @@
 /// How the engines of a pool share their work at this moment.
 #[derive(Debug, Default)]
 struct Share {
-    mix: Mix,
+    mix: PrefillScaler,
     roles: Arc<Roles>,
     made: Millis,
 }
@@ -93,7 +93,7 @@
         dialect: Arc<dyn Dialect>,
         clock: Arc<dyn Clock>,
         failure_domain: Name,
-        limits: Arc<Current>,
+        limits: Arc<SharedLimits>,
         service: Arc<Metered>,
     ) -> Self {
         let outbox = Arc::new(Outbox::new(
@@ -118,7 +118,7 @@
             dialect,
             clock,
             failure_domain,
-            budget: Mutex::new(Budget::new(Arc::clone(&limits))),
+            budget: Mutex::new(RetryBudget::new(Arc::clone(&limits))),
             limits,
             replacements: PendingReplacements::default(),
             service,
@@ -168,13 +168,13 @@
     /// Takes what sending a request to a pool once more costs from the budget; false if it's spent.
     pub fn take_retry(&self, pool: &Name) -> bool {
         let nodes = self.view.state().max_nodes_seen;
-        self.budget().repeat(pool, self.clock.now(), nodes)
+        self.budget().try_retry(pool, self.clock.now(), nodes)
     }
 
     /// Counts a send to a pool that turned out to be a further one.
     pub fn charge_retry(&self, pool: &Name) {
         let now = self.clock.now();
-        self.budget().spend(pool, now);
+        self.budget().record_retry(pool, now);
     }
 
     /// Whether the budget of a pool has room for a further send.
@@ -183,7 +183,7 @@
         self.budget().has_room(pool, self.clock.now(), nodes)
     }
 
-    fn budget(&self) -> MutexGuard<'_, Budget> {
+    fn budget(&self) -> MutexGuard<'_, RetryBudget> {
         self.budget.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -198,14 +198,14 @@
             let upstreams = self.view.pool(pool);
             let ready = upstreams.iter().filter(|upstream| upstream.is_ready());
             let engines: Vec<SocketAddr> = ready.map(|upstream| upstream.address).collect();
-            let readers = share.mix.readers(engines.len(), now);
+            let readers = share.mix.prefill_count(engines.len(), now);
             share.roles = Arc::new(Roles::split(engines, readers));
         }
         Arc::clone(&share.roles)
     }
 
     /// Takes in something about the mix of requests for a pool.
-    pub fn observe(&self, pool: &Name, seen: impl FnOnce(&mut Mix)) {
+    pub fn observe(&self, pool: &Name, seen: impl FnOnce(&mut PrefillScaler)) {
         seen(&mut self.shares().entry(Name::clone(pool)).or_default().mix);
     }
 
@@ -216,7 +216,7 @@
     /// Returns until when a request may begin on a version of an adapter; none is without end.
     #[must_use]
     pub fn begin_deadline(&self, adapter: &str, version: u64) -> Option<Millis> {
-        let limit = self.limits.get().version;
+        let limit = self.limits.get().version_rollout;
         self.view.begin_deadline(adapter, version, limit)
     }
 
--- a/lib/src/direct/follow/mod.rs
+++ b/lib/src/direct/follow/mod.rs
@@ -10,16 +10,16 @@
 
 use std::sync::Arc;
 
+use crate::clock::{Clock, Millis};
+use crate::ports::{Error, Store};
+use crate::ports::poll::{Changes, Poll, self};
 use super::dialect::{Dialect, Key};
 use super::fanout::{Hub, Received, Source, Update};
-use super::limits::{Current, POLL_WAIT, STORE_PAUSE};
+use super::hedging::{HedgedResult, self};
+use super::limits::{POLL_TIMEOUT, STORE_RETRY_PAUSE, SharedLimits};
 use super::outage::{Doubt, Outage};
-use super::reachable::{self, Reached};
 use super::validate::{RejectReason, validate};
 use super::view::View;
-use crate::clock::{Clock, Millis};
-use crate::ports::poll::{self, Changes, Poll};
-use crate::ports::{Error, Store};
 
 /// Name of a node's record, with the node's name behind it.
 pub const NODE_PREFIX: &str = "node/";
@@ -38,7 +38,7 @@
     dialect: Arc<dyn Dialect>,
     clock: Arc<dyn Clock>,
     view: Arc<View>,
-    limits: Arc<Current>,
+    limits: Arc<SharedLimits>,
     outage: Outage,
     /// What is held of upstreams that are missing after the last outage.
     doubt: Option<Doubt>,
@@ -59,7 +59,7 @@
         dialect: Arc<dyn Dialect>,
         clock: Arc<dyn Clock>,
         view: Arc<View>,
-        limits: Arc<Current>,
+        limits: Arc<SharedLimits>,
     ) -> Self {
         let outage = Outage::new(clock.now());
         Self {
@@ -95,7 +95,7 @@
                 Err(error) => {
                     log::warn!("follow: can't read everything: {error}");
                     self.outage.failed(made, self.clock.now());
-                    tokio::time::sleep(STORE_PAUSE.duration()).await;
+                    tokio::time::sleep(STORE_RETRY_PAUSE.duration()).await;
                 }
             }
         }
@@ -116,7 +116,7 @@
                     if more {
                         Millis::ZERO
                     } else {
-                        self.within_doubt(self.limits.get().poll_pause())
+                        self.within_doubt(self.limits.get().poll_interval())
                     }
                 }
                 Err(poll::Error::Compacted) => {
@@ -131,7 +131,7 @@
                     if let Some(hub) = &self.hub {
                         hub.mark_disconnected();
                     }
-                    STORE_PAUSE
+                    STORE_RETRY_PAUSE
                 }
             };
             tokio::time::sleep(pause.duration()).await;
@@ -142,19 +142,23 @@
     ///
     /// While the service is away it is asked so often that its return is known to some hundred
     /// milliseconds, which a doubt about vanished entries rests on.
-    async fn ask(&mut self, revision: u64, wait: Millis) -> Reached<Result<Changes, poll::Error>> {
+    async fn ask(
+        &mut self,
+        revision: u64,
+        wait: Millis,
+    ) -> HedgedResult<Result<Changes, poll::Error>> {
         let question = || self.poll.changes("", revision, wait);
         if !self.outage.is_going_on() {
             let asked = self.clock.now();
-            return Reached {
+            return HedgedResult {
                 result: question().await,
                 asked,
-                in_vain: None,
+                last_unanswered: None,
             };
         }
         let is_answer = |result: &Result<_, _>| !matches!(result, Err(poll::Error::Failed(_)));
-        let reached = reachable::ask(&*self.clock, question, is_answer).await;
-        if let Some(in_vain) = reached.in_vain {
+        let reached = hedging::hedged(&*self.clock, question, is_answer).await;
+        if let Some(in_vain) = reached.last_unanswered {
             self.outage.failed(in_vain, self.clock.now());
         }
         reached
@@ -205,9 +209,9 @@
             .as_ref()
             .is_some_and(|source| source.may_have_subscribers());
         let wait = if may_have_subscribers {
-            self.limits.get().leader_wait()
+            self.limits.get().leader_poll_timeout()
         } else {
-            POLL_WAIT
+            POLL_TIMEOUT
         };
         self.within_doubt(wait).max(RETURN_WAIT)
     }
@@ -221,7 +225,7 @@
             return revision;
         };
         loop {
-            let oldest = self.fresh.unwrap_or_default() + self.limits.get().oldest_update();
+            let oldest = self.fresh.unwrap_or_default() + self.limits.get().max_update_age();
             let left = oldest.since(self.clock.now());
             if left == Millis::ZERO {
                 self.count("nobody");
@@ -288,7 +292,7 @@
     /// Where all nodes start at once, the service takes seconds to send thousands of entries to
     /// each. Taken in only when all had arrived, a node's own former claims ended meanwhile.
     async fn read_all(&mut self) -> Result<u64, Error> {
-        reachable::wait(
+        hedging::wait_until_available(
             &*self.clock,
             &*self.store,
             &self.dialect.own_key(NODE_PREFIX),
--- a/lib/src/direct/handover.rs
+++ b/lib/src/direct/handover.rs
@@ -105,7 +105,7 @@
                 return HandoverReply::Unchanged;
             }
         };
-        self.source.succeeded();
+        self.source.record_success();
         let memory = KvCacheHandle {
             source: self.source.address,
             handle,
--- a/lib/src/direct/mod.rs
+++ b/lib/src/direct/mod.rs
@@ -8,11 +8,11 @@
 //!
 //! The platform's names and formats stand behind [`dialect::Dialect`].
 
-pub mod admission;
+mod acquire;
+pub mod admission_policy;
 pub mod admit;
 pub mod attempt;
 pub mod budget;
-pub mod choice;
 pub mod claim;
 pub mod config;
 pub mod control_call;
@@ -24,26 +24,26 @@
 pub mod fanout;
 pub mod follow;
 pub mod handover;
+mod hedging;
 pub mod limits;
 pub mod metadata;
 pub mod node;
+pub mod occupancy;
 pub mod orders;
 pub mod outage;
 pub mod outbox;
 pub mod ownership;
 pub mod peer_server;
-pub mod pick;
-mod place;
 pub mod presence;
 pub mod quarantine;
 pub mod quarantine_admin;
-mod reachable;
 pub mod relay;
 pub mod reload;
 pub mod request;
 pub mod request_log;
 mod resume;
 pub mod roles;
+pub mod selection;
 pub mod sends;
 pub mod sse;
 pub mod target;
--- a/lib/src/direct/node.rs
+++ b/lib/src/direct/node.rs
@@ -18,23 +18,23 @@
 use tokio::task::{JoinHandle, JoinSet};
 use tokio_util::sync::CancellationToken;
 
+use crate::clock::{Boot, Clock, Millis};
+use crate::metrics::Metrics;
+use crate::name::Name;
+use crate::ports::{Error, Lease, Store};
+use crate::ports::link::guard;
+use crate::ports::metered::Metered;
+use crate::ports::poll::Poll;
+use super::peer_server;
 use super::claim::Claimer;
 use super::controllers::Controllers;
 use super::dialect::Dialect;
 use super::entry::Frontend;
 use super::fanout::Subscription;
 use super::follow::Follower;
-use super::limits::{Current, Limits};
+use super::limits::{Limits, SharedLimits};
 use super::ownership::Ownership;
-use super::peer_server;
 use super::view::{Peer, View};
-use crate::clock::{Boot, Clock, Millis};
-use crate::metrics::Metrics;
-use crate::name::Name;
-use crate::ports::link::guard;
-use crate::ports::metered::Metered;
-use crate::ports::poll::Poll;
-use crate::ports::{Error, Lease, Store};
 
 /// Time for the balancer to notice that the node takes no more callers.
 ///
@@ -120,7 +120,7 @@
     metrics: SocketAddr,
     frontend: Arc<Frontend>,
     claimer: Arc<Claimer>,
-    limits: Arc<Current>,
+    limits: Arc<SharedLimits>,
     closing: CancellationToken,
     /// Ends once the port is closed and no caller's connection is left.
     serving: JoinHandle<()>,
@@ -137,7 +137,7 @@
         let listeners = Listeners::bind(settings)?;
         let clock: Arc<dyn Clock> = Arc::new(Boot);
         let view = Arc::new(View::default());
-        let limits = Arc::new(Current::new(settings.limits));
+        let limits = Arc::new(SharedLimits::new(settings.limits));
         let metrics = Arc::new(Metrics::new());
         let service = Arc::new(Metered::new(
             reach.store,
@@ -244,7 +244,7 @@
 
     /// Returns the bounds in force, to put others in force while the node runs.
     #[must_use]
-    pub fn limits(&self) -> Arc<Current> {
+    pub fn limits(&self) -> Arc<SharedLimits> {
         Arc::clone(&self.limits)
     }
 
@@ -272,7 +272,7 @@
     /// Returns whether every request was answered in its own time.
     pub async fn drain(mut self) -> bool {
         let clock = Arc::clone(&self.frontend.clock);
-        let end = clock.now() + self.limits.get().stop - END_MARGIN;
+        let end = clock.now() + self.limits.get().shutdown - END_MARGIN;
         self.frontend.drain.begin(end);
         release_claims_before_close(self.claimer.leave()).await;
         self.closing.cancel();
--- a/lib/src/direct/admission.rs
+++ b/lib/src/direct/occupancy.rs
@@ -31,7 +31,7 @@
 
 /// A request's part in an engine's count.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Part {
+pub struct CountedRequest {
     /// The adapter that it uses; empty for none.
     pub adapter: Name,
     /// Tokens of its prompt.
@@ -66,7 +66,7 @@
 
 impl Occupancy {
     /// Counts a request in, and returns the tokens to be read until its prompt is.
-    pub fn enter(&mut self, part: &Part) -> u64 {
+    pub fn enter(&mut self, part: &CountedRequest) -> u64 {
         self.running += 1;
         let adapter = Name::clone(&part.adapter);
         *self.by_adapter.entry(adapter).or_default() += 1;
@@ -80,7 +80,7 @@
         clippy::cast_precision_loss,
         reason = "some seconds and thousands of tokens"
     )]
-    pub fn read(&mut self, part: &Part, ahead: u64, took: Millis) {
+    pub fn read(&mut self, part: &CountedRequest, ahead: u64, took: Millis) {
         self.unread = self.unread.saturating_sub(u64::from(part.tokens));
         if ahead > 0 && part.tokens > 0 {
             let sample = took.0 as f64 / ahead as f64;
@@ -90,7 +90,7 @@
 
     /// Counts a request out that stayed for `stay`.
     #[allow(clippy::cast_precision_loss, reason = "some seconds")]
-    pub fn leave(&mut self, part: &Part, stay: Millis) {
+    pub fn leave(&mut self, part: &CountedRequest, stay: Millis) {
         self.running = self.running.saturating_sub(1);
         if let Some(count) = self.by_adapter.get_mut(&part.adapter) {
             *count -= 1;
@@ -102,7 +102,7 @@
     }
 
     /// Takes in that a request leaves whose prompt was never read.
-    pub fn forget_unread(&mut self, part: &Part) {
+    pub fn forget_unread(&mut self, part: &CountedRequest) {
         self.unread = self.unread.saturating_sub(u64::from(part.tokens));
     }
 
@@ -139,36 +139,36 @@
 
 /// What a node that wants to send a request learns of an engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Load {
+pub struct EngineLoad {
     /// Requests there, without the one that asks.
     pub running: u32,
     /// Those of the same adapter.
-    pub alike: u32,
+    pub same_adapter: u32,
     /// Time until the engine is expected to begin to read the prompt of the one that asks.
     pub wait: Millis,
 }
 
 /// The engines that this node counts requests for.
 #[derive(Debug)]
-pub struct Table {
+pub struct OccupancyTable {
     clock: Arc<dyn Clock>,
     engines: Mutex<HashMap<Name, Occupancy>>,
 }
 
 /// A request's place in the count, until it is dropped.
 #[derive(Debug)]
-pub struct Place {
-    table: Arc<Table>,
+pub struct OccupancyGuard {
+    table: Arc<OccupancyTable>,
     engine: Name,
-    part: Part,
+    part: CountedRequest,
     since: Millis,
     /// Tokens to be read until its prompt is; none once that is done.
     ahead: Option<u64>,
 }
 
-impl Place {
+impl OccupancyGuard {
     /// Takes in that the engine has read the request's prompt.
-    pub fn read(&mut self) {
+    pub fn prefill_done(&mut self) {
         let Some(ahead) = self.ahead.take() else {
             return;
         };
@@ -179,7 +179,7 @@
     }
 }
 
-impl Drop for Place {
+impl Drop for OccupancyGuard {
     fn drop(&mut self) {
         let stay = self.table.clock.now().since(self.since);
         if let Some(occupancy) = self.table.engines().get_mut(&self.engine) {
@@ -191,7 +191,7 @@
     }
 }
 
-impl Table {
+impl OccupancyTable {
     /// Makes a table in which nothing is counted.
     #[must_use]
     pub fn new(clock: Arc<dyn Clock>) -> Self {
@@ -203,18 +203,18 @@
 
     /// Returns how much an engine has to do for one more request.
     #[must_use]
-    pub fn load(&self, engine: &Name, adapter: &str, slots: u32) -> Load {
+    pub fn load(&self, engine: &Name, adapter: &str, slots: u32) -> EngineLoad {
         let engines = self.engines();
         let Some(occupancy) = engines.get(engine) else {
-            return Load {
+            return EngineLoad {
                 running: 0,
-                alike: 0,
+                same_adapter: 0,
                 wait: Millis::ZERO,
             };
         };
-        Load {
+        EngineLoad {
             running: occupancy.running(),
-            alike: occupancy.running_of(adapter),
+            same_adapter: occupancy.running_of(adapter),
             wait: occupancy.wait(slots),
         }
     }
@@ -235,13 +235,13 @@
 
     /// Counts a request in.
     #[must_use]
-    pub fn enter(self: &Arc<Self>, engine: &Name, part: Part) -> Place {
+    pub fn enter(self: &Arc<Self>, engine: &Name, part: CountedRequest) -> OccupancyGuard {
         let ahead = self
             .engines()
             .entry(Name::clone(engine))
             .or_default()
             .enter(&part);
-        Place {
+        OccupancyGuard {
             table: Arc::clone(self),
             engine: Name::clone(engine),
             part,
--- a/lib/src/direct/orders/change.rs
+++ b/lib/src/direct/orders/change.rs
@@ -146,7 +146,7 @@
     /// Lets this node's requests and exchanges see what the engine holds.
     pub(super) fn publish(&self) {
         if let Some(slots) = &self.slots {
-            self.parts.upstream.hold(&slots.held());
+            self.parts.upstream.update_held(&slots.held());
         }
     }
 }
--- a/lib/src/direct/orders/engine.rs
+++ b/lib/src/direct/orders/engine.rs
@@ -5,10 +5,10 @@
 use http_body_util::{BodyExt, Limited};
 
 use crate::clock::{Clock, Millis};
-use crate::direct::admission::Table;
-use crate::direct::config::Engine;
 use crate::direct::control_call;
+use crate::direct::config::Engine;
 use crate::direct::dialect::{Dialect, EngineStatus, Order, OrderOutcome};
+use crate::direct::occupancy::OccupancyTable;
 use crate::direct::ownership::Ownership;
 use crate::direct::upstream::Upstream;
 use crate::direct::view::View;
@@ -48,7 +48,7 @@
     /// The node's metrics.
     pub metrics: Arc<Metrics>,
     /// Requests of all nodes at this node's engines.
-    pub table: Arc<Table>,
+    pub table: Arc<OccupancyTable>,
 }
 
 impl EngineClient {
--- a/lib/src/direct/orders/mod.rs
+++ b/lib/src/direct/orders/mod.rs
@@ -16,12 +16,12 @@
 use kameo::Actor;
 use kameo::actor::ActorRef;
 
-use super::dialect::{Action, OrderOutcome};
-use super::limits::IN_USE;
 use crate::clock::Millis;
 use crate::name::Name;
 use load::Wake;
 use slots::{MAX_LOAD_TIME, Slots, answer};
+use super::dialect::{Action, OrderOutcome};
+use super::limits::IN_USE_GRACE;
 
 pub use engine::EngineClient;
 pub use message::{LoadCommand, LoadOutcome, MarkInUse, Tick};
@@ -113,7 +113,7 @@
         let Some(slots) = &mut self.slots else {
             return Some(load);
         };
-        slots.uses(Name::clone(&load.adapter), now + IN_USE);
+        slots.uses(Name::clone(&load.adapter), now + IN_USE_GRACE);
         slots.wait(load, now)
     }
 
--- a/lib/src/direct/peer_server.rs
+++ b/lib/src/direct/peer_server.rs
@@ -10,19 +10,16 @@
 use tonic::transport::Server;
 use tonic::{Request, Response, Status, Streaming};
 
-use super::admit::{Answer, Question, Replies};
+use crate::clock::Millis;
+use crate::name::Name;
+use crate::schema::direct::{AdmitRequest, ExchangeReply, ExchangeRequest, FollowRequest, LoadReply, LoadRequest, Outcome, SupportReply, SupportRequest, TellReply, TellRequest, Update};
+use crate::schema::direct::orders_server::{Orders, OrdersServer};
+use super::admit::{AdmitDecision, AdmitQuery, AdmitReplies};
 use super::controllers::Controllers;
-use super::limits::in_use;
+use super::limits::in_use_grace;
 use super::orders::LoadOutcome;
 use super::upstream::Upstream;
 use super::view::PutOutcome;
-use crate::clock::Millis;
-use crate::name::Name;
-use crate::schema::direct::orders_server::{Orders, OrdersServer};
-use crate::schema::direct::{
-    AdmitRequest, ExchangeReply, ExchangeRequest, FollowRequest, LoadReply, LoadRequest, Outcome,
-    SupportReply, SupportRequest, TellReply, TellRequest, Update,
-};
 
 /// Answers other nodes.
 #[derive(Debug)]
@@ -48,7 +45,7 @@
 
 #[async_trait]
 impl Orders for Service {
-    type AdmitStream = Replies;
+    type AdmitStream = AdmitReplies;
     type FollowStream = BoxStream<'static, Result<Update, Status>>;
 
     async fn follow(
@@ -62,25 +59,25 @@
     async fn admit(
         &self,
         request: Request<Streaming<AdmitRequest>>,
-    ) -> Result<Response<Replies>, Status> {
+    ) -> Result<Response<AdmitReplies>, Status> {
         let mut questions = request.into_inner();
         let Some(request) = questions.message().await? else {
             return Err(Status::invalid_argument("there is no question"));
         };
         let adapter = (!request.adapter.is_empty()).then(|| Name::from(request.adapter));
-        let question = Question {
+        let question = AdmitQuery {
             adapter: adapter.as_ref(),
             version: request.version,
-            limit: request.limit,
+            max_running: request.limit,
             loaded: request.loaded,
             tokens: request.tokens,
-            patience: Millis(request.patience_ms),
+            max_wait: Millis(request.patience_ms),
         };
         let answer = match self.upstream(&request.incarnation) {
             Some(upstream) => self.0.admit_here(&upstream, question),
-            None => Answer::Unknown,
+            None => AdmitDecision::Unknown,
         };
-        Ok(Response::new(Replies::new(answer, questions)))
+        Ok(Response::new(AdmitReplies::new(answer, questions)))
     }
 
     async fn load(&self, request: Request<LoadRequest>) -> Result<Response<LoadReply>, Status> {
@@ -149,7 +146,7 @@
                 let adapters = one.adapters.iter().map(|name| name.as_str().into());
                 let nodes = self.0.view.state().max_nodes_seen;
                 self.0
-                    .record_uses(&one.incarnation, adapters.collect(), in_use(nodes));
+                    .record_uses(&one.incarnation, adapters.collect(), in_use_grace(nodes));
                 standings.push(standing);
             }
         }
--- a/lib/src/direct/quarantine.rs
+++ b/lib/src/direct/quarantine.rs
@@ -160,7 +160,7 @@
             return;
         }
         let suspect = Suspect { request, suspicion };
-        let start = upstream.start();
+        let start = upstream.start_id();
         if suspicion == Suspicion::Begun {
             self.open_case(&start, suspect.clone());
         }
@@ -209,11 +209,11 @@
     async fn examine(self: &Arc<Self>, upstream: &Arc<Upstream>) {
         tokio::time::sleep(GATHER.duration()).await;
         let has_ended = self.has_ended(upstream).await;
-        let suspects = self.examining().remove(&upstream.start());
+        let suspects = self.examining().remove(&upstream.start_id());
         if let (true, Some(suspects)) = (has_ended, suspects) {
             self.report(upstream, &self.node, suspects);
         }
-        self.close_case(&upstream.start(), &self.node);
+        self.close_case(&upstream.start_id(), &self.node);
         self.concluded.notify_waiters();
     }
 
@@ -226,7 +226,7 @@
         if upstream.link.probe().await == Listening::Refused {
             return true;
         }
-        self.tell_case(&upstream.start());
+        self.tell_case(&upstream.start_id());
         self.list_shows_end(upstream).await
     }
 
@@ -241,12 +241,13 @@
                 continue;
             }
             // What answers so much later had not ended, and what ends it then is something else.
-            let is_alive = upstream.served() != *served.get_or_insert_with(|| upstream.served());
+            let is_alive =
+                upstream.successes() != *served.get_or_insert_with(|| upstream.successes());
             if is_alive || now.since(began) >= REPORT_TTL {
                 return false;
             }
         }
-        upstream.was_lost()
+        upstream.left_unannounced()
     }
 
     /// Reports requests of a node at an upstream that ended, whoever saw that.
@@ -260,7 +261,7 @@
                 "quarantine: an upstream ended"
             );
         }
-        let start = upstream.start();
+        let start = upstream.start_id();
         let name = Name::from(format!("{CRASH_REPORT_PREFIX}{start}/{node}"));
         let now = self.clock.now();
         let mut state = self.view.state();
--- a/lib/src/direct/relay.rs
+++ b/lib/src/direct/relay.rs
@@ -147,7 +147,7 @@
         let now = self.request.now();
         self.request.frontend.metrics.tokens.inc();
         if let Some(answer) = &mut self.answer {
-            answer.running.read();
+            answer.running.prefill_done();
         }
         match self.progress {
             Progress::Nothing => self.progress = Progress::Brought(now),
@@ -205,7 +205,7 @@
         let metrics = &self.request.frontend.metrics;
         metrics.between_tokens.observe(seconds(pause));
         if let Some(answer) = &self.answer {
-            answer.upstream.paused(pause, now);
+            answer.upstream.record_pause(pause, now);
         }
         let pace = &mut self.request.timing;
         if pause > pace.longest {
@@ -250,12 +250,12 @@
         let request = &self.request;
         let engine = answer.upstream.address;
         let stayed = request.timing.moved == 0 && !self.asked_to_move;
-        if !stayed || self.judged || request.frontend.roles(&request.pool).reads(engine) {
+        if !stayed || self.judged || request.frontend.roles(&request.pool).is_prefill(engine) {
             return;
         }
         request
             .frontend
-            .observe(&request.pool, |mix| mix.stayed(engine, late));
+            .observe(&request.pool, |mix| mix.record_stream(engine, late));
         self.judged = true;
     }
 
@@ -269,13 +269,13 @@
         if request
             .frontend
             .roles(&request.pool)
-            .reads(answer.upstream.address)
+            .is_prefill(answer.upstream.address)
         {
             let part = now.since(request.sent_at).0 as f64
                 / request.route.latency_objective.0.max(1) as f64;
             request
                 .frontend
-                .observe(&request.pool, |mix| mix.read(part));
+                .observe(&request.pool, |mix| mix.record_prefill_wait(part));
         }
     }
 
@@ -295,7 +295,7 @@
             return;
         }
         let first = self.request.timing.pieces == 1;
-        if let Some(target) = self.request.writer(answer, first) {
+        if let Some(target) = self.request.decode_target(answer, first) {
             let left = self.request.deadline.since(self.request.now());
             let handover = Handover::begin(
                 &self.request.frontend,
@@ -361,7 +361,7 @@
 
     fn keep(&mut self) {
         if let Some(answer) = self.answer.take() {
-            answer.upstream.succeeded();
+            answer.upstream.record_success();
             if !answer.reply.closes {
                 answer
                     .upstream
--- a/lib/src/direct/request/mod.rs
+++ b/lib/src/direct/request/mod.rs
@@ -9,16 +9,16 @@
 
 use smallvec::SmallVec;
 
+use crate::clock::Millis;
+use crate::error::{Code, Failure};
+use crate::name::Name;
 use super::attempt::{RequestMessage, SendError, UpstreamResponse};
 use super::config::Route;
 use super::entry::Frontend;
-use super::request_log::{self, RequestOutcome};
-use super::sends::Sends;
+use super::request_log::{RequestOutcome, self};
+use super::sends::PendingSends;
 use super::target::Target;
 use super::upstream::Upstream;
-use crate::clock::Millis;
-use crate::error::{Code, Failure};
-use crate::name::Name;
 
 /// Pause before an upstream is looked for again.
 pub(in crate::direct) const SELECTION_RETRY_PAUSE: Millis = Millis(20);
@@ -134,7 +134,7 @@
         &mut self,
         resume_after: Option<u64>,
     ) -> Result<UpstreamResponse, Failure> {
-        let mut sends = Sends::default();
+        let mut sends = PendingSends::default();
         (self.undelivered, self.rejections) = (0, 0);
         loop {
             if sends.is_empty() {
@@ -164,7 +164,7 @@
 
     /// Finds where to send while nothing is on its way, with its part of the budget taken if it is a repeat.
     async fn next_target(&mut self) -> Result<Target, Failure> {
-        let target = self.target().await?;
+        let target = self.find_target().await?;
         if self.stands_at(&target.upstream) {
             return Err(self.refusal(Code::NoUpstream, "no other upstream can take it now"));
         }
@@ -189,7 +189,7 @@
     /// When its time is up.
     async fn look_further(
         &mut self,
-        sends: &mut Sends,
+        sends: &mut PendingSends,
         resume_after: Option<u64>,
     ) -> Result<Option<UpstreamResponse>, Failure> {
         let Some(newest) = sends.newest().map(Arc::clone) else {
@@ -212,10 +212,12 @@
         let target = tokio::select! {
             biased;
             Some(sent) = sends.next() => return self.conclude(sends, sent),
-            target = self.target() => target,
+            target = self.find_target() => target,
         };
         match target {
-            Ok(target) if !self.stands_at(&target.upstream) && !sends.reaches(&target.upstream) => {
+            Ok(target)
+                if !self.stands_at(&target.upstream) && !sends.includes(&target.upstream) =>
+            {
                 self.frontend.count_retry("silent");
                 self.send(sends, target, resume_after);
             }
--- a/lib/src/direct/request/outcome.rs
+++ b/lib/src/direct/request/outcome.rs
@@ -2,15 +2,15 @@
 
 use std::sync::Arc;
 
-use super::{ActiveRequest, SELECTION_RETRY_PAUSE};
 use crate::clock::Millis;
-use crate::direct::attempt::{SendError, UpstreamResponse};
 use crate::direct::request_log;
-use crate::direct::sends::{Sends, Sent};
+use crate::direct::attempt::{SendError, UpstreamResponse};
+use crate::direct::sends::{FinishedSend, PendingSends};
 use crate::direct::upstream::Upstream;
 use crate::error::{Code, Failure};
 use crate::name::Name;
 use crate::poison::ledger::Suspicion;
+use super::{ActiveRequest, SELECTION_RETRY_PAUSE};
 
 /// Sends that reached no upstream, after which a request is given up.
 const MOST_UNSENT: u32 = 4;
@@ -25,8 +25,8 @@
     /// Takes in how a send ended; none if the request goes on.
     pub(super) fn conclude(
         &mut self,
-        sends: &Sends,
-        sent: Sent,
+        sends: &PendingSends,
+        sent: FinishedSend,
     ) -> Result<Option<UpstreamResponse>, Failure> {
         let is_last = sends.is_empty();
         match sent.result {
@@ -46,7 +46,7 @@
     /// at another upstream.
     fn judge(&mut self, answer: UpstreamResponse, is_last: bool) -> Option<UpstreamResponse> {
         if !answer.head.status.is_server_error() {
-            answer.upstream.succeeded();
+            answer.upstream.record_success();
             return Some(answer);
         }
         self.blame(&answer.upstream);
@@ -81,13 +81,13 @@
             SendError::Unsent(told) => self.was_not_sent(upstream, &told),
             SendError::Rejected { status, .. } => self.was_rejected(upstream, status),
             SendError::Withdrawn { sent } => self.was_withdrawn(sent),
-            SendError::Lost(code, told) => self.was_lost(upstream, code, told, is_last),
+            SendError::Lost(code, told) => self.left_unannounced(upstream, code, told, is_last),
         }
     }
 
     fn was_not_sent(&mut self, upstream: &Upstream, told: &str) -> Result<(), Failure> {
         self.possible_runs -= 1;
-        upstream.unreachable(self.now());
+        upstream.record_unreachable(self.now());
         self.undelivered += 1;
         self.frontend.count_retry("unsent");
         if self.undelivered >= MOST_UNSENT {
@@ -103,7 +103,7 @@
         if let Some(adapter) = self.message.metadata.adapter()
             && status == 421
         {
-            upstream.lost(adapter);
+            upstream.remove_adapter(adapter);
         }
         if self.rejections >= MOST_REJECTED {
             return Err(self.refusal(Code::UpstreamRefused, "upstreams are full"));
@@ -124,7 +124,7 @@
         Err(Failure::new(Code::VersionReplaced, told))
     }
 
-    fn was_lost(
+    fn left_unannounced(
         &mut self,
         upstream: &Arc<Upstream>,
         code: Code,
@@ -134,7 +134,7 @@
         if code == Code::UpstreamLost {
             self.broke(upstream, Suspicion::Possible);
         }
-        upstream.failed(self.now());
+        upstream.record_failure(self.now());
         if !self.may_go_on() {
             return Err(Failure::new(code, told));
         }
@@ -162,7 +162,7 @@
 
     /// Notes that an upstream is silent, broke an answer off, or says that it failed.
     pub fn blame(&mut self, upstream: &Upstream) {
-        upstream.failed(self.now());
+        upstream.record_failure(self.now());
         self.tried.push(Name::clone(&upstream.incarnation));
     }
 
--- a/lib/src/direct/request/send.rs
+++ b/lib/src/direct/request/send.rs
@@ -2,19 +2,24 @@
 
 use std::sync::Arc;
 
-use super::ActiveRequest;
-use crate::direct::admit::{self, Permit, Question};
+use crate::direct::request_log;
+use crate::direct::admit::{AdmitQuery, Permit, self};
 use crate::direct::attempt::{SendError, UpstreamResponse};
 use crate::direct::dialect::{DispatchHeaders, KvCacheHandle};
-use crate::direct::request_log;
-use crate::direct::sends::Sends;
+use crate::direct::sends::PendingSends;
 use crate::direct::target::Target;
 use crate::direct::versions::VersionWatch;
 use crate::error::Code;
 use crate::name::Name;
+use super::ActiveRequest;
 
 impl ActiveRequest {
-    pub(super) fn send(&mut self, sends: &mut Sends, target: Target, resume_after: Option<u64>) {
+    pub(super) fn send(
+        &mut self,
+        sends: &mut PendingSends,
+        target: Target,
+        resume_after: Option<u64>,
+    ) {
         let dispatch = DispatchHeaders {
             resume_after: resume_after.or(self.message.metadata.resume_after),
             ..self.dispatch(&target)
@@ -74,11 +79,11 @@
 
     /// Has a run that was moved counted in where it goes on.
     async fn permit(&self, place: &Target) -> Option<Permit> {
-        let question = Question {
+        let question = AdmitQuery {
             loaded: true,
             // Its prompt isn't read again.
             tokens: 0,
-            ..self.question(
+            ..self.admit_query(
                 self.message.metadata.adapter(),
                 place.version.unwrap_or_default(),
             )
@@ -89,7 +94,7 @@
             .admit(&place.upstream, question)
             .await
         {
-            admit::Answer::Admitted(permit, _) => Some(permit),
+            admit::AdmitDecision::Admitted(permit, _) => Some(permit),
             _ => None,
         };
         self.note_uncounted(place, permit.as_ref());
--- a/lib/src/direct/request_log.rs
+++ b/lib/src/direct/request_log.rs
@@ -67,10 +67,10 @@
             let since = newest.since.unwrap_or_default();
             request.now().since(since).0
         }),
-        load = upstream.load(),
-        reader = request.frontend.roles(&request.pool).reads(upstream.address),
+        load = upstream.total_running(),
+        reader = request.frontend.roles(&request.pool).is_prefill(upstream.address),
         tokens = request.message.metadata.tokens.map_or(0, |(prompt, _)| prompt),
-        load_age_ms = request.now().since(upstream.heard_at()).0,
+        load_age_ms = request.now().since(upstream.remote_load_at()).0,
         list_age_ms = request.now().since(request.frontend.view.as_of()).0,
         stage = upstream.stage().name(),
         passed_ms = request.now().since(request.arrived_at).0,
--- a/lib/tests/test_direct_admission.rs
+++ b/lib/tests/test_direct_admission.rs
@@ -6,17 +6,17 @@
 use std::sync::{Arc, LazyLock};
 
 use chivevalve::clock::{Clock, Manual, Millis, Monotonic};
-use chivevalve::direct::admission::{Load, Occupancy, Part, Place, Table};
-use chivevalve::direct::admit::{Answer, Question};
-use chivevalve::direct::choice::{self, MOST_QUESTIONS};
+use chivevalve::direct::admission_policy::{MAX_ADMISSION_QUERIES, self};
+use chivevalve::direct::admit::{AdmitDecision, AdmitQuery};
 use chivevalve::direct::controllers::Controllers;
 use chivevalve::direct::dialect::UpstreamEntry;
-use chivevalve::direct::limits::exchange_pause;
+use chivevalve::direct::limits::exchange_interval;
+use chivevalve::direct::occupancy::{CountedRequest, EngineLoad, Occupancy, OccupancyGuard, OccupancyTable};
 use chivevalve::direct::ownership::Ownership;
 use chivevalve::direct::peer_server::serve;
-use chivevalve::direct::pick::{Field, usual_share};
 use chivevalve::direct::roles::Roles;
-use chivevalve::direct::upstream::{Running, Upstream};
+use chivevalve::direct::selection::{Selector, mean_remote_utilization};
+use chivevalve::direct::upstream::{InFlightRequest, Upstream};
 use chivevalve::direct::view::{Claim, ClaimEntry, View};
 use chivevalve::name::Name;
 use chivevalve_platform::PlatformDialect;
@@ -40,8 +40,8 @@
     }
 }
 
-fn part(adapter: &Name, tokens: u32) -> Part {
-    Part {
+fn part(adapter: &Name, tokens: u32) -> CountedRequest {
+    CountedRequest {
         adapter: Name::clone(adapter),
         tokens,
     }
@@ -105,7 +105,7 @@
 #[test]
 fn place_dropped_is_free() {
     let clock: Arc<dyn Clock> = Arc::new(Manual::default());
-    let table = Arc::new(Table::new(clock));
+    let table = Arc::new(OccupancyTable::new(clock));
     let (engine, adapter) = (Name::from("i-1"), Name::from(ADAPTER));
     let place = table.enter(&engine, part(&adapter, 0));
     assert!(table.uses("i-1", ADAPTER));
@@ -119,7 +119,7 @@
 #[test]
 fn place_outlives_its_engine() {
     let clock: Arc<dyn Clock> = Arc::new(Manual::default());
-    let table = Arc::new(Table::new(clock));
+    let table = Arc::new(OccupancyTable::new(clock));
     let place = table.enter(&"i-1".into(), part(&ADAPTER.into(), 0));
     table.retain(|_| false);
     assert_eq!(table.running("i-1"), 0);
@@ -129,25 +129,26 @@
 
 #[test]
 fn is_crowded_by_one_adapter_only() {
-    let load = |alike| Load {
+    let load = |same_adapter| EngineLoad {
         running: 8,
-        alike,
+        same_adapter,
         wait: Millis::ZERO,
     };
-    assert!(!choice::is_crowded(load(3), 12, false));
-    assert!(choice::is_crowded(load(4), 12, false));
-    assert!(choice::is_crowded(load(1), 12, true));
+    assert!(!admission_policy::is_crowded(load(3), 12, false));
+    assert!(admission_policy::is_crowded(load(4), 12, false));
+    assert!(admission_policy::is_crowded(load(1), 12, true));
 }
 
 /// An adapter's first engine is left only where it makes the caller wait noticeably longer.
 #[test]
 fn is_better_home_only_where_the_first_is_late() {
-    let load = |wait| Load {
+    let load = |wait| EngineLoad {
         running: 9,
-        alike: 0,
+        same_adapter: 0,
         wait: Millis(wait),
     };
-    let better = |first, second| choice::is_better_home(load(first), load(second), Millis(600));
+    let better =
+        |first, second| admission_policy::is_better_home(load(first), load(second), Millis(600));
     assert!(!better(300, 0));
     assert!(!better(400, 250));
     assert!(better(400, 100));
@@ -156,12 +157,12 @@
 #[test]
 fn is_calm_with_places_and_no_wait() {
     let calm = |running, wait| {
-        let load = Load {
+        let load = EngineLoad {
             running,
-            alike: 0,
+            same_adapter: 0,
             wait: Millis(wait),
         };
-        choice::is_calm(load, 12, Millis(600))
+        admission_policy::is_calm(load, 12, Millis(600))
     };
     assert!(calm(5, 150));
     assert!(!calm(6, 0));
@@ -171,7 +172,8 @@
 #[test]
 fn come_back_only_where_the_caller_would_have_gone() {
     let (objective, left) = (Millis(600), Millis(12_000));
-    let back = |wait, passed, left| choice::come_back(Millis(wait), objective, passed, left);
+    let back =
+        |wait, passed, left| admission_policy::come_back(Millis(wait), objective, passed, left);
     assert_eq!(back(2_000, Millis::ZERO, left), None);
     assert_eq!(back(2_500, Millis::ZERO, left), Some(Millis(1_250)));
     assert_eq!(back(2_000, Millis(500), left), Some(Millis(1_000)));
@@ -226,14 +228,14 @@
     }
 }
 
-fn question(adapter: &Name, limit: u32) -> Question<'_> {
-    Question {
+fn question(adapter: &Name, max_running: u32) -> AdmitQuery<'_> {
+    AdmitQuery {
         adapter: Some(adapter),
         version: 0,
-        limit,
+        max_running,
         loaded: false,
         tokens: 0,
-        patience: Millis(150),
+        max_wait: Millis(150),
     }
 }
 
@@ -256,7 +258,7 @@
                 .admit(&owner.upstream, question(&adapter, 1))
                 .await;
             let running = match answer {
-                Answer::Admitted(_, load) | Answer::Busy(load) => load.running,
+                AdmitDecision::Admitted(_, load) | AdmitDecision::Busy(load) => load.running,
                 other => panic!("{other:?}"),
             };
             if running == number {
@@ -282,14 +284,14 @@
         .controllers
         .admit(&owner.upstream, question(&adapter, 2))
         .await;
-    assert!(matches!(&first, Answer::Admitted(_, load) if load.running == 0));
-    assert!(matches!(&second, Answer::Admitted(_, load) if load.alike == 1));
+    assert!(matches!(&first, AdmitDecision::Admitted(_, load) if load.running == 0));
+    assert!(matches!(&second, AdmitDecision::Admitted(_, load) if load.same_adapter == 1));
     let third = other
         .controllers
         .admit(&other.upstream, question(&adapter, 2))
         .await;
-    assert!(matches!(third, Answer::Busy(load) if load.running == 2));
-    assert_eq!(other.upstream.load(), 2);
+    assert!(matches!(third, AdmitDecision::Busy(load) if load.running == 2));
+    assert_eq!(other.upstream.total_running(), 2);
     drop(first);
     until_counted(&owner, 1).await;
 }
@@ -319,22 +321,22 @@
 async fn admit_waits_until_prompts_are_read() {
     let (owner, other) = two_nodes().await;
     let adapter = Name::from(ADAPTER);
-    let long = Question {
+    let long = AdmitQuery {
         tokens: 20_000,
         ..question(&adapter, 4)
     };
     let first = other.controllers.admit(&other.upstream, long).await;
-    let Answer::Admitted(mut permit, _) = first else {
+    let AdmitDecision::Admitted(mut permit, _) = first else {
         panic!("{first:?}");
     };
     let second = other.controllers.admit(&other.upstream, long).await;
     assert!(
-        matches!(second, Answer::Busy(load) if load.wait == Millis(800)),
+        matches!(second, AdmitDecision::Busy(load) if load.wait == Millis(800)),
         "{second:?}"
     );
-    permit.read();
+    permit.prefill_done();
     let read = async {
-        while let Answer::Busy(_) = owner.controllers.admit(&owner.upstream, long).await {
+        while let AdmitDecision::Busy(_) = owner.controllers.admit(&owner.upstream, long).await {
             tokio::time::sleep(Millis(5).duration()).await;
         }
     };
@@ -353,13 +355,13 @@
         .controllers
         .admit(&other.upstream, question(&adapter, 0))
         .await;
-    assert!(matches!(answer, Answer::Absent(_)), "{answer:?}");
-    let loaded = Question {
+    assert!(matches!(answer, AdmitDecision::Absent(_)), "{answer:?}");
+    let loaded = AdmitQuery {
         loaded: true,
         ..question(&adapter, 0)
     };
     let answer = other.controllers.admit(&other.upstream, loaded).await;
-    assert!(matches!(answer, Answer::Admitted(..)), "{answer:?}");
+    assert!(matches!(answer, AdmitDecision::Admitted(..)), "{answer:?}");
 }
 
 /// An owner that doesn't answer is asked once, and costs later requests no time.
@@ -379,7 +381,7 @@
             .controllers
             .admit(&asking.upstream, question(&adapter, 0))
             .await;
-        assert!(matches!(answer, Answer::Unknown), "{answer:?}");
+        assert!(matches!(answer, AdmitDecision::Unknown), "{answer:?}");
         assert!(began.elapsed() <= Millis(130).duration());
     }
     let began = tokio::time::Instant::now();
@@ -401,7 +403,7 @@
         let adapter = Name::from(ADAPTER);
         let question = question(&adapter, 0);
         let answer = asking.controllers.admit(&asking.upstream, question).await;
-        assert!(matches!(answer, Answer::Unknown), "{answer:?}");
+        assert!(matches!(answer, AdmitDecision::Unknown), "{answer:?}");
         tokio::time::sleep(Millis(300).duration()).await;
     };
     tokio::select! {
@@ -449,7 +451,7 @@
     let answer = other
         .controllers
         .admit(&other.upstream, question(&adapter, 0));
-    let Answer::Admitted(permit, _) = answer.await else {
+    let AdmitDecision::Admitted(permit, _) = answer.await else {
         panic!("there is no place");
     };
     hold.send_replace(true);
@@ -459,7 +461,7 @@
             .admit(&other.upstream, question(&adapter, 0))
     });
     for answer in futures::future::join_all(late).await {
-        assert!(matches!(answer, Answer::Unknown), "{answer:?}");
+        assert!(matches!(answer, AdmitDecision::Unknown), "{answer:?}");
     }
     hold.send_replace(false);
     tokio::time::sleep(Millis(300).duration()).await;
@@ -492,7 +494,7 @@
     came: Millis,
     ends: Millis,
     /// Counts it at its node and at the engine's owner until it ends.
-    _counted: (Running, Place),
+    _counted: (InFlightRequest, OccupancyGuard),
 }
 
 /// Plays the load and returns the share of requests that began later than the objective.
@@ -500,7 +502,7 @@
 fn late_share(asks: bool) -> f64 {
     let clock = Arc::new(Manual::default());
     let shared: Arc<dyn Clock> = Arc::<Manual>::clone(&clock);
-    let table = Arc::new(Table::new(shared));
+    let table = Arc::new(OccupancyTable::new(shared));
     let adapter = Name::from(ADAPTER);
     let nodes: Vec<Vec<Arc<Upstream>>> = (0..NODES)
         .map(|_| {
@@ -528,11 +530,11 @@
             }
         }
         for (number, upstreams) in nodes.iter().enumerate() {
-            let exchanges = exchange_pause(NODES).0 / STEP.0;
+            let exchanges = exchange_interval(NODES).0 / STEP.0;
             if (now.0 / STEP.0) % exchanges == number as u64 % exchanges {
                 for upstream in upstreams {
                     let all = table.running(&upstream.incarnation);
-                    upstream.heard_load(all - upstream.running(), now);
+                    upstream.record_remote_load(all - upstream.running(), now);
                 }
             }
         }
@@ -540,7 +542,7 @@
         while due >= 1.0 {
             due -= 1.0;
             let upstreams = &nodes[rng.random_range(0..NODES)];
-            let field = Field {
+            let field = Selector {
                 upstreams,
                 tried: &[],
                 home: "hall-a",
@@ -549,18 +551,18 @@
                 pause: None,
                 roles: &WHOLE,
                 id: rng.random(),
-                usual: asks.then(|| usual_share(upstreams)),
+                usual: asks.then(|| mean_remote_utilization(upstreams)),
             };
             let chosen = if asks {
                 ask(&field, &table)
             } else {
-                field.least(|_| true).unwrap()
+                field.least_loaded(|_| true).unwrap()
             };
             let request = Request {
                 came: now,
                 ends: Millis::MAX,
                 _counted: (
-                    chosen.enter(Some(&adapter), None),
+                    chosen.start_request(Some(&adapter), None),
                     table.enter(&chosen.incarnation, part(&adapter, 0)),
                 ),
             };
@@ -573,19 +575,19 @@
 }
 
 /// Asks owners as a request does: the better ones first, then the least busy of them.
-fn ask(field: &Field<'_>, table: &Table) -> Arc<Upstream> {
+fn ask(field: &Selector<'_>, table: &OccupancyTable) -> Arc<Upstream> {
     let mut asked: Vec<(Millis, u32, Arc<Upstream>)> = Vec::new();
-    while asked.len() < MOST_QUESTIONS {
+    while asked.len() < MAX_ADMISSION_QUERIES {
         let fresh = |upstream: &Upstream| {
             let same = |(_, _, one): &(Millis, u32, Arc<Upstream>)| {
                 one.incarnation == upstream.incarnation
             };
             !asked.iter().any(same)
         };
-        let upstream = field.least(fresh).unwrap();
+        let upstream = field.least_loaded(fresh).unwrap();
         let load = table.load(&upstream.incarnation, ADAPTER, upstream.slots);
-        upstream.heard_load(load.running - upstream.running(), field.now);
-        if load.running < choice::calm_limit(upstream.slots) {
+        upstream.record_remote_load(load.running - upstream.running(), field.now);
+        if load.running < admission_policy::calm_limit(upstream.slots) {
             return upstream;
         }
         asked.push((load.wait, load.running, upstream));
--- a/lib/tests/test_direct_claims.rs
+++ b/lib/tests/test_direct_claims.rs
@@ -13,7 +13,7 @@
 use chivevalve::direct::controllers::Controllers;
 use chivevalve::direct::dialect::{Dialect, LoadedModels, UpstreamEntry};
 use chivevalve::direct::follow::Follower;
-use chivevalve::direct::limits::{Current, LEASE, Limits, OWNERSHIP_TERM};
+use chivevalve::direct::limits::{LEASE_TTL, Limits, OWNERSHIP_TERM, SharedLimits};
 use chivevalve::direct::orders::LoadOutcome;
 use chivevalve::direct::ownership::Ownership;
 use chivevalve::direct::upstream::Upstream;
@@ -60,7 +60,7 @@
     ownership: Arc<Ownership>,
     claimer: Arc<Claimer>,
     others: Arc<Others>,
-    limits: Arc<Current>,
+    limits: Arc<SharedLimits>,
     tasks: Vec<JoinHandle<()>>,
 }
 
@@ -111,7 +111,7 @@
     let shared: Arc<dyn Clock> = Arc::<Manual>::clone(&clock);
     let ownership = Arc::new(Ownership::new(Arc::clone(&shared), Arc::clone(&view)));
     let dialect: Arc<dyn Dialect> = Arc::new(PlatformDialect);
-    let limits = Arc::new(Current::default());
+    let limits = Arc::new(SharedLimits::default());
     let follower = Follower::new(
         Arc::<Memory>::clone(memory),
         Arc::<Memory>::clone(memory),
@@ -298,10 +298,10 @@
     drop(one);
     let leases = memory.state().leases.clone();
     memory.change(|state| state.end(leases[0]));
-    let waited = OWNERSHIP_TERM + Limits::default().turns;
+    let waited = OWNERSHIP_TERM + Limits::default().order_gap;
     pass(&[&two], waited).await;
     assert_eq!(two.ownership.fencing_token(address()), None);
-    pass(&[&two], LEASE).await;
+    pass(&[&two], LEASE_TTL).await;
     assert!(two.ownership.fencing_token(address()).unwrap() > former);
 }
 
@@ -458,12 +458,12 @@
         state.drop_history();
     });
     one.clock.advance(Millis(10_000));
-    let waited = OWNERSHIP_TERM + Limits::default().turns;
+    let waited = OWNERSHIP_TERM + Limits::default().order_gap;
     for _ in 0..waited.0 / 50 {
         pass(&[&one], Millis(50)).await;
         assert_eq!(one.ownership.fencing_token(address()), None);
     }
-    pass(&[&one], LEASE).await;
+    pass(&[&one], LEASE_TTL).await;
     assert!(one.ownership.fencing_token(address()).is_some());
 }
 
@@ -492,7 +492,7 @@
     pass(&[&one], Millis(3_000)).await;
     assert!(one.ownership.owns(address()));
     assert_eq!(one.ownership.fencing_token(address()), None);
-    pass(&[&one], OWNERSHIP_TERM + Limits::default().turns).await;
+    pass(&[&one], OWNERSHIP_TERM + Limits::default().order_gap).await;
     assert!(one.ownership.fencing_token(address()).is_some());
 }
 
@@ -607,8 +607,8 @@
     assert_eq!(one.ownership.owned_count(), engines);
     // Its view is up to four seconds old.
     one.limits.set(Limits {
-        apply: Millis::from_secs(10),
-        leaving: Millis::from_secs(10),
+        config_apply: Millis::from_secs(10),
+        leave_notice: Millis::from_secs(10),
         ..Limits::default()
     });
     let two = node("two", &memory, false);
@@ -650,8 +650,8 @@
     let all: Vec<&Node> = nodes.iter().collect();
     // Their calls for changes pause for four seconds, which their claims don't know of.
     let late = Limits {
-        apply: Millis::from_secs(10),
-        leaving: Millis::from_secs(10),
+        config_apply: Millis::from_secs(10),
+        leave_notice: Millis::from_secs(10),
         ..Limits::default()
     };
     for limits in [late, Limits::default()] {
--- a/lib/tests/test_direct_exchange.rs
+++ b/lib/tests/test_direct_exchange.rs
@@ -7,11 +7,11 @@
 use std::sync::Arc;
 
 use chivevalve::clock::{Clock, Millis, Monotonic};
-use chivevalve::direct::admit::Question;
+use chivevalve::direct::admit::AdmitQuery;
 use chivevalve::direct::controllers::Controllers;
 use chivevalve::direct::dialect::UpstreamEntry;
 use chivevalve::direct::ownership::Ownership;
-use chivevalve::direct::upstream::{Running, Upstream};
+use chivevalve::direct::upstream::{InFlightRequest, Upstream};
 use chivevalve::direct::view::{Claim, ClaimEntry, View};
 use chivevalve::name::Name;
 use chivevalve_platform::PlatformDialect;
@@ -93,9 +93,9 @@
         let Some((_, owner)) = controllers.view.owner(engine.address) else {
             continue;
         };
-        let mut adapters = engine.in_use();
+        let mut adapters = engine.uncounted_adapters();
         let noted = noted.get(&engine.incarnation).cloned();
-        adapters.extend(noted.filter(|noted| !engine.in_use().contains(noted)));
+        adapters.extend(noted.filter(|noted| !engine.uncounted_adapters().contains(noted)));
         let is_idle = adapters.is_empty() && engine.running() == 0;
         if controllers.ownership.owns(engine.address) || (is_idle && owner.address != silent) {
             continue;
@@ -121,13 +121,13 @@
 }
 
 /// Has requests run at some engines; most of them use their adapter uncounted.
-fn run(random: &mut Pcg64, engines: &[Arc<Upstream>]) -> Vec<Running> {
+fn run(random: &mut Pcg64, engines: &[Arc<Upstream>]) -> Vec<InFlightRequest> {
     let chosen = engines.iter().filter(|_| random.random_bool(0.1));
     let chosen: Vec<_> = chosen.collect();
     let adapter = Name::from("base/a1");
     chosen
         .into_iter()
-        .map(|engine| engine.enter(random.random_bool(0.8).then_some(&adapter), None))
+        .map(|engine| engine.start_request(random.random_bool(0.8).then_some(&adapter), None))
         .collect()
 }
 
@@ -157,13 +157,13 @@
             }
             if round == 3 {
                 // A question without an answer shows that the owner is silent.
-                let question = Question {
+                let question = AdmitQuery {
                     adapter: None,
                     version: 0,
-                    limit: 0,
+                    max_running: 0,
                     loaded: false,
                     tokens: 0,
-                    patience: Millis::ZERO,
+                    max_wait: Millis::ZERO,
                 };
                 let engine = engines.iter().find(owned_by).unwrap();
                 drop(controllers.admit(engine, question).await);
--- a/lib/tests/test_direct_fanout.rs
+++ b/lib/tests/test_direct_fanout.rs
@@ -13,19 +13,16 @@
 use chivevalve::direct::controllers::Controllers;
 use chivevalve::direct::fanout::{Hub, Received, Source, Subscription, Update};
 use chivevalve::direct::follow::Follower;
-use chivevalve::direct::limits::Current;
+use chivevalve::direct::limits::SharedLimits;
 use chivevalve::direct::ownership::Ownership;
 use chivevalve::direct::peer_server::serve;
 use chivevalve::direct::view::View;
 use chivevalve::name::Name;
-use chivevalve::ports::poll::{self, Changes, Poll};
 use chivevalve::ports::{Entry, Error, Event};
+use chivevalve::ports::poll::{Changes, Poll, self};
+use chivevalve::schema::direct::{AdmitReply, AdmitRequest, Change, ExchangeReply, ExchangeRequest, FollowRequest, LoadReply, LoadRequest, SupportReply, SupportRequest, TellReply, TellRequest, Update as Sent};
 use chivevalve::schema::direct::orders_client::OrdersClient;
 use chivevalve::schema::direct::orders_server::{Orders, OrdersServer};
-use chivevalve::schema::direct::{
-    AdmitReply, AdmitRequest, Change, ExchangeReply, ExchangeRequest, FollowRequest, LoadReply,
-    LoadRequest, SupportReply, SupportRequest, TellReply, TellRequest, Update as Sent,
-};
 use chivevalve_platform::PlatformDialect;
 use direct_support::SERVER;
 use direct_support::listen::Direct;
@@ -36,8 +33,8 @@
 use tokio::net::TcpListener;
 use tokio::task::JoinHandle;
 use tokio_stream::wrappers::TcpListenerStream;
-use tonic::transport::Server;
 use tonic::{Request, Response, Status, Streaming};
+use tonic::transport::Server;
 
 fn put(revision: u64) -> Event {
     let key = format!("servers/i-{revision}");
@@ -282,7 +279,7 @@
         Arc::new(PlatformDialect),
         clock,
         Arc::clone(&view),
-        Arc::new(Current::default()),
+        Arc::new(SharedLimits::default()),
     )
     .with_fanout(Arc::clone(&hub), Box::new(source));
     Node {
--- a/lib/tests/test_direct_fanout_fuzz.rs
+++ b/lib/tests/test_direct_fanout_fuzz.rs
@@ -15,7 +15,7 @@
 use chivevalve::direct::dialect::{Dialect, Key};
 use chivevalve::direct::fanout::{Hub, Received, Source, Update};
 use chivevalve::direct::follow::{Follower, NODE_PREFIX};
-use chivevalve::direct::limits::Current;
+use chivevalve::direct::limits::SharedLimits;
 use chivevalve::direct::validate::RejectReason;
 use chivevalve::direct::view::{CLAIM_PREFIX, View};
 use chivevalve::metrics::Metrics;
@@ -308,7 +308,7 @@
         Arc::new(PlatformDialect),
         Arc::clone(&clock),
         Arc::clone(&view),
-        Arc::new(Current::default()),
+        Arc::new(SharedLimits::default()),
     )
     .with_fanout(Arc::clone(&hub), source(clock));
     tokio::spawn(follower.run());
--- a/lib/tests/test_direct_presence.rs
+++ b/lib/tests/test_direct_presence.rs
@@ -7,7 +7,7 @@
 
 use chivevalve::clock::{Clock, Millis, Monotonic};
 use chivevalve::direct::follow::Follower;
-use chivevalve::direct::limits::{Current, Limits};
+use chivevalve::direct::limits::{Limits, SharedLimits};
 use chivevalve::direct::outage::Outage;
 use chivevalve::direct::presence::{Presence, Stage};
 use chivevalve::direct::view::View;
@@ -286,7 +286,7 @@
             Arc::new(PlatformDialect),
             Arc::clone(&clock),
             Arc::clone(&view),
-            Arc::new(Current::default()),
+            Arc::new(SharedLimits::default()),
         );
         let truth = (0..UPSTREAMS).map(|upstream| (upstream, Truth::default()));
         let world = Self {
@@ -368,7 +368,7 @@
         self.memory.change(|state| state.away = true);
         self.pass(span).await?;
         let now = self.clock.now();
-        if is_lapsing && span >= Limits::default().lapse {
+        if is_lapsing && span >= Limits::default().entry_expiry {
             for (upstream, truth) in &mut self.truth {
                 self.memory.change(|state| state.remove(&key(*upstream)));
                 let back = Millis(self.rand.random_range(0..BACK));
--- a/lib/tests/test_direct_quarantine.rs
+++ b/lib/tests/test_direct_quarantine.rs
@@ -167,7 +167,7 @@
     world
         .quarantine
         .record_broken_connection(&upstream, suspect.clone(), Suspicion::Begun);
-    upstream.missing();
+    upstream.mark_missing();
     world.view.advance_as_of(Millis(60_000));
     pass(Millis(7_000)).await;
     upstream.retire();
@@ -184,7 +184,7 @@
         .quarantine
         .record_broken_connection(&upstream, suspect.clone(), Suspicion::Begun);
     pass(Millis(10_000)).await;
-    upstream.succeeded();
+    upstream.record_success();
     pass(Millis(1_000)).await;
     upstream.retire();
     pass(Millis(1_000)).await;
--- a/lib/tests/test_direct_versions.rs
+++ b/lib/tests/test_direct_versions.rs
@@ -9,7 +9,7 @@
 use chivevalve::direct::controllers::Controllers;
 use chivevalve::direct::dialect::{Dialect, DispatchHeaders, UpstreamEntry};
 use chivevalve::direct::entry::Frontend;
-use chivevalve::direct::limits::{Current, Limits};
+use chivevalve::direct::limits::{Limits, SharedLimits};
 use chivevalve::direct::metadata::{RequestKind, RequestMetadata};
 use chivevalve::direct::ownership::Ownership;
 use chivevalve::direct::upstream::Upstream;
@@ -136,7 +136,7 @@
         dialect,
         clock,
         "hall-a".into(),
-        Arc::new(Current::default()),
+        Arc::new(SharedLimits::default()),
         service,
     ));
     let engine = Upstream::new(
@@ -188,7 +188,7 @@
     let expired = tokio::spawn(async move { watch.expired().await });
     pass(&manual, Millis(1_000)).await;
     frontend.limits.set(Limits {
-        version: Millis(3_000),
+        version_rollout: Millis(3_000),
         ..Limits::default()
     });
     pass(&manual, Millis(2_000)).await;
