--- a/lib/src/direct/acquire.rs
+++ b/lib/src/direct/acquire.rs
@@ -125,7 +125,8 @@
         }
         let now = self.now();
         let (passed, left) = (now.since(self.arrived_at), self.deadline.since(now));
-        let late = admission_policy::come_back(load.wait, self.route.latency_objective, passed, left);
+        let late =
+            admission_policy::come_back(load.wait, self.route.latency_objective, passed, left);
         if let (Some(back), true) = (late, self.possible_runs == 0) {
             return Asked::TooLate(back);
         }
--- a/lib/src/direct/admit.rs
+++ b/lib/src/direct/admit.rs
@@ -10,13 +10,13 @@
 use tokio::sync::oneshot;
 use tonic::{Status, Streaming};
 
-use crate::clock::Millis;
-use crate::name::Name;
-use crate::schema::direct::{Admission, AdmitReply, AdmitRequest};
 use super::controllers::Controllers;
 use super::limits::IN_USE_GRACE;
 use super::occupancy::{CountedRequest, EngineLoad, OccupancyGuard};
 use super::upstream::Upstream;
+use crate::clock::Millis;
+use crate::name::Name;
+use crate::schema::direct::{Admission, AdmitReply, AdmitRequest};
 
 /// The longest that an owner may take to answer.
 ///
--- a/lib/src/direct/attempt.rs
+++ b/lib/src/direct/attempt.rs
@@ -7,15 +7,15 @@
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::Incoming;
 
-use crate::clock::Millis;
-use crate::error::Code;
-use crate::poison::fingerprint::{Fingerprint, Identity};
-use crate::ports::link::{Connection, Lost};
 use super::admit::Permit;
 use super::dialect::{Dialect, DispatchHeaders, ResponseMetadata};
 use super::metadata::{RequestKind, RequestMetadata};
 use super::upstream::{InFlightRequest, Upstream};
-use super::versions::{VersionWatch, self};
+use super::versions::{self, VersionWatch};
+use crate::clock::Millis;
+use crate::error::Code;
+use crate::poison::fingerprint::{Fingerprint, Identity};
+use crate::ports::link::{Connection, Lost};
 
 /// The longest whole answer that is held, in bytes.
 const WHOLE_BYTES: usize = 16 << 20;
--- a/lib/src/direct/claim/mod.rs
+++ b/lib/src/direct/claim/mod.rs
@@ -20,15 +20,17 @@
 
 use bytes::Bytes;
 
-use crate::clock::{Clock, Millis};
-use crate::metrics::Metrics;
-use crate::name::Name;
-use crate::ports::{Error, Lease, LeaseId, Store, Transaction, Write};
 use super::dialect::Dialect;
 use super::follow::NODE_PREFIX;
-use super::limits::{LEASE_TTL, ORDER_GAP_MARGIN, OWNERSHIP_TERM, RENEWAL_INTERVAL, RENEWAL_TIMEOUT, SharedLimits};
+use super::limits::{
+    LEASE_TTL, ORDER_GAP_MARGIN, OWNERSHIP_TERM, RENEWAL_INTERVAL, RENEWAL_TIMEOUT, SharedLimits,
+};
 use super::ownership::Ownership;
 use super::view::{CLAIM_PREFIX, Claim, Peer, View};
+use crate::clock::{Clock, Millis};
+use crate::metrics::Metrics;
+use crate::name::Name;
+use crate::ports::{Error, Lease, LeaseId, Store, Transaction, Write};
 
 /// Pause between looks whether everything has been read after a start.
 const FIRST_LOOK: Millis = Millis(20);
--- a/lib/src/direct/claim/release.rs
+++ b/lib/src/direct/claim/release.rs
@@ -3,11 +3,11 @@
 use std::net::SocketAddr;
 use std::sync::atomic::Ordering;
 
+use super::{CLAIMS_AT_ONCE, Claimer, encoded};
 use crate::clock::Millis;
 use crate::direct::limits::RENEWAL_INTERVAL;
 use crate::direct::ownership::Owned;
 use crate::ports::{Condition, Error, Transaction, Write};
-use super::{CLAIMS_AT_ONCE, Claimer, encoded};
 
 /// Shares of the engines that a node keeps before it gives some up.
 ///
--- a/lib/src/direct/controllers/exchange.rs
+++ b/lib/src/direct/controllers/exchange.rs
@@ -4,6 +4,7 @@
 use std::net::SocketAddr;
 use std::sync::{Arc, PoisonError};
 
+use super::{Controllers, Silence};
 use crate::clock::Millis;
 use crate::direct::dialect::LoadedModels;
 use crate::direct::limits::in_use_grace;
@@ -11,7 +12,6 @@
 use crate::direct::upstream::Upstream;
 use crate::name::Name;
 use crate::schema::direct::{ExchangeReply, ExchangeRequest, Resident, Standing, Use};
-use super::{Controllers, Silence};
 
 /// The longest that an exchange may take.
 const EXCHANGE: Millis = Millis(800);
--- a/lib/src/direct/controllers/mod.rs
+++ b/lib/src/direct/controllers/mod.rs
@@ -13,11 +13,6 @@
 use tokio::sync::oneshot;
 use tonic::transport::{Channel, Endpoint};
 
-use crate::clock::{Clock, Millis};
-use crate::metrics::Metrics;
-use crate::name::Name;
-use crate::schema::direct::{LoadReply, LoadRequest, Outcome};
-use crate::schema::direct::orders_client::OrdersClient;
 use super::dialect::Dialect;
 use super::fanout::Hub;
 use super::limits::exchange_interval;
@@ -26,6 +21,11 @@
 use super::ownership::Ownership;
 use super::upstream::Upstream;
 use super::view::View;
+use crate::clock::{Clock, Millis};
+use crate::metrics::Metrics;
+use crate::name::Name;
+use crate::schema::direct::orders_client::OrdersClient;
+use crate::schema::direct::{LoadReply, LoadRequest, Outcome};
 
 /// How long connecting to another node may take.
 const CONNECT: Millis = Millis(400);
--- a/lib/src/direct/entry/mod.rs
+++ b/lib/src/direct/entry/mod.rs
@@ -13,11 +13,6 @@
 use bytes::Bytes;
 use http_body_util::combinators::UnsyncBoxBody;
 
-use crate::clock::{Clock, Millis};
-use crate::error::Code;
-use crate::metrics::Metrics;
-use crate::name::Name;
-use crate::ports::metered::Metered;
 use super::budget::RetryBudget;
 use super::controllers::Controllers;
 use super::dialect::Dialect;
@@ -30,6 +25,11 @@
 use super::upstream::Upstream;
 use super::versions::PendingReplacements;
 use super::view::View;
+use crate::clock::{Clock, Millis};
+use crate::error::Code;
+use crate::metrics::Metrics;
+use crate::name::Name;
+use crate::ports::metered::Metered;
 
 /// Body of an answer to a caller.
 pub type Body = UnsyncBoxBody<Bytes, ResponseAborted>;
--- a/lib/src/direct/follow/mod.rs
+++ b/lib/src/direct/follow/mod.rs
@@ -10,16 +10,16 @@
 
 use std::sync::Arc;
 
-use crate::clock::{Clock, Millis};
-use crate::ports::{Error, Store};
-use crate::ports::poll::{Changes, Poll, self};
 use super::dialect::{Dialect, Key};
 use super::fanout::{Hub, Received, Source, Update};
-use super::hedging::{HedgedResult, self};
+use super::hedging::{self, HedgedResult};
 use super::limits::{POLL_TIMEOUT, STORE_RETRY_PAUSE, SharedLimits};
 use super::outage::{Doubt, Outage};
 use super::validate::{RejectReason, validate};
 use super::view::View;
+use crate::clock::{Clock, Millis};
+use crate::ports::poll::{self, Changes, Poll};
+use crate::ports::{Error, Store};
 
 /// Name of a node's record, with the node's name behind it.
 pub const NODE_PREFIX: &str = "node/";
--- a/lib/src/direct/node.rs
+++ b/lib/src/direct/node.rs
@@ -18,14 +18,6 @@
 use tokio::task::{JoinHandle, JoinSet};
 use tokio_util::sync::CancellationToken;
 
-use crate::clock::{Boot, Clock, Millis};
-use crate::metrics::Metrics;
-use crate::name::Name;
-use crate::ports::{Error, Lease, Store};
-use crate::ports::link::guard;
-use crate::ports::metered::Metered;
-use crate::ports::poll::Poll;
-use super::peer_server;
 use super::claim::Claimer;
 use super::controllers::Controllers;
 use super::dialect::Dialect;
@@ -34,7 +26,15 @@
 use super::follow::Follower;
 use super::limits::{Limits, SharedLimits};
 use super::ownership::Ownership;
+use super::peer_server;
 use super::view::{Peer, View};
+use crate::clock::{Boot, Clock, Millis};
+use crate::metrics::Metrics;
+use crate::name::Name;
+use crate::ports::link::guard;
+use crate::ports::metered::Metered;
+use crate::ports::poll::Poll;
+use crate::ports::{Error, Lease, Store};
 
 /// Time for the balancer to notice that the node takes no more callers.
 ///
--- a/lib/src/direct/orders/engine.rs
+++ b/lib/src/direct/orders/engine.rs
@@ -5,8 +5,8 @@
 use http_body_util::{BodyExt, Limited};
 
 use crate::clock::{Clock, Millis};
-use crate::direct::control_call;
 use crate::direct::config::Engine;
+use crate::direct::control_call;
 use crate::direct::dialect::{Dialect, EngineStatus, Order, OrderOutcome};
 use crate::direct::occupancy::OccupancyTable;
 use crate::direct::ownership::Ownership;
--- a/lib/src/direct/orders/mod.rs
+++ b/lib/src/direct/orders/mod.rs
@@ -16,12 +16,12 @@
 use kameo::Actor;
 use kameo::actor::ActorRef;
 
+use super::dialect::{Action, OrderOutcome};
+use super::limits::IN_USE_GRACE;
 use crate::clock::Millis;
 use crate::name::Name;
 use load::Wake;
 use slots::{MAX_LOAD_TIME, Slots, answer};
-use super::dialect::{Action, OrderOutcome};
-use super::limits::IN_USE_GRACE;
 
 pub use engine::EngineClient;
 pub use message::{LoadCommand, LoadOutcome, MarkInUse, Tick};
--- a/lib/src/direct/peer_server.rs
+++ b/lib/src/direct/peer_server.rs
@@ -10,16 +10,19 @@
 use tonic::transport::Server;
 use tonic::{Request, Response, Status, Streaming};
 
-use crate::clock::Millis;
-use crate::name::Name;
-use crate::schema::direct::{AdmitRequest, ExchangeReply, ExchangeRequest, FollowRequest, LoadReply, LoadRequest, Outcome, SupportReply, SupportRequest, TellReply, TellRequest, Update};
-use crate::schema::direct::orders_server::{Orders, OrdersServer};
 use super::admit::{AdmitDecision, AdmitQuery, AdmitReplies};
 use super::controllers::Controllers;
 use super::limits::in_use_grace;
 use super::orders::LoadOutcome;
 use super::upstream::Upstream;
 use super::view::PutOutcome;
+use crate::clock::Millis;
+use crate::name::Name;
+use crate::schema::direct::orders_server::{Orders, OrdersServer};
+use crate::schema::direct::{
+    AdmitRequest, ExchangeReply, ExchangeRequest, FollowRequest, LoadReply, LoadRequest, Outcome,
+    SupportReply, SupportRequest, TellReply, TellRequest, Update,
+};
 
 /// Answers other nodes.
 #[derive(Debug)]
--- a/lib/src/direct/request/mod.rs
+++ b/lib/src/direct/request/mod.rs
@@ -9,16 +9,16 @@
 
 use smallvec::SmallVec;
 
-use crate::clock::Millis;
-use crate::error::{Code, Failure};
-use crate::name::Name;
 use super::attempt::{RequestMessage, SendError, UpstreamResponse};
 use super::config::Route;
 use super::entry::Frontend;
-use super::request_log::{RequestOutcome, self};
+use super::request_log::{self, RequestOutcome};
 use super::sends::PendingSends;
 use super::target::Target;
 use super::upstream::Upstream;
+use crate::clock::Millis;
+use crate::error::{Code, Failure};
+use crate::name::Name;
 
 /// Pause before an upstream is looked for again.
 pub(in crate::direct) const SELECTION_RETRY_PAUSE: Millis = Millis(20);
--- a/lib/src/direct/request/outcome.rs
+++ b/lib/src/direct/request/outcome.rs
@@ -2,15 +2,15 @@
 
 use std::sync::Arc;
 
+use super::{ActiveRequest, SELECTION_RETRY_PAUSE};
 use crate::clock::Millis;
-use crate::direct::request_log;
 use crate::direct::attempt::{SendError, UpstreamResponse};
+use crate::direct::request_log;
 use crate::direct::sends::{FinishedSend, PendingSends};
 use crate::direct::upstream::Upstream;
 use crate::error::{Code, Failure};
 use crate::name::Name;
 use crate::poison::ledger::Suspicion;
-use super::{ActiveRequest, SELECTION_RETRY_PAUSE};
 
 /// Sends that reached no upstream, after which a request is given up.
 const MOST_UNSENT: u32 = 4;
--- a/lib/src/direct/request/send.rs
+++ b/lib/src/direct/request/send.rs
@@ -2,16 +2,16 @@
 
 use std::sync::Arc;
 
-use crate::direct::request_log;
-use crate::direct::admit::{AdmitQuery, Permit, self};
+use super::ActiveRequest;
+use crate::direct::admit::{self, AdmitQuery, Permit};
 use crate::direct::attempt::{SendError, UpstreamResponse};
 use crate::direct::dialect::{DispatchHeaders, KvCacheHandle};
+use crate::direct::request_log;
 use crate::direct::sends::PendingSends;
 use crate::direct::target::Target;
 use crate::direct::versions::VersionWatch;
 use crate::error::Code;
 use crate::name::Name;
-use super::ActiveRequest;
 
 impl ActiveRequest {
     pub(super) fn send(
--- a/lib/src/direct/target.rs
+++ b/lib/src/direct/target.rs
@@ -5,12 +5,9 @@
 use smallvec::SmallVec;
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::clock::Millis;
-use crate::error::{Code, Failure};
-use crate::name::Name;
 use super::acquire::Asked;
-use super::admission_policy::{MAX_ADMISSION_QUERIES, self};
-use super::admit::{AdmitQuery, Permit, self};
+use super::admission_policy::{self, MAX_ADMISSION_QUERIES};
+use super::admit::{self, AdmitQuery, Permit};
 use super::attempt::UpstreamResponse;
 use super::entry::{CLASS_LABEL, seconds};
 use super::metadata::RequestMetadata;
@@ -21,6 +18,9 @@
 use super::selection::{Selector, mean_remote_utilization};
 use super::upstream::Upstream;
 use super::versions::{REPLACEMENT_LEAD, WITHDRAWAL_LEAD};
+use crate::clock::Millis;
+use crate::error::{Code, Failure};
+use crate::name::Name;
 
 /// Part of the objective that a request may wait for an upstream before it is refused.
 ///
--- a/lib/tests/test_direct_admission.rs
+++ b/lib/tests/test_direct_admission.rs
@@ -6,12 +6,14 @@
 use std::sync::{Arc, LazyLock};
 
 use chivevalve::clock::{Clock, Manual, Millis, Monotonic};
-use chivevalve::direct::admission_policy::{MAX_ADMISSION_QUERIES, self};
+use chivevalve::direct::admission_policy::{self, MAX_ADMISSION_QUERIES};
 use chivevalve::direct::admit::{AdmitDecision, AdmitQuery};
 use chivevalve::direct::controllers::Controllers;
 use chivevalve::direct::dialect::UpstreamEntry;
 use chivevalve::direct::limits::exchange_interval;
-use chivevalve::direct::occupancy::{CountedRequest, EngineLoad, Occupancy, OccupancyGuard, OccupancyTable};
+use chivevalve::direct::occupancy::{
+    CountedRequest, EngineLoad, Occupancy, OccupancyGuard, OccupancyTable,
+};
 use chivevalve::direct::ownership::Ownership;
 use chivevalve::direct::peer_server::serve;
 use chivevalve::direct::roles::Roles;
--- a/lib/tests/test_direct_parts.rs
+++ b/lib/tests/test_direct_parts.rs
@@ -7,7 +7,9 @@
 use chivevalve::clock::Millis;
 use chivevalve::direct::budget::RetryBudget;
 use chivevalve::direct::dialect::LoadedModels;
-use chivevalve::direct::limits::{Limits, RetryLimits, SharedLimits, exchange_interval, in_use_grace};
+use chivevalve::direct::limits::{
+    Limits, RetryLimits, SharedLimits, exchange_interval, in_use_grace,
+};
 use chivevalve::direct::roles::Roles;
 use chivevalve::direct::selection::{MAX_PLACEMENT_CANDIDATES, Selector};
 use chivevalve::direct::sse::EventSplitter;
