--- a/lib/src/direct/admit.rs
+++ b/lib/src/direct/admit.rs
@@ -10,9 +10,9 @@
 use tokio::sync::oneshot;
 use tonic::{Status, Streaming};
 
-use super::admission::{Load, Part, Place};
-use super::ask::Controllers;
-use super::limits::IN_USE;
+use super::controllers::Controllers;
+use super::limits::IN_USE_GRACE;
+use super::occupancy::{CountedRequest, EngineLoad, OccupancyGuard};
 use super::upstream::Upstream;
 use crate::clock::Millis;
 use crate::name::Name;
@@ -31,7 +31,7 @@
 /// Where the request is counted.
 #[derive(Debug)]
 enum Counted {
-    Here(Place),
+    Here(OccupancyGuard),
     /// Dropping the call tells the owner, at the latest when the connection is lost.
     There {
         /// Dropped to end this node's side of the call.
@@ -42,9 +42,9 @@
 
 impl Permit {
     /// Tells the owner that the engine has read the request's prompt.
-    pub fn read(&mut self) {
+    pub fn prefill_done(&mut self) {
         match &mut self.0 {
-            Counted::Here(place) => place.read(),
+            Counted::Here(place) => place.prefill_done(),
             Counted::There { unread, .. } => *unread = None,
         }
     }
@@ -52,18 +52,18 @@
 
 /// What an owner said.
 #[derive(Debug)]
-pub enum Answer {
+pub enum AdmitDecision {
     /// The request counts while the permit lives.
-    Admitted(Permit, Load),
+    Admitted(Permit, EngineLoad),
     /// As many requests as the limit says are there.
-    Busy(Load),
+    Busy(EngineLoad),
     /// The engine doesn't hold the adapter.
-    Absent(Load),
+    Absent(EngineLoad),
     /// Nobody counts there, or the owner didn't answer.
     Unknown,
 }
 
-impl Answer {
+impl AdmitDecision {
     /// Returns the name used in metrics.
     #[must_use]
     pub const fn name(&self) -> &'static str {
@@ -77,7 +77,7 @@
 
     /// Returns how much the engine has to do, if the owner said so.
     #[must_use]
-    pub fn load(&self) -> Option<Load> {
+    pub fn load(&self) -> Option<EngineLoad> {
         match self {
             Self::Admitted(_, load) | Self::Busy(load) | Self::Absent(load) => Some(*load),
             Self::Unknown => None,
@@ -87,25 +87,25 @@
 
 /// What is asked of an owner.
 #[derive(Debug, Clone, Copy)]
-pub struct Question<'a> {
+pub struct AdmitQuery<'a> {
     /// The adapter that the request uses, if any.
     pub adapter: Option<&'a Name>,
     /// The least version that will do; 0 is any.
     pub version: u64,
     /// Requests there from which on this one isn't counted in; 0 counts it in always.
-    pub limit: u32,
+    pub max_running: u32,
     /// Whether the adapter was loaded there for this request a moment ago.
     pub loaded: bool,
     /// Tokens of the prompt that the engine has to read.
     pub tokens: u32,
     /// The longest wait with which the request is counted in where there is a limit.
-    pub patience: Millis,
+    pub max_wait: Millis,
 }
 
 impl Controllers {
     /// Has a request counted in at an engine by whoever gives it orders.
-    pub async fn admit(&self, upstream: &Arc<Upstream>, question: Question<'_>) -> Answer {
-        let answer = if self.right.owns(upstream.address) {
+    pub async fn admit(&self, upstream: &Arc<Upstream>, question: AdmitQuery<'_>) -> AdmitDecision {
+        let answer = if self.ownership.owns(upstream.address) {
             self.admit_here(upstream, question)
         } else {
             self.admit_there(upstream, question).await
@@ -114,17 +114,21 @@
         counter.with_label_values(&[answer.name()]).inc();
         if let Some(load) = answer.load() {
             let elsewhere = load.running.saturating_sub(upstream.running());
-            upstream.heard_load(elsewhere, self.clock.now());
+            upstream.record_remote_load(elsewhere, self.clock.now());
         }
         answer
     }
 
     /// Answers for an engine that this node orders.
-    pub(super) fn admit_here(&self, upstream: &Arc<Upstream>, question: Question<'_>) -> Answer {
+    pub(super) fn admit_here(
+        &self,
+        upstream: &Arc<Upstream>,
+        question: AdmitQuery<'_>,
+    ) -> AdmitDecision {
         // Counting needs no right to give orders: an owner that has lost the key-value service
         // still knows best what runs at its engines.
-        if !self.right.owns(upstream.address) {
-            return Answer::Unknown;
+        if !self.ownership.owns(upstream.address) {
+            return AdmitDecision::Unknown;
         }
         let none = Name::from("");
         let adapter = question.adapter.unwrap_or(&none);
@@ -133,29 +137,33 @@
         let held = upstream.version(adapter);
         let absent = held.is_none_or(|held| held < question.version);
         if question.adapter.is_some() && absent && !question.loaded {
-            return Answer::Absent(load);
+            return AdmitDecision::Absent(load);
         }
-        let is_busy = load.running >= question.limit || load.wait > question.patience;
-        if question.limit > 0 && is_busy {
-            return Answer::Busy(load);
+        let is_busy = load.running >= question.max_running || load.wait > question.max_wait;
+        if question.max_running > 0 && is_busy {
+            return AdmitDecision::Busy(load);
         }
         if question.adapter.is_some() {
-            self.note_uses(engine, vec![Name::clone(adapter)], IN_USE);
+            self.record_uses(engine, vec![Name::clone(adapter)], IN_USE_GRACE);
         }
-        let part = Part {
+        let part = CountedRequest {
             adapter: Name::clone(adapter),
             tokens: question.tokens,
         };
         let place = self.table.enter(engine, part);
-        Answer::Admitted(Permit(Counted::Here(place)), load)
+        AdmitDecision::Admitted(Permit(Counted::Here(place)), load)
     }
 
-    async fn admit_there(&self, upstream: &Arc<Upstream>, question: Question<'_>) -> Answer {
+    async fn admit_there(
+        &self,
+        upstream: &Arc<Upstream>,
+        question: AdmitQuery<'_>,
+    ) -> AdmitDecision {
         let Some((node, peer)) = self.view.owner(upstream.address) else {
-            return Answer::Unknown;
+            return AdmitDecision::Unknown;
         };
-        if self.is_silent(peer.address) {
-            return Answer::Unknown;
+        if self.is_unresponsive(peer.address) {
+            return AdmitDecision::Unknown;
         }
         let request = AdmitRequest {
             incarnation: upstream.incarnation.to_string(),
@@ -164,10 +172,10 @@
                 .map(ToString::to_string)
                 .unwrap_or_default(),
             version: question.version,
-            limit: question.limit,
+            limit: question.max_running,
             loaded: question.loaded,
             tokens: question.tokens,
-            patience_ms: question.patience.0,
+            patience_ms: question.max_wait.0,
         };
         // This side of the call ends when the sender is dropped.
         let (unread, is_read) = oneshot::channel::<()>();
@@ -184,24 +192,28 @@
         };
         match tokio::time::timeout(ANSWER.duration(), asking).await {
             Ok(Ok((replies, Some(reply)))) => read(replies, &reply, unread),
-            Ok(Ok((_, None))) => Answer::Unknown,
+            Ok(Ok((_, None))) => AdmitDecision::Unknown,
             Ok(Err(status)) => {
                 log::info!("admit: {node} does not answer: {}", status.message());
-                Answer::Unknown
+                AdmitDecision::Unknown
             }
             Err(_) => {
                 log::info!("admit: no answer from {node} within {ANSWER}");
-                self.is_late(peer.address);
-                Answer::Unknown
+                self.mark_late(peer.address);
+                AdmitDecision::Unknown
             }
         }
     }
 }
 
-fn read(replies: Streaming<AdmitReply>, reply: &AdmitReply, unread: oneshot::Sender<()>) -> Answer {
-    let load = Load {
+fn read(
+    replies: Streaming<AdmitReply>,
+    reply: &AdmitReply,
+    unread: oneshot::Sender<()>,
+) -> AdmitDecision {
+    let load = EngineLoad {
         running: reply.running,
-        alike: reply.alike,
+        same_adapter: reply.alike,
         wait: Millis(reply.wait_ms),
     };
     match reply.admission() {
@@ -210,37 +222,39 @@
                 unread: Some(unread),
                 _call: Box::new(replies),
             };
-            Answer::Admitted(Permit(counted), load)
+            AdmitDecision::Admitted(Permit(counted), load)
         }
-        Admission::Busy => Answer::Busy(load),
-        Admission::Absent => Answer::Absent(load),
-        Admission::Unknown | Admission::Unspecified => Answer::Unknown,
+        Admission::Busy => AdmitDecision::Busy(load),
+        Admission::Absent => AdmitDecision::Absent(load),
+        Admission::Unknown | Admission::Unspecified => AdmitDecision::Unknown,
     }
 }
 
 /// The answer to another node: one message, and silence while the request runs.
 #[derive(Debug)]
-pub struct Replies {
+pub struct AdmitReplies {
     reply: Option<AdmitReply>,
     permit: Option<Permit>,
     /// The other node's side; its end says that the prompt is read.
     questions: Option<Streaming<AdmitRequest>>,
 }
 
-impl Replies {
+impl AdmitReplies {
     /// Makes the answer that keeps a request counted until the other node drops the call.
     #[must_use]
-    pub fn new(answer: Answer, questions: Streaming<AdmitRequest>) -> Self {
+    pub fn new(answer: AdmitDecision, questions: Streaming<AdmitRequest>) -> Self {
         let (admission, load, permit) = match answer {
-            Answer::Admitted(permit, load) => (Admission::Admitted, Some(load), Some(permit)),
-            Answer::Busy(load) => (Admission::Busy, Some(load), None),
-            Answer::Absent(load) => (Admission::Absent, Some(load), None),
-            Answer::Unknown => (Admission::Unknown, None, None),
+            AdmitDecision::Admitted(permit, load) => {
+                (Admission::Admitted, Some(load), Some(permit))
+            }
+            AdmitDecision::Busy(load) => (Admission::Busy, Some(load), None),
+            AdmitDecision::Absent(load) => (Admission::Absent, Some(load), None),
+            AdmitDecision::Unknown => (Admission::Unknown, None, None),
         };
         let reply = AdmitReply {
             admission: admission.into(),
             running: load.map_or(0, |load| load.running),
-            alike: load.map_or(0, |load| load.alike),
+            alike: load.map_or(0, |load| load.same_adapter),
             wait_ms: load.map_or(0, |load| load.wait.0),
         };
         Self {
@@ -251,7 +265,7 @@
     }
 }
 
-impl Stream for Replies {
+impl Stream for AdmitReplies {
     type Item = Result<AdmitReply, Status>;
 
     fn poll_next(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<Option<Self::Item>> {
@@ -265,7 +279,7 @@
         if let Some(questions) = &mut this.questions {
             match questions.poll_next_unpin(context) {
                 Poll::Ready(None) => {
-                    permit.read();
+                    permit.prefill_done();
                     this.questions = None;
                 }
                 // The call was dropped; the count must not outlast it.
--- a/lib/src/direct/claim/candidate.rs
+++ b/lib/src/direct/claim/candidate.rs
@@ -53,7 +53,7 @@
             .upstreams
             .values()
             .filter(|upstream| is_engine(&config, upstream) && upstream.is_ready())
-            .filter(|upstream| !self.right.owns(upstream.address))
+            .filter(|upstream| !self.ownership.owns(upstream.address))
             .filter_map(|upstream| self.candidate(&state, upstream, &limits, (began, now)))
             .collect();
         candidates.sort_by_key(|one| (!one.is_own, one.rank, Reverse(one.weight)));
@@ -68,7 +68,7 @@
         limits: &Limits,
         (began, now): (Millis, Millis),
     ) -> Option<Candidate> {
-        let gathered = began + limits.gather();
+        let gathered = began + limits.discovery_window();
         let address = upstream.address;
         let standing = state.claims.get(&address);
         if let Some(standing) = standing.filter(|standing| self.is_previous_start(standing)) {
@@ -80,10 +80,14 @@
         let since = standing
             .map(|standing| standing.seen)
             .or_else(|| state.previous_claims.get(&address).map(|(_, at)| *at))
-            .unwrap_or(gathered.max(upstream.seen));
+            .unwrap_or(gathered.max(upstream.first_seen));
         let passed = now.since(since);
         // Whoever comes later than that waits longer in any case.
-        let rank = self.rank(state, address, passed.0 / limits.claim_rank().0 + 1);
+        let rank = self.rank(
+            state,
+            address,
+            passed.0 / limits.claim_delay_per_rank().0 + 1,
+        );
         if passed < self.patience(state, address, rank, limits) {
             return None;
         }
@@ -101,7 +105,7 @@
 
     /// Returns how long an engine must have had no owner before this node claims it.
     fn patience(&self, state: &State, address: SocketAddr, rank: u64, limits: &Limits) -> Millis {
-        let wait = Millis(limits.claim_rank().0 * rank);
+        let wait = Millis(limits.claim_delay_per_rank().0 * rank);
         match state.previous_claims.get(&address) {
             Some((previous, _)) if previous.node == self.node => Millis::ZERO,
             // All claims can lapse in an outage; a previous owner that lives needs no waiting
@@ -129,7 +133,7 @@
     }
 
     fn is_to_take_back(&self, address: SocketAddr, standing: &ClaimEntry) -> bool {
-        self.is_previous_start(standing) && !self.right.owns(address)
+        self.is_previous_start(standing) && !self.ownership.owns(address)
     }
 
     /// A claim that an earlier start of the same node left.
--- a/lib/src/direct/claim/mod.rs
+++ b/lib/src/direct/claim/mod.rs
@@ -22,8 +22,10 @@
 
 use super::dialect::Dialect;
 use super::follow::NODE_PREFIX;
-use super::limits::{Current, LEASE, RENEWAL, RENEWAL_ANSWER, RIGHT, TURN_MARGIN};
-use super::right::Right;
+use super::limits::{
+    LEASE_TTL, ORDER_GAP_MARGIN, OWNERSHIP_TERM, RENEWAL_INTERVAL, RENEWAL_TIMEOUT, SharedLimits,
+};
+use super::ownership::Ownership;
 use super::view::{CLAIM_PREFIX, Claim, Peer, View};
 use crate::clock::{Clock, Millis};
 use crate::metrics::Metrics;
@@ -52,11 +54,11 @@
     /// What the follower sees.
     pub view: Arc<View>,
     /// What this node may do.
-    pub right: Arc<Right>,
+    pub ownership: Arc<Ownership>,
     /// The node's metrics.
     pub metrics: Arc<Metrics>,
     /// Bounds in force.
-    pub limits: Arc<Current>,
+    pub limits: Arc<SharedLimits>,
     /// This node's name.
     pub node: Name,
     /// This node's record.
@@ -73,16 +75,18 @@
         let mut lease = None;
         let mut began = None;
         // A node that has left must not claim anew what it gave up.
-        while !self.right.left.load(Ordering::Relaxed) {
+        while !self.ownership.left.load(Ordering::Relaxed) {
             let knew_all = self.view.config().is_some();
-            let is_unbroken = self.right.lasts();
-            self.right.unbroken.store(is_unbroken, Ordering::Relaxed);
+            let is_unbroken = self.ownership.is_lease_valid();
+            self.ownership
+                .unbroken
+                .store(is_unbroken, Ordering::Relaxed);
             if let Err(error) = self.round(&mut lease, &mut began).await {
                 self.view.record_store_call(false);
                 self.extend(&error).await;
             }
             if knew_all {
-                tokio::time::sleep(RENEWAL.duration()).await;
+                tokio::time::sleep(RENEWAL_INTERVAL.duration()).await;
             } else {
                 self.wait_for_view().await;
             }
@@ -92,7 +96,7 @@
     /// Waits until the follower has read what a round can claim by, a round's pause at most.
     async fn wait_for_view(&self) {
         let began = self.clock.now();
-        while !self.can_claim() && self.clock.now().since(began) < RENEWAL {
+        while !self.can_claim() && self.clock.now().since(began) < RENEWAL_INTERVAL {
             tokio::time::sleep(FIRST_LOOK.duration()).await;
         }
     }
@@ -109,7 +113,7 @@
     /// process, a node that starts in an outage would have waited long enough when the
     /// service returns, while an owner whose lease the others extended still gives orders.
     fn begin(&self) -> Millis {
-        self.right.begun.store(true, Ordering::SeqCst);
+        self.ownership.begun.store(true, Ordering::SeqCst);
         self.clock.now()
     }
 
@@ -121,12 +125,12 @@
         let sent = self.clock.now();
         match *lease {
             None => {
-                let granted = self.lease.grant(LEASE).await?;
+                let granted = self.lease.grant(LEASE_TTL).await?;
                 // A first lease has no claims of this start yet, and the follower reads those
                 // of others. Read here as well, thousands of claims took longer than the lease.
                 if began.is_some() {
                     self.read_claims().await?;
-                    if !self.right.unbroken.load(Ordering::Relaxed) {
+                    if !self.ownership.unbroken.load(Ordering::Relaxed) {
                         self.view.state().anonymize_previous_claims(&self.node);
                     }
                 }
@@ -135,12 +139,12 @@
                 *lease = Some(granted);
             }
             Some(held) => {
-                let lasted = self.right.lasts();
+                let lasted = self.ownership.is_lease_valid();
                 if self.renew(held).await? == Millis::ZERO {
                     log::warn!("right: the lease has lapsed");
                     *lease = None;
-                    self.right.until.store(0, Ordering::Relaxed);
-                    self.right.owned().clear();
+                    self.ownership.until.store(0, Ordering::Relaxed);
+                    self.ownership.owned().clear();
                     return Box::pin(self.round(lease, began)).await;
                 }
                 self.view.record_store_call(true);
@@ -150,11 +154,13 @@
                 }
             }
         }
-        if self.right.left.load(Ordering::Relaxed) {
+        if self.ownership.left.load(Ordering::Relaxed) {
             return Ok(());
         }
-        self.right.forget_lost();
-        self.right.until.store((sent + RIGHT).0, Ordering::Relaxed);
+        self.ownership.drop_lost_claims();
+        self.ownership
+            .until
+            .store((sent + OWNERSHIP_TERM).0, Ordering::Relaxed);
         if let (Some(held), Some(began)) = (*lease, *began) {
             self.claim(held, began).await?;
             self.hand_over(began).await?;
@@ -164,9 +170,9 @@
 
     /// Renews the lease, without waiting so long that no second try fits into the right.
     async fn renew(&self, lease: LeaseId) -> Result<Millis, Error> {
-        tokio::time::timeout(RENEWAL_ANSWER.duration(), self.lease.renew(lease))
+        tokio::time::timeout(RENEWAL_TIMEOUT.duration(), self.lease.renew(lease))
             .await
-            .map_err(|_| Error::NoAnswer(format!("no renewal within {RENEWAL_ANSWER}")))?
+            .map_err(|_| Error::NoAnswer(format!("no renewal within {RENEWAL_TIMEOUT}")))?
     }
 
     /// Reads all claims anew after the right had lapsed.
@@ -174,7 +180,7 @@
     /// Meanwhile the claims may have been taken away and others may have made
     /// theirs; what the view last saw is older than that.
     async fn read_claims(&self) -> Result<(), Error> {
-        let listing = self.store.list(&self.dialect.own(CLAIM_PREFIX)).await?;
+        let listing = self.store.list(&self.dialect.own_key(CLAIM_PREFIX)).await?;
         let now = self.clock.now();
         self.view
             .state()
@@ -183,7 +189,7 @@
     }
 
     async fn register(&self, lease: LeaseId) -> Result<(), Error> {
-        let key = self.dialect.own(&format!("{NODE_PREFIX}{}", self.node));
+        let key = self.dialect.own_key(&format!("{NODE_PREFIX}{}", self.node));
         let transaction = Transaction {
             conditions: Vec::new(),
             writes: vec![Write::Put(key, encoded(&self.peer), Some(lease))],
@@ -204,11 +210,11 @@
 
     /// Returns the least time between the last order of one node and the first one of another.
     fn turn(&self) -> Millis {
-        self.limits.get().turns + TURN_MARGIN
+        self.limits.get().order_gap + ORDER_GAP_MARGIN
     }
 
     fn key(&self, address: SocketAddr) -> String {
-        self.dialect.own(&format!("{CLAIM_PREFIX}{address}"))
+        self.dialect.own_key(&format!("{CLAIM_PREFIX}{address}"))
     }
 }
 
--- a/lib/src/direct/claim/takeover.rs
+++ b/lib/src/direct/claim/takeover.rs
@@ -67,7 +67,7 @@
         let mut state = self.view.state();
         let mut learnt = false;
         for entry in found {
-            if let Key::Own(name) = self.dialect.key(&entry.key)
+            if let Key::Own(name) = self.dialect.parse_key(&entry.key)
                 && let Some(address) = claim_address(&name)
             {
                 state.put_claim(address, entry, now);
@@ -91,7 +91,7 @@
                     standing.claim.node == self.node
                         && standing.claim.start == self.peer.start
                         && standing.claim.left.is_none()
-                        && !self.right.owns(**address)
+                        && !self.ownership.owns(**address)
                 })
                 .map(|(address, standing)| (*address, standing.revision, standing.claim.from))
                 .collect()
@@ -117,6 +117,6 @@
                 seen: now,
             },
         );
-        self.right.take(address, token, start);
+        self.ownership.acquire(address, token, start);
     }
 }
--- a/lib/src/direct/config.rs
+++ b/lib/src/direct/config.rs
@@ -6,7 +6,7 @@
 
 use smallvec::SmallVec;
 
-use super::call::Kind;
+use super::metadata::RequestKind;
 use crate::clock::Millis;
 use crate::name::Name;
 
@@ -34,7 +34,7 @@
     /// The path prefix that it matches, with a slash at both ends.
     pub prefix: Name,
     /// The kind of its requests, which determines whether they may be retried.
-    pub kind: Kind,
+    pub kind: RequestKind,
     /// Maximum time that a caller waits.
     pub timeout: Option<Millis>,
     /// The time within which a response should arrive.
--- a/lib/src/direct/entry/answer.rs
+++ b/lib/src/direct/entry/handle.rs
@@ -9,14 +9,14 @@
 
 use super::accept::{accept, choose};
 use super::response::{refusal, response_head, whole_response};
-use super::{Body, Gate};
+use super::{Body, Frontend};
 use crate::clock::Millis;
-use crate::direct::attempt::{Answer, Message};
-use crate::direct::record::{self, End};
-use crate::direct::relay::{self, Cut};
+use crate::direct::attempt::{RequestMessage, UpstreamResponse};
+use crate::direct::relay::{self, ResponseAborted};
 use crate::direct::request::ActiveRequest;
+use crate::direct::request_log::{self, RequestOutcome};
 use crate::error::{Code, Failure};
-use crate::poison::ledger::Sign;
+use crate::poison::ledger::Suspicion;
 use crate::ports::http::remove_hop_by_hop;
 
 /// How long a caller's wait is assumed to be if nothing bounds it.
@@ -27,7 +27,7 @@
 
 /// Counts a request in progress until it is dropped.
 #[derive(Debug)]
-struct Active(Arc<Gate>);
+struct Active(Arc<Frontend>);
 
 impl Drop for Active {
     fn drop(&mut self) {
@@ -38,28 +38,28 @@
 /// An answer as it begins.
 enum Begun {
     /// Its head has come, and the rest is passed on as it comes.
-    Stream(Box<Answer>),
+    Stream(Box<UpstreamResponse>),
     /// All of it is there.
     Whole(Response<Body>),
 }
 
-impl Gate {
+impl Frontend {
     /// Answers a caller's request.
     ///
     /// # Errors
     ///
-    /// Never before the head; the body can end in a [`Cut`].
-    pub async fn answer(
+    /// Never before the head; the body can end in a [`ResponseAborted`].
+    pub async fn handle(
         self: Arc<Self>,
         request: Request<Incoming>,
-    ) -> Result<Response<Body>, Cut> {
+    ) -> Result<Response<Body>, ResponseAborted> {
         self.active.fetch_add(1, Ordering::Relaxed);
         let active = Active(Arc::clone(&self));
         let mut response = match self.serve(request).await {
             Ok(response) => response,
             Err(failure) => refusal(&failure),
         };
-        if self.stop.is_begun() {
+        if self.drain.is_draining() {
             response
                 .headers_mut()
                 .insert(header::CONNECTION, HeaderValue::from_static("close"));
@@ -83,20 +83,20 @@
         let config = self.view.config().ok_or_else(|| {
             let failure = Failure::new(Code::NotReady, "no configuration is known yet")
                 .retry_after(UNREADY_PAUSE);
-            record::turned_away("", &failure);
+            request_log::turned_away("", &failure);
             self.count_end(failure.code.number());
             failure
         })?;
-        let call = self.dialect.call(&head);
+        let metadata = self.dialect.request_metadata(&head);
         let (route, body) = match accept(&config, &head, body).await {
             Ok(accepted) => accepted,
             Err(failure) => {
-                record::turned_away(call.id.as_deref().unwrap_or_default(), &failure);
+                request_log::turned_away(metadata.id.as_deref().unwrap_or_default(), &failure);
                 self.count_end(failure.code.number());
                 return Err(failure);
             }
         };
-        let wait = call.deadline.unwrap_or(USUAL_WAIT);
+        let wait = metadata.deadline.unwrap_or(USUAL_WAIT);
         let until = began + wait.min(route.timeout.unwrap_or(Millis::MAX));
         let pool = choose(route).ok_or_else(|| {
             Failure::new(Code::NoUpstream, "the route leads nowhere").retry_after(Millis(1_000))
@@ -104,17 +104,17 @@
         self.budget
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
-            .request(&pool, began);
+            .record_request(&pool, began);
         let mut headers = head.headers;
         remove_hop_by_hop(&mut headers);
         headers.remove(header::CONTENT_LENGTH);
         headers.remove(header::EXPECT);
-        let message = Message {
+        let message = RequestMessage {
             method: head.method,
             uri: head.uri,
             headers,
             body,
-            call,
+            metadata,
             kind: route.kind,
             fingerprint: OnceLock::new(),
         };
@@ -134,20 +134,20 @@
         let begun = tokio::select! {
             biased;
             begun = self.begin(&mut request) => begun,
-            () = self.stop.over() => Err(self.cut_short(&request)),
+            () = self.drain.aborted() => Err(self.cut_short(&request)),
         };
         match begun {
             Ok(Begun::Whole(response)) => {
-                request.end(&End::Answered(response.status().as_u16()));
+                request.end(&RequestOutcome::Answered(response.status().as_u16()));
                 Ok(response)
             }
             Ok(Begun::Stream(answer)) => {
                 let head = response_head(&answer);
-                let body = StreamBody::new(relay::body(request, *answer));
+                let body = StreamBody::new(relay::stream_body(request, *answer));
                 Ok(Response::from_parts(head, body.boxed_unsync()))
             }
             Err(failure) => {
-                request.end(&End::Failed(&failure));
+                request.end(&RequestOutcome::Failed(&failure));
                 Err(failure)
             }
         }
@@ -156,7 +156,7 @@
     /// Has a request answered, as far as that goes before its caller gets a byte.
     async fn begin(&self, request: &mut ActiveRequest) -> Result<Begun, Failure> {
         let answer = request.answer(None).await?;
-        if request.message.kind.streamed() && answer.head.status.is_success() {
+        if request.message.kind.is_streaming() && answer.head.status.is_success() {
             return Ok(Begun::Stream(Box::new(answer)));
         }
         self.whole(request, answer).await.map(Begun::Whole)
@@ -164,10 +164,10 @@
 
     /// Returns what the caller gets whose request outlasts the node.
     fn cut_short(&self, request: &ActiveRequest) -> Failure {
-        if request.sends() == 0 {
+        if request.possible_runs() == 0 {
             return Failure::new(Code::Draining, "the node stops");
         }
-        self.stop.note_cut();
+        self.drain.count_aborted();
         Failure::new(Code::ExpiredRunning, "no answer before the node stops")
     }
 
@@ -175,12 +175,12 @@
     async fn whole(
         &self,
         request: &mut ActiveRequest,
-        mut answer: Answer,
+        mut answer: UpstreamResponse,
     ) -> Result<Response<Body>, Failure> {
         loop {
             let head = response_head(&answer);
             let upstream = Arc::clone(&answer.upstream);
-            let left = request.until.since(request.now());
+            let left = request.deadline.since(request.now());
             let told = match tokio::time::timeout(left.duration(), answer.whole()).await {
                 Ok(Ok((_, body))) => {
                     request.survived();
@@ -190,7 +190,7 @@
                 Err(_) => return Err(Failure::new(Code::ExpiredRunning, "the time is up")),
             };
             request.blame(&upstream);
-            request.broke(&upstream, Sign::Begun);
+            request.broke(&upstream, Suspicion::Begun);
             if !request.may_go_on() {
                 return Err(Failure::new(Code::AnswerCut, told));
             }
--- a/lib/src/direct/follow/entries.rs
+++ b/lib/src/direct/follow/entries.rs
@@ -23,7 +23,7 @@
         if self.holds_upstreams(prefix) {
             self.remove_unlisted_upstreams(&mut state, &present);
         }
-        if self.dialect.own("").starts_with(prefix) {
+        if self.dialect.own_key("").starts_with(prefix) {
             self.remove_unlisted_own(&mut state, &present, now);
         }
         for entry in entries {
@@ -39,7 +39,7 @@
     fn remove_unlisted_upstreams(&self, state: &mut State, present: &HashSet<String>) {
         let listed: HashSet<Name> = present
             .iter()
-            .filter_map(|key| match self.dialect.key(key) {
+            .filter_map(|key| match self.dialect.parse_key(key) {
                 Key::Upstream(incarnation) => Some(incarnation),
                 _ => None,
             })
@@ -56,14 +56,14 @@
     }
 
     fn remove_unlisted_own(&self, state: &mut State, present: &HashSet<String>, now: Millis) {
-        state
-            .nodes
-            .retain(|name, _| present.contains(&self.dialect.own(&format!("{NODE_PREFIX}{name}"))));
+        state.nodes.retain(|name, _| {
+            present.contains(&self.dialect.own_key(&format!("{NODE_PREFIX}{name}")))
+        });
         state.retain_claims(now, |address| {
-            present.contains(&self.dialect.own(&format!("{CLAIM_PREFIX}{address}")))
+            present.contains(&self.dialect.own_key(&format!("{CLAIM_PREFIX}{address}")))
         });
-        let is_present = |name: &str| present.contains(&self.dialect.own(name));
-        state.ledger.keep(is_present);
+        let is_present = |name: &str| present.contains(&self.dialect.own_key(name));
+        state.ledger.retain_reports(is_present);
     }
 
     /// Applies changes, after which the view is as of a time.
@@ -86,8 +86,8 @@
     }
 
     fn apply_entry(&self, state: &mut State, entry: &Entry, now: Millis) {
-        let result = match self.dialect.key(&entry.key) {
-            Key::Config => self.dialect.config(&entry.value).map(|config| {
+        let result = match self.dialect.parse_key(&entry.key) {
+            Key::Config => self.dialect.decode_config(&entry.value).map(|config| {
                 let version = config.version;
                 if state.apply_config(config) {
                     log::info!("follow: configuration {version} is in force");
@@ -95,12 +95,15 @@
             }),
             Key::Upstream(incarnation) => self
                 .dialect
-                .upstream(&incarnation, &entry.value)
+                .decode_upstream(&incarnation, &entry.value)
                 .map(|listed| state.put_upstream(&listed, entry_revision(entry), now)),
-            Key::Version => self.dialect.version(&entry.value).map(|(name, version)| {
-                let since = self.confirmed_at;
-                self.declare_version(state, name, Declaration { version, since });
-            }),
+            Key::Version => self
+                .dialect
+                .decode_version(&entry.value)
+                .map(|(name, version)| {
+                    let since = self.confirmed_at;
+                    self.declare_version(state, name, Declaration { version, since });
+                }),
             Key::Own(name) => {
                 if let Some(reason) = apply_own_entry(state, &name, entry, now) {
                     self.count_rejected(reason);
@@ -119,7 +122,7 @@
     }
 
     fn remove(&self, state: &mut State, event: &Event, now: Millis) {
-        match self.dialect.key(&event.key) {
+        match self.dialect.parse_key(&event.key) {
             Key::Upstream(incarnation) => {
                 // A page of the list may have contained an entry written after this removal.
                 let known = state.upstreams.get(&incarnation);
@@ -143,7 +146,7 @@
 
     /// Applies an operator's declaration of an adapter's version.
     fn declare_version(&self, state: &mut State, adapter: Name, declaration: Declaration) {
-        let limit = self.limits.get().version;
+        let limit = self.limits.get().version_rollout;
         let described = format!("version {} of {adapter}", declaration.version);
         let declarations = state.versions.entry(adapter).or_default();
         if declarations.declare(declaration, limit) {
--- a/lib/src/direct/follow/mod.rs
+++ b/lib/src/direct/follow/mod.rs
@@ -10,16 +10,16 @@
 
 use std::sync::Arc;
 
+use crate::clock::{Clock, Millis};
+use crate::ports::{Error, Store};
+use crate::ports::poll::{Changes, Poll, self};
 use super::dialect::{Dialect, Key};
 use super::fanout::{Hub, Received, Source, Update};
-use super::limits::{Current, POLL_WAIT, STORE_PAUSE};
+use super::hedging::{HedgedResult, self};
+use super::limits::{POLL_TIMEOUT, STORE_RETRY_PAUSE, SharedLimits};
 use super::outage::{GracePeriod, OutageDetector};
-use super::reachable::{self, Reached};
 use super::validate::{RejectReason, validate};
 use super::view::View;
-use crate::clock::{Clock, Millis};
-use crate::ports::poll::{self, Changes, Poll};
-use crate::ports::{Error, Store};
 
 /// Prefix of the key of a node's record, followed by the node's name.
 pub const NODE_PREFIX: &str = "node/";
@@ -38,7 +38,7 @@
     dialect: Arc<dyn Dialect>,
     clock: Arc<dyn Clock>,
     view: Arc<View>,
-    limits: Arc<Current>,
+    limits: Arc<SharedLimits>,
     outage: OutageDetector,
     /// The grace period for missing upstreams after the last outage.
     grace: Option<GracePeriod>,
@@ -59,7 +59,7 @@
         dialect: Arc<dyn Dialect>,
         clock: Arc<dyn Clock>,
         view: Arc<View>,
-        limits: Arc<Current>,
+        limits: Arc<SharedLimits>,
     ) -> Self {
         let outage = OutageDetector::new(clock.now());
         Self {
@@ -95,7 +95,7 @@
                 Err(error) => {
                     log::warn!("follow: can't read all entries: {error}");
                     self.outage.record_failure(sent_at, self.clock.now());
-                    tokio::time::sleep(STORE_PAUSE.duration()).await;
+                    tokio::time::sleep(STORE_RETRY_PAUSE.duration()).await;
                 }
             }
         }
@@ -116,7 +116,7 @@
                     if more {
                         Millis::ZERO
                     } else {
-                        self.cap_to_grace(self.limits.get().poll_pause())
+                        self.cap_to_grace(self.limits.get().poll_interval())
                     }
                 }
                 Err(poll::Error::Compacted) => {
@@ -131,7 +131,7 @@
                     if let Some(hub) = &self.hub {
                         hub.mark_disconnected();
                     }
-                    STORE_PAUSE
+                    STORE_RETRY_PAUSE
                 }
             };
             tokio::time::sleep(pause.duration()).await;
@@ -146,19 +146,19 @@
         &mut self,
         revision: u64,
         poll_wait: Millis,
-    ) -> Reached<Result<Changes, poll::Error>> {
+    ) -> HedgedResult<Result<Changes, poll::Error>> {
         let call = || self.poll.changes("", revision, poll_wait);
         if !self.outage.is_failing() {
             let asked = self.clock.now();
-            return Reached {
+            return HedgedResult {
                 result: call().await,
                 asked,
-                in_vain: None,
+                last_unanswered: None,
             };
         }
         let is_answer = |result: &Result<_, _>| !matches!(result, Err(poll::Error::Failed(_)));
-        let reached = reachable::ask(&*self.clock, call, is_answer).await;
-        if let Some(in_vain) = reached.in_vain {
+        let reached = hedging::hedged(&*self.clock, call, is_answer).await;
+        if let Some(in_vain) = reached.last_unanswered {
             self.outage.record_failure(in_vain, self.clock.now());
         }
         reached
@@ -208,9 +208,9 @@
             .as_ref()
             .is_some_and(|source| source.may_have_subscribers());
         let poll_wait = if may_have_subscribers {
-            self.limits.get().leader_wait()
+            self.limits.get().leader_poll_timeout()
         } else {
-            POLL_WAIT
+            POLL_TIMEOUT
         };
         self.cap_to_grace(poll_wait).max(OUTAGE_POLL_WAIT)
     }
@@ -225,7 +225,7 @@
         };
         loop {
             let too_old_at =
-                self.confirmed_at.unwrap_or_default() + self.limits.get().oldest_update();
+                self.confirmed_at.unwrap_or_default() + self.limits.get().max_update_age();
             let left = too_old_at.since(self.clock.now());
             if left == Millis::ZERO {
                 self.count_update("nobody");
@@ -295,10 +295,15 @@
     /// each. When they were applied only after all had arrived, a node's own claims from before
     /// its restart expired meanwhile.
     async fn read_all(&mut self) -> Result<u64, Error> {
-        reachable::wait(&*self.clock, &*self.store, &self.dialect.own(NODE_PREFIX)).await?;
+        hedging::wait_until_available(
+            &*self.clock,
+            &*self.store,
+            &self.dialect.own_key(NODE_PREFIX),
+        )
+        .await?;
         let began = self.clock.now();
         let mut revision = u64::MAX;
-        for prefix in self.dialect.prefixes() {
+        for prefix in self.dialect.key_prefixes() {
             let listing = self.store.list(prefix).await?;
             revision = revision.min(listing.revision);
             if self.holds_upstreams(prefix) {
@@ -316,6 +321,9 @@
 
     /// Whether a prefix contains upstreams' entries.
     fn holds_upstreams(&self, prefix: &str) -> bool {
-        matches!(self.dialect.key(&format!("{prefix}any")), Key::Upstream(_))
+        matches!(
+            self.dialect.parse_key(&format!("{prefix}any")),
+            Key::Upstream(_)
+        )
     }
 }
--- a/lib/src/direct/mod.rs
+++ b/lib/src/direct/mod.rs
@@ -8,44 +8,44 @@
 //!
 //! The platform's names and formats stand behind [`dialect::Dialect`].
 
-pub mod admission;
+mod acquire;
+pub mod admission_policy;
 pub mod admit;
-pub mod ask;
 pub mod attempt;
 pub mod budget;
-pub mod call;
-pub mod choice;
 pub mod claim;
 pub mod config;
+pub mod control_call;
+pub mod controllers;
 pub mod dialect;
+pub mod drain;
 pub mod entry;
+pub mod event_sequence;
 pub mod fanout;
 pub mod follow;
 pub mod handover;
-pub mod lift;
+mod hedging;
 pub mod limits;
+pub mod metadata;
 pub mod node;
+pub mod occupancy;
 pub mod orders;
 pub mod outage;
 pub mod outbox;
-pub mod pick;
-mod place;
+pub mod ownership;
+pub mod peer_server;
 pub mod presence;
 pub mod quarantine;
-pub mod question;
-mod reachable;
-pub mod record;
+pub mod quarantine_admin;
 pub mod relay;
 pub mod reload;
 pub mod request;
+pub mod request_log;
 mod resume;
-pub mod right;
 pub mod roles;
+pub mod selection;
 pub mod sends;
-pub mod sequence;
-pub mod serve;
 pub mod sse;
-pub mod stop;
 pub mod target;
 
 pub mod upstream;
--- a/lib/src/direct/outage.rs
+++ b/lib/src/direct/outage.rs
@@ -7,7 +7,7 @@
 //! within which this node has to know what changed. See docs/design/0014-presence-of-upstreams.md.
 
 use crate::clock::Millis;
-use crate::direct::limits::{Limits, POLL_WAIT};
+use crate::direct::limits::{Limits, POLL_TIMEOUT};
 
 /// How long calls have to fail, or responses to be overdue, to count as an outage.
 const OUTAGE_THRESHOLD: Millis = Millis(1_000);
@@ -88,7 +88,7 @@
         self.last_answer = self.last_answer.max(now);
         // A poll sent before the outage can be answered in the middle of it.
         let failing = failures.map_or(Millis::ZERO, |failures| now.since(failures.first_sent));
-        let is_outage = silence > POLL_WAIT + OUTAGE_THRESHOLD
+        let is_outage = silence > POLL_TIMEOUT + OUTAGE_THRESHOLD
             || failing > OUTAGE_THRESHOLD
             || (in_grace_period && failures.is_some());
         is_outage.then_some(Recovery {
@@ -146,6 +146,6 @@
             return false;
         };
         let existed_before = (1..=self.known_revision).contains(&created);
-        existed_before && as_of >= to && to.since(from) >= limits.lapse
+        existed_before && as_of >= to && to.since(from) >= limits.entry_expiry
     }
 }
--- a/lib/src/direct/quarantine.rs
+++ b/lib/src/direct/quarantine.rs
@@ -21,18 +21,18 @@
 use crate::metrics::Metrics;
 use crate::name::Name;
 use crate::poison::fingerprint::Fingerprint;
-use crate::poison::ledger::{LAPSE, Report, Sign, Suspect};
-use crate::poison::survivors::Survivors;
+use crate::poison::harmless::HarmlessRequests;
+use crate::poison::ledger::{CrashReport, REPORT_TTL, Suspect, Suspicion};
 use crate::ports::link::Listening;
 
 /// Prefix of reports of upstreams that ended; the upstream's start and the node stand behind it.
-pub const ENDS: &str = "end/";
+pub const CRASH_REPORT_PREFIX: &str = "end/";
 
 /// Prefix of open cases, which nodes tell each other; start and node stand behind it.
-pub const BROKE: &str = "broke/";
+pub const UNCONFIRMED_CRASH_PREFIX: &str = "broke/";
 
 /// Prefix of requests that survived, with the fingerprint behind it.
-pub const SURVIVED: &str = "survived/";
+pub const HARMLESS_PREFIX: &str = "survived/";
 
 /// Time in which all connections to an upstream that ended are seen to break.
 ///
@@ -64,7 +64,7 @@
 ///
 /// Engines that end under a request do so within some steps of its first token, and an event can
 /// hold just one token.
-pub const SETTLED: Millis = Millis(300);
+pub const HARMLESS_AFTER: Millis = Millis(300);
 
 /// What is known of requests that end upstreams.
 #[derive(Debug)]
@@ -74,7 +74,7 @@
     metrics: Arc<Metrics>,
     node: Name,
     outbox: Arc<Outbox>,
-    survivors: Mutex<Survivors>,
+    harmless: Mutex<HarmlessRequests>,
     /// This node's requests at upstreams that may have ended, by the upstream's start.
     examined: Mutex<HashMap<Name, Vec<Suspect>>>,
     /// Wakes whoever waits for the end of an examination.
@@ -97,7 +97,7 @@
             metrics,
             node,
             outbox,
-            survivors: Mutex::default(),
+            harmless: Mutex::default(),
             examined: Mutex::default(),
             concluded: Notify::new(),
         }
@@ -107,7 +107,7 @@
     #[must_use]
     pub fn is_empty(&self) -> bool {
         let state = self.view.state();
-        state.ledger.is_empty() && state.open.is_empty()
+        state.ledger.is_empty() && state.unconfirmed_crashes.is_empty()
     }
 
     /// Whether a request may stay where it was sent.
@@ -117,20 +117,20 @@
     /// [`Code::Quarantined`] when upstreams ended under it.
     pub fn check(&self, request: &Fingerprint) -> Result<(), Failure> {
         let now = self.clock.now();
-        let ends = self.view.state().ledger.blames(request, now);
+        let ends = self.view.state().ledger.blamed_crashes(request, now);
         let Some(ends) = ends else {
             return Ok(());
         };
-        if self.survivors().contains(request, now) {
+        if self.harmless().contains(request, now) {
             self.clear(request);
             return Ok(());
         }
         let detail = format!("{ends} upstreams ended as they began to run this request");
-        Err(Failure::new(Code::Quarantined, detail).retry_after(LAPSE))
+        Err(Failure::new(Code::Quarantined, detail).retry_after(REPORT_TTL))
     }
 
     /// Waits until it is known whether a request that others report ended one more upstream.
-    pub async fn examined(&self, request: &Fingerprint) {
+    pub async fn wait_for_crash_check(&self, request: &Fingerprint) {
         let waiting = async {
             loop {
                 let concluded = self.concluded.notified();
@@ -149,14 +149,19 @@
     ///
     /// A broken connection alone says little: it can be cut, or the answer lost. What counts is
     /// the end of the upstream, which is looked for without keeping the request waiting.
-    pub fn broke(self: &Arc<Self>, upstream: &Arc<Upstream>, request: Fingerprint, sign: Sign) {
+    pub fn record_broken_connection(
+        self: &Arc<Self>,
+        upstream: &Arc<Upstream>,
+        request: Fingerprint,
+        suspicion: Suspicion,
+    ) {
         // One that leaves in order ends with whatever still runs there.
-        if !upstream.is_ready() || self.survivors().contains(&request, self.clock.now()) {
+        if !upstream.is_ready() || self.harmless().contains(&request, self.clock.now()) {
             return;
         }
-        let suspect = Suspect { request, sign };
-        let start = upstream.start();
-        if sign == Sign::Begun {
+        let suspect = Suspect { request, suspicion };
+        let start = upstream.start_id();
+        if suspicion == Suspicion::Begun {
             self.open_case(&start, suspect.clone());
         }
         let is_first = {
@@ -178,7 +183,7 @@
     /// Waits until nothing is examined any more and all reports are written.
     ///
     /// A node that ends before takes what it saw of an upstream's end with it.
-    pub async fn reported(&self) {
+    pub async fn flush_reports(&self) {
         loop {
             let concluded = self.concluded.notified();
             let mut concluded = std::pin::pin!(concluded);
@@ -188,12 +193,12 @@
             }
             concluded.await;
         }
-        self.outbox.written().await;
+        self.outbox.flush().await;
     }
 
     /// Takes in that an upstream ran a request without harm.
-    pub fn survived(&self, request: &Fingerprint) {
-        self.survivors().remember(request.clone(), self.clock.now());
+    pub fn record_harmless_run(&self, request: &Fingerprint) {
+        self.harmless().insert(request.clone(), self.clock.now());
         // One more end alone blames nobody, and each record is a write.
         if self.ends(request) >= CLEARED_FROM {
             self.clear(request);
@@ -204,11 +209,11 @@
     async fn examine(self: &Arc<Self>, upstream: &Arc<Upstream>) {
         tokio::time::sleep(GATHER.duration()).await;
         let has_ended = self.has_ended(upstream).await;
-        let suspects = self.examining().remove(&upstream.start());
+        let suspects = self.examining().remove(&upstream.start_id());
         if let (true, Some(suspects)) = (has_ended, suspects) {
             self.report(upstream, &self.node, suspects);
         }
-        self.close_case(&upstream.start(), &self.node);
+        self.close_case(&upstream.start_id(), &self.node);
         self.concluded.notify_waiters();
     }
 
@@ -221,7 +226,7 @@
         if upstream.link.probe().await == Listening::Refused {
             return true;
         }
-        self.tell_case(&upstream.start());
+        self.tell_case(&upstream.start_id());
         self.list_shows_end(upstream).await
     }
 
@@ -236,38 +241,39 @@
                 continue;
             }
             // What answers so much later had not ended, and what ends it then is something else.
-            let is_alive = upstream.served() != *served.get_or_insert_with(|| upstream.served());
-            if is_alive || now.since(began) >= LAPSE {
+            let is_alive =
+                upstream.successes() != *served.get_or_insert_with(|| upstream.successes());
+            if is_alive || now.since(began) >= REPORT_TTL {
                 return false;
             }
         }
-        upstream.was_lost()
+        upstream.left_unannounced()
     }
 
     /// Reports requests of a node at an upstream that ended, whoever saw that.
     fn report(&self, upstream: &Upstream, node: &str, suspects: Vec<Suspect>) {
         self.metrics.upstream_ends.inc();
-        for Suspect { request, sign } in &suspects {
+        for Suspect { request, suspicion } in &suspects {
             log::info!(
                 suspect = request.as_str(),
                 upstream = &*upstream.incarnation,
-                sign = sign.name();
+                sign = suspicion.name();
                 "quarantine: an upstream ended"
             );
         }
-        let start = upstream.start();
-        let name = Name::from(format!("{ENDS}{start}/{node}"));
+        let start = upstream.start_id();
+        let name = Name::from(format!("{CRASH_REPORT_PREFIX}{start}/{node}"));
         let now = self.clock.now();
         let mut state = self.view.state();
         let ledger = &mut state.ledger;
         // Some connections are seen to break only after others were reported. In the place of the
         // first report, a second one would clear whom that one names.
-        let known: Vec<Suspect> = ledger.reported(&name).cloned().collect();
-        let report = Report::new(start, known.into_iter().chain(suspects));
-        self.outbox.put(&name, &report);
-        ledger.report(name, report.clone(), None, now);
+        let known: Vec<Suspect> = ledger.suspects_in(&name).cloned().collect();
+        let report = CrashReport::new(start, known.into_iter().chain(suspects));
+        self.outbox.enqueue(&name, &report);
+        ledger.add_report(name, report.clone(), None, now);
         for Suspect { request, .. } in &report.suspects {
-            if let Some(ends) = ledger.blames(request, now) {
+            if let Some(ends) = ledger.blamed_crashes(request, now) {
                 log::warn!(suspect = request.as_str(), ends = ends; "quarantine: no longer sent");
             }
         }
@@ -278,12 +284,13 @@
     fn clear(&self, request: &Fingerprint) {
         log::info!(suspect = request.as_str(); "quarantine: survived");
         self.view.state().ledger.clear(request, None);
-        self.outbox.put(&format!("{SURVIVED}{request}"), request);
+        self.outbox
+            .enqueue(&format!("{HARMLESS_PREFIX}{request}"), request);
     }
 
     fn ends(&self, request: &Fingerprint) -> usize {
         let now = self.clock.now();
-        self.view.state().ledger.ends(request, now)
+        self.view.state().ledger.crash_count(request, now)
     }
 
     fn is_examined(&self, request: &Fingerprint) -> bool {
@@ -296,9 +303,7 @@
         self.examined.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn survivors(&self) -> MutexGuard<'_, Survivors> {
-        self.survivors
-            .lock()
-            .unwrap_or_else(PoisonError::into_inner)
+    fn harmless(&self) -> MutexGuard<'_, HarmlessRequests> {
+        self.harmless.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/lib/src/direct/quarantine/cases.rs
+++ b/lib/src/direct/quarantine/cases.rs
@@ -9,13 +9,13 @@
 
 use xxhash_rust::xxh3::xxh3_64;
 
-use super::{BROKE, ENDS, Quarantine, WATCHED};
+use super::{CRASH_REPORT_PREFIX, Quarantine, UNCONFIRMED_CRASH_PREFIX, WATCHED};
 use crate::clock::Millis;
 use crate::direct::upstream::Upstream;
 use crate::error::{Code, Failure};
 use crate::name::Name;
 use crate::poison::fingerprint::Fingerprint;
-use crate::poison::ledger::{Report, Suspect};
+use crate::poison::ledger::{CrashReport, Suspect};
 
 /// Time that a node has to report an end that others hear of from it, until the first of them does.
 const REPORTED: Millis = Millis(1_000);
@@ -35,7 +35,7 @@
         self.check(request)?;
         let now = self.clock.now();
         let state = self.view.state();
-        let open = state.open.around(request, now);
+        let open = state.unconfirmed_crashes.involving(request, now);
         if open.is_empty() || !state.ledger.would_blame(request, &open) {
             return Ok(());
         }
@@ -49,7 +49,7 @@
             let changed = self.view.changed.notified();
             let mut changed = std::pin::pin!(changed);
             changed.as_mut().enable();
-            let told = self.view.state().open.take_told();
+            let told = self.view.state().unconfirmed_crashes.take_from_peers();
             for (name, report) in told {
                 let quarantine = Arc::clone(&self);
                 tokio::spawn(async move { quarantine.examine_told(&name, report).await });
@@ -60,27 +60,33 @@
 
     pub(super) fn open_case(&self, start: &Name, suspect: Suspect) {
         let now = self.clock.now();
-        let report = Report::new(Name::clone(start), [suspect]);
+        let report = CrashReport::new(Name::clone(start), [suspect]);
         let name = case(start, &self.node);
-        self.view.state().open.add(&name, &report, now);
+        self.view
+            .state()
+            .unconfirmed_crashes
+            .add(&name, &report, now);
     }
 
     pub(super) fn close_case(&self, start: &Name, node: &str) {
-        self.view.state().open.close(&case(start, node));
+        self.view
+            .state()
+            .unconfirmed_crashes
+            .remove(&case(start, node));
     }
 
     /// Tells other nodes of a case that nothing but the list can decide.
     pub(super) fn tell_case(self: &Arc<Self>, start: &Name) {
         let name = case(start, &self.node);
-        let Some(report) = self.view.state().open.report(&name) else {
+        let Some(report) = self.view.state().unconfirmed_crashes.get(&name) else {
             return;
         };
         let outbox = Arc::clone(&self.outbox);
-        tokio::spawn(async move { outbox.tell(&name, &report).await });
+        tokio::spawn(async move { outbox.broadcast(&name, &report).await });
     }
 
     /// Looks into another node's case, and reports the end if that node doesn't.
-    async fn examine_told(&self, name: &Name, report: Report) {
+    async fn examine_told(&self, name: &Name, report: CrashReport) {
         let node = name.rsplit('/').next().unwrap_or_default();
         if let Some(upstream) = self.upstream_of(&report.upstream)
             && self.list_shows_end(&upstream).await
@@ -94,18 +100,18 @@
                 self.report(&upstream, node, report.suspects);
             }
         }
-        self.view.state().open.close(name);
+        self.view.state().unconfirmed_crashes.remove(name);
     }
 
     fn upstream_of(&self, start: &str) -> Option<Arc<Upstream>> {
         let state = self.view.state();
         let mut upstreams = state.upstreams.values();
-        upstreams.find(|one| *one.start() == *start).cloned()
+        upstreams.find(|one| *one.start_id() == *start).cloned()
     }
 
     fn is_reported(&self, start: &str, node: &str) -> bool {
-        let name = format!("{ENDS}{start}/{node}");
-        self.view.state().ledger.reported(&name).next().is_some()
+        let name = format!("{CRASH_REPORT_PREFIX}{start}/{node}");
+        self.view.state().ledger.suspects_in(&name).next().is_some()
     }
 
     /// Returns when this node reports in the place of another one.
@@ -119,5 +125,5 @@
 }
 
 fn case(start: &str, node: &str) -> Name {
-    format!("{BROKE}{start}/{node}").into()
+    format!("{UNCONFIRMED_CRASH_PREFIX}{start}/{node}").into()
 }
--- a/lib/src/direct/reload.rs
+++ b/lib/src/direct/reload.rs
@@ -8,7 +8,7 @@
 
 use std::sync::{Arc, Mutex, PoisonError};
 
-use super::limits::Current;
+use super::limits::SharedLimits;
 use super::node::Settings;
 
 /// The result of applying freshly loaded settings.
@@ -27,7 +27,7 @@
 /// Applies changed settings to a running node.
 #[derive(Debug)]
 pub struct Reload {
-    limits: Arc<Current>,
+    limits: Arc<SharedLimits>,
     startup_settings: Settings,
     last_loaded: Mutex<Result<Settings, String>>,
 }
@@ -35,7 +35,7 @@
 impl Reload {
     /// Creates a reloader from the settings that the node was started with.
     #[must_use]
-    pub fn new(startup_settings: Settings, limits: Arc<Current>) -> Self {
+    pub fn new(startup_settings: Settings, limits: Arc<SharedLimits>) -> Self {
         Self {
             limits,
             last_loaded: Mutex::new(Ok(startup_settings.clone())),
--- a/lib/src/direct/view.rs
+++ b/lib/src/direct/view.rs
@@ -12,16 +12,16 @@
 use tokio::sync::Notify;
 
 use super::config::Config;
-use super::dialect::{Dialect, Key, Listed};
+use super::dialect::{Dialect, Key, UpstreamEntry};
 use super::presence::EntryRevision;
-use super::quarantine::{BROKE, ENDS, SURVIVED};
+use super::quarantine::{CRASH_REPORT_PREFIX, HARMLESS_PREFIX, UNCONFIRMED_CRASH_PREFIX};
 use super::upstream::Upstream;
 use super::versions::{Declaration, Declarations};
 use crate::clock::Millis;
 use crate::name::Name;
 use crate::poison::fingerprint::Fingerprint;
-use crate::poison::ledger::{Ledger, Report};
-use crate::poison::open::Open;
+use crate::poison::ledger::{CrashLedger, CrashReport};
+use crate::poison::unconfirmed::UnconfirmedCrashes;
 use crate::ports::Entry;
 
 /// A node's record in the key-value service.
@@ -93,9 +93,9 @@
     /// The maximum number of nodes seen at once.
     pub max_nodes_seen: usize,
     /// Crash reports, by which requests are blamed for crashes of upstreams.
-    pub ledger: Ledger,
+    pub ledger: CrashLedger,
     /// Requests on broken connections to upstreams that aren't known yet to have crashed.
-    pub open: Open,
+    pub unconfirmed_crashes: UnconfirmedCrashes,
     /// The number of nodes by which connection limits were last divided.
     share_node_count: usize,
 }
@@ -123,7 +123,7 @@
 
 /// Returns the request that a record clears of blame, if the key is that of such a record.
 fn harmless_request(name: &str) -> Option<Fingerprint> {
-    Fingerprint::read(name.strip_prefix(SURVIVED)?)
+    Fingerprint::read(name.strip_prefix(HARMLESS_PREFIX)?)
 }
 
 /// Prefix of a claim's key, followed by the engine's address.
@@ -193,8 +193,11 @@
 
     /// Returns the deadline for requests to begin on a version of an adapter; none if unlimited.
     #[must_use]
-    pub fn begin_by(&self, adapter: &str, version: u64, limit: Millis) -> Option<Millis> {
-        self.state().versions.get(adapter)?.begin_by(version, limit)
+    pub fn begin_deadline(&self, adapter: &str, version: u64, limit: Millis) -> Option<Millis> {
+        self.state()
+            .versions
+            .get(adapter)?
+            .begin_deadline(version, limit)
     }
 
     /// Returns the node that gives orders to the engine at an address.
@@ -236,14 +239,14 @@
     ///
     /// An entry of an earlier start than the known one is ignored: it was written late or by
     /// another writer. An entry of a later start replaces the upstream by a new one.
-    pub fn put_upstream(&mut self, listed: &Listed, revision: EntryRevision, now: Millis) {
+    pub fn put_upstream(&mut self, listed: &UpstreamEntry, revision: EntryRevision, now: Millis) {
         let known = self.upstreams.get(&listed.incarnation);
-        if known.is_some_and(|upstream| listed.held.born > upstream.born) {
+        if known.is_some_and(|upstream| listed.held.started_at_ms > upstream.started_at_ms) {
             log::info!("view: {} has restarted", listed.incarnation);
             self.remove_upstream(&listed.incarnation);
         }
         if let Some(upstream) = self.upstreams.get(&listed.incarnation) {
-            if listed.held.born == upstream.born {
+            if listed.held.started_at_ms == upstream.started_at_ms {
                 upstream.update(listed, revision);
             }
         } else {
@@ -281,7 +284,7 @@
     pub fn replace_claims(&mut self, dialect: &dyn Dialect, entries: &[Entry], now: Millis) {
         let mut present = HashSet::new();
         for entry in entries {
-            let Key::Own(name) = dialect.key(&entry.key) else {
+            let Key::Own(name) = dialect.parse_key(&entry.key) else {
                 continue;
             };
             if let Some(address) = claim_address(&name) {
@@ -385,17 +388,18 @@
             self.ledger.clear(&request, revision);
             return PutOutcome::Applied;
         }
-        let is_crash_report = name.starts_with(ENDS);
-        if !is_crash_report && !name.starts_with(BROKE) {
+        let is_crash_report = name.starts_with(CRASH_REPORT_PREFIX);
+        if !is_crash_report && !name.starts_with(UNCONFIRMED_CRASH_PREFIX) {
             return PutOutcome::Unrelated;
         }
-        match serde_json::from_slice::<Report>(value) {
+        match serde_json::from_slice::<CrashReport>(value) {
             Ok(report) if is_crash_report => {
-                self.ledger.report(name.into(), report, revision, now);
+                self.ledger.add_report(name.into(), report, revision, now);
                 PutOutcome::Applied
             }
             Ok(report) => {
-                self.open.tell(name.into(), report, now);
+                self.unconfirmed_crashes
+                    .add_from_peer(name.into(), report, now);
                 PutOutcome::Applied
             }
             Err(error) => {
@@ -408,8 +412,8 @@
     /// Removes a record of the quarantine.
     pub fn remove_quarantine_record(&mut self, name: &str) {
         match harmless_request(name) {
-            Some(request) => self.ledger.forget_cleared(&request),
-            None => self.ledger.forget(name),
+            Some(request) => self.ledger.remove_clearance(&request),
+            None => self.ledger.remove_report(name),
         }
     }
 
--- a/lib/src/poison/survivors.rs
+++ b/lib/src/poison/harmless.rs
@@ -20,15 +20,15 @@
 
 /// Remembers what survived, in two generations, so that memory is bounded whoever sends what.
 #[derive(Debug, Default)]
-pub struct Survivors {
+pub struct HarmlessRequests {
     recent: HashSet<Fingerprint>,
     former: HashSet<Fingerprint>,
     turned: Millis,
 }
 
-impl Survivors {
+impl HarmlessRequests {
     /// Remembers a request that an engine ran without harm.
-    pub fn remember(&mut self, fingerprint: Fingerprint, now: Millis) {
+    pub fn insert(&mut self, fingerprint: Fingerprint, now: Millis) {
         self.turn(now);
         if self.recent.len() >= MOST {
             self.former = std::mem::take(&mut self.recent);
--- a/lib/tests/test_direct_fanout.rs
+++ b/lib/tests/test_direct_fanout.rs
@@ -10,23 +10,20 @@
 use async_trait::async_trait;
 use bytes::Bytes;
 use chivevalve::clock::{Clock, Manual, Millis, Monotonic};
-use chivevalve::direct::ask::Controllers;
+use chivevalve::direct::controllers::Controllers;
 use chivevalve::direct::fanout::{Hub, Received, Source, Subscription, Update};
 use chivevalve::direct::follow::Follower;
-use chivevalve::direct::limits::Current;
-use chivevalve::direct::right::Right;
-use chivevalve::direct::serve::serve;
+use chivevalve::direct::limits::SharedLimits;
+use chivevalve::direct::ownership::Ownership;
+use chivevalve::direct::peer_server::serve;
 use chivevalve::direct::view::View;
 use chivevalve::name::Name;
-use chivevalve::ports::poll::{self, Changes, Poll};
 use chivevalve::ports::{Entry, Error, Event};
+use chivevalve::ports::poll::{Changes, Poll, self};
+use chivevalve::schema::direct::{AdmitReply, AdmitRequest, Change, ExchangeReply, ExchangeRequest, FollowRequest, LoadReply, LoadRequest, SupportReply, SupportRequest, TellReply, TellRequest, Update as ProtoUpdate};
 use chivevalve::schema::direct::orders_client::OrdersClient;
 use chivevalve::schema::direct::orders_server::{Orders, OrdersServer};
-use chivevalve::schema::direct::{
-    AdmitReply, AdmitRequest, Change, ExchangeReply, ExchangeRequest, FollowRequest, LoadReply,
-    LoadRequest, SupportReply, SupportRequest, TellReply, TellRequest, Update as ProtoUpdate,
-};
-use chivevalve_platform::Speech;
+use chivevalve_platform::PlatformDialect;
 use direct_support::SERVER;
 use direct_support::listen::Direct;
 use direct_support::memory::Memory;
@@ -36,8 +33,8 @@
 use tokio::net::TcpListener;
 use tokio::task::JoinHandle;
 use tokio_stream::wrappers::TcpListenerStream;
-use tonic::transport::Server;
 use tonic::{Request, Response, Status, Streaming};
+use tonic::transport::Server;
 
 fn put(revision: u64) -> Event {
     let key = format!("servers/i-{revision}");
@@ -286,10 +283,10 @@
     let follower = Follower::new(
         Arc::<Memory>::clone(memory),
         Arc::<CountingPoll>::clone(&poll),
-        Arc::new(Speech),
+        Arc::new(PlatformDialect),
         clock,
         Arc::clone(&view),
-        Arc::new(Current::default()),
+        Arc::new(SharedLimits::default()),
     )
     .with_fanout(Arc::clone(&hub), Box::new(source));
     Node {
@@ -436,11 +433,11 @@
     view: Arc<View>,
     clock: Arc<dyn Clock>,
 ) -> (Arc<Controllers>, Subscription) {
-    let right = Arc::new(Right::new(Arc::clone(&clock), Arc::clone(&view)));
+    let ownership = Arc::new(Ownership::new(Arc::clone(&clock), Arc::clone(&view)));
     let controllers = Arc::new(Controllers::new(
         view,
-        right,
-        Arc::new(Speech),
+        ownership,
+        Arc::new(PlatformDialect),
         clock,
         node.into(),
         Arc::default(),
--- a/lib/tests/test_direct_follow.rs
+++ b/lib/tests/test_direct_follow.rs
@@ -8,9 +8,9 @@
 use chivevalve::clock::{Clock, Millis, Monotonic};
 use chivevalve::direct::fanout::{Hub, Received, Source, Update};
 use chivevalve::direct::follow::Follower;
-use chivevalve::direct::limits::Current;
+use chivevalve::direct::limits::SharedLimits;
 use chivevalve::direct::view::View;
-use chivevalve_platform::Speech;
+use chivevalve_platform::PlatformDialect;
 use direct_support::SERVER;
 use direct_support::memory::{Memory, State};
 
@@ -32,10 +32,10 @@
     let follower = Follower::new(
         Arc::<Memory>::clone(&memory),
         Arc::<Memory>::clone(&memory),
-        Arc::new(Speech),
+        Arc::new(PlatformDialect),
         clock,
         Arc::clone(&view),
-        Arc::new(Current::default()),
+        Arc::new(SharedLimits::default()),
     );
     tokio::spawn(extend(follower, &memory).run());
     TestNode { memory, view }
@@ -184,10 +184,10 @@
     let second = known();
     assert!(!first.is_ready());
     assert!(second.is_ready());
-    assert_eq!((first.born, second.born), (1_000, 2_000));
+    assert_eq!((first.started_at_ms, second.started_at_ms), (1_000, 2_000));
     put(1_000);
     sleep(Millis(2_000)).await;
-    assert_eq!(known().born, 2_000);
+    assert_eq!(known().started_at_ms, 2_000);
 }
 
 /// Guards against invalid entries of other writers that affect valid ones or add upstreams.
@@ -311,9 +311,9 @@
     node.memory
         .change(|state| state.put("op/version/base.a1", entry, None));
     sleep(Millis(1_000)).await;
-    let limit = Current::default().get().version;
-    let begin_by = node.view.begin_by("base/a1", 1, limit).unwrap();
-    assert!(begin_by <= clock.now(), "{begin_by}");
+    let limit = SharedLimits::default().get().version_rollout;
+    let begin_deadline = node.view.begin_deadline("base/a1", 1, limit).unwrap();
+    assert!(begin_deadline <= clock.now(), "{begin_deadline}");
 }
 
 /// Time after a reconnection within which a node has to know all changes.
--- a/lib/tests/test_direct_presence.rs
+++ b/lib/tests/test_direct_presence.rs
@@ -7,11 +7,11 @@
 
 use chivevalve::clock::{Clock, Millis, Monotonic};
 use chivevalve::direct::follow::Follower;
-use chivevalve::direct::limits::{Current, Limits};
+use chivevalve::direct::limits::{Limits, SharedLimits};
 use chivevalve::direct::outage::OutageDetector;
 use chivevalve::direct::presence::{Presence, Stage};
 use chivevalve::direct::view::View;
-use chivevalve_platform::Speech;
+use chivevalve_platform::PlatformDialect;
 use direct_support::SERVER;
 use direct_support::memory::Memory;
 use direct_support::records::entry_revision;
@@ -285,10 +285,10 @@
         let follower = Follower::new(
             Arc::<Memory>::clone(&memory),
             Arc::<Memory>::clone(&memory),
-            Arc::new(Speech),
+            Arc::new(PlatformDialect),
             Arc::clone(&clock),
             Arc::clone(&view),
-            Arc::new(Current::default()),
+            Arc::new(SharedLimits::default()),
         );
         let actual = (0..UPSTREAMS).map(|upstream| (upstream, ActualState::default()));
         let simulation = Self {
@@ -371,7 +371,7 @@
         self.memory.change(|state| state.away = true);
         self.advance(span).await?;
         let now = self.clock.now();
-        if expires_entries && span >= Limits::default().lapse {
+        if expires_entries && span >= Limits::default().entry_expiry {
             for (upstream, actual) in &mut self.actual {
                 self.memory.change(|state| state.remove(&key(*upstream)));
                 let delay = Millis(self.rand.random_range(0..REREGISTRATION_MS));
--- a/lib/tests/test_direct_reload.rs
+++ b/lib/tests/test_direct_reload.rs
@@ -3,8 +3,8 @@
 use std::sync::Arc;
 
 use chivevalve::clock::Millis;
-use chivevalve::direct::budget::Budget;
-use chivevalve::direct::limits::{Current, Limits, Retries};
+use chivevalve::direct::budget::RetryBudget;
+use chivevalve::direct::limits::{Limits, RetryLimits, SharedLimits};
 use chivevalve::direct::node::Settings;
 use chivevalve::direct::reload::{Reload, ReloadOutcome};
 
@@ -23,8 +23,8 @@
     }
 }
 
-fn reload() -> (Reload, Arc<Current>) {
-    let limits = Arc::new(Current::default());
+fn reload() -> (Reload, Arc<SharedLimits>) {
+    let limits = Arc::new(SharedLimits::default());
     (Reload::new(settings(), Arc::clone(&limits)), limits)
 }
 
@@ -32,19 +32,19 @@
 #[test]
 fn apply_limits_at_once() {
     let (reload, limits) = reload();
-    let mut budget = Budget::new(Arc::clone(&limits));
+    let mut budget = RetryBudget::new(Arc::clone(&limits));
     let pool = "engines".into();
-    assert!(budget.repeat(&pool, Millis(0), 1));
+    assert!(budget.try_retry(&pool, Millis(0), 1));
     let mut changed = settings();
-    changed.limits.turns = Millis(5_000);
-    changed.limits.retries = Retries {
+    changed.limits.order_gap = Millis(5_000);
+    changed.limits.retries = RetryLimits {
         extra: 0,
         ratio: 0.0,
         ..changed.limits.retries
     };
     assert_eq!(reload.apply(Ok(changed.clone())), ReloadOutcome::Applied);
-    assert_eq!(limits.get().turns, Millis(5_000));
-    assert!(!budget.repeat(&pool, Millis(0), 1));
+    assert_eq!(limits.get().order_gap, Millis(5_000));
+    assert!(!budget.try_retry(&pool, Millis(0), 1));
     assert_eq!(reload.apply(Ok(changed)), ReloadOutcome::Unchanged);
 }
 
@@ -53,13 +53,13 @@
 fn apply_invalid_settings_keeps_the_last_valid_ones() {
     let (reload, limits) = reload();
     let mut changed = settings();
-    changed.limits.stop = Millis(4_000);
+    changed.limits.shutdown = Millis(4_000);
     let invalid = || Err("node is missing".to_owned());
     assert_eq!(reload.apply(invalid()), ReloadOutcome::Rejected);
     assert_eq!(reload.apply(invalid()), ReloadOutcome::Unchanged);
     assert_eq!(limits.get(), Limits::default());
     assert_eq!(reload.apply(Ok(changed)), ReloadOutcome::Applied);
-    assert_eq!(limits.get().stop, Millis(4_000));
+    assert_eq!(limits.get().shutdown, Millis(4_000));
 }
 
 #[test]
@@ -67,7 +67,7 @@
     let (reload, limits) = reload();
     let mut changed = settings();
     changed.store = "127.0.0.1:2".parse().unwrap();
-    changed.limits.apply = Millis(1_000);
+    changed.limits.config_apply = Millis(1_000);
     assert_eq!(reload.apply(Ok(changed)), ReloadOutcome::RestartRequired);
-    assert_eq!(limits.get().apply, Millis(1_000));
+    assert_eq!(limits.get().config_apply, Millis(1_000));
 }
--- a/lib/tests/test_entry_quarantine.rs
+++ b/lib/tests/test_entry_quarantine.rs
@@ -9,7 +9,7 @@
 use chivevalve::membership::Fleet;
 use chivevalve::membership::fleet::{State, Upstream};
 use chivevalve::poison::fingerprint::{Fingerprint, Identity};
-use chivevalve::poison::ledger::Sign;
+use chivevalve::poison::ledger::Suspicion;
 use chivevalve::ports::Vm;
 use chivevalve::schema::peer::{Delta, Digest};
 use tokio::sync::watch;
@@ -70,7 +70,7 @@
         tokio::time::sleep(TURN.duration()).await;
     }
 
-    fn lose(&self, request: &Fingerprint, sign: Sign) {
+    fn lose(&self, request: &Fingerprint, sign: Suspicion) {
         let fleet = Arc::clone(&self.fleet.borrow());
         self.quarantine.lost(&fleet, &"e1".into(), request, sign);
     }
@@ -78,7 +78,7 @@
     /// Has an upstream end under requests that this node sent, and come back.
     async fn end_under(&self, requests: &[&Fingerprint]) {
         for request in requests {
-            self.lose(request, Sign::Begun);
+            self.lose(request, Suspicion::Begun);
         }
         self.show(State::Held).await;
         self.show(State::Usable).await;
@@ -138,7 +138,7 @@
     let (owner, entry) = (Node::start("owner"), Node::start("entry"));
     let poison = request("poison");
     for _ in 0..3 {
-        entry.lose(&poison, Sign::Begun);
+        entry.lose(&poison, Suspicion::Begun);
         owner.end_under(&[]).await;
         owner.tell(&entry);
         entry.clock.advance(Millis(10_000));
@@ -181,7 +181,7 @@
     let node = Node::start("n1");
     let proper = request("proper");
     for _ in 0..4 {
-        node.lose(&proper, Sign::Begun);
+        node.lose(&proper, Suspicion::Begun);
         node.clock.advance(Millis(10_000));
         node.end_under(&[]).await;
     }
@@ -200,7 +200,7 @@
     assert!(!other.sends(&proper));
     one.clock.advance(Millis(100));
     other.clock.advance(Millis(100));
-    one.quarantine.survived(&proper);
+    one.quarantine.record_harmless_run(&proper);
     one.tell(&other);
     assert!(one.sends(&proper));
     assert!(other.sends(&proper));
@@ -221,7 +221,7 @@
     for node in [&one, &late] {
         node.clock.advance(Millis::from_secs(70));
     }
-    one.quarantine.survived(&proper);
+    one.quarantine.record_harmless_run(&proper);
     // Long enough for the node to remember the survival by its record alone.
     for node in [&one, &late] {
         node.clock.advance(Millis::from_secs(70));
@@ -235,7 +235,7 @@
 async fn survived_before_reports() {
     let (one, other) = (Node::start("n1"), Node::start("n2"));
     let proper = request("proper");
-    one.quarantine.survived(&proper);
+    one.quarantine.record_harmless_run(&proper);
     for _ in 0..3 {
         other.end_under(&[&proper]).await;
     }
