--- a/lib/src/direct/fanout/subscription.rs
+++ b/lib/src/direct/fanout/subscription.rs
@@ -5,14 +5,14 @@
 use async_trait::async_trait;
 use tonic::{Code, Streaming};
 
+use super::tree::{choose_publisher, ranked_nodes};
+use super::wire::decode;
+use super::{Received, Source};
 use crate::clock::Millis;
 use crate::direct::controllers::Controllers;
 use crate::direct::validate::RejectReason;
 use crate::name::Name;
 use crate::schema::direct::{FollowRequest, Update as ProtoUpdate};
-use super::{Received, Source};
-use super::tree::{choose_publisher, ranked_nodes};
-use super::wire::decode;
 
 /// Maximum time for a subscription to be accepted.
 const SUBSCRIBE_TIMEOUT: Millis = Millis(400);
--- a/lib/src/direct/follow/mod.rs
+++ b/lib/src/direct/follow/mod.rs
@@ -10,16 +10,16 @@
 
 use std::sync::Arc;
 
-use crate::clock::{Clock, Millis};
-use crate::ports::{Error, Store};
-use crate::ports::poll::{Changes, Poll, self};
 use super::dialect::{Dialect, Key};
 use super::fanout::{Hub, Received, Source, Update};
-use super::hedging::{HedgedResult, self};
+use super::hedging::{self, HedgedResult};
 use super::limits::{POLL_TIMEOUT, STORE_RETRY_PAUSE, SharedLimits};
 use super::outage::{GracePeriod, OutageDetector};
 use super::validate::{RejectReason, validate};
 use super::view::View;
+use crate::clock::{Clock, Millis};
+use crate::ports::poll::{self, Changes, Poll};
+use crate::ports::{Error, Store};
 
 /// Prefix of the key of a node's record, followed by the node's name.
 pub const NODE_PREFIX: &str = "node/";
@@ -105,11 +105,11 @@
         loop {
             revision = self.receive_updates(revision).await;
             let poll_wait = self.poll_wait();
-            let reached = self.poll_changes(revision, poll_wait).await;
-            let pause = match reached.result {
+            let polled = self.poll_changes(revision, poll_wait).await;
+            let pause = match polled.result {
                 Ok(changes) => {
                     let more = changes.more;
-                    let as_of = self.as_of(reached.asked, poll_wait, &changes);
+                    let as_of = self.as_of(polled.asked, poll_wait, &changes);
                     revision = self.apply_changes(revision, as_of, changes);
                     // With a pause after each part, the thousands of changes when all nodes start
                     // at once delayed every later change, a configuration by ten seconds.
@@ -127,7 +127,7 @@
                 Err(poll::Error::Failed(error)) => {
                     log::debug!("follow: no changes after revision {revision}: {error}");
                     self.view.record_store_call(false);
-                    self.outage.record_failure(reached.asked, self.clock.now());
+                    self.outage.record_failure(polled.asked, self.clock.now());
                     if let Some(hub) = &self.hub {
                         hub.mark_disconnected();
                     }
@@ -157,11 +157,12 @@
             };
         }
         let is_answer = |result: &Result<_, _>| !matches!(result, Err(poll::Error::Failed(_)));
-        let reached = hedging::hedged(&*self.clock, call, is_answer).await;
-        if let Some(in_vain) = reached.last_unanswered {
-            self.outage.record_failure(in_vain, self.clock.now());
+        let hedged_result = hedging::hedged(&*self.clock, call, is_answer).await;
+        if let Some(last_unanswered) = hedged_result.last_unanswered {
+            self.outage
+                .record_failure(last_unanswered, self.clock.now());
         }
-        reached
+        hedged_result
     }
 
     /// Applies the changes after a revision that the service returned; returns the new revision.
