--- /dev/null
+++ b/lib/src/direct/orders/client.rs
@@ -0,0 +1,100 @@
+//! Calls to one engine: orders and status requests.
+
+use std::sync::Arc;
+
+use http_body_util::{BodyExt, Limited};
+
+use crate::clock::{Clock, Millis};
+use crate::direct::admission::Table;
+use crate::direct::config::Engine;
+use crate::direct::dialect::{Dialect, Order, Ordered, Report};
+use crate::direct::ownership::Ownership;
+use crate::direct::question;
+use crate::direct::upstream::Upstream;
+use crate::direct::view::View;
+use crate::metrics::Metrics;
+use crate::name::Name;
+use crate::ports::link::Lost;
+
+/// Timeout of an order or a status request.
+///
+/// Engines respond within milliseconds; while a controller waits, all other loads of its engine
+/// wait too.
+const RESPONSE_TIMEOUT: Millis = Millis(100);
+
+/// How long a pooled connection may have been unused to carry an order.
+const MAX_CONNECTION_IDLE: Millis = Millis(1_000);
+
+/// Longest response body to an order that is read, in bytes.
+const MAX_RESPONSE_BYTES: usize = 16 * 1024;
+
+/// Sends orders and status requests to one engine.
+#[derive(Debug, Clone)]
+pub struct EngineClient {
+    /// The engine.
+    pub upstream: Arc<Upstream>,
+    /// The engine's capacity and models, from the configuration.
+    pub engine: Engine,
+    /// The engines that this node may send orders to.
+    pub ownership: Arc<Ownership>,
+    /// The platform's wire formats.
+    pub dialect: Arc<dyn Dialect>,
+    /// The node's clock.
+    pub clock: Arc<dyn Clock>,
+    /// This node's name, sent with each order.
+    pub holder: Name,
+    /// This node's view of the deployment.
+    pub view: Arc<View>,
+    /// The node's metrics.
+    pub metrics: Arc<Metrics>,
+    /// Requests of all nodes at the engines that this node owns.
+    pub table: Arc<Table>,
+}
+
+impl EngineClient {
+    /// Sends an order if this node may do so at this moment.
+    pub(super) async fn send_order(&self, mut order: Order) -> Result<Ordered, Lost> {
+        let upstream = &self.upstream;
+        let mut connection = upstream.link.take(MAX_CONNECTION_IDLE).await?;
+        // A VM can be suspended at any point, so ownership is checked last, by a clock that
+        // includes the time of the suspension.
+        let Some(token) = self.ownership.fencing_token(upstream.address) else {
+            upstream.link.keep(connection, None);
+            return Err(Lost::Unsent("this node may send no orders".to_owned()));
+        };
+        order.fence = token;
+        let request = self.dialect.order(&upstream.incarnation, &order);
+        self.ownership.record_order(upstream.address);
+        let sent =
+            tokio::time::timeout(RESPONSE_TIMEOUT.duration(), connection.send(request)).await;
+        let (head, body) = sent
+            .map_err(|_| Lost::Sent(format!("no response within {RESPONSE_TIMEOUT}")))??
+            .into_parts();
+        let rest = Limited::new(body, MAX_RESPONSE_BYTES).collect();
+        if let Ok(Ok(_)) = tokio::time::timeout(RESPONSE_TIMEOUT.duration(), rest).await {
+            let reply = self.dialect.reply(&head);
+            if !reply.closes {
+                upstream.link.keep(connection, reply.keep);
+            }
+        }
+        Ok(self.dialect.ordered(&head))
+    }
+
+    /// Requests the engine's status; the error is a text for logs.
+    pub(super) async fn status(&self) -> Result<Report, String> {
+        tokio::time::timeout(RESPONSE_TIMEOUT.duration(), self.request_status())
+            .await
+            .unwrap_or_else(|_| Err(format!("no response within {RESPONSE_TIMEOUT}")))
+    }
+
+    async fn request_status(&self) -> Result<Report, String> {
+        let request = self.dialect.ask_report(&self.upstream.incarnation);
+        let (head, body) = question::ask(&*self.dialect, &self.upstream, request).await?;
+        if !head.status.is_success() {
+            return Err(format!("status {}", head.status));
+        }
+        self.dialect
+            .report(&body)
+            .map_err(|error| error.to_string())
+    }
+}
--- a/lib/src/direct/orders/load.rs
+++ b/lib/src/direct/orders/load.rs
@@ -1,194 +1,204 @@
-//! Loads: room for one, its order, and looks whether it is complete.
+//! Loads: freeing a slot, ordering the load and probing until it is complete.
 
 use kameo::actor::ActorRef;
 
-use super::message::{LoadCommand, LoadOutcome, LookDue, Looked};
-use super::slots::{LoadProbe, Slots, answer};
-use super::{EngineController, MOST_IN_TRANSIT, MOST_INCOMING};
+use super::message::{LoadCommand, LoadOutcome, ProbeDone, ProbeDue};
+use super::slots::{LoadProbe, Slots, send_outcome};
+use super::{ENGINE_LOAD_LIMIT, EngineController, MAX_CONCURRENT_LOADS};
 use crate::clock::Millis;
 use crate::direct::dialect::{Action, Order, Ordered};
 use crate::name::Name;
 
-/// Loads that may wait for a place on their way.
+/// Loads that may wait until another one completes.
 ///
-/// With those on their way they take half a second, about what callers bear for a first event.
-/// Whoever comes later is told at once and asks another engine: with 64, requests waited for two
-/// to four seconds at engines whose orders went unanswered while others were free.
-const MOST_WAITING: usize = 2;
+/// Together with the loads in progress they take half a second, about as long as callers accept
+/// before a first event. Later ones fail at once and try another engine: with 64, requests waited
+/// two to four seconds at engines whose orders got no response while other engines were free.
+const MAX_WAITING_LOADS: usize = 2;
 
-/// The next look that a timer waits for.
+/// Timer of the next probe; dropping it cancels the timer.
 #[derive(Debug)]
-pub(super) struct Wake {
+pub(super) struct ProbeTimer {
     at: Millis,
-    timer: tokio::task::AbortHandle,
+    task: tokio::task::AbortHandle,
 }
 
-impl Drop for Wake {
+impl Drop for ProbeTimer {
     fn drop(&mut self) {
-        self.timer.abort();
+        self.task.abort();
     }
 }
 
 impl EngineController {
-    pub(super) async fn start(&mut self, load: LoadCommand) {
-        if !self.takes_load() {
-            if self.queue.len() < MOST_WAITING {
-                self.queue.push_back(load);
+    pub(super) async fn start_load(&mut self, load: LoadCommand) {
+        if !self.can_start_load() {
+            if self.waiting_loads.len() < MAX_WAITING_LOADS {
+                self.waiting_loads.push_back(load);
             } else {
-                answer(load.reply, LoadOutcome::Full);
+                send_outcome(load.reply, LoadOutcome::Full);
             }
             return;
         }
-        if !self.make_room(&load.adapter).await {
-            answer(load.reply, LoadOutcome::Full);
+        if !self.free_slot(&load.adapter).await {
+            send_outcome(load.reply, LoadOutcome::Full);
             return;
         }
         let version = (load.version > 0).then_some(load.version);
-        let outcome = self.change(Action::Load, &load.adapter, version).await;
-        self.started(load, outcome);
+        let outcome = self
+            .order_with_retry(Action::Load, &load.adapter, version)
+            .await;
+        self.handle_order_outcome(load, outcome);
     }
 
-    /// Whether one more load may be on its way.
+    /// Whether one more load may be started.
     ///
-    /// A load that outlasts its time waits for runs of the adapter and takes nothing from the
-    /// weight store; two of them would keep all other loads from the engine.
-    pub(super) fn takes_load(&self) -> bool {
-        let now = self.parts.clock.now();
+    /// An overdue load waits for running requests of its adapter and takes nothing from the
+    /// weight store, so it doesn't count towards [`MAX_CONCURRENT_LOADS`]; otherwise two of them
+    /// would block all other loads of the engine.
+    pub(super) fn can_start_load(&self) -> bool {
+        let now = self.client.clock.now();
         self.slots.as_ref().is_none_or(|slots| {
-            slots.loading_in_time(now) < MOST_INCOMING && slots.loading() < MOST_IN_TRANSIT
+            slots.count_on_time_loads(now) < MAX_CONCURRENT_LOADS
+                && slots.count_loads() < ENGINE_LOAD_LIMIT
         })
     }
 
-    fn started(&mut self, load: LoadCommand, outcome: Option<Ordered>) {
-        let now = self.parts.clock.now();
+    fn handle_order_outcome(&mut self, load: LoadCommand, outcome: Option<Ordered>) {
+        let now = self.client.clock.now();
         let Some(slots) = &mut self.slots else {
-            answer(load.reply, LoadOutcome::Failed);
+            send_outcome(load.reply, LoadOutcome::Failed);
             return;
         };
         match outcome {
             Some(Ordered::Holds) => {
-                slots.holds(load, now);
-                self.publish();
+                slots.record_present(load, now);
+                self.publish_held();
             }
             Some(Ordered::Started) => {
-                slots.began(load, now);
-                self.publish();
+                slots.record_load_started(load, now);
+                self.publish_held();
             }
-            Some(Ordered::Fenced) => answer(load.reply, LoadOutcome::NotOwner),
+            Some(Ordered::Fenced) => send_outcome(load.reply, LoadOutcome::NotOwner),
             Some(Ordered::Conflict | Ordered::Elsewhere | Ordered::Refused) => {
-                self.pause();
-                answer(load.reply, LoadOutcome::Full);
+                self.back_off();
+                send_outcome(load.reply, LoadOutcome::Full);
             }
-            None => answer(load.reply, LoadOutcome::Failed),
+            None => send_outcome(load.reply, LoadOutcome::Failed),
         }
     }
 
-    /// Frees a slot if there is none.
-    async fn make_room(&mut self, adapter: &Name) -> bool {
-        let now = self.parts.clock.now();
-        if self.has_room(adapter, now) {
+    /// Evicts an adapter if no slot is free; returns whether there is a slot.
+    async fn free_slot(&mut self, adapter: &Name) -> bool {
+        let now = self.client.clock.now();
+        if self.has_free_slot(adapter, now) {
             return true;
         }
-        let (table, engine) = (&self.parts.table, &self.parts.upstream.incarnation);
+        let (table, engine) = (&self.client.table, &self.client.upstream.incarnation);
         let in_use = |name: &Name| table.uses(engine, name);
         let victim = self
             .slots
             .as_ref()
-            .and_then(|slots| slots.least_used(now, in_use));
+            .and_then(|slots| slots.least_recently_used(now, in_use));
         let Some(victim) = victim else {
             return false;
         };
-        let outcome = self.change(Action::Unload, &victim, None).await;
+        let outcome = self.order_with_retry(Action::Unload, &victim, None).await;
         let Some(slots) = &mut self.slots else {
             return false;
         };
         match outcome {
             Some(Ordered::Holds) => {
-                slots.dropped(&victim);
-                self.publish();
-                self.has_room(adapter, now)
+                slots.record_unloaded(&victim);
+                self.publish_held();
+                self.has_free_slot(adapter, now)
             }
-            // It waits for runs: its slot isn't free yet.
+            // The unload waits for running requests: the slot isn't free yet.
             Some(_) => {
-                self.pause();
+                self.back_off();
                 false
             }
             None => false,
         }
     }
 
-    fn has_room(&mut self, adapter: &str, now: Millis) -> bool {
-        let doubtful = self.doubtful(now);
-        let most = self.parts.engine.adapter_slots;
-        let has_room = |slots: &Slots| slots.has_slot(adapter) || slots.taken() + doubtful < most;
-        self.slots.as_ref().is_some_and(has_room)
+    fn has_free_slot(&mut self, adapter: &str, now: Millis) -> bool {
+        let unconfirmed = self.unconfirmed_slots(now);
+        let capacity = self.client.engine.adapter_slots;
+        let has_free_slot = |slots: &Slots| {
+            slots.has_slot(adapter) || slots.count_used_slots() + unconfirmed < capacity
+        };
+        self.slots.as_ref().is_some_and(has_free_slot)
     }
 
-    /// Sees to it that the next look comes when it is due.
-    pub(super) fn schedule(&mut self, actor: &ActorRef<Self>) {
-        let now = self.parts.clock.now();
-        let next = self.slots.as_ref().and_then(|slots| slots.next_look(now));
+    /// Sets the timer to the time of the next probe.
+    pub(super) fn schedule_probe(&mut self, actor: &ActorRef<Self>) {
+        let now = self.client.clock.now();
+        let next = self.slots.as_ref().and_then(|slots| slots.next_probe(now));
         let Some(at) = next else {
-            self.wake = None;
+            self.probe_timer = None;
             return;
         };
-        if self.wake.as_ref().is_some_and(|wake| wake.at == at) {
+        if self
+            .probe_timer
+            .as_ref()
+            .is_some_and(|timer| timer.at == at)
+        {
             return;
         }
         let actor = actor.clone();
-        let timer = tokio::spawn(async move {
+        let task = tokio::spawn(async move {
             tokio::time::sleep(at.since(now).duration()).await;
-            if actor.tell(LookDue).await.is_err() {
-                log::debug!("orders: the controller closed before a load was complete");
+            if actor.tell(ProbeDue).await.is_err() {
+                log::debug!("orders: the controller stopped before a load was complete");
             }
         });
-        let timer = timer.abort_handle();
-        self.wake = Some(Wake { at, timer });
+        let task = task.abort_handle();
+        self.probe_timer = Some(ProbeTimer { at, task });
     }
 
-    /// Has tasks of their own look, so that one without an answer keeps no other load waiting.
-    pub(super) fn look(&mut self, actor: &ActorRef<Self>) {
-        self.wake = None;
-        let now = self.parts.clock.now();
+    /// Sends each due probe from its own task, so that an unanswered one delays no other load.
+    pub(super) fn send_due_probes(&mut self, actor: &ActorRef<Self>) {
+        self.probe_timer = None;
+        let now = self.client.clock.now();
         let Some(slots) = &mut self.slots else {
             return;
         };
-        slots.expire(now);
-        for look in slots.due(now) {
-            self.ask(look, actor);
+        slots.expire_waiters(now);
+        for probe in slots.due_probes(now) {
+            self.send_probe(probe, actor);
         }
     }
 
-    fn ask(&self, look: LoadProbe, actor: &ActorRef<Self>) {
+    fn send_probe(&self, probe: LoadProbe, actor: &ActorRef<Self>) {
         let order = Order {
             action: Action::Load,
-            model: Name::clone(&look.adapter),
-            version: (look.version > 0).then_some(look.version),
-            sequence: look.sequence,
-            holder: Name::clone(&self.parts.holder),
+            model: Name::clone(&probe.adapter),
+            version: (probe.version > 0).then_some(probe.version),
+            sequence: probe.sequence,
+            holder: Name::clone(&self.client.holder),
             fence: 0,
         };
-        let parts = self.parts.clone();
+        let client = self.client.clone();
         let actor = actor.clone();
         tokio::spawn(async move {
-            let outcome = parts.give(order).await.ok();
-            if actor.tell(Looked { look, outcome }).await.is_err() {
-                log::debug!("orders: the controller closed before a load was complete");
+            let outcome = client.send_order(order).await.ok();
+            if actor.tell(ProbeDone { probe, outcome }).await.is_err() {
+                log::debug!("orders: the controller stopped before a load was complete");
             }
         });
     }
 
-    pub(super) async fn looked(&mut self, looked: Looked) {
-        let Looked { look, outcome } = looked;
-        let now = self.parts.clock.now();
+    pub(super) async fn handle_probe_done(&mut self, done: ProbeDone) {
+        let ProbeDone { probe, outcome } = done;
+        let now = self.client.clock.now();
         let Some(slots) = &mut self.slots else {
             return;
         };
-        let is_known = slots.looked(&look, outcome, now);
-        self.stale |= !is_known;
+        let is_consistent = slots.apply_probe(&probe, outcome, now);
+        self.stale |= !is_consistent;
         if outcome == Some(Ordered::Holds) {
-            self.publish();
-            self.next().await;
+            self.publish_held();
+            self.start_waiting_loads().await;
         }
     }
 }
--- a/lib/src/direct/orders/message.rs
+++ b/lib/src/direct/orders/message.rs
@@ -1,4 +1,4 @@
-//! What a controller is told, and what it answers.
+//! Messages to a controller, and the outcome of a load.
 
 use kameo::message::{Context, Message};
 use tokio::sync::oneshot;
@@ -9,16 +9,16 @@
 use crate::direct::dialect::Ordered;
 use crate::name::Name;
 
-/// How an order to make an adapter present ended.
+/// Outcome of a [`LoadCommand`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LoadOutcome {
-    /// It is held in this version.
+    /// The engine holds the adapter in this version.
     Ready(u64),
-    /// All places are in use or on their way.
+    /// All slots are in use or loading, or too many loads wait.
     Full,
-    /// This node gives the engine no orders now.
+    /// This node may not send orders to the engine now.
     NotOwner,
-    /// The engine took no order, or didn't carry it out in time.
+    /// The engine didn't accept the order, or didn't complete the load in time.
     Failed,
 }
 
@@ -35,38 +35,39 @@
     }
 }
 
-/// Asks for an adapter.
+/// Requests that an adapter be loaded.
 #[derive(Debug)]
 pub struct LoadCommand {
     /// `BASE/NAME`.
     pub adapter: Name,
-    /// The least version that will do; 0 is any.
+    /// The lowest acceptable version; 0 accepts any.
     pub version: u64,
-    /// Told when the adapter is held, or can't be.
+    /// Receives the outcome once the adapter is present, or can't be loaded.
     pub reply: oneshot::Sender<LoadOutcome>,
 }
 
-/// Tells that adapters are in use.
+/// Protects adapters from eviction while requests use them that the owner doesn't count.
 #[derive(Debug)]
 pub struct MarkInUse {
     /// `BASE/NAME` of each.
     pub adapters: Vec<Name>,
-    /// Until when nothing else may be heard of them though they are.
+    /// How long they count as in use without a further message.
     pub until: Millis,
 }
 
-/// Lets time pass.
+/// Triggers periodic work: timeouts, status refreshes and waiting loads.
 #[derive(Debug)]
 pub struct Tick;
 
-/// Looks whether loads are complete.
+/// Triggers the probes that are due.
 #[derive(Debug)]
-pub(super) struct LookDue;
+pub(super) struct ProbeDue;
 
-/// Tells what a look found.
+/// Carries the response to a probe.
 #[derive(Debug)]
-pub(super) struct Looked {
-    pub(super) look: LoadProbe,
+pub(super) struct ProbeDone {
+    pub(super) probe: LoadProbe,
+    /// None if the engine didn't respond.
     pub(super) outcome: Option<Ordered>,
 }
 
@@ -74,38 +75,38 @@
     type Reply = ();
 
     async fn handle(&mut self, load: LoadCommand, context: &mut Context<Self, ()>) {
-        self.load(load).await;
-        self.schedule(context.actor_ref());
+        self.handle_load(load).await;
+        self.schedule_probe(context.actor_ref());
     }
 }
 
 impl Message<MarkInUse> for EngineController {
     type Reply = ();
 
-    async fn handle(&mut self, used: MarkInUse, _: &mut Context<Self, ()>) {
+    async fn handle(&mut self, message: MarkInUse, _: &mut Context<Self, ()>) {
         if let Some(slots) = &mut self.slots {
-            for adapter in used.adapters {
-                slots.uses(adapter, used.until);
+            for adapter in message.adapters {
+                slots.mark_in_use(adapter, message.until);
             }
         }
     }
 }
 
-impl Message<LookDue> for EngineController {
+impl Message<ProbeDue> for EngineController {
     type Reply = ();
 
-    async fn handle(&mut self, _: LookDue, context: &mut Context<Self, ()>) {
-        self.look(context.actor_ref());
-        self.schedule(context.actor_ref());
+    async fn handle(&mut self, _: ProbeDue, context: &mut Context<Self, ()>) {
+        self.send_due_probes(context.actor_ref());
+        self.schedule_probe(context.actor_ref());
     }
 }
 
-impl Message<Looked> for EngineController {
+impl Message<ProbeDone> for EngineController {
     type Reply = ();
 
-    async fn handle(&mut self, looked: Looked, context: &mut Context<Self, ()>) {
-        self.looked(looked).await;
-        self.schedule(context.actor_ref());
+    async fn handle(&mut self, done: ProbeDone, context: &mut Context<Self, ()>) {
+        self.handle_probe_done(done).await;
+        self.schedule_probe(context.actor_ref());
     }
 }
 
@@ -114,6 +115,6 @@
 
     async fn handle(&mut self, _: Tick, context: &mut Context<Self, ()>) {
         self.tick().await;
-        self.schedule(context.actor_ref());
+        self.schedule_probe(context.actor_ref());
     }
 }
--- a/lib/src/direct/orders/mod.rs
+++ b/lib/src/direct/orders/mod.rs
@@ -1,13 +1,13 @@
-//! Orders to one engine: which adapters it holds.
+//! Load and unload orders for the adapters of one engine.
 //!
-//! One actor an engine keeps the table of its slots. Every order carries the
-//! number of orders that the engine has accepted, so that one that was lost and
-//! is carried out late does nothing once another was accepted.
+//! One actor per engine tracks its adapter slots. Every order carries the number of orders that
+//! the engine has accepted so far, and the engine rejects an order whose number doesn't match. An
+//! order that is delayed on its way therefore has no effect once another one was accepted.
 
-mod change;
-mod engine;
+mod client;
 mod load;
 mod message;
+mod send;
 pub mod slots;
 
 use std::collections::VecDeque;
@@ -20,149 +20,151 @@
 use super::limits::IN_USE;
 use crate::clock::Millis;
 use crate::name::Name;
-use load::Wake;
-use slots::{MAX_LOAD_TIME, Slots, answer};
+use load::ProbeTimer;
+use slots::{MAX_LOAD_TIME, Slots, send_outcome};
 
-pub use engine::EngineClient;
+pub use client::EngineClient;
 pub use message::{LoadCommand, LoadOutcome, MarkInUse, Tick};
 
-/// Adapters that may be on their way to one engine.
+/// Loads that are started at one engine at the same time.
 ///
-/// Engines take four, but share a store that serves eight at full speed: with two each, a load
-/// that has begun ends sooner, and later ones wait here in order.
-const MOST_INCOMING: usize = 2;
+/// An engine accepts four, but all engines share a weight store that serves eight at full speed.
+/// With two per engine each load completes sooner, and later ones wait here in order.
+const MAX_CONCURRENT_LOADS: usize = 2;
 
-/// Adapters that engines take on their way at once.
-const MOST_IN_TRANSIT: usize = 4;
+/// Loads that an engine itself accepts at the same time.
+const ENGINE_LOAD_LIMIT: usize = 4;
 
-/// How long an engine is left alone that refused an order for another that is under way.
-const PAUSE: Millis = Millis(250);
+/// How long an engine gets no orders after it refused one because another is in progress.
+const REFUSAL_BACKOFF: Millis = Millis(250);
 
-/// Gives one engine its orders.
+/// Sends load and unload orders to one engine.
 #[derive(Debug)]
 pub struct EngineController {
-    parts: EngineClient,
+    client: EngineClient,
+    /// None until the engine's first status arrives.
     slots: Option<Slots>,
-    /// The slots may be wrong; the engine is asked before the next order.
+    /// Whether `slots` may be wrong, so that the engine's status is needed before the next order.
     stale: bool,
-    /// Until when the engine is left alone.
-    blocked: Millis,
-    queue: VecDeque<LoadCommand>,
-    /// Until when orders without an answer may be carried out, with the count that they expect.
-    doubtful: Vec<(u64, Millis)>,
-    base_ordered: Option<Millis>,
-    /// Whether the last order was sent and had no answer.
-    unanswered: bool,
-    wake: Option<Wake>,
+    /// Until when the engine gets no orders.
+    paused_until: Millis,
+    waiting_loads: VecDeque<LoadCommand>,
+    /// Sequence numbers of unanswered orders, and until when the engine may still execute each.
+    unconfirmed_orders: Vec<(u64, Millis)>,
+    base_load_ordered_at: Option<Millis>,
+    /// Whether the last order was sent and got no response.
+    is_last_order_unanswered: bool,
+    probe_timer: Option<ProbeTimer>,
 }
 
 impl Actor for EngineController {
     type Args = EngineClient;
     type Error = Infallible;
 
-    async fn on_start(parts: EngineClient, _: ActorRef<Self>) -> Result<Self, Infallible> {
+    async fn on_start(client: EngineClient, _: ActorRef<Self>) -> Result<Self, Infallible> {
         Ok(Self {
-            parts,
+            client,
             slots: None,
             stale: false,
-            blocked: Millis::ZERO,
-            queue: VecDeque::new(),
-            doubtful: Vec::new(),
-            base_ordered: None,
-            unanswered: false,
-            wake: None,
+            paused_until: Millis::ZERO,
+            waiting_loads: VecDeque::new(),
+            unconfirmed_orders: Vec::new(),
+            base_load_ordered_at: None,
+            is_last_order_unanswered: false,
+            probe_timer: None,
         })
     }
 }
 
 impl EngineController {
-    async fn load(&mut self, load: LoadCommand) {
-        if !self.has_right() {
-            answer(load.reply, LoadOutcome::NotOwner);
+    async fn handle_load(&mut self, load: LoadCommand) {
+        if !self.may_order() {
+            send_outcome(load.reply, LoadOutcome::NotOwner);
             return;
         }
-        let now = self.parts.clock.now();
-        if now < self.blocked {
-            if let Some(load) = self.wait(load, now) {
-                answer(load.reply, LoadOutcome::Full);
+        let now = self.client.clock.now();
+        if now < self.paused_until {
+            if let Some(load) = self.serve_or_enqueue(load, now) {
+                send_outcome(load.reply, LoadOutcome::Full);
             }
             return;
         }
-        if self.needs_report(&load) && !self.refresh().await {
-            answer(load.reply, LoadOutcome::Failed);
+        if self.needs_status(&load) && !self.refresh_status().await {
+            send_outcome(load.reply, LoadOutcome::Failed);
             return;
         }
-        if let Some(load) = self.wait(load, now) {
-            self.start(load).await;
+        if let Some(load) = self.serve_or_enqueue(load, now) {
+            self.start_load(load).await;
         }
     }
 
-    /// Whether the engine has to tell what it holds before a question can be answered.
+    /// Whether the engine's status is needed before a load can be handled.
     ///
-    /// An order for a version that it already loads isn't counted, and one for an older version
-    /// would take the newer away.
-    fn needs_report(&self, load: &LoadCommand) -> bool {
+    /// The version of an adapter that was loaded without one must be known: the engine doesn't
+    /// count an order for the version that it already loads, and an order for an older version
+    /// would replace the newer one.
+    fn needs_status(&self, load: &LoadCommand) -> bool {
         let Some(slots) = &self.slots else {
             return true;
         };
-        self.stale || (load.version > 0 && slots.is_unversioned(&load.adapter))
+        self.stale || (load.version > 0 && slots.has_unknown_version(&load.adapter))
     }
 
-    /// Answers a question by what is held or on its way; returns it if an order is needed.
-    fn wait(&mut self, load: LoadCommand, now: Millis) -> Option<LoadCommand> {
+    /// Serves a load from an adapter that is present or loading; returns it if an order is needed.
+    fn serve_or_enqueue(&mut self, load: LoadCommand, now: Millis) -> Option<LoadCommand> {
         let Some(slots) = &mut self.slots else {
             return Some(load);
         };
-        slots.uses(Name::clone(&load.adapter), now + IN_USE);
-        slots.wait(load, now)
+        slots.mark_in_use(Name::clone(&load.adapter), now + IN_USE);
+        slots.serve_or_enqueue(load, now)
     }
 
-    fn has_right(&self) -> bool {
-        let address = self.parts.upstream.address;
-        self.parts.ownership.fencing_token(address).is_some()
+    fn may_order(&self) -> bool {
+        let address = self.client.upstream.address;
+        self.client.ownership.fencing_token(address).is_some()
     }
 
-    /// Leaves the engine alone for a while and asks it what it holds before the next order.
+    /// Pauses orders to the engine and requires its status before the next one.
     ///
-    /// While an adapter that was ordered away waits for its runs, the engine
-    /// refuses every other order; more of them would only keep the controller busy.
-    fn pause(&mut self) {
+    /// While an unload waits for running requests to finish, the engine refuses every other
+    /// order, so further orders would only keep the controller busy.
+    fn back_off(&mut self) {
         self.stale = true;
-        self.blocked = self.parts.clock.now() + PAUSE;
+        self.paused_until = self.client.clock.now() + REFUSAL_BACKOFF;
     }
 
-    async fn next(&mut self) {
-        while self.takes_load() {
-            let Some(load) = self.queue.pop_front() else {
+    async fn start_waiting_loads(&mut self) {
+        while self.can_start_load() {
+            let Some(load) = self.waiting_loads.pop_front() else {
                 return;
             };
             if !load.reply.is_closed() {
-                Box::pin(self.load(load)).await;
+                Box::pin(self.handle_load(load)).await;
             }
         }
     }
 
     async fn tick(&mut self) {
-        if !self.has_right() {
-            self.give_up(LoadOutcome::NotOwner);
+        if !self.may_order() {
+            self.fail_all(LoadOutcome::NotOwner);
             return;
         }
-        let now = self.parts.clock.now();
+        let now = self.client.clock.now();
         if let Some(slots) = &mut self.slots {
-            slots.expire(now);
-            self.stale |= slots.wants_report(now);
+            slots.expire_waiters(now);
+            self.stale |= slots.needs_status(now);
         }
-        let rested = now >= self.blocked;
-        if self.slots.is_none() || (self.stale && rested) {
-            self.refresh().await;
+        let has_backed_off = now >= self.paused_until;
+        if self.slots.is_none() || (self.stale && has_backed_off) {
+            self.refresh_status().await;
         }
-        self.load_base().await;
-        self.next().await;
+        self.load_base_model().await;
+        self.start_waiting_loads().await;
     }
 
-    /// An engine that restarted is empty: its base model comes first.
-    async fn load_base(&mut self) {
-        let now = self.parts.clock.now();
+    /// Orders the base model of an engine that holds none, as after a restart of the engine.
+    async fn load_base_model(&mut self) {
+        let now = self.client.clock.now();
         if self
             .slots
             .as_ref()
@@ -170,32 +172,33 @@
         {
             return;
         }
-        let Some((model, span)) = self.parts.engine.models.first().cloned() else {
+        let Some((model, load_time)) = self.client.engine.models.first().cloned() else {
             return;
         };
         if self
-            .base_ordered
-            .is_some_and(|at| now.since(at) < span + MAX_LOAD_TIME)
+            .base_load_ordered_at
+            .is_some_and(|at| now.since(at) < load_time + MAX_LOAD_TIME)
         {
-            self.refresh().await;
+            self.refresh_status().await;
             return;
         }
-        let outcome = self.change(Action::Load, &model, None).await;
+        let outcome = self.order_with_retry(Action::Load, &model, None).await;
         log::info!(
             "orders: {} is to load {model}: {outcome:?}",
-            self.parts.upstream.incarnation
+            self.client.upstream.incarnation
         );
         if matches!(outcome, Some(Ordered::Started)) {
-            self.base_ordered = Some(now);
+            self.base_load_ordered_at = Some(now);
         }
     }
 
-    fn give_up(&mut self, loaded: LoadOutcome) {
+    /// Forgets the engine's slots and fails every load that waits.
+    fn fail_all(&mut self, outcome: LoadOutcome) {
         if let Some(slots) = self.slots.take() {
-            slots.give_up(loaded);
+            slots.fail_waiters(outcome);
         }
-        for load in self.queue.drain(..) {
-            answer(load.reply, loaded);
+        for load in self.waiting_loads.drain(..) {
+            send_outcome(load.reply, outcome);
         }
     }
 }
--- /dev/null
+++ b/lib/src/direct/orders/send.rs
@@ -0,0 +1,152 @@
+//! Sending orders with retries, and the sequence number that the engine expects.
+
+use super::EngineController;
+use super::slots::Slots;
+use crate::clock::Millis;
+use crate::direct::dialect::{Action, Order, Ordered};
+use crate::name::Name;
+use crate::ports::link::Lost;
+
+/// Attempts to send an order that gets no response.
+const ORDER_ATTEMPTS: u32 = 3;
+
+/// How long an engine may still execute an order that got no response.
+const LATE_ORDER_WINDOW: Millis = Millis(12_500);
+
+impl EngineController {
+    /// Returns the number of slots that unanswered orders may still take.
+    ///
+    /// At most one of the orders with the same sequence number can be executed.
+    pub(super) fn unconfirmed_slots(&mut self, now: Millis) -> usize {
+        let sequence = self.sequence();
+        self.unconfirmed_orders
+            .retain(|(expected, until)| *until > now && *expected >= sequence);
+        usize::from(!self.unconfirmed_orders.is_empty())
+    }
+
+    /// Sends an order, retries it while it gets no response, and counts it once accepted.
+    ///
+    /// Retries carry the same sequence number. An accepted retry makes the first attempt
+    /// harmless; a retry rejected for its number shows that the first attempt was accepted.
+    pub(super) async fn order_with_retry(
+        &mut self,
+        action: Action,
+        model: &Name,
+        version: Option<u64>,
+    ) -> Option<Ordered> {
+        let now = self.client.clock.now();
+        let has_no_unconfirmed = self.unconfirmed_slots(now) == 0;
+        let mut outcome = self.send_order(action, model, version).await;
+        for _ in 1..ORDER_ATTEMPTS {
+            if outcome.is_some() || !self.is_last_order_unanswered {
+                break;
+            }
+            let sequence = self.slots.as_ref()?.sequence();
+            self.unconfirmed_orders
+                .push((sequence, now + LATE_ORDER_WINDOW));
+            outcome = match self.send_order(action, model, version).await {
+                Some(Ordered::Conflict) if has_no_unconfirmed => Some(Ordered::Started),
+                other => other,
+            };
+        }
+        self.record_outcome(action, model, version, outcome);
+        let is_accepted = outcome == Some(Ordered::Started)
+            || (outcome == Some(Ordered::Holds) && action == Action::Unload);
+        if is_accepted && let Some(slots) = &mut self.slots {
+            slots.record_accepted_order(self.client.clock.now());
+        }
+        outcome
+    }
+
+    fn record_outcome(
+        &self,
+        action: Action,
+        model: &Name,
+        version: Option<u64>,
+        outcome: Option<Ordered>,
+    ) {
+        let outcome = outcome.map_or("none", Ordered::name);
+        let orders = &self.client.metrics.orders;
+        orders.with_label_values(&[action.name(), outcome]).inc();
+        log::info!(
+            upstream = &*self.client.upstream.incarnation,
+            adapter = &**model,
+            version = version.unwrap_or_default(),
+            outcome = outcome,
+            sequence = self.sequence();
+            "orders: {}", action.name()
+        );
+    }
+
+    /// Sends an order once; returns none if it wasn't sent or got no response.
+    async fn send_order(
+        &mut self,
+        action: Action,
+        model: &Name,
+        version: Option<u64>,
+    ) -> Option<Ordered> {
+        let sequence = self.slots.as_ref()?.sequence();
+        let order = Order {
+            action,
+            model: Name::clone(model),
+            version,
+            sequence,
+            holder: Name::clone(&self.client.holder),
+            fence: 0,
+        };
+        let result = self.client.send_order(order).await;
+        self.is_last_order_unanswered = matches!(result, Err(Lost::Sent(_)));
+        match result {
+            Ok(outcome) => Some(outcome),
+            Err(Lost::Unsent(reason)) => {
+                log::debug!("orders: not sent: {reason}");
+                None
+            }
+            Err(Lost::Sent(reason)) => {
+                log::info!(
+                    "orders: no answer from {}: {reason}",
+                    self.client.upstream.incarnation
+                );
+                None
+            }
+        }
+    }
+
+    /// Gets the engine's status and applies it to the slots; returns false if there is none.
+    pub(super) async fn refresh_status(&mut self) -> bool {
+        let requested_at = self.client.clock.now();
+        let status = match self.client.status().await {
+            Ok(status) => status,
+            Err(reason) => {
+                log::info!(
+                    "orders: no status from {}: {reason}",
+                    self.client.upstream.incarnation
+                );
+                return false;
+            }
+        };
+        match &mut self.slots {
+            Some(slots) => {
+                if !slots.apply_status(&status, requested_at) {
+                    log::debug!("orders: the status is older than the last order");
+                }
+            }
+            None => self.slots = Some(Slots::new(&status, requested_at)),
+        }
+        self.stale = false;
+        self.publish_held();
+        true
+    }
+
+    /// Returns the number of orders that the engine is known to have accepted.
+    fn sequence(&self) -> u64 {
+        self.slots.as_ref().map_or(0, Slots::sequence)
+    }
+
+    /// Makes what the engine holds visible to this node's requests and exchanges.
+    pub(super) fn publish_held(&self) {
+        if let Some(slots) = &self.slots {
+            self.client.upstream.hold(&slots.held());
+        }
+    }
+}
--- a/lib/src/direct/orders/slots/mod.rs
+++ b/lib/src/direct/orders/slots/mod.rs
@@ -1,14 +1,14 @@
-//! The adapter slots of one engine, folded from all evidence of what it holds.
+//! The adapter slots of one engine, derived from all evidence of what the engine holds.
 //!
-//! Four kinds of evidence tell of an engine: how it answered an order, its reports, looks whether
-//! a load is complete, and time. They overtake each other: a report tells of a moment some
-//! hundred milliseconds back, and an order's answer can be older than another owner's order. So
-//! evidence is ordered by the engine's start and its count of accepted orders, and where both are
-//! the same by age; older evidence never undoes newer. See
+//! There are four kinds of evidence: responses to orders, the engine's status, probes that tell
+//! whether a load is complete, and elapsed time. They arrive out of order: a status describes a
+//! moment some hundred milliseconds ago, and the response to an order can be older than another
+//! owner's order. Evidence is therefore ordered by the engine's start time and its count of
+//! accepted orders, and by age where both are equal; older evidence never overrides newer. See
 //! docs/design/0013-evidence-of-loads.md.
 
 mod slot;
-mod told;
+mod status;
 
 use std::collections::BTreeMap;
 
@@ -18,34 +18,36 @@
 use crate::clock::Millis;
 use crate::direct::dialect::{Held, Ordered, Report};
 use crate::name::Name;
-use slot::{Loading, SLOW_LOOK, Slot, Waiter};
-use told::Told;
+use slot::{Loading, OVERDUE_PROBE_INTERVAL, Slot, Waiter};
+use status::AdapterStatus;
 
-pub(super) use slot::answer;
+pub(super) use slot::send_outcome;
 
-/// The longest that a load may take before whoever waits is told that it failed.
+/// How long a load may take before its waiters are told that it failed.
 pub const MAX_LOAD_TIME: Millis = Millis(4_000);
 
-/// How old what a report says may be.
-pub const MAX_REPORT_AGE: Millis = Millis(1_000);
+/// How old the information in an engine's status may be.
+pub const MAX_STATUS_AGE: Millis = Millis(1_000);
 
-/// First look whether a load is complete; one from the engine's own memory takes a tenth.
-const FIRST_LOOK: Millis = Millis(45);
+/// Delay of the first probe after the order.
+///
+/// A load from the engine's own memory takes a tenth of one from the weight store.
+const FIRST_PROBE_DELAY: Millis = Millis(45);
 
-/// Time after which a look that nothing was heard of is repeated: a connection and an answer.
-const LOST_LOOK: Millis = Millis(600);
+/// Time after which an unanswered probe is repeated: that of a connection and a response.
+const PROBE_RETRY_DELAY: Millis = Millis(600);
 
-/// Pause between reports while a load outlasts [`MAX_LOAD_TIME`].
-const SLOW_REPORT: Millis = Millis(1_000);
+/// Interval between status requests while a load is overdue.
+const OVERDUE_STATUS_INTERVAL: Millis = Millis(1_000);
 
-/// A question whether a load is complete: the same order again.
+/// Asks whether a load is complete, by sending the same order again.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct LoadProbe {
     /// `BASE/NAME`.
     pub adapter: Name,
-    /// The version that was ordered; 0 is whatever was the newest.
+    /// The version that was ordered; 0 stands for the newest at that time.
     pub version: u64,
-    /// The count of accepted orders with which it leaves.
+    /// The count of accepted orders when the probe is sent.
     pub sequence: u64,
 }
 
@@ -55,81 +57,83 @@
     born: u64,
     sequence: u64,
     /// When the engine was last known to accept an order.
-    advanced: Millis,
-    /// When the last report was asked for that was taken in.
-    reported: Millis,
+    last_accepted_at: Millis,
+    /// When the last applied status was requested.
+    last_status_at: Millis,
     models: Vec<Name>,
     by_adapter: BTreeMap<Name, Slot>,
-    /// Until when adapters count as in use though no request is counted.
-    used: BTreeMap<Name, Millis>,
+    /// Until when adapters count as in use though no request is counted with them.
+    in_use_until: BTreeMap<Name, Millis>,
 }
 
 impl Slots {
-    /// Takes in the first report of an engine, asked for at `asked`.
+    /// Creates the slots from the first status of an engine, requested at `requested_at`.
     #[must_use]
-    pub fn new(report: &Report, asked: Millis) -> Self {
+    pub fn new(status: &Report, requested_at: Millis) -> Self {
         let mut slots = Self {
-            born: report.held.born,
+            born: status.held.born,
             ..Self::default()
         };
-        slots.merge(&report.held, asked);
+        slots.merge(&status.held, requested_at);
         slots
     }
 
-    /// Takes in a report that was asked for at `asked`; false if it is older than what is known.
-    pub fn report(&mut self, report: &Report, asked: Millis) -> bool {
-        let held = &report.held;
+    /// Applies a status that was requested at `requested_at`; returns false if it is outdated.
+    pub fn apply_status(&mut self, status: &Report, requested_at: Millis) -> bool {
+        let held = &status.held;
         if held.born > self.born {
-            self.answer_all(LoadOutcome::Failed);
+            self.fail_loads(LoadOutcome::Failed);
             *self = Self {
-                used: std::mem::take(&mut self.used),
-                ..Self::new(report, asked)
+                in_use_until: std::mem::take(&mut self.in_use_until),
+                ..Self::new(status, requested_at)
             };
             return true;
         }
         let is_older = held.born < self.born || held.sequence < self.sequence;
-        // A count that stays behind was counted wrongly here.
-        let is_settled = held.born == self.born && asked >= self.advanced + MAX_REPORT_AGE;
+        // A count that is still lower after the maximum age of a status means that this node
+        // counted wrongly.
+        let is_settled =
+            held.born == self.born && requested_at >= self.last_accepted_at + MAX_STATUS_AGE;
         if is_older && !is_settled {
             return false;
         }
-        self.merge(held, asked);
+        self.merge(held, requested_at);
         true
     }
 
-    fn merge(&mut self, held: &Held, asked: Millis) {
+    fn merge(&mut self, held: &Held, requested_at: Millis) {
         let is_newer = held.sequence != self.sequence;
-        let mut told = Told::by_name(held);
+        let mut statuses = AdapterStatus::by_name(held);
         let known = std::mem::take(&mut self.by_adapter);
         for (name, slot) in known {
-            let told = told.remove(&name).unwrap_or_default();
-            if let Some(slot) = slot.merge(told, is_newer, asked) {
+            let status = statuses.remove(&name).unwrap_or_default();
+            if let Some(slot) = slot.merge(status, is_newer, requested_at) {
                 self.by_adapter.insert(name, slot);
             }
         }
-        for (name, told) in told {
-            self.by_adapter.insert(name, told.into_slot(asked));
+        for (name, status) in statuses {
+            self.by_adapter.insert(name, status.into_slot(requested_at));
         }
         if is_newer {
-            self.advanced = asked;
+            self.last_accepted_at = requested_at;
         }
         self.sequence = held.sequence;
-        self.reported = asked;
+        self.last_status_at = requested_at;
         self.models.clone_from(&held.models);
     }
 
-    /// Answers who asks for an adapter that is held, or lets it wait for a load on its way.
+    /// Answers a load if the adapter is present, or adds it to the waiters of a load in progress.
     ///
-    /// Returns the question if an order is needed.
-    pub fn wait(&mut self, load: LoadCommand, now: Millis) -> Option<LoadCommand> {
+    /// Returns the command if an order is needed.
+    pub fn serve_or_enqueue(&mut self, load: LoadCommand, now: Millis) -> Option<LoadCommand> {
         match self.by_adapter.get_mut(&load.adapter) {
             Some(Slot::Present { version, .. }) if *version >= load.version => {
-                answer(load.reply, LoadOutcome::Ready(*version));
+                send_outcome(load.reply, LoadOutcome::Ready(*version));
                 None
             }
             Some(Slot::Loading(loading)) if loading.version >= load.version => {
                 if loading.is_overdue(now) && loading.waiters.is_empty() {
-                    loading.next_look = now;
+                    loading.next_probe = now;
                 }
                 loading.waiters.push(Waiter::new(load.reply, now));
                 None
@@ -138,9 +142,9 @@
         }
     }
 
-    /// Whether an adapter was loaded as whatever is the newest, and no report has told its version.
+    /// Whether an adapter was loaded without a version, and no status has shown which one it is.
     #[must_use]
-    pub fn is_unversioned(&self, adapter: &str) -> bool {
+    pub fn has_unknown_version(&self, adapter: &str) -> bool {
         match self.by_adapter.get(adapter) {
             Some(Slot::Present { version, .. }) => *version == 0,
             Some(Slot::Loading(loading)) => loading.version == 0,
@@ -148,123 +152,128 @@
         }
     }
 
-    /// Takes in that the engine accepted an order.
-    pub fn accepted(&mut self, now: Millis) {
+    /// Records that the engine accepted an order.
+    pub fn record_accepted_order(&mut self, now: Millis) {
         self.sequence += 1;
-        self.advanced = now;
+        self.last_accepted_at = now;
     }
 
-    /// Takes in that the engine began the load that was ordered.
+    /// Records that the engine started the load that was ordered.
     ///
-    /// Whoever waits for an older version of the adapter is served by this one.
-    pub fn began(&mut self, load: LoadCommand, now: Millis) {
+    /// Waiters for an older version of the adapter are served by this load.
+    pub fn record_load_started(&mut self, load: LoadCommand, now: Millis) {
         let mut waiters = match self.by_adapter.remove(&load.adapter) {
-            Some(Slot::Loading(former)) => former.waiters,
+            Some(Slot::Loading(previous)) => previous.waiters,
             Some(Slot::Present { .. }) | None => Vec::new(),
         };
         waiters.push(Waiter::new(load.reply, now));
         let loading = Loading {
             version: load.version,
             since: now,
-            next_look: now + FIRST_LOOK,
+            next_probe: now + FIRST_PROBE_DELAY,
             waiters,
         };
         self.by_adapter.insert(load.adapter, Slot::Loading(loading));
     }
 
-    /// Takes in that the engine holds what was ordered already.
-    pub fn holds(&mut self, load: LoadCommand, now: Millis) {
-        self.complete(&load.adapter, load.version, now);
-        answer(load.reply, LoadOutcome::Ready(load.version));
+    /// Records that the engine already held the adapter that was ordered.
+    pub fn record_present(&mut self, load: LoadCommand, now: Millis) {
+        self.complete_load(&load.adapter, load.version, now);
+        send_outcome(load.reply, LoadOutcome::Ready(load.version));
     }
 
-    /// Takes in that an adapter was dropped.
-    pub fn dropped(&mut self, adapter: &str) {
+    /// Records that an adapter was unloaded.
+    pub fn record_unloaded(&mut self, adapter: &str) {
         self.by_adapter.remove(adapter);
     }
 
-    /// Returns the looks that are due, each repeated later unless an answer comes before.
-    pub fn due(&mut self, now: Millis) -> SmallVec<[LoadProbe; 4]> {
+    /// Returns the probes that are due, and schedules a repeat of each in case it gets no response.
+    pub fn due_probes(&mut self, now: Millis) -> SmallVec<[LoadProbe; 4]> {
         let sequence = self.sequence;
-        let mut looks = SmallVec::new();
+        let mut probes = SmallVec::new();
         for (adapter, slot) in &mut self.by_adapter {
             let Slot::Loading(loading) = slot else {
                 continue;
             };
-            if !loading.is_looked_at(now) || loading.next_look > now {
+            if !loading.is_probed(now) || loading.next_probe > now {
                 continue;
             }
-            loading.next_look = now + LOST_LOOK;
-            looks.push(LoadProbe {
+            loading.next_probe = now + PROBE_RETRY_DELAY;
+            probes.push(LoadProbe {
                 adapter: Name::clone(adapter),
                 version: loading.version,
                 sequence,
             });
         }
-        looks
+        probes
     }
 
-    /// Returns when the next look is due.
+    /// Returns when the next probe is due.
     #[must_use]
-    pub fn next_look(&self, now: Millis) -> Option<Millis> {
-        let looked_at = self.loads().filter(|loading| loading.is_looked_at(now));
-        looked_at.map(|loading| loading.next_look).min()
+    pub fn next_probe(&self, now: Millis) -> Option<Millis> {
+        let probed = self.loads().filter(|loading| loading.is_probed(now));
+        probed.map(|loading| loading.next_probe).min()
     }
 
-    /// Takes in how the engine answered a look; false if a report has to tell what is wrong.
-    pub fn looked(&mut self, look: &LoadProbe, outcome: Option<Ordered>, now: Millis) -> bool {
-        let is_current = look.sequence == self.sequence;
-        let Some(Slot::Loading(loading)) = self.by_adapter.get_mut(&look.adapter) else {
+    /// Applies the response to a probe; returns false if the engine's status is needed to explain it.
+    pub fn apply_probe(
+        &mut self,
+        probe: &LoadProbe,
+        outcome: Option<Ordered>,
+        now: Millis,
+    ) -> bool {
+        let is_current = probe.sequence == self.sequence;
+        let Some(Slot::Loading(loading)) = self.by_adapter.get_mut(&probe.adapter) else {
             return true;
         };
-        // Another version was ordered since, with looks of its own.
-        if loading.version != look.version {
+        // Another version was ordered since, and is probed separately.
+        if loading.version != probe.version {
             return true;
         }
         match outcome {
             Some(Ordered::Holds) => {
-                self.complete(&look.adapter, look.version, now);
+                self.complete_load(&probe.adapter, probe.version, now);
                 true
             }
             Some(Ordered::Fenced | Ordered::Elsewhere) => {
-                if let Some(Slot::Loading(loading)) = self.by_adapter.remove(&look.adapter) {
-                    loading.answer(LoadOutcome::Failed);
+                if let Some(Slot::Loading(loading)) = self.by_adapter.remove(&probe.adapter) {
+                    loading.finish(LoadOutcome::Failed);
                 }
                 false
             }
             Some(Ordered::Conflict) if is_current => {
-                loading.next_look = now + SLOW_LOOK;
+                loading.next_probe = now + OVERDUE_PROBE_INTERVAL;
                 false
             }
             Some(Ordered::Conflict | Ordered::Started | Ordered::Refused) | None => {
-                loading.next_look = now + loading.pause(now);
+                loading.next_probe = now + loading.probe_delay(now);
                 true
             }
         }
     }
 
-    /// Tells those who have waited for too long.
-    pub fn expire(&mut self, now: Millis) {
+    /// Fails the waiters that have waited longer than [`MAX_LOAD_TIME`].
+    pub fn expire_waiters(&mut self, now: Millis) {
         for slot in self.by_adapter.values_mut() {
             if let Slot::Loading(loading) = slot {
-                loading.expire(now);
+                loading.expire_waiters(now);
             }
         }
     }
 
-    /// Whether a report has to tell what became of a load that outlasts its time.
+    /// Whether the engine's status is needed to learn what became of an overdue load.
     #[must_use]
-    pub fn wants_report(&self, now: Millis) -> bool {
+    pub fn needs_status(&self, now: Millis) -> bool {
         let is_overdue = self.loads().any(|loading| loading.is_overdue(now));
-        is_overdue && now.since(self.reported) >= SLOW_REPORT
+        is_overdue && now.since(self.last_status_at) >= OVERDUE_STATUS_INTERVAL
     }
 
-    /// Tells all that wait, as nobody looks at loads any more.
-    pub fn give_up(mut self, loaded: LoadOutcome) {
-        self.answer_all(loaded);
+    /// Gives all waiters an outcome, as loads are no longer probed.
+    pub fn fail_waiters(mut self, outcome: LoadOutcome) {
+        self.fail_loads(outcome);
     }
 
-    /// Returns the count of orders that the engine has accepted.
+    /// Returns the number of orders that the engine is known to have accepted.
     #[must_use]
     pub fn sequence(&self) -> u64 {
         self.sequence
@@ -276,58 +285,63 @@
         &self.models
     }
 
-    /// Returns how many slots are taken.
+    /// Returns the number of slots that hold or load an adapter.
     #[must_use]
-    pub fn taken(&self) -> usize {
+    pub fn count_used_slots(&self) -> usize {
         self.by_adapter.len()
     }
 
-    /// Whether a slot is taken by an adapter, or by its load.
+    /// Whether a slot holds or loads an adapter.
     #[must_use]
     pub fn has_slot(&self, adapter: &str) -> bool {
         self.by_adapter.contains_key(adapter)
     }
 
-    /// Counts the loads on their way.
+    /// Returns the number of loads in progress.
     #[must_use]
-    pub fn loading(&self) -> usize {
+    pub fn count_loads(&self) -> usize {
         self.loads().count()
     }
 
-    /// Counts the loads on their way that haven't outlasted their time.
+    /// Returns the number of loads in progress that aren't overdue.
     #[must_use]
-    pub fn loading_in_time(&self, now: Millis) -> usize {
-        let in_time = |loading: &&Loading| !loading.is_overdue(now);
-        self.loads().filter(in_time).count()
+    pub fn count_on_time_loads(&self, now: Millis) -> usize {
+        let on_time = |loading: &&Loading| !loading.is_overdue(now);
+        self.loads().filter(on_time).count()
     }
 
-    /// Takes in that an adapter is in use until `until` though no request may be counted.
-    pub fn uses(&mut self, adapter: Name, until: Millis) {
-        let known = self.used.entry(adapter).or_default();
+    /// Records that an adapter is in use until `until`, though no request may be counted with it.
+    pub fn mark_in_use(&mut self, adapter: Name, until: Millis) {
+        let known = self.in_use_until.entry(adapter).or_default();
         *known = until.max(*known);
     }
 
-    /// Returns the adapter that was used the longest ago of those held and not in use.
+    /// Returns the least recently used of the adapters that are present and not in use.
     #[must_use]
-    pub fn least_used(&self, now: Millis, in_use: impl Fn(&Name) -> bool) -> Option<Name> {
-        let held = self
+    pub fn least_recently_used(&self, now: Millis, in_use: impl Fn(&Name) -> bool) -> Option<Name> {
+        let present = self
             .by_adapter
             .iter()
             .filter_map(|(name, slot)| match slot {
                 Slot::Present { .. } => Some(name),
                 Slot::Loading(_) => None,
             });
-        let (until, name) = held
+        let (until, name) = present
             .filter(|name| !in_use(name))
-            .map(|name| (self.used.get(name).copied().unwrap_or_default(), name))
+            .map(|name| {
+                (
+                    self.in_use_until.get(name).copied().unwrap_or_default(),
+                    name,
+                )
+            })
             .min()?;
         (now >= until).then(|| Name::clone(name))
     }
 
-    /// Returns what the engine holds for requests.
+    /// Returns the base models and the adapters that requests can use now.
     #[must_use]
     pub fn held(&self) -> Held {
-        let held = self
+        let present = self
             .by_adapter
             .iter()
             .filter_map(|(name, slot)| match slot {
@@ -338,7 +352,7 @@
             born: self.born,
             sequence: self.sequence,
             models: self.models.clone(),
-            adapters: held.collect(),
+            adapters: present.collect(),
             incoming: Vec::new(),
         }
     }
@@ -350,21 +364,21 @@
         })
     }
 
-    fn complete(&mut self, adapter: &Name, version: u64, now: Millis) {
+    fn complete_load(&mut self, adapter: &Name, version: u64, now: Millis) {
         let since = now;
         let present = Slot::Present { version, since };
-        let former = self.by_adapter.insert(Name::clone(adapter), present);
-        if let Some(Slot::Loading(loading)) = former {
+        let previous = self.by_adapter.insert(Name::clone(adapter), present);
+        if let Some(Slot::Loading(loading)) = previous {
             let took = now.since(loading.since);
             log::debug!("orders: {adapter} is loaded after {took}");
-            loading.answer(LoadOutcome::Ready(version));
+            loading.finish(LoadOutcome::Ready(version));
         }
     }
 
-    fn answer_all(&mut self, loaded: LoadOutcome) {
+    fn fail_loads(&mut self, outcome: LoadOutcome) {
         for slot in std::mem::take(&mut self.by_adapter).into_values() {
             if let Slot::Loading(loading) = slot {
-                loading.answer(loaded);
+                loading.finish(outcome);
             }
         }
     }
--- a/lib/src/direct/orders/slots/slot.rs
+++ b/lib/src/direct/orders/slots/slot.rs
@@ -1,36 +1,36 @@
-//! One slot: an adapter that is held, or a load on its way and who waits for it.
+//! One slot: a present adapter, or a load in progress with its waiters.
 
 use tokio::sync::oneshot;
 
-use super::told::Told;
-use super::{MAX_LOAD_TIME, MAX_REPORT_AGE};
+use super::status::AdapterStatus;
+use super::{MAX_LOAD_TIME, MAX_STATUS_AGE};
 use crate::clock::Millis;
 use crate::direct::orders::message::LoadOutcome;
 
-/// How long a load from the weight store takes at least: no look before is of use.
-const FULL_LOAD: Millis = Millis(240);
+/// Least duration of a load from the weight store; an earlier probe finds it incomplete.
+const MIN_STORE_LOAD_TIME: Millis = Millis(240);
 
-/// Pause between looks.
-const LOOK: Millis = Millis(30);
+/// Interval between probes.
+const PROBE_INTERVAL: Millis = Millis(30);
 
-/// Pause between looks at a load that outlasts [`MAX_LOAD_TIME`].
-pub(super) const SLOW_LOOK: Millis = Millis(250);
+/// Interval between probes of a load that takes longer than [`MAX_LOAD_TIME`].
+pub(super) const OVERDUE_PROBE_INTERVAL: Millis = Millis(250);
 
-/// Somebody who waits for an adapter.
+/// A caller that waits for an adapter.
 #[derive(Debug)]
 pub(super) struct Waiter {
     since: Millis,
     reply: oneshot::Sender<LoadOutcome>,
 }
 
-/// A load on its way.
+/// A load in progress.
 #[derive(Debug)]
 pub(super) struct Loading {
     pub(super) version: u64,
-    /// When it was ordered, or first heard of.
+    /// When the load was ordered, or first seen in a status.
     pub(super) since: Millis,
-    pub(super) next_look: Millis,
-    /// Each waits for this version or an older one.
+    pub(super) next_probe: Millis,
+    /// Each accepts this version or an older one.
     pub(super) waiters: Vec<Waiter>,
 }
 
@@ -42,49 +42,55 @@
 }
 
 impl Slot {
-    /// Takes in what a report tells of the adapter; none if it is gone.
+    /// Applies what a status says of the adapter; returns none if the adapter is gone.
     ///
-    /// `is_newer` tells whether the report counts other orders than were known.
-    pub(super) fn merge(self, told: Told, is_newer: bool, asked: Millis) -> Option<Self> {
+    /// `is_newer` tells whether the status counts other orders than were known.
+    pub(super) fn merge(
+        self,
+        status: AdapterStatus,
+        is_newer: bool,
+        requested_at: Millis,
+    ) -> Option<Self> {
         match self {
             Self::Present { version, since } => {
-                let is_settled = asked >= since + MAX_REPORT_AGE;
+                let is_settled = requested_at >= since + MAX_STATUS_AGE;
                 if is_newer || is_settled {
-                    return told.is_known().then(|| told.into_slot(asked));
+                    return status.is_listed().then(|| status.into_slot(requested_at));
                 }
-                // By the same count, what was on its way is what is held now.
-                let told = told.present.or(told.incoming.filter(|_| version == 0));
-                let version = told.map_or(version, |told| told.max(version));
+                // With the same count, a load that the status lists as in progress is what is
+                // present now.
+                let listed = status.present.or(status.incoming.filter(|_| version == 0));
+                let version = listed.map_or(version, |listed| listed.max(version));
                 Some(Self::Present { version, since })
             }
-            Self::Loading(loading) => loading.merge(told, asked),
+            Self::Loading(loading) => loading.merge(status, requested_at),
         }
     }
 }
 
 impl Loading {
-    /// Takes in what a report tells of the adapter.
+    /// Applies what a status says of the adapter.
     ///
-    /// A report that counts the load's order was made behind it: the load is lost if it isn't
-    /// listed. Where an older version is held, the next look tells, or begins the load anew; that
-    /// takes no further slot.
-    fn merge(mut self, told: Told, asked: Millis) -> Option<Slot> {
-        let Told { present, incoming } = told;
+    /// A status that counts the order of the load was made after it, so the load is lost if the
+    /// status doesn't list it. Where an older version is present, the next probe tells, or starts
+    /// the load again, which takes no further slot.
+    fn merge(mut self, status: AdapterStatus, requested_at: Millis) -> Option<Slot> {
+        let AdapterStatus { present, incoming } = status;
         let is_overtaken = incoming.is_some_and(|version| version < self.version);
-        if is_overtaken || !told.is_known() {
-            self.answer(LoadOutcome::Failed);
-            return told.is_known().then(|| told.into_slot(asked));
+        if is_overtaken || !status.is_listed() {
+            self.finish(LoadOutcome::Failed);
+            return status.is_listed().then(|| status.into_slot(requested_at));
         }
         if let Some(version) = incoming {
             self.version = version;
             return Some(Slot::Loading(self));
         }
         if let Some(version) = present.filter(|version| *version >= self.version) {
-            self.answer(LoadOutcome::Ready(version));
-            return Some(told.into_slot(asked));
+            self.finish(LoadOutcome::Ready(version));
+            return Some(status.into_slot(requested_at));
         }
-        if self.is_overdue(asked) && self.waiters.is_empty() {
-            return Some(told.into_slot(asked));
+        if self.is_overdue(requested_at) && self.waiters.is_empty() {
+            return Some(status.into_slot(requested_at));
         }
         Some(Slot::Loading(self))
     }
@@ -93,34 +99,36 @@
         now.since(self.since) > MAX_LOAD_TIME
     }
 
-    /// Whether looks tell of the load; reports alone tell of one that nobody waits for any more.
-    pub(super) fn is_looked_at(&self, now: Millis) -> bool {
+    /// Whether the load is probed; an overdue one without waiters is followed by status alone.
+    pub(super) fn is_probed(&self, now: Millis) -> bool {
         !self.is_overdue(now) || !self.waiters.is_empty()
     }
 
-    /// Returns the pause before the next look.
-    pub(super) fn pause(&self, now: Millis) -> Millis {
+    /// Returns the delay before the next probe.
+    pub(super) fn probe_delay(&self, now: Millis) -> Millis {
         if self.is_overdue(now) {
-            return SLOW_LOOK;
+            return OVERDUE_PROBE_INTERVAL;
         }
-        FULL_LOAD.since(now.since(self.since)).max(LOOK)
+        MIN_STORE_LOAD_TIME
+            .since(now.since(self.since))
+            .max(PROBE_INTERVAL)
     }
 
-    pub(super) fn expire(&mut self, now: Millis) {
+    pub(super) fn expire_waiters(&mut self, now: Millis) {
         let waiters = std::mem::take(&mut self.waiters);
         for waiter in waiters {
             if now.since(waiter.since) > MAX_LOAD_TIME {
-                answer(waiter.reply, LoadOutcome::Failed);
+                send_outcome(waiter.reply, LoadOutcome::Failed);
             } else if !waiter.reply.is_closed() {
                 self.waiters.push(waiter);
             }
         }
     }
 
-    /// Tells all that wait what became of the load.
-    pub(super) fn answer(self, loaded: LoadOutcome) {
+    /// Sends all waiters the outcome of the load.
+    pub(super) fn finish(self, outcome: LoadOutcome) {
         for waiter in self.waiters {
-            answer(waiter.reply, loaded);
+            send_outcome(waiter.reply, outcome);
         }
     }
 }
@@ -131,8 +139,11 @@
     }
 }
 
-/// Tells whoever asked for an adapter.
-pub(in crate::direct::orders) fn answer(reply: oneshot::Sender<LoadOutcome>, loaded: LoadOutcome) {
-    // Whoever asked may have gone; the adapter stays for the next.
-    let _ = reply.send(loaded);
+/// Sends a caller the outcome of its load.
+pub(in crate::direct::orders) fn send_outcome(
+    reply: oneshot::Sender<LoadOutcome>,
+    outcome: LoadOutcome,
+) {
+    // The caller may be gone; the adapter stays for the next one.
+    let _ = reply.send(outcome);
 }
--- a/lib/src/direct/orders/slots/told.rs
+++ b/lib/src/direct/orders/slots/status.rs
@@ -1,4 +1,4 @@
-//! What reports tell of adapters.
+//! What an engine's status says of its adapters.
 
 use std::collections::BTreeMap;
 
@@ -7,16 +7,16 @@
 use crate::direct::dialect::Held;
 use crate::name::Name;
 
-/// What a report tells of one adapter.
+/// What a status says of one adapter.
 #[derive(Debug, Clone, Copy, Default)]
-pub(super) struct Told {
-    /// The version that is held.
+pub(super) struct AdapterStatus {
+    /// The version that is present.
     pub(super) present: Option<u64>,
-    /// The version that is on its way.
+    /// The version that is being loaded.
     pub(super) incoming: Option<u64>,
 }
 
-impl Told {
+impl AdapterStatus {
     pub(super) fn by_name(held: &Held) -> BTreeMap<Name, Self> {
         let mut all: BTreeMap<Name, Self> = BTreeMap::new();
         for (name, version) in &held.adapters {
@@ -28,7 +28,7 @@
         all
     }
 
-    pub(super) fn is_known(self) -> bool {
+    pub(super) fn is_listed(self) -> bool {
         self.present.is_some() || self.incoming.is_some()
     }
 
@@ -37,7 +37,7 @@
             Some(version) => Slot::Loading(Loading {
                 version,
                 since,
-                next_look: since,
+                next_probe: since,
                 waiters: Vec::new(),
             }),
             None => Slot::Present {
--- a/lib/tests/slots_model/engine.rs
+++ b/lib/tests/slots_model/engine.rs
@@ -1,4 +1,4 @@
-//! An engine that carries out orders, and remembers what it would have reported when.
+//! A model of an engine that executes orders and keeps a history of what it held.
 
 use std::collections::BTreeMap;
 
@@ -6,34 +6,34 @@
 use chivevalve::direct::dialect::{Held, Ordered, Report};
 use chivevalve::name::Name;
 
-/// The version that an order without one means.
-const NEWEST: u64 = 3;
+/// The version that an order without one loads.
+const NEWEST_VERSION: u64 = 3;
 
-/// How long a load takes.
-const LOAD: Millis = Millis(250);
+/// Duration of a load.
+const LOAD_TIME: Millis = Millis(250);
 
-/// How long a look's answer, and a request that was told of it, may be on the way.
-const WAY: Millis = Millis(3_000);
+/// How long the response to a probe may take to reach a caller.
+const MAX_DELIVERY_TIME: Millis = Millis(3_000);
 
-/// A load on its way.
+/// A load in progress.
 #[derive(Debug, Clone, Copy)]
-struct Transit {
+struct LoadInProgress {
     version: u64,
     until: Millis,
 }
 
-/// The engine.
+/// An engine.
 #[derive(Debug)]
 pub struct Engine {
     held: Held,
     adapters: BTreeMap<Name, u64>,
-    transits: BTreeMap<Name, Transit>,
-    /// What it held, by the time since when.
-    past: Vec<(Millis, Held)>,
-    /// Orders to refuse.
-    refusals: u64,
-    /// Replacements wait for runs.
-    held_up: bool,
+    loads: BTreeMap<Name, LoadInProgress>,
+    /// What it held, with the time from which on it did.
+    history: Vec<(Millis, Held)>,
+    /// Number of orders that it still refuses.
+    pending_refusals: u64,
+    /// Whether loads of adapters that are present in another version wait for running requests.
+    are_replacements_delayed: bool,
 }
 
 impl Engine {
@@ -43,84 +43,89 @@
             ..Held::default()
         };
         Self {
-            past: vec![(now, held.clone())],
+            history: vec![(now, held.clone())],
             held,
             adapters: BTreeMap::new(),
-            transits: BTreeMap::new(),
-            refusals: 0,
-            held_up: false,
+            loads: BTreeMap::new(),
+            pending_refusals: 0,
+            are_replacements_delayed: false,
         }
     }
 
     pub fn refuse_next(&mut self, orders: u64) {
-        self.refusals = orders;
+        self.pending_refusals = orders;
     }
 
-    pub fn hold_up(&mut self, held_up: bool) {
-        self.held_up = held_up;
+    pub fn delay_replacements(&mut self, are_replacements_delayed: bool) {
+        self.are_replacements_delayed = are_replacements_delayed;
     }
 
-    /// Completes loads whose time has come.
+    /// Completes the loads that are due.
     pub fn pass(&mut self, now: Millis) {
-        let complete = |engine: &Self, name: &Name, transit: &Transit| {
-            transit.until <= now && !(engine.held_up && engine.adapters.contains_key(name))
+        let complete = |engine: &Self, name: &Name, load: &LoadInProgress| {
+            load.until <= now
+                && !(engine.are_replacements_delayed && engine.adapters.contains_key(name))
         };
         let done: Vec<(Name, u64)> = self
-            .transits
+            .loads
             .iter()
-            .filter(|(name, transit)| complete(self, name, transit))
-            .map(|(name, transit)| (Name::clone(name), transit.version))
+            .filter(|(name, load)| complete(self, name, load))
+            .map(|(name, load)| (Name::clone(name), load.version))
             .collect();
         for (name, version) in done {
-            self.transits.remove(&name);
+            self.loads.remove(&name);
             self.adapters.insert(name, version);
         }
-        self.remember(now);
+        self.record_history(now);
     }
 
-    fn remember(&mut self, now: Millis) {
+    fn record_history(&mut self, now: Millis) {
         let adapters = self.adapters.iter();
         self.held.adapters = adapters
             .map(|(name, version)| (Name::clone(name), *version))
             .collect();
-        let incoming = self.transits.iter();
+        let incoming = self.loads.iter();
         self.held.incoming = incoming
-            .map(|(name, transit)| (Name::clone(name), transit.version))
+            .map(|(name, load)| (Name::clone(name), load.version))
             .collect();
-        if self.past.last().is_none_or(|(_, held)| *held != self.held) {
-            self.past.push((now, self.held.clone()));
+        if self
+            .history
+            .last()
+            .is_none_or(|(_, held)| *held != self.held)
+        {
+            self.history.push((now, self.held.clone()));
         }
     }
 
-    /// What a report says whose values are of this moment.
-    pub fn report(&self, at: Millis) -> Report {
-        let past = self.past.iter().rev().find(|(since, _)| *since <= at);
-        let (_, held) = past.unwrap_or(&self.past[0]);
+    /// Returns a status that describes the moment `at`.
+    pub fn status(&self, at: Millis) -> Report {
+        let history = self.history.iter().rev().find(|(since, _)| *since <= at);
+        let (_, held) = history.unwrap_or(&self.history[0]);
         Report {
             held: held.clone(),
             ..Report::default()
         }
     }
 
-    /// Whether it held an adapter in a version not long ago; 0 is any.
-    pub fn held_lately(&self, adapter: &str, version: u64, now: Millis) -> bool {
+    /// Whether it recently held an adapter in a version; 0 is any.
+    pub fn held_recently(&self, adapter: &str, version: u64, now: Millis) -> bool {
         let holds = |held: &Held| {
             let mut adapters = held.adapters.iter();
             adapters.any(|(name, held)| &**name == adapter && (version == 0 || *held == version))
         };
-        let from = Millis(now.0.saturating_sub(WAY.0));
+        let from = Millis(now.0.saturating_sub(MAX_DELIVERY_TIME.0));
         let recent = self
-            .past
+            .history
             .iter()
             .rev()
             .take_while(|(since, _)| *since > from);
-        recent.map(|(_, held)| held).any(holds) || holds(&self.report(from).held)
+        recent.map(|(_, held)| held).any(holds) || holds(&self.status(from).held)
     }
 
-    pub fn taken(&self) -> usize {
-        let loads = self.transits.keys();
+    pub fn count_used_slots(&self) -> usize {
+        let loading = self.loads.keys();
         self.adapters.len()
-            + loads
+            + loading
                 .filter(|name| !self.adapters.contains_key(*name))
                 .count()
     }
@@ -129,17 +134,21 @@
         if self.refuses(expected) {
             return Ordered::Conflict;
         }
-        let version = if version == 0 { NEWEST } else { version };
-        match self.transits.get(adapter) {
-            Some(transit) if transit.version == version => return Ordered::Started,
+        let version = if version == 0 {
+            NEWEST_VERSION
+        } else {
+            version
+        };
+        match self.loads.get(adapter) {
+            Some(load) if load.version == version => return Ordered::Started,
             None if self.adapters.get(adapter) == Some(&version) => return Ordered::Holds,
             _ => {}
         }
         self.held.sequence += 1;
-        let until = now + LOAD;
-        self.transits
-            .insert(Name::clone(adapter), Transit { version, until });
-        self.remember(now);
+        let until = now + LOAD_TIME;
+        self.loads
+            .insert(Name::clone(adapter), LoadInProgress { version, until });
+        self.record_history(now);
         Ordered::Started
     }
 
@@ -149,41 +158,41 @@
         }
         self.held.sequence += 1;
         self.adapters.remove(adapter);
-        self.transits.remove(adapter);
-        self.remember(now);
+        self.loads.remove(adapter);
+        self.record_history(now);
         Ordered::Holds
     }
 
     fn refuses(&mut self, expected: u64) -> bool {
-        if self.refusals > 0 {
-            self.refusals -= 1;
+        if self.pending_refusals > 0 {
+            self.pending_refusals -= 1;
             return true;
         }
         expected != self.held.sequence
     }
 
-    /// Another owner's late order.
+    /// Executes another owner's late load order.
     pub fn load_for_another(&mut self, adapter: &Name, version: u64, now: Millis) {
         let expected = self.held.sequence;
         self.load(adapter, version, expected, now);
     }
 
-    /// Another owner's late order.
+    /// Executes another owner's late unload order.
     pub fn unload_for_another(&mut self, adapter: &Name) {
         self.held.sequence += 1;
         self.adapters.remove(adapter);
-        self.transits.remove(adapter);
+        self.loads.remove(adapter);
     }
 
-    /// A load that comes to nothing.
+    /// Drops a load in progress without completing it.
     pub fn lose_load(&mut self, adapter: &Name) {
-        self.transits.remove(adapter);
+        self.loads.remove(adapter);
     }
 
     pub fn restart(&mut self) {
         self.held.born += 1;
         self.held.sequence = 0;
         self.adapters.clear();
-        self.transits.clear();
+        self.loads.clear();
     }
 }
--- a/lib/tests/slots_model/mod.rs
+++ b/lib/tests/slots_model/mod.rs
@@ -1,25 +1,25 @@
-//! An engine, its owner's belief of it, and everything that may come between them.
+//! A model of one engine and the owner that tracks its slots, with lost and delayed messages.
 
 mod engine;
 
 use chivevalve::clock::Millis;
 use chivevalve::direct::dialect::Ordered;
-use chivevalve::direct::orders::slots::{LoadProbe, MAX_LOAD_TIME, MAX_REPORT_AGE, Slots};
+use chivevalve::direct::orders::slots::{LoadProbe, MAX_LOAD_TIME, MAX_STATUS_AGE, Slots};
 use chivevalve::direct::orders::{LoadCommand, LoadOutcome};
 use chivevalve::name::Name;
 use engine::Engine;
 use tokio::sync::oneshot::{self, Receiver};
 
-/// The engine's slots.
-const PLACES: usize = 4;
+/// Adapter slots of the engine.
+const SLOTS: usize = 4;
 
-/// Pause between looks after things that nobody asked for.
+/// Interval of the owner's periodic work.
 const TICK: Millis = Millis(250);
 
-/// The longest that a waiter may be without an answer.
-const PATIENCE: Millis = Millis(MAX_LOAD_TIME.0 + 2 * TICK.0);
+/// The longest that a caller may wait for an outcome.
+const MAX_WAIT: Millis = Millis(MAX_LOAD_TIME.0 + 2 * TICK.0);
 
-/// Somebody who asked for an adapter.
+/// A caller that requested an adapter.
 #[derive(Debug)]
 struct Caller {
     adapter: Name,
@@ -28,89 +28,91 @@
     answer: Receiver<LoadOutcome>,
 }
 
-/// The world.
+/// The engine, its owner and the callers.
 #[derive(Debug)]
 pub struct World {
     now: Millis,
-    ticked: Millis,
+    last_tick_at: Millis,
     engine: Engine,
     slots: Slots,
     stale: bool,
     callers: Vec<Caller>,
-    /// Answers to looks that are on their way back.
-    answers: Vec<(LoadProbe, Option<Ordered>)>,
-    /// When something changed the engine of which this owner wasn't told.
-    disturbed: Option<Millis>,
+    /// Responses to probes that the owner hasn't received yet.
+    probe_responses: Vec<(LoadProbe, Option<Ordered>)>,
+    /// When the engine last changed without an order of this owner.
+    disturbed_at: Option<Millis>,
 }
 
 impl Default for World {
     fn default() -> Self {
         let now = Millis(10_000);
         let engine = Engine::new(now);
-        let slots = Slots::new(&engine.report(now), now);
+        let slots = Slots::new(&engine.status(now), now);
         Self {
             now,
-            ticked: now,
+            last_tick_at: now,
             engine,
             slots,
             stale: false,
             callers: Vec::new(),
-            answers: Vec::new(),
-            disturbed: None,
+            probe_responses: Vec::new(),
+            disturbed_at: None,
         }
     }
 }
 
 impl World {
-    /// Lets one thing happen.
+    /// Executes one event.
     pub fn step(&mut self, event: u32) -> Result<(), String> {
-        let (kind, part) = (event % 16, u64::from(event / 16));
+        let (kind, value) = (event % 16, u64::from(event / 16));
         match kind {
-            0..=3 => self.ask(part),
-            4..=6 => self.pass(Millis(1 + part % 120)),
-            7 => self.pass(Millis(part % 2_000)),
-            8 => self.look(part.is_multiple_of(4)),
-            9 | 10 => self.hear(part),
-            11 => self.report(Millis(part % MAX_REPORT_AGE.0)),
-            12 => self.engine.refuse_next(part % 3),
-            13 => self.disturb(part),
-            14 => self.engine.hold_up(part % 2 == 0),
-            _ => self.look(false),
+            0..=3 => self.request_load(value),
+            4..=6 => self.pass(Millis(1 + value % 120)),
+            7 => self.pass(Millis(value % 2_000)),
+            8 => self.send_probes(value.is_multiple_of(4)),
+            9 | 10 => self.deliver_probe_responses(value),
+            11 => self.refresh_status(Millis(value % MAX_STATUS_AGE.0)),
+            12 => self.engine.refuse_next(value % 3),
+            13 => self.change_engine(value),
+            14 => self.engine.delay_replacements(value % 2 == 0),
+            _ => self.send_probes(false),
         }
         self.check()
     }
 
-    /// Lets everything come to rest, and checks that nothing is left behind.
+    /// Waits until all loads are complete, and checks the final state.
     pub fn settle(&mut self) -> Result<(), String> {
-        self.engine.hold_up(false);
+        self.engine.delay_replacements(false);
         self.engine.refuse_next(0);
         let end = self.now + MAX_LOAD_TIME + MAX_LOAD_TIME;
         while self.now < end {
             self.pass(Millis(10));
-            self.look(false);
-            self.hear(0);
+            self.send_probes(false);
+            self.deliver_probe_responses(0);
             self.check()?;
         }
         if !self.callers.is_empty() {
-            return Err(format!("nobody answers {:?}", self.callers));
+            return Err(format!("callers without an outcome: {:?}", self.callers));
         }
-        if self.slots.loading() > 0 {
-            return Err(format!("a load stays on its way: {:?}", self.slots));
+        if self.slots.count_loads() > 0 {
+            return Err(format!("a load never ends: {:?}", self.slots));
         }
-        self.report(Millis::ZERO);
+        self.refresh_status(Millis::ZERO);
         let known = self.slots.held();
-        let held = self.engine.report(self.now).held;
+        let held = self.engine.status(self.now).held;
         if known.sequence != held.sequence || known.adapters != held.adapters {
-            return Err(format!("it holds {held:?}, believed is {known:?}"));
+            return Err(format!(
+                "the engine holds {held:?}, the owner tracks {known:?}"
+            ));
         }
         Ok(())
     }
 
-    fn ask(&mut self, part: u64) {
-        let adapter = Name::from(format!("base/a{}", part % 5));
-        let version = part / 5 % 4;
-        if self.stale || (version > 0 && self.slots.is_unversioned(&adapter)) {
-            self.report(Millis(part % MAX_REPORT_AGE.0));
+    fn request_load(&mut self, value: u64) {
+        let adapter = Name::from(format!("base/a{}", value % 5));
+        let version = value / 5 % 4;
+        if self.stale || (version > 0 && self.slots.has_unknown_version(&adapter)) {
+            self.refresh_status(Millis(value % MAX_STATUS_AGE.0));
         }
         let (reply, answer) = oneshot::channel();
         let caller = Caller {
@@ -125,23 +127,23 @@
             version,
             reply,
         };
-        if let Some(load) = self.slots.wait(load, self.now) {
-            self.order(load);
+        if let Some(load) = self.slots.serve_or_enqueue(load, self.now) {
+            self.start_load(load);
         }
     }
 
-    fn order(&mut self, load: LoadCommand) {
-        if !self.has_room(&load.adapter) {
-            let Some(victim) = self.slots.least_used(self.now, |_| false) else {
+    fn start_load(&mut self, load: LoadCommand) {
+        if !self.has_free_slot(&load.adapter) {
+            let Some(victim) = self.slots.least_recently_used(self.now, |_| false) else {
                 return refuse(load);
             };
             if self.engine.unload(&victim, self.slots.sequence(), self.now) != Ordered::Holds {
                 self.stale = true;
                 return refuse(load);
             }
-            self.slots.accepted(self.now);
-            self.slots.dropped(&victim);
-            if !self.has_room(&load.adapter) {
+            self.slots.record_accepted_order(self.now);
+            self.slots.record_unloaded(&victim);
+            if !self.has_free_slot(&load.adapter) {
                 return refuse(load);
             }
         }
@@ -149,10 +151,10 @@
         let engine = &mut self.engine;
         match engine.load(&load.adapter, load.version, sequence, self.now) {
             Ordered::Started => {
-                self.slots.accepted(self.now);
-                self.slots.began(load, self.now);
+                self.slots.record_accepted_order(self.now);
+                self.slots.record_load_started(load, self.now);
             }
-            Ordered::Holds => self.slots.holds(load, self.now),
+            Ordered::Holds => self.slots.record_present(load, self.now),
             _ => {
                 self.stale = true;
                 refuse(load);
@@ -160,8 +162,8 @@
         }
     }
 
-    fn has_room(&self, adapter: &str) -> bool {
-        self.slots.has_slot(adapter) || self.slots.taken() < PLACES
+    fn has_free_slot(&self, adapter: &str) -> bool {
+        self.slots.has_slot(adapter) || self.slots.count_used_slots() < SLOTS
     }
 
     fn pass(&mut self, span: Millis) {
@@ -169,66 +171,66 @@
         while self.now < end {
             self.now = end.min(self.now + Millis(10));
             self.engine.pass(self.now);
-            if self.now.since(self.ticked) >= TICK {
+            if self.now.since(self.last_tick_at) >= TICK {
                 self.tick();
             }
         }
     }
 
     fn tick(&mut self) {
-        self.ticked = self.now;
-        self.slots.expire(self.now);
-        self.stale |= self.slots.wants_report(self.now);
+        self.last_tick_at = self.now;
+        self.slots.expire_waiters(self.now);
+        self.stale |= self.slots.needs_status(self.now);
         if self.stale {
-            self.report(Millis(200));
+            self.refresh_status(Millis(200));
         }
     }
 
-    fn report(&mut self, age: Millis) {
+    fn refresh_status(&mut self, age: Millis) {
         let at = Millis(self.now.0 - age.0);
-        let report = self.engine.report(at);
-        let is_taken = self.slots.report(&report, self.now);
+        let status = self.engine.status(at);
+        let is_applied = self.slots.apply_status(&status, self.now);
         self.stale = false;
-        if is_taken
+        if is_applied
             && self
-                .disturbed
-                .is_some_and(|since| at >= since + MAX_REPORT_AGE)
+                .disturbed_at
+                .is_some_and(|since| at >= since + MAX_STATUS_AGE)
         {
-            self.disturbed = None;
+            self.disturbed_at = None;
         }
     }
 
-    /// Has all looks leave that are due; some are lost.
-    fn look(&mut self, lost: bool) {
-        for look in self.slots.due(self.now) {
+    /// Sends all due probes; with `lost` none of them reaches the engine.
+    fn send_probes(&mut self, lost: bool) {
+        for probe in self.slots.due_probes(self.now) {
             if lost {
-                self.answers.push((look, None));
+                self.probe_responses.push((probe, None));
                 continue;
             }
             let outcome = self
                 .engine
-                .load(&look.adapter, look.version, look.sequence, self.now);
-            self.answers.push((look, Some(outcome)));
+                .load(&probe.adapter, probe.version, probe.sequence, self.now);
+            self.probe_responses.push((probe, Some(outcome)));
         }
     }
 
-    /// Has answers to looks arrive, the later ones first.
-    fn hear(&mut self, left: u64) {
-        while self.answers.len() > usize::try_from(left % 3).unwrap_or_default() {
-            let Some((look, outcome)) = self.answers.pop() else {
+    /// Delivers responses to probes, the latest first; `left` sets how many are kept back.
+    fn deliver_probe_responses(&mut self, left: u64) {
+        while self.probe_responses.len() > usize::try_from(left % 3).unwrap_or_default() {
+            let Some((probe, outcome)) = self.probe_responses.pop() else {
                 return;
             };
-            self.stale |= !self.slots.looked(&look, outcome, self.now);
+            self.stale |= !self.slots.apply_probe(&probe, outcome, self.now);
         }
     }
 
-    /// Changes the engine behind the owner's back.
-    fn disturb(&mut self, part: u64) {
-        let adapter = Name::from(format!("base/a{}", part / 4 % 5));
-        match part % 4 {
+    /// Changes the engine without an order of this owner.
+    fn change_engine(&mut self, value: u64) {
+        let adapter = Name::from(format!("base/a{}", value / 4 % 5));
+        match value % 4 {
             0 => self.engine.unload_for_another(&adapter),
-            1 if self.engine.taken() < PLACES => {
-                let version = 1 + part / 20 % 3;
+            1 if self.engine.count_used_slots() < SLOTS => {
+                let version = 1 + value / 20 % 3;
                 self.engine.load_for_another(&adapter, version, self.now);
             }
             1 => {}
@@ -236,11 +238,11 @@
             _ => self.engine.restart(),
         }
         self.engine.pass(self.now);
-        self.answers.clear();
-        self.disturbed = Some(self.now);
+        self.probe_responses.clear();
+        self.disturbed_at = Some(self.now);
     }
 
-    /// Checks what callers were told, and that nobody waits for too long.
+    /// Checks the callers' outcomes, and that none waits for too long.
     fn check(&mut self) -> Result<(), String> {
         let now = self.now;
         let mut waiting = Vec::new();
@@ -249,17 +251,17 @@
                 Ok(LoadOutcome::Ready(version)) => self.check_ready(&caller, version)?,
                 Ok(_) => {}
                 Err(oneshot::error::TryRecvError::Closed) => {
-                    return Err(format!("dropped without an answer: {caller:?}"));
+                    return Err(format!("dropped without an outcome: {caller:?}"));
                 }
                 Err(oneshot::error::TryRecvError::Empty) => waiting.push(caller),
             }
         }
         self.callers = waiting;
-        let too_long = |caller: &&Caller| now.since(caller.since) > PATIENCE;
+        let too_long = |caller: &&Caller| now.since(caller.since) > MAX_WAIT;
         if let Some(caller) = self.callers.iter().find(too_long) {
             return Err(format!("waits for too long: {caller:?}"));
         }
-        if self.disturbed.is_none() && self.engine.taken() > PLACES {
+        if self.disturbed_at.is_none() && self.engine.count_used_slots() > SLOTS {
             return Err("more adapters than the engine has slots".to_owned());
         }
         Ok(())
@@ -267,11 +269,13 @@
 
     fn check_ready(&self, caller: &Caller, version: u64) -> Result<(), String> {
         let fits = version >= caller.version;
-        let is_so = self.engine.held_lately(&caller.adapter, version, self.now);
-        if fits && (is_so || self.disturbed.is_some()) {
+        let was_held = self
+            .engine
+            .held_recently(&caller.adapter, version, self.now);
+        if fits && (was_held || self.disturbed_at.is_some()) {
             return Ok(());
         }
-        Err(format!("{caller:?} is told of version {version}"))
+        Err(format!("{caller:?} got version {version}"))
     }
 }
 
--- a/lib/tests/test_direct_slots.rs
+++ b/lib/tests/test_direct_slots.rs
@@ -1,10 +1,10 @@
-//! What a node believes of an engine's slots, whatever order evidence comes in.
+//! Tracking an engine's slots from evidence that arrives in any order.
 
 mod slots_model;
 
 use chivevalve::clock::Millis;
 use chivevalve::direct::dialect::{Held, Ordered, Report};
-use chivevalve::direct::orders::slots::{LoadProbe, MAX_LOAD_TIME, MAX_REPORT_AGE, Slots};
+use chivevalve::direct::orders::slots::{LoadProbe, MAX_LOAD_TIME, MAX_STATUS_AGE, Slots};
 use chivevalve::direct::orders::{LoadCommand, LoadOutcome};
 use quickcheck::{Gen, QuickCheck};
 use slots_model::World;
@@ -12,7 +12,7 @@
 
 const NOW: Millis = Millis(10_000);
 
-fn report(sequence: u64, adapters: &[(&str, u64)], incoming: &[(&str, u64)]) -> Report {
+fn status(sequence: u64, adapters: &[(&str, u64)], incoming: &[(&str, u64)]) -> Report {
     let named = |all: &[(&str, u64)]| all.iter().map(|(name, v)| ((*name).into(), *v)).collect();
     let held = Held {
         sequence,
@@ -26,7 +26,7 @@
     }
 }
 
-fn asked(version: u64) -> (LoadCommand, Receiver<LoadOutcome>) {
+fn load_command(version: u64) -> (LoadCommand, Receiver<LoadOutcome>) {
     let (reply, answer) = oneshot::channel();
     let adapter = "base/a1".into();
     let load = LoadCommand {
@@ -37,193 +37,198 @@
     (load, answer)
 }
 
-/// Slots of an empty engine that has accepted the order of a load.
+/// Returns the slots of an empty engine that has accepted the order of a load.
 fn loading(version: u64) -> (Slots, Receiver<LoadOutcome>) {
-    let mut slots = Slots::new(&report(0, &[], &[]), NOW);
-    let (load, answer) = asked(version);
-    let load = slots.wait(load, NOW).unwrap();
-    slots.accepted(NOW);
-    slots.began(load, NOW);
+    let mut slots = Slots::new(&status(0, &[], &[]), NOW);
+    let (load, answer) = load_command(version);
+    let load = slots.serve_or_enqueue(load, NOW).unwrap();
+    slots.record_accepted_order(NOW);
+    slots.record_load_started(load, NOW);
     (slots, answer)
 }
 
-fn look_of(slots: &mut Slots, now: Millis) -> LoadProbe {
-    let looks = slots.due(now);
-    assert_eq!(looks.len(), 1);
-    looks[0].clone()
+fn due_probe(slots: &mut Slots, now: Millis) -> LoadProbe {
+    let probes = slots.due_probes(now);
+    assert_eq!(probes.len(), 1);
+    probes[0].clone()
 }
 
-/// A report from before the order neither ends the load nor takes the count back.
+/// A status from before the order neither fails the load nor resets the count of orders.
 #[test]
-fn report_older_than_the_order() {
+fn apply_status_older_than_the_order() {
     let (mut slots, mut answer) = loading(2);
-    assert!(!slots.report(&report(0, &[], &[]), NOW + Millis(300)));
+    assert!(!slots.apply_status(&status(0, &[], &[]), NOW + Millis(300)));
     assert!(answer.try_recv().is_err());
-    let look = look_of(&mut slots, NOW + Millis(300));
-    assert_eq!(look.sequence, 1);
-    assert!(slots.looked(&look, Some(Ordered::Holds), NOW + Millis(310)));
+    let probe = due_probe(&mut slots, NOW + Millis(300));
+    assert_eq!(probe.sequence, 1);
+    assert!(slots.apply_probe(&probe, Some(Ordered::Holds), NOW + Millis(310)));
     assert_eq!(answer.try_recv(), Ok(LoadOutcome::Ready(2)));
 }
 
-/// A count that was counted wrongly is put right by a report asked for late enough.
+/// A wrong count is corrected by a status that was requested long enough after the last order.
 #[test]
-fn report_lower_count_long_after_the_order() {
+fn apply_status_lower_count_long_after_the_order() {
     let (mut slots, _answer) = loading(2);
-    assert!(slots.report(&report(0, &[], &[]), NOW + MAX_REPORT_AGE));
+    assert!(slots.apply_status(&status(0, &[], &[]), NOW + MAX_STATUS_AGE));
     assert_eq!(slots.sequence(), 0);
 }
 
-/// A report that still lists a complete load as on its way doesn't undo what a look found.
+/// A status that still lists a complete load as in progress doesn't undo the result of a probe.
 #[test]
-fn report_of_the_same_count_before_the_completion() {
+fn apply_status_of_the_same_count_before_the_completion() {
     let (mut slots, _answer) = loading(2);
-    let look = look_of(&mut slots, NOW + Millis(300));
-    slots.looked(&look, Some(Ordered::Holds), NOW + Millis(310));
-    slots.report(&report(1, &[], &[("base/a1", 2)]), NOW + Millis(320));
+    let probe = due_probe(&mut slots, NOW + Millis(300));
+    slots.apply_probe(&probe, Some(Ordered::Holds), NOW + Millis(310));
+    slots.apply_status(&status(1, &[], &[("base/a1", 2)]), NOW + Millis(320));
     assert_eq!(slots.held().adapters, [("base/a1".into(), 2)]);
-    assert_eq!(slots.next_look(NOW + Millis(320)), None);
+    assert_eq!(slots.next_probe(NOW + Millis(320)), None);
 }
 
-/// What another owner had loaded is gone once a report with its order doesn't list it.
+/// An adapter is removed once a status that counts another owner's order doesn't list it.
 #[test]
-fn report_of_a_newer_count_without_the_adapter() {
-    let mut slots = Slots::new(&report(3, &[("base/a1", 1)], &[]), NOW);
-    slots.report(&report(4, &[], &[]), NOW + Millis(10));
+fn apply_status_of_a_newer_count_without_the_adapter() {
+    let mut slots = Slots::new(&status(3, &[("base/a1", 1)], &[]), NOW);
+    slots.apply_status(&status(4, &[], &[]), NOW + Millis(10));
     assert_eq!(slots.held().adapters, []);
 }
 
-/// Another owner's load of a newer version is looked at, however long the former was held.
+/// Another owner's load of a newer version is probed, however long the older one was present.
 #[test]
-fn report_of_a_newer_count_with_a_load() {
-    let mut slots = Slots::new(&report(3, &[("base/a1", 1)], &[]), NOW);
+fn apply_status_of_a_newer_count_with_a_load() {
+    let mut slots = Slots::new(&status(3, &[("base/a1", 1)], &[]), NOW);
     let late = NOW + MAX_LOAD_TIME + MAX_LOAD_TIME;
-    slots.report(&report(4, &[("base/a1", 1)], &[("base/a1", 2)]), late);
-    assert_eq!(slots.loading_in_time(late), 1);
-    assert_eq!(look_of(&mut slots, late).version, 2);
+    slots.apply_status(&status(4, &[("base/a1", 1)], &[("base/a1", 2)]), late);
+    assert_eq!(slots.count_on_time_loads(late), 1);
+    assert_eq!(due_probe(&mut slots, late).version, 2);
 }
 
-/// Whoever waits for a load is served by the load of a further version too.
+/// Waiters of a load are also served by a later load of a newer version.
 #[test]
-fn began_further_version_keeps_waiters() {
+fn record_load_started_newer_version_keeps_waiters() {
     let (mut slots, mut former) = loading(2);
-    let (load, mut later) = asked(3);
-    let load = slots.wait(load, NOW).unwrap();
-    let look = look_of(&mut slots, NOW + Millis(45));
-    slots.accepted(NOW);
-    slots.began(load, NOW);
-    // A look at the former version says nothing of the further one.
-    slots.looked(&look, Some(Ordered::Holds), NOW + Millis(50));
+    let (load, mut later) = load_command(3);
+    let load = slots.serve_or_enqueue(load, NOW).unwrap();
+    let probe = due_probe(&mut slots, NOW + Millis(45));
+    slots.record_accepted_order(NOW);
+    slots.record_load_started(load, NOW);
+    // A probe of the older version says nothing of the newer one.
+    slots.apply_probe(&probe, Some(Ordered::Holds), NOW + Millis(50));
     assert!(later.try_recv().is_err());
-    let look = look_of(&mut slots, NOW + Millis(300));
-    slots.looked(&look, Some(Ordered::Holds), NOW + Millis(310));
+    let probe = due_probe(&mut slots, NOW + Millis(300));
+    slots.apply_probe(&probe, Some(Ordered::Holds), NOW + Millis(310));
     assert_eq!(former.try_recv(), Ok(LoadOutcome::Ready(3)));
     assert_eq!(later.try_recv(), Ok(LoadOutcome::Ready(3)));
 }
 
-/// A load that outlasts its time fails for who waited, and still serves who comes later.
+/// An overdue load fails for the callers that waited, and still serves later ones.
 #[test]
-fn expire_behind_long_runs() {
+fn expire_waiters_of_an_overdue_load() {
     let (mut slots, mut early) = loading(2);
     let late = NOW + MAX_LOAD_TIME + Millis(1);
-    slots.expire(late);
+    slots.expire_waiters(late);
     assert_eq!(early.try_recv(), Ok(LoadOutcome::Failed));
-    assert!(slots.wants_report(late));
-    assert!(slots.report(&report(1, &[], &[("base/a1", 2)]), late));
-    assert_eq!(slots.next_look(late), None);
-    let (load, mut later) = asked(2);
-    assert!(slots.wait(load, late).is_none());
-    let look = look_of(&mut slots, late);
-    slots.looked(&look, Some(Ordered::Holds), late);
+    assert!(slots.needs_status(late));
+    assert!(slots.apply_status(&status(1, &[], &[("base/a1", 2)]), late));
+    assert_eq!(slots.next_probe(late), None);
+    let (load, mut later) = load_command(2);
+    assert!(slots.serve_or_enqueue(load, late).is_none());
+    let probe = due_probe(&mut slots, late);
+    slots.apply_probe(&probe, Some(Ordered::Holds), late);
     assert_eq!(later.try_recv(), Ok(LoadOutcome::Ready(2)));
 }
 
-/// Loads that outlast their time don't keep others from the engine.
+/// Overdue loads don't block other loads of the engine.
 #[test]
-fn loading_in_time_without_overdue() {
+fn count_on_time_loads_without_overdue() {
     let (slots, _answer) = loading(2);
-    assert_eq!(slots.loading_in_time(NOW), 1);
+    assert_eq!(slots.count_on_time_loads(NOW), 1);
     let late = NOW + MAX_LOAD_TIME + Millis(1);
-    assert_eq!((slots.loading_in_time(late), slots.loading()), (0, 1));
+    assert_eq!(
+        (slots.count_on_time_loads(late), slots.count_loads()),
+        (0, 1)
+    );
 }
 
-/// A load that nobody waits for and no report lists any more gives its slot back.
+/// An overdue load without waiters frees its slot once a status no longer lists it.
 #[test]
-fn report_ends_an_overdue_load() {
+fn apply_status_ends_an_overdue_load() {
     let (mut slots, _answer) = loading(2);
     let late = NOW + MAX_LOAD_TIME + Millis(1);
-    slots.expire(late);
-    slots.report(&report(1, &[], &[]), late);
-    assert_eq!(slots.taken(), 0);
+    slots.expire_waiters(late);
+    slots.apply_status(&status(1, &[], &[]), late);
+    assert_eq!(slots.count_used_slots(), 0);
 }
 
-/// A load that a report with its order doesn't list is lost: begun anew, it could take one slot
-/// more than the engine has.
+/// A load is lost if a status that counts its order doesn't list it. Starting it again instead
+/// could take one slot more than the engine has.
 #[test]
-fn report_of_the_order_without_its_load() {
+fn apply_status_of_the_order_without_its_load() {
     let (mut slots, mut answer) = loading(2);
-    slots.report(&report(1, &[], &[]), NOW + Millis(300));
+    slots.apply_status(&status(1, &[], &[]), NOW + Millis(300));
     assert_eq!(answer.try_recv(), Ok(LoadOutcome::Failed));
-    assert_eq!(slots.taken(), 0);
+    assert_eq!(slots.count_used_slots(), 0);
 }
 
-/// A load that a report names is looked at, though no order of this node began it.
+/// A load listed in the first status is probed, though no order of this node started it.
 #[test]
-fn new_with_a_load_on_its_way() {
-    let mut slots = Slots::new(&report(3, &[], &[("base/a1", 2)]), NOW);
-    let (load, mut answer) = asked(2);
-    assert!(slots.wait(load, NOW).is_none());
-    let look = look_of(&mut slots, NOW);
-    slots.looked(&look, Some(Ordered::Holds), NOW + Millis(10));
+fn new_with_a_load_in_progress() {
+    let mut slots = Slots::new(&status(3, &[], &[("base/a1", 2)]), NOW);
+    let (load, mut answer) = load_command(2);
+    assert!(slots.serve_or_enqueue(load, NOW).is_none());
+    let probe = due_probe(&mut slots, NOW);
+    slots.apply_probe(&probe, Some(Ordered::Holds), NOW + Millis(10));
     assert_eq!(answer.try_recv(), Ok(LoadOutcome::Ready(2)));
 }
 
-/// A look that no answer came to is repeated.
+/// A probe without a response is repeated.
 #[test]
-fn due_repeats_a_lost_look() {
+fn due_probes_repeats_a_lost_probe() {
     let (mut slots, _answer) = loading(2);
-    look_of(&mut slots, NOW + Millis(45));
-    let next = slots.next_look(NOW + Millis(45)).unwrap();
+    due_probe(&mut slots, NOW + Millis(45));
+    let next = slots.next_probe(NOW + Millis(45)).unwrap();
     assert!(next < NOW + MAX_LOAD_TIME);
-    assert_eq!(look_of(&mut slots, next).version, 2);
+    assert_eq!(due_probe(&mut slots, next).version, 2);
 }
 
-/// A look that is refused though its count is the one known has the engine asked what is so.
+/// A probe that is rejected though it carries the known count requires the engine's status.
 #[test]
-fn looked_conflict_of_the_known_count() {
+fn apply_probe_conflict_of_the_known_count() {
     let (mut slots, _answer) = loading(2);
-    let look = look_of(&mut slots, NOW + Millis(45));
-    assert!(!slots.looked(&look, Some(Ordered::Conflict), NOW + Millis(50)));
-    slots.accepted(NOW + Millis(60));
-    assert!(slots.looked(&look, Some(Ordered::Conflict), NOW + Millis(70)));
+    let probe = due_probe(&mut slots, NOW + Millis(45));
+    assert!(!slots.apply_probe(&probe, Some(Ordered::Conflict), NOW + Millis(50)));
+    slots.record_accepted_order(NOW + Millis(60));
+    assert!(slots.apply_probe(&probe, Some(Ordered::Conflict), NOW + Millis(70)));
 }
 
-/// Which version was loaded as whatever is the newest, a report tells, also one from before its end.
+/// A status tells the version of an adapter that was loaded without one, even if the status was
+/// made before the load was complete.
 #[test]
-fn is_unversioned_until_a_report() {
+fn has_unknown_version_until_a_status() {
     let (mut slots, mut answer) = loading(0);
-    assert!(slots.is_unversioned("base/a1"));
-    let look = look_of(&mut slots, NOW + Millis(300));
-    slots.looked(&look, Some(Ordered::Holds), NOW + Millis(310));
+    assert!(slots.has_unknown_version("base/a1"));
+    let probe = due_probe(&mut slots, NOW + Millis(300));
+    slots.apply_probe(&probe, Some(Ordered::Holds), NOW + Millis(310));
     assert_eq!(answer.try_recv(), Ok(LoadOutcome::Ready(0)));
-    assert!(slots.is_unversioned("base/a1"));
-    slots.report(&report(1, &[], &[("base/a1", 2)]), NOW + Millis(320));
+    assert!(slots.has_unknown_version("base/a1"));
+    slots.apply_status(&status(1, &[], &[("base/a1", 2)]), NOW + Millis(320));
     assert_eq!(slots.held().adapters, [("base/a1".into(), 2)]);
-    assert!(!slots.is_unversioned("base/a1"));
+    assert!(!slots.has_unknown_version("base/a1"));
 }
 
-/// A restart of the engine ends what was on its way.
+/// A restart of the engine fails its loads in progress.
 #[test]
-fn report_of_a_restart() {
+fn apply_status_of_a_restart() {
     let (mut slots, mut answer) = loading(2);
-    let mut restarted = report(0, &[], &[]);
+    let mut restarted = status(0, &[], &[]);
     restarted.held.born = 7;
-    assert!(slots.report(&restarted, NOW + Millis(10)));
+    assert!(slots.apply_status(&restarted, NOW + Millis(10)));
     assert_eq!(answer.try_recv(), Ok(LoadOutcome::Failed));
-    assert_eq!((slots.taken(), slots.sequence()), (0, 0));
+    assert_eq!((slots.count_used_slots(), slots.sequence()), (0, 0));
 }
 
-/// Orders, late and repeated reports, refusals, lost looks, other owners' orders and restarts in
-/// any order leave nobody waiting, tell nobody of what isn't so, and end with what the engine holds.
+/// Orders, late and repeated statuses, rejections, lost probes, other owners' orders and restarts
+/// arrive in any order. Every caller must get an outcome, no outcome may be wrong, and the slots
+/// must finally match the engine.
 #[test]
 fn slots_any_evidence() {
     fn holds(events: Vec<u32>) -> Result<(), String> {
