--- a/lib/src/direct/claim/candidate.rs
+++ b/lib/src/direct/claim/candidate.rs
@@ -1,4 +1,4 @@
-//! Which engines a node may claim at this moment, and in which order.
+//! The engines that this node may claim now, in the order in which it claims them.
 
 use std::cmp::Reverse;
 use std::net::SocketAddr;
@@ -6,47 +6,46 @@
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 use super::Claimer;
-use super::previous::Previous;
+use super::previous::PreviousOwner;
 use crate::clock::Millis;
 use crate::direct::config::Config;
 use crate::direct::limits::Limits;
 use crate::direct::upstream::Upstream;
 use crate::direct::view::{Standing, State};
 
-/// Seed of the order of nodes for an engine. Changing it moves every claim, so it stays.
+/// Seed of the hash that ranks nodes for an engine; changing it would move every claim.
 const CLAIM_SEED: u64 = 0x636c_6169_6d73;
 
-/// How long a living previous owner has to take its claim back.
-const HEAD_START: Millis = Millis(1_500);
+/// How long other nodes leave an expired claim to its previous owner.
+const PREVIOUS_OWNER_HEAD_START: Millis = Millis(1_500);
 
-/// An engine that a node may claim.
+/// An engine that this node may claim.
 #[derive(Debug)]
 pub(super) struct Candidate {
     pub(super) address: SocketAddr,
-    /// The mark that a previous owner left.
-    pub(super) left: Option<Standing>,
-    /// Whether it is a claim that an earlier start of the same node left.
-    pub(super) is_own: bool,
-    /// Who gave the orders before.
-    pub(super) previous: Previous,
-    /// From when on this node may give them.
-    pub(super) from: Millis,
-    /// Nodes that come before this one, as far as they are known.
+    /// The claim that is still stored: released, or made by an earlier start of this node.
+    pub(super) stored: Option<Standing>,
+    /// Whether `stored` was made by an earlier start of this node.
+    pub(super) is_reclaim: bool,
+    pub(super) previous: PreviousOwner,
+    /// From when on this node may send orders.
+    pub(super) orders_from: Millis,
+    /// Number of known nodes that rank before this one.
     rank: u64,
-    /// This node's weight for the engine: of two engines, others come before it at this one less
-    /// probably that has the greater.
+    /// This node's weight for the engine: the greater it is, the less likely are unknown nodes
+    /// that rank before this one.
     weight: u64,
 }
 
 impl Claimer {
-    /// Returns engines without an owner, those first that fall to this node.
+    /// Returns engines without an owner, the ones first for which this node ranks highest.
     ///
-    /// Nodes that start together know few of each other yet. By rank alone each would take any
-    /// engine for its own; by weight too, they begin with different ones.
-    pub(super) fn candidates(&self, began: Millis, now: Millis) -> Vec<Candidate> {
+    /// Nodes that start together know few of each other yet. By rank alone each would claim any
+    /// engine; ordering by weight as well makes them begin with different ones.
+    pub(super) fn candidates(&self, first_lease_at: Millis, now: Millis) -> Vec<Candidate> {
         let state = self.view.state();
         let Some(config) = state.config.clone() else {
-            return self.own_claims(&state, began);
+            return self.reclaim_candidates(&state, first_lease_at);
         };
         let limits = self.limits.get();
         let mut candidates: Vec<Candidate> = state
@@ -54,9 +53,9 @@
             .values()
             .filter(|upstream| is_engine(&config, upstream) && upstream.is_ready())
             .filter(|upstream| !self.ownership.owns(upstream.address))
-            .filter_map(|upstream| self.candidate(&state, upstream, &limits, (began, now)))
+            .filter_map(|upstream| self.candidate(&state, upstream, &limits, (first_lease_at, now)))
             .collect();
-        candidates.sort_by_key(|one| (!one.is_own, one.rank, Reverse(one.weight)));
+        candidates.sort_by_key(|one| (!one.is_reclaim, one.rank, Reverse(one.weight)));
         candidates
     }
 
@@ -66,114 +65,121 @@
         state: &State,
         upstream: &Upstream,
         limits: &Limits,
-        (began, now): (Millis, Millis),
+        (first_lease_at, now): (Millis, Millis),
     ) -> Option<Candidate> {
-        let gathered = began + limits.gather();
+        let discovered_at = first_lease_at + limits.gather();
         let address = upstream.address;
-        let standing = state.claims.get(&address);
-        if let Some(standing) = standing.filter(|standing| self.is_previous_start(standing)) {
-            return Some(self.own_candidate(state, address, standing, began));
+        let stored = state.claims.get(&address);
+        if let Some(stored) = stored.filter(|stored| self.is_previous_start(stored)) {
+            return Some(self.reclaim_candidate(state, address, stored, first_lease_at));
         }
-        if now < gathered || standing.is_some_and(|standing| standing.claim.left.is_none()) {
+        if now < discovered_at || stored.is_some_and(|stored| stored.claim.left.is_none()) {
             return None;
         }
-        let since = standing
-            .map(|standing| standing.seen)
+        let unowned_since = stored
+            .map(|stored| stored.seen)
             .or_else(|| state.vanished.get(&address).map(|(_, at)| *at))
-            .unwrap_or(gathered.max(upstream.seen));
-        let passed = now.since(since);
-        // Whoever comes later than that waits longer in any case.
-        let rank = self.rank(state, address, passed.0 / limits.claim_rank().0 + 1);
-        if passed < self.patience(state, address, rank, limits) {
+            .unwrap_or(discovered_at.max(upstream.seen));
+        let elapsed = now.since(unowned_since);
+        // With more nodes than that before it, this node has to wait longer than `elapsed`.
+        let rank = self.rank(state, address, elapsed.0 / limits.claim_rank().0 + 1);
+        if elapsed < self.claim_delay(state, address, rank, limits) {
             return None;
         }
-        let (previous, from) = self.follows(state, address, standing, began);
+        let (previous, orders_from) = self.succession(state, address, stored, first_lease_at);
         Some(Candidate {
             address,
-            left: standing.cloned(),
-            is_own: false,
+            stored: stored.cloned(),
+            is_reclaim: false,
             previous,
-            from,
+            orders_from,
             rank,
             weight: weight(seed(address), &self.node),
         })
     }
 
     /// Returns how long an engine must have had no owner before this node claims it.
-    fn patience(&self, state: &State, address: SocketAddr, rank: u64, limits: &Limits) -> Millis {
-        let wait = Millis(limits.claim_rank().0 * rank);
+    fn claim_delay(
+        &self,
+        state: &State,
+        address: SocketAddr,
+        rank: u64,
+        limits: &Limits,
+    ) -> Millis {
+        let delay = Millis(limits.claim_rank().0 * rank);
         match state.vanished.get(&address) {
             Some((previous, _)) if previous.node == self.node => Millis::ZERO,
-            // All claims can lapse in an outage; a previous owner that lives needs no waiting
-            // out and goes first. A dead one has to be waited out for longer than this anyway.
-            Some(_) => wait + HEAD_START,
-            None => wait,
+            // All claims can expire in an outage. A previous owner that is alive goes first, as
+            // it needs not wait for its own orders to end. A dead one delays the first order of
+            // its successor by more than this head start anyway.
+            Some(_) => delay + PREVIOUS_OWNER_HEAD_START,
+            None => delay,
         }
     }
 
     /// Returns the claims of earlier starts of this node, while engines aren't known yet.
     ///
-    /// They end with their lease within seconds. Whoever took them up only once all engines are
-    /// read would come too late where all nodes read at once.
-    fn own_claims(&self, state: &State, began: Millis) -> Vec<Candidate> {
+    /// They expire with their lease within seconds. Where all nodes start at once, reading all
+    /// engines first would take longer.
+    fn reclaim_candidates(&self, state: &State, first_lease_at: Millis) -> Vec<Candidate> {
         let claims = state.claims.iter();
-        let own = claims.filter(|(address, standing)| self.is_to_take_back(**address, standing));
-        own.map(|(address, standing)| self.own_candidate(state, *address, standing, began))
+        let own = claims.filter(|(address, stored)| self.can_reclaim(**address, stored));
+        own.map(|(address, stored)| self.reclaim_candidate(state, *address, stored, first_lease_at))
             .collect()
     }
 
     /// Whether there are claims of earlier starts of this node.
-    pub(super) fn has_own_claims(&self, state: &State) -> bool {
+    pub(super) fn has_reclaim_candidates(&self, state: &State) -> bool {
         let mut claims = state.claims.iter();
-        claims.any(|(address, standing)| self.is_to_take_back(*address, standing))
+        claims.any(|(address, stored)| self.can_reclaim(*address, stored))
     }
 
-    fn is_to_take_back(&self, address: SocketAddr, standing: &Standing) -> bool {
-        self.is_previous_start(standing) && !self.ownership.owns(address)
+    fn can_reclaim(&self, address: SocketAddr, stored: &Standing) -> bool {
+        self.is_previous_start(stored) && !self.ownership.owns(address)
     }
 
-    /// A claim that an earlier start of the same node left.
-    fn own_candidate(
+    /// Returns the candidate for a claim of an earlier start of this node.
+    fn reclaim_candidate(
         &self,
         state: &State,
         address: SocketAddr,
-        standing: &Standing,
-        began: Millis,
+        stored: &Standing,
+        first_lease_at: Millis,
     ) -> Candidate {
-        let (previous, from) = self.follows(state, address, Some(standing), began);
+        let (previous, orders_from) = self.succession(state, address, Some(stored), first_lease_at);
         Candidate {
             address,
-            left: Some(standing.clone()),
-            is_own: true,
+            stored: Some(stored.clone()),
+            is_reclaim: true,
             previous,
-            from,
+            orders_from,
             rank: 0,
             weight: 0,
         }
     }
 
-    /// Whether a claim is of an earlier start of this node.
+    /// Whether a claim was made by an earlier start of this node.
     ///
-    /// Its process has ended, and to an engine both are one VM: when many nodes
-    /// are restarted at once, engines would otherwise get no orders until all
-    /// leases have lapsed and all rights have run out.
-    fn is_previous_start(&self, standing: &Standing) -> bool {
-        standing.claim.node == self.node && standing.claim.start != self.peer.start
+    /// That process has ended, and to an engine both are the same VM. Without reclaiming, a
+    /// restart of many nodes at once would leave engines without orders until all leases have
+    /// expired and the ownership terms have passed.
+    fn is_previous_start(&self, stored: &Standing) -> bool {
+        stored.claim.node == self.node && stored.claim.start != self.peer.start
     }
 
-    /// Returns how many living nodes come before this one for an engine, `most` at most.
+    /// Returns how many live nodes rank before this one for an engine, up to `max`.
     ///
-    /// With hundreds of nodes and thousands of engines without an owner, as after a start of all
-    /// nodes, counting them all took longer than a lease lasts.
-    pub(super) fn rank(&self, state: &State, address: SocketAddr, most: u64) -> u64 {
+    /// With hundreds of nodes and thousands of unowned engines, as after a start of all nodes,
+    /// counting without a limit took longer than a lease lasts.
+    pub(super) fn rank(&self, state: &State, address: SocketAddr, max: u64) -> u64 {
         let seed = seed(address);
-        let mine = weight(seed, &self.node);
+        let own = weight(seed, &self.node);
         let before = state
             .nodes
             .keys()
-            .filter(|node| **node != self.node && weight(seed, node) > mine);
+            .filter(|node| **node != self.node && weight(seed, node) > own);
         before
-            .take(usize::try_from(most).unwrap_or(usize::MAX))
+            .take(usize::try_from(max).unwrap_or(usize::MAX))
             .count() as u64
     }
 }
@@ -188,6 +194,7 @@
     xxh3_64_with_seed(address.to_string().as_bytes(), CLAIM_SEED)
 }
 
+/// Returns a node's rendezvous hash weight for the engine that `seed` stands for.
 fn weight(seed: u64, node: &str) -> u64 {
     xxh3_64_with_seed(node.as_bytes(), seed)
 }
--- a/lib/src/direct/claim/extension.rs
+++ b/lib/src/direct/claim/extension.rs
@@ -1,6 +1,7 @@
-//! Extending leases in an outage of the key-value service, by the votes of all other nodes.
+//! Extending ownership in an outage of the key-value service, by the votes of all other nodes.
 //!
-//! It is no consensus: nothing is decided or kept by it, and the service stays the arbiter.
+//! This is no consensus protocol: votes decide and store nothing, and the service stays the
+//! arbiter.
 
 use std::net::SocketAddr;
 use std::sync::atomic::Ordering;
@@ -12,43 +13,42 @@
 use crate::direct::limits::OWNERSHIP_TERM;
 use crate::ports::Error;
 
-/// Pause before nodes that refused are asked again; twice what connecting takes.
-const ROUND_PAUSE: Millis = Millis(100);
+/// Pause before nodes that refused are asked again; connecting takes half of it.
+const VOTE_RETRY_PAUSE: Millis = Millis(100);
 
 /// A node that gave no vote for an extension.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Refusal {
-    /// Where it was asked.
+    /// Address at which the node was asked.
     pub peer: SocketAddr,
-    /// What it said, or why it said nothing.
+    /// The node's reason, or why it gave no response.
     pub reason: String,
 }
 
-/// All other nodes, asked for their votes while the key-value service is unavailable.
+/// The other nodes, which vote while the key-value service is unavailable.
 #[async_trait]
 pub trait Voters: std::fmt::Debug + Send + Sync {
-    /// Returns the nodes that have to vote for an extension, or none if they aren't known.
+    /// Returns the nodes that must vote for an extension, or none if they aren't known.
     fn others(&self) -> Option<Vec<SocketAddr>>;
 
-    /// Asks nodes for their votes, and returns those that gave none.
+    /// Asks nodes for their votes, and returns the refusals.
     ///
-    /// A node votes as [`Ownership::votes_for`] says, or by not running: its next start begins
-    /// later than the question.
+    /// A node votes according to [`Ownership::votes_for`]. A node that isn't running counts as a
+    /// vote, since its next start gets its first lease later than this question.
     ///
     /// [`Ownership::votes_for`]: crate::direct::ownership::Ownership::votes_for
     async fn refusals(&self, asked: &[SocketAddr], owned: &[(SocketAddr, u64)]) -> Vec<Refusal>;
 }
 
 impl Claimer {
-    /// Extends the lease through an outage of the service that all nodes have.
+    /// Extends ownership through an outage of the service that all nodes see.
     ///
-    /// Without this no adapter is loaded for as long as an outage lasts and eight
-    /// seconds more. It takes every other node, and a right that has not ended
-    /// meanwhile. A node that a kept connection fails to reach is asked again: a
-    /// renewal takes so long to fail that one right has time for one round only,
-    /// and a node restarted in that second ended the orders of all others for the
-    /// rest of an outage.
-    pub(super) async fn extend(&self, error: &Error) {
+    /// Without this no adapter is loaded during an outage and for eight seconds after it. It
+    /// takes the votes of all other nodes, before the current term ends. Nodes that couldn't be
+    /// reached over a pooled connection are asked again: a renewal takes so long to fail that a
+    /// term has time for only one extension, and a node that restarted in that second stopped the
+    /// orders of all others for the rest of an outage.
+    pub(super) async fn extend_ownership(&self, error: &Error) {
         let sent = self.clock.now();
         let owned: Vec<(SocketAddr, u64)> = self
             .ownership
@@ -60,13 +60,13 @@
             log::warn!("right: no renewal: {error}");
             return;
         }
-        let refusals = self.refusals(&owned).await;
-        let extended = refusals.is_empty() && self.ownership.is_lease_valid();
-        let outcome = if extended { "granted" } else { "refused" };
+        let refusals = self.collect_refusals(&owned).await;
+        let is_extended = refusals.is_empty() && self.ownership.is_lease_valid();
+        let outcome = if is_extended { "granted" } else { "refused" };
         self.metrics.extensions.with_label_values(&[outcome]).inc();
-        if extended {
+        if is_extended {
             self.ownership
-                .until
+                .valid_until
                 .store((sent + OWNERSHIP_TERM).0, Ordering::Relaxed);
             log::info!("right: extended by the votes of all others, without a renewal: {error}");
             return;
@@ -74,19 +74,19 @@
         let owned = owned.len();
         log::warn!("right: no renewal and no extension for {owned} engines: {error}");
         for Refusal { peer, reason } in refusals {
-            log::info!("right: {peer} does not vote for it: {reason}");
+            log::info!("right: {peer} doesn't vote for the extension: {reason}");
         }
     }
 
-    /// Asks others until all vote for it or the right has ended, and returns who didn't.
-    async fn refusals(&self, owned: &[(SocketAddr, u64)]) -> Vec<Refusal> {
+    /// Asks other nodes until all vote or the term has ended; returns the last refusals.
+    async fn collect_refusals(&self, owned: &[(SocketAddr, u64)]) -> Vec<Refusal> {
         if !self.ownership.is_lease_valid() {
             return Vec::new();
         }
         let Some(mut asked) = self.voters.others() else {
             return vec![Refusal {
                 peer: self.peer.address,
-                reason: "no other node is known, and there were some".to_owned(),
+                reason: "no other node is known, though there were some".to_owned(),
             }];
         };
         loop {
@@ -94,7 +94,7 @@
             if refusals.is_empty() || !self.ownership.is_lease_valid() {
                 return refusals;
             }
-            tokio::time::sleep(ROUND_PAUSE.duration()).await;
+            tokio::time::sleep(VOTE_RETRY_PAUSE.duration()).await;
             asked = refusals.iter().map(|refusal| refusal.peer).collect();
         }
     }
--- a/lib/src/direct/claim/mod.rs
+++ b/lib/src/direct/claim/mod.rs
@@ -1,10 +1,10 @@
-//! Claims: which node gives orders to an engine.
+//! Claims: which node sends orders to an engine.
 //!
-//! Engines here don't check fencing tokens, so the time alone keeps two nodes
-//! from giving orders by turns. A claim lives with its node's lease. The node's
-//! right ends by its own clock, counted from when it sent the renewal; a
-//! successor waits until that right has surely ended and the length of a turn
-//! more. docs/design/0007-direct-serving.md has the figures.
+//! Engines don't check fencing tokens, so only time keeps the orders of two nodes apart. A claim
+//! is stored with its node's lease. A node's ownership ends by the node's own clock, counted from
+//! when it sent the renewal; a successor waits until that term has certainly ended, and for the
+//! minimum gap between the orders of two nodes. docs/design/0007-direct-serving.md has the
+//! figures.
 
 mod candidate;
 mod extension;
@@ -30,60 +30,58 @@
 use crate::name::Name;
 use crate::ports::{Error, Lease, LeaseId, Store, Transaction, Write};
 
-/// Pause between looks whether everything has been read after a start.
-const FIRST_LOOK: Millis = Millis(20);
+/// Interval at which a starting node checks whether the follower has read enough to claim.
+const VIEW_POLL_INTERVAL: Millis = Millis(20);
 
-/// Claims that one transaction makes; the service takes 32 rows.
-const CLAIMS_AT_ONCE: usize = 16;
+/// Claims that one transaction makes; the service accepts 32 rows.
+const MAX_CLAIMS_PER_TRANSACTION: usize = 16;
 
-/// Keeps this node's lease, record and claims.
+/// Maintains this node's lease, record and claims.
 #[derive(Debug)]
 pub struct Claimer {
     /// The key-value service.
     pub store: Arc<dyn Store>,
-    /// Its leases.
+    /// Leases of the key-value service.
     pub lease: Arc<dyn Lease>,
-    /// Keys.
+    /// The platform's key formats.
     pub dialect: Arc<dyn Dialect>,
-    /// Runs while the VM is suspended.
+    /// Includes time during which the VM is suspended.
     pub clock: Arc<dyn Clock>,
-    /// Other nodes.
+    /// The other nodes, which vote for extensions.
     pub voters: Arc<dyn Voters>,
-    /// What the follower sees.
+    /// This node's view of the deployment, written by the follower.
     pub view: Arc<View>,
-    /// What this node may do.
+    /// The engines that this node owns.
     pub ownership: Arc<Ownership>,
     /// The node's metrics.
     pub metrics: Arc<Metrics>,
-    /// Bounds in force.
+    /// The limits in force.
     pub limits: Arc<Current>,
     /// This node's name.
     pub node: Name,
     /// This node's record.
     pub peer: Peer,
-    /// The boot that the clock counts from.
+    /// Identifies the boot of the VM that the clock counts from.
     pub boot: u64,
-    /// Whether no node has run before.
+    /// Whether no node of this deployment has run before.
     pub first_start: bool,
 }
 
 impl Claimer {
-    /// Keeps the lease and claims until the task is dropped.
+    /// Renews the lease and claims engines until the task is dropped.
     pub async fn run(self: Arc<Self>) {
         let mut lease = None;
-        let mut began = None;
-        // A node that has left must not claim anew what it gave up.
-        while !self.ownership.left.load(Ordering::Relaxed) {
-            let knew_all = self.view.config().is_some();
-            let is_unbroken = self.ownership.is_lease_valid();
-            self.ownership
-                .unbroken
-                .store(is_unbroken, Ordering::Relaxed);
-            if let Err(error) = self.round(&mut lease, &mut began).await {
+        let mut first_lease_at = None;
+        // A node that has left must not claim again what it released.
+        while !self.ownership.has_left.load(Ordering::Relaxed) {
+            let has_config = self.view.config().is_some();
+            let is_valid = self.ownership.is_lease_valid();
+            self.ownership.was_valid.store(is_valid, Ordering::Relaxed);
+            if let Err(error) = self.renew_and_claim(&mut lease, &mut first_lease_at).await {
                 self.view.touched(false);
-                self.extend(&error).await;
+                self.extend_ownership(&error).await;
             }
-            if knew_all {
+            if has_config {
                 tokio::time::sleep(RENEWAL.duration()).await;
             } else {
                 self.wait_for_view().await;
@@ -91,92 +89,92 @@
         }
     }
 
-    /// Waits until the follower has read what a round can claim by, a round's pause at most.
+    /// Waits until the follower has read enough to claim, for a renewal interval at most.
     async fn wait_for_view(&self) {
-        let began = self.clock.now();
-        while !self.can_claim() && self.clock.now().since(began) < RENEWAL {
-            tokio::time::sleep(FIRST_LOOK.duration()).await;
+        let waits_since = self.clock.now();
+        while !self.can_claim() && self.clock.now().since(waits_since) < RENEWAL {
+            tokio::time::sleep(VIEW_POLL_INTERVAL.duration()).await;
         }
     }
 
-    /// Whether the follower has read everything, or claims of an earlier start of this node.
+    /// Whether the follower has read everything, or a claim of an earlier start of this node.
     fn can_claim(&self) -> bool {
         let state = self.view.state();
-        state.config.is_some() || self.has_own_claims(&state)
+        state.config.is_some() || self.has_reclaim_candidates(&state)
     }
 
-    /// Returns when this node began to look at claims, which is when it got its first lease.
+    /// Records the time of this node's first lease, and returns it.
     ///
-    /// What happened before that moment is unknown to it. Counted from the start of the
-    /// process, a node that starts in an outage would have waited long enough when the
-    /// service returns, while an owner whose lease the others extended still gives orders.
-    fn begin(&self) -> Millis {
-        self.ownership.begun.store(true, Ordering::SeqCst);
+    /// The node knows no claims from before that time. Counting from the start of the process
+    /// instead, a node that starts in an outage would seem to have waited long enough when the
+    /// service returns, while an owner extended by votes still sends orders.
+    fn record_first_lease(&self) -> Millis {
+        self.ownership.has_had_lease.store(true, Ordering::SeqCst);
         self.clock.now()
     }
 
-    async fn round(
+    async fn renew_and_claim(
         &self,
         lease: &mut Option<LeaseId>,
-        began: &mut Option<Millis>,
+        first_lease_at: &mut Option<Millis>,
     ) -> Result<(), Error> {
         let sent = self.clock.now();
         match *lease {
             None => {
                 let granted = self.lease.grant(LEASE).await?;
-                // A first lease has no claims of this start yet, and the follower reads those
-                // of others. Read here as well, thousands of claims took longer than the lease.
-                if began.is_some() {
+                // With the first lease there are no claims of this start, and the follower reads
+                // other nodes' claims. Reading thousands here as well took longer than the lease.
+                if first_lease_at.is_some() {
                     self.read_claims().await?;
-                    if !self.ownership.unbroken.load(Ordering::Relaxed) {
+                    if !self.ownership.was_valid.load(Ordering::Relaxed) {
                         self.view.state().disown(&self.node);
                     }
                 }
-                began.get_or_insert_with(|| self.begin());
-                self.register(granted).await?;
+                first_lease_at.get_or_insert_with(|| self.record_first_lease());
+                self.put_node_record(granted).await?;
                 *lease = Some(granted);
             }
             Some(held) => {
-                let lasted = self.ownership.is_lease_valid();
+                let was_valid = self.ownership.is_lease_valid();
                 if self.renew(held).await? == Millis::ZERO {
                     log::warn!("right: the lease has lapsed");
                     *lease = None;
-                    self.ownership.until.store(0, Ordering::Relaxed);
+                    self.ownership.valid_until.store(0, Ordering::Relaxed);
                     self.ownership.owned().clear();
-                    return Box::pin(self.round(lease, began)).await;
+                    return Box::pin(self.renew_and_claim(lease, first_lease_at)).await;
                 }
                 self.view.touched(true);
-                if !lasted {
+                if !was_valid {
                     self.read_claims().await?;
                     self.view.state().disown(&self.node);
                 }
             }
         }
-        if self.ownership.left.load(Ordering::Relaxed) {
+        if self.ownership.has_left.load(Ordering::Relaxed) {
             return Ok(());
         }
         self.ownership.drop_lost_claims();
         self.ownership
-            .until
+            .valid_until
             .store((sent + OWNERSHIP_TERM).0, Ordering::Relaxed);
-        if let (Some(held), Some(began)) = (*lease, *began) {
-            self.claim(held, began).await?;
-            self.hand_over(began).await?;
+        if let (Some(held), Some(first_lease_at)) = (*lease, *first_lease_at) {
+            self.claim_engines(held, first_lease_at).await?;
+            self.hand_over_surplus(first_lease_at).await?;
         }
         Ok(())
     }
 
-    /// Renews the lease, without waiting so long that no second try fits into the right.
+    /// Renews the lease, with a timeout that leaves time for another attempt within the term.
     async fn renew(&self, lease: LeaseId) -> Result<Millis, Error> {
         tokio::time::timeout(RENEWAL_ANSWER.duration(), self.lease.renew(lease))
             .await
             .map_err(|_| Error::NoAnswer(format!("no renewal within {RENEWAL_ANSWER}")))?
     }
 
-    /// Reads all claims anew after the right had lapsed.
+    /// Reads all claims again after ownership ended.
     ///
-    /// Meanwhile the claims may have been taken away and others may have made
-    /// theirs; what the view last saw is older than that.
+    /// In the meantime the claims may have been deleted and other nodes may have claimed the
+    /// engines; the view can be older than that.
     async fn read_claims(&self) -> Result<(), Error> {
         let listing = self.store.list(&self.dialect.own(CLAIMS)).await?;
         let now = self.clock.now();
@@ -186,38 +184,38 @@
         Ok(())
     }
 
-    async fn register(&self, lease: LeaseId) -> Result<(), Error> {
+    async fn put_node_record(&self, lease: LeaseId) -> Result<(), Error> {
         let key = self.dialect.own(&format!("{NODES}{}", self.node));
         let transaction = Transaction {
             conditions: Vec::new(),
-            writes: vec![Write::Put(key, encoded(&self.peer), Some(lease))],
+            writes: vec![Write::Put(key, to_json(&self.peer), Some(lease))],
         };
         self.store.commit(transaction).await?;
         Ok(())
     }
 
-    fn own_claim(&self, left: Option<Millis>, from: Millis) -> Claim {
+    fn new_claim(&self, left: Option<Millis>, orders_from: Millis) -> Claim {
         Claim {
             node: Name::clone(&self.node),
             start: self.peer.start,
             left,
-            from,
+            from: orders_from,
             boot: self.boot,
         }
     }
 
-    /// Returns the least time between the last order of one node and the first one of another.
-    fn turn(&self) -> Millis {
+    /// Returns the minimum gap between the last order of one node and the first one of another.
+    fn order_gap(&self) -> Millis {
         self.limits.get().turns + TURN_MARGIN
     }
 
-    fn key(&self, address: SocketAddr) -> String {
+    fn claim_key(&self, address: SocketAddr) -> String {
         self.dialect.own(&format!("{CLAIMS}{address}"))
     }
 }
 
-fn encoded<T: serde::Serialize>(value: &T) -> Bytes {
+fn to_json<T: serde::Serialize>(value: &T) -> Bytes {
     serde_json::to_vec(value)
-        .expect("names and numbers make JSON")
+        .expect("records of names and numbers serialize to JSON")
         .into()
 }
--- a/lib/src/direct/claim/previous.rs
+++ b/lib/src/direct/claim/previous.rs
@@ -1,4 +1,4 @@
-//! What is known of the node that owned an engine before, and how long its orders may go on.
+//! The previous owner of an engine, and until when it may still send orders.
 
 use std::net::SocketAddr;
 
@@ -7,23 +7,24 @@
 use crate::direct::limits::OWNERSHIP_TERM;
 use crate::direct::view::{Claim, Standing, State};
 
-/// What became of the node that gave an engine its orders before.
+/// What is known of the node that owned an engine before.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Previous {
+pub(super) enum PreviousOwner {
     /// There was none.
     Nobody,
-    /// It is this node, or an earlier start of it, which could order from then on; none if that
-    /// was another boot of the VM.
-    Itself { from: Option<Millis> },
-    /// It gave the claim up, this long after its last order.
+    /// This node, maybe in an earlier start, which could send orders from `orders_from` on; none
+    /// if the VM has been rebooted since.
+    Itself { orders_from: Option<Millis> },
+    /// A node that released its claim at `at`, `idle` after its last order.
     Left { at: Millis, idle: Millis },
-    /// Its claim vanished with its lease.
+    /// A node whose claim expired with its lease.
     Vanished { at: Millis },
-    /// Whoever it was before this node began to look may believe in its claim still.
+    /// Any node that may have owned the engine before this node first read all claims, and may
+    /// still send orders.
     Unknown,
 }
 
-impl Previous {
+impl PreviousOwner {
     /// Returns the name used in logs and metrics.
     pub(super) const fn name(self) -> &'static str {
         match self {
@@ -35,58 +36,71 @@
         }
     }
 
-    /// Returns when its right has surely ended and a turn has passed.
-    pub(super) fn waited_out(self, turn: Millis, began: Millis) -> Millis {
+    /// Returns when a successor may send its first order.
+    ///
+    /// That is `gap` after the last order that the previous owner can have sent. `claims_known_since` is when
+    /// this node first knew all claims.
+    fn successor_orders_from(self, gap: Millis, claims_known_since: Millis) -> Millis {
         match self {
             Self::Nobody => Millis::ZERO,
-            // An earlier start may have waited still when it ended.
-            Self::Itself { from: Some(from) } => from,
-            Self::Left { at, idle } => at + (turn - idle.min(turn)),
-            Self::Vanished { at } => at + OWNERSHIP_TERM + turn,
-            Self::Unknown | Self::Itself { from: None } => began + OWNERSHIP_TERM + turn,
+            // The earlier start may itself have been waiting when it ended.
+            Self::Itself {
+                orders_from: Some(orders_from),
+            } => orders_from,
+            Self::Left { at, idle } => at + (gap - idle.min(gap)),
+            Self::Vanished { at } => at + OWNERSHIP_TERM + gap,
+            Self::Unknown | Self::Itself { orders_from: None } => {
+                claims_known_since + OWNERSHIP_TERM + gap
+            }
         }
     }
 }
 
 impl Claimer {
-    /// Returns who gave an engine's orders before, and from when on this node may.
-    pub(super) fn follows(
+    /// Returns the previous owner of an engine, and from when on this node may send it orders.
+    pub(super) fn succession(
         &self,
         state: &State,
         address: SocketAddr,
-        left: Option<&Standing>,
-        began: Millis,
-    ) -> (Previous, Millis) {
-        let previous = self.previous(state, address, left);
-        // What vanished before this node knew all claims is as unknown to it as what did before
-        // its first lease.
+        stored: Option<&Standing>,
+        first_lease_at: Millis,
+    ) -> (PreviousOwner, Millis) {
+        let previous = self.previous_owner(state, address, stored);
+        // Claims that expired before this node had read all claims are as unknown to it as those
+        // that expired before its first lease.
         let claims_read = state.claims_read.unwrap_or_else(|| self.clock.now());
-        let from = previous.waited_out(self.turn(), began.max(claims_read));
-        (previous, from)
+        let orders_from =
+            previous.successor_orders_from(self.order_gap(), first_lease_at.max(claims_read));
+        (previous, orders_from)
     }
 
-    /// Returns what is known of a claim that this node made, maybe in an earlier start.
-    fn itself(&self, claim: &Claim) -> Previous {
-        let from = (claim.boot == self.boot).then_some(claim.from);
-        Previous::Itself { from }
+    /// Returns the previous owner from a claim that this node made, maybe in an earlier start.
+    fn own_previous_claim(&self, claim: &Claim) -> PreviousOwner {
+        let orders_from = (claim.boot == self.boot).then_some(claim.from);
+        PreviousOwner::Itself { orders_from }
     }
 
     /// Returns what is known of an engine's previous owner.
-    fn previous(&self, state: &State, address: SocketAddr, left: Option<&Standing>) -> Previous {
-        if let Some(left) = left {
-            if left.claim.node == self.node {
-                return self.itself(&left.claim);
+    fn previous_owner(
+        &self,
+        state: &State,
+        address: SocketAddr,
+        stored: Option<&Standing>,
+    ) -> PreviousOwner {
+        if let Some(stored) = stored {
+            if stored.claim.node == self.node {
+                return self.own_previous_claim(&stored.claim);
             }
-            return Previous::Left {
-                at: left.seen,
-                idle: left.claim.left.unwrap_or_default(),
+            return PreviousOwner::Left {
+                at: stored.seen,
+                idle: stored.claim.left.unwrap_or_default(),
             };
         }
         match state.vanished.get(&address) {
-            Some((claim, _)) if claim.node == self.node => self.itself(claim),
-            Some((_, at)) => Previous::Vanished { at: *at },
-            None if self.first_start => Previous::Nobody,
-            None => Previous::Unknown,
+            Some((claim, _)) if claim.node == self.node => self.own_previous_claim(claim),
+            Some((_, at)) => PreviousOwner::Vanished { at: *at },
+            None if self.first_start => PreviousOwner::Nobody,
+            None => PreviousOwner::Unknown,
         }
     }
 }
--- a/lib/src/direct/claim/release.rs
+++ b/lib/src/direct/claim/release.rs
@@ -1,92 +1,97 @@
-//! Giving claims up: all of them on a planned stop, one at a time where a node owns too many.
+//! Releasing claims: all on a planned stop, one at a time while this node owns too many.
 
 use std::net::SocketAddr;
 use std::sync::atomic::Ordering;
 
-use super::{CLAIMS_AT_ONCE, Claimer, encoded};
+use super::{Claimer, MAX_CLAIMS_PER_TRANSACTION, to_json};
 use crate::clock::Millis;
 use crate::direct::limits::RENEWAL;
-use crate::direct::ownership::Owned;
+use crate::direct::ownership::OwnedEngine;
 use crate::ports::{Condition, Error, Transaction, Write};
 
-/// Shares of the engines that a node keeps before it gives some up.
+/// Multiple of its fair share of the engines that a node keeps.
 ///
-/// Below, uneven claims do no harm, and each handover keeps an engine without orders for up
-/// to a turn.
-const MOST_SHARES: usize = 2;
+/// Up to that, an uneven spread does no harm, while each handover leaves an engine without orders
+/// for up to the minimum gap between the orders of two nodes.
+const MAX_SHARES: usize = 2;
 
-/// Pause between handovers: two rounds.
-const HANDOVER: Millis = Millis(RENEWAL.0 * 2);
+/// Interval between handovers: two rounds.
+const HANDOVER_INTERVAL: Millis = Millis(RENEWAL.0 * 2);
 
 impl Claimer {
-    /// Gives claims up, with the time since the last order, so that successors wait less.
+    /// Releases all claims, with the time since the last order, so that successors wait less.
     ///
     /// # Errors
     ///
-    /// When the service doesn't take it; then the lease's end does the same later.
+    /// When the service doesn't accept it; the claims then expire with the lease.
     pub async fn leave(&self) -> Result<(), Error> {
-        self.ownership.left.store(true, Ordering::Relaxed);
-        self.ownership.until.store(0, Ordering::Relaxed);
-        let owned: Vec<(SocketAddr, Owned)> = self.ownership.owned().drain().collect();
-        for addresses in owned.chunks(CLAIMS_AT_ONCE) {
+        self.ownership.has_left.store(true, Ordering::Relaxed);
+        self.ownership.valid_until.store(0, Ordering::Relaxed);
+        let owned: Vec<(SocketAddr, OwnedEngine)> = self.ownership.owned().drain().collect();
+        for addresses in owned.chunks(MAX_CLAIMS_PER_TRANSACTION) {
             let mut transaction = Transaction::default();
             for (address, owned) in addresses {
-                transaction.writes.push(self.mark_left(*address, *owned));
+                transaction
+                    .writes
+                    .push(self.release_write(*address, *owned));
             }
             self.store.commit(transaction).await?;
         }
         Ok(())
     }
 
-    /// Returns the write that gives up a claim under which no order leaves any more.
+    /// Returns the write that releases a claim under which no more orders are sent.
     ///
-    /// A node that gives a claim up before it could order leaves the wait for the owner before it.
-    fn mark_left(&self, address: SocketAddr, owned: Owned) -> Write {
-        let turn = self.turn();
-        let before = (self.clock.now() + turn).since(owned.from);
+    /// If this node was still waiting for the owner before it, the successor waits for the rest.
+    fn release_write(&self, address: SocketAddr, owned: OwnedEngine) -> Write {
+        let gap = self.order_gap();
+        let since_previous_owner = (self.clock.now() + gap).since(owned.orders_from);
         let idle = self
             .ownership
             .time_since_order(address)
             .unwrap_or(Millis::MAX);
-        let claim = self.own_claim(Some(idle.min(before).min(turn)), owned.from);
-        Write::Put(self.key(address), encoded(&claim), None)
+        let claim = self.new_claim(
+            Some(idle.min(since_previous_owner).min(gap)),
+            owned.orders_from,
+        );
+        Write::Put(self.claim_key(address), to_json(&claim), None)
     }
 
-    /// Gives one engine up if this node owns far more than its share.
+    /// Releases one engine if this node owns far more than its share.
     ///
-    /// Planned stops one after the other leave all engines with the node that was the first
-    /// to be back: twelve of twelve among seven nodes, seen on a day with rolling stops. When
-    /// that one falls silent, no adapter can be loaded anywhere for eight seconds. One engine
-    /// at a time keeps all others in service, and the one whose last order is the oldest
-    /// keeps its successor waiting least.
-    pub(super) async fn hand_over(&self, began: Millis) -> Result<(), Error> {
+    /// Planned stops one after the other leave all engines with the node that restarted first:
+    /// rolling restarts of seven nodes left it with twelve of twelve. If that node then becomes
+    /// unresponsive, no adapter can be loaded anywhere for eight seconds. Releasing one engine at
+    /// a time keeps the others in service, and the one whose last order is the oldest makes its
+    /// successor wait the least.
+    pub(super) async fn hand_over_surplus(&self, first_lease_at: Millis) -> Result<(), Error> {
         let now = self.clock.now();
-        if now.since(began.max(self.ownership.last_handover())) < HANDOVER {
+        if now.since(first_lease_at.max(self.ownership.last_handover())) < HANDOVER_INTERVAL {
             return Ok(());
         }
-        let Some((address, owned)) = self.surplus() else {
+        let Some((address, owned)) = self.surplus_engine() else {
             return Ok(());
         };
         self.ownership.hand_over(address, now);
-        log::info!("right: orders to {address} are handed over, as this node has many");
+        log::info!("right: handing over {address}, as this node owns more than its share");
         let transaction = Transaction {
-            conditions: vec![Condition::Unchanged(self.key(address), owned.token)],
-            writes: vec![self.mark_left(address, owned)],
+            conditions: vec![Condition::Unchanged(self.claim_key(address), owned.token)],
+            writes: vec![self.release_write(address, owned)],
         };
-        // The view hears of the write up to a second later. Until then it would show a claim
-        // of this start that this node doesn't hold, and the next round would take it up
-        // again while its successor gives orders.
+        // The view learns of the write up to a second later. Until then it would show a claim of
+        // this start that this node doesn't hold, and the next round would adopt it again while
+        // the successor sends orders.
         self.view.state().give_up(address, now);
         self.store.commit(transaction).await?;
         Ok(())
     }
 
-    /// Returns an engine beyond this node's share that another node comes first for.
-    fn surplus(&self) -> Option<(SocketAddr, Owned)> {
+    /// Returns an engine to hand over: beyond this node's share, and another node ranks first.
+    fn surplus_engine(&self) -> Option<(SocketAddr, OwnedEngine)> {
         let state = self.view.state();
         let owned = self.ownership.owned();
         let share = state.claims.len().div_ceil(state.nodes.len().max(1));
-        if owned.len() <= share * MOST_SHARES {
+        if owned.len() <= share * MAX_SHARES {
             return None;
         }
         owned
--- a/lib/src/direct/claim/takeover.rs
+++ b/lib/src/direct/claim/takeover.rs
@@ -1,118 +1,143 @@
-//! Making claims, and waiting until the previous owner of each gives no more orders.
+//! Claiming engines, and recording from when on this node may send them orders.
 
 use std::net::SocketAddr;
 
 use super::candidate::Candidate;
-use super::previous::Previous;
-use super::{CLAIMS_AT_ONCE, Claimer, encoded};
+use super::previous::PreviousOwner;
+use super::{Claimer, MAX_CLAIMS_PER_TRANSACTION, to_json};
 use crate::clock::Millis;
 use crate::direct::dialect::Key;
 use crate::direct::view::{Standing, claimed};
 use crate::ports::{Condition, Entry, Error, LeaseId, Transaction, Write};
 
-/// Tries of a round to claim what the service didn't say was taken the time before.
+/// Transactions of a round that try to claim engines, after some turned out to be claimed.
 ///
-/// Each costs a call; what is left is tried in the next round.
-const CLAIM_TRIES: u32 = 3;
+/// Each costs a call; what remains is tried in the next round.
+const MAX_CLAIM_ATTEMPTS: u32 = 3;
 
 impl Claimer {
-    /// Takes over engines that nobody gives orders to, those first that fall to this node.
+    /// Claims engines without an owner, the ones first for which this node ranks highest.
     ///
-    /// A transaction makes all its claims or none, and news of others' claims comes seconds
-    /// late. Where hundreds of nodes claim at once, one engine that is taken already would fail
-    /// the same transaction each round; the service's refusal says which it is.
-    pub(super) async fn claim(&self, lease: LeaseId, began: Millis) -> Result<(), Error> {
-        self.adopt(self.clock.now());
-        for _ in 0..CLAIM_TRIES {
-            let mut candidates = self.candidates(began, self.clock.now());
+    /// A transaction makes all its claims or none, and other nodes' claims are seen seconds
+    /// late. Where hundreds of nodes claim at once, one engine that is already claimed would fail
+    /// the same transaction in each round, so the claims found by a failed one are applied.
+    pub(super) async fn claim_engines(
+        &self,
+        lease: LeaseId,
+        first_lease_at: Millis,
+    ) -> Result<(), Error> {
+        self.adopt_unconfirmed_claims(self.clock.now());
+        for _ in 0..MAX_CLAIM_ATTEMPTS {
+            let mut candidates = self.candidates(first_lease_at, self.clock.now());
             if candidates.is_empty() {
                 return Ok(());
             }
-            let rest = candidates.split_off(CLAIMS_AT_ONCE.min(candidates.len()));
-            let commit = self.store.commit(self.claims(&candidates, lease)).await?;
+            let rest = candidates.split_off(MAX_CLAIMS_PER_TRANSACTION.min(candidates.len()));
+            let commit = self
+                .store
+                .commit(self.claim_transaction(&candidates, lease))
+                .await?;
             let now = self.clock.now();
             if commit.done {
                 for one in candidates {
-                    self.won(one.address, commit.revision, one.previous, one.from, now);
+                    self.take_over(
+                        one.address,
+                        commit.revision,
+                        one.previous,
+                        one.orders_from,
+                        now,
+                    );
                 }
-                if !rest.iter().any(|one| one.is_own) {
+                if !rest.iter().any(|one| one.is_reclaim) {
                     return Ok(());
                 }
-            } else if !self.learn(&commit.found, now) {
+            } else if !self.apply_found_claims(&commit.found, now) {
                 return Ok(());
             }
         }
         Ok(())
     }
 
-    /// Returns the transaction that makes claims.
-    fn claims(&self, candidates: &[Candidate], lease: LeaseId) -> Transaction {
+    /// Returns the transaction that claims the candidates.
+    fn claim_transaction(&self, candidates: &[Candidate], lease: LeaseId) -> Transaction {
         let mut transaction = Transaction::default();
         for one in candidates {
-            let Candidate { address, left, .. } = one;
-            let key = self.key(*address);
-            transaction.conditions.push(match left {
-                Some(left) => Condition::Unchanged(key.clone(), left.revision),
+            let Candidate {
+                address, stored, ..
+            } = one;
+            let key = self.claim_key(*address);
+            transaction.conditions.push(match stored {
+                Some(stored) => Condition::Unchanged(key.clone(), stored.revision),
                 None => Condition::Absent(key.clone()),
             });
-            let claim = encoded(&self.own_claim(None, one.from));
+            let claim = to_json(&self.new_claim(None, one.orders_from));
             transaction.writes.push(Write::Put(key, claim, Some(lease)));
         }
         transaction
     }
 
-    /// Takes in claims that a refused transaction met; returns whether there were any.
-    fn learn(&self, found: &[Entry], now: Millis) -> bool {
+    /// Applies the claims that made a transaction fail; returns whether there were any.
+    fn apply_found_claims(&self, found: &[Entry], now: Millis) -> bool {
         log::debug!("right: {} engines were claimed by others", found.len());
         let mut state = self.view.state();
-        let mut learnt = false;
+        let mut has_applied = false;
         for entry in found {
             if let Key::Own(name) = self.dialect.key(&entry.key)
                 && let Some(address) = claimed(&name)
             {
                 state.put_claim(address, entry, now);
-                learnt = true;
+                has_applied = true;
             }
         }
-        learnt
+        has_applied
     }
 
-    /// Takes up claims of this start whose write had no answer.
+    /// Takes over engines with claims of this start that this node doesn't know to have made.
     ///
-    /// Without this nobody would give those engines orders: to all others they
-    /// are taken.
-    fn adopt(&self, now: Millis) {
-        let unanswered: Vec<(SocketAddr, u64, Millis)> = {
+    /// Their write got no response but took effect. Other nodes see the engines as owned, so
+    /// otherwise nobody would send them orders.
+    fn adopt_unconfirmed_claims(&self, now: Millis) {
+        let unconfirmed: Vec<(SocketAddr, u64, Millis)> = {
             let state = self.view.state();
             state
                 .claims
                 .iter()
-                .filter(|(address, standing)| {
-                    standing.claim.node == self.node
-                        && standing.claim.start == self.peer.start
-                        && standing.claim.left.is_none()
+                .filter(|(address, stored)| {
+                    stored.claim.node == self.node
+                        && stored.claim.start == self.peer.start
+                        && stored.claim.left.is_none()
                         && !self.ownership.owns(**address)
                 })
-                .map(|(address, standing)| (*address, standing.revision, standing.claim.from))
+                .map(|(address, stored)| (*address, stored.revision, stored.claim.from))
                 .collect()
         };
-        for (address, token, from) in unanswered {
-            let previous = Previous::Itself { from: Some(from) };
-            self.won(address, token, previous, from, now);
+        for (address, token, orders_from) in unconfirmed {
+            let previous = PreviousOwner::Itself {
+                orders_from: Some(orders_from),
+            };
+            self.take_over(address, token, previous, orders_from, now);
         }
     }
 
-    fn won(&self, address: SocketAddr, token: u64, previous: Previous, from: Millis, now: Millis) {
+    /// Records that this node owns an engine.
+    fn take_over(
+        &self,
+        address: SocketAddr,
+        token: u64,
+        previous: PreviousOwner,
+        orders_from: Millis,
+        now: Millis,
+    ) {
         let name = previous.name();
         self.metrics.takeovers.with_label_values(&[name]).inc();
-        let start = from.max(now);
+        let start = orders_from.max(now);
         log::info!(
-            "right: orders to {address} are this node's, token {token}, from {start}, previous owner: {name}"
+            "right: took over {address} with token {token}, orders from {start}, previous owner: {name}"
         );
         self.view.state().claim(
             address,
             Standing {
-                claim: self.own_claim(None, from),
+                claim: self.new_claim(None, orders_from),
                 revision: token,
                 seen: now,
             },
--- a/lib/src/direct/ownership.rs
+++ b/lib/src/direct/ownership.rs
@@ -1,6 +1,7 @@
-//! A node's right to give engines orders, which ends by its own clock.
+//! The engines that this node owns, and whether it may send them orders.
 //!
-//! [`claim`](super::claim) gets and renews it at the key-value service.
+//! Ownership ends by the node's own clock. [`claim`](super::claim) acquires and renews it at the
+//! key-value service; the log lines of both start with `right:`.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -10,75 +11,81 @@
 use super::view::View;
 use crate::clock::{Clock, Millis};
 
-/// Leave to give an engine orders.
+/// An engine that this node owns.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) struct Owned {
+pub(super) struct OwnedEngine {
+    /// The fencing token: the revision of the claim.
     pub(super) token: u64,
-    pub(super) from: Millis,
+    /// From when on this node may send orders.
+    pub(super) orders_from: Millis,
 }
 
-/// This node's right to give orders, looked at in the line before each order.
+/// The engines that this node owns; checked immediately before each order is sent.
 ///
-/// The claim must also still stand in the view: the platform can take a node's
-/// keys away at once while its lease goes on, and no renewal shows it.
+/// Apart from a valid lease, an order needs a claim that is still in the view: the platform can
+/// delete a node's keys while its lease goes on, and no renewal shows that.
 #[derive(Debug)]
 pub struct Ownership {
     clock: Arc<dyn Clock>,
     view: Arc<View>,
-    pub(super) until: AtomicU64,
-    pub(super) begun: AtomicBool,
-    /// Whether the right had lasted without a break when the claimer last looked.
-    pub(super) unbroken: AtomicBool,
-    handed_over: AtomicU64,
-    pub(super) left: AtomicBool,
-    owned: Mutex<HashMap<SocketAddr, Owned>>,
+    /// When the lease ends for this node, in milliseconds of `clock`.
+    pub(super) valid_until: AtomicU64,
+    /// Whether this node has had a lease since its start.
+    pub(super) has_had_lease: AtomicBool,
+    /// Whether the lease was valid when the claimer last checked.
+    pub(super) was_valid: AtomicBool,
+    /// When this node last handed an engine over, in milliseconds of `clock`.
+    last_handover: AtomicU64,
+    /// Whether this node has released its claims for a planned stop.
+    pub(super) has_left: AtomicBool,
+    owned: Mutex<HashMap<SocketAddr, OwnedEngine>>,
     last_order: Mutex<HashMap<SocketAddr, Millis>>,
 }
 
 impl Ownership {
-    /// Makes a right that allows nothing.
+    /// Creates the ownership of no engine, without a lease.
     ///
-    /// `clock` has to run while the VM is suspended: a node that wakes up must
-    /// see that its right has ended.
+    /// `clock` must include time during which the VM is suspended, so that a resumed node sees
+    /// that its lease has ended.
     #[must_use]
     pub fn new(clock: Arc<dyn Clock>, view: Arc<View>) -> Self {
         Self {
             clock,
             view,
-            until: AtomicU64::new(0),
-            begun: AtomicBool::new(false),
-            unbroken: AtomicBool::new(false),
-            handed_over: AtomicU64::new(0),
-            left: AtomicBool::new(false),
+            valid_until: AtomicU64::new(0),
+            has_had_lease: AtomicBool::new(false),
+            was_valid: AtomicBool::new(false),
+            last_handover: AtomicU64::new(0),
+            has_left: AtomicBool::new(false),
             owned: Mutex::default(),
             last_order: Mutex::default(),
         }
     }
 
-    /// Returns the fencing token if an order may leave at this moment.
+    /// Returns the fencing token if this node may send the engine an order now.
     #[must_use]
     pub fn fencing_token(&self, address: SocketAddr) -> Option<u64> {
         let now = self.clock.now();
-        if now.0 >= self.until.load(Ordering::Relaxed) {
+        if now.0 >= self.valid_until.load(Ordering::Relaxed) {
             return None;
         }
         let owned = *self.owned().get(&address)?;
-        let stands = self
+        let is_claim_current = self
             .view
             .state()
             .claims
             .get(&address)
             .is_some_and(|standing| standing.revision == owned.token);
-        (stands && owned.from <= now).then_some(owned.token)
+        (is_claim_current && owned.orders_from <= now).then_some(owned.token)
     }
 
-    /// Whether orders may leave as far as the lease goes.
+    /// Whether the lease is valid by this node's clock.
     #[must_use]
     pub(super) fn is_lease_valid(&self) -> bool {
-        self.clock.now().0 < self.until.load(Ordering::Relaxed)
+        self.clock.now().0 < self.valid_until.load(Ordering::Relaxed)
     }
 
-    /// Drops what the view says is another's or nobody's.
+    /// Drops engines whose claims in the view are another node's or gone.
     pub(super) fn drop_lost_claims(&self) {
         let state = self.view.state();
         self.owned().retain(|address, owned| {
@@ -89,7 +96,7 @@
         });
     }
 
-    /// Notes that an order leaves.
+    /// Records that an order is sent to an engine now.
     pub fn record_order(&self, address: SocketAddr) {
         let now = self.clock.now();
         self.last_order
@@ -98,7 +105,7 @@
             .insert(address, now);
     }
 
-    /// Returns how long ago the last order left, or none if there was none.
+    /// Returns the time since the last order to an engine, or none if there was none.
     #[must_use]
     pub fn time_since_order(&self, address: SocketAddr) -> Option<Millis> {
         let now = self.clock.now();
@@ -109,27 +116,29 @@
             .map(|&at| now.since(at))
     }
 
-    /// Takes in that this node owns an engine, and from when on it may give it orders.
-    pub fn acquire(&self, address: SocketAddr, token: u64, from: Millis) {
-        self.owned().insert(address, Owned { token, from });
+    /// Records that this node owns an engine, and may send it orders from `orders_from` on.
+    pub fn acquire(&self, address: SocketAddr, token: u64, orders_from: Millis) {
+        self.owned()
+            .insert(address, OwnedEngine { token, orders_from });
     }
 
-    /// Whether this node owns an engine, allowed to order yet or not.
+    /// Whether this node owns an engine, even if it may send no orders yet.
     #[must_use]
     pub fn owns(&self, address: SocketAddr) -> bool {
         self.owned().contains_key(&address)
     }
 
-    /// Whether this node votes for another one to give orders under its claims for [`OWNERSHIP_TERM`] from now.
+    /// Whether this node votes for another one to extend its claims by [`OWNERSHIP_TERM`] from now.
     ///
-    /// [`OWNERSHIP_TERM`]: super::limits::RIGHT
+    /// A vote promises that this node sends no orders to these engines for that term. Where its
+    /// view has the claims, it can see them vanish only later than now, and then waits for the
+    /// term and the minimum gap between the orders of two nodes. A node that had no lease yet
+    /// waits as long from its first one, and a node that has left makes no claims.
     ///
-    /// A node that has seen the claims stand sees them vanish later than now, and then waits
-    /// for that long and a turn. So does one that has yet to begin, from when it begins. One
-    /// that has left claims nothing any more.
+    /// [`OWNERSHIP_TERM`]: super::limits::OWNERSHIP_TERM
     #[must_use]
     pub fn votes_for(&self, node: &str, owned: &[(SocketAddr, u64)]) -> bool {
-        if self.left.load(Ordering::SeqCst) || !self.begun.load(Ordering::SeqCst) {
+        if self.has_left.load(Ordering::SeqCst) || !self.has_had_lease.load(Ordering::SeqCst) {
             return true;
         }
         let state = self.view.state();
@@ -140,15 +149,15 @@
         })
     }
 
-    /// Gives no more orders to an engine, for another node to take it over.
+    /// Drops an engine so that another node can claim it.
     pub(super) fn hand_over(&self, address: SocketAddr, now: Millis) {
         self.owned().remove(&address);
-        self.handed_over.store(now.0, Ordering::Relaxed);
+        self.last_handover.store(now.0, Ordering::Relaxed);
     }
 
     /// Returns when this node last handed an engine over.
     pub(super) fn last_handover(&self) -> Millis {
-        Millis(self.handed_over.load(Ordering::Relaxed))
+        Millis(self.last_handover.load(Ordering::Relaxed))
     }
 
     /// Returns how many engines this node owns.
@@ -157,7 +166,7 @@
         self.owned().len()
     }
 
-    pub(super) fn owned(&self) -> MutexGuard<'_, HashMap<SocketAddr, Owned>> {
+    pub(super) fn owned(&self) -> MutexGuard<'_, HashMap<SocketAddr, OwnedEngine>> {
         self.owned.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/lib/tests/test_direct_claims.rs
+++ b/lib/tests/test_direct_claims.rs
@@ -1,4 +1,4 @@
-//! Who gives orders to an engine, through losses of nodes, leases and keys.
+//! Which node may send orders to an engine, when nodes, leases and keys are lost.
 
 mod direct_support;
 
@@ -25,12 +25,12 @@
 use direct_support::records::written;
 use tokio::task::JoinHandle;
 
-/// All other nodes, which say yes or no as the test wants.
+/// The other nodes, which vote as the test sets.
 #[derive(Debug, Default)]
 struct Others {
     vote: AtomicBool,
-    /// Rounds that still go wrong before that.
-    unheard: AtomicU32,
+    /// Rounds of questions that are lost before `vote` applies.
+    lost_rounds: AtomicU32,
 }
 
 #[async_trait]
@@ -40,21 +40,21 @@
     }
 
     async fn refusals(&self, asked: &[SocketAddr], _: &[(SocketAddr, u64)]) -> Vec<Refusal> {
-        let unheard = self.unheard.load(Ordering::SeqCst);
-        self.unheard
-            .store(unheard.saturating_sub(1), Ordering::SeqCst);
-        if unheard == 0 && self.vote.load(Ordering::SeqCst) {
+        let lost_rounds = self.lost_rounds.load(Ordering::SeqCst);
+        self.lost_rounds
+            .store(lost_rounds.saturating_sub(1), Ordering::SeqCst);
+        if lost_rounds == 0 && self.vote.load(Ordering::SeqCst) {
             return Vec::new();
         }
         let refusal = |&peer| Refusal {
             peer,
-            reason: "as the test wants".to_owned(),
+            reason: "set by the test".to_owned(),
         };
         asked.iter().map(refusal).collect()
     }
 }
 
-/// A node's claims without the rest of it.
+/// The part of a node that makes claims.
 struct Node {
     clock: Arc<Manual>,
     ownership: Arc<Ownership>,
@@ -82,7 +82,7 @@
 
 fn start(name: &str, start: u64, memory: &Arc<Memory>, first_start: bool) -> Node {
     let view = Arc::new(View::default());
-    know_engine(&view);
+    add_engine(&view);
     start_with(view, name, start, memory, first_start)
 }
 
@@ -93,7 +93,7 @@
     memory: &Arc<Memory>,
     first_start: bool,
 ) -> Node {
-    // All starts on one VM count from its boot.
+    // The clocks of all starts on one VM count from its boot.
     let now = Millis(100_000 * start);
     start_at(now, view, name, start, memory, first_start)
 }
@@ -154,7 +154,8 @@
     }
 }
 
-fn know_engine(view: &View) {
+/// Puts a configuration and the engine into a view.
+fn add_engine(view: &View) {
     let engine = Engine {
         batch: 8,
         adapter_slots: 4,
@@ -185,13 +186,13 @@
     }
 }
 
-/// The engine's entry, so that reading everything does not drop it.
-fn list_engine(memory: &Memory) {
+/// Stores the engine's entry, so that a full read doesn't drop the engine.
+fn store_engine(memory: &Memory) {
     let entry = SERVER;
     memory.change(|state| state.put("servers/i-1", entry, None));
 }
 
-/// Lets time pass at all nodes alike.
+/// Advances the clocks of all nodes by `span`.
 async fn pass(nodes: &[&Node], span: Millis) {
     let step = Millis(50);
     for _ in 0..span.0 / step.0 {
@@ -202,10 +203,10 @@
     }
 }
 
-/// A service that lists the engine, and the node that owns it.
+/// Returns a service with the engine's entry, and the node that owns the engine.
 async fn owner() -> (Arc<Memory>, Node) {
     let memory = Arc::new(Memory::default());
-    list_engine(&memory);
+    store_engine(&memory);
     let one = node("one", &memory, true);
     pass(&[&one], Millis(3_000)).await;
     (memory, one)
@@ -226,7 +227,7 @@
     assert!(one.ownership.fencing_token(address()).is_some());
 }
 
-/// A node claims no engine before its record tells others where to ask it.
+/// A node claims no engine before its record tells other nodes its address.
 #[tokio::test(start_paused = true)]
 async fn claim_only_with_a_record() {
     let (memory, one) = owner().await;
@@ -238,18 +239,18 @@
 #[tokio::test(start_paused = true)]
 async fn claim_one_of_two() {
     let memory = Arc::new(Memory::default());
-    list_engine(&memory);
+    store_engine(&memory);
     let (one, two) = (node("one", &memory, true), node("two", &memory, true));
     pass(&[&one, &two], Millis(5_000)).await;
     let rights = [&one, &two].map(|node| node.ownership.fencing_token(address()).is_some());
     assert!(rights[0] != rights[1], "{rights:?}");
 }
 
-/// A node that finds no claim waits out an owner that may still give orders.
+/// A node that finds no claim waits in case an unknown owner may still send orders.
 #[tokio::test(start_paused = true)]
 async fn claim_later_start_waits_first() {
     let memory = Arc::new(Memory::default());
-    list_engine(&memory);
+    store_engine(&memory);
     let one = node("one", &memory, false);
     pass(&[&one], Millis(4_900)).await;
     assert!(one.ownership.owns(address()));
@@ -258,7 +259,7 @@
     assert!(one.ownership.fencing_token(address()).is_some());
 }
 
-/// A node whose claim was taken away gives no further orders, though its lease is renewed.
+/// A node whose claim was deleted sends no more orders, though its lease is renewed.
 #[tokio::test(start_paused = true)]
 async fn right_ends_with_a_claim_taken_away() {
     let (memory, one) = owner().await;
@@ -279,7 +280,7 @@
     }
 }
 
-/// A node that was suspended gives no orders under a right that ended meanwhile.
+/// A node that was suspended sends no orders if its ownership ended in the meantime.
 #[tokio::test(start_paused = true)]
 async fn right_ends_while_suspended() {
     let (_memory, one) = owner().await;
@@ -288,7 +289,8 @@
     assert_eq!(one.ownership.fencing_token(address()), None);
 }
 
-/// A dead node's engine gets a new owner, though not before the old right and a turn have passed.
+/// A dead node's engine gets a new owner, which sends no orders before the ownership term and the
+/// minimum gap have passed.
 #[tokio::test(start_paused = true)]
 async fn claim_taken_over_after_a_death() {
     let (memory, one) = owner().await;
@@ -305,7 +307,7 @@
     assert!(two.ownership.fencing_token(address()).unwrap() > former);
 }
 
-/// After a planned stop a successor gives orders sooner than it may after a death.
+/// After a planned stop a successor may send orders sooner than after a crash.
 #[tokio::test(start_paused = true)]
 async fn claim_handed_over_in_order() {
     let (memory, one) = owner().await;
@@ -318,7 +320,7 @@
     assert!(two.ownership.fencing_token(address()).is_some());
 }
 
-/// A node that starts again takes its claims back at once, instead of waiting itself out.
+/// A restarted node reclaims its engines at once, without waiting for its own ownership to end.
 #[tokio::test(start_paused = true)]
 async fn claim_of_former_start_is_taken_back() {
     let (memory, one) = owner().await;
@@ -329,7 +331,7 @@
     assert!(again.ownership.fencing_token(address()).unwrap() > former);
 }
 
-/// An owner that has given an order leaves, and another node claims its engine.
+/// An owner sends an order and leaves, and another node claims its engine.
 async fn claimed_behind_an_order() -> (Arc<Memory>, Node) {
     let (memory, one) = owner().await;
     let two = node("two", &memory, false);
@@ -343,14 +345,14 @@
     (memory, two)
 }
 
-/// A node that ends while it waits for its turn gives orders at once in its next start.
+/// A node that restarts while it waits for the previous owner waits only for the remaining time.
 #[tokio::test(start_paused = true)]
 async fn claim_of_former_start_waits_as_that_one_did() {
     let (memory, two) = claimed_behind_an_order().await;
     let now = two.clock.now();
     drop(two);
     let view = Arc::new(View::default());
-    know_engine(&view);
+    add_engine(&view);
     let again = start_at(now, view, "two", 2, &memory, false);
     pass(&[&again], Millis(500)).await;
     assert!(again.ownership.owns(address()));
@@ -359,7 +361,8 @@
     assert!(again.ownership.fencing_token(address()).is_some());
 }
 
-/// A node that leaves while it waits for its turn has its successor give orders at once.
+/// If a node leaves while it waits for the previous owner, its successor waits for the remaining
+/// time.
 #[tokio::test(start_paused = true)]
 async fn claim_handed_over_before_its_turn_waits_on() {
     let (memory, one) = owner().await;
@@ -386,7 +389,7 @@
     assert!(second.ownership.fencing_token(address()).is_some());
 }
 
-/// A node that has given its claims up doesn't claim them again with its next renewal.
+/// A node that has released its claims doesn't make them again with its next renewal.
 #[tokio::test(start_paused = true)]
 async fn claim_not_made_after_leaving() {
     let (_memory, one) = owner().await;
@@ -396,7 +399,7 @@
     assert_eq!(one.ownership.fencing_token(address()), None);
 }
 
-/// In an outage an owner goes on by the votes of all others, and for no longer than they vote.
+/// In an outage an owner's term is extended by the votes of all others, as long as they vote.
 #[tokio::test(start_paused = true)]
 async fn right_lasts_through_an_outage_that_all_have() {
     let (memory, one) = owner().await;
@@ -406,21 +409,21 @@
         pass(&[&one], Millis(500)).await;
         assert!(one.ownership.fencing_token(address()).is_some());
     }
-    // One that is not out of touch may see the claim vanish, and succeed.
+    // A node that reaches the service may see the claim expire, and take over.
     one.others.vote.store(false, Ordering::SeqCst);
     pass(&[&one], OWNERSHIP_TERM).await;
     assert_eq!(one.ownership.fencing_token(address()), None);
-    // A vote comes too late for a right that has ended.
+    // A vote after the end of the term has no effect.
     one.others.vote.store(true, Ordering::SeqCst);
     pass(&[&one], OWNERSHIP_TERM).await;
     assert_eq!(one.ownership.fencing_token(address()), None);
 }
 
-/// A claim that lapsed in an outage goes back to its living owner, whom nobody has to wait out.
+/// A claim that expired in an outage goes back to its owner if that is alive, as it needn't wait.
 #[tokio::test(start_paused = true)]
 async fn claim_lapsed_in_an_outage_goes_back_to_its_owner() {
     let memory = Arc::new(Memory::default());
-    list_engine(&memory);
+    store_engine(&memory);
     let names = ["one", "two", "three"];
     let nodes: Vec<Node> = names.iter().map(|name| node(name, &memory, true)).collect();
     let all: Vec<&Node> = nodes.iter().collect();
@@ -442,8 +445,8 @@
     assert_eq!(owner(&all), before);
 }
 
-/// A node that was suspended takes its claim back at once, though another owner that the votes of
-/// all others extend may have come and lapsed meanwhile.
+/// A node that was suspended claims its engine again, but waits before it sends orders: another
+/// owner may have come and expired in the meantime, and may be extended by votes.
 #[tokio::test(start_paused = true)]
 async fn claim_taken_back_after_a_suspension_waits() {
     let (memory, one) = owner().await;
@@ -467,12 +470,12 @@
     assert!(one.ownership.fencing_token(address()).is_some());
 }
 
-/// A vote lost on a dead connection is asked for again before the right ends.
+/// A vote lost on a dead connection is requested again before the term ends.
 #[tokio::test(start_paused = true)]
 async fn right_lasts_when_a_first_question_is_lost() {
     let (memory, one) = owner().await;
     one.others.vote.store(true, Ordering::SeqCst);
-    one.others.unheard.store(2, Ordering::SeqCst);
+    one.others.lost_rounds.store(2, Ordering::SeqCst);
     memory.change(|state| state.away = true);
     for _ in 0..20 {
         pass(&[&one], Millis(500)).await;
@@ -480,11 +483,12 @@
     }
 }
 
-/// A node that starts in an outage waits for previous owners from the outage's end, not its start.
+/// A node that starts in an outage waits for previous owners from the end of the outage, not from
+/// its own start.
 #[tokio::test(start_paused = true)]
 async fn claim_after_a_start_in_an_outage_waits_from_its_end() {
     let memory = Arc::new(Memory::default());
-    list_engine(&memory);
+    store_engine(&memory);
     memory.change(|state| state.away = true);
     let one = node("one", &memory, false);
     pass(&[&one], Millis(10_000)).await;
@@ -496,11 +500,11 @@
     assert!(one.ownership.fencing_token(address()).is_some());
 }
 
-/// A node that has not begun, or has left, can't succeed an owner and votes for it.
+/// A node without a first lease, or that has left, can't take over and votes for the owner.
 #[tokio::test(start_paused = true)]
 async fn votes_for_before_it_begins_and_after_it_left() {
     let memory = Arc::new(Memory::default());
-    list_engine(&memory);
+    store_engine(&memory);
     memory.change(|state| state.away = true);
     let one = node("one", &memory, false);
     let owned = [(address(), 7)];
@@ -513,7 +517,7 @@
     assert!(one.ownership.votes_for("two", &owned));
 }
 
-/// A node that reaches the service votes for an owner whose claims it sees stand, and no other.
+/// A node that reaches the service votes only for an owner whose claims are in its view.
 #[tokio::test(start_paused = true)]
 async fn votes_for_claims_that_stand() {
     let (_memory, one) = owner().await;
@@ -523,7 +527,7 @@
     assert!(!one.ownership.votes_for("two", &[(address(), token)]));
 }
 
-/// A node's orders, without the rest of it.
+/// Returns the controllers of a node that owns no engine.
 fn controllers(clock: Arc<dyn Clock>, view: Arc<View>) -> Controllers {
     let ownership = Arc::new(Ownership::new(Arc::clone(&clock), Arc::clone(&view)));
     Controllers::new(
@@ -536,7 +540,7 @@
     )
 }
 
-/// A node whose process has ended counts as a vote, one that doesn't answer as a refusal.
+/// A node whose process has ended counts as a vote, one that doesn't respond as a refusal.
 #[tokio::test]
 async fn refusals_nobody_listens() {
     let clock: Arc<dyn Clock> = Arc::new(Manual::default());
@@ -554,14 +558,14 @@
     assert_eq!(peers, [silent]);
 }
 
-/// A load at an owner that is suspended is given up soon, for another engine to be tried.
+/// A load at a suspended owner fails soon, so that another engine can be tried.
 #[tokio::test(start_paused = true)]
 async fn load_at_a_silent_owner() {
     let clock: Arc<dyn Clock> = Arc::new(Monotonic::start());
     let view = Arc::new(View::default());
-    know_engine(&view);
+    add_engine(&view);
     let suspended = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
-    let upstream = own_by(&view, "two", suspended.local_addr().unwrap());
+    let upstream = set_owner(&view, "two", suspended.local_addr().unwrap());
     let controllers = Arc::new(controllers(clock, view));
     let running = tokio::spawn(Arc::clone(&controllers).run());
     let began = tokio::time::Instant::now();
@@ -571,8 +575,8 @@
     running.abort();
 }
 
-/// Has a node own the engine, and be asked at an address.
-fn own_by(view: &View, node: &str, address: SocketAddr) -> Arc<Upstream> {
+/// Makes `node` the owner of the engine, reachable at `address`.
+fn set_owner(view: &View, node: &str, address: SocketAddr) -> Arc<Upstream> {
     let mut state = view.state();
     let claim = Claim {
         node: node.into(),
@@ -596,16 +600,16 @@
     Arc::clone(&state.upstreams["i-1"])
 }
 
-/// A node hands over engines beyond its share, and two nodes never give orders to one.
+/// A node hands over engines beyond its share, and two nodes never send orders to one engine.
 #[tokio::test(start_paused = true)]
 async fn claims_beyond_a_share_are_handed_over() {
     let memory = Arc::new(Memory::default());
     let engines = 8;
-    list_engines(&memory, engines);
+    store_engines(&memory, engines);
     let one = node("one", &memory, true);
     pass(&[&one], Millis(4_000)).await;
     assert_eq!(one.ownership.owned_count(), engines);
-    // Its view is up to four seconds old.
+    // With these limits its view is up to four seconds old.
     one.limits.set(Limits {
         apply: Millis::from_secs(10),
         leaving: Millis::from_secs(10),
@@ -616,14 +620,14 @@
     let four = node("four", &memory, false);
     let all = [&one, &two, &three, &four];
     for _ in 0..400 {
-        // Heartbeats of engines keep followers in the pause between two calls.
+        // Heartbeats of engines make each follower's call return at once and pause until the next.
         memory.change(|state| state.put("servers/i-1", SERVER, None));
         pass(&all, Millis(50)).await;
         for port in 9..17 {
             let engine = SocketAddr::from(([127, 0, 0, 1], port));
             let orders = all.map(|node| node.ownership.fencing_token(engine).is_some());
-            let givers = orders.iter().filter(|gives| **gives).count();
-            assert!(givers <= 1, "{engine}: {orders:?}");
+            let orderers = orders.iter().filter(|may_order| **may_order).count();
+            assert!(orderers <= 1, "{engine}: {orders:?}");
         }
     }
     let owned = all.map(|node| node.ownership.owned_count());
@@ -631,24 +635,24 @@
     assert!(owned[0] <= 4, "{owned:?}");
 }
 
-/// Lists so many engines, at ports of their own.
-fn list_engines(memory: &Memory, engines: usize) {
+/// Stores entries of engines, each at its own port.
+fn store_engines(memory: &Memory, engines: usize) {
     for number in 0..engines {
         let entry = SERVER.replace("127.0.0.1:9", &format!("127.0.0.1:{}", 9 + number));
         memory.change(|state| state.put(&format!("servers/i-{}", number + 1), entry, None));
     }
 }
 
-/// Engines claimed by others meanwhile don't fail a node's other claims round after round.
+/// Engines that other nodes have claimed unnoticed don't fail a node's other claims in each round.
 #[tokio::test(start_paused = true)]
 async fn claims_taken_though_news_is_late() {
     let engines: u16 = 320;
     let memory = Arc::new(Memory::default());
-    list_engines(&memory, engines.into());
+    store_engines(&memory, engines.into());
     let names = ["a", "b", "c", "d", "e", "f", "g", "h"];
     let nodes: Vec<Node> = names.iter().map(|name| node(name, &memory, true)).collect();
     let all: Vec<&Node> = nodes.iter().collect();
-    // Their calls for changes pause for four seconds, which their claims don't know of.
+    // Polls for changes are four seconds apart, while the claims go by the default limits.
     let late = Limits {
         apply: Millis::from_secs(10),
         leaving: Millis::from_secs(10),
@@ -672,7 +676,7 @@
     );
 }
 
-/// A later start of a node that knows nothing but what the service tells.
+/// Restarts a node with an empty view, and puts the configuration into the service.
 fn start_again(name: &str, memory: &Arc<Memory>) -> Node {
     let config = r#"{"version":1,"routes":[],"services":[{"name":"engines","maxConns":10,
         "engine":{"slots":8,"kvCapacity":100,"adapterSlots":4,"models":[]}}]}"#;
@@ -680,12 +684,13 @@
     start_with(Arc::default(), name, 2, memory, false)
 }
 
-/// Lists under a prefix take so long from now on.
+/// Makes listings under a prefix take `span`.
 fn slow(memory: &Memory, prefix: &str, span: Millis) {
     memory.change(|state| state.slow = Some((prefix.to_owned(), span)));
 }
 
-/// A node takes its previous start's claims back before they end, though engines are still read.
+/// A node reclaims its previous start's engines before the claims expire, though the engines'
+/// entries are still being read.
 #[tokio::test(start_paused = true)]
 async fn claim_of_former_start_is_kept_while_engines_are_read() {
     let (memory, one) = owner().await;
@@ -700,11 +705,11 @@
     assert!(again.ownership.fencing_token(address()).is_some());
 }
 
-/// A node's record is written before its lease ends, though reading the claims takes longer.
+/// A node's record is written before its lease expires, though reading the claims takes longer.
 #[tokio::test(start_paused = true)]
 async fn record_does_not_wait_for_claims() {
     let memory = Arc::new(Memory::default());
-    list_engine(&memory);
+    store_engine(&memory);
     slow(&memory, "chivevalve/", Millis::from_secs(4));
     let one = start_again("one", &memory);
     pass(&[&one], Millis(1_000)).await;
@@ -712,11 +717,11 @@
     assert!(memory.state().entries.contains_key(&key));
 }
 
-/// A claim that vanished while claims were read is waited out from when they were read.
+/// A claim may have expired while claims were read: the node waits from when they were read.
 #[tokio::test(start_paused = true)]
 async fn claim_unknown_waits_from_when_claims_were_read() {
     let memory = Arc::new(Memory::default());
-    list_engine(&memory);
+    store_engine(&memory);
     slow(&memory, "chivevalve/", Millis::from_secs(4));
     let one = start_again("one", &memory);
     pass(&[&one], Millis(9_000)).await;
