--- a/lib/src/direct/claim/previous.rs
+++ b/lib/src/direct/claim/previous.rs
@@ -40,7 +40,7 @@
     ///
     /// That is `gap` after the last order that the previous owner can have sent. `claims_known_since` is when
     /// this node first knew all claims.
-    fn successor_orders_from(self, gap: Millis, claims_known_since: Millis) -> Millis {
+    pub(super) fn successor_orders_from(self, gap: Millis, claims_known_since: Millis) -> Millis {
         match self {
             Self::Nobody => Millis::ZERO,
             // The earlier start may itself have been waiting when it ended.
--- a/lib/src/direct/controllers/exchange.rs
+++ b/lib/src/direct/controllers/exchange.rs
@@ -1,10 +1,10 @@
-//! News between nodes: what runs at engines, and what they hold.
+//! Exchanges between nodes: what runs at engines, and what the engines hold.
 
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
 use std::sync::{Arc, PoisonError};
 
-use super::{Controllers, Silence};
+use super::{Controllers, Missed};
 use crate::clock::Millis;
 use crate::direct::dialect::Held;
 use crate::direct::limits::in_use;
@@ -13,11 +13,11 @@
 use crate::name::Name;
 use crate::schema::direct::{ExchangeReply, ExchangeRequest, Resident, Standing, Use};
 
-/// The longest that an exchange may take.
-const EXCHANGE: Millis = Millis(800);
+/// Timeout of an exchange.
+const EXCHANGE_TIMEOUT: Millis = Millis(800);
 
 impl Controllers {
-    /// Tells each owner what this node did at its engines.
+    /// Starts an exchange with each owner of engines that this node uses.
     pub(super) fn exchange_all(self: &Arc<Self>) {
         for (address, request) in self.take_exchange_requests() {
             let controllers = Arc::clone(self);
@@ -25,18 +25,23 @@
         }
     }
 
-    /// Returns what this node has to tell other nodes, by their addresses.
+    /// Returns the exchanges that are due, by the addresses of the owners.
     ///
-    /// Uses that were noted are told once: they are gone from here then.
+    /// This drains the recorded uses, so each is sent once.
     pub fn take_exchange_requests(&self) -> HashMap<SocketAddr, ExchangeRequest> {
         let mut requests: HashMap<SocketAddr, ExchangeRequest> = HashMap::new();
-        let uses = std::mem::take(&mut *self.uses.lock().unwrap_or_else(PoisonError::into_inner));
-        let mut concerned: HashSet<SocketAddr> = self.awaited().keys().copied().collect();
-        concerned.extend(self.silent().keys());
-        let (upstreams, nodes) = self.to_tell_of(&uses, &concerned);
+        let uses = std::mem::take(
+            &mut *self
+                .recorded_uses
+                .lock()
+                .unwrap_or_else(PoisonError::into_inner),
+        );
+        let mut watched: HashSet<SocketAddr> = self.pending_loads().keys().copied().collect();
+        watched.extend(self.unresponsive().keys());
+        let (upstreams, nodes) = self.engines_to_exchange(&uses, &watched);
         for upstream in upstreams {
             let mut adapters = uses.get(&upstream.incarnation).cloned().unwrap_or_default();
-            // A long stream uses its adapter though it was asked for long ago.
+            // A long stream still uses its adapter, though its use was recorded long ago.
             for adapter in upstream.in_use() {
                 if !adapters.contains(&adapter) {
                     adapters.push(adapter);
@@ -61,55 +66,58 @@
                 adapters: adapters.iter().map(ToString::to_string).collect(),
             });
         }
-        self.silent().retain(|peer, _| requests.contains_key(peer));
+        self.unresponsive()
+            .retain(|peer, _| requests.contains_key(peer));
         requests
     }
 
-    /// Returns engines that this node uses, or whose owners are looked for, and the nodes.
+    /// Returns the engines that this node uses or whose owner is in `watched`, and the number of
+    /// nodes.
     ///
-    /// Nodes times owners would grow with the square of the fleet, and their news were nine
-    /// tenths of the bytes between failure domains at 195 nodes. A node uses a few of thousands
-    /// of engines, so that all others are passed over before they are looked at more closely.
-    fn to_tell_of(
+    /// Exchanges between all nodes and all owners would grow with the square of the fleet; at 195
+    /// nodes they were nine tenths of the bytes between failure domains. A node uses a few of
+    /// thousands of engines, so all others are filtered out by the cheap checks first.
+    fn engines_to_exchange(
         &self,
         uses: &HashMap<Name, Vec<Name>>,
-        concerned: &HashSet<SocketAddr>,
+        watched: &HashSet<SocketAddr>,
     ) -> (Vec<Arc<Upstream>>, usize) {
         let state = self.view.state();
-        let is_concerned = |upstream: &Upstream| {
+        let is_watched = |upstream: &Upstream| {
             let owner = state.owner(upstream.address);
-            owner.is_some_and(|(_, peer)| concerned.contains(&peer.address))
+            owner.is_some_and(|(_, peer)| watched.contains(&peer.address))
         };
-        // Whatever uses an adapter here also runs, or was noted.
+        // Each use of an adapter is either a running request or was recorded.
         let upstreams = state.upstreams.values().filter(|upstream| {
             upstream.running() > 0
                 || uses.contains_key(&upstream.incarnation)
-                || (!concerned.is_empty() && is_concerned(upstream))
+                || (!watched.is_empty() && is_watched(upstream))
         });
         (upstreams.cloned().collect(), state.most_nodes)
     }
 
     async fn exchange(&self, address: SocketAddr, request: ExchangeRequest) {
         let mut client = self.client(address);
-        match tokio::time::timeout(EXCHANGE.duration(), client.exchange(request)).await {
+        match tokio::time::timeout(EXCHANGE_TIMEOUT.duration(), client.exchange(request)).await {
             Ok(Ok(reply)) => {
-                self.silent().remove(&address);
-                self.hear(reply.into_inner());
+                self.unresponsive().remove(&address);
+                self.apply_reply(reply.into_inner());
             }
             Ok(Err(status)) => {
-                // Whoever refuses a connection answers questions as fast, so it isn't silent.
-                self.silent().remove(&address);
+                // A node that refuses the connection fails other calls just as fast, so it isn't
+                // unresponsive.
+                self.unresponsive().remove(&address);
                 log::info!("ask: no exchange with {address}: {}", status.message());
             }
             Err(_) => {
-                log::info!("ask: no exchange with {address} within {EXCHANGE}");
-                self.silent().insert(address, Silence::Gone);
-                self.forget(address);
+                log::info!("ask: no exchange with {address} within {EXCHANGE_TIMEOUT}");
+                self.unresponsive().insert(address, Missed::Exchange);
+                self.drop_client(address);
             }
         }
     }
 
-    fn hear(&self, reply: ExchangeReply) {
+    fn apply_reply(&self, reply: ExchangeReply) {
         let state = self.view.state();
         for standing in reply.standings {
             let Some(upstream) = state.upstreams.get(standing.incarnation.as_str()) else {
@@ -130,7 +138,7 @@
         }
     }
 
-    /// Has an owner's order queue hear of adapters that are in use here, or at another node.
+    /// Protects adapters in use from eviction for `span`, at an engine that this node owns.
     pub(in crate::direct) fn record_uses(
         &self,
         incarnation: &str,
@@ -141,18 +149,21 @@
             return;
         }
         let until = self.clock.now() + span;
-        let open = self.open.lock().unwrap_or_else(PoisonError::into_inner);
-        if let Some((_, controller)) = open.get(incarnation)
+        let controllers = self
+            .by_engine
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
+        if let Some((_, controller)) = controllers.get(incarnation)
             && controller
                 .tell(MarkInUse { adapters, until })
                 .try_send()
                 .is_err()
         {
-            log::debug!("ask: a controller is full and hears of no use");
+            log::debug!("ask: the mailbox of a controller is full, uses are dropped");
         }
     }
 
-    /// Answers an exchange: what all others have running, and what is held.
+    /// Returns the reply to an exchange: what all other nodes run at the engine, and what it holds.
     pub(in crate::direct) fn standing(&self, one: &Use) -> Option<Standing> {
         let upstream = {
             let state = self.view.state();
--- a/lib/src/direct/controllers/mod.rs
+++ b/lib/src/direct/controllers/mod.rs
@@ -1,7 +1,9 @@
-//! Asking the node that gives an engine its orders.
+//! Requests to the nodes that own engines, and the controllers of the engines that this node owns.
+//!
+//! Log lines start with `ask:`.
 
+mod broadcast;
 mod exchange;
-mod tell;
 mod vote;
 
 use std::collections::HashMap;
@@ -27,91 +29,92 @@
 use crate::schema::direct::orders_client::OrdersClient;
 use crate::schema::direct::{LoadReply, LoadRequest, Outcome};
 
-/// How long connecting to another node may take.
-const CONNECT: Millis = Millis(400);
+/// Timeout of connecting to another node.
+const CONNECT_TIMEOUT: Millis = Millis(400);
 
-/// The longest that another node may take to make an adapter present.
-const LOAD: Millis = Millis(4_500);
+/// Timeout of a load that another node orders.
+const REMOTE_LOAD_TIMEOUT: Millis = Millis(4_500);
 
-/// Pause between looks whether a node that was asked still answers exchanges.
-const SILENCE_LOOK: Millis = Millis(100);
+/// Interval at which a pending load checks whether the owner still responds to exchanges.
+const RESPONSIVENESS_POLL_INTERVAL: Millis = Millis(100);
 
-/// Pause between looks at engines that need something without being asked.
-const TICK: Millis = Millis(250);
+/// Interval of the controllers' periodic work.
+const TICK_INTERVAL: Millis = Millis(250);
 
-/// Messages that may wait at a controller.
-const MAILBOX: usize = 256;
+/// Capacity of a controller's mailbox, in messages.
+const MAILBOX_CAPACITY: usize = 256;
 
-/// What a node's silence says of it.
+/// Which call an unresponsive node missed.
 ///
-/// A busy owner answers a question for a place later than a request can wait, and goes on with
-/// its loads. Taken for gone, it had its loads given up by the hundred on heavy days, and begun
-/// anew at other engines.
+/// A busy owner answers an admission request later than the request can wait, but goes on with
+/// its loads. When such owners were treated as gone, hundreds of their loads were abandoned on
+/// busy days and started again at other engines.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Silence {
-    /// It answers questions for a place too late.
-    Late,
-    /// It gave no answer to an exchange, which waits for longer.
-    Gone,
+enum Missed {
+    /// The node answers admission requests too late.
+    Admission,
+    /// The node didn't respond to an exchange, which has the longer timeout.
+    Exchange,
 }
 
-/// The controllers of the engines that this node gives orders to.
+/// The controllers of the engines that this node owns, and clients of the other owners.
 #[derive(Debug)]
 pub struct Controllers {
-    /// What this node believes.
+    /// This node's view of the deployment.
     pub view: Arc<View>,
-    /// What it may do.
+    /// The engines that this node owns.
     pub ownership: Arc<Ownership>,
-    /// Formats.
+    /// The platform's wire formats.
     pub dialect: Arc<dyn Dialect>,
     /// The node's clock.
     pub clock: Arc<dyn Clock>,
-    /// Its name.
+    /// This node's name.
     pub node: Name,
-    /// Its metrics.
+    /// The node's metrics.
     pub metrics: Arc<Metrics>,
-    /// By the engine's name, with the start that each is for.
-    open: Mutex<HashMap<Name, (u64, ActorRef<EngineController>)>>,
-    channels: Mutex<HashMap<SocketAddr, OrdersClient<Channel>>>,
-    uses: Mutex<HashMap<Name, Vec<Name>>>,
-    /// Nodes that gave no answer the last time.
-    silent: Mutex<HashMap<SocketAddr, Silence>>,
-    /// Requests of all nodes at the engines that this node orders.
+    /// Controllers by the engine's incarnation, with the start time that each is for.
+    by_engine: Mutex<HashMap<Name, (u64, ActorRef<EngineController>)>>,
+    clients: Mutex<HashMap<SocketAddr, OrdersClient<Channel>>>,
+    /// Adapters used by uncounted requests since the last exchange, by engine.
+    recorded_uses: Mutex<HashMap<Name, Vec<Name>>>,
+    /// Nodes that missed a call, until they respond to an exchange.
+    unresponsive: Mutex<HashMap<SocketAddr, Missed>>,
+    /// Requests of all nodes at the engines that this node owns.
     pub(super) table: Arc<Table>,
-    /// Changes of the key-value service, for nodes of this failure domain.
+    /// Passes changes of the key-value service on to nodes of this failure domain.
     pub hub: Arc<Hub>,
-    /// Loads that this node waits for, by the owner that was asked.
-    awaited: Mutex<HashMap<SocketAddr, u32>>,
+    /// Number of loads that this node waits for, by the owner's address.
+    pending_loads: Mutex<HashMap<SocketAddr, u32>>,
 }
 
-/// Counts a load that is waited for until it is dropped.
+/// Counts a pending load of another owner until it is dropped.
 #[derive(Debug)]
-struct Awaited<'a> {
+struct PendingLoad<'a> {
     controllers: &'a Controllers,
     owner: SocketAddr,
 }
 
-impl<'a> Awaited<'a> {
+impl<'a> PendingLoad<'a> {
     fn new(controllers: &'a Controllers, owner: SocketAddr) -> Self {
-        *controllers.awaited().entry(owner).or_default() += 1;
+        *controllers.pending_loads().entry(owner).or_default() += 1;
         Self { controllers, owner }
     }
 }
 
-impl Drop for Awaited<'_> {
+impl Drop for PendingLoad<'_> {
     fn drop(&mut self) {
-        let mut awaited = self.controllers.awaited();
-        if let Some(count) = awaited.get_mut(&self.owner) {
+        let mut pending = self.controllers.pending_loads();
+        if let Some(count) = pending.get_mut(&self.owner) {
             *count -= 1;
             if *count == 0 {
-                awaited.remove(&self.owner);
+                pending.remove(&self.owner);
             }
         }
     }
 }
 
 impl Controllers {
-    /// Makes a registry without controllers.
+    /// Creates a registry without controllers.
     #[must_use]
     pub fn new(
         view: Arc<View>,
@@ -130,34 +133,37 @@
             clock,
             node,
             metrics,
-            open: Mutex::default(),
-            channels: Mutex::default(),
-            uses: Mutex::default(),
-            silent: Mutex::default(),
-            awaited: Mutex::default(),
+            by_engine: Mutex::default(),
+            clients: Mutex::default(),
+            recorded_uses: Mutex::default(),
+            unresponsive: Mutex::default(),
+            pending_loads: Mutex::default(),
         }
     }
 
-    /// Notes that a request of this node uses an adapter without being counted.
+    /// Records that a request of this node uses an adapter without being counted by the owner.
     pub fn record_use(&self, upstream: &Upstream, adapter: &Name) {
-        let mut uses = self.uses.lock().unwrap_or_else(PoisonError::into_inner);
+        let mut uses = self
+            .recorded_uses
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
         let adapters = uses.entry(Name::clone(&upstream.incarnation)).or_default();
         if !adapters.contains(adapter) {
             adapters.push(Name::clone(adapter));
         }
     }
 
-    /// Whether somebody who answers gives an engine its orders.
+    /// Whether an engine has an owner that responds and may send orders.
     #[must_use]
     pub fn has_live_owner(&self, upstream: &Upstream) -> bool {
         if self.ownership.owns(upstream.address) {
             return self.ownership.fencing_token(upstream.address).is_some();
         }
         let owner = self.view.owner(upstream.address);
-        owner.is_some_and(|(_, peer)| !self.is_gone(peer.address))
+        owner.is_some_and(|(_, peer)| !self.has_missed_exchange(peer.address))
     }
 
-    /// Has an adapter made present at an engine, by whichever node may.
+    /// Loads an adapter at an engine, through the node that owns the engine.
     pub async fn load(
         &self,
         upstream: &Arc<Upstream>,
@@ -167,7 +173,7 @@
         if self.ownership.owns(upstream.address) {
             return self.load_locally(upstream, adapter, version).await;
         }
-        let loaded = self.load_there(upstream, adapter, version).await;
+        let loaded = self.load_remotely(upstream, adapter, version).await;
         if let LoadOutcome::Ready(version) = loaded {
             upstream.gained(adapter, version);
         }
@@ -199,7 +205,7 @@
         loaded
     }
 
-    async fn load_there(
+    async fn load_remotely(
         &self,
         upstream: &Arc<Upstream>,
         adapter: &Name,
@@ -214,77 +220,86 @@
             version,
         };
         let mut client = self.client(peer.address);
-        let _awaited = Awaited::new(self, peer.address);
-        let asked = tokio::time::timeout(LOAD.duration(), client.load(request));
-        let asked = tokio::select! {
-            asked = asked => asked,
-            () = self.falls_silent(peer.address) => {
+        let _pending = PendingLoad::new(self, peer.address);
+        let call = tokio::time::timeout(REMOTE_LOAD_TIMEOUT.duration(), client.load(request));
+        let result = tokio::select! {
+            result = call => result,
+            () = self.wait_for_missed_exchange(peer.address) => {
                 log::info!("ask: {node} no longer answers");
                 return LoadOutcome::Failed;
             }
         };
-        match asked {
-            Ok(Ok(reply)) => read(reply.get_ref()),
+        match result {
+            Ok(Ok(reply)) => load_outcome(reply.get_ref()),
             Ok(Err(status)) => {
                 log::info!("ask: {node} does not answer: {}", status.message());
                 LoadOutcome::Failed
             }
             Err(_) => {
-                self.forget(peer.address);
+                self.drop_client(peer.address);
                 LoadOutcome::Failed
             }
         }
     }
 
-    /// Waits until a node gives no answer to exchanges.
+    /// Waits until a node doesn't respond to an exchange.
     ///
-    /// A VM that is suspended, cut off or without power closes no connection. A question
-    /// would wait for its whole time there, which was 2.7 s at the median, while another
-    /// engine could hold the adapter in a tenth of that; an exchange shows it within 1.3 s.
-    async fn falls_silent(&self, address: SocketAddr) {
-        while !self.is_gone(address) {
-            tokio::time::sleep(SILENCE_LOOK.duration()).await;
+    /// A VM that is suspended, partitioned or without power closes no connection. A load request
+    /// would wait there for its whole timeout, which was 2.7 s at the median, while another
+    /// engine could load the adapter in a tenth of that. An exchange detects it within 1.3 s.
+    async fn wait_for_missed_exchange(&self, address: SocketAddr) {
+        while !self.has_missed_exchange(address) {
+            tokio::time::sleep(RESPONSIVENESS_POLL_INTERVAL.duration()).await;
         }
     }
 
-    fn awaited(&self) -> MutexGuard<'_, HashMap<SocketAddr, u32>> {
-        self.awaited.lock().unwrap_or_else(PoisonError::into_inner)
+    fn pending_loads(&self) -> MutexGuard<'_, HashMap<SocketAddr, u32>> {
+        self.pending_loads
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Whether a node gave no answer the last time, and has not answered an exchange since.
+    /// Whether a node missed a call and hasn't responded to an exchange since.
     pub(super) fn is_unresponsive(&self, address: SocketAddr) -> bool {
-        self.silent().contains_key(&address)
+        self.unresponsive().contains_key(&address)
     }
 
-    /// Whether a node gave no answer to an exchange the last time.
-    fn is_gone(&self, address: SocketAddr) -> bool {
-        self.silent().get(&address) == Some(&Silence::Gone)
+    /// Whether a node didn't respond to the last exchange.
+    fn has_missed_exchange(&self, address: SocketAddr) -> bool {
+        self.unresponsive().get(&address) == Some(&Missed::Exchange)
     }
 
-    /// Notes that a node answers questions for a place too late, until an exchange has an answer.
+    /// Records that a node answers admission requests too late, until it responds to an exchange.
     pub(super) fn mark_late(&self, address: SocketAddr) {
-        self.silent().entry(address).or_insert(Silence::Late);
+        self.unresponsive()
+            .entry(address)
+            .or_insert(Missed::Admission);
     }
 
-    fn silent(&self) -> MutexGuard<'_, HashMap<SocketAddr, Silence>> {
-        self.silent.lock().unwrap_or_else(PoisonError::into_inner)
+    fn unresponsive(&self) -> MutexGuard<'_, HashMap<SocketAddr, Missed>> {
+        self.unresponsive
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Returns the controller of an engine, opened if this is the first call for it.
+    /// Returns the controller of an engine, spawning it if there is none for this start.
     fn controller(&self, upstream: &Arc<Upstream>) -> Option<ActorRef<EngineController>> {
         let config = self.view.config()?;
         let engine = config.pools.get(&upstream.pool)?.engine.clone()?;
-        let mut open = self.open.lock().unwrap_or_else(PoisonError::into_inner);
-        if let Some((born, controller)) = open.get(&upstream.incarnation)
+        let mut by_engine = self
+            .by_engine
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
+        if let Some((born, controller)) = by_engine.get(&upstream.incarnation)
             && controller.is_alive()
         {
             if *born == upstream.born {
                 return Some(controller.clone());
             }
-            // Its book is of a start that has ended: the count in its orders would be wrong.
+            // It is for an earlier start of the engine, so its sequence numbers would be wrong.
             controller.kill();
         }
-        let parts = EngineClient {
+        let client = EngineClient {
             upstream: Arc::clone(upstream),
             engine,
             ownership: Arc::clone(&self.ownership),
@@ -295,8 +310,9 @@
             metrics: Arc::clone(&self.metrics),
             table: Arc::clone(&self.table),
         };
-        let controller = EngineController::spawn_with_mailbox(parts, mailbox::bounded(MAILBOX));
-        open.insert(
+        let controller =
+            EngineController::spawn_with_mailbox(client, mailbox::bounded(MAILBOX_CAPACITY));
+        by_engine.insert(
             Name::clone(&upstream.incarnation),
             (upstream.born, controller.clone()),
         );
@@ -304,13 +320,13 @@
     }
 
     pub(super) fn client(&self, address: SocketAddr) -> OrdersClient<Channel> {
-        let mut channels = self.channels.lock().unwrap_or_else(PoisonError::into_inner);
-        channels
+        let mut clients = self.clients.lock().unwrap_or_else(PoisonError::into_inner);
+        clients
             .entry(address)
             .or_insert_with(|| {
                 let endpoint = Endpoint::from_shared(format!("http://{address}"))
-                    .expect("an address makes a URI")
-                    .connect_timeout(CONNECT.duration())
+                    .expect("a socket address is a valid URI authority")
+                    .connect_timeout(CONNECT_TIMEOUT.duration())
                     .tcp_nodelay(true)
                     .http2_keep_alive_interval(Millis::from_secs(2).duration())
                     .keep_alive_timeout(Millis::from_secs(1).duration());
@@ -319,24 +335,24 @@
             .clone()
     }
 
-    /// Drops a connection that has gone silent.
-    fn forget(&self, address: SocketAddr) {
-        self.channels
+    /// Drops the connection to a node that no longer responds.
+    fn drop_client(&self, address: SocketAddr) {
+        self.clients
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
             .remove(&address);
     }
 
-    /// Looks after engines and exchanges news until the task is dropped.
+    /// Runs periodic work and exchanges until the task is dropped.
     pub async fn run(self: Arc<Self>) {
-        let mut exchanged = Millis::ZERO;
+        let mut last_exchange_at = Millis::ZERO;
         loop {
-            tokio::time::sleep(TICK.duration()).await;
+            tokio::time::sleep(TICK_INTERVAL.duration()).await;
             self.tick();
             let now = self.clock.now();
             let nodes = self.view.state().most_nodes;
-            if now.since(exchanged) >= exchange_pause(nodes) {
-                exchanged = now;
+            if now.since(last_exchange_at) >= exchange_pause(nodes) {
+                last_exchange_at = now;
                 self.exchange_all();
             }
         }
@@ -345,7 +361,7 @@
     fn tick(&self) {
         let upstreams: Vec<Arc<Upstream>> = {
             let state = self.view.state();
-            self.close_gone(&state.upstreams);
+            self.stop_removed(&state.upstreams);
             state.upstreams.values().cloned().collect()
         };
         let now = self.clock.now();
@@ -358,40 +374,47 @@
             if let Some(controller) = self.controller_to_tick(&upstream)
                 && controller.tell(Tick).try_send().is_err()
             {
-                log::warn!("ask: the controller of {} is full", upstream.incarnation);
+                log::warn!(
+                    "ask: the mailbox of the controller of {} is full",
+                    upstream.incarnation
+                );
             }
         }
     }
 
-    /// Returns the controller of an engine that this node orders, or ordered.
+    /// Returns the controller of an engine that this node owns, or owned before.
     ///
-    /// One whose right has gone must hear of time too, or those who wait at it would wait
-    /// for as long as a load may take: four seconds on each planned stop.
+    /// After ownership ends the controller still needs ticks to fail its waiters. Otherwise they
+    /// would wait for the longest time of a load: four seconds on each planned stop.
     fn controller_to_tick(&self, upstream: &Arc<Upstream>) -> Option<ActorRef<EngineController>> {
         if self.ownership.fencing_token(upstream.address).is_some() {
             return self.controller(upstream);
         }
-        let open = self.open.lock().unwrap_or_else(PoisonError::into_inner);
-        let (_, controller) = open.get(&upstream.incarnation)?;
+        let by_engine = self
+            .by_engine
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
+        let (_, controller) = by_engine.get(&upstream.incarnation)?;
         Some(controller.clone())
     }
 
-    fn close_gone(&self, upstreams: &HashMap<Name, Arc<Upstream>>) {
+    /// Stops the controllers of engines that are no longer listed, and drops their counts.
+    fn stop_removed(&self, upstreams: &HashMap<Name, Arc<Upstream>>) {
         self.table.retain(|engine| upstreams.contains_key(engine));
-        self.open
+        self.by_engine
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
             .retain(|incarnation, (_, controller)| {
-                let kept = upstreams.contains_key(incarnation);
-                if !kept {
+                let is_listed = upstreams.contains_key(incarnation);
+                if !is_listed {
                     controller.kill();
                 }
-                kept
+                is_listed
             });
     }
 }
 
-fn read(reply: &LoadReply) -> LoadOutcome {
+fn load_outcome(reply: &LoadReply) -> LoadOutcome {
     match reply.outcome() {
         Outcome::Ready => LoadOutcome::Ready(reply.version),
         Outcome::Full => LoadOutcome::Full,
--- a/lib/src/direct/controllers/vote.rs
+++ b/lib/src/direct/controllers/vote.rs
@@ -1,4 +1,4 @@
-//! Asking other nodes for their votes while the key-value service is unavailable.
+//! Requesting the votes of other nodes while the key-value service is unavailable.
 
 use std::net::SocketAddr;
 
@@ -10,8 +10,8 @@
 use crate::direct::claim::{Refusal, Voters};
 use crate::schema::direct::{Owned, SupportRequest};
 
-/// The longest that other nodes may take to vote.
-const VOTE: Millis = Millis(300);
+/// Timeout of a vote.
+const VOTE_TIMEOUT: Millis = Millis(300);
 
 #[async_trait]
 impl Voters for Controllers {
@@ -19,8 +19,8 @@
         let state = self.view.state();
         let others = state.nodes.iter().filter(|(name, _)| **name != self.node);
         let peers: Vec<SocketAddr> = others.map(|(_, peer)| peer.address).collect();
-        // Nobody to ask is no vote where there were others: their records
-        // may have lapsed while they live.
+        // If there were other nodes, having none to ask is no vote: their records may have
+        // expired while they are alive.
         (!peers.is_empty() || state.most_nodes <= 1).then_some(peers)
     }
 
@@ -35,35 +35,35 @@
                 })
                 .collect(),
         };
-        let answers = asked.iter().map(|&peer| {
+        let votes = asked.iter().map(|&peer| {
             let request = request.clone();
             async move {
-                let reason = self.vote(peer, request).await.err()?;
+                let reason = self.request_vote(peer, request).await.err()?;
                 Some(Refusal { peer, reason })
             }
         });
-        let answers = futures::future::join_all(answers).await;
-        answers.into_iter().flatten().collect()
+        let votes = futures::future::join_all(votes).await;
+        votes.into_iter().flatten().collect()
     }
 }
 
 impl Controllers {
-    /// Asks one node for its vote; the error says why it gave none.
-    async fn vote(&self, peer: SocketAddr, request: SupportRequest) -> Result<(), String> {
+    /// Requests the vote of one node; the error says why it gave none.
+    async fn request_vote(&self, peer: SocketAddr, request: SupportRequest) -> Result<(), String> {
         let mut client = self.client(peer);
-        let reply = tokio::time::timeout(VOTE.duration(), client.support(request)).await;
+        let reply = tokio::time::timeout(VOTE_TIMEOUT.duration(), client.support(request)).await;
         match reply {
             Ok(Ok(reply)) if reply.get_ref().supported => Ok(()),
             Ok(Ok(_)) => Err("it sees other claims".to_owned()),
-            Ok(Err(status)) if nobody_listens(&status) => Ok(()),
+            Ok(Err(status)) if is_connection_refused(&status) => Ok(()),
             Ok(Err(status)) => Err(status.message().to_owned()),
-            Err(_) => Err(format!("no answer within {VOTE}")),
+            Err(_) => Err(format!("no answer within {VOTE_TIMEOUT}")),
         }
     }
 }
 
-/// Whether the VM answered that no process listens there: the node has ended.
-fn nobody_listens(status: &Status) -> bool {
+/// Whether the VM refused the connection: no process listens there, so the node has ended.
+fn is_connection_refused(status: &Status) -> bool {
     let mut cause = std::error::Error::source(status);
     while let Some(error) = cause {
         let refused = error
