--- a/lib/src/direct/quarantine_admin.rs
+++ b/lib/src/direct/quarantine_admin.rs
@@ -1,4 +1,4 @@
-//! What operators see of quarantined requests, and how they lift a quarantine.
+//! Operators' calls for quarantined requests: listing them and lifting a quarantine.
 
 use super::dialect::{Dialect, Key};
 use super::quarantine::SURVIVED;
@@ -8,7 +8,7 @@
 use crate::poison::ledger::{LAPSE, Standing};
 use crate::ports::{Error, Lease, Store, Transaction, Write};
 
-/// Returns the requests that upstreams ended under, by the records in the key-value service.
+/// Returns the requests that may have crashed upstreams, from the records in the key-value service.
 ///
 /// # Errors
 ///
@@ -24,11 +24,13 @@
     Ok(state.ledger.standings(Millis::ZERO))
 }
 
-/// Has all nodes send a request again, by a record as of one that survived.
+/// Lifts the quarantine of a request at all nodes.
+///
+/// It writes the same record as a node does after an upstream ran the request without a crash.
 ///
 /// # Errors
 ///
-/// When the service doesn't take it; after [`Error::NoAnswer`] it may have.
+/// When the write fails; after [`Error::NoAnswer`] it may have taken effect.
 pub async fn lift(
     store: &dyn Store,
     lease: &dyn Lease,
--- a/lib/src/direct/versions.rs
+++ b/lib/src/direct/versions.rs
@@ -1,9 +1,9 @@
-//! Versions of adapters as operators declare them, and until when each may be begun on.
+//! Adapter versions that operators declare, and the deadlines for requests on older ones.
 //!
-//! A declaration forbids all versions below it once [`Limits::version`] has passed since it was
-//! acknowledged, whatever is declared behind it. The promise holds where a request begins, with
-//! its first event at the engine, and not where it is sent: in between lies the engine's queue,
-//! whose length no margin bounds. So each send is watched until it has begun. See
+//! Once [`Limits::version`] has passed since a declaration was acknowledged, no request may begin
+//! on an older version, whatever is declared afterwards. A request begins with its first event at
+//! the engine, not when it is sent: in between it waits in the engine's queue, and no margin
+//! bounds that time. Each sent request is therefore watched until it has begun. See
 //! docs/design/0012-versions.md.
 //!
 //! [`Limits::version`]: super::limits::Limits::version
@@ -20,55 +20,56 @@
 use crate::clock::Millis;
 use crate::name::Name;
 
-/// Time that a withdrawal takes at most, from the closing of its connection until the engine
-/// no longer begins the request.
+/// Time before the deadline at which a request that hasn't begun is withdrawn.
 ///
-/// The way to the engine, a step of its batch, and a late timer on a small VM.
+/// A withdrawal takes no longer, from closing the connection until the engine no longer begins
+/// the request: the way to the engine, a step of its batch, and a late timer on a small VM.
 pub const WITHDRAWAL_LEAD: Millis = Millis(150);
 
-/// Time before a withdrawal at which the engine is to load the newest version.
+/// Time before the withdrawal at which the engine is asked to load the newest version.
 ///
-/// The order has the engine reject what waits on an older one. It takes a question to the owner
-/// and an order, either of which may have to be repeated.
+/// The load makes the engine reject requests that wait for an older version. It takes a call to
+/// the owner and an order, and either may have to be retried.
 pub const REPLACEMENT_LEAD: Millis = Millis(850);
 
-/// Pause after which an engine that refused is asked once more to replace a version.
-const REPLACEMENT_PAUSE: Millis = Millis(50);
+/// Pause before a failed replacement is tried again.
+const REPLACEMENT_RETRY_PAUSE: Millis = Millis(50);
 
-/// The longest sleep before the time that is left is looked at again.
+/// Longest sleep before the remaining time is computed again.
 ///
-/// Timers stand while the VM is suspended, and the limits in force may change.
-const LOOK: Millis = Millis(250);
+/// Timers stop while the VM is suspended, and the limits in force may change.
+const DEADLINE_POLL_INTERVAL: Millis = Millis(250);
 
-/// A version that operators declared as the newest of its adapter.
+/// A version that operators declared as the newest one of its adapter.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Declaration {
     /// The version.
     pub version: u64,
-    /// When it may have been declared at the earliest: until then this node knew of none. None
-    /// where the node knew nothing before: it may have been declared at any time.
+    /// The earliest time at which it can have been declared: the last time at which this node
+    /// knew that it wasn't. None if the node knew nothing before, so that it may have been
+    /// declared at any time.
     ///
-    /// Counted from when the node hears of it, an old version would be begun on for as much
-    /// longer as changes take to arrive.
+    /// Counting from when the node learns of it instead would extend the use of older versions
+    /// by the time that changes take to arrive.
     pub since: Option<Millis>,
 }
 
 impl Declaration {
-    /// Returns until when a request may begin on a version below this one.
-    fn forbids_from(&self, limit: Millis) -> Millis {
+    /// Returns until when a request may begin on a version older than this one.
+    fn older_versions_deadline(&self, limit: Millis) -> Millis {
         self.since.map_or(Millis::ZERO, |since| since + limit)
     }
 }
 
-/// The declarations of one adapter that still count, in order.
+/// The declarations of one adapter that still matter, in ascending order of versions.
 #[derive(Debug, Default)]
 pub struct Declarations(SmallVec<[Declaration; 2]>);
 
 impl Declarations {
-    /// Takes in a declaration; returns whether it is newer than all before.
+    /// Adds a declaration; returns whether it is newer than all others.
     ///
-    /// A declaration whose `limit` has passed forbids what is below it for good, so those before
-    /// it are dropped.
+    /// Once `limit` has passed since a declaration, all older versions are past their deadlines,
+    /// so the declarations before it are dropped.
     pub fn declare(&mut self, declaration: Declaration, limit: Millis) -> bool {
         if self
             .newest()
@@ -77,68 +78,69 @@
             return false;
         }
         let since = declaration.since.unwrap_or_default();
-        let passed = |one: &Declaration| one.forbids_from(limit) <= since;
-        if let Some(last) = self.0.iter().rposition(passed) {
+        let has_passed = |one: &Declaration| one.older_versions_deadline(limit) <= since;
+        if let Some(last) = self.0.iter().rposition(has_passed) {
             self.0.drain(..last);
         }
         self.0.push(declaration);
         true
     }
 
-    /// Returns the newest.
+    /// Returns the newest declaration.
     #[must_use]
     pub fn newest(&self) -> Option<Declaration> {
         self.0.last().copied()
     }
 
-    /// Returns until when a request may begin on a version; none where nothing bounds it.
+    /// Returns until when a request may begin on a version; none if no newer one is declared.
     #[must_use]
     pub fn begin_deadline(&self, version: u64, limit: Millis) -> Option<Millis> {
         let newer = self.0.iter().filter(|one| one.version > version);
-        newer.map(|one| one.forbids_from(limit)).min()
+        newer.map(|one| one.older_versions_deadline(limit)).min()
     }
 }
 
-/// Watches whether a request that was sent, and hasn't begun, may still begin where it is.
+/// Watches the deadline of a request that was sent and hasn't begun.
 ///
-/// A version that was the newest when the request was sent can be replaced while it waits.
+/// The version that was the newest when the request was sent can be replaced while it waits.
 #[derive(Debug, Clone)]
 pub struct VersionWatch {
     gate: Arc<Gate>,
     upstream: Arc<Upstream>,
     adapter: Name,
-    /// The version that its engine is believed to hold; 0 is whatever was the newest at its load.
+    /// The version that the engine is known to hold; 0 stands for the newest when it was loaded.
     version: u64,
-    /// Whether the request can be seen to begin.
-    shows_beginning: bool,
+    /// Whether this node can tell when the request has begun.
+    is_beginning_visible: bool,
 }
 
 impl VersionWatch {
-    /// Watches a request for an adapter at an upstream.
+    /// Creates the watch of a request for an adapter at an upstream.
     ///
-    /// An answer that isn't a stream shows nothing until it is whole: withdrawn, it could be one
-    /// that began long before. There only the engine can tell, by rejecting what hasn't begun.
+    /// A response that isn't streamed shows nothing until it is complete, so a withdrawal could
+    /// hit a request that began long ago. In that case only the engine can tell, by rejecting
+    /// requests that haven't begun.
     #[must_use]
     pub fn new(
         gate: Arc<Gate>,
         upstream: Arc<Upstream>,
         adapter: Name,
         version: u64,
-        shows_beginning: bool,
+        is_beginning_visible: bool,
     ) -> Self {
         Self {
             gate,
             upstream,
             adapter,
             version,
-            shows_beginning,
+            is_beginning_visible,
         }
     }
 
-    /// Whether the request may no longer begin there.
+    /// Whether it is too late for the request to begin.
     #[must_use]
     pub fn has_expired(&self) -> bool {
-        self.left(WITHDRAWAL_LEAD) == Some(Millis::ZERO)
+        self.time_left(WITHDRAWAL_LEAD) == Some(Millis::ZERO)
     }
 
     /// Whether a newer version than the request was sent for has been declared.
@@ -149,78 +151,82 @@
             .is_some()
     }
 
-    /// Waits until the request has to be withdrawn.
+    /// Waits until the request must be withdrawn.
     pub async fn expired(&self) {
-        self.until(REPLACEMENT_LEAD + WITHDRAWAL_LEAD).await;
+        self.wait_until(REPLACEMENT_LEAD + WITHDRAWAL_LEAD).await;
         let withdrawal = async {
-            self.until(WITHDRAWAL_LEAD).await;
-            if !self.shows_beginning {
+            self.wait_until(WITHDRAWAL_LEAD).await;
+            if !self.is_beginning_visible {
                 std::future::pending::<()>().await;
             }
         };
         tokio::select! {
             biased;
             () = withdrawal => {}
-            never = self.replace() => match never {},
+            never = self.replace_version() => match never {},
         }
     }
 
-    /// Returns the time until `lead` before the last moment to begin, if there is one.
-    fn left(&self, lead: Millis) -> Option<Millis> {
+    /// Returns the time until `lead` before the deadline, if there is one.
+    fn time_left(&self, lead: Millis) -> Option<Millis> {
         let begin_deadline = self.gate.begin_deadline(&self.adapter, self.version)?;
         Some(begin_deadline.since(self.gate.clock.now() + lead))
     }
 
-    async fn until(&self, lead: Millis) {
+    /// Waits until `lead` before the deadline.
+    async fn wait_until(&self, lead: Millis) {
         loop {
             let changed = self.gate.view.changed.notified();
             let mut changed = std::pin::pin!(changed);
             changed.as_mut().enable();
-            match self.left(lead) {
+            match self.time_left(lead) {
                 Some(Millis::ZERO) => return,
                 Some(left) => {
-                    let _ = tokio::time::timeout(left.min(LOOK).duration(), changed).await;
+                    let _ =
+                        tokio::time::timeout(left.min(DEADLINE_POLL_INTERVAL).duration(), changed)
+                            .await;
                 }
                 None => changed.await,
             }
         }
     }
 
-    /// Has the engine load the newest version, which rejects what waits there on an older one.
+    /// Loads the newest version, so that the engine rejects requests that wait for an older one.
     ///
-    /// A rejected request has not run, and goes on elsewhere even if it may run once only. An
-    /// engine refuses orders for moments, so it is asked for as long as the request waits.
-    async fn replace(&self) -> Infallible {
-        while !self.has_replaced().await {
-            tokio::time::sleep(REPLACEMENT_PAUSE.duration()).await;
+    /// A rejected request has not run, so it is sent elsewhere even if it may run at most once.
+    /// Engines refuse orders temporarily, so this retries for as long as the request waits.
+    async fn replace_version(&self) -> Infallible {
+        while !self.try_replace().await {
+            tokio::time::sleep(REPLACEMENT_RETRY_PAUSE.duration()).await;
         }
         std::future::pending().await
     }
 
-    /// Asks once, unless another request of this queue does; true if the newest one is there.
-    async fn has_replaced(&self) -> bool {
+    /// Tries the replacement once, unless another request at the engine does; returns whether the
+    /// newest version is present.
+    async fn try_replace(&self) -> bool {
         let Some(newest) = self.gate.view.newest(&self.adapter) else {
             return true;
         };
         let replacements = &self.gate.replacements;
-        let Some(_asking) = replacements.begin(&self.upstream, &self.adapter) else {
+        let Some(_guard) = replacements.try_begin(&self.upstream, &self.adapter) else {
             return false;
         };
         let controllers = &self.gate.controllers;
         let load = controllers.load(&self.upstream, &self.adapter, newest.version);
-        let loaded = load.await;
+        let outcome = load.await;
         log::info!(
             upstream = &*self.upstream.incarnation,
             adapter = &*self.adapter,
             version = newest.version,
-            outcome = loaded.name();
+            outcome = outcome.name();
             "versions: replaced where requests wait"
         );
-        matches!(loaded, LoadOutcome::Ready(held) if held >= newest.version)
+        matches!(outcome, LoadOutcome::Ready(held) if held >= newest.version)
     }
 }
 
-/// Waits until a watched request has to be withdrawn; for ever if nothing watches it.
+/// Waits until a watched request must be withdrawn; forever if there is no watch.
 pub async fn expired(watch: Option<&VersionWatch>) {
     match watch {
         Some(watch) => watch.expired().await,
@@ -228,35 +234,35 @@
     }
 }
 
-/// Replacements that are asked for, so that the many requests of one queue ask once.
+/// Replacements in progress, so that many requests at one engine cause one replacement.
 #[derive(Debug, Default)]
 pub struct PendingReplacements(Mutex<HashSet<(Name, Name)>>);
 
-/// Keeps others from asking for the same replacement until it is dropped.
+/// Prevents the same replacement from being started again until it is dropped.
 #[derive(Debug)]
-struct Asking<'a> {
+struct ReplacementGuard<'a> {
     replacements: &'a PendingReplacements,
     key: (Name, Name),
 }
 
 impl PendingReplacements {
-    /// Returns leave to ask an upstream to replace an adapter's version; none if others ask.
-    fn begin(&self, upstream: &Upstream, adapter: &Name) -> Option<Asking<'_>> {
+    /// Begins to replace an adapter's version at an upstream; none if that is in progress.
+    fn try_begin(&self, upstream: &Upstream, adapter: &Name) -> Option<ReplacementGuard<'_>> {
         let key = (Name::clone(&upstream.incarnation), Name::clone(adapter));
-        let is_first = self.asked().insert(key.clone());
-        is_first.then_some(Asking {
+        let is_first = self.in_progress().insert(key.clone());
+        is_first.then_some(ReplacementGuard {
             replacements: self,
             key,
         })
     }
 
-    fn asked(&self) -> MutexGuard<'_, HashSet<(Name, Name)>> {
+    fn in_progress(&self) -> MutexGuard<'_, HashSet<(Name, Name)>> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-impl Drop for Asking<'_> {
+impl Drop for ReplacementGuard<'_> {
     fn drop(&mut self) {
-        self.replacements.asked().remove(&self.key);
+        self.replacements.in_progress().remove(&self.key);
     }
 }
--- a/lib/tests/test_direct_exchange.rs
+++ b/lib/tests/test_direct_exchange.rs
@@ -1,4 +1,4 @@
-//! What a node tells the owners of engines.
+//! What a node sends to the owners of engines in exchanges.
 
 mod direct_support;
 
@@ -22,11 +22,11 @@
 const ENGINES: u16 = 120;
 const OWNERS: u16 = 9;
 
-/// What is told: by owner, the engine, what runs there, and adapters in use.
-type Told = BTreeMap<SocketAddr, BTreeSet<(String, u32, Vec<String>)>>;
+/// Contents of exchanges by owner: engine, number of running requests and adapters in use.
+type Exchanges = BTreeMap<SocketAddr, BTreeSet<(String, u32, Vec<String>)>>;
 
-/// A node before engines of many owners; the last one is the node itself.
-fn node(random: &mut Pcg64, silent: SocketAddr) -> Arc<Controllers> {
+/// Returns the controllers of a node that sees engines of many owners; the last is itself.
+fn node(random: &mut Pcg64, unresponsive: SocketAddr) -> Arc<Controllers> {
     let clock: Arc<dyn Clock> = Arc::new(Monotonic::start());
     let view = Arc::new(View::default());
     let ownership = Arc::new(Ownership::new(Arc::clone(&clock), Arc::clone(&view)));
@@ -34,7 +34,7 @@
         let mut state = view.state();
         for owner in 0..OWNERS {
             let address = match owner {
-                0 => silent,
+                0 => unresponsive,
                 other => SocketAddr::from(([127, 0, 0, 1], 10 + other)),
             };
             state.join(format!("node-{owner}").into(), peer(address));
@@ -45,7 +45,8 @@
                 ..listed(&format!("i-{number}"), &[("base/a1", 1)])
             };
             state.list(&engine, written(1), Millis::ZERO);
-            // Some owners aren't known, some have left, and some engines have none.
+            // Some owners are unknown, some have released their claims, and some
+            // engines have no claim.
             let owner = random.random_range(0..OWNERS + 1);
             let claim = Claim {
                 node: format!("node-{owner}").into(),
@@ -86,41 +87,46 @@
     engines
 }
 
-/// Looks at all engines one by one.
-fn expected(controllers: &Controllers, noted: &BTreeMap<Name, Name>, silent: SocketAddr) -> Told {
-    let mut told = Told::new();
+/// Computes the exchanges by checking every engine.
+fn expected(
+    controllers: &Controllers,
+    recorded: &BTreeMap<Name, Name>,
+    unresponsive: SocketAddr,
+) -> Exchanges {
+    let mut exchanges = Exchanges::new();
     for engine in engines(controllers) {
         let Some((_, owner)) = controllers.view.owner(engine.address) else {
             continue;
         };
         let mut adapters = engine.in_use();
-        let noted = noted.get(&engine.incarnation).cloned();
-        adapters.extend(noted.filter(|noted| !engine.in_use().contains(noted)));
+        let recorded = recorded.get(&engine.incarnation).cloned();
+        adapters.extend(recorded.filter(|recorded| !engine.in_use().contains(recorded)));
         let is_idle = adapters.is_empty() && engine.running() == 0;
-        if controllers.ownership.owns(engine.address) || (is_idle && owner.address != silent) {
+        if controllers.ownership.owns(engine.address) || (is_idle && owner.address != unresponsive)
+        {
             continue;
         }
         let mut adapters: Vec<String> = adapters.iter().map(ToString::to_string).collect();
         adapters.sort();
         let engine = (engine.incarnation.to_string(), engine.running(), adapters);
-        told.entry(owner.address).or_default().insert(engine);
+        exchanges.entry(owner.address).or_default().insert(engine);
     }
-    told
+    exchanges
 }
 
-fn told(controllers: &Controllers) -> Told {
-    let mut told = Told::new();
+fn sent_exchanges(controllers: &Controllers) -> Exchanges {
+    let mut exchanges = Exchanges::new();
     for (address, request) in controllers.take_exchange_requests() {
         for mut one in request.uses {
             one.adapters.sort();
             let engine = (one.incarnation, one.running, one.adapters);
-            told.entry(address).or_default().insert(engine);
+            exchanges.entry(address).or_default().insert(engine);
         }
     }
-    told
+    exchanges
 }
 
-/// Has requests run at some engines; most of them use their adapter uncounted.
+/// Starts requests at some engines; most use an adapter that the owner doesn't count.
 fn run(random: &mut Pcg64, engines: &[Arc<Upstream>]) -> Vec<Running> {
     let chosen = engines.iter().filter(|_| random.random_bool(0.1));
     let chosen: Vec<_> = chosen.collect();
@@ -131,32 +137,34 @@
         .collect()
 }
 
-/// Symptom: an adapter that a long stream uses is evicted, or an owner's silence isn't seen to end.
-/// Sequence: engines in use, idle ones, owners that are silent, left or unknown, round by round.
-/// Cause: an engine left out of what its owner is told.
+/// Guards against an engine missing from the exchange with its owner.
+///
+/// The owner would evict an adapter that a long stream uses, or this node would never learn that
+/// an unresponsive owner responds again. Engines are in use or idle, and owners are unresponsive,
+/// unknown or have left.
 #[tokio::test(start_paused = true)]
-async fn exchanges_tell_of_engines_in_use_and_silent_owners() {
+async fn take_exchange_requests_covers_used_engines_and_unresponsive_owners() {
     let suspended = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
-    let silent = suspended.local_addr().unwrap();
+    let unresponsive = suspended.local_addr().unwrap();
     for seed in 0..20 {
         let mut random = Pcg64::seed_from_u64(seed);
-        let controllers = node(&mut random, silent);
+        let controllers = node(&mut random, unresponsive);
         let engines = engines(&controllers);
         let owned_by = |engine: &&Arc<Upstream>| {
             let owner = controllers.view.owner(engine.address);
-            owner.is_some_and(|(_, owner)| owner.address == silent)
+            owner.is_some_and(|(_, owner)| owner.address == unresponsive)
         };
-        let mut concerned = SocketAddr::from(([127, 0, 0, 9], 9));
+        let mut watched = SocketAddr::from(([127, 0, 0, 9], 9));
         for round in 0..6 {
             let running = run(&mut random, &engines);
-            let mut noted = BTreeMap::new();
+            let mut recorded = BTreeMap::new();
             for engine in engines.iter().filter(|_| random.random_bool(0.05)) {
                 let adapter = Name::from("base/a2");
                 controllers.record_use(engine, &adapter);
-                noted.insert(Name::clone(&engine.incarnation), adapter);
+                recorded.insert(Name::clone(&engine.incarnation), adapter);
             }
             if round == 3 {
-                // A question without an answer shows that the owner is silent.
+                // An admission request without a response makes the owner unresponsive.
                 let question = Question {
                     adapter: None,
                     version: 0,
@@ -167,11 +175,15 @@
                 };
                 let engine = engines.iter().find(owned_by).unwrap();
                 drop(controllers.admit(engine, question).await);
-                concerned = silent;
+                watched = unresponsive;
             }
-            let expected = expected(&controllers, &noted, concerned);
+            let expected = expected(&controllers, &recorded, watched);
             assert!(!expected.is_empty());
-            assert_eq!(told(&controllers), expected, "seed {seed}, round {round}");
+            assert_eq!(
+                sent_exchanges(&controllers),
+                expected,
+                "seed {seed}, round {round}"
+            );
             drop(running);
         }
     }
--- a/lib/tests/test_direct_versions.rs
+++ b/lib/tests/test_direct_versions.rs
@@ -1,4 +1,4 @@
-//! Until when a version of an adapter may be begun on, by what operators declared.
+//! Deadlines for requests on adapter versions that operators have replaced.
 
 mod direct_support;
 
@@ -37,23 +37,23 @@
 }
 
 #[test]
-fn begin_by_without_a_newer_version() {
+fn begin_deadline_without_a_newer_version() {
     assert_eq!(declared(&[]).begin_deadline(1, LIMIT), None);
     assert_eq!(declared(&[(2, 1_000)]).begin_deadline(2, LIMIT), None);
     assert_eq!(declared(&[(2, 1_000)]).begin_deadline(3, LIMIT), None);
 }
 
 #[test]
-fn begin_by_counts_from_the_declaration() {
+fn begin_deadline_counts_from_the_declaration() {
     let declarations = declared(&[(2, 1_000)]);
     assert_eq!(declarations.begin_deadline(1, LIMIT), Some(Millis(6_000)));
-    // What was loaded as whatever was the newest may be any version.
+    // Version 0 was loaded without a version, and may be any.
     assert_eq!(declarations.begin_deadline(0, LIMIT), Some(Millis(6_000)));
 }
 
-/// A further declaration gives versions that were replaced before no further time.
+/// A later declaration doesn't extend the deadline of versions that were already replaced.
 #[test]
-fn begin_by_outlasts_a_further_declaration() {
+fn begin_deadline_outlasts_a_later_declaration() {
     let declarations = declared(&[(2, 1_000), (3, 3_400), (4, 5_800)]);
     assert_eq!(declarations.begin_deadline(1, LIMIT), Some(Millis(6_000)));
     assert_eq!(declarations.begin_deadline(2, LIMIT), Some(Millis(8_400)));
@@ -61,17 +61,17 @@
     assert_eq!(declarations.begin_deadline(4, LIMIT), None);
 }
 
-/// An older declaration that is heard of late takes nothing back.
+/// An older declaration that arrives late is ignored.
 #[test]
-fn declare_older_left_aside() {
+fn declare_older_is_ignored() {
     let declarations = declared(&[(3, 1_000), (2, 2_000)]);
     assert_eq!(declarations.newest().map(|one| one.version), Some(3));
     assert_eq!(declarations.begin_deadline(2, LIMIT), Some(Millis(6_000)));
 }
 
-/// No series of declarations lets a version be begun on for longer than the earliest newer one says.
+/// After any series of declarations, a version's deadline is that of the earliest newer one.
 #[test]
-fn begin_by_is_the_earliest_of_all_newer() {
+fn begin_deadline_is_the_earliest_of_all_newer() {
     fn holds(steps: Vec<(u8, u16)>) -> bool {
         let (mut version, mut now) = (1, Millis::ZERO);
         let mut all: Vec<(u64, Millis)> = Vec::new();
@@ -90,7 +90,7 @@
                 let newer = all.iter().filter(|(version, _)| *version > held);
                 let expected = newer.map(|(_, since)| *since + LIMIT).min();
                 let found = declarations.begin_deadline(held, LIMIT);
-                // What is past for good may count from any moment that is past.
+                // Deadlines that have passed needn't be equal.
                 let both_past = [expected, found]
                     .iter()
                     .all(|at| at.is_some_and(|at| at <= now));
@@ -107,7 +107,7 @@
         .quickcheck(holds as fn(Vec<(u8, u16)>) -> bool);
 }
 
-/// A send on version 1 that is watched, with the clock that it goes by and the bounds in force.
+/// Returns the watch of a request on version 1, with its clock and the state that holds its limits.
 fn watched() -> (VersionWatch, Arc<Manual>, Arc<Gate>) {
     let manual = Arc::new(Manual::default());
     let clock: Arc<dyn Clock> = Arc::<Manual>::clone(&manual);
@@ -160,7 +160,7 @@
     gate.view.changed.notify_waiters();
 }
 
-/// Lets as much time pass by the timers, which stand while the VM is suspended, and by the clock.
+/// Advances the timers, which stop while the VM is suspended, and the clock by `span`.
 async fn pass(manual: &Manual, span: Millis) {
     for _ in 0..span.0 / 10 {
         manual.advance(Millis(10));
@@ -168,7 +168,7 @@
     }
 }
 
-/// A send is withdrawn at the limit also where the VM was suspended for part of the time before.
+/// A request is withdrawn at the deadline even if the VM was suspended for part of the time.
 #[tokio::test(start_paused = true)]
 async fn expired_after_a_suspension() {
     let (watch, manual, gate) = watched();
@@ -180,7 +180,7 @@
     assert!(expired.is_finished());
 }
 
-/// A send is withdrawn by the limit in force, also one that a reload made shorter meanwhile.
+/// A request is withdrawn by the limit in force, even if a reload has shortened it since.
 #[tokio::test(start_paused = true)]
 async fn expired_by_a_limit_made_shorter() {
     let (watch, manual, gate) = watched();
@@ -195,7 +195,7 @@
     assert!(expired.is_finished());
 }
 
-/// A request that may no longer begin on a version isn't sent, and so is known not to have run.
+/// A request past its deadline isn't sent, and so is known not to have run.
 #[tokio::test]
 async fn send_past_the_limit() {
     let (watch, manual, gate) = watched();
