--- a/lib/src/direct/claim/extension.rs
+++ b/lib/src/direct/claim/extension.rs
@@ -61,7 +61,7 @@
             return;
         }
         let refusals = self.collect_refusals(&owned).await;
-        let is_extended = refusals.is_empty() && self.ownership.is_lease_valid();
+        let is_extended = refusals.is_empty() && self.ownership.is_term_running();
         let outcome = if is_extended { "granted" } else { "refused" };
         self.metrics.extensions.with_label_values(&[outcome]).inc();
         if is_extended {
@@ -80,7 +80,7 @@
 
     /// Asks other nodes until all vote or the term has ended; returns the last refusals.
     async fn collect_refusals(&self, owned: &[(SocketAddr, u64)]) -> Vec<Refusal> {
-        if !self.ownership.is_lease_valid() {
+        if !self.ownership.is_term_running() {
             return Vec::new();
         }
         let Some(mut asked) = self.voters.others() else {
@@ -91,7 +91,7 @@
         };
         loop {
             let refusals = self.voters.refusals(&asked, owned).await;
-            if refusals.is_empty() || !self.ownership.is_lease_valid() {
+            if refusals.is_empty() || !self.ownership.is_term_running() {
                 return refusals;
             }
             tokio::time::sleep(VOTE_RETRY_PAUSE.duration()).await;
--- a/lib/src/direct/claim/mod.rs
+++ b/lib/src/direct/claim/mod.rs
@@ -75,7 +75,7 @@
         // A node that has left must not claim again what it released.
         while !self.ownership.has_left.load(Ordering::Relaxed) {
             let has_config = self.view.config().is_some();
-            let is_valid = self.ownership.is_lease_valid();
+            let is_valid = self.ownership.is_term_running();
             self.ownership.was_valid.store(is_valid, Ordering::Relaxed);
             if let Err(error) = self.renew_and_claim(&mut lease, &mut first_lease_at).await {
                 self.view.touched(false);
@@ -135,7 +135,7 @@
                 *lease = Some(granted);
             }
             Some(held) => {
-                let was_valid = self.ownership.is_lease_valid();
+                let was_valid = self.ownership.is_term_running();
                 if self.renew(held).await? == Millis::ZERO {
                     log::warn!("right: the lease has lapsed");
                     *lease = None;
--- a/lib/src/direct/controllers/broadcast.rs
+++ b/lib/src/direct/controllers/broadcast.rs
@@ -11,7 +11,7 @@
 use crate::name::Name;
 use crate::schema::direct::TellRequest;
 
-/// Timeout of sending a record to the other nodes.
+/// Timeout of sending a record to the other nodes; a node that is gone never responds.
 const BROADCAST_TIMEOUT: Millis = Millis(300);
 
 #[async_trait]
--- a/lib/src/direct/controllers/mod.rs
+++ b/lib/src/direct/controllers/mod.rs
@@ -87,7 +87,7 @@
     pending_loads: Mutex<HashMap<SocketAddr, u32>>,
 }
 
-/// Counts a pending load of another owner until it is dropped.
+/// Counts a load pending at another owner until it is dropped.
 #[derive(Debug)]
 struct PendingLoad<'a> {
     controllers: &'a Controllers,
--- a/lib/src/direct/orders/message.rs
+++ b/lib/src/direct/orders/message.rs
@@ -14,7 +14,7 @@
 pub enum LoadOutcome {
     /// The engine holds the adapter in this version.
     Ready(u64),
-    /// All slots are in use or loading, or too many loads wait.
+    /// All slots are in use or loading, or the engine gets no further order now.
     Full,
     /// This node may not send orders to the engine now.
     NotOwner,
--- a/lib/src/direct/ownership.rs
+++ b/lib/src/direct/ownership.rs
@@ -22,31 +22,31 @@
 
 /// The engines that this node owns; checked immediately before each order is sent.
 ///
-/// Apart from a valid lease, an order needs a claim that is still in the view: the platform can
+/// Apart from a running term, an order needs a claim that is still in the view: the platform can
 /// delete a node's keys while its lease goes on, and no renewal shows that.
 #[derive(Debug)]
 pub struct Ownership {
     clock: Arc<dyn Clock>,
     view: Arc<View>,
-    /// When the lease ends for this node, in milliseconds of `clock`.
+    /// When the current ownership term ends, in milliseconds of `clock`.
     pub(super) valid_until: AtomicU64,
     /// Whether this node has had a lease since its start.
     pub(super) has_had_lease: AtomicBool,
-    /// Whether the lease was valid when the claimer last checked.
+    /// Whether the ownership term was still running when the claimer last checked.
     pub(super) was_valid: AtomicBool,
     /// When this node last handed an engine over, in milliseconds of `clock`.
     last_handover: AtomicU64,
-    /// Whether this node has released its claims for a planned stop.
+    /// Whether this node stops as planned: it releases its claims and makes no new ones.
     pub(super) has_left: AtomicBool,
     owned: Mutex<HashMap<SocketAddr, OwnedEngine>>,
     last_order: Mutex<HashMap<SocketAddr, Millis>>,
 }
 
 impl Ownership {
-    /// Creates the ownership of no engine, without a lease.
+    /// Creates the ownership of no engine, whose term has ended.
     ///
     /// `clock` must include time during which the VM is suspended, so that a resumed node sees
-    /// that its lease has ended.
+    /// that its term has ended.
     #[must_use]
     pub fn new(clock: Arc<dyn Clock>, view: Arc<View>) -> Self {
         Self {
@@ -79,9 +79,9 @@
         (is_claim_current && owned.orders_from <= now).then_some(owned.token)
     }
 
-    /// Whether the lease is valid by this node's clock.
+    /// Whether the ownership term is still running, by this node's clock.
     #[must_use]
-    pub(super) fn is_lease_valid(&self) -> bool {
+    pub(super) fn is_term_running(&self) -> bool {
         self.clock.now().0 < self.valid_until.load(Ordering::Relaxed)
     }
 
