--- a/lib/tests/slots_model/mod.rs
+++ b/lib/tests/slots_model/mod.rs
@@ -25,7 +25,7 @@
     adapter: Name,
     version: u64,
     since: Millis,
-    answer: Receiver<LoadOutcome>,
+    outcome: Receiver<LoadOutcome>,
 }
 
 /// The engine, its owner and the callers.
@@ -114,12 +114,12 @@
         if self.stale || (version > 0 && self.slots.has_unknown_version(&adapter)) {
             self.refresh_status(Millis(value % MAX_STATUS_AGE.0));
         }
-        let (reply, answer) = oneshot::channel();
+        let (reply, outcome) = oneshot::channel();
         let caller = Caller {
             adapter: Name::clone(&adapter),
             version,
             since: self.now,
-            answer,
+            outcome,
         };
         self.callers.push(caller);
         let load = LoadCommand {
@@ -247,7 +247,7 @@
         let now = self.now;
         let mut waiting = Vec::new();
         for mut caller in std::mem::take(&mut self.callers) {
-            match caller.answer.try_recv() {
+            match caller.outcome.try_recv() {
                 Ok(LoadOutcome::Ready(version)) => self.check_ready(&caller, version)?,
                 Ok(_) => {}
                 Err(oneshot::error::TryRecvError::Closed) => {
--- a/lib/tests/test_direct_claims.rs
+++ b/lib/tests/test_direct_claims.rs
@@ -261,9 +261,9 @@
 
 /// A node whose claim was deleted sends no more orders, though its lease is renewed.
 #[tokio::test(start_paused = true)]
-async fn right_ends_with_a_claim_taken_away() {
+async fn ownership_ends_with_a_deleted_claim() {
     let (memory, one) = owner().await;
-    let former = one.ownership.fencing_token(address()).unwrap();
+    let previous = one.ownership.fencing_token(address()).unwrap();
     let key = claim_key(&memory).unwrap();
     memory.change(|state| state.away = true);
     pass(&[&one], Millis(4_000)).await;
@@ -276,13 +276,13 @@
     });
     for _ in 0..100 {
         pass(&[&one], Millis(50)).await;
-        assert_ne!(one.ownership.fencing_token(address()), Some(former));
+        assert_ne!(one.ownership.fencing_token(address()), Some(previous));
     }
 }
 
 /// A node that was suspended sends no orders if its ownership ended in the meantime.
 #[tokio::test(start_paused = true)]
-async fn right_ends_while_suspended() {
+async fn ownership_ends_while_suspended() {
     let (_memory, one) = owner().await;
     assert!(one.ownership.fencing_token(address()).is_some());
     one.clock.advance(OWNERSHIP_TERM);
@@ -292,9 +292,9 @@
 /// A dead node's engine gets a new owner, which sends no orders before the ownership term and the
 /// minimum gap have passed.
 #[tokio::test(start_paused = true)]
-async fn claim_taken_over_after_a_death() {
+async fn claim_taken_over_after_a_crash() {
     let (memory, one) = owner().await;
-    let former = one.ownership.fencing_token(address()).unwrap();
+    let previous = one.ownership.fencing_token(address()).unwrap();
     let two = node("two", &memory, true);
     pass(&[&two], Millis(1_500)).await;
     drop(one);
@@ -304,12 +304,12 @@
     pass(&[&two], waited).await;
     assert_eq!(two.ownership.fencing_token(address()), None);
     pass(&[&two], LEASE).await;
-    assert!(two.ownership.fencing_token(address()).unwrap() > former);
+    assert!(two.ownership.fencing_token(address()).unwrap() > previous);
 }
 
 /// After a planned stop a successor may send orders sooner than after a crash.
 #[tokio::test(start_paused = true)]
-async fn claim_handed_over_in_order() {
+async fn claim_handed_over_on_a_planned_stop() {
     let (memory, one) = owner().await;
     let two = node("two", &memory, true);
     pass(&[&one, &two], Millis(1_500)).await;
@@ -322,17 +322,17 @@
 
 /// A restarted node reclaims its engines at once, without waiting for its own ownership to end.
 #[tokio::test(start_paused = true)]
-async fn claim_of_former_start_is_taken_back() {
+async fn claim_of_previous_start_is_reclaimed() {
     let (memory, one) = owner().await;
-    let former = one.ownership.fencing_token(address()).unwrap();
+    let previous = one.ownership.fencing_token(address()).unwrap();
     drop(one);
     let again = start("one", 2, &memory, false);
     pass(&[&again], Millis(1_000)).await;
-    assert!(again.ownership.fencing_token(address()).unwrap() > former);
+    assert!(again.ownership.fencing_token(address()).unwrap() > previous);
 }
 
 /// An owner sends an order and leaves, and another node claims its engine.
-async fn claimed_behind_an_order() -> (Arc<Memory>, Node) {
+async fn claimed_after_an_order() -> (Arc<Memory>, Node) {
     let (memory, one) = owner().await;
     let two = node("two", &memory, false);
     pass(&[&one, &two], Millis(1_500)).await;
@@ -347,8 +347,8 @@
 
 /// A node that restarts while it waits for the previous owner waits only for the remaining time.
 #[tokio::test(start_paused = true)]
-async fn claim_of_former_start_waits_as_that_one_did() {
-    let (memory, two) = claimed_behind_an_order().await;
+async fn claim_of_previous_start_waits_the_remaining_time() {
+    let (memory, two) = claimed_after_an_order().await;
     let now = two.clock.now();
     drop(two);
     let view = Arc::new(View::default());
@@ -364,7 +364,7 @@
 /// If a node leaves while it waits for the previous owner, its successor waits for the remaining
 /// time.
 #[tokio::test(start_paused = true)]
-async fn claim_handed_over_before_its_turn_waits_on() {
+async fn claim_handed_over_while_waiting_waits_the_remaining_time() {
     let (memory, one) = owner().await;
     let (two, three) = (node("two", &memory, false), node("three", &memory, false));
     pass(&[&one, &two, &three], Millis(2_500)).await;
@@ -401,7 +401,7 @@
 
 /// In an outage an owner's term is extended by the votes of all others, as long as they vote.
 #[tokio::test(start_paused = true)]
-async fn right_lasts_through_an_outage_that_all_have() {
+async fn ownership_extended_through_an_outage() {
     let (memory, one) = owner().await;
     one.others.vote.store(true, Ordering::SeqCst);
     memory.change(|state| state.away = true);
@@ -421,7 +421,7 @@
 
 /// A claim that expired in an outage goes back to its owner if that is alive, as it needn't wait.
 #[tokio::test(start_paused = true)]
-async fn claim_lapsed_in_an_outage_goes_back_to_its_owner() {
+async fn claim_expired_in_an_outage_goes_back_to_its_owner() {
     let memory = Arc::new(Memory::default());
     store_engine(&memory);
     let names = ["one", "two", "three"];
@@ -448,7 +448,7 @@
 /// A node that was suspended claims its engine again, but waits before it sends orders: another
 /// owner may have come and expired in the meantime, and may be extended by votes.
 #[tokio::test(start_paused = true)]
-async fn claim_taken_back_after_a_suspension_waits() {
+async fn claim_made_again_after_a_suspension_waits() {
     let (memory, one) = owner().await;
     assert!(one.ownership.fencing_token(address()).is_some());
     let key = claim_key(&memory).unwrap();
@@ -472,7 +472,7 @@
 
 /// A vote lost on a dead connection is requested again before the term ends.
 #[tokio::test(start_paused = true)]
-async fn right_lasts_when_a_first_question_is_lost() {
+async fn ownership_extended_though_first_votes_are_lost() {
     let (memory, one) = owner().await;
     one.others.vote.store(true, Ordering::SeqCst);
     one.others.lost_rounds.store(2, Ordering::SeqCst);
@@ -502,7 +502,7 @@
 
 /// A node without a first lease, or that has left, can't take over and votes for the owner.
 #[tokio::test(start_paused = true)]
-async fn votes_for_before_it_begins_and_after_it_left() {
+async fn votes_for_without_a_lease_and_after_leaving() {
     let memory = Arc::new(Memory::default());
     store_engine(&memory);
     memory.change(|state| state.away = true);
@@ -519,7 +519,7 @@
 
 /// A node that reaches the service votes only for an owner whose claims are in its view.
 #[tokio::test(start_paused = true)]
-async fn votes_for_claims_that_stand() {
+async fn votes_for_current_claims() {
     let (_memory, one) = owner().await;
     let token = one.ownership.fencing_token(address()).unwrap();
     assert!(one.ownership.votes_for("one", &[(address(), token)]));
@@ -542,7 +542,7 @@
 
 /// A node whose process has ended counts as a vote, one that doesn't respond as a refusal.
 #[tokio::test]
-async fn refusals_nobody_listens() {
+async fn refusals_connection_refused() {
     let clock: Arc<dyn Clock> = Arc::new(Manual::default());
     let view = Arc::new(View::default());
     let controllers = controllers(clock, view);
@@ -560,7 +560,7 @@
 
 /// A load at a suspended owner fails soon, so that another engine can be tried.
 #[tokio::test(start_paused = true)]
-async fn load_at_a_silent_owner() {
+async fn load_at_an_unresponsive_owner() {
     let clock: Arc<dyn Clock> = Arc::new(Monotonic::start());
     let view = Arc::new(View::default());
     add_engine(&view);
@@ -645,7 +645,7 @@
 
 /// Engines that other nodes have claimed unnoticed don't fail a node's other claims in each round.
 #[tokio::test(start_paused = true)]
-async fn claims_taken_though_news_is_late() {
+async fn claims_made_with_a_late_view() {
     let engines: u16 = 320;
     let memory = Arc::new(Memory::default());
     store_engines(&memory, engines.into());
@@ -692,14 +692,14 @@
 /// A node reclaims its previous start's engines before the claims expire, though the engines'
 /// entries are still being read.
 #[tokio::test(start_paused = true)]
-async fn claim_of_former_start_is_kept_while_engines_are_read() {
+async fn claim_of_previous_start_is_reclaimed_while_engines_are_read() {
     let (memory, one) = owner().await;
     drop(one);
-    let former = memory.state().leases[0];
+    let previous = memory.state().leases[0];
     slow(&memory, "servers/", Millis::from_secs(5));
     let again = start_again("one", &memory);
     pass(&[&again], Millis(1_500)).await;
-    memory.change(|state| state.end(former));
+    memory.change(|state| state.end(previous));
     assert!(claim_key(&memory).is_some(), "the claim ended");
     pass(&[&again], Millis(4_000)).await;
     assert!(again.ownership.fencing_token(address()).is_some());
--- a/lib/tests/test_direct_slots.rs
+++ b/lib/tests/test_direct_slots.rs
@@ -27,24 +27,24 @@
 }
 
 fn load_command(version: u64) -> (LoadCommand, Receiver<LoadOutcome>) {
-    let (reply, answer) = oneshot::channel();
+    let (reply, outcome) = oneshot::channel();
     let adapter = "base/a1".into();
     let load = LoadCommand {
         adapter,
         version,
         reply,
     };
-    (load, answer)
+    (load, outcome)
 }
 
 /// Returns the slots of an empty engine that has accepted the order of a load.
 fn loading(version: u64) -> (Slots, Receiver<LoadOutcome>) {
     let mut slots = Slots::new(&status(0, &[], &[]), NOW);
-    let (load, answer) = load_command(version);
+    let (load, outcome) = load_command(version);
     let load = slots.serve_or_enqueue(load, NOW).unwrap();
     slots.record_accepted_order(NOW);
     slots.record_load_started(load, NOW);
-    (slots, answer)
+    (slots, outcome)
 }
 
 fn due_probe(slots: &mut Slots, now: Millis) -> LoadProbe {
@@ -56,19 +56,19 @@
 /// A status from before the order neither fails the load nor resets the count of orders.
 #[test]
 fn apply_status_older_than_the_order() {
-    let (mut slots, mut answer) = loading(2);
+    let (mut slots, mut outcome) = loading(2);
     assert!(!slots.apply_status(&status(0, &[], &[]), NOW + Millis(300)));
-    assert!(answer.try_recv().is_err());
+    assert!(outcome.try_recv().is_err());
     let probe = due_probe(&mut slots, NOW + Millis(300));
     assert_eq!(probe.sequence, 1);
     assert!(slots.apply_probe(&probe, Some(Ordered::Holds), NOW + Millis(310)));
-    assert_eq!(answer.try_recv(), Ok(LoadOutcome::Ready(2)));
+    assert_eq!(outcome.try_recv(), Ok(LoadOutcome::Ready(2)));
 }
 
 /// A wrong count is corrected by a status that was requested long enough after the last order.
 #[test]
 fn apply_status_lower_count_long_after_the_order() {
-    let (mut slots, _answer) = loading(2);
+    let (mut slots, _outcome) = loading(2);
     assert!(slots.apply_status(&status(0, &[], &[]), NOW + MAX_STATUS_AGE));
     assert_eq!(slots.sequence(), 0);
 }
@@ -76,7 +76,7 @@
 /// A status that still lists a complete load as in progress doesn't undo the result of a probe.
 #[test]
 fn apply_status_of_the_same_count_before_the_completion() {
-    let (mut slots, _answer) = loading(2);
+    let (mut slots, _outcome) = loading(2);
     let probe = due_probe(&mut slots, NOW + Millis(300));
     slots.apply_probe(&probe, Some(Ordered::Holds), NOW + Millis(310));
     slots.apply_status(&status(1, &[], &[("base/a1", 2)]), NOW + Millis(320));
@@ -105,7 +105,7 @@
 /// Waiters of a load are also served by a later load of a newer version.
 #[test]
 fn record_load_started_newer_version_keeps_waiters() {
-    let (mut slots, mut former) = loading(2);
+    let (mut slots, mut earlier) = loading(2);
     let (load, mut later) = load_command(3);
     let load = slots.serve_or_enqueue(load, NOW).unwrap();
     let probe = due_probe(&mut slots, NOW + Millis(45));
@@ -116,7 +116,7 @@
     assert!(later.try_recv().is_err());
     let probe = due_probe(&mut slots, NOW + Millis(300));
     slots.apply_probe(&probe, Some(Ordered::Holds), NOW + Millis(310));
-    assert_eq!(former.try_recv(), Ok(LoadOutcome::Ready(3)));
+    assert_eq!(earlier.try_recv(), Ok(LoadOutcome::Ready(3)));
     assert_eq!(later.try_recv(), Ok(LoadOutcome::Ready(3)));
 }
 
@@ -140,7 +140,7 @@
 /// Overdue loads don't block other loads of the engine.
 #[test]
 fn count_on_time_loads_without_overdue() {
-    let (slots, _answer) = loading(2);
+    let (slots, _outcome) = loading(2);
     assert_eq!(slots.count_on_time_loads(NOW), 1);
     let late = NOW + MAX_LOAD_TIME + Millis(1);
     assert_eq!(
@@ -152,7 +152,7 @@
 /// An overdue load without waiters frees its slot once a status no longer lists it.
 #[test]
 fn apply_status_ends_an_overdue_load() {
-    let (mut slots, _answer) = loading(2);
+    let (mut slots, _outcome) = loading(2);
     let late = NOW + MAX_LOAD_TIME + Millis(1);
     slots.expire_waiters(late);
     slots.apply_status(&status(1, &[], &[]), late);
@@ -163,9 +163,9 @@
 /// could take one slot more than the engine has.
 #[test]
 fn apply_status_of_the_order_without_its_load() {
-    let (mut slots, mut answer) = loading(2);
+    let (mut slots, mut outcome) = loading(2);
     slots.apply_status(&status(1, &[], &[]), NOW + Millis(300));
-    assert_eq!(answer.try_recv(), Ok(LoadOutcome::Failed));
+    assert_eq!(outcome.try_recv(), Ok(LoadOutcome::Failed));
     assert_eq!(slots.count_used_slots(), 0);
 }
 
@@ -173,17 +173,17 @@
 #[test]
 fn new_with_a_load_in_progress() {
     let mut slots = Slots::new(&status(3, &[], &[("base/a1", 2)]), NOW);
-    let (load, mut answer) = load_command(2);
+    let (load, mut outcome) = load_command(2);
     assert!(slots.serve_or_enqueue(load, NOW).is_none());
     let probe = due_probe(&mut slots, NOW);
     slots.apply_probe(&probe, Some(Ordered::Holds), NOW + Millis(10));
-    assert_eq!(answer.try_recv(), Ok(LoadOutcome::Ready(2)));
+    assert_eq!(outcome.try_recv(), Ok(LoadOutcome::Ready(2)));
 }
 
 /// A probe without a response is repeated.
 #[test]
 fn due_probes_repeats_a_lost_probe() {
-    let (mut slots, _answer) = loading(2);
+    let (mut slots, _outcome) = loading(2);
     due_probe(&mut slots, NOW + Millis(45));
     let next = slots.next_probe(NOW + Millis(45)).unwrap();
     assert!(next < NOW + MAX_LOAD_TIME);
@@ -193,7 +193,7 @@
 /// A probe that is rejected though it carries the known count requires the engine's status.
 #[test]
 fn apply_probe_conflict_of_the_known_count() {
-    let (mut slots, _answer) = loading(2);
+    let (mut slots, _outcome) = loading(2);
     let probe = due_probe(&mut slots, NOW + Millis(45));
     assert!(!slots.apply_probe(&probe, Some(Ordered::Conflict), NOW + Millis(50)));
     slots.record_accepted_order(NOW + Millis(60));
@@ -204,11 +204,11 @@
 /// made before the load was complete.
 #[test]
 fn has_unknown_version_until_a_status() {
-    let (mut slots, mut answer) = loading(0);
+    let (mut slots, mut outcome) = loading(0);
     assert!(slots.has_unknown_version("base/a1"));
     let probe = due_probe(&mut slots, NOW + Millis(300));
     slots.apply_probe(&probe, Some(Ordered::Holds), NOW + Millis(310));
-    assert_eq!(answer.try_recv(), Ok(LoadOutcome::Ready(0)));
+    assert_eq!(outcome.try_recv(), Ok(LoadOutcome::Ready(0)));
     assert!(slots.has_unknown_version("base/a1"));
     slots.apply_status(&status(1, &[], &[("base/a1", 2)]), NOW + Millis(320));
     assert_eq!(slots.held().adapters, [("base/a1".into(), 2)]);
@@ -218,11 +218,11 @@
 /// A restart of the engine fails its loads in progress.
 #[test]
 fn apply_status_of_a_restart() {
-    let (mut slots, mut answer) = loading(2);
+    let (mut slots, mut outcome) = loading(2);
     let mut restarted = status(0, &[], &[]);
     restarted.held.born = 7;
     assert!(slots.apply_status(&restarted, NOW + Millis(10)));
-    assert_eq!(answer.try_recv(), Ok(LoadOutcome::Failed));
+    assert_eq!(outcome.try_recv(), Ok(LoadOutcome::Failed));
     assert_eq!((slots.count_used_slots(), slots.sequence()), (0, 0));
 }
 
