--- a/lib/src/direct/place.rs
+++ b/lib/src/direct/acquire.rs
@@ -1,16 +1,16 @@
 //! A place for a request at an engine, asked of the engines' owners.
 //!
-//! The load is told in [`super::choice`], which holds the decisions; here they are carried out.
+//! The load is told in [`super::admission_policy`], which holds the decisions; here they are carried out.
 
 use std::sync::Arc;
 
 use smallvec::SmallVec;
 
-use super::admission::Load;
-use super::admit::{self, Permit, Question};
-use super::choice::{self, MOST_QUESTIONS};
-use super::pick::Field;
+use super::admission_policy::{self, MAX_ADMISSION_QUERIES};
+use super::admit::{self, AdmitQuery, Permit};
+use super::occupancy::EngineLoad;
 use super::request::ActiveRequest;
+use super::selection::Selector;
 use super::target::{FIRST_HOMES, Target};
 use super::upstream::Upstream;
 use crate::clock::Millis;
@@ -29,23 +29,27 @@
 
 impl ActiveRequest {
     /// Asks for a place at any load.
-    pub(super) fn question<'a>(&self, adapter: Option<&'a Name>, version: u64) -> Question<'a> {
-        Question {
+    pub(super) fn admit_query<'a>(
+        &self,
+        adapter: Option<&'a Name>,
+        version: u64,
+    ) -> AdmitQuery<'a> {
+        AdmitQuery {
             adapter,
             version,
-            limit: 0,
+            max_running: 0,
             loaded: false,
-            tokens: self.message.call.tokens.map_or(0, |(prompt, _)| prompt),
-            patience: choice::calm_wait(self.route.objective),
+            tokens: self.message.metadata.tokens.map_or(0, |(prompt, _)| prompt),
+            max_wait: admission_policy::calm_wait(self.route.latency_objective),
         }
     }
 
     /// Finds an engine for a request that uses no adapter.
-    pub(super) async fn with_base(&self, field: &Field<'_>, model: &Name) -> Option<Target> {
-        let upstream = field.first(self.manner(), |upstream| upstream.has_base(model))?;
-        let question = self.question(None, 0);
-        let permit = match self.gate.controllers.admit(&upstream, question).await {
-            admit::Answer::Admitted(permit, _) => Some(permit),
+    pub(super) async fn with_base(&self, field: &Selector<'_>, model: &Name) -> Option<Target> {
+        let upstream = field.select(self.manner(), |upstream| upstream.has_base_model(model))?;
+        let question = self.admit_query(None, 0);
+        let permit = match self.frontend.controllers.admit(&upstream, question).await {
+            admit::AdmitDecision::Admitted(permit, _) => Some(permit),
             _ => None,
         };
         Some(Target {
@@ -58,20 +62,22 @@
     /// Asks engines that are believed to hold the adapter for a place, the better ones first.
     pub(super) async fn ask_holders(
         &self,
-        field: &Field<'_>,
+        field: &Selector<'_>,
         adapter: &Name,
         wanted: u64,
     ) -> Asked {
-        let turned_away = self.rejected > 0;
-        let mut busy: SmallVec<[(Arc<Upstream>, Load); MOST_QUESTIONS]> = SmallVec::new();
-        while busy.len() < MOST_QUESTIONS {
+        let turned_away = self.rejections > 0;
+        let mut busy: SmallVec<[(Arc<Upstream>, EngineLoad); MAX_ADMISSION_QUERIES]> =
+            SmallVec::new();
+        while busy.len() < MAX_ADMISSION_QUERIES {
             let holds = |upstream: &Upstream| {
-                let asked =
-                    |(one, _): &(Arc<Upstream>, Load)| one.incarnation == upstream.incarnation;
+                let asked = |(one, _): &(Arc<Upstream>, EngineLoad)| {
+                    one.incarnation == upstream.incarnation
+                };
                 upstream.version(adapter).is_some_and(|held| held >= wanted)
                     && !busy.iter().any(asked)
             };
-            let Some(upstream) = field.first(self.manner(), holds) else {
+            let Some(upstream) = field.select(self.manner(), holds) else {
                 break;
             };
             // One that only fails some requests keeps them: copies of all its adapters
@@ -81,17 +87,17 @@
                 break;
             }
             self.copy(field, adapter, wanted, &upstream);
-            let question = Question {
-                limit: choice::calm_limit(upstream.slots),
-                ..self.question(Some(adapter), wanted)
+            let question = AdmitQuery {
+                max_running: admission_policy::calm_limit(upstream.slots),
+                ..self.admit_query(Some(adapter), wanted)
             };
-            match self.gate.controllers.admit(&upstream, question).await {
-                admit::Answer::Admitted(permit, _) => {
+            match self.frontend.controllers.admit(&upstream, question).await {
+                admit::AdmitDecision::Admitted(permit, _) => {
                     return Asked::Place(Self::admitted(upstream, adapter, Some(permit)));
                 }
-                admit::Answer::Busy(load) => busy.push((upstream, load)),
-                admit::Answer::Absent(_) => upstream.lost(adapter),
-                admit::Answer::Unknown => {
+                admit::AdmitDecision::Busy(load) => busy.push((upstream, load)),
+                admit::AdmitDecision::Absent(_) => upstream.remove_adapter(adapter),
+                admit::AdmitDecision::Unknown => {
                     return Asked::Place(Self::admitted(upstream, adapter, None));
                 }
             }
@@ -102,10 +108,10 @@
     /// Decides between engines that are all no longer calm.
     async fn settle(
         &self,
-        field: &Field<'_>,
+        field: &Selector<'_>,
         adapter: &Name,
         wanted: u64,
-        busy: &[(Arc<Upstream>, Load)],
+        busy: &[(Arc<Upstream>, EngineLoad)],
     ) -> Asked {
         let least = busy
             .iter()
@@ -113,20 +119,21 @@
         let Some((upstream, load)) = least else {
             return Asked::Load(None);
         };
-        let reads = field.reads(upstream);
-        if choice::is_crowded(*load, upstream.slots, reads) {
+        let reads = field.is_prefill(upstream);
+        if admission_policy::is_crowded(*load, upstream.slots, reads) {
             self.spread(field, adapter, wanted, reads);
         }
         let now = self.now();
-        let (passed, left) = (now.since(self.began), self.until.since(now));
-        let late = choice::come_back(load.wait, self.route.objective, passed, left);
-        if let (Some(back), true) = (late, self.sent == 0) {
+        let (passed, left) = (now.since(self.arrived_at), self.deadline.since(now));
+        let late =
+            admission_policy::come_back(load.wait, self.route.latency_objective, passed, left);
+        if let (Some(back), true) = (late, self.possible_runs == 0) {
             return Asked::TooLate(back);
         }
-        if choice::is_worth_load(load.wait) {
+        if admission_policy::is_worth_load(load.wait) {
             return Asked::Load(Some(Self::at(Arc::clone(upstream), adapter)));
         }
-        let question = self.question(Some(adapter), wanted);
+        let question = self.admit_query(Some(adapter), wanted);
         let target = self.counted(Arc::clone(upstream), adapter, question).await;
         target.map_or(Asked::Load(None), Asked::Place)
     }
@@ -140,17 +147,17 @@
         &self,
         upstream: Arc<Upstream>,
         adapter: &Name,
-        question: Question<'_>,
+        question: AdmitQuery<'_>,
     ) -> Option<Target> {
-        match self.gate.controllers.admit(&upstream, question).await {
-            admit::Answer::Admitted(permit, _) => {
+        match self.frontend.controllers.admit(&upstream, question).await {
+            admit::AdmitDecision::Admitted(permit, _) => {
                 Some(Self::admitted(upstream, adapter, Some(permit)))
             }
-            admit::Answer::Absent(_) => {
-                upstream.lost(adapter);
+            admit::AdmitDecision::Absent(_) => {
+                upstream.remove_adapter(adapter);
                 None
             }
-            admit::Answer::Busy(_) | admit::Answer::Unknown => {
+            admit::AdmitDecision::Busy(_) | admit::AdmitDecision::Unknown => {
                 Some(Self::admitted(upstream, adapter, None))
             }
         }
@@ -169,23 +176,23 @@
 
     /// Whether another engine that holds what the request needs is believed to have free places.
     pub(super) fn has_free_holder(&self, but: &Upstream) -> bool {
-        let Some(model) = &self.message.call.model else {
+        let Some(model) = &self.message.metadata.model else {
             return false;
         };
-        let adapter = self.message.call.adapter();
+        let adapter = self.message.metadata.adapter();
         let now = self.now();
-        let pool = self.gate.view.pool(&self.pool);
+        let pool = self.frontend.view.pool(&self.pool);
         pool.iter().any(|upstream| {
             let holds = match adapter {
                 Some(adapter) => self.time_to_begin(upstream, adapter) > Millis::ZERO,
-                None => upstream.has_base(model),
+                None => upstream.has_base_model(model),
             };
             holds
                 && upstream.incarnation != but.incarnation
                 && upstream.is_ready()
-                && !upstream.suspended(now)
+                && !upstream.is_suspended(now)
                 && !self.tried.contains(&upstream.incarnation)
-                && upstream.load() < choice::calm_limit(upstream.slots)
+                && upstream.total_running() < admission_policy::calm_limit(upstream.slots)
         })
     }
 
@@ -206,24 +213,25 @@
     ) -> Vec<Arc<Upstream>> {
         let first = &homes[..FIRST_HOMES.min(homes.len())];
         let asking = first.iter().map(|upstream| {
-            let question = Question {
-                limit: 1,
-                patience: Millis::ZERO,
-                ..self.question(Some(adapter), wanted)
+            let question = AdmitQuery {
+                max_running: 1,
+                max_wait: Millis::ZERO,
+                ..self.admit_query(Some(adapter), wanted)
             };
-            self.gate.controllers.admit(upstream, question)
+            self.frontend.controllers.admit(upstream, question)
         });
         let answers = futures::future::join_all(asking).await;
-        let loads: Vec<Option<Load>> = answers.iter().map(admit::Answer::load).collect();
-        let objective = self.route.objective;
+        let loads: Vec<Option<EngineLoad>> =
+            answers.iter().map(admit::AdmitDecision::load).collect();
+        let objective = self.route.latency_objective;
         if only_calm {
             let calm = homes.iter().zip(&loads).filter(|(upstream, load)| {
-                load.is_some_and(|load| choice::is_calm(load, upstream.slots, objective))
+                load.is_some_and(|load| admission_policy::is_calm(load, upstream.slots, objective))
             });
             return calm.map(|(upstream, _)| Arc::clone(upstream)).collect();
         }
         if let [Some(one), Some(other)] = loads[..]
-            && choice::is_better_home(one, other, objective)
+            && admission_policy::is_better_home(one, other, objective)
         {
             homes.swap(0, 1);
         }
--- a/lib/src/direct/budget.rs
+++ b/lib/src/direct/budget.rs
@@ -6,7 +6,7 @@
 use std::collections::{HashMap, VecDeque};
 use std::sync::Arc;
 
-use super::limits::{Current, Retries};
+use super::limits::{RetryLimits, SharedLimits};
 use crate::clock::Millis;
 use crate::name::Name;
 
@@ -28,15 +28,15 @@
 
 /// Counts requests and repeats for each pool.
 #[derive(Debug)]
-pub struct Budget {
-    limits: Arc<Current>,
+pub struct RetryBudget {
+    limits: Arc<SharedLimits>,
     steps: HashMap<Name, VecDeque<Step>>,
 }
 
-impl Budget {
+impl RetryBudget {
     /// Makes a budget with nothing counted.
     #[must_use]
-    pub fn new(limits: Arc<Current>) -> Self {
+    pub fn new(limits: Arc<SharedLimits>) -> Self {
         Self {
             limits,
             steps: HashMap::new(),
@@ -44,12 +44,12 @@
     }
 
     /// Counts a request for a pool.
-    pub fn request(&mut self, pool: &Name, now: Millis) {
+    pub fn record_request(&mut self, pool: &Name, now: Millis) {
         self.step(pool, now).requests += 1;
     }
 
     /// Counts a further send that no leave was taken for.
-    pub fn spend(&mut self, pool: &Name, now: Millis) {
+    pub fn record_retry(&mut self, pool: &Name, now: Millis) {
         self.step(pool, now).repeats += 1;
     }
 
@@ -59,7 +59,7 @@
     }
 
     /// Counts a further send of a request, if the bound allows it.
-    pub fn repeat(&mut self, pool: &Name, now: Millis, nodes: usize) -> bool {
+    pub fn try_retry(&mut self, pool: &Name, now: Millis, nodes: usize) -> bool {
         let allowed = self.allowed(pool, now, nodes);
         let step = self.step(pool, now);
         if allowed {
@@ -69,7 +69,7 @@
     }
 
     fn allowed(&mut self, pool: &Name, now: Millis, nodes: usize) -> bool {
-        let Retries { ratio, extra, .. } = self.limits.get().retries;
+        let RetryLimits { ratio, extra, .. } = self.limits.get().retries;
         self.step(pool, now);
         let steps = &self.steps[pool];
         let requests: u32 = steps.iter().map(|step| step.requests).sum();
--- a/lib/src/direct/claim/candidate.rs
+++ b/lib/src/direct/claim/candidate.rs
@@ -11,7 +11,7 @@
 use crate::direct::config::Config;
 use crate::direct::limits::Limits;
 use crate::direct::upstream::Upstream;
-use crate::direct::view::{Standing, State};
+use crate::direct::view::{ClaimEntry, State};
 
 /// Seed of the hash that ranks nodes for an engine; changing it would move every claim.
 const CLAIM_SEED: u64 = 0x636c_6169_6d73;
@@ -24,7 +24,7 @@
 pub(super) struct Candidate {
     pub(super) address: SocketAddr,
     /// The claim that is still stored: released, or made by an earlier start of this node.
-    pub(super) stored: Option<Standing>,
+    pub(super) stored: Option<ClaimEntry>,
     /// Whether `stored` was made by an earlier start of this node.
     pub(super) is_reclaim: bool,
     pub(super) previous: PreviousOwner,
@@ -67,7 +67,7 @@
         limits: &Limits,
         (first_lease_at, now): (Millis, Millis),
     ) -> Option<Candidate> {
-        let discovered_at = first_lease_at + limits.gather();
+        let discovered_at = first_lease_at + limits.discovery_window();
         let address = upstream.address;
         let stored = state.claims.get(&address);
         if let Some(stored) = stored.filter(|stored| self.is_previous_start(stored)) {
@@ -78,11 +78,15 @@
         }
         let unowned_since = stored
             .map(|stored| stored.seen)
-            .or_else(|| state.vanished.get(&address).map(|(_, at)| *at))
-            .unwrap_or(discovered_at.max(upstream.seen));
+            .or_else(|| state.previous_claims.get(&address).map(|(_, at)| *at))
+            .unwrap_or(discovered_at.max(upstream.first_seen));
         let elapsed = now.since(unowned_since);
         // With more nodes than that before it, this node has to wait longer than `elapsed`.
-        let rank = self.rank(state, address, elapsed.0 / limits.claim_rank().0 + 1);
+        let rank = self.rank(
+            state,
+            address,
+            elapsed.0 / limits.claim_delay_per_rank().0 + 1,
+        );
         if elapsed < self.claim_delay(state, address, rank, limits) {
             return None;
         }
@@ -106,8 +110,8 @@
         rank: u64,
         limits: &Limits,
     ) -> Millis {
-        let delay = Millis(limits.claim_rank().0 * rank);
-        match state.vanished.get(&address) {
+        let delay = Millis(limits.claim_delay_per_rank().0 * rank);
+        match state.previous_claims.get(&address) {
             Some((previous, _)) if previous.node == self.node => Millis::ZERO,
             // All claims can expire in an outage. A previous owner that is alive goes first, as
             // it needs not wait for its own orders to end. A dead one delays the first order of
@@ -134,7 +138,7 @@
         claims.any(|(address, stored)| self.can_reclaim(*address, stored))
     }
 
-    fn can_reclaim(&self, address: SocketAddr, stored: &Standing) -> bool {
+    fn can_reclaim(&self, address: SocketAddr, stored: &ClaimEntry) -> bool {
         self.is_previous_start(stored) && !self.ownership.owns(address)
     }
 
@@ -143,7 +147,7 @@
         &self,
         state: &State,
         address: SocketAddr,
-        stored: &Standing,
+        stored: &ClaimEntry,
         first_lease_at: Millis,
     ) -> Candidate {
         let (previous, orders_from) = self.succession(state, address, Some(stored), first_lease_at);
@@ -163,7 +167,7 @@
     /// That process has ended, and to an engine both are the same VM. Without reclaiming, a
     /// restart of many nodes at once would leave engines without orders until all leases have
     /// expired and the ownership terms have passed.
-    fn is_previous_start(&self, stored: &Standing) -> bool {
+    fn is_previous_start(&self, stored: &ClaimEntry) -> bool {
         stored.claim.node == self.node && stored.claim.start != self.peer.start
     }
 
--- a/lib/src/direct/claim/mod.rs
+++ b/lib/src/direct/claim/mod.rs
@@ -21,10 +21,12 @@
 use bytes::Bytes;
 
 use super::dialect::Dialect;
-use super::follow::NODES;
-use super::limits::{Current, LEASE, OWNERSHIP_TERM, RENEWAL, RENEWAL_ANSWER, TURN_MARGIN};
+use super::follow::NODE_PREFIX;
+use super::limits::{
+    LEASE_TTL, ORDER_GAP_MARGIN, OWNERSHIP_TERM, RENEWAL_INTERVAL, RENEWAL_TIMEOUT, SharedLimits,
+};
 use super::ownership::Ownership;
-use super::view::{CLAIMS, Claim, Peer, View};
+use super::view::{CLAIM_PREFIX, Claim, Peer, View};
 use crate::clock::{Clock, Millis};
 use crate::metrics::Metrics;
 use crate::name::Name;
@@ -56,7 +58,7 @@
     /// The node's metrics.
     pub metrics: Arc<Metrics>,
     /// The limits in force.
-    pub limits: Arc<Current>,
+    pub limits: Arc<SharedLimits>,
     /// This node's name.
     pub node: Name,
     /// This node's record.
@@ -78,11 +80,11 @@
             let is_valid = self.ownership.is_term_running();
             self.ownership.was_valid.store(is_valid, Ordering::Relaxed);
             if let Err(error) = self.renew_and_claim(&mut lease, &mut first_lease_at).await {
-                self.view.touched(false);
+                self.view.record_store_call(false);
                 self.extend_ownership(&error).await;
             }
             if has_config {
-                tokio::time::sleep(RENEWAL.duration()).await;
+                tokio::time::sleep(RENEWAL_INTERVAL.duration()).await;
             } else {
                 self.wait_for_view().await;
             }
@@ -92,7 +94,7 @@
     /// Waits until the follower has read enough to claim, for a renewal interval at most.
     async fn wait_for_view(&self) {
         let waits_since = self.clock.now();
-        while !self.can_claim() && self.clock.now().since(waits_since) < RENEWAL {
+        while !self.can_claim() && self.clock.now().since(waits_since) < RENEWAL_INTERVAL {
             tokio::time::sleep(VIEW_POLL_INTERVAL.duration()).await;
         }
     }
@@ -121,13 +123,13 @@
         let sent = self.clock.now();
         match *lease {
             None => {
-                let granted = self.lease.grant(LEASE).await?;
+                let granted = self.lease.grant(LEASE_TTL).await?;
                 // With the first lease there are no claims of this start, and the follower reads
                 // other nodes' claims. Reading thousands here as well took longer than the lease.
                 if first_lease_at.is_some() {
                     self.read_claims().await?;
                     if !self.ownership.was_valid.load(Ordering::Relaxed) {
-                        self.view.state().disown(&self.node);
+                        self.view.state().anonymize_previous_claims(&self.node);
                     }
                 }
                 first_lease_at.get_or_insert_with(|| self.record_first_lease());
@@ -143,10 +145,10 @@
                     self.ownership.owned().clear();
                     return Box::pin(self.renew_and_claim(lease, first_lease_at)).await;
                 }
-                self.view.touched(true);
+                self.view.record_store_call(true);
                 if !was_valid {
                     self.read_claims().await?;
-                    self.view.state().disown(&self.node);
+                    self.view.state().anonymize_previous_claims(&self.node);
                 }
             }
         }
@@ -166,9 +168,9 @@
 
     /// Renews the lease, with a timeout that leaves time for another attempt within the term.
     async fn renew(&self, lease: LeaseId) -> Result<Millis, Error> {
-        tokio::time::timeout(RENEWAL_ANSWER.duration(), self.lease.renew(lease))
+        tokio::time::timeout(RENEWAL_TIMEOUT.duration(), self.lease.renew(lease))
             .await
-            .map_err(|_| Error::NoAnswer(format!("no renewal within {RENEWAL_ANSWER}")))?
+            .map_err(|_| Error::NoAnswer(format!("no renewal within {RENEWAL_TIMEOUT}")))?
     }
 
     /// Reads all claims again after ownership ended.
@@ -176,7 +178,7 @@
     /// In the meantime the claims may have been deleted and other nodes may have claimed the
     /// engines; the view can be older than that.
     async fn read_claims(&self) -> Result<(), Error> {
-        let listing = self.store.list(&self.dialect.own(CLAIMS)).await?;
+        let listing = self.store.list(&self.dialect.own_key(CLAIM_PREFIX)).await?;
         let now = self.clock.now();
         self.view
             .state()
@@ -185,7 +187,7 @@
     }
 
     async fn put_node_record(&self, lease: LeaseId) -> Result<(), Error> {
-        let key = self.dialect.own(&format!("{NODES}{}", self.node));
+        let key = self.dialect.own_key(&format!("{NODE_PREFIX}{}", self.node));
         let transaction = Transaction {
             conditions: Vec::new(),
             writes: vec![Write::Put(key, to_json(&self.peer), Some(lease))],
@@ -206,11 +208,11 @@
 
     /// Returns the minimum gap between the last order of one node and the first one of another.
     fn order_gap(&self) -> Millis {
-        self.limits.get().turns + TURN_MARGIN
+        self.limits.get().order_gap + ORDER_GAP_MARGIN
     }
 
     fn claim_key(&self, address: SocketAddr) -> String {
-        self.dialect.own(&format!("{CLAIMS}{address}"))
+        self.dialect.own_key(&format!("{CLAIM_PREFIX}{address}"))
     }
 }
 
--- a/lib/src/direct/claim/previous.rs
+++ b/lib/src/direct/claim/previous.rs
@@ -5,7 +5,7 @@
 use super::Claimer;
 use crate::clock::Millis;
 use crate::direct::limits::OWNERSHIP_TERM;
-use crate::direct::view::{Claim, Standing, State};
+use crate::direct::view::{Claim, ClaimEntry, State};
 
 /// What is known of the node that owned an engine before.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -62,13 +62,13 @@
         &self,
         state: &State,
         address: SocketAddr,
-        stored: Option<&Standing>,
+        stored: Option<&ClaimEntry>,
         first_lease_at: Millis,
     ) -> (PreviousOwner, Millis) {
         let previous = self.previous_owner(state, address, stored);
         // Claims that expired before this node had read all claims are as unknown to it as those
         // that expired before its first lease.
-        let claims_read = state.claims_read.unwrap_or_else(|| self.clock.now());
+        let claims_read = state.claims_read_at.unwrap_or_else(|| self.clock.now());
         let orders_from =
             previous.successor_orders_from(self.order_gap(), first_lease_at.max(claims_read));
         (previous, orders_from)
@@ -85,7 +85,7 @@
         &self,
         state: &State,
         address: SocketAddr,
-        stored: Option<&Standing>,
+        stored: Option<&ClaimEntry>,
     ) -> PreviousOwner {
         if let Some(stored) = stored {
             if stored.claim.node == self.node {
@@ -96,7 +96,7 @@
                 idle: stored.claim.left.unwrap_or_default(),
             };
         }
-        match state.vanished.get(&address) {
+        match state.previous_claims.get(&address) {
             Some((claim, _)) if claim.node == self.node => self.own_previous_claim(claim),
             Some((_, at)) => PreviousOwner::Vanished { at: *at },
             None if self.first_start => PreviousOwner::Nobody,
--- a/lib/src/direct/claim/release.rs
+++ b/lib/src/direct/claim/release.rs
@@ -5,7 +5,7 @@
 
 use super::{Claimer, MAX_CLAIMS_PER_TRANSACTION, to_json};
 use crate::clock::Millis;
-use crate::direct::limits::RENEWAL;
+use crate::direct::limits::RENEWAL_INTERVAL;
 use crate::direct::ownership::OwnedEngine;
 use crate::ports::{Condition, Error, Transaction, Write};
 
@@ -16,7 +16,7 @@
 const MAX_SHARES: usize = 2;
 
 /// Interval between handovers: two rounds.
-const HANDOVER_INTERVAL: Millis = Millis(RENEWAL.0 * 2);
+const HANDOVER_INTERVAL: Millis = Millis(RENEWAL_INTERVAL.0 * 2);
 
 impl Claimer {
     /// Releases all claims, with the time since the last order, so that successors wait less.
@@ -81,7 +81,7 @@
         // The view learns of the write up to a second later. Until then it would show a claim of
         // this start that this node doesn't hold, and the next round would adopt it again while
         // the successor sends orders.
-        self.view.state().give_up(address, now);
+        self.view.state().release_claim(address, now);
         self.store.commit(transaction).await?;
         Ok(())
     }
--- a/lib/src/direct/claim/takeover.rs
+++ b/lib/src/direct/claim/takeover.rs
@@ -7,7 +7,7 @@
 use super::{Claimer, MAX_CLAIMS_PER_TRANSACTION, to_json};
 use crate::clock::Millis;
 use crate::direct::dialect::Key;
-use crate::direct::view::{Standing, claimed};
+use crate::direct::view::{ClaimEntry, claim_address};
 use crate::ports::{Condition, Entry, Error, LeaseId, Transaction, Write};
 
 /// Transactions of a round that try to claim engines, after some turned out to be claimed.
@@ -82,8 +82,8 @@
         let mut state = self.view.state();
         let mut has_applied = false;
         for entry in found {
-            if let Key::Own(name) = self.dialect.key(&entry.key)
-                && let Some(address) = claimed(&name)
+            if let Key::Own(name) = self.dialect.parse_key(&entry.key)
+                && let Some(address) = claim_address(&name)
             {
                 state.put_claim(address, entry, now);
                 has_applied = true;
@@ -134,9 +134,9 @@
         log::info!(
             "right: took over {address} with token {token}, orders from {start}, previous owner: {name}"
         );
-        self.view.state().claim(
+        self.view.state().insert_claim(
             address,
-            Standing {
+            ClaimEntry {
                 claim: self.new_claim(None, orders_from),
                 revision: token,
                 seen: now,
--- a/lib/src/direct/controllers/exchange.rs
+++ b/lib/src/direct/controllers/exchange.rs
@@ -6,8 +6,8 @@
 
 use super::{Controllers, Missed};
 use crate::clock::Millis;
-use crate::direct::dialect::Held;
-use crate::direct::limits::in_use;
+use crate::direct::dialect::LoadedModels;
+use crate::direct::limits::in_use_grace;
 use crate::direct::orders::MarkInUse;
 use crate::direct::upstream::Upstream;
 use crate::name::Name;
@@ -42,13 +42,13 @@
         for upstream in upstreams {
             let mut adapters = uses.get(&upstream.incarnation).cloned().unwrap_or_default();
             // A long stream still uses its adapter, though its use was recorded long ago.
-            for adapter in upstream.in_use() {
+            for adapter in upstream.uncounted_adapters() {
                 if !adapters.contains(&adapter) {
                     adapters.push(adapter);
                 }
             }
             if self.ownership.owns(upstream.address) {
-                self.record_uses(&upstream.incarnation, adapters, in_use(nodes));
+                self.record_uses(&upstream.incarnation, adapters, in_use_grace(nodes));
                 continue;
             }
             let Some((_, peer)) = self.view.owner(upstream.address) else {
@@ -93,7 +93,7 @@
                 || uses.contains_key(&upstream.incarnation)
                 || (!watched.is_empty() && is_watched(upstream))
         });
-        (upstreams.cloned().collect(), state.most_nodes)
+        (upstreams.cloned().collect(), state.max_nodes_seen)
     }
 
     async fn exchange(&self, address: SocketAddr, request: ExchangeRequest) {
@@ -123,9 +123,9 @@
             let Some(upstream) = state.upstreams.get(standing.incarnation.as_str()) else {
                 continue;
             };
-            upstream.heard_load(standing.running, self.clock.now());
-            upstream.hold(&Held {
-                born: standing.born,
+            upstream.record_remote_load(standing.running, self.clock.now());
+            upstream.update_held(&LoadedModels {
+                started_at_ms: standing.born,
                 sequence: standing.sequence,
                 models: standing.models.into_iter().map(Name::from).collect(),
                 adapters: standing
@@ -175,7 +175,7 @@
         Some(Standing {
             incarnation: one.incarnation.clone(),
             running: others,
-            born: held.born,
+            born: held.started_at_ms,
             sequence: held.sequence,
             models: held.models.iter().map(ToString::to_string).collect(),
             adapters: held
--- a/lib/src/direct/controllers/mod.rs
+++ b/lib/src/direct/controllers/mod.rs
@@ -15,10 +15,10 @@
 use tokio::sync::oneshot;
 use tonic::transport::{Channel, Endpoint};
 
-use super::admission::Table;
 use super::dialect::Dialect;
 use super::fanout::Hub;
-use super::limits::exchange_pause;
+use super::limits::exchange_interval;
+use super::occupancy::OccupancyTable;
 use super::orders::{EngineClient, EngineController, LoadCommand, LoadOutcome, Tick};
 use super::ownership::Ownership;
 use super::upstream::Upstream;
@@ -80,7 +80,7 @@
     /// Nodes that missed a call, until they respond to an exchange.
     unresponsive: Mutex<HashMap<SocketAddr, Missed>>,
     /// Requests of all nodes at the engines that this node owns.
-    pub(super) table: Arc<Table>,
+    pub(super) table: Arc<OccupancyTable>,
     /// Passes changes of the key-value service on to nodes of this failure domain.
     pub hub: Arc<Hub>,
     /// Number of loads that this node waits for, by the owner's address.
@@ -128,7 +128,7 @@
             view,
             ownership,
             dialect,
-            table: Arc::new(Table::new(Arc::clone(&clock))),
+            table: Arc::new(OccupancyTable::new(Arc::clone(&clock))),
             hub: Arc::new(Hub::new(Arc::clone(&clock), Arc::clone(&metrics))),
             clock,
             node,
@@ -175,7 +175,7 @@
         }
         let loaded = self.load_remotely(upstream, adapter, version).await;
         if let LoadOutcome::Ready(version) = loaded {
-            upstream.gained(adapter, version);
+            upstream.set_adapter(adapter, version);
         }
         loaded
     }
@@ -200,7 +200,7 @@
         }
         let loaded = loaded.await.unwrap_or(LoadOutcome::Failed);
         if let LoadOutcome::Ready(version) = loaded {
-            upstream.gained(adapter, version);
+            upstream.set_adapter(adapter, version);
         }
         loaded
     }
@@ -290,10 +290,10 @@
             .by_engine
             .lock()
             .unwrap_or_else(PoisonError::into_inner);
-        if let Some((born, controller)) = by_engine.get(&upstream.incarnation)
+        if let Some((started_at_ms, controller)) = by_engine.get(&upstream.incarnation)
             && controller.is_alive()
         {
-            if *born == upstream.born {
+            if *started_at_ms == upstream.started_at_ms {
                 return Some(controller.clone());
             }
             // It is for an earlier start of the engine, so its sequence numbers would be wrong.
@@ -314,7 +314,7 @@
             EngineController::spawn_with_mailbox(client, mailbox::bounded(MAILBOX_CAPACITY));
         by_engine.insert(
             Name::clone(&upstream.incarnation),
-            (upstream.born, controller.clone()),
+            (upstream.started_at_ms, controller.clone()),
         );
         Some(controller)
     }
@@ -350,8 +350,8 @@
             tokio::time::sleep(TICK_INTERVAL.duration()).await;
             self.tick();
             let now = self.clock.now();
-            let nodes = self.view.state().most_nodes;
-            if now.since(last_exchange_at) >= exchange_pause(nodes) {
+            let nodes = self.view.state().max_nodes_seen;
+            if now.since(last_exchange_at) >= exchange_interval(nodes) {
                 last_exchange_at = now;
                 self.exchange_all();
             }
@@ -369,7 +369,7 @@
             upstream.link.sweep();
             if self.ownership.owns(upstream.address) {
                 let running = self.table.running(&upstream.incarnation);
-                upstream.heard_load(running.saturating_sub(upstream.running()), now);
+                upstream.record_remote_load(running.saturating_sub(upstream.running()), now);
             }
             if let Some(controller) = self.controller_to_tick(&upstream)
                 && controller.tell(Tick).try_send().is_err()
--- a/lib/src/direct/follow/mod.rs
+++ b/lib/src/direct/follow/mod.rs
@@ -11,18 +11,18 @@
 use std::sync::Arc;
 
 use super::dialect::{Dialect, Key};
-use super::fanout::{Heard, Hub, Source, Update};
-use super::limits::{Current, POLL_WAIT, STORE_PAUSE};
+use super::fanout::{Hub, Received, Source, Update};
+use super::hedging::{self, HedgedResult};
+use super::limits::{POLL_TIMEOUT, STORE_RETRY_PAUSE, SharedLimits};
 use super::outage::{Doubt, Outage};
-use super::reachable::{self, Reached};
-use super::vet::{Refusal, vet};
+use super::validate::{RejectReason, validate};
 use super::view::View;
 use crate::clock::{Clock, Millis};
 use crate::ports::poll::{self, Changes, Poll};
 use crate::ports::{Error, Store};
 
 /// Name of a node's record, with the node's name behind it.
-pub const NODES: &str = "node/";
+pub const NODE_PREFIX: &str = "node/";
 
 /// How long a call for changes waits after one that failed.
 const RETURN_WAIT: Millis = Millis(1);
@@ -38,7 +38,7 @@
     dialect: Arc<dyn Dialect>,
     clock: Arc<dyn Clock>,
     view: Arc<View>,
-    limits: Arc<Current>,
+    limits: Arc<SharedLimits>,
     outage: Outage,
     /// What is held of upstreams that are missing after the last outage.
     doubt: Option<Doubt>,
@@ -59,7 +59,7 @@
         dialect: Arc<dyn Dialect>,
         clock: Arc<dyn Clock>,
         view: Arc<View>,
-        limits: Arc<Current>,
+        limits: Arc<SharedLimits>,
     ) -> Self {
         let outage = Outage::new(clock.now());
         Self {
@@ -80,7 +80,7 @@
 
     /// Hears changes from nodes of the same failure domain too, and passes on what it learns.
     #[must_use]
-    pub fn within_domain(mut self, hub: Arc<Hub>, source: Box<dyn Source>) -> Self {
+    pub fn with_fanout(mut self, hub: Arc<Hub>, source: Box<dyn Source>) -> Self {
         self.hub = Some(hub);
         self.source = Some(source);
         self
@@ -95,7 +95,7 @@
                 Err(error) => {
                     log::warn!("follow: can't read everything: {error}");
                     self.outage.failed(made, self.clock.now());
-                    tokio::time::sleep(STORE_PAUSE.duration()).await;
+                    tokio::time::sleep(STORE_RETRY_PAUSE.duration()).await;
                 }
             }
         }
@@ -116,7 +116,7 @@
                     if more {
                         Millis::ZERO
                     } else {
-                        self.within_doubt(self.limits.get().poll_pause())
+                        self.within_doubt(self.limits.get().poll_interval())
                     }
                 }
                 Err(poll::Error::Compacted) => {
@@ -126,12 +126,12 @@
                 }
                 Err(poll::Error::Failed(error)) => {
                     log::debug!("follow: no changes after revision {revision}: {error}");
-                    self.view.touched(false);
+                    self.view.record_store_call(false);
                     self.outage.failed(reached.asked, self.clock.now());
                     if let Some(hub) = &self.hub {
-                        hub.lose();
+                        hub.mark_disconnected();
                     }
-                    STORE_PAUSE
+                    STORE_RETRY_PAUSE
                 }
             };
             tokio::time::sleep(pause.duration()).await;
@@ -142,19 +142,23 @@
     ///
     /// While the service is away it is asked so often that its return is known to some hundred
     /// milliseconds, which a doubt about vanished entries rests on.
-    async fn ask(&mut self, revision: u64, wait: Millis) -> Reached<Result<Changes, poll::Error>> {
+    async fn ask(
+        &mut self,
+        revision: u64,
+        wait: Millis,
+    ) -> HedgedResult<Result<Changes, poll::Error>> {
         let question = || self.poll.changes("", revision, wait);
         if !self.outage.is_going_on() {
             let asked = self.clock.now();
-            return Reached {
+            return HedgedResult {
                 result: question().await,
                 asked,
-                in_vain: None,
+                last_unanswered: None,
             };
         }
         let is_answer = |result: &Result<_, _>| !matches!(result, Err(poll::Error::Failed(_)));
-        let reached = reachable::ask(&*self.clock, question, is_answer).await;
-        if let Some(in_vain) = reached.in_vain {
+        let reached = hedging::hedged(&*self.clock, question, is_answer).await;
+        if let Some(in_vain) = reached.last_unanswered {
             self.outage.failed(in_vain, self.clock.now());
         }
         reached
@@ -200,14 +204,14 @@
         if self.outage.is_going_on() {
             return RETURN_WAIT;
         }
-        let is_shared = self
+        let may_have_subscribers = self
             .source
             .as_ref()
-            .is_some_and(|source| source.is_shared());
-        let wait = if is_shared {
-            self.limits.get().leader_wait()
+            .is_some_and(|source| source.may_have_subscribers());
+        let wait = if may_have_subscribers {
+            self.limits.get().leader_poll_timeout()
         } else {
-            POLL_WAIT
+            POLL_TIMEOUT
         };
         self.within_doubt(wait).max(RETURN_WAIT)
     }
@@ -221,7 +225,7 @@
             return revision;
         };
         loop {
-            let oldest = self.fresh.unwrap_or_default() + self.limits.get().oldest_update();
+            let oldest = self.fresh.unwrap_or_default() + self.limits.get().max_update_age();
             let left = oldest.since(self.clock.now());
             if left == Millis::ZERO {
                 self.count("nobody");
@@ -234,7 +238,7 @@
             }
             let within = self.within_doubt(left.min(LISTEN));
             match source.next(revision, within).await {
-                Heard::Update(update) => match vet(update, revision) {
+                Received::Update(update) => match validate(update, revision) {
                     Ok(update) => {
                         revision = update.revision;
                         self.hear(update, "node");
@@ -242,15 +246,15 @@
                     Err(refusal) => {
                         self.refuse(refusal);
                         // Whoever is behind catches up, and its age shows if it doesn't.
-                        if refusal != Refusal::Old {
+                        if refusal != RejectReason::Stale {
                             log::warn!("follow: an update is left aside: {}", refusal.name());
                             source.avoid();
                             break;
                         }
                     }
                 },
-                Heard::Nothing => {}
-                Heard::Nobody => break,
+                Received::Timeout => {}
+                Received::NoSource => break,
             }
         }
         self.source = Some(source);
@@ -265,7 +269,7 @@
         self.take(&update.events, update.as_of);
         self.known = update.revision;
         self.fresh = self.fresh.max(Some(update.as_of));
-        self.view.renew(self.fresh.unwrap_or_default());
+        self.view.advance_as_of(self.fresh.unwrap_or_default());
         if let Some(hub) = &self.hub {
             hub.publish(update);
         }
@@ -273,13 +277,13 @@
 
     fn count(&self, source: &'static str) {
         if let Some(hub) = &self.hub {
-            hub.count(source);
+            hub.count_update(source);
         }
     }
 
-    fn refuse(&self, refusal: Refusal) {
+    fn refuse(&self, refusal: RejectReason) {
         if let Some(hub) = &self.hub {
-            hub.refused(refusal);
+            hub.count_rejected(refusal);
         }
     }
 
@@ -288,10 +292,15 @@
     /// Where all nodes start at once, the service takes seconds to send thousands of entries to
     /// each. Taken in only when all had arrived, a node's own former claims ended meanwhile.
     async fn read_all(&mut self) -> Result<u64, Error> {
-        reachable::wait(&*self.clock, &*self.store, &self.dialect.own(NODES)).await?;
+        hedging::wait_until_available(
+            &*self.clock,
+            &*self.store,
+            &self.dialect.own_key(NODE_PREFIX),
+        )
+        .await?;
         let began = self.clock.now();
         let mut revision = u64::MAX;
-        for prefix in self.dialect.prefixes() {
+        for prefix in self.dialect.key_prefixes() {
             let listing = self.store.list(prefix).await?;
             revision = revision.min(listing.revision);
             if self.holds_upstreams(prefix) {
@@ -301,7 +310,7 @@
         }
         self.known = revision;
         self.fresh = Some(began);
-        self.view.renew(began);
+        self.view.advance_as_of(began);
         let took = self.clock.now().since(began);
         log::info!("follow: everything up to revision {revision} is read, which took {took}");
         Ok(revision)
@@ -309,6 +318,9 @@
 
     /// Whether upstreams stand under a prefix.
     fn holds_upstreams(&self, prefix: &str) -> bool {
-        matches!(self.dialect.key(&format!("{prefix}any")), Key::Upstream(_))
+        matches!(
+            self.dialect.parse_key(&format!("{prefix}any")),
+            Key::Upstream(_)
+        )
     }
 }
--- a/lib/src/direct/reachable.rs
+++ b/lib/src/direct/hedging.rs
@@ -20,30 +20,30 @@
 
 /// How a question that was asked several times ended.
 #[derive(Debug)]
-pub struct Reached<T> {
+pub struct HedgedResult<T> {
     /// The first answer, or the last failure.
     pub result: T,
     /// When the question was asked that ended so.
     pub asked: Millis,
     /// When the last one was asked that had no answer though there was time for one.
-    pub in_vain: Option<Millis>,
+    pub last_unanswered: Option<Millis>,
 }
 
 /// Asks the same again and again until there is an answer, or nothing is left to wait for.
 ///
 /// Another question is asked beside one that has no answer yet, since the service may have
 /// returned behind it.
-pub async fn ask<T, F: Future<Output = T>>(
+pub async fn hedged<T, F: Future<Output = T>>(
     clock: &dyn Clock,
     question: impl Fn() -> F,
     is_answer: impl Fn(&T) -> bool,
-) -> Reached<T> {
+) -> HedgedResult<T> {
     let asking = || {
         let asked = clock.now();
         question().map(move |result| (result, asked))
     };
     let mut newest = clock.now();
-    let mut in_vain = None;
+    let mut last_unanswered = None;
     let mut questions = FuturesUnordered::new();
     questions.push(asking());
     loop {
@@ -54,14 +54,14 @@
         };
         if let Ok(Some((result, asked))) = tokio::time::timeout(span, questions.next()).await {
             if is_answer(&result) || questions.is_empty() {
-                return Reached {
+                return HedgedResult {
                     result,
                     asked,
-                    in_vain,
+                    last_unanswered,
                 };
             }
         } else {
-            in_vain = Some(newest);
+            last_unanswered = Some(newest);
             newest = clock.now();
             questions.push(asking());
         }
@@ -76,13 +76,17 @@
 /// # Errors
 ///
 /// The service's refusal, when no other question is on its way.
-pub async fn wait(clock: &dyn Clock, store: &dyn Store, key: &str) -> Result<(), Error> {
+pub async fn wait_until_available(
+    clock: &dyn Clock,
+    store: &dyn Store,
+    key: &str,
+) -> Result<(), Error> {
     let answered = |result: &Result<_, Error>| {
         if let Err(error) = result {
             log::info!("follow: the key-value service did not answer: {error}");
         }
         result.is_ok()
     };
-    let reached = ask(clock, || store.get(key), answered).await;
+    let reached = hedged(clock, || store.get(key), answered).await;
     reached.result.map(drop)
 }
--- a/lib/src/direct/orders/client.rs
+++ b/lib/src/direct/orders/client.rs
@@ -5,11 +5,11 @@
 use http_body_util::{BodyExt, Limited};
 
 use crate::clock::{Clock, Millis};
-use crate::direct::admission::Table;
 use crate::direct::config::Engine;
-use crate::direct::dialect::{Dialect, Order, Ordered, Report};
+use crate::direct::control_call;
+use crate::direct::dialect::{Dialect, EngineStatus, Order, OrderOutcome};
+use crate::direct::occupancy::OccupancyTable;
 use crate::direct::ownership::Ownership;
-use crate::direct::question;
 use crate::direct::upstream::Upstream;
 use crate::direct::view::View;
 use crate::metrics::Metrics;
@@ -48,12 +48,12 @@
     /// The node's metrics.
     pub metrics: Arc<Metrics>,
     /// Requests of all nodes at the engines that this node owns.
-    pub table: Arc<Table>,
+    pub table: Arc<OccupancyTable>,
 }
 
 impl EngineClient {
     /// Sends an order if this node may do so at this moment.
-    pub(super) async fn send_order(&self, mut order: Order) -> Result<Ordered, Lost> {
+    pub(super) async fn send_order(&self, mut order: Order) -> Result<OrderOutcome, Lost> {
         let upstream = &self.upstream;
         let mut connection = upstream.link.take(MAX_CONNECTION_IDLE).await?;
         // A VM can be suspended at any point, so ownership is checked last, by a clock that
@@ -62,8 +62,8 @@
             upstream.link.keep(connection, None);
             return Err(Lost::Unsent("this node may send no orders".to_owned()));
         };
-        order.fence = token;
-        let request = self.dialect.order(&upstream.incarnation, &order);
+        order.fencing_token = token;
+        let request = self.dialect.order_request(&upstream.incarnation, &order);
         self.ownership.record_order(upstream.address);
         let sent =
             tokio::time::timeout(RESPONSE_TIMEOUT.duration(), connection.send(request)).await;
@@ -72,29 +72,29 @@
             .into_parts();
         let rest = Limited::new(body, MAX_RESPONSE_BYTES).collect();
         if let Ok(Ok(_)) = tokio::time::timeout(RESPONSE_TIMEOUT.duration(), rest).await {
-            let reply = self.dialect.reply(&head);
+            let reply = self.dialect.response_metadata(&head);
             if !reply.closes {
                 upstream.link.keep(connection, reply.keep);
             }
         }
-        Ok(self.dialect.ordered(&head))
+        Ok(self.dialect.order_outcome(&head))
     }
 
     /// Requests the engine's status; the error is a text for logs.
-    pub(super) async fn status(&self) -> Result<Report, String> {
+    pub(super) async fn status(&self) -> Result<EngineStatus, String> {
         tokio::time::timeout(RESPONSE_TIMEOUT.duration(), self.request_status())
             .await
             .unwrap_or_else(|_| Err(format!("no response within {RESPONSE_TIMEOUT}")))
     }
 
-    async fn request_status(&self) -> Result<Report, String> {
-        let request = self.dialect.ask_report(&self.upstream.incarnation);
-        let (head, body) = question::ask(&*self.dialect, &self.upstream, request).await?;
+    async fn request_status(&self) -> Result<EngineStatus, String> {
+        let request = self.dialect.status_request(&self.upstream.incarnation);
+        let (head, body) = control_call::send(&*self.dialect, &self.upstream, request).await?;
         if !head.status.is_success() {
             return Err(format!("status {}", head.status));
         }
         self.dialect
-            .report(&body)
+            .decode_status(&body)
             .map_err(|error| error.to_string())
     }
 }
--- a/lib/src/direct/orders/load.rs
+++ b/lib/src/direct/orders/load.rs
@@ -6,7 +6,7 @@
 use super::slots::{LoadProbe, Slots, send_outcome};
 use super::{ENGINE_LOAD_LIMIT, EngineController, MAX_CONCURRENT_LOADS};
 use crate::clock::Millis;
-use crate::direct::dialect::{Action, Order, Ordered};
+use crate::direct::dialect::{Action, Order, OrderOutcome};
 use crate::name::Name;
 
 /// Loads that may wait until another one completes.
@@ -63,23 +63,23 @@
         })
     }
 
-    fn handle_order_outcome(&mut self, load: LoadCommand, outcome: Option<Ordered>) {
+    fn handle_order_outcome(&mut self, load: LoadCommand, outcome: Option<OrderOutcome>) {
         let now = self.client.clock.now();
         let Some(slots) = &mut self.slots else {
             send_outcome(load.reply, LoadOutcome::Failed);
             return;
         };
         match outcome {
-            Some(Ordered::Holds) => {
+            Some(OrderOutcome::Holds) => {
                 slots.record_present(load, now);
                 self.publish_held();
             }
-            Some(Ordered::Started) => {
+            Some(OrderOutcome::Started) => {
                 slots.record_load_started(load, now);
                 self.publish_held();
             }
-            Some(Ordered::Fenced) => send_outcome(load.reply, LoadOutcome::NotOwner),
-            Some(Ordered::Conflict | Ordered::Elsewhere | Ordered::Refused) => {
+            Some(OrderOutcome::Fenced) => send_outcome(load.reply, LoadOutcome::NotOwner),
+            Some(OrderOutcome::Conflict | OrderOutcome::Elsewhere | OrderOutcome::Refused) => {
                 self.back_off();
                 send_outcome(load.reply, LoadOutcome::Full);
             }
@@ -107,7 +107,7 @@
             return false;
         };
         match outcome {
-            Some(Ordered::Holds) => {
+            Some(OrderOutcome::Holds) => {
                 slots.record_unloaded(&victim);
                 self.publish_held();
                 self.has_free_slot(adapter, now)
@@ -176,7 +176,7 @@
             version: (probe.version > 0).then_some(probe.version),
             sequence: probe.sequence,
             holder: Name::clone(&self.client.holder),
-            fence: 0,
+            fencing_token: 0,
         };
         let client = self.client.clone();
         let actor = actor.clone();
@@ -196,7 +196,7 @@
         };
         let is_consistent = slots.apply_probe(&probe, outcome, now);
         self.stale |= !is_consistent;
-        if outcome == Some(Ordered::Holds) {
+        if outcome == Some(OrderOutcome::Holds) {
             self.publish_held();
             self.start_waiting_loads().await;
         }
--- a/lib/src/direct/orders/message.rs
+++ b/lib/src/direct/orders/message.rs
@@ -6,7 +6,7 @@
 use super::EngineController;
 use super::slots::LoadProbe;
 use crate::clock::Millis;
-use crate::direct::dialect::Ordered;
+use crate::direct::dialect::OrderOutcome;
 use crate::name::Name;
 
 /// Outcome of a [`LoadCommand`].
@@ -68,7 +68,7 @@
 pub(super) struct ProbeDone {
     pub(super) probe: LoadProbe,
     /// None if the engine didn't respond.
-    pub(super) outcome: Option<Ordered>,
+    pub(super) outcome: Option<OrderOutcome>,
 }
 
 impl Message<LoadCommand> for EngineController {
--- a/lib/src/direct/orders/mod.rs
+++ b/lib/src/direct/orders/mod.rs
@@ -16,8 +16,8 @@
 use kameo::Actor;
 use kameo::actor::ActorRef;
 
-use super::dialect::{Action, Ordered};
-use super::limits::IN_USE;
+use super::dialect::{Action, OrderOutcome};
+use super::limits::IN_USE_GRACE;
 use crate::clock::Millis;
 use crate::name::Name;
 use load::ProbeTimer;
@@ -115,7 +115,7 @@
         let Some(slots) = &mut self.slots else {
             return Some(load);
         };
-        slots.mark_in_use(Name::clone(&load.adapter), now + IN_USE);
+        slots.mark_in_use(Name::clone(&load.adapter), now + IN_USE_GRACE);
         slots.serve_or_enqueue(load, now)
     }
 
@@ -172,7 +172,7 @@
         {
             return;
         }
-        let Some((model, load_time)) = self.client.engine.models.first().cloned() else {
+        let Some((model, load_time)) = self.client.engine.model_load_times.first().cloned() else {
             return;
         };
         if self
@@ -187,7 +187,7 @@
             "orders: {} is to load {model}: {outcome:?}",
             self.client.upstream.incarnation
         );
-        if matches!(outcome, Some(Ordered::Started)) {
+        if matches!(outcome, Some(OrderOutcome::Started)) {
             self.base_load_ordered_at = Some(now);
         }
     }
--- a/lib/src/direct/orders/send.rs
+++ b/lib/src/direct/orders/send.rs
@@ -3,7 +3,7 @@
 use super::EngineController;
 use super::slots::Slots;
 use crate::clock::Millis;
-use crate::direct::dialect::{Action, Order, Ordered};
+use crate::direct::dialect::{Action, Order, OrderOutcome};
 use crate::name::Name;
 use crate::ports::link::Lost;
 
@@ -33,7 +33,7 @@
         action: Action,
         model: &Name,
         version: Option<u64>,
-    ) -> Option<Ordered> {
+    ) -> Option<OrderOutcome> {
         let now = self.client.clock.now();
         let has_no_unconfirmed = self.unconfirmed_slots(now) == 0;
         let mut outcome = self.send_order(action, model, version).await;
@@ -45,13 +45,13 @@
             self.unconfirmed_orders
                 .push((sequence, now + LATE_ORDER_WINDOW));
             outcome = match self.send_order(action, model, version).await {
-                Some(Ordered::Conflict) if has_no_unconfirmed => Some(Ordered::Started),
+                Some(OrderOutcome::Conflict) if has_no_unconfirmed => Some(OrderOutcome::Started),
                 other => other,
             };
         }
         self.record_outcome(action, model, version, outcome);
-        let is_accepted = outcome == Some(Ordered::Started)
-            || (outcome == Some(Ordered::Holds) && action == Action::Unload);
+        let is_accepted = outcome == Some(OrderOutcome::Started)
+            || (outcome == Some(OrderOutcome::Holds) && action == Action::Unload);
         if is_accepted && let Some(slots) = &mut self.slots {
             slots.record_accepted_order(self.client.clock.now());
         }
@@ -63,9 +63,9 @@
         action: Action,
         model: &Name,
         version: Option<u64>,
-        outcome: Option<Ordered>,
+        outcome: Option<OrderOutcome>,
     ) {
-        let outcome = outcome.map_or("none", Ordered::name);
+        let outcome = outcome.map_or("none", OrderOutcome::name);
         let orders = &self.client.metrics.orders;
         orders.with_label_values(&[action.name(), outcome]).inc();
         log::info!(
@@ -84,7 +84,7 @@
         action: Action,
         model: &Name,
         version: Option<u64>,
-    ) -> Option<Ordered> {
+    ) -> Option<OrderOutcome> {
         let sequence = self.slots.as_ref()?.sequence();
         let order = Order {
             action,
@@ -92,7 +92,7 @@
             version,
             sequence,
             holder: Name::clone(&self.client.holder),
-            fence: 0,
+            fencing_token: 0,
         };
         let result = self.client.send_order(order).await;
         self.is_last_order_unanswered = matches!(result, Err(Lost::Sent(_)));
@@ -146,7 +146,7 @@
     /// Makes what the engine holds visible to this node's requests and exchanges.
     pub(super) fn publish_held(&self) {
         if let Some(slots) = &self.slots {
-            self.client.upstream.hold(&slots.held());
+            self.client.upstream.update_held(&slots.held());
         }
     }
 }
--- a/lib/src/direct/orders/slots/mod.rs
+++ b/lib/src/direct/orders/slots/mod.rs
@@ -16,7 +16,7 @@
 
 use super::message::{LoadCommand, LoadOutcome};
 use crate::clock::Millis;
-use crate::direct::dialect::{Held, Ordered, Report};
+use crate::direct::dialect::{EngineStatus, LoadedModels, OrderOutcome};
 use crate::name::Name;
 use slot::{Loading, OVERDUE_PROBE_INTERVAL, Slot, Waiter};
 use status::AdapterStatus;
@@ -54,7 +54,7 @@
 /// What is known of an engine's slots.
 #[derive(Debug, Default)]
 pub struct Slots {
-    born: u64,
+    started_at_ms: u64,
     sequence: u64,
     /// When the engine was last known to accept an order.
     last_accepted_at: Millis,
@@ -69,9 +69,9 @@
 impl Slots {
     /// Creates the slots from the first status of an engine, requested at `requested_at`.
     #[must_use]
-    pub fn new(status: &Report, requested_at: Millis) -> Self {
+    pub fn new(status: &EngineStatus, requested_at: Millis) -> Self {
         let mut slots = Self {
-            born: status.held.born,
+            started_at_ms: status.held.started_at_ms,
             ..Self::default()
         };
         slots.merge(&status.held, requested_at);
@@ -79,9 +79,9 @@
     }
 
     /// Applies a status that was requested at `requested_at`; returns false if it is outdated.
-    pub fn apply_status(&mut self, status: &Report, requested_at: Millis) -> bool {
+    pub fn apply_status(&mut self, status: &EngineStatus, requested_at: Millis) -> bool {
         let held = &status.held;
-        if held.born > self.born {
+        if held.started_at_ms > self.started_at_ms {
             self.fail_loads(LoadOutcome::Failed);
             *self = Self {
                 in_use_until: std::mem::take(&mut self.in_use_until),
@@ -89,11 +89,11 @@
             };
             return true;
         }
-        let is_older = held.born < self.born || held.sequence < self.sequence;
+        let is_older = held.started_at_ms < self.started_at_ms || held.sequence < self.sequence;
         // A count that is still lower after the maximum age of a status means that this node
         // counted wrongly.
-        let is_settled =
-            held.born == self.born && requested_at >= self.last_accepted_at + MAX_STATUS_AGE;
+        let is_settled = held.started_at_ms == self.started_at_ms
+            && requested_at >= self.last_accepted_at + MAX_STATUS_AGE;
         if is_older && !is_settled {
             return false;
         }
@@ -101,7 +101,7 @@
         true
     }
 
-    fn merge(&mut self, held: &Held, requested_at: Millis) {
+    fn merge(&mut self, held: &LoadedModels, requested_at: Millis) {
         let is_newer = held.sequence != self.sequence;
         let mut statuses = AdapterStatus::by_name(held);
         let known = std::mem::take(&mut self.by_adapter);
@@ -219,7 +219,7 @@
     pub fn apply_probe(
         &mut self,
         probe: &LoadProbe,
-        outcome: Option<Ordered>,
+        outcome: Option<OrderOutcome>,
         now: Millis,
     ) -> bool {
         let is_current = probe.sequence == self.sequence;
@@ -231,21 +231,21 @@
             return true;
         }
         match outcome {
-            Some(Ordered::Holds) => {
+            Some(OrderOutcome::Holds) => {
                 self.complete_load(&probe.adapter, probe.version, now);
                 true
             }
-            Some(Ordered::Fenced | Ordered::Elsewhere) => {
+            Some(OrderOutcome::Fenced | OrderOutcome::Elsewhere) => {
                 if let Some(Slot::Loading(loading)) = self.by_adapter.remove(&probe.adapter) {
                     loading.finish(LoadOutcome::Failed);
                 }
                 false
             }
-            Some(Ordered::Conflict) if is_current => {
+            Some(OrderOutcome::Conflict) if is_current => {
                 loading.next_probe = now + OVERDUE_PROBE_INTERVAL;
                 false
             }
-            Some(Ordered::Conflict | Ordered::Started | Ordered::Refused) | None => {
+            Some(OrderOutcome::Conflict | OrderOutcome::Started | OrderOutcome::Refused) | None => {
                 loading.next_probe = now + loading.probe_delay(now);
                 true
             }
@@ -340,7 +340,7 @@
 
     /// Returns the base models and the adapters that requests can use now.
     #[must_use]
-    pub fn held(&self) -> Held {
+    pub fn held(&self) -> LoadedModels {
         let present = self
             .by_adapter
             .iter()
@@ -348,8 +348,8 @@
                 Slot::Present { version, .. } => Some((Name::clone(name), *version)),
                 Slot::Loading(_) => None,
             });
-        Held {
-            born: self.born,
+        LoadedModels {
+            started_at_ms: self.started_at_ms,
             sequence: self.sequence,
             models: self.models.clone(),
             adapters: present.collect(),
--- a/lib/src/direct/request/mod.rs
+++ b/lib/src/direct/request/mod.rs
@@ -1,19 +1,19 @@
 //! The way of one request: which upstreams it is sent to, and when it is given up.
 
 mod outcome;
-mod repeat;
+mod quarantine;
+mod retry;
 mod send;
-mod suspicion;
 
 use std::sync::Arc;
 
 use smallvec::SmallVec;
 
-use super::attempt::{Answer, Message, Miss};
+use super::attempt::{RequestMessage, SendError, UpstreamResponse};
 use super::config::Route;
-use super::entry::Gate;
-use super::record::{self, End};
-use super::sends::Sends;
+use super::entry::Frontend;
+use super::request_log::{self, RequestOutcome};
+use super::sends::PendingSends;
 use super::target::Target;
 use super::upstream::Upstream;
 use crate::clock::Millis;
@@ -21,7 +21,7 @@
 use crate::name::Name;
 
 /// Pause before an upstream is looked for again.
-pub(in crate::direct) const LOOK: Millis = Millis(20);
+pub(in crate::direct) const SELECTION_RETRY_PAUSE: Millis = Millis(20);
 
 /// Objectives after which another upstream is looked for beside one that is silent.
 const PATIENCE: u64 = 3;
@@ -30,35 +30,35 @@
 #[derive(Debug)]
 pub struct ActiveRequest {
     /// The node's parts.
-    pub gate: Arc<Gate>,
+    pub frontend: Arc<Frontend>,
     /// What is sent.
-    pub message: Arc<Message>,
+    pub message: Arc<RequestMessage>,
     /// The route that it came by.
     pub route: Route,
     /// The pool that takes it.
     pub pool: Name,
     /// When it arrived.
-    pub began: Millis,
+    pub arrived_at: Millis,
     /// When it is given up.
-    pub until: Millis,
+    pub deadline: Millis,
     /// Version of the configuration that it goes by.
-    pub config: u64,
+    pub config_version: u64,
     /// How the events of the answer came.
-    pub pace: Pace,
+    pub timing: StreamTiming,
     /// When it was last sent.
     pub(in crate::direct) sent_at: Millis,
     pub(in crate::direct) tried: SmallVec<[Name; 4]>,
     /// Upstreams that rejected it on an older version and are about to hold the newest.
-    pub(in crate::direct) replaced_at: SmallVec<[Name; 1]>,
+    pub(in crate::direct) replacing_upstreams: SmallVec<[Name; 1]>,
     ended: bool,
     /// Sends that may have run, those on their way among them.
-    pub(in crate::direct) sent: u32,
-    unsent: u32,
-    pub(in crate::direct) rejected: u32,
+    pub(in crate::direct) possible_runs: u32,
+    undelivered: u32,
+    pub(in crate::direct) rejections: u32,
     /// Whether the next send's part of the budget for repeats is taken already.
     repeat_reserved: bool,
     /// An upstream's error that was set aside while another one is asked.
-    failed: Option<Box<Answer>>,
+    failed: Option<Box<UpstreamResponse>>,
     /// The upstream at which this request stands besides, while another one is looked for.
     pub(in crate::direct) stands_at: Option<Name>,
 }
@@ -69,7 +69,7 @@
 /// causes: a wait for the adapter or in a queue, or the reading of other prompts where the
 /// answer is written.
 #[derive(Debug, Default)]
-pub struct Pace {
+pub struct StreamTiming {
     /// Time from the request's arrival to its first event.
     pub first: Option<Millis>,
     /// The longest pause between two events.
@@ -86,30 +86,30 @@
     /// Begins to serve a request.
     #[must_use]
     pub fn new(
-        gate: Arc<Gate>,
-        message: Message,
+        frontend: Arc<Frontend>,
+        message: RequestMessage,
         route: Route,
         pool: Name,
-        began: Millis,
-        until: Millis,
-        config: u64,
+        arrived_at: Millis,
+        deadline: Millis,
+        config_version: u64,
     ) -> Self {
         Self {
-            gate,
+            frontend,
             message: Arc::new(message),
             route,
             pool,
-            began,
-            until,
-            config,
-            pace: Pace::default(),
-            sent_at: began,
+            arrived_at,
+            deadline,
+            config_version,
+            timing: StreamTiming::default(),
+            sent_at: arrived_at,
             tried: SmallVec::new(),
-            replaced_at: SmallVec::new(),
+            replacing_upstreams: SmallVec::new(),
             ended: false,
-            sent: 0,
-            unsent: 0,
-            rejected: 0,
+            possible_runs: 0,
+            undelivered: 0,
+            rejections: 0,
             repeat_reserved: false,
             failed: None,
             stands_at: None,
@@ -123,27 +123,30 @@
     /// # Errors
     ///
     /// The failure that the caller gets; its code's fate is true.
-    pub async fn answer(&mut self, resume_after: Option<u64>) -> Result<Answer, Failure> {
+    pub async fn answer(&mut self, resume_after: Option<u64>) -> Result<UpstreamResponse, Failure> {
         let answer = self.next_answer(resume_after).await;
         let failed = self.failed.take();
         // An upstream's own error tells callers more than a failure of ours to ask another one.
         answer.or_else(|failure| failed.map_or(Err(failure), |answer| Ok(*answer)))
     }
 
-    async fn next_answer(&mut self, resume_after: Option<u64>) -> Result<Answer, Failure> {
-        let mut sends = Sends::default();
-        (self.unsent, self.rejected) = (0, 0);
+    async fn next_answer(
+        &mut self,
+        resume_after: Option<u64>,
+    ) -> Result<UpstreamResponse, Failure> {
+        let mut sends = PendingSends::default();
+        (self.undelivered, self.rejections) = (0, 0);
         loop {
             if sends.is_empty() {
                 let target = self.next_target().await?;
                 self.send(&mut sends, target, resume_after);
             }
             let span = self.patience();
-            let stops = self.gate.stop.is_begun();
+            let stops = self.frontend.drain.is_draining();
             let next = tokio::select! {
                 biased;
                 sent = sends.next() => Some(sent),
-                () = self.gate.stop.begun(), if !stops => continue,
+                () = self.frontend.drain.started(), if !stops => continue,
                 // Its engine may not have begun it: dropped now, it ends no further one.
                 failure = self.quarantined() => return Err(failure),
                 () = tokio::time::sleep(span.duration()) => None,
@@ -161,11 +164,11 @@
 
     /// Finds where to send while nothing is on its way, with its part of the budget taken if it is a repeat.
     async fn next_target(&mut self) -> Result<Target, Failure> {
-        let target = self.target().await?;
+        let target = self.find_target().await?;
         if self.stands_at(&target.upstream) {
             return Err(self.refusal(Code::NoUpstream, "no other upstream can take it now"));
         }
-        let is_repeat = self.sent + self.rejected > 0;
+        let is_repeat = self.possible_runs + self.rejections > 0;
         if is_repeat && !self.reserve_repeat() {
             return Err(self.refusal(Code::UpstreamRefused, "the budget for repeats is used up"));
         }
@@ -186,16 +189,16 @@
     /// When its time is up.
     async fn look_further(
         &mut self,
-        sends: &mut Sends,
+        sends: &mut PendingSends,
         resume_after: Option<u64>,
-    ) -> Result<Option<Answer>, Failure> {
+    ) -> Result<Option<UpstreamResponse>, Failure> {
         let Some(newest) = sends.newest().map(Arc::clone) else {
             return Ok(None);
         };
         let now = self.now();
-        if now >= self.until {
+        if now >= self.deadline {
             let told = format!("no answer within {}", now.since(self.sent_at));
-            let miss = Miss::Lost(Code::ExpiredRunning, told);
+            let miss = SendError::Lost(Code::ExpiredRunning, told);
             return self.missed(&newest, miss, true).map(|()| None);
         }
         if let Some(silent) = sends.mark_silent() {
@@ -209,14 +212,16 @@
         let target = tokio::select! {
             biased;
             Some(sent) = sends.next() => return self.conclude(sends, sent),
-            target = self.target() => target,
+            target = self.find_target() => target,
         };
         match target {
-            Ok(target) if !self.stands_at(&target.upstream) && !sends.reaches(&target.upstream) => {
-                self.gate.count_retry("silent");
+            Ok(target)
+                if !self.stands_at(&target.upstream) && !sends.includes(&target.upstream) =>
+            {
+                self.frontend.count_retry("silent");
                 self.send(sends, target, resume_after);
             }
-            _ => record::stays(self, &newest),
+            _ => request_log::stays(self, &newest),
         }
         Ok(None)
     }
@@ -224,48 +229,48 @@
     /// Returns the request's id, for logs.
     #[must_use]
     pub fn id(&self) -> &str {
-        self.message.call.id.as_deref().unwrap_or_default()
+        self.message.metadata.id.as_deref().unwrap_or_default()
     }
 
     /// Returns how many sends may have run.
     #[must_use]
-    pub fn sends(&self) -> u32 {
-        self.sent
+    pub fn possible_runs(&self) -> u32 {
+        self.possible_runs
     }
 
     /// Records how the request ended; the first end counts.
-    pub fn end(&mut self, end: &End<'_>) {
+    pub fn end(&mut self, end: &RequestOutcome<'_>) {
         if !std::mem::replace(&mut self.ended, true) {
-            record::ended(self, end);
-            self.gate.count_end(end.code());
+            request_log::ended(self, end);
+            self.frontend.count_end(end.code());
         }
     }
 
     /// The time.
     #[must_use]
     pub fn now(&self) -> Millis {
-        self.gate.clock.now()
+        self.frontend.clock.now()
     }
 
     /// How long to wait for an answer's head before another upstream is looked for.
     fn patience(&self) -> Millis {
-        let left = self.until.since(self.now());
-        if !self.message.kind.repeatable() || self.sent >= self.route.attempts {
+        let left = self.deadline.since(self.now());
+        if !self.message.kind.is_retryable() || self.possible_runs >= self.route.max_attempts {
             return left;
         }
-        let span = left.min(Millis(self.route.objective.0 * PATIENCE));
-        let Some(end) = self.gate.stop.until() else {
+        let span = left.min(Millis(self.route.latency_objective.0 * PATIENCE));
+        let Some(end) = self.frontend.drain.deadline() else {
             return span;
         };
         // What stands at a silent upstream for as long as the node lives is cut short.
         let half = Millis(end.since(self.now()).0 / 2);
-        span.min(half.max(LOOK))
+        span.min(half.max(SELECTION_RETRY_PAUSE))
     }
 }
 
 impl Drop for ActiveRequest {
     /// A request whose caller goes away is dropped wherever it stands.
     fn drop(&mut self) {
-        self.end(&End::Left);
+        self.end(&RequestOutcome::Left);
     }
 }
--- a/lib/src/direct/roles.rs
+++ b/lib/src/direct/roles.rs
@@ -25,14 +25,14 @@
 
 /// How a request divides its work between reading its prompt and writing its answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Manner {
+pub enum Workload {
     /// It reads much and writes little: nothing is gained by moving it.
-    Reads,
+    PrefillHeavy,
     /// Its answer is what takes time, or nothing is known.
-    Writes,
+    DecodeHeavy,
 }
 
-impl Manner {
+impl Workload {
     /// Judges a request by its tokens: those of the prompt, and the most of its answer.
     ///
     /// A request that tells no tokens, or none of an answer, counts as one that writes.
@@ -42,9 +42,9 @@
             Some((prompt, answer))
                 if answer > 0 && prompt > answer.saturating_mul(MOSTLY_READS) =>
             {
-                Self::Reads
+                Self::PrefillHeavy
             }
-            _ => Self::Writes,
+            _ => Self::DecodeHeavy,
         }
     }
 }
@@ -96,13 +96,13 @@
 
     /// Whether some engines only read.
     #[must_use]
-    pub fn is_split(&self) -> bool {
+    pub fn is_disaggregated(&self) -> bool {
         !self.readers.is_empty()
     }
 
     /// Whether an engine reads for others.
     #[must_use]
-    pub fn reads(&self, engine: SocketAddr) -> bool {
+    pub fn is_prefill(&self, engine: SocketAddr) -> bool {
         self.readers.binary_search(&engine).is_ok()
     }
 }
@@ -162,7 +162,7 @@
 
 /// What this node has seen of streams in one pool, and how many engines it has read apart.
 #[derive(Debug)]
-pub struct Mix {
+pub struct PrefillScaler {
     seen: f64,
     late: HashMap<SocketAddr, f64>,
     split: bool,
@@ -171,7 +171,7 @@
     changed: Millis,
 }
 
-impl Default for Mix {
+impl Default for PrefillScaler {
     fn default() -> Self {
         Self {
             seen: 0.0,
@@ -184,11 +184,11 @@
     }
 }
 
-impl Mix {
+impl PrefillScaler {
     /// Takes in whether a stream that stayed where it was read had a pause that was too long.
     ///
     /// Streams that stayed at a reader say nothing: what is read there is meant to be read there.
-    pub fn stayed(&mut self, engine: SocketAddr, late: bool) {
+    pub fn record_stream(&mut self, engine: SocketAddr, late: bool) {
         let kept = 1.0 - 1.0 / STREAMS;
         self.seen = self.seen * kept + 1.0;
         for sum in self.late.values_mut() {
@@ -221,7 +221,7 @@
     }
 
     /// Takes in what part of its objective a request waited at a reader for its first event.
-    pub fn read(&mut self, part: f64) {
+    pub fn record_prefill_wait(&mut self, part: f64) {
         self.wait += WAIT_WEIGHT * (part - self.wait);
     }
 
@@ -232,7 +232,7 @@
         clippy::cast_sign_loss,
         reason = "a part of some hundred engines"
     )]
-    pub fn readers(&mut self, engines: usize, now: Millis) -> usize {
+    pub fn prefill_count(&mut self, engines: usize, now: Millis) -> usize {
         if engines < 2 {
             return 0;
         }
--- a/lib/src/direct/sends.rs
+++ b/lib/src/direct/sends.rs
@@ -13,8 +13,8 @@
 use futures::stream::{FuturesUnordered, StreamExt};
 use smallvec::SmallVec;
 
-use super::attempt::{Answer, Message, Miss};
-use super::dialect::{Dialect, Dispatch};
+use super::attempt::{RequestMessage, SendError, UpstreamResponse};
+use super::dialect::{Dialect, DispatchHeaders};
 use super::target::Target;
 use super::upstream::Upstream;
 use super::versions::VersionWatch;
@@ -22,13 +22,13 @@
 
 /// A send that has ended.
 #[derive(Debug)]
-pub struct Sent {
+pub struct FinishedSend {
     /// Where it went.
     pub upstream: Arc<Upstream>,
     /// When it was sent.
     pub at: Millis,
     /// The answer's head, or why there is none.
-    pub result: Result<Answer, Miss>,
+    pub result: Result<UpstreamResponse, SendError>,
 }
 
 /// A send in progress, as it is known without waiting for it.
@@ -41,19 +41,19 @@
 
 /// Sends in progress; dropping them closes their connections.
 #[derive(Debug, Default)]
-pub struct Sends {
-    answers: FuturesUnordered<BoxFuture<'static, Sent>>,
+pub struct PendingSends {
+    answers: FuturesUnordered<BoxFuture<'static, FinishedSend>>,
     waiting: SmallVec<[Waiting; 2]>,
 }
 
-impl Sends {
+impl PendingSends {
     /// Sends a request at `now`.
     pub fn begin(
         &mut self,
-        message: &Arc<Message>,
+        message: &Arc<RequestMessage>,
         dialect: &Arc<dyn Dialect>,
         target: Target,
-        dispatch: Dispatch,
+        dispatch: DispatchHeaders,
         watch: Option<VersionWatch>,
         now: Millis,
     ) {
@@ -68,7 +68,7 @@
         self.answers.push(Box::pin(async move {
             let sending = message.send(&upstream, &*dialect, &dispatch, permit, watch);
             let result = sending.await;
-            Sent {
+            FinishedSend {
                 upstream,
                 at: now,
                 result,
@@ -84,7 +84,7 @@
 
     /// Whether a send to an upstream is on its way.
     #[must_use]
-    pub fn reaches(&self, upstream: &Upstream) -> bool {
+    pub fn includes(&self, upstream: &Upstream) -> bool {
         let same = |one: &Waiting| one.upstream.incarnation == upstream.incarnation;
         self.waiting.iter().any(same)
     }
@@ -108,7 +108,7 @@
     /// Waits for the next send to end; none if nothing is on its way.
     ///
     /// Nothing is lost when this is dropped before it returns.
-    pub async fn next(&mut self) -> Option<Sent> {
+    pub async fn next(&mut self) -> Option<FinishedSend> {
         let sent = self.answers.next().await?;
         self.waiting
             .retain(|one| one.upstream.incarnation != sent.upstream.incarnation);
--- a/lib/src/direct/versions.rs
+++ b/lib/src/direct/versions.rs
@@ -1,12 +1,12 @@
 //! Adapter versions that operators declare, and the deadlines for requests on older ones.
 //!
-//! Once [`Limits::version`] has passed since a declaration was acknowledged, no request may begin
+//! Once [`Limits::version_rollout`] has passed since a declaration was acknowledged, no request may begin
 //! on an older version, whatever is declared afterwards. A request begins with its first event at
 //! the engine, not when it is sent: in between it waits in the engine's queue, and no margin
 //! bounds that time. Each sent request is therefore watched until it has begun. See
 //! docs/design/0012-versions.md.
 //!
-//! [`Limits::version`]: super::limits::Limits::version
+//! [`Limits::version_rollout`]: super::limits::Limits::version_rollout
 
 use std::collections::HashSet;
 use std::convert::Infallible;
@@ -14,7 +14,7 @@
 
 use smallvec::SmallVec;
 
-use super::entry::Gate;
+use super::entry::Frontend;
 use super::orders::LoadOutcome;
 use super::upstream::Upstream;
 use crate::clock::Millis;
@@ -105,7 +105,7 @@
 /// The version that was the newest when the request was sent can be replaced while it waits.
 #[derive(Debug, Clone)]
 pub struct VersionWatch {
-    gate: Arc<Gate>,
+    frontend: Arc<Frontend>,
     upstream: Arc<Upstream>,
     adapter: Name,
     /// The version that the engine is known to hold; 0 stands for the newest when it was loaded.
@@ -122,14 +122,14 @@
     /// requests that haven't begun.
     #[must_use]
     pub fn new(
-        gate: Arc<Gate>,
+        frontend: Arc<Frontend>,
         upstream: Arc<Upstream>,
         adapter: Name,
         version: u64,
         is_beginning_visible: bool,
     ) -> Self {
         Self {
-            gate,
+            frontend,
             upstream,
             adapter,
             version,
@@ -146,7 +146,7 @@
     /// Whether a newer version than the request was sent for has been declared.
     #[must_use]
     pub fn is_replaced(&self) -> bool {
-        self.gate
+        self.frontend
             .begin_deadline(&self.adapter, self.version)
             .is_some()
     }
@@ -169,14 +169,14 @@
 
     /// Returns the time until `lead` before the deadline, if there is one.
     fn time_left(&self, lead: Millis) -> Option<Millis> {
-        let begin_deadline = self.gate.begin_deadline(&self.adapter, self.version)?;
-        Some(begin_deadline.since(self.gate.clock.now() + lead))
+        let begin_deadline = self.frontend.begin_deadline(&self.adapter, self.version)?;
+        Some(begin_deadline.since(self.frontend.clock.now() + lead))
     }
 
     /// Waits until `lead` before the deadline.
     async fn wait_until(&self, lead: Millis) {
         loop {
-            let changed = self.gate.view.changed.notified();
+            let changed = self.frontend.view.changed.notified();
             let mut changed = std::pin::pin!(changed);
             changed.as_mut().enable();
             match self.time_left(lead) {
@@ -205,14 +205,14 @@
     /// Tries the replacement once, unless another request at the engine does; returns whether the
     /// newest version is present.
     async fn try_replace(&self) -> bool {
-        let Some(newest) = self.gate.view.newest(&self.adapter) else {
+        let Some(newest) = self.frontend.view.newest(&self.adapter) else {
             return true;
         };
-        let replacements = &self.gate.replacements;
+        let replacements = &self.frontend.replacements;
         let Some(_guard) = replacements.try_begin(&self.upstream, &self.adapter) else {
             return false;
         };
-        let controllers = &self.gate.controllers;
+        let controllers = &self.frontend.controllers;
         let load = controllers.load(&self.upstream, &self.adapter, newest.version);
         let outcome = load.await;
         log::info!(
--- a/lib/src/entry/relay.rs
+++ b/lib/src/entry/relay.rs
@@ -11,13 +11,13 @@
 
 use super::answer::{self, Body, Problem};
 use super::dispatch::{Flow, Form, Outcome};
-use super::quarantine::SETTLED;
+use super::quarantine::HARMLESS_AFTER;
 use super::service;
 use super::session::Session;
 use super::sse::Splitter;
 use crate::clock::Millis;
 use crate::error::{Code, Failure};
-use crate::poison::ledger::Sign;
+use crate::poison::ledger::Suspicion;
 
 /// Frames that wait for a caller before its upstream is slowed down.
 const PIECES: usize = 4;
@@ -224,7 +224,7 @@
     /// Hands a piece over, frame by frame: a slow caller that takes some of a long
     /// piece reads, and only one that takes nothing is given up.
     async fn send(&mut self, mut piece: Bytes) -> Result<(), Stop> {
-        self.session.machine().pass();
+        self.session.machine().record_forwarded();
         while !piece.is_empty() {
             let frame = piece.split_to(piece.len().min(answer::FRAME));
             self.hand(frame).await?;
@@ -266,7 +266,7 @@
         }
         self.last = Some(now);
         let first = *self.first.get_or_insert(now);
-        if now.since(first) >= SETTLED {
+        if now.since(first) >= HARMLESS_AFTER {
             self.settle();
         }
     }
@@ -275,7 +275,7 @@
     fn settle(&mut self) {
         if !std::mem::replace(&mut self.settled, true) {
             let quarantine = self.session.gateway().quarantine();
-            quarantine.survived(&self.flow.run.request);
+            quarantine.record_harmless_run(&self.flow.run.request);
         }
     }
 
@@ -283,7 +283,7 @@
     fn note_lost(&self, code: Code) {
         if !self.settled {
             let gateway = self.session.gateway();
-            gateway.note_lost(&self.flow.run, code, Sign::Possible);
+            gateway.note_lost(&self.flow.run, code, Suspicion::Possible);
         }
     }
 
--- a/lib/src/entry/session.rs
+++ b/lib/src/entry/session.rs
@@ -4,9 +4,9 @@
 
 use crate::clock::Millis;
 use crate::error::{Code, Failure};
-use crate::fate::{Machine, State};
 use crate::name::Name;
 use crate::request::{Class, Id, Ticket};
+use crate::retry::{RequestState, RetryStateMachine};
 
 use super::answer::{self, Body, Problem};
 use super::gate::{Place, Reserve};
@@ -31,7 +31,7 @@
     account: Option<Name>,
     template: Option<Name>,
     class: Option<Class>,
-    machine: Option<Machine>,
+    machine: Option<RetryStateMachine>,
     place: Option<Place>,
     /// Covers the request's body and, if it is held back, its answer.
     pub reserve: Reserve,
@@ -97,7 +97,11 @@
         self.template = Some(Name::clone(&ticket.template));
         self.class = Some(ticket.class);
         let rules = self.gateway.parts.limits.rules;
-        self.machine = Some(Machine::new(rules, ticket.idempotent, ticket.deadline));
+        self.machine = Some(RetryStateMachine::new(
+            rules,
+            ticket.idempotent,
+            ticket.deadline,
+        ));
     }
 
     /// Returns the request's state machine.
@@ -105,14 +109,14 @@
     /// # Panics
     ///
     /// Before [`Session::decide`].
-    pub fn machine(&mut self) -> &mut Machine {
+    pub fn machine(&mut self) -> &mut RetryStateMachine {
         self.machine.as_mut().expect("the request was decided")
     }
 
     /// Ends the request with a whole answer.
     pub fn finish(&mut self) {
         if let Some(machine) = &mut self.machine {
-            machine.finish();
+            machine.record_complete();
         }
         self.record(None, "");
     }
@@ -133,7 +137,7 @@
     /// Ends the request whose caller went away.
     pub fn abandon(&mut self) {
         let code = match &mut self.machine {
-            Some(machine) if machine.state() == State::Answered => return,
+            Some(machine) if machine.state() == RequestState::Answered => return,
             Some(machine) => machine.abandon(),
             None => Code::CallerGoneWaiting,
         };
--- a/lib/tests/slots_model/engine.rs
+++ b/lib/tests/slots_model/engine.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use chivevalve::clock::Millis;
-use chivevalve::direct::dialect::{Held, Ordered, Report};
+use chivevalve::direct::dialect::{EngineStatus, LoadedModels, OrderOutcome};
 use chivevalve::name::Name;
 
 /// The version that an order without one loads.
@@ -25,11 +25,11 @@
 /// An engine.
 #[derive(Debug)]
 pub struct Engine {
-    held: Held,
+    held: LoadedModels,
     adapters: BTreeMap<Name, u64>,
     loads: BTreeMap<Name, LoadInProgress>,
     /// What it held, with the time from which on it did.
-    history: Vec<(Millis, Held)>,
+    history: Vec<(Millis, LoadedModels)>,
     /// Number of orders that it still refuses.
     pending_refusals: u64,
     /// Whether loads of adapters that are present in another version wait for running requests.
@@ -38,9 +38,9 @@
 
 impl Engine {
     pub fn new(now: Millis) -> Self {
-        let held = Held {
-            born: 1,
-            ..Held::default()
+        let held = LoadedModels {
+            started_at_ms: 1,
+            ..LoadedModels::default()
         };
         Self {
             history: vec![(now, held.clone())],
@@ -98,18 +98,18 @@
     }
 
     /// Returns a status that describes the moment `at`.
-    pub fn status(&self, at: Millis) -> Report {
+    pub fn status(&self, at: Millis) -> EngineStatus {
         let history = self.history.iter().rev().find(|(since, _)| *since <= at);
         let (_, held) = history.unwrap_or(&self.history[0]);
-        Report {
+        EngineStatus {
             held: held.clone(),
-            ..Report::default()
+            ..EngineStatus::default()
         }
     }
 
     /// Whether it recently held an adapter in a version; 0 is any.
     pub fn held_recently(&self, adapter: &str, version: u64, now: Millis) -> bool {
-        let holds = |held: &Held| {
+        let holds = |held: &LoadedModels| {
             let mut adapters = held.adapters.iter();
             adapters.any(|(name, held)| &**name == adapter && (version == 0 || *held == version))
         };
@@ -130,9 +130,15 @@
                 .count()
     }
 
-    pub fn load(&mut self, adapter: &Name, version: u64, expected: u64, now: Millis) -> Ordered {
+    pub fn load(
+        &mut self,
+        adapter: &Name,
+        version: u64,
+        expected: u64,
+        now: Millis,
+    ) -> OrderOutcome {
         if self.refuses(expected) {
-            return Ordered::Conflict;
+            return OrderOutcome::Conflict;
         }
         let version = if version == 0 {
             NEWEST_VERSION
@@ -140,8 +146,8 @@
             version
         };
         match self.loads.get(adapter) {
-            Some(load) if load.version == version => return Ordered::Started,
-            None if self.adapters.get(adapter) == Some(&version) => return Ordered::Holds,
+            Some(load) if load.version == version => return OrderOutcome::Started,
+            None if self.adapters.get(adapter) == Some(&version) => return OrderOutcome::Holds,
             _ => {}
         }
         self.held.sequence += 1;
@@ -149,18 +155,18 @@
         self.loads
             .insert(Name::clone(adapter), LoadInProgress { version, until });
         self.record_history(now);
-        Ordered::Started
+        OrderOutcome::Started
     }
 
-    pub fn unload(&mut self, adapter: &Name, expected: u64, now: Millis) -> Ordered {
+    pub fn unload(&mut self, adapter: &Name, expected: u64, now: Millis) -> OrderOutcome {
         if self.refuses(expected) {
-            return Ordered::Conflict;
+            return OrderOutcome::Conflict;
         }
         self.held.sequence += 1;
         self.adapters.remove(adapter);
         self.loads.remove(adapter);
         self.record_history(now);
-        Ordered::Holds
+        OrderOutcome::Holds
     }
 
     fn refuses(&mut self, expected: u64) -> bool {
@@ -190,7 +196,7 @@
     }
 
     pub fn restart(&mut self) {
-        self.held.born += 1;
+        self.held.started_at_ms += 1;
         self.held.sequence = 0;
         self.adapters.clear();
         self.loads.clear();
--- a/lib/tests/slots_model/mod.rs
+++ b/lib/tests/slots_model/mod.rs
@@ -3,7 +3,7 @@
 mod engine;
 
 use chivevalve::clock::Millis;
-use chivevalve::direct::dialect::Ordered;
+use chivevalve::direct::dialect::OrderOutcome;
 use chivevalve::direct::orders::slots::{LoadProbe, MAX_LOAD_TIME, MAX_STATUS_AGE, Slots};
 use chivevalve::direct::orders::{LoadCommand, LoadOutcome};
 use chivevalve::name::Name;
@@ -38,7 +38,7 @@
     stale: bool,
     callers: Vec<Caller>,
     /// Responses to probes that the owner hasn't received yet.
-    probe_responses: Vec<(LoadProbe, Option<Ordered>)>,
+    probe_responses: Vec<(LoadProbe, Option<OrderOutcome>)>,
     /// When the engine last changed without an order of this owner.
     disturbed_at: Option<Millis>,
 }
@@ -137,7 +137,7 @@
             let Some(victim) = self.slots.least_recently_used(self.now, |_| false) else {
                 return refuse(load);
             };
-            if self.engine.unload(&victim, self.slots.sequence(), self.now) != Ordered::Holds {
+            if self.engine.unload(&victim, self.slots.sequence(), self.now) != OrderOutcome::Holds {
                 self.stale = true;
                 return refuse(load);
             }
@@ -150,11 +150,11 @@
         let sequence = self.slots.sequence();
         let engine = &mut self.engine;
         match engine.load(&load.adapter, load.version, sequence, self.now) {
-            Ordered::Started => {
+            OrderOutcome::Started => {
                 self.slots.record_accepted_order(self.now);
                 self.slots.record_load_started(load, self.now);
             }
-            Ordered::Holds => self.slots.record_present(load, self.now),
+            OrderOutcome::Holds => self.slots.record_present(load, self.now),
             _ => {
                 self.stale = true;
                 refuse(load);
--- a/lib/tests/test_direct_claims.rs
+++ b/lib/tests/test_direct_claims.rs
@@ -9,20 +9,20 @@
 use async_trait::async_trait;
 use chivevalve::clock::{Clock, Manual, Millis, Monotonic};
 use chivevalve::direct::claim::{Claimer, Refusal, Voters};
-use chivevalve::direct::config::{Config, Engine, Limits as Sent, Pool};
+use chivevalve::direct::config::{Config, Engine, Pool, RequestLimits};
 use chivevalve::direct::controllers::Controllers;
-use chivevalve::direct::dialect::{Dialect, Held, Listed};
+use chivevalve::direct::dialect::{Dialect, LoadedModels, UpstreamEntry};
 use chivevalve::direct::follow::Follower;
-use chivevalve::direct::limits::{Current, LEASE, Limits, OWNERSHIP_TERM};
+use chivevalve::direct::limits::{LEASE_TTL, Limits, OWNERSHIP_TERM, SharedLimits};
 use chivevalve::direct::orders::LoadOutcome;
 use chivevalve::direct::ownership::Ownership;
 use chivevalve::direct::upstream::Upstream;
-use chivevalve::direct::view::{Claim, Peer, Standing, View};
+use chivevalve::direct::view::{Claim, ClaimEntry, Peer, View};
 use chivevalve::ports::{Lease, Store};
-use chivevalve_platform::Speech;
+use chivevalve_platform::PlatformDialect;
 use direct_support::SERVER;
 use direct_support::memory::Memory;
-use direct_support::records::written;
+use direct_support::records::entry_revision;
 use tokio::task::JoinHandle;
 
 /// The other nodes, which vote as the test sets.
@@ -60,7 +60,7 @@
     ownership: Arc<Ownership>,
     claimer: Arc<Claimer>,
     others: Arc<Others>,
-    limits: Arc<Current>,
+    limits: Arc<SharedLimits>,
     tasks: Vec<JoinHandle<()>>,
 }
 
@@ -110,8 +110,8 @@
     clock.advance(now);
     let shared: Arc<dyn Clock> = Arc::<Manual>::clone(&clock);
     let ownership = Arc::new(Ownership::new(Arc::clone(&shared), Arc::clone(&view)));
-    let dialect: Arc<dyn Dialect> = Arc::new(Speech);
-    let limits = Arc::new(Current::default());
+    let dialect: Arc<dyn Dialect> = Arc::new(PlatformDialect);
+    let limits = Arc::new(SharedLimits::default());
     let follower = Follower::new(
         Arc::<Memory>::clone(memory),
         Arc::<Memory>::clone(memory),
@@ -157,23 +157,23 @@
 /// Puts a configuration and the engine into a view.
 fn add_engine(view: &View) {
     let engine = Engine {
-        batch: 8,
+        max_batch: 8,
         adapter_slots: 4,
-        tokens: 100,
-        models: Vec::new(),
+        kv_capacity_tokens: 100,
+        model_load_times: Vec::new(),
     };
     let pool = Pool {
-        connections: 10,
+        max_connections: 10,
         engine: Some(engine),
     };
     let pools = [("engines".into(), pool)].into_iter().collect();
     let mut state = view.state();
-    state.configure(Config::new(1, Vec::new(), pools, Sent::default()));
-    state.list(&listed(), written(1), Millis(100_000));
+    state.apply_config(Config::new(1, Vec::new(), pools, RequestLimits::default()));
+    state.put_upstream(&listed(), entry_revision(1), Millis(100_000));
 }
 
-fn listed() -> Listed {
-    Listed {
+fn listed() -> UpstreamEntry {
+    UpstreamEntry {
         incarnation: "i-1".into(),
         pool: "engines".into(),
         address: address(),
@@ -182,7 +182,7 @@
         ready: true,
         cold: Millis::ZERO,
         remaining: None,
-        held: Held::default(),
+        held: LoadedModels::default(),
     }
 }
 
@@ -232,7 +232,7 @@
 async fn claim_only_with_a_record() {
     let (memory, one) = owner().await;
     assert!(one.ownership.fencing_token(address()).is_some());
-    let key = Speech.own("node/one");
+    let key = PlatformDialect.own_key("node/one");
     assert!(memory.state().entries.contains_key(&key));
 }
 
@@ -300,10 +300,10 @@
     drop(one);
     let leases = memory.state().leases.clone();
     memory.change(|state| state.end(leases[0]));
-    let waited = OWNERSHIP_TERM + Limits::default().turns;
+    let waited = OWNERSHIP_TERM + Limits::default().order_gap;
     pass(&[&two], waited).await;
     assert_eq!(two.ownership.fencing_token(address()), None);
-    pass(&[&two], LEASE).await;
+    pass(&[&two], LEASE_TTL).await;
     assert!(two.ownership.fencing_token(address()).unwrap() > previous);
 }
 
@@ -461,12 +461,12 @@
         state.drop_history();
     });
     one.clock.advance(Millis(10_000));
-    let waited = OWNERSHIP_TERM + Limits::default().turns;
+    let waited = OWNERSHIP_TERM + Limits::default().order_gap;
     for _ in 0..waited.0 / 50 {
         pass(&[&one], Millis(50)).await;
         assert_eq!(one.ownership.fencing_token(address()), None);
     }
-    pass(&[&one], LEASE).await;
+    pass(&[&one], LEASE_TTL).await;
     assert!(one.ownership.fencing_token(address()).is_some());
 }
 
@@ -496,7 +496,7 @@
     pass(&[&one], Millis(3_000)).await;
     assert!(one.ownership.owns(address()));
     assert_eq!(one.ownership.fencing_token(address()), None);
-    pass(&[&one], OWNERSHIP_TERM + Limits::default().turns).await;
+    pass(&[&one], OWNERSHIP_TERM + Limits::default().order_gap).await;
     assert!(one.ownership.fencing_token(address()).is_some());
 }
 
@@ -533,7 +533,7 @@
     Controllers::new(
         view,
         ownership,
-        Arc::new(Speech),
+        Arc::new(PlatformDialect),
         clock,
         "one".into(),
         Arc::default(),
@@ -585,12 +585,12 @@
         from: Millis::ZERO,
         boot: 0,
     };
-    let standing = Standing {
+    let standing = ClaimEntry {
         claim,
         revision: 7,
         seen: Millis::ZERO,
     };
-    state.claim(self::address(), standing);
+    state.insert_claim(self::address(), standing);
     let peer = Peer {
         address,
         start: 1,
@@ -611,8 +611,8 @@
     assert_eq!(one.ownership.owned_count(), engines);
     // With these limits its view is up to four seconds old.
     one.limits.set(Limits {
-        apply: Millis::from_secs(10),
-        leaving: Millis::from_secs(10),
+        config_apply: Millis::from_secs(10),
+        leave_notice: Millis::from_secs(10),
         ..Limits::default()
     });
     let two = node("two", &memory, false);
@@ -654,8 +654,8 @@
     let all: Vec<&Node> = nodes.iter().collect();
     // Polls for changes are four seconds apart, while the claims go by the default limits.
     let late = Limits {
-        apply: Millis::from_secs(10),
-        leaving: Millis::from_secs(10),
+        config_apply: Millis::from_secs(10),
+        leave_notice: Millis::from_secs(10),
         ..Limits::default()
     };
     for limits in [late, Limits::default()] {
@@ -713,7 +713,7 @@
     slow(&memory, "chivevalve/", Millis::from_secs(4));
     let one = start_again("one", &memory);
     pass(&[&one], Millis(1_000)).await;
-    let key = Speech.own("node/one");
+    let key = PlatformDialect.own_key("node/one");
     assert!(memory.state().entries.contains_key(&key));
 }
 
--- a/lib/tests/test_direct_exchange.rs
+++ b/lib/tests/test_direct_exchange.rs
@@ -7,15 +7,15 @@
 use std::sync::Arc;
 
 use chivevalve::clock::{Clock, Millis, Monotonic};
-use chivevalve::direct::admit::Question;
+use chivevalve::direct::admit::AdmitQuery;
 use chivevalve::direct::controllers::Controllers;
-use chivevalve::direct::dialect::Listed;
+use chivevalve::direct::dialect::UpstreamEntry;
 use chivevalve::direct::ownership::Ownership;
-use chivevalve::direct::upstream::{Running, Upstream};
-use chivevalve::direct::view::{Claim, Standing, View};
+use chivevalve::direct::upstream::{InFlightRequest, Upstream};
+use chivevalve::direct::view::{Claim, ClaimEntry, View};
 use chivevalve::name::Name;
-use chivevalve_platform::Speech;
-use direct_support::records::{listed, peer, written};
+use chivevalve_platform::PlatformDialect;
+use direct_support::records::{entry_revision, listed, peer};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64;
 
@@ -37,14 +37,14 @@
                 0 => unresponsive,
                 other => SocketAddr::from(([127, 0, 0, 1], 10 + other)),
             };
-            state.join(format!("node-{owner}").into(), peer(address));
+            state.put_node(format!("node-{owner}").into(), peer(address));
         }
         for number in 0..ENGINES {
-            let engine = Listed {
+            let engine = UpstreamEntry {
                 address: SocketAddr::from(([127, 0, 0, 2], number)),
                 ..listed(&format!("i-{number}"), &[("base/a1", 1)])
             };
-            state.list(&engine, written(1), Millis::ZERO);
+            state.put_upstream(&engine, entry_revision(1), Millis::ZERO);
             // Some owners are unknown, some have released their claims, and some
             // engines have no claim.
             let owner = random.random_range(0..OWNERS + 1);
@@ -55,13 +55,13 @@
                 from: Millis::ZERO,
                 boot: 0,
             };
-            let standing = Standing {
+            let standing = ClaimEntry {
                 claim,
                 revision: 7,
                 seen: Millis::ZERO,
             };
             if random.random_bool(0.9) {
-                state.claim(engine.address, standing);
+                state.insert_claim(engine.address, standing);
                 if owner == OWNERS - 1 {
                     ownership.acquire(engine.address, 7, Millis::ZERO);
                 }
@@ -69,7 +69,7 @@
         }
     }
     let me = format!("node-{}", OWNERS - 1).into();
-    let speech = Arc::new(Speech);
+    let speech = Arc::new(PlatformDialect);
     Arc::new(Controllers::new(
         view,
         ownership,
@@ -98,9 +98,10 @@
         let Some((_, owner)) = controllers.view.owner(engine.address) else {
             continue;
         };
-        let mut adapters = engine.in_use();
+        let mut adapters = engine.uncounted_adapters();
         let recorded = recorded.get(&engine.incarnation).cloned();
-        adapters.extend(recorded.filter(|recorded| !engine.in_use().contains(recorded)));
+        adapters
+            .extend(recorded.filter(|recorded| !engine.uncounted_adapters().contains(recorded)));
         let is_idle = adapters.is_empty() && engine.running() == 0;
         if controllers.ownership.owns(engine.address) || (is_idle && owner.address != unresponsive)
         {
@@ -127,13 +128,13 @@
 }
 
 /// Starts requests at some engines; most use an adapter that the owner doesn't count.
-fn run(random: &mut Pcg64, engines: &[Arc<Upstream>]) -> Vec<Running> {
+fn run(random: &mut Pcg64, engines: &[Arc<Upstream>]) -> Vec<InFlightRequest> {
     let chosen = engines.iter().filter(|_| random.random_bool(0.1));
     let chosen: Vec<_> = chosen.collect();
     let adapter = Name::from("base/a1");
     chosen
         .into_iter()
-        .map(|engine| engine.enter(random.random_bool(0.8).then_some(&adapter), None))
+        .map(|engine| engine.start_request(random.random_bool(0.8).then_some(&adapter), None))
         .collect()
 }
 
@@ -165,13 +166,13 @@
             }
             if round == 3 {
                 // An admission request without a response makes the owner unresponsive.
-                let question = Question {
+                let question = AdmitQuery {
                     adapter: None,
                     version: 0,
-                    limit: 0,
+                    max_running: 0,
                     loaded: false,
                     tokens: 0,
-                    patience: Millis::ZERO,
+                    max_wait: Millis::ZERO,
                 };
                 let engine = engines.iter().find(owned_by).unwrap();
                 drop(controllers.admit(engine, question).await);
--- a/lib/tests/test_direct_fanout.rs
+++ b/lib/tests/test_direct_fanout.rs
@@ -11,11 +11,11 @@
 use bytes::Bytes;
 use chivevalve::clock::{Clock, Manual, Millis, Monotonic};
 use chivevalve::direct::controllers::Controllers;
-use chivevalve::direct::fanout::{Heard, Hub, Source, Subscription, Update};
+use chivevalve::direct::fanout::{Hub, Received, Source, Subscription, Update};
 use chivevalve::direct::follow::Follower;
-use chivevalve::direct::limits::Current;
+use chivevalve::direct::limits::SharedLimits;
 use chivevalve::direct::ownership::Ownership;
-use chivevalve::direct::serve::serve;
+use chivevalve::direct::peer_server::serve;
 use chivevalve::direct::view::View;
 use chivevalve::name::Name;
 use chivevalve::ports::poll::{self, Changes, Poll};
@@ -26,7 +26,7 @@
     AdmitReply, AdmitRequest, Change, ExchangeReply, ExchangeRequest, FollowRequest, LoadReply,
     LoadRequest, SupportReply, SupportRequest, TellReply, TellRequest, Update as Sent,
 };
-use chivevalve_platform::Speech;
+use chivevalve_platform::PlatformDialect;
 use direct_support::SERVER;
 use direct_support::listen::Direct;
 use direct_support::memory::Memory;
@@ -71,7 +71,7 @@
 async fn listen_gets_what_is_newer_only() {
     let hub = hub();
     hub.publish(update(3, 6));
-    let mut stream = Box::pin(hub.listen(5).unwrap());
+    let mut stream = Box::pin(hub.subscribe(5).unwrap());
     hub.publish(update(6, 7));
     let first = stream.next().await.unwrap().unwrap();
     let second = stream.next().await.unwrap().unwrap();
@@ -87,7 +87,7 @@
 async fn listen_gap_ends_the_stream() {
     let hub = hub();
     hub.publish(update(7, 9));
-    let mut stream = Box::pin(hub.listen(5).unwrap());
+    let mut stream = Box::pin(hub.subscribe(5).unwrap());
     assert!(stream.next().await.unwrap().is_err());
     assert!(stream.next().await.is_none());
 }
@@ -105,7 +105,7 @@
             ..update(revision - 1, revision)
         }
     };
-    let mut stream = Box::pin(hub.listen(0).unwrap());
+    let mut stream = Box::pin(hub.subscribe(0).unwrap());
     hub.publish(update(0, 1));
     hub.publish(large(2));
     let small = stream.next().await.unwrap().unwrap();
@@ -120,7 +120,7 @@
 async fn listen_slow_listener_is_cut_off() {
     let hub = hub();
     hub.publish(update(0, 1));
-    let mut stream = Box::pin(hub.listen(0).unwrap());
+    let mut stream = Box::pin(hub.subscribe(0).unwrap());
     for revision in 1..100 {
         hub.publish(update(revision, revision + 1));
     }
@@ -154,7 +154,7 @@
 async fn listen_oversized_updates_are_not_kept() {
     let hub = hub();
     let held = Arc::new(());
-    let mut stream = Box::pin(hub.listen(0).unwrap());
+    let mut stream = Box::pin(hub.subscribe(0).unwrap());
     for revision in 1..=40 {
         hub.publish(counted(revision, 6 << 20, &held));
         assert_eq!(Arc::strong_count(&held), 1);
@@ -192,11 +192,11 @@
 #[tokio::test]
 async fn listen_refuses_more_than_it_can_serve() {
     let hub = hub();
-    let mut streams: Vec<_> = (0..20).map_while(|_| hub.listen(0).ok()).collect();
+    let mut streams: Vec<_> = (0..20).map_while(|_| hub.subscribe(0).ok()).collect();
     assert_eq!(streams.len(), 6);
     assert_eq!(refused(&hub), tonic::Code::ResourceExhausted);
     streams.pop();
-    assert!(hub.listen(0).is_ok());
+    assert!(hub.subscribe(0).is_ok());
 }
 
 /// A node that the service doesn't answer refuses listeners, which would hear of changes late.
@@ -204,14 +204,14 @@
 async fn listen_refuses_while_it_hears_nothing_itself() {
     let hub = hub();
     hub.publish(update(0, 1));
-    hub.lose();
+    hub.mark_disconnected();
     assert_eq!(refused(&hub), tonic::Code::Unavailable);
     hub.publish(update(1, 2));
-    assert!(hub.listen(0).is_ok());
+    assert!(hub.subscribe(0).is_ok());
 }
 
 fn refused(hub: &Hub) -> tonic::Code {
-    hub.listen(0).err().expect("it is refused").code()
+    hub.subscribe(0).err().expect("it is refused").code()
 }
 
 /// The service as one node asks it.
@@ -279,12 +279,12 @@
     let follower = Follower::new(
         Arc::<Memory>::clone(memory),
         Arc::<Asked>::clone(&asked),
-        Arc::new(Speech),
+        Arc::new(PlatformDialect),
         clock,
         Arc::clone(&view),
-        Arc::new(Current::default()),
+        Arc::new(SharedLimits::default()),
     )
-    .within_domain(Arc::clone(&hub), Box::new(source));
+    .with_fanout(Arc::clone(&hub), Box::new(source));
     Node {
         view,
         asked,
@@ -414,7 +414,7 @@
     let view = Arc::new(View::default());
     for number in 0..nodes {
         let name = format!("node-{number}").into();
-        view.state().join(name, peer(address));
+        view.state().put_node(name, peer(address));
     }
     view
 }
@@ -432,7 +432,7 @@
     let controllers = Arc::new(Controllers::new(
         view,
         ownership,
-        Arc::new(Speech),
+        Arc::new(PlatformDialect),
         clock,
         node.into(),
         Arc::default(),
@@ -452,14 +452,14 @@
     for number in 0..12 {
         let name = format!("node-{number}");
         let (_controllers, mut one) = subscription(&name, view(12, address));
-        assert!(one.is_shared());
+        assert!(one.may_have_subscribers());
         match one.next(5, Millis::from_secs(20)).await {
-            Heard::Update(update) => {
+            Received::Update(update) => {
                 assert_eq!((update.after, update.revision), (5, 6));
                 assert_eq!(update.events, [put(6)]);
             }
-            Heard::Nobody => asking += 1,
-            Heard::Nothing => panic!("nothing within twenty seconds"),
+            Received::NoSource => asking += 1,
+            Received::Timeout => panic!("nothing within twenty seconds"),
         }
     }
     // Two ask the service for all.
@@ -476,7 +476,7 @@
         let socket = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let name: Name = format!("node-{number}").into();
         let peer = peer(socket.local_addr().unwrap());
-        shared.state().join(name, peer);
+        shared.state().put_node(name, peer);
         sockets.push(socket);
     }
     let mut kept = Vec::new();
@@ -490,8 +490,8 @@
     }
     for task in kept {
         let (one, heard) = task.await.unwrap();
-        if heard != Heard::Nobody {
-            let above = one.listens_to().unwrap();
+        if heard != Received::NoSource {
+            let above = one.publisher().unwrap();
             let port = shared.state().nodes[&above].address.port();
             *listeners.entry(port).or_default() += 1;
         }
@@ -574,7 +574,7 @@
     let mut listen = 0;
     for (controllers, mut one) in listeners(vec![sent]).await {
         for _ in 0..8 {
-            assert_eq!(one.next(0, Millis::from_secs(20)).await, Heard::Nobody);
+            assert_eq!(one.next(0, Millis::from_secs(20)).await, Received::NoSource);
         }
         let refused = &controllers.metrics.updates_refused;
         let refused = refused.with_label_values(&["oversized"]).get();
@@ -596,7 +596,7 @@
     let mut heard = 0;
     for (controllers, mut one) in listeners(sent.to_vec()).await {
         for age in ages {
-            if let Heard::Update(update) = one.next(0, Millis::from_secs(20)).await {
+            if let Received::Update(update) = one.next(0, Millis::from_secs(20)).await {
                 assert!(update.as_of <= controllers.clock.now());
                 assert!(age == 0 || update.as_of == Millis::ZERO);
                 heard += 1;
@@ -610,8 +610,8 @@
 async fn subscription_few_nodes_ask_for_themselves() {
     let address = "127.0.0.1:9".parse().unwrap();
     let (_, mut one) = subscription("node-0", view(7, address));
-    assert!(!one.is_shared());
-    assert_eq!(one.next(0, Millis::from_secs(20)).await, Heard::Nobody);
+    assert!(!one.may_have_subscribers());
+    assert_eq!(one.next(0, Millis::from_secs(20)).await, Received::NoSource);
 }
 
 /// Leaders that refuse connections aren't asked again at once; the service is asked instead.
@@ -624,7 +624,10 @@
     for number in 0..12 {
         let (_controllers, mut node) = subscription(&format!("node-{number}"), Arc::clone(&view));
         for _ in 0..4 {
-            assert_eq!(node.next(0, Millis::from_secs(20)).await, Heard::Nobody);
+            assert_eq!(
+                node.next(0, Millis::from_secs(20)).await,
+                Received::NoSource
+            );
         }
     }
 }
@@ -643,14 +646,14 @@
         let name = format!("node-{number}");
         let (_controllers, mut one) =
             subscription_by(&name, view(12, address), Arc::clone(&clock) as _);
-        if one.next(0, span).await == Heard::Nobody {
+        if one.next(0, span).await == Received::NoSource {
             continue;
         }
         let waiting = tokio::spawn(async move { one.next(1, span).await });
         tokio::task::yield_now().await;
         clock.advance(Millis::from_secs(5));
         above.hub.publish(update(1, 2));
-        if let Heard::Update(update) = waiting.await.unwrap() {
+        if let Received::Update(update) = waiting.await.unwrap() {
             assert_eq!(update.as_of, Millis::ZERO);
         }
         return;
--- a/lib/tests/test_direct_slots.rs
+++ b/lib/tests/test_direct_slots.rs
@@ -3,7 +3,7 @@
 mod slots_model;
 
 use chivevalve::clock::Millis;
-use chivevalve::direct::dialect::{Held, Ordered, Report};
+use chivevalve::direct::dialect::{EngineStatus, LoadedModels, OrderOutcome};
 use chivevalve::direct::orders::slots::{LoadProbe, MAX_LOAD_TIME, MAX_STATUS_AGE, Slots};
 use chivevalve::direct::orders::{LoadCommand, LoadOutcome};
 use quickcheck::{Gen, QuickCheck};
@@ -12,17 +12,17 @@
 
 const NOW: Millis = Millis(10_000);
 
-fn status(sequence: u64, adapters: &[(&str, u64)], incoming: &[(&str, u64)]) -> Report {
+fn status(sequence: u64, adapters: &[(&str, u64)], incoming: &[(&str, u64)]) -> EngineStatus {
     let named = |all: &[(&str, u64)]| all.iter().map(|(name, v)| ((*name).into(), *v)).collect();
-    let held = Held {
+    let held = LoadedModels {
         sequence,
         adapters: named(adapters),
         incoming: named(incoming),
-        ..Held::default()
+        ..LoadedModels::default()
     };
-    Report {
+    EngineStatus {
         held,
-        ..Report::default()
+        ..EngineStatus::default()
     }
 }
 
@@ -61,7 +61,7 @@
     assert!(outcome.try_recv().is_err());
     let probe = due_probe(&mut slots, NOW + Millis(300));
     assert_eq!(probe.sequence, 1);
-    assert!(slots.apply_probe(&probe, Some(Ordered::Holds), NOW + Millis(310)));
+    assert!(slots.apply_probe(&probe, Some(OrderOutcome::Holds), NOW + Millis(310)));
     assert_eq!(outcome.try_recv(), Ok(LoadOutcome::Ready(2)));
 }
 
@@ -78,7 +78,7 @@
 fn apply_status_of_the_same_count_before_the_completion() {
     let (mut slots, _outcome) = loading(2);
     let probe = due_probe(&mut slots, NOW + Millis(300));
-    slots.apply_probe(&probe, Some(Ordered::Holds), NOW + Millis(310));
+    slots.apply_probe(&probe, Some(OrderOutcome::Holds), NOW + Millis(310));
     slots.apply_status(&status(1, &[], &[("base/a1", 2)]), NOW + Millis(320));
     assert_eq!(slots.held().adapters, [("base/a1".into(), 2)]);
     assert_eq!(slots.next_probe(NOW + Millis(320)), None);
@@ -112,10 +112,10 @@
     slots.record_accepted_order(NOW);
     slots.record_load_started(load, NOW);
     // A probe of the older version says nothing of the newer one.
-    slots.apply_probe(&probe, Some(Ordered::Holds), NOW + Millis(50));
+    slots.apply_probe(&probe, Some(OrderOutcome::Holds), NOW + Millis(50));
     assert!(later.try_recv().is_err());
     let probe = due_probe(&mut slots, NOW + Millis(300));
-    slots.apply_probe(&probe, Some(Ordered::Holds), NOW + Millis(310));
+    slots.apply_probe(&probe, Some(OrderOutcome::Holds), NOW + Millis(310));
     assert_eq!(earlier.try_recv(), Ok(LoadOutcome::Ready(3)));
     assert_eq!(later.try_recv(), Ok(LoadOutcome::Ready(3)));
 }
@@ -133,7 +133,7 @@
     let (load, mut later) = load_command(2);
     assert!(slots.serve_or_enqueue(load, late).is_none());
     let probe = due_probe(&mut slots, late);
-    slots.apply_probe(&probe, Some(Ordered::Holds), late);
+    slots.apply_probe(&probe, Some(OrderOutcome::Holds), late);
     assert_eq!(later.try_recv(), Ok(LoadOutcome::Ready(2)));
 }
 
@@ -176,7 +176,7 @@
     let (load, mut outcome) = load_command(2);
     assert!(slots.serve_or_enqueue(load, NOW).is_none());
     let probe = due_probe(&mut slots, NOW);
-    slots.apply_probe(&probe, Some(Ordered::Holds), NOW + Millis(10));
+    slots.apply_probe(&probe, Some(OrderOutcome::Holds), NOW + Millis(10));
     assert_eq!(outcome.try_recv(), Ok(LoadOutcome::Ready(2)));
 }
 
@@ -195,9 +195,9 @@
 fn apply_probe_conflict_of_the_known_count() {
     let (mut slots, _outcome) = loading(2);
     let probe = due_probe(&mut slots, NOW + Millis(45));
-    assert!(!slots.apply_probe(&probe, Some(Ordered::Conflict), NOW + Millis(50)));
+    assert!(!slots.apply_probe(&probe, Some(OrderOutcome::Conflict), NOW + Millis(50)));
     slots.record_accepted_order(NOW + Millis(60));
-    assert!(slots.apply_probe(&probe, Some(Ordered::Conflict), NOW + Millis(70)));
+    assert!(slots.apply_probe(&probe, Some(OrderOutcome::Conflict), NOW + Millis(70)));
 }
 
 /// A status tells the version of an adapter that was loaded without one, even if the status was
@@ -207,7 +207,7 @@
     let (mut slots, mut outcome) = loading(0);
     assert!(slots.has_unknown_version("base/a1"));
     let probe = due_probe(&mut slots, NOW + Millis(300));
-    slots.apply_probe(&probe, Some(Ordered::Holds), NOW + Millis(310));
+    slots.apply_probe(&probe, Some(OrderOutcome::Holds), NOW + Millis(310));
     assert_eq!(outcome.try_recv(), Ok(LoadOutcome::Ready(0)));
     assert!(slots.has_unknown_version("base/a1"));
     slots.apply_status(&status(1, &[], &[("base/a1", 2)]), NOW + Millis(320));
@@ -220,7 +220,7 @@
 fn apply_status_of_a_restart() {
     let (mut slots, mut outcome) = loading(2);
     let mut restarted = status(0, &[], &[]);
-    restarted.held.born = 7;
+    restarted.held.started_at_ms = 7;
     assert!(slots.apply_status(&restarted, NOW + Millis(10)));
     assert_eq!(outcome.try_recv(), Ok(LoadOutcome::Failed));
     assert_eq!((slots.count_used_slots(), slots.sequence()), (0, 0));
--- a/lib/tests/test_direct_versions.rs
+++ b/lib/tests/test_direct_versions.rs
@@ -5,21 +5,21 @@
 use std::sync::Arc;
 
 use chivevalve::clock::{Clock, Manual, Millis};
-use chivevalve::direct::attempt::{Message, Miss};
-use chivevalve::direct::call::{Call, Kind};
+use chivevalve::direct::attempt::{RequestMessage, SendError};
 use chivevalve::direct::controllers::Controllers;
-use chivevalve::direct::dialect::{Dialect, Dispatch, Listed};
-use chivevalve::direct::entry::Gate;
-use chivevalve::direct::limits::{Current, Limits};
+use chivevalve::direct::dialect::{Dialect, DispatchHeaders, UpstreamEntry};
+use chivevalve::direct::entry::Frontend;
+use chivevalve::direct::limits::{Limits, SharedLimits};
+use chivevalve::direct::metadata::{RequestKind, RequestMetadata};
 use chivevalve::direct::ownership::Ownership;
 use chivevalve::direct::upstream::Upstream;
 use chivevalve::direct::versions::{Declaration, Declarations, VersionWatch};
 use chivevalve::direct::view::View;
 use chivevalve::metrics::Metrics;
 use chivevalve::ports::metered::Metered;
-use chivevalve_platform::Speech;
+use chivevalve_platform::PlatformDialect;
 use direct_support::memory::Memory;
-use direct_support::records::{listed, written};
+use direct_support::records::{entry_revision, listed};
 use http::{HeaderMap, Method, Uri};
 use quickcheck::{Gen, QuickCheck};
 use tokio::net::TcpListener;
@@ -108,11 +108,11 @@
 }
 
 /// Returns the watch of a request on version 1, with its clock and the state that holds its limits.
-fn watched() -> (VersionWatch, Arc<Manual>, Arc<Gate>) {
+fn watched() -> (VersionWatch, Arc<Manual>, Arc<Frontend>) {
     let manual = Arc::new(Manual::default());
     let clock: Arc<dyn Clock> = Arc::<Manual>::clone(&manual);
     let view = Arc::new(View::default());
-    let dialect: Arc<dyn Dialect> = Arc::new(Speech);
+    let dialect: Arc<dyn Dialect> = Arc::new(PlatformDialect);
     let metrics = Arc::new(Metrics::new());
     let memory = Arc::new(Memory::default());
     let service = Arc::new(Metered::new(
@@ -130,34 +130,34 @@
         "node-1".into(),
         metrics,
     ));
-    let gate = Arc::new(Gate::new(
+    let frontend = Arc::new(Frontend::new(
         view,
         controllers,
         dialect,
         clock,
         "hall-a".into(),
-        Arc::new(Current::default()),
+        Arc::new(SharedLimits::default()),
         service,
     ));
     let engine = Upstream::new(
         &listed("i-1", &[("base/a1", 1)]),
-        written(1),
+        entry_revision(1),
         1,
         Millis::ZERO,
     );
     let adapter = "base/a1".into();
-    let watch = VersionWatch::new(Arc::clone(&gate), Arc::new(engine), adapter, 1, true);
-    (watch, manual, gate)
+    let watch = VersionWatch::new(Arc::clone(&frontend), Arc::new(engine), adapter, 1, true);
+    (watch, manual, frontend)
 }
 
-fn declare(gate: &Gate, version: u64, since: Millis) {
+fn declare(frontend: &Frontend, version: u64, since: Millis) {
     let since = Some(since);
     let declaration = Declaration { version, since };
-    let mut state = gate.view.state();
+    let mut state = frontend.view.state();
     let declarations = state.versions.entry("base/a1".into()).or_default();
     declarations.declare(declaration, LIMIT);
     drop(state);
-    gate.view.changed.notify_waiters();
+    frontend.view.changed.notify_waiters();
 }
 
 /// Advances the timers, which stop while the VM is suspended, and the clock by `span`.
@@ -171,8 +171,8 @@
 /// A request is withdrawn at the deadline even if the VM was suspended for part of the time.
 #[tokio::test(start_paused = true)]
 async fn expired_after_a_suspension() {
-    let (watch, manual, gate) = watched();
-    declare(&gate, 2, Millis(1));
+    let (watch, manual, frontend) = watched();
+    declare(&frontend, 2, Millis(1));
     let expired = tokio::spawn(async move { watch.expired().await });
     pass(&manual, Millis(1_000)).await;
     manual.advance(Millis(3_000));
@@ -183,12 +183,12 @@
 /// A request is withdrawn by the limit in force, even if a reload has shortened it since.
 #[tokio::test(start_paused = true)]
 async fn expired_by_a_limit_made_shorter() {
-    let (watch, manual, gate) = watched();
-    declare(&gate, 2, Millis(1));
+    let (watch, manual, frontend) = watched();
+    declare(&frontend, 2, Millis(1));
     let expired = tokio::spawn(async move { watch.expired().await });
     pass(&manual, Millis(1_000)).await;
-    gate.limits.set(Limits {
-        version: Millis(3_000),
+    frontend.limits.set(Limits {
+        version_rollout: Millis(3_000),
         ..Limits::default()
     });
     pass(&manual, Millis(2_000)).await;
@@ -198,33 +198,33 @@
 /// A request past its deadline isn't sent, and so is known not to have run.
 #[tokio::test]
 async fn send_past_the_limit() {
-    let (watch, manual, gate) = watched();
-    declare(&gate, 2, Millis(1));
+    let (watch, manual, frontend) = watched();
+    declare(&frontend, 2, Millis(1));
     manual.advance(LIMIT + LIMIT);
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-    let engine = Listed {
+    let engine = UpstreamEntry {
         address: listener.local_addr().unwrap(),
         ..listed("i-1", &[("base/a1", 1)])
     };
-    let engine = Arc::new(Upstream::new(&engine, written(1), 1, Millis::ZERO));
-    let message = Message {
+    let engine = Arc::new(Upstream::new(&engine, entry_revision(1), 1, Millis::ZERO));
+    let message = RequestMessage {
         method: Method::POST,
         uri: Uri::from_static("/digest/x"),
         headers: HeaderMap::new(),
         body: "the request".into(),
-        call: Call::default(),
-        kind: Kind::Stream { resumable: false },
+        metadata: RequestMetadata::default(),
+        kind: RequestKind::Stream { resumable: false },
         fingerprint: std::sync::OnceLock::new(),
     };
-    let dispatch = Dispatch {
+    let dispatch = DispatchHeaders {
         incarnation: "i-1".into(),
         deadline: LIMIT,
         urgency: None,
         version: Some(1),
         resume_after: None,
-        memory: None,
+        kv_cache: None,
     };
-    let sent = message.send(&engine, &Speech, &dispatch, None, Some(watch));
+    let sent = message.send(&engine, &PlatformDialect, &dispatch, None, Some(watch));
     let miss = sent.await.unwrap_err();
-    assert_eq!(miss, Miss::Withdrawn { sent: false });
+    assert_eq!(miss, SendError::Withdrawn { sent: false });
 }
