--- a/lib/src/direct/controllers/mod.rs
+++ b/lib/src/direct/controllers/mod.rs
@@ -173,11 +173,11 @@
         if self.ownership.owns(upstream.address) {
             return self.load_locally(upstream, adapter, version).await;
         }
-        let loaded = self.load_remotely(upstream, adapter, version).await;
-        if let LoadOutcome::Ready(version) = loaded {
+        let outcome = self.load_remotely(upstream, adapter, version).await;
+        if let LoadOutcome::Ready(version) = outcome {
             upstream.set_adapter(adapter, version);
         }
-        loaded
+        outcome
     }
 
     pub(super) async fn load_locally(
@@ -189,7 +189,7 @@
         let Some(controller) = self.controller(upstream) else {
             return LoadOutcome::Failed;
         };
-        let (reply, loaded) = oneshot::channel();
+        let (reply, receiver) = oneshot::channel();
         let load = LoadCommand {
             adapter: Name::clone(adapter),
             version,
@@ -198,11 +198,11 @@
         if controller.tell(load).try_send().is_err() {
             return LoadOutcome::Full;
         }
-        let loaded = loaded.await.unwrap_or(LoadOutcome::Failed);
-        if let LoadOutcome::Ready(version) = loaded {
+        let outcome = receiver.await.unwrap_or(LoadOutcome::Failed);
+        if let LoadOutcome::Ready(version) = outcome {
             upstream.set_adapter(adapter, version);
         }
-        loaded
+        outcome
     }
 
     async fn load_remotely(
--- a/lib/src/direct/ownership.rs
+++ b/lib/src/direct/ownership.rs
@@ -75,7 +75,7 @@
             .state()
             .claims
             .get(&address)
-            .is_some_and(|standing| standing.revision == owned.token);
+            .is_some_and(|entry| entry.revision == owned.token);
         (is_claim_current && owned.orders_from <= now).then_some(owned.token)
     }
 
@@ -92,7 +92,7 @@
             state
                 .claims
                 .get(address)
-                .is_some_and(|standing| standing.revision == owned.token)
+                .is_some_and(|entry| entry.revision == owned.token)
         });
     }
 
@@ -143,9 +143,10 @@
         }
         let state = self.view.state();
         owned.iter().all(|(address, token)| {
-            state.claims.get(address).is_some_and(|standing| {
-                standing.revision == *token && *standing.claim.node == *node
-            })
+            state
+                .claims
+                .get(address)
+                .is_some_and(|entry| entry.revision == *token && *entry.claim.node == *node)
         })
     }
 
--- a/lib/tests/test_direct_claims.rs
+++ b/lib/tests/test_direct_claims.rs
@@ -585,12 +585,12 @@
         from: Millis::ZERO,
         boot: 0,
     };
-    let standing = ClaimEntry {
+    let entry = ClaimEntry {
         claim,
         revision: 7,
         seen: Millis::ZERO,
     };
-    state.insert_claim(self::address(), standing);
+    state.insert_claim(self::address(), entry);
     let peer = Peer {
         address,
         start: 1,
--- a/lib/tests/test_direct_exchange.rs
+++ b/lib/tests/test_direct_exchange.rs
@@ -55,13 +55,13 @@
                 from: Millis::ZERO,
                 boot: 0,
             };
-            let standing = ClaimEntry {
+            let entry = ClaimEntry {
                 claim,
                 revision: 7,
                 seen: Millis::ZERO,
             };
             if random.random_bool(0.9) {
-                state.insert_claim(engine.address, standing);
+                state.insert_claim(engine.address, entry);
                 if owner == OWNERS - 1 {
                     ownership.acquire(engine.address, 7, Millis::ZERO);
                 }
@@ -69,11 +69,11 @@
         }
     }
     let me = format!("node-{}", OWNERS - 1).into();
-    let speech = Arc::new(PlatformDialect);
+    let dialect = Arc::new(PlatformDialect);
     Arc::new(Controllers::new(
         view,
         ownership,
-        speech,
+        dialect,
         clock,
         me,
         Arc::default(),
@@ -145,8 +145,8 @@
 /// unknown or have left.
 #[tokio::test(start_paused = true)]
 async fn take_exchange_requests_covers_used_engines_and_unresponsive_owners() {
-    let suspended = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
-    let unresponsive = suspended.local_addr().unwrap();
+    let silent_listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
+    let unresponsive = silent_listener.local_addr().unwrap();
     for seed in 0..20 {
         let mut random = Pcg64::seed_from_u64(seed);
         let controllers = node(&mut random, unresponsive);
@@ -166,7 +166,7 @@
             }
             if round == 3 {
                 // An admission request without a response makes the owner unresponsive.
-                let question = AdmitQuery {
+                let query = AdmitQuery {
                     adapter: None,
                     version: 0,
                     max_running: 0,
@@ -175,7 +175,7 @@
                     max_wait: Millis::ZERO,
                 };
                 let engine = engines.iter().find(owned_by).unwrap();
-                drop(controllers.admit(engine, question).await);
+                drop(controllers.admit(engine, query).await);
                 watched = unresponsive;
             }
             let expected = expected(&controllers, &recorded, watched);
