--- a/lib/src/direct/claim/candidate.rs
+++ b/lib/src/direct/claim/candidate.rs
@@ -81,7 +81,7 @@
             .or_else(|| state.previous_claims.get(&address).map(|(_, at)| *at))
             .unwrap_or(discovered_at.max(upstream.first_seen));
         let elapsed = now.since(unowned_since);
-        // With more nodes than that before it, this node has to wait longer than `elapsed`.
+        // Counting stops at the first rank whose delay is longer than `elapsed`.
         let rank = self.rank(
             state,
             address,
--- a/lib/src/direct/claim/previous.rs
+++ b/lib/src/direct/claim/previous.rs
@@ -17,7 +17,7 @@
     Itself { orders_from: Option<Millis> },
     /// A node that released its claim at `at`, `idle` after its last order.
     Left { at: Millis, idle: Millis },
-    /// A node whose claim expired with its lease.
+    /// A node whose claim vanished at `at`: its lease expired, or its keys were deleted.
     Vanished { at: Millis },
     /// Any node that may have owned the engine before this node first read all claims, and may
     /// still send orders.
@@ -38,8 +38,8 @@
 
     /// Returns when a successor may send its first order.
     ///
-    /// That is `gap` after the last order that the previous owner can have sent. `claims_known_since` is when
-    /// this node first knew all claims.
+    /// That is `gap` after the last order that the previous owner can have sent.
+    /// `claims_known_since` is when this node first knew all claims.
     pub(super) fn successor_orders_from(self, gap: Millis, claims_known_since: Millis) -> Millis {
         match self {
             Self::Nobody => Millis::ZERO,
--- a/lib/tests/test_direct_claims.rs
+++ b/lib/tests/test_direct_claims.rs
@@ -242,8 +242,8 @@
     store_engine(&memory);
     let (one, two) = (node("one", &memory, true), node("two", &memory, true));
     pass(&[&one, &two], Millis(5_000)).await;
-    let rights = [&one, &two].map(|node| node.ownership.fencing_token(address()).is_some());
-    assert!(rights[0] != rights[1], "{rights:?}");
+    let may_order = [&one, &two].map(|node| node.ownership.fencing_token(address()).is_some());
+    assert!(may_order[0] != may_order[1], "{may_order:?}");
 }
 
 /// A node that finds no claim waits in case an unknown owner may still send orders.
