--- a/lib/src/direct/limits.rs
+++ b/lib/src/direct/limits.rs
@@ -1,38 +1,39 @@
-//! Bounds and thresholds of direct serving, each with its source.
+//! Timeouts, intervals and budgets of direct serving.
 
 use std::sync::{Mutex, PoisonError};
 
 use crate::clock::Millis;
 
-/// Bounds that a deployment sets; the defaults suit a deployment of a dozen engines.
+/// Limits that a deployment configures. The defaults suit a deployment of a dozen engines.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Limits {
-    /// Time from the request to stop until the process is killed.
+    /// Time from the request to shut down until the process is killed.
     pub shutdown: Millis,
-    /// Least time between orders of two nodes to one engine.
+    /// Minimum time between orders that two different nodes send to one engine.
     pub order_gap: Millis,
-    /// Time within which a new version of an adapter has to be the only one begun on.
+    /// Time after which requests may start only on the new version of an adapter.
     pub version_rollout: Millis,
-    /// Time within which a leaving upstream must get no new work.
+    /// Time after which an upstream that is leaving must receive no new requests.
     pub leave_notice: Millis,
-    /// Time within which a configuration has to be in force.
+    /// Time after which a new configuration must be in effect.
     pub config_apply: Millis,
-    /// Time from a node's return within which it has to know what changed while it was away.
+    /// Time after a node regains the key-value service within which it must know what has changed
+    /// in the meantime.
     pub rejoin: Millis,
-    /// Silence of an upstream after which its entry vanishes.
+    /// Time without heartbeats after which an upstream's entry expires.
     pub entry_expiry: Millis,
-    /// The budget for sending requests again, of all nodes together.
+    /// The retry budget that all nodes share.
     pub retries: RetryLimits,
 }
 
-/// How many requests may be sent a further time.
+/// Limits on the number of retries.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RetryLimits {
-    /// Further sends for each request in a window.
+    /// Retries allowed per request in a window.
     pub ratio: f64,
-    /// The window's length.
+    /// Length of the window.
     pub window: Millis,
-    /// Further sends in a window beside the ratio.
+    /// Retries allowed in a window in addition to the ratio.
     pub extra: u32,
 }
 
@@ -55,159 +56,167 @@
     }
 }
 
-/// The bounds in force, one copy for all parts of a node.
+/// The limits in effect, shared by all parts of a node.
 ///
-/// A deployment may change them while its nodes run; a part that kept its own copy
-/// would go by the old ones until the next start.
+/// A deployment may change them while its nodes run. A component that kept its own copy would
+/// use the old limits until the next restart.
 #[derive(Debug, Default)]
 pub struct SharedLimits(Mutex<Limits>);
 
 impl SharedLimits {
-    /// Puts bounds in force.
+    /// Creates shared limits with the given initial values.
     #[must_use]
     pub fn new(limits: Limits) -> Self {
         Self(Mutex::new(limits))
     }
 
-    /// Returns the bounds in force.
+    /// Returns the limits in effect.
     #[must_use]
     pub fn get(&self) -> Limits {
         *self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Puts other bounds in force.
+    /// Replaces the limits in effect.
     pub fn set(&self, limits: Limits) {
         *self.0.lock().unwrap_or_else(PoisonError::into_inner) = limits;
     }
 }
 
-/// Lifetime of a node's lease at the key-value service.
+/// Time to live of a node's lease at the key-value service.
 ///
-/// A dead node's engines get no orders for this long and [`RIGHT`] and the
-/// turn's length more, so it is short; renewals are priced, so it isn't shorter.
+/// After a node dies, its engines get no orders for this time plus [`RIGHT`] and
+/// [`Limits::order_gap`], which calls for a short lease. Each renewal is billed, which rules out
+/// a shorter one.
 pub const LEASE_TTL: Millis = Millis(3_000);
 
-/// How long after sending a renewal a node may give orders.
+/// Time after sending a renewal during which a node may give orders.
 ///
-/// Less than [`LEASE_TTL`], so that a node whose keys lapse has stopped before.
+/// Shorter than [`LEASE_TTL`], so that a node stops giving orders before its keys expire.
 pub const RIGHT: Millis = Millis(2_000);
 
-/// Pause between renewals: two may fail before the right ends.
+/// Interval between lease renewals. Two in a row may fail before [`RIGHT`] has passed.
 pub const RENEWAL_INTERVAL: Millis = Millis(650);
 
-/// The longest that a renewal may take to answer: twice the slowest service's 240 ms.
+/// Timeout of a lease renewal: twice the 240 ms that the slowest service takes.
 pub const RENEWAL_TIMEOUT: Millis = Millis(500);
 
-/// The longest that a call for changes waits.
+/// Longest time that a long poll for changes waits.
 ///
-/// A connection can go silent for good, and only this bound shows it; a leaving
-/// upstream has to be known within [`Limits::leave_notice`].
+/// Only this limit reveals a connection that has gone silent for good, and an upstream that is
+/// leaving must be known within [`Limits::leave_notice`].
 pub const POLL_TIMEOUT: Millis = Millis(2_000);
 
-/// Part of the time within which changes have to be known that passes between calls for changes.
+/// Pause between polls for changes, as a fraction of the time within which changes must be known.
 ///
-/// Each call is priced, and heartbeats of upstreams make changes all the time,
-/// so the pause sets the number of calls: 0.8 s where two seconds are allowed.
-/// The rest is for the call itself and a slow service.
-const POLL_SHARE: f64 = 0.4;
+/// Each poll is billed, and heartbeats of upstreams cause changes all the time, so the pause
+/// determines the number of polls: it is 0.8 s where two seconds are allowed. The rest of the
+/// time is left for the poll itself and for a slow service.
+const POLL_INTERVAL_FRACTION: f64 = 0.4;
 
-/// Part of the same time that a call waits at a node to which others listen.
+/// Longest wait of a poll at a node that publishes changes to other nodes, as a fraction of the
+/// same time.
 ///
-/// They have to hear from it often enough though nothing changes: each half of the time, with
-/// the pause.
-const LEADER_WAIT_SHARE: f64 = 0.1;
+/// Subscribers must hear from the node often enough even when nothing changes: the pause
+/// between polls and this wait add up to half of the time.
+const LEADER_POLL_FRACTION: f64 = 0.1;
 
-/// Part of the same time after which changes that were passed on are too old to rely on.
+/// Age above which changes received from another node are too old to rely on, as a fraction of
+/// the same time.
 ///
-/// A node that passes changes on does so each 0.6 of the time at the latest; a quarter is left
-/// for the call that a node makes itself then, also to a slow service.
-const OLDEST_SHARE: f64 = 0.75;
+/// A publishing node sends an update at least once in 0.6 of the time. The remaining quarter is
+/// left for the receiving node's own poll, even of a slow service.
+const MAX_UPDATE_AGE_FRACTION: f64 = 0.75;
 
-/// Part of the same time that is left for other nodes to appear before engines are shared out.
+/// Time for other nodes to be discovered before engines are claimed, as a fraction of the same
+/// time.
 ///
-/// Their records are known a pause between calls for changes later, and a call. Before that each
-/// node takes engines for its own that others come first for, and most claims fail.
-const GATHER_SHARE: f64 = 0.6;
+/// The records of other nodes are known after one pause between polls and one poll. Before that,
+/// a node would claim engines for which other nodes rank higher, and most claims would fail.
+const DISCOVERY_FRACTION: f64 = 0.6;
 
-/// Part of the same time that a claim waits for each node that comes before this one.
+/// Delay of a claim for each node that ranks before this one, as a fraction of the same time.
 ///
-/// Earlier, that node's claim would seldom be known, and the call would be in vain.
-const CLAIM_RANK_SHARE: f64 = 0.25;
+/// With a shorter delay, the claim of that node would seldom be known yet, and the call to the
+/// key-value service would be wasted.
+const CLAIM_DELAY_FRACTION: f64 = 0.25;
 
-/// How long an adapter that was asked for isn't evicted though no request is counted with it.
+/// Time for which a requested adapter isn't evicted although no counted request uses it.
 ///
-/// Between a load and the request's arrival lie some milliseconds, or a second where its node
-/// is slow. An engine protects what runs by itself, but an eviction that waits for runs keeps
-/// all other orders of its engine waiting.
+/// The request arrives some milliseconds after the adapter is loaded, or a second later if its
+/// node is slow. An engine itself protects the adapters of running requests, but an eviction that
+/// waits for them blocks all other orders to that engine.
 pub const IN_USE_GRACE: Millis = Millis(1_200);
 
-/// Shortest pause between exchanges with another node.
-const EXCHANGE: Millis = Millis(500);
+/// Shortest interval between exchanges with another node.
+const MIN_EXCHANGE_INTERVAL: Millis = Millis(500);
 
-/// Pause between exchanges for each node: 80 exchanges a second leave or reach a node at most.
-const EXCHANGE_PER_NODE: Millis = Millis(12);
+/// Interval between exchanges per node of the deployment. A node sends and receives about
+/// 80 exchanges per second at most.
+const EXCHANGE_INTERVAL_PER_NODE: Millis = Millis(12);
 
-/// Returns the pause between exchanges in a deployment of this many nodes.
+/// Returns the interval between exchanges in a deployment with `nodes` nodes.
 #[must_use]
 pub fn exchange_interval(nodes: usize) -> Millis {
     let nodes = u64::try_from(nodes).unwrap_or(u64::MAX);
-    EXCHANGE.max(Millis(EXCHANGE_PER_NODE.0.saturating_mul(nodes)))
+    MIN_EXCHANGE_INTERVAL.max(Millis(EXCHANGE_INTERVAL_PER_NODE.0.saturating_mul(nodes)))
 }
 
-/// Returns how long an adapter isn't evicted that a node used without being counted.
+/// Returns the time for which an adapter isn't evicted after a node reported an uncounted request
+/// that uses it.
 ///
-/// Such a node tells of its requests with each exchange, and one may be lost.
+/// A node reports such requests in each exchange, and one exchange may be lost.
 #[must_use]
 pub fn in_use_grace(nodes: usize) -> Millis {
     IN_USE_GRACE.max(Millis(exchange_interval(nodes).0 * 2 + 200))
 }
 
 impl Limits {
-    /// Returns the pause between two calls for changes.
+    /// Returns the pause between two polls for changes.
     #[must_use]
     pub fn poll_interval(&self) -> Millis {
-        self.change_part(POLL_SHARE)
+        self.change_fraction(POLL_INTERVAL_FRACTION)
     }
 
-    /// Returns how long a call for changes waits at a node that others listen to.
+    /// Returns how long a poll for changes waits at a node that publishes changes to others.
     #[must_use]
     pub fn leader_poll_timeout(&self) -> Millis {
-        self.change_part(LEADER_WAIT_SHARE)
+        self.change_fraction(LEADER_POLL_FRACTION)
     }
 
-    /// Returns the age of the newest change that was passed on, from which on a node asks itself.
+    /// Returns the age of the newest received update above which a node polls by itself.
     #[must_use]
     pub fn max_update_age(&self) -> Millis {
-        self.change_part(OLDEST_SHARE)
+        self.change_fraction(MAX_UPDATE_AGE_FRACTION)
     }
 
-    /// Returns the time for other nodes to appear before engines are shared out.
+    /// Returns the time for other nodes to be discovered before engines are claimed.
     #[must_use]
     pub fn discovery_window(&self) -> Millis {
-        self.change_part(GATHER_SHARE)
+        self.change_fraction(DISCOVERY_FRACTION)
     }
 
-    /// Returns how long a claim waits for each node that comes before the one that makes it.
+    /// Returns the delay of a claim for each node that ranks before the claiming one.
     #[must_use]
     pub fn claim_delay_per_rank(&self) -> Millis {
-        self.change_part(CLAIM_RANK_SHARE).max(Millis(1))
+        self.change_fraction(CLAIM_DELAY_FRACTION).max(Millis(1))
     }
 
-    /// Returns a part of the time within which changes have to be known.
+    /// Returns a fraction of the time within which changes must be known.
     #[allow(
         clippy::cast_possible_truncation,
         clippy::cast_precision_loss,
         clippy::cast_sign_loss,
         reason = "some seconds"
     )]
-    fn change_part(&self, part: f64) -> Millis {
+    fn change_fraction(&self, fraction: f64) -> Millis {
         let shortest = self.config_apply.min(self.leave_notice);
-        Millis((shortest.0 as f64 * part) as u64)
+        Millis((shortest.0 as f64 * fraction) as u64)
     }
 }
 
-/// Pause after a failed call to the key-value service.
+/// Pause before retrying a failed call to the key-value service.
 pub const STORE_RETRY_PAUSE: Millis = Millis(200);
 
-/// Margin for clocks' rates and for orders on their way, when waiting out another node's right.
+/// Margin for clock drift and for orders in flight, added when waiting for another node's right to
+/// give orders to end.
 pub const ORDER_GAP_MARGIN: Millis = Millis(300);
