--- a/lib/src/direct/budget.rs
+++ b/lib/src/direct/budget.rs
@@ -1,7 +1,7 @@
-//! This node's share of the budget for sending requests again.
+//! This node's share of the retry budget of all nodes.
 //!
-//! The bound holds over all nodes in any window. The part that grows with
-//! requests adds up by itself; the fixed part is divided by the nodes.
+//! The budget limits the retries of all nodes together in any window. The part that is
+//! proportional to requests adds up over the nodes; the fixed part is divided among them.
 
 use std::collections::{HashMap, VecDeque};
 use std::sync::Arc;
@@ -10,92 +10,92 @@
 use crate::clock::Millis;
 use crate::name::Name;
 
-/// Part of the bound that is used.
+/// Fraction of the budget that is used.
 ///
-/// What a server sees of a window and what this node counts differ by requests
-/// on their way, and by those of nodes that ended within the window.
-const USED: f64 = 0.7;
+/// The requests that an upstream sees within a window differ from those that this node counts by
+/// the requests in flight and by those of nodes that ended within the window.
+const USED_FRACTION: f64 = 0.7;
 
-/// Length of a window's step.
-const STEP: Millis = Millis(500);
+/// Length of a bucket of the sliding window.
+const BUCKET_LENGTH: Millis = Millis(500);
 
 #[derive(Debug, Clone, Copy, Default)]
-struct Step {
+struct Bucket {
     number: u64,
     requests: u32,
-    repeats: u32,
+    retries: u32,
 }
 
-/// Counts requests and repeats for each pool.
+/// Counts requests and retries per pool in a sliding window.
 #[derive(Debug)]
 pub struct RetryBudget {
     limits: Arc<SharedLimits>,
-    steps: HashMap<Name, VecDeque<Step>>,
+    buckets: HashMap<Name, VecDeque<Bucket>>,
 }
 
 impl RetryBudget {
-    /// Makes a budget with nothing counted.
+    /// Creates a budget with nothing counted.
     #[must_use]
     pub fn new(limits: Arc<SharedLimits>) -> Self {
         Self {
             limits,
-            steps: HashMap::new(),
+            buckets: HashMap::new(),
         }
     }
 
-    /// Counts a request for a pool.
+    /// Counts a request to a pool.
     pub fn record_request(&mut self, pool: &Name, now: Millis) {
-        self.step(pool, now).requests += 1;
+        self.current_bucket(pool, now).requests += 1;
     }
 
-    /// Counts a further send that no leave was taken for.
+    /// Counts a retry without checking the budget.
     pub fn record_retry(&mut self, pool: &Name, now: Millis) {
-        self.step(pool, now).repeats += 1;
+        self.current_bucket(pool, now).retries += 1;
     }
 
-    /// Whether the bound allows a further send.
+    /// Whether the budget allows a retry.
     pub fn has_room(&mut self, pool: &Name, now: Millis, nodes: usize) -> bool {
         self.allowed(pool, now, nodes)
     }
 
-    /// Counts a further send of a request, if the bound allows it.
+    /// Counts a retry if the budget allows it, and returns whether it does.
     pub fn try_retry(&mut self, pool: &Name, now: Millis, nodes: usize) -> bool {
         let allowed = self.allowed(pool, now, nodes);
-        let step = self.step(pool, now);
+        let bucket = self.current_bucket(pool, now);
         if allowed {
-            step.repeats += 1;
+            bucket.retries += 1;
         }
         allowed
     }
 
     fn allowed(&mut self, pool: &Name, now: Millis, nodes: usize) -> bool {
         let RetryLimits { ratio, extra, .. } = self.limits.get().retries;
-        self.step(pool, now);
-        let steps = &self.steps[pool];
-        let requests: u32 = steps.iter().map(|step| step.requests).sum();
-        let repeats: u32 = steps.iter().map(|step| step.repeats).sum();
+        self.current_bucket(pool, now);
+        let buckets = &self.buckets[pool];
+        let requests: u32 = buckets.iter().map(|bucket| bucket.requests).sum();
+        let retries: u32 = buckets.iter().map(|bucket| bucket.retries).sum();
         #[allow(clippy::cast_precision_loss, reason = "a few hundred nodes")]
         let share = f64::from(extra) / nodes.max(1) as f64;
-        let bound = USED * (ratio * f64::from(requests) + share);
-        f64::from(repeats) + 1.0 <= bound.max(1.0)
+        let limit = USED_FRACTION * (ratio * f64::from(requests) + share);
+        f64::from(retries) + 1.0 <= limit.max(1.0)
     }
 
-    fn step(&mut self, pool: &Name, now: Millis) -> &mut Step {
-        let number = now.0 / STEP.0;
-        let kept = self.limits.get().retries.window.0 / STEP.0;
-        let steps = self.steps.entry(Name::clone(pool)).or_default();
-        while steps
+    fn current_bucket(&mut self, pool: &Name, now: Millis) -> &mut Bucket {
+        let number = now.0 / BUCKET_LENGTH.0;
+        let kept = self.limits.get().retries.window.0 / BUCKET_LENGTH.0;
+        let buckets = self.buckets.entry(Name::clone(pool)).or_default();
+        while buckets
             .front()
-            .is_some_and(|step| step.number + kept < number)
+            .is_some_and(|bucket| bucket.number + kept < number)
         {
-            steps.pop_front();
+            buckets.pop_front();
         }
-        if steps.back().is_none_or(|step| step.number < number) {
-            steps.push_back(Step {
+        if buckets.back().is_none_or(|bucket| bucket.number < number) {
+            buckets.push_back(Bucket {
                 number,
-                ..Step::default()
+                ..Bucket::default()
             });
         }
-        steps.back_mut().expect("a step was pushed before")
+        buckets.back_mut().expect("a bucket was pushed above")
     }
 }
