--- a/lib/src/direct/hedging.rs
+++ b/lib/src/direct/hedging.rs
@@ -1,4 +1,4 @@
-//! Waiting for a silent key-value service to answer again.
+//! Hedged calls to the key-value service, for when it has stopped answering.
 
 use std::time::Duration;
 
@@ -8,52 +8,54 @@
 use crate::clock::{Clock, Millis};
 use crate::ports::{Error, Store};
 
-/// How long a question may be without an answer before it is asked again beside.
+/// Time without an answer after which another call is made in parallel.
 ///
-/// The service answers in milliseconds, in some hundred when it is slow. A node that starts while
-/// it is silent knows no configuration and refuses all callers: with one call that is given up
-/// after 1.5 s they were refused for up to as long after the service's return.
-const AGAIN: Millis = Millis(400);
+/// The service answers within milliseconds, or some hundred milliseconds when it is slow. A node
+/// that starts while the service is silent has no configuration and refuses all callers. With a
+/// single call that timed out after 1.5 s, it went on refusing them for up to that long after the
+/// service had returned.
+const HEDGE_DELAY: Millis = Millis(400);
 
-/// Questions at once; as many go without an answer until the first one fails.
-const MOST: usize = 4;
+/// Maximum number of concurrent calls. Once it is reached, the next call waits until one of them
+/// fails.
+const MAX_CALLS: usize = 4;
 
-/// How a question that was asked several times ended.
+/// Result of a hedged call.
 #[derive(Debug)]
 pub struct HedgedResult<T> {
-    /// The first answer, or the last failure.
+    /// The first answer, or the last failure if all calls failed.
     pub result: T,
-    /// When the question was asked that ended so.
+    /// When the call with this result was made.
     pub asked: Millis,
-    /// When the last one was asked that had no answer though there was time for one.
+    /// When the last call was made that got no answer within [`HEDGE_DELAY`].
     pub last_unanswered: Option<Millis>,
 }
 
-/// Asks the same again and again until there is an answer, or nothing is left to wait for.
+/// Repeats a call until one attempt is answered or the last pending one has failed.
 ///
-/// Another question is asked beside one that has no answer yet, since the service may have
-/// returned behind it.
+/// Another attempt is made while earlier ones are pending, since the service may have returned
+/// after they were sent.
 pub async fn hedged<T, F: Future<Output = T>>(
     clock: &dyn Clock,
-    question: impl Fn() -> F,
+    call: impl Fn() -> F,
     is_answer: impl Fn(&T) -> bool,
 ) -> HedgedResult<T> {
-    let asking = || {
+    let start_call = || {
         let asked = clock.now();
-        question().map(move |result| (result, asked))
+        call().map(move |result| (result, asked))
     };
     let mut newest = clock.now();
     let mut last_unanswered = None;
-    let mut questions = FuturesUnordered::new();
-    questions.push(asking());
+    let mut calls = FuturesUnordered::new();
+    calls.push(start_call());
     loop {
-        let span = if questions.len() < MOST {
-            (newest + AGAIN).since(clock.now()).duration()
+        let timeout = if calls.len() < MAX_CALLS {
+            (newest + HEDGE_DELAY).since(clock.now()).duration()
         } else {
             Duration::MAX
         };
-        if let Ok(Some((result, asked))) = tokio::time::timeout(span, questions.next()).await {
-            if is_answer(&result) || questions.is_empty() {
+        if let Ok(Some((result, asked))) = tokio::time::timeout(timeout, calls.next()).await {
+            if is_answer(&result) || calls.is_empty() {
                 return HedgedResult {
                     result,
                     asked,
@@ -63,30 +65,31 @@
         } else {
             last_unanswered = Some(newest);
             newest = clock.now();
-            questions.push(asking());
+            calls.push(start_call());
         }
     }
 }
 
-/// Returns once the service has answered a question for one key, whatever it holds.
+/// Waits until the service has answered a read of one key, whatever its value.
 ///
-/// The question is small, so that no slow link is taken for silence: a listing of thousands of
-/// engines lasts longer than [`AGAIN`] at a VM with 20 Mbit/s, and reading it twice would slow it.
+/// The read is small, so that a slow link isn't mistaken for a silent service: listing thousands
+/// of engines takes longer than [`HEDGE_DELAY`] on a VM with 20 Mbit/s, and listing them twice
+/// would slow the link further.
 ///
 /// # Errors
 ///
-/// The service's refusal, when no other question is on its way.
+/// The last error, when no other call is pending.
 pub async fn wait_until_available(
     clock: &dyn Clock,
     store: &dyn Store,
     key: &str,
 ) -> Result<(), Error> {
-    let answered = |result: &Result<_, Error>| {
+    let is_answer = |result: &Result<_, Error>| {
         if let Err(error) = result {
             log::info!("follow: the key-value service did not answer: {error}");
         }
         result.is_ok()
     };
-    let reached = hedged(clock, || store.get(key), answered).await;
-    reached.result.map(drop)
+    let hedged_result = hedged(clock, || store.get(key), is_answer).await;
+    hedged_result.result.map(drop)
 }
