--- a/lib/src/direct/admit.rs
+++ b/lib/src/direct/admit.rs
@@ -146,11 +146,11 @@
         if question.adapter.is_some() {
             self.note_uses(engine, vec![Name::clone(adapter)], IN_USE_GRACE);
         }
-        let part = CountedRequest {
+        let request = CountedRequest {
             adapter: Name::clone(adapter),
-            tokens: question.tokens,
+            prompt_tokens: question.tokens,
         };
-        let place = self.table.enter(engine, part);
+        let place = self.table.start_request(engine, request);
         AdmitDecision::Admitted(Permit(Counted::Here(place)), load)
     }
 
--- a/lib/src/direct/occupancy.rs
+++ b/lib/src/direct/occupancy.rs
@@ -1,11 +1,12 @@
-//! Requests that run at an engine over all nodes, counted by the node that gives it its orders.
+//! Requests running at each engine, over all nodes, as counted by the engine's owner.
 //!
-//! With hundreds of nodes each sees a few of an engine's requests, and news that is gathered by
-//! rounds of exchanges is older than a stream lasts: engines that were believed idle had full
-//! queues. The owner of an engine counts exactly: whoever sends a request there asks it first
-//! and keeps the call open while the request runs. A call that is dropped, also by the loss of
-//! its node, gives the place back. It is a count and no lock: where the owner doesn't answer,
-//! requests are sent without it. See docs/design/0008-admission-by-owners.md.
+//! With hundreds of nodes, each node sees only a few of an engine's requests, and counts gathered
+//! in rounds of exchanges are older than a stream lasts: engines that were believed idle had full
+//! queues. The owner of an engine, which is the node that gives it orders, has an exact count: a
+//! node asks it before it sends a request there and keeps the call open while the request runs.
+//! When the call ends, be it by the loss of the node, the request is no longer counted. This is a
+//! count, not a lock: if the owner doesn't answer, requests are sent uncounted.
+//! See docs/design/0008-admission-by-owners.md.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -13,43 +14,45 @@
 use crate::clock::{Clock, Millis};
 use crate::name::Name;
 
-/// Weight of one request in the mean time that requests stay: the last dozen count.
-const STAY_WEIGHT: f64 = 0.08;
+/// Weight of one request in the moving average of request durations, which covers about the last
+/// dozen requests.
+const DURATION_WEIGHT: f64 = 0.08;
 
-/// How long a request is assumed to stay before any has ended, in milliseconds.
+/// Assumed duration of a request before any has ended, in milliseconds.
 ///
-/// A short answer's length; the first dozen requests correct it.
-const FIRST_STAY: f64 = 1_500.0;
+/// It is that of a short answer; the first dozen requests correct it.
+const INITIAL_DURATION_MS: f64 = 1_500.0;
 
-/// Weight of one prompt in the mean time that reading a token takes.
-const READ_WEIGHT: f64 = 0.05;
+/// Weight of one prompt in the moving average of the prefill time per token.
+const PREFILL_WEIGHT: f64 = 0.05;
 
-/// How long reading a token is assumed to take before any prompt was read, in milliseconds.
+/// Assumed prefill time per token before any prefill has ended, in milliseconds.
 ///
-/// Engines read some twenty to forty tokens in a millisecond; a dozen prompts correct it.
-const FIRST_READ: f64 = 0.04;
+/// Engines prefill some twenty to forty tokens per millisecond; a dozen prompts correct it.
+const INITIAL_PREFILL_MS_PER_TOKEN: f64 = 0.04;
 
-/// A request's part in an engine's count.
+/// What is counted of a request at an engine.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CountedRequest {
-    /// The adapter that it uses; empty for none.
+    /// The adapter that the request uses; empty for none.
     pub adapter: Name,
-    /// Tokens of its prompt.
-    pub tokens: u32,
+    /// Length of its prompt in tokens.
+    pub prompt_tokens: u32,
 }
 
 /// Requests at one engine.
 ///
-/// An engine reads prompts one after the other between the steps that write. Where a dozen
-/// requests arrive together, the last one's first event waits for all prompts before it, long
-/// before the engine's places are used up, so what is still to be read counts by itself.
+/// An engine prefills prompts one after the other between its decode steps. When a dozen requests
+/// arrive together, the first event of the last one waits for all prompts before it, long before
+/// the engine's slots are used up. Pending prefill is therefore tracked separately.
 #[derive(Debug)]
 pub struct Occupancy {
     running: u32,
     by_adapter: HashMap<Name, u32>,
-    unread: u64,
-    stay: f64,
-    read: f64,
+    /// Prompt tokens whose prefill is pending.
+    pending_tokens: u64,
+    mean_duration_ms: f64,
+    prefill_ms_per_token: f64,
 }
 
 impl Default for Occupancy {
@@ -57,71 +60,76 @@
         Self {
             running: 0,
             by_adapter: HashMap::new(),
-            unread: 0,
-            stay: FIRST_STAY,
-            read: FIRST_READ,
+            pending_tokens: 0,
+            mean_duration_ms: INITIAL_DURATION_MS,
+            prefill_ms_per_token: INITIAL_PREFILL_MS_PER_TOKEN,
         }
     }
 }
 
 impl Occupancy {
-    /// Counts a request in, and returns the tokens to be read until its prompt is.
-    pub fn enter(&mut self, part: &CountedRequest) -> u64 {
+    /// Adds a request and returns the number of tokens to prefill up to the end of its prompt.
+    pub fn add(&mut self, request: &CountedRequest) -> u64 {
         self.running += 1;
-        let adapter = Name::clone(&part.adapter);
+        let adapter = Name::clone(&request.adapter);
         *self.by_adapter.entry(adapter).or_default() += 1;
-        self.unread += u64::from(part.tokens);
-        self.unread
+        self.pending_tokens += u64::from(request.prompt_tokens);
+        self.pending_tokens
     }
 
-    /// Takes in that a request's prompt is read, `took` after it came; `ahead` is what
-    /// [`Self::enter`] returned for it.
+    /// Records that a request's prefill has ended, `took` after the request was added.
+    ///
+    /// `backlog` is the value that [`Self::add`] returned for the request.
     #[allow(
         clippy::cast_precision_loss,
         reason = "some seconds and thousands of tokens"
     )]
-    pub fn read(&mut self, part: &CountedRequest, ahead: u64, took: Millis) {
-        self.unread = self.unread.saturating_sub(u64::from(part.tokens));
-        if ahead > 0 && part.tokens > 0 {
-            let sample = took.0 as f64 / ahead as f64;
-            self.read += READ_WEIGHT * (sample - self.read);
+    pub fn record_prefill(&mut self, request: &CountedRequest, backlog: u64, took: Millis) {
+        self.pending_tokens = self
+            .pending_tokens
+            .saturating_sub(u64::from(request.prompt_tokens));
+        if backlog > 0 && request.prompt_tokens > 0 {
+            let sample = took.0 as f64 / backlog as f64;
+            self.prefill_ms_per_token += PREFILL_WEIGHT * (sample - self.prefill_ms_per_token);
         }
     }
 
-    /// Counts a request out that stayed for `stay`.
+    /// Removes a request that was counted for `duration`.
     #[allow(clippy::cast_precision_loss, reason = "some seconds")]
-    pub fn leave(&mut self, part: &CountedRequest, stay: Millis) {
+    pub fn remove(&mut self, request: &CountedRequest, duration: Millis) {
         self.running = self.running.saturating_sub(1);
-        if let Some(count) = self.by_adapter.get_mut(&part.adapter) {
+        if let Some(count) = self.by_adapter.get_mut(&request.adapter) {
             *count -= 1;
             if *count == 0 {
-                self.by_adapter.remove(&part.adapter);
+                self.by_adapter.remove(&request.adapter);
             }
         }
-        self.stay += STAY_WEIGHT * (stay.0 as f64 - self.stay);
+        self.mean_duration_ms += DURATION_WEIGHT * (duration.0 as f64 - self.mean_duration_ms);
     }
 
-    /// Takes in that a request leaves whose prompt was never read.
-    pub fn forget_unread(&mut self, part: &CountedRequest) {
-        self.unread = self.unread.saturating_sub(u64::from(part.tokens));
+    /// Records that the pending prefill of a request won't take place.
+    pub fn cancel_prefill(&mut self, request: &CountedRequest) {
+        self.pending_tokens = self
+            .pending_tokens
+            .saturating_sub(u64::from(request.prompt_tokens));
     }
 
-    /// Requests at the engine.
+    /// Returns the number of requests at the engine.
     #[must_use]
     pub fn running(&self) -> u32 {
         self.running
     }
 
-    /// Requests that use an adapter.
+    /// Returns the number of requests that use an adapter.
     #[must_use]
-    pub fn running_of(&self, adapter: &str) -> u32 {
+    pub fn running_with(&self, adapter: &str) -> u32 {
         self.by_adapter.get(adapter).copied().unwrap_or_default()
     }
 
-    /// Returns when the engine is expected to begin one more request's prompt.
+    /// Returns the expected time until the engine starts the prefill of one more request.
     ///
-    /// The request has a place once all but `slots - 1` of those before it have ended; `slots`
-    /// requests end in the time that one stays. Then the prompts before it are read.
+    /// The request gets a slot once all but `slots - 1` of the requests before it have ended, and
+    /// `slots` requests end in the mean duration of one. Then the prompts before it are prefilled.
     #[must_use]
     #[allow(
         clippy::cast_possible_truncation,
@@ -129,70 +137,70 @@
         clippy::cast_sign_loss,
         reason = "some seconds"
     )]
-    pub fn wait(&self, slots: u32) -> Millis {
+    pub fn expected_wait(&self, slots: u32) -> Millis {
         let slots = slots.max(1);
         let before = (self.running + 1).saturating_sub(slots);
-        let place = f64::from(before) * self.stay / f64::from(slots);
-        Millis((place + self.unread as f64 * self.read) as u64)
+        let slot_wait_ms = f64::from(before) * self.mean_duration_ms / f64::from(slots);
+        Millis((slot_wait_ms + self.pending_tokens as f64 * self.prefill_ms_per_token) as u64)
     }
 }
 
-/// What a node that wants to send a request learns of an engine.
+/// Load of an engine, as reported to a node that wants to send a request there.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct EngineLoad {
-    /// Requests there, without the one that asks.
+    /// Requests at the engine, without the one to be sent.
     pub running: u32,
-    /// Those of the same adapter.
+    /// Of these, the ones that use the same adapter.
     pub same_adapter: u32,
-    /// Time until the engine is expected to begin to read the prompt of the one that asks.
+    /// Expected time until the engine starts the prefill of the request to be sent.
     pub wait: Millis,
 }
 
-/// The engines that this node counts requests for.
+/// The occupancy of all engines for which this node counts requests.
 #[derive(Debug)]
 pub struct OccupancyTable {
     clock: Arc<dyn Clock>,
     engines: Mutex<HashMap<Name, Occupancy>>,
 }
 
-/// A request's place in the count, until it is dropped.
+/// Keeps a request counted until it is dropped.
 #[derive(Debug)]
 pub struct OccupancyGuard {
     table: Arc<OccupancyTable>,
     engine: Name,
-    part: CountedRequest,
-    since: Millis,
-    /// Tokens to be read until its prompt is; none once that is done.
-    ahead: Option<u64>,
+    request: CountedRequest,
+    started_at: Millis,
+    /// Tokens to prefill up to the end of the request's prompt; none once that is done.
+    backlog: Option<u64>,
 }
 
 impl OccupancyGuard {
-    /// Takes in that the engine has read the request's prompt.
+    /// Records that the engine has prefilled the request's prompt.
     pub fn prefill_done(&mut self) {
-        let Some(ahead) = self.ahead.take() else {
+        let Some(backlog) = self.backlog.take() else {
             return;
         };
-        let took = self.table.clock.now().since(self.since);
+        let took = self.table.clock.now().since(self.started_at);
         if let Some(occupancy) = self.table.engines().get_mut(&self.engine) {
-            occupancy.read(&self.part, ahead, took);
+            occupancy.record_prefill(&self.request, backlog, took);
         }
     }
 }
 
 impl Drop for OccupancyGuard {
     fn drop(&mut self) {
-        let stay = self.table.clock.now().since(self.since);
+        let duration = self.table.clock.now().since(self.started_at);
         if let Some(occupancy) = self.table.engines().get_mut(&self.engine) {
-            if self.ahead.is_some() {
-                occupancy.forget_unread(&self.part);
+            if self.backlog.is_some() {
+                occupancy.cancel_prefill(&self.request);
             }
-            occupancy.leave(&self.part, stay);
+            occupancy.remove(&self.request, duration);
         }
     }
 }
 
 impl OccupancyTable {
-    /// Makes a table in which nothing is counted.
+    /// Creates an empty table.
     #[must_use]
     pub fn new(clock: Arc<dyn Clock>) -> Self {
         Self {
@@ -201,7 +209,7 @@
         }
     }
 
-    /// Returns how much an engine has to do for one more request.
+    /// Returns the load of an engine, as one more request would find it.
     #[must_use]
     pub fn load(&self, engine: &Name, adapter: &str, slots: u32) -> EngineLoad {
         let engines = self.engines();
@@ -214,43 +222,47 @@
         };
         EngineLoad {
             running: occupancy.running(),
-            same_adapter: occupancy.running_of(adapter),
-            wait: occupancy.wait(slots),
+            same_adapter: occupancy.running_with(adapter),
+            wait: occupancy.expected_wait(slots),
         }
     }
 
-    /// Requests at an engine.
+    /// Returns the number of counted requests at an engine.
     #[must_use]
     pub fn running(&self, engine: &str) -> u32 {
         self.engines().get(engine).map_or(0, Occupancy::running)
     }
 
-    /// Whether a request that is counted uses an adapter.
+    /// Whether a counted request uses an adapter.
     #[must_use]
     pub fn uses(&self, engine: &str, adapter: &str) -> bool {
         let engines = self.engines();
         let occupancy = engines.get(engine);
-        occupancy.is_some_and(|occupancy| occupancy.running_of(adapter) > 0)
+        occupancy.is_some_and(|occupancy| occupancy.running_with(adapter) > 0)
     }
 
-    /// Counts a request in.
+    /// Counts a request at an engine until the guard is dropped.
     #[must_use]
-    pub fn enter(self: &Arc<Self>, engine: &Name, part: CountedRequest) -> OccupancyGuard {
-        let ahead = self
+    pub fn start_request(
+        self: &Arc<Self>,
+        engine: &Name,
+        request: CountedRequest,
+    ) -> OccupancyGuard {
+        let backlog = self
             .engines()
             .entry(Name::clone(engine))
             .or_default()
-            .enter(&part);
+            .add(&request);
         OccupancyGuard {
             table: Arc::clone(self),
             engine: Name::clone(engine),
-            part,
-            since: self.clock.now(),
-            ahead: Some(ahead),
+            request,
+            started_at: self.clock.now(),
+            backlog: Some(backlog),
         }
     }
 
-    /// Forgets engines that are gone.
+    /// Removes engines that are gone.
     pub fn retain(&self, is_there: impl Fn(&Name) -> bool) {
         self.engines().retain(|engine, _| is_there(engine));
     }
--- a/lib/tests/test_direct_admission.rs
+++ b/lib/tests/test_direct_admission.rs
@@ -42,10 +42,10 @@
     }
 }
 
-fn part(adapter: &Name, tokens: u32) -> CountedRequest {
+fn counted(adapter: &Name, prompt_tokens: u32) -> CountedRequest {
     CountedRequest {
         adapter: Name::clone(adapter),
-        tokens,
+        prompt_tokens,
     }
 }
 
@@ -53,15 +53,15 @@
 fn occupancy_counts_by_adapter() {
     let mut occupancy = Occupancy::default();
     let (one, two) = (Name::from("base/a1"), Name::from("base/a2"));
-    occupancy.enter(&part(&one, 0));
-    occupancy.enter(&part(&one, 0));
-    occupancy.enter(&part(&two, 0));
+    occupancy.add(&counted(&one, 0));
+    occupancy.add(&counted(&one, 0));
+    occupancy.add(&counted(&two, 0));
     assert_eq!(occupancy.running(), 3);
-    assert_eq!(occupancy.running_of(&one), 2);
-    occupancy.leave(&part(&one, 0), Millis(1_500));
-    occupancy.leave(&part(&two, 0), Millis(1_500));
+    assert_eq!(occupancy.running_with(&one), 2);
+    occupancy.remove(&counted(&one, 0), Millis(1_500));
+    occupancy.remove(&counted(&two, 0), Millis(1_500));
     assert_eq!(occupancy.running(), 1);
-    assert_eq!(occupancy.running_of(&two), 0);
+    assert_eq!(occupancy.running_with(&two), 0);
 }
 
 #[test]
@@ -69,39 +69,39 @@
     let mut occupancy = Occupancy::default();
     let adapter = Name::from(ADAPTER);
     for _ in 0..4 {
-        assert_eq!(occupancy.wait(4), Millis::ZERO);
-        occupancy.enter(&part(&adapter, 0));
+        assert_eq!(occupancy.expected_wait(4), Millis::ZERO);
+        occupancy.add(&counted(&adapter, 0));
     }
     // One of four places is free after a quarter of the time that requests stay.
-    assert_eq!(occupancy.wait(4), Millis(375));
-    occupancy.enter(&part(&adapter, 0));
-    assert_eq!(occupancy.wait(4), Millis(750));
-    assert_eq!(occupancy.wait(0), Millis(7_500));
+    assert_eq!(occupancy.expected_wait(4), Millis(375));
+    occupancy.add(&counted(&adapter, 0));
+    assert_eq!(occupancy.expected_wait(4), Millis(750));
+    assert_eq!(occupancy.expected_wait(0), Millis(7_500));
 }
 
 /// Prompts that are still unread count as waiting time, though places are free.
 #[test]
 fn occupancy_wait_counts_unread_prompts() {
     let mut occupancy = Occupancy::default();
-    let request = part(&ADAPTER.into(), 1_500);
-    let ahead: Vec<u64> = (0..6).map(|_| occupancy.enter(&request)).collect();
-    assert_eq!(occupancy.wait(12), Millis(360));
+    let request = counted(&ADAPTER.into(), 1_500);
+    let ahead: Vec<u64> = (0..6).map(|_| occupancy.add(&request)).collect();
+    assert_eq!(occupancy.expected_wait(12), Millis(360));
     // They are read in half of the time that was assumed, and the owner learns it.
     for (number, ahead) in ahead.iter().enumerate() {
         let took = Millis(30 * (number as u64 + 1));
-        occupancy.read(&request, *ahead, took);
-        occupancy.leave(&request, Millis(1_500));
+        occupancy.record_prefill(&request, *ahead, took);
+        occupancy.remove(&request, Millis(1_500));
     }
-    assert_eq!(occupancy.wait(12), Millis::ZERO);
+    assert_eq!(occupancy.expected_wait(12), Millis::ZERO);
     for _ in 0..6 {
-        occupancy.enter(&request);
+        occupancy.add(&request);
     }
-    assert!(occupancy.wait(12) < Millis(330));
+    assert!(occupancy.expected_wait(12) < Millis(330));
     for _ in 0..6 {
-        occupancy.forget_unread(&request);
-        occupancy.leave(&request, Millis(100));
+        occupancy.cancel_prefill(&request);
+        occupancy.remove(&request, Millis(100));
     }
-    assert_eq!(occupancy.wait(12), Millis::ZERO);
+    assert_eq!(occupancy.expected_wait(12), Millis::ZERO);
 }
 
 #[test]
@@ -109,7 +109,7 @@
     let clock: Arc<dyn Clock> = Arc::new(Manual::default());
     let table = Arc::new(OccupancyTable::new(clock));
     let (engine, adapter) = (Name::from("i-1"), Name::from(ADAPTER));
-    let place = table.enter(&engine, part(&adapter, 0));
+    let place = table.start_request(&engine, counted(&adapter, 0));
     assert!(table.uses("i-1", ADAPTER));
     assert_eq!(table.load(&engine, ADAPTER, 4).running, 1);
     drop(place);
@@ -122,7 +122,7 @@
 fn place_outlives_its_engine() {
     let clock: Arc<dyn Clock> = Arc::new(Manual::default());
     let table = Arc::new(OccupancyTable::new(clock));
-    let place = table.enter(&"i-1".into(), part(&ADAPTER.into(), 0));
+    let place = table.start_request(&"i-1".into(), counted(&ADAPTER.into(), 0));
     table.retain(|_| false);
     assert_eq!(table.running("i-1"), 0);
     drop(place);
@@ -565,7 +565,7 @@
                 ends: Millis::MAX,
                 _counted: (
                     chosen.start_request(Some(&adapter), None),
-                    table.enter(&chosen.incarnation, part(&adapter, 0)),
+                    table.start_request(&chosen.incarnation, counted(&adapter, 0)),
                 ),
             };
             let at = usize::from(chosen.address.port() - 9);
