--- a/lib/src/direct/roles.rs
+++ b/lib/src/direct/roles.rs
@@ -1,11 +1,11 @@
-//! Which engines of a pool read prompts, and which write answers.
+//! Prefill and decode roles of the engines of a pool.
 //!
-//! An engine reads prompts in pieces between the steps that write tokens for all of its
-//! batch. Where an event holds several tokens, a few long prompts that arrive together
-//! stretch the pause before the next event of every stream there beyond what callers bear.
-//! Reading on some engines and writing on others keeps the two apart: a stream begins
-//! where its prompt is read and its memory moves, behind the first event, to an engine
-//! that reads little. See docs/decisions/reading-apart.md.
+//! An engine prefills prompts in chunks between the decode steps of its whole batch. Where an event
+//! holds several tokens, a few long prompts that arrive together stretch the pause before the next
+//! event of every stream at that engine beyond what callers tolerate. Prefilling on some engines
+//! and decoding on others separates the two: a stream starts where its prompt is prefilled, and
+//! after its first event its KV cache moves to an engine with little prefill.
+//! See docs/decisions/reading-apart.md.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -14,33 +14,33 @@
 
 use crate::clock::Millis;
 
-/// Seed of the order in which engines become readers. All nodes must have the same.
+/// Seed of the order in which engines become prefill engines. All nodes must use the same.
 const ORDER_SEED: u64 = 0x7265_6164_6572;
 
-/// Prompt tokens for each token of the longest answer from which on a request mostly reads.
+/// Prompt tokens per token of the longest possible answer above which a request is prefill-heavy.
 ///
-/// A step of a few milliseconds writes one token for each of some twenty requests, and in the
-/// same time an engine reads 120 to 200 tokens: about eight for each token written.
-const MOSTLY_READS: u32 = 8;
+/// A decode step of a few milliseconds generates one token for each of some twenty requests. In the
+/// same time an engine prefills 120 to 200 tokens, or about eight per generated token.
+const PREFILL_HEAVY_RATIO: u32 = 8;
 
-/// How a request divides its work between reading its prompt and writing its answer.
+/// Whether a request takes more of its time for prefill or for decode.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Workload {
-    /// It reads much and writes little: nothing is gained by moving it.
+    /// The prompt is long and the answer short: nothing is gained by moving the request.
     PrefillHeavy,
-    /// Its answer is what takes time, or nothing is known.
+    /// The answer takes most of the time, or nothing is known.
     DecodeHeavy,
 }
 
 impl Workload {
-    /// Judges a request by its tokens: those of the prompt, and the most of its answer.
+    /// Classifies a request by the tokens of its prompt and the maximum tokens of its answer.
     ///
-    /// A request that tells no tokens, or none of an answer, counts as one that writes.
+    /// A request without these numbers, or with no limit on its answer, counts as decode-heavy.
     #[must_use]
     pub fn of(tokens: Option<(u32, u32)>) -> Self {
         match tokens {
             Some((prompt, answer))
-                if answer > 0 && prompt > answer.saturating_mul(MOSTLY_READS) =>
+                if answer > 0 && prompt > answer.saturating_mul(PREFILL_HEAVY_RATIO) =>
             {
                 Self::PrefillHeavy
             }
@@ -49,15 +49,16 @@
     }
 }
 
-/// Whether a run may go on at another engine, by the versions of its adapter.
+/// Whether a run may move to another engine, given the versions of its adapter.
 ///
-/// `sent` is the version that its engine was expected to have, `held` what the other engine is
-/// believed to hold, `newest` the newest that was named. An adapter that was loaded as whatever
-/// is the newest has the number 0; where none was named there is one version only.
+/// `sent` is the version that its engine was expected to hold, `held` the version that the other
+/// engine is believed to hold, and `newest` the newest declared version. An adapter that was loaded
+/// without a version has the number 0. If no version was declared, there is only one.
 ///
-/// Going on elsewhere counts as beginning there. A run on an older version that was begun in
-/// time would be begun again on it long after, 9.5 s late where five are allowed. Such a
-/// run stays where it is, and no run moves to an engine that may hold an older version.
+/// Continuing at another engine counts as starting there. A run that was started in time on an
+/// older version would be started again on that version long after it was replaced: 9.5 s
+/// after, where five are allowed. Such a run stays where it is, and no run moves to an engine that
+/// may hold an older version.
 #[must_use]
 pub fn may_move(sent: Option<u64>, held: u64, newest: Option<u64>) -> bool {
     let Some(newest) = newest else {
@@ -66,21 +67,22 @@
     held >= newest && sent.is_some_and(|sent| sent >= newest)
 }
 
-/// The engines of a pool that read prompts for the others.
+/// The prefill engines of a pool.
 ///
-/// All nodes derive them from the list of engines alone, so that they agree without a word;
-/// where their lists or counts differ for a moment, an engine does both.
+/// All nodes derive them from the list of engines alone, so that they agree without communication.
+/// While their lists or counts differ for a moment, an engine does both prefill and decode.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Roles {
-    /// In order of address; empty where each engine does both.
-    readers: Vec<SocketAddr>,
+    /// Sorted by address; empty if each engine does both.
+    prefill_engines: Vec<SocketAddr>,
 }
 
 impl Roles {
-    /// Makes the first `readers` of some engines readers, in an order that all nodes share.
+    /// Assigns the prefill role to `prefill_count` of the engines, the first in an order that is the
+    /// same at all nodes.
     #[must_use]
-    pub fn split(engines: impl IntoIterator<Item = SocketAddr>, readers: usize) -> Self {
-        if readers == 0 {
+    pub fn split(engines: impl IntoIterator<Item = SocketAddr>, prefill_count: usize) -> Self {
+        if prefill_count == 0 {
             return Self::default();
         }
         let mut ranked: Vec<(u64, SocketAddr)> = engines
@@ -88,109 +90,117 @@
             .map(|address| (rank(address), address))
             .collect();
         ranked.sort_unstable();
-        ranked.truncate(readers);
-        let mut readers: Vec<SocketAddr> = ranked.into_iter().map(|(_, address)| address).collect();
-        readers.sort_unstable();
-        Self { readers }
+        ranked.truncate(prefill_count);
+        let mut prefill_engines: Vec<SocketAddr> =
+            ranked.into_iter().map(|(_, address)| address).collect();
+        prefill_engines.sort_unstable();
+        Self { prefill_engines }
     }
 
-    /// Whether some engines only read.
+    /// Whether some engines only prefill.
     #[must_use]
     pub fn is_disaggregated(&self) -> bool {
-        !self.readers.is_empty()
+        !self.prefill_engines.is_empty()
     }
 
-    /// Whether an engine reads for others.
+    /// Whether an engine prefills for others.
     #[must_use]
     pub fn is_prefill(&self, engine: SocketAddr) -> bool {
-        self.readers.binary_search(&engine).is_ok()
+        self.prefill_engines.binary_search(&engine).is_ok()
     }
 }
 
-/// The hash is of the address: a restart of the engine keeps its place.
+/// Hashes the address, so that an engine keeps its rank over a restart.
 fn rank(address: SocketAddr) -> u64 {
     xxh3_64_with_seed(address.to_string().as_bytes(), ORDER_SEED)
 }
 
-/// Streams that count in the share of those late by a pause: some ten seconds of a node's.
-const STREAMS: f64 = 200.0;
+/// Number of recent streams that the fraction of streams with a long pause covers: about ten seconds
+/// of a node's traffic.
+const STREAM_WINDOW: f64 = 200.0;
 
-/// Streams before which the share says nothing.
+/// Number of streams below which the fraction isn't significant.
 ///
-/// A node that starts beside engines that are busy sees as many within a second or two; waiting
-/// for thirty made streams late in the seconds after all nodes had ended at once.
-const FEWEST: f64 = 8.0;
+/// A node that starts while the engines are busy sees this many within a second or two. Waiting for
+/// thirty made streams late in the first seconds after all nodes had restarted at once.
+const MIN_STREAMS: f64 = 8.0;
 
-/// The most that one engine counts for, in parts of an even share of all streams.
+/// Maximum contribution of one engine, as a fraction of its even share of all streams.
 ///
-/// An engine that has turned slow makes all its streams late, also where nothing is read. A
-/// quarter of the engines can be slow before they look like reading, which delays everywhere.
-const ONE_ENGINE: f64 = 0.2;
+/// An engine that has become slow delays all of its streams even without any prefill. With this
+/// limit, a quarter of the engines can be slow before that is mistaken for the effect of prefill,
+/// which delays streams at all engines.
+const MAX_ENGINE_CONTRIBUTION: f64 = 0.2;
 
-/// Share of streams late by a pause from which on reading is kept apart.
+/// Fraction of streams with a long pause above which prefill is disaggregated.
 ///
-/// A moved stream costs a transfer and its adapter a second place; below one late stream in
-/// twenty this gains callers less than the places cost them.
-const SPLIT_AT: f64 = 0.05;
+/// Moving a stream costs a transfer, and its adapter needs a second slot. With fewer than one late
+/// stream in twenty, callers gain less than those slots cost them.
+const DISAGGREGATE_ABOVE: f64 = 0.05;
 
-/// Share below which each engine does both again.
-const WHOLE_AT: f64 = 0.005;
+/// Fraction of streams with a long pause below which each engine does both again.
+const AGGREGATE_BELOW: f64 = 0.005;
 
-/// Weight of one reading in the wait at readers.
+/// Weight of one request in the moving average of the wait at prefill engines.
 const WAIT_WEIGHT: f64 = 0.05;
 
-/// Part of the objective that reading takes at readers, from which on there are too few of them.
-const WAIT_LONG: f64 = 0.5;
+/// Mean wait at prefill engines, as a fraction of the objective, above which there are too few.
+const MAX_WAIT_FRACTION: f64 = 0.5;
 
-/// Part of the objective below which there are too many.
-const WAIT_SHORT: f64 = 0.12;
+/// Mean wait at prefill engines, as a fraction of the objective, below which there are too many.
+const MIN_WAIT_FRACTION: f64 = 0.12;
 
-/// Part of the engines that read at first.
+/// Fraction of the engines that prefill at first.
 ///
-/// Long and short requests together keep a quarter to a third of an engine's time busy with
-/// reading where pauses are too long at all; readers do nothing else.
-const FIRST_SHARE: f64 = 1.0 / 3.0;
+/// Where pauses are too long at all, long and short requests together make engines spend a quarter
+/// to a third of their time on prefill, and prefill engines do nothing else.
+const INITIAL_FRACTION: f64 = 1.0 / 3.0;
 
-/// The least and the largest part of the engines that read.
-const SHARES: (f64, f64) = (1.0 / 6.0, 0.5);
+/// Smallest and largest fraction of the engines that prefill.
+const FRACTION_RANGE: (f64, f64) = (1.0 / 6.0, 0.5);
 
-/// Pause between changes of the number of readers: adapters have to follow them.
-const PACE: Millis = Millis(2_000);
+/// Minimum interval between changes of the number of prefill engines, which adapters have to
+/// follow.
+const CHANGE_INTERVAL: Millis = Millis(2_000);
 
-/// Engines of a pool by which one change moves the number of readers, as a divisor.
-const STEP: f64 = 12.0;
+/// Divisor of the number of engines that gives by how many the prefill engines change at a time.
+const STEP_DIVISOR: f64 = 12.0;
 
-/// What this node has seen of streams in one pool, and how many engines it has read apart.
+/// Decides how many engines of a pool prefill, from the streams that this node has observed.
 #[derive(Debug)]
 pub struct PrefillScaler {
-    seen: f64,
+    /// Streams observed, older ones decayed.
+    streams: f64,
+    /// Streams with a long pause by engine, older ones decayed.
     late: HashMap<SocketAddr, f64>,
-    split: bool,
-    wait: f64,
-    share: f64,
-    changed: Millis,
+    is_disaggregated: bool,
+    /// Mean wait for the first event at prefill engines, as a fraction of the objective.
+    mean_wait: f64,
+    /// Fraction of the engines that prefill.
+    fraction: f64,
+    changed_at: Millis,
 }
 
 impl Default for PrefillScaler {
     fn default() -> Self {
         Self {
-            seen: 0.0,
+            streams: 0.0,
             late: HashMap::new(),
-            split: false,
-            wait: f64::midpoint(WAIT_LONG, WAIT_SHORT),
-            share: FIRST_SHARE,
-            changed: Millis::ZERO,
+            is_disaggregated: false,
+            mean_wait: f64::midpoint(MAX_WAIT_FRACTION, MIN_WAIT_FRACTION),
+            fraction: INITIAL_FRACTION,
+            changed_at: Millis::ZERO,
         }
     }
 }
 
 impl PrefillScaler {
-    /// Takes in whether a stream that stayed where it was read had a pause that was too long.
+    /// Records a stream that wasn't moved, and whether it was late by a long pause.
     ///
-    /// Streams that stayed at a reader say nothing: what is read there is meant to be read there.
+    /// Streams that stay at a prefill engine must not be recorded: prefill is expected there.
     pub fn record_stream(&mut self, engine: SocketAddr, late: bool) {
-        let kept = 1.0 - 1.0 / STREAMS;
-        self.seen = self.seen * kept + 1.0;
+        let kept = 1.0 - 1.0 / STREAM_WINDOW;
+        self.streams = self.streams * kept + 1.0;
         for sum in self.late.values_mut() {
             *sum *= kept;
         }
@@ -200,63 +210,65 @@
         self.late.retain(|_, sum| *sum > 0.01);
     }
 
-    /// Returns the share of streams that were late by a pause, with slow engines bounded.
+    /// Returns the fraction of streams with a long pause, with a limit on the contribution of each
+    /// engine.
     #[allow(clippy::cast_precision_loss, reason = "some hundred engines")]
-    fn late_share(&self, engines: usize) -> f64 {
-        let most = ONE_ENGINE * self.seen / engines as f64;
+    fn late_fraction(&self, engines: usize) -> f64 {
+        let most = MAX_ENGINE_CONTRIBUTION * self.streams / engines as f64;
         let late: f64 = self.late.values().map(|late| late.min(most)).sum();
-        late / self.seen.max(1.0)
+        late / self.streams.max(1.0)
     }
 
-    fn judge(&mut self, engines: usize) {
-        if self.seen < FEWEST {
+    fn update_mode(&mut self, engines: usize) {
+        if self.streams < MIN_STREAMS {
             return;
         }
-        let late = self.late_share(engines);
-        if late > SPLIT_AT {
-            self.split = true;
-        } else if late < WHOLE_AT {
-            self.split = false;
+        let late_fraction = self.late_fraction(engines);
+        if late_fraction > DISAGGREGATE_ABOVE {
+            self.is_disaggregated = true;
+        } else if late_fraction < AGGREGATE_BELOW {
+            self.is_disaggregated = false;
         }
     }
 
-    /// Takes in what part of its objective a request waited at a reader for its first event.
-    pub fn record_prefill_wait(&mut self, part: f64) {
-        self.wait += WAIT_WEIGHT * (part - self.wait);
+    /// Records a request's wait for its first event at a prefill engine, as a fraction of its
+    /// objective.
+    pub fn record_prefill_wait(&mut self, fraction: f64) {
+        self.mean_wait += WAIT_WEIGHT * (fraction - self.mean_wait);
     }
 
-    /// Returns how many of some engines read for the others; none if each does both.
+    /// Returns how many of `engines` engines prefill for the others; 0 if each does both.
     #[allow(
         clippy::cast_possible_truncation,
         clippy::cast_precision_loss,
         clippy::cast_sign_loss,
-        reason = "a part of some hundred engines"
+        reason = "a fraction of some hundred engines"
     )]
     pub fn prefill_count(&mut self, engines: usize, now: Millis) -> usize {
         if engines < 2 {
             return 0;
         }
-        self.judge(engines);
-        if !self.split {
+        self.update_mode(engines);
+        if !self.is_disaggregated {
             return 0;
         }
-        if now.since(self.changed) >= PACE {
-            self.adjust(now);
+        if now.since(self.changed_at) >= CHANGE_INTERVAL {
+            self.adjust_fraction(now);
         }
-        let readers = (self.share * engines as f64).round() as usize;
-        readers.clamp(1, engines - 1)
+        let prefill_count = (self.fraction * engines as f64).round() as usize;
+        prefill_count.clamp(1, engines - 1)
     }
 
-    fn adjust(&mut self, now: Millis) {
-        let step = 1.0 / STEP;
-        if self.wait > WAIT_LONG {
-            self.share += step;
-        } else if self.wait < WAIT_SHORT {
-            self.share -= step;
+    fn adjust_fraction(&mut self, now: Millis) {
+        let step = 1.0 / STEP_DIVISOR;
+        if self.mean_wait > MAX_WAIT_FRACTION {
+            self.fraction += step;
+        } else if self.mean_wait < MIN_WAIT_FRACTION {
+            self.fraction -= step;
         } else {
             return;
         }
-        self.share = self.share.clamp(SHARES.0, SHARES.1);
-        self.changed = now;
+        self.fraction = self.fraction.clamp(FRACTION_RANGE.0, FRACTION_RANGE.1);
+        self.changed_at = now;
     }
 }
