--- a/lib/src/direct/acquire.rs
+++ b/lib/src/direct/acquire.rs
@@ -40,7 +40,7 @@
             max_running: 0,
             loaded: false,
             tokens: self.message.call.tokens.map_or(0, |(prompt, _)| prompt),
-            max_wait: admission_policy::calm_wait(self.route.objective),
+            max_wait: admission_policy::light_load_wait(self.route.objective),
         }
     }
 
@@ -88,7 +88,7 @@
             }
             self.copy(field, adapter, wanted, &upstream);
             let question = AdmitQuery {
-                max_running: admission_policy::calm_limit(upstream.slots),
+                max_running: admission_policy::light_load_limit(upstream.slots),
                 ..self.admit_query(Some(adapter), wanted)
             };
             match self.gate.controllers.admit(&upstream, question).await {
@@ -120,16 +120,16 @@
             return Asked::Load(None);
         };
         let reads = field.is_prefill(upstream);
-        if admission_policy::is_crowded(*load, upstream.slots, reads) {
+        if admission_policy::needs_replica(*load, upstream.slots, reads) {
             self.spread(field, adapter, wanted, reads);
         }
         let now = self.now();
         let (passed, left) = (now.since(self.began), self.until.since(now));
-        let late = admission_policy::come_back(load.wait, self.route.objective, passed, left);
+        let late = admission_policy::retry_after(load.wait, self.route.objective, passed, left);
         if let (Some(back), true) = (late, self.sent == 0) {
             return Asked::TooLate(back);
         }
-        if admission_policy::is_worth_load(load.wait) {
+        if admission_policy::is_load_faster(load.wait) {
             return Asked::Load(Some(Self::at(Arc::clone(upstream), adapter)));
         }
         let question = self.admit_query(Some(adapter), wanted);
@@ -191,7 +191,7 @@
                 && upstream.is_ready()
                 && !upstream.is_suspended(now)
                 && !self.tried.contains(&upstream.incarnation)
-                && upstream.total_running() < admission_policy::calm_limit(upstream.slots)
+                && upstream.total_running() < admission_policy::light_load_limit(upstream.slots)
         })
     }
 
@@ -225,12 +225,14 @@
         let objective = self.route.objective;
         if only_calm {
             let calm = homes.iter().zip(&loads).filter(|(upstream, load)| {
-                load.is_some_and(|load| admission_policy::is_calm(load, upstream.slots, objective))
+                load.is_some_and(|load| {
+                    admission_policy::is_lightly_loaded(load, upstream.slots, objective)
+                })
             });
             return calm.map(|(upstream, _)| Arc::clone(upstream)).collect();
         }
         if let [Some(one), Some(other)] = loads[..]
-            && admission_policy::is_better_home(one, other, objective)
+            && admission_policy::prefers_second_engine(one, other, objective)
         {
             homes.swap(0, 1);
         }
--- a/lib/src/direct/admission_policy.rs
+++ b/lib/src/direct/admission_policy.rs
@@ -1,106 +1,117 @@
-//! Which engine takes a request, by what the engines' owners tell of them.
+//! Thresholds for choosing an engine by the load that its owner reports.
 //!
-//! The load: streams of one to two seconds, a few adapters that need dozens of engines each and
-//! thousands that need a small part of one, sent by hundreds of nodes that see a few requests a
-//! second each. docs/design/0008-admission-by-owners.md weighs the ways.
+//! The expected traffic is streams of one to two seconds, for a few adapters that need dozens of
+//! engines each and for thousands that need a small part of one engine. Hundreds of nodes send it,
+//! each of which sees a few requests per second. docs/design/0008-admission-by-owners.md compares
+//! the alternatives.
 
 use super::occupancy::EngineLoad;
 use crate::clock::Millis;
 
-/// Engines that are asked for a place, before the least busy of them takes the request.
+/// Maximum number of engines queried for admission before the least busy of them is chosen.
 ///
-/// A question takes three to six milliseconds. The second choice avoids most queues; a third
-/// one helps adapters with many replicas in a burst.
+/// A query takes three to six milliseconds. The second engine avoids most queues; a third one
+/// helps adapters with many replicas in a burst.
 pub const MAX_ADMISSION_QUERIES: usize = 3;
 
-/// Part of an engine's places up to which it takes a request without a look at others.
+/// Fraction of an engine's slots in use below which the engine counts as lightly loaded.
 ///
-/// At half of its places an engine reads a prompt and writes at about its usual pace; above,
-/// streams that arrive together begin to wait for one another.
-const CALM: f64 = 0.5;
+/// A request is sent to a lightly loaded engine without querying others. With half of its slots in
+/// use, an engine prefills and decodes at about its usual speed; above that, streams that arrive
+/// together start to wait for one another.
+const LIGHT_LOAD_FRACTION: f64 = 0.5;
 
-/// Part of the objective that the prompts before a request's own may take, up to which it is
-/// sent to an engine without a look at others.
+/// Divisor of the latency objective that gives the longest wait at a lightly loaded engine.
 ///
-/// Its own prompt and the way there take as long again; beyond, a second engine is worth the
-/// question.
-const CALM_WAIT: u64 = 4;
+/// The wait is the prefill of the prompts before the request's own. Its own prefill and the
+/// network take as long again; for a longer wait, a second engine is worth a query.
+const LIGHT_WAIT_DIVISOR: u64 = 4;
 
-/// Part of an engine's places that one adapter's requests may take, beyond which another engine
-/// is asked to hold the adapter too.
+/// Fraction of an engine's slots used by one adapter above which another engine should hold the
+/// adapter too.
 ///
-/// A second replica costs a load from the weight store and a place; it pays only for adapters
-/// that fill a good part of a batch by themselves.
-const SPREAD_AT: f64 = 0.3;
+/// Another replica costs a load from the weight store and an adapter slot. It pays only for
+/// adapters that fill a good part of a batch by themselves.
+const REPLICA_THRESHOLD: f64 = 0.3;
 
-/// The same at a prefill engine, where a request stays for a tenth of the time only.
-const READER_SPREAD_AT: f64 = 0.05;
+/// The same at a prefill engine, where a request stays for only a tenth of the time.
+const PREFILL_REPLICA_THRESHOLD: f64 = 0.05;
 
-/// How long a load from the weight store takes with the questions around it.
+/// Time to load an adapter from the weight store, including the queries around it.
 ///
-/// A queue that is expected to last longer is worth a load elsewhere.
-const LOAD: Millis = Millis(350);
+/// If a queue is expected to last longer, loading the adapter at another engine is faster.
+const LOAD_TIME: Millis = Millis(350);
 
-/// Objectives after which callers no longer wait for a first event.
+/// Multiple of the latency objective after which callers no longer wait for the first event.
 ///
-/// Client libraries give a stream up after about four times what was promised.
-const ABANDONED: u64 = 4;
+/// Client libraries give up on a stream after about four times the promised time.
+const ABANDON_FACTOR: u64 = 4;
 
-/// Returns the requests at an engine from which on others are asked before it.
+/// Returns the number of running requests at which an engine is no longer lightly loaded.
 #[must_use]
 #[allow(
     clippy::cast_possible_truncation,
     clippy::cast_sign_loss,
-    reason = "a part of some dozens"
+    reason = "a fraction of some dozens"
 )]
-pub fn calm_limit(slots: u32) -> u32 {
-    ((CALM * f64::from(slots)).ceil() as u32).max(1)
+pub fn light_load_limit(slots: u32) -> u32 {
+    ((LIGHT_LOAD_FRACTION * f64::from(slots)).ceil() as u32).max(1)
 }
 
-/// Returns the wait at an engine from which on others are asked before it.
+/// Returns the longest expected wait at which an engine is still lightly loaded.
 #[must_use]
-pub fn calm_wait(objective: Millis) -> Millis {
-    Millis(objective.0 / CALM_WAIT)
+pub fn light_load_wait(objective: Millis) -> Millis {
+    Millis(objective.0 / LIGHT_WAIT_DIVISOR)
 }
 
-/// Whether another engine should hold the adapter too, seen from one that is no longer calm.
+/// Whether another engine should hold the adapter too, given the load of one that holds it and is
+/// no longer lightly loaded.
 #[must_use]
-pub fn is_crowded(load: EngineLoad, slots: u32, reads: bool) -> bool {
-    let part = if reads { READER_SPREAD_AT } else { SPREAD_AT };
-    f64::from(load.same_adapter) > part * f64::from(slots)
+pub fn needs_replica(load: EngineLoad, slots: u32, is_prefill: bool) -> bool {
+    let threshold = if is_prefill {
+        PREFILL_REPLICA_THRESHOLD
+    } else {
+        REPLICA_THRESHOLD
+    };
+    f64::from(load.same_adapter) > threshold * f64::from(slots)
 }
 
-/// Whether the second engine in an adapter's order is to load it, by what runs at the first ones.
+/// Whether the second engine in an adapter's placement order should load it instead of the first.
 ///
-/// The first one stays the home as long as it would begin the request in time, so that an adapter
-/// that comes back meets the replica that its engine kept: with homes that changed for less,
-/// engines brought a quarter more adapters from the weight store.
+/// The first one is preferred as long as it would start the request in time, so that an adapter
+/// that is requested again finds the copy that its engine has kept. When placement changed more
+/// readily, engines loaded a quarter more adapters from the weight store.
 #[must_use]
-pub fn is_better_home(first: EngineLoad, second: EngineLoad, objective: Millis) -> bool {
+pub fn prefers_second_engine(first: EngineLoad, second: EngineLoad, objective: Millis) -> bool {
     first.wait.0 > objective.0 / 2 && second.wait.0 < first.wait.0 / 2
 }
 
-/// Whether an engine would begin a request without much of a wait.
+/// Whether an engine would start a request almost without a wait.
 #[must_use]
-pub fn is_calm(load: EngineLoad, slots: u32, objective: Millis) -> bool {
-    load.running < calm_limit(slots) && load.wait <= calm_wait(objective)
+pub fn is_lightly_loaded(load: EngineLoad, slots: u32, objective: Millis) -> bool {
+    load.running < light_load_limit(slots) && load.wait <= light_load_wait(objective)
 }
 
-/// Whether a load at another engine gets the request begun sooner than the queue here.
+/// Whether loading the adapter at another engine starts a request sooner than waiting in a queue.
 #[must_use]
-pub fn is_worth_load(wait: Millis) -> bool {
-    wait > LOAD
+pub fn is_load_faster(wait: Millis) -> bool {
+    wait > LOAD_TIME
 }
 
-/// Returns when a caller should come back whose request would begin too late; none if it is
-/// worth waiting for.
+/// Returns the time after which a caller should retry a request that would start too late, or
+/// `None` if the request is worth queueing.
 ///
-/// `passed` is the time since the request arrived, `left` until its deadline. A request in a
-/// queue that outlasts its caller takes the place of one that could be answered.
+/// `passed` is the time since the request arrived, `left` the time until its deadline. A request
+/// whose caller gives up while it is queued takes the slot of one that could be answered.
 #[must_use]
-pub fn come_back(wait: Millis, objective: Millis, passed: Millis, left: Millis) -> Option<Millis> {
-    let patience = Millis(objective.0 * ABANDONED).since(passed);
-    let bound = patience.min(left);
-    // The queue gets shorter by what is rejected; half of it is enough to come back in time.
-    (wait > bound).then_some(Millis(wait.0 / 2))
+pub fn retry_after(
+    wait: Millis,
+    objective: Millis,
+    passed: Millis,
+    left: Millis,
+) -> Option<Millis> {
+    let remaining = Millis(objective.0 * ABANDON_FACTOR).since(passed);
+    let max_wait = remaining.min(left);
+    // Rejected requests shorten the queue, so retrying after half of the wait is soon enough.
+    (wait > max_wait).then_some(Millis(wait.0 / 2))
 }
--- a/lib/src/direct/target.rs
+++ b/lib/src/direct/target.rs
@@ -237,7 +237,7 @@
             asked.push(Name::clone(&upstream.incarnation));
             let question = AdmitQuery {
                 max_running: upstream.slots,
-                max_wait: admission_policy::calm_wait(self.route.objective)
+                max_wait: admission_policy::light_load_wait(self.route.objective)
                     .min(self.time_to_begin(&upstream, adapter)),
                 ..self.admit_query(Some(adapter), 0)
             };
@@ -247,7 +247,8 @@
                 }
                 admit::AdmitDecision::Absent(_) => upstream.remove_adapter(adapter),
                 admit::AdmitDecision::Unknown
-                    if upstream.total_running() < admission_policy::calm_limit(upstream.slots) =>
+                    if upstream.total_running()
+                        < admission_policy::light_load_limit(upstream.slots) =>
                 {
                     return Some(Self::admitted(upstream, adapter, None));
                 }
--- a/lib/tests/test_direct_admission.rs
+++ b/lib/tests/test_direct_admission.rs
@@ -136,9 +136,9 @@
         same_adapter,
         wait: Millis::ZERO,
     };
-    assert!(!admission_policy::is_crowded(load(3), 12, false));
-    assert!(admission_policy::is_crowded(load(4), 12, false));
-    assert!(admission_policy::is_crowded(load(1), 12, true));
+    assert!(!admission_policy::needs_replica(load(3), 12, false));
+    assert!(admission_policy::needs_replica(load(4), 12, false));
+    assert!(admission_policy::needs_replica(load(1), 12, true));
 }
 
 /// An adapter's first engine is left only where it makes the caller wait noticeably longer.
@@ -149,8 +149,9 @@
         same_adapter: 0,
         wait: Millis(wait),
     };
-    let better =
-        |first, second| admission_policy::is_better_home(load(first), load(second), Millis(600));
+    let better = |first, second| {
+        admission_policy::prefers_second_engine(load(first), load(second), Millis(600))
+    };
     assert!(!better(300, 0));
     assert!(!better(400, 250));
     assert!(better(400, 100));
@@ -164,7 +165,7 @@
             same_adapter: 0,
             wait: Millis(wait),
         };
-        admission_policy::is_calm(load, 12, Millis(600))
+        admission_policy::is_lightly_loaded(load, 12, Millis(600))
     };
     assert!(calm(5, 150));
     assert!(!calm(6, 0));
@@ -175,7 +176,7 @@
 fn come_back_only_where_the_caller_would_have_gone() {
     let (objective, left) = (Millis(600), Millis(12_000));
     let back =
-        |wait, passed, left| admission_policy::come_back(Millis(wait), objective, passed, left);
+        |wait, passed, left| admission_policy::retry_after(Millis(wait), objective, passed, left);
     assert_eq!(back(2_000, Millis::ZERO, left), None);
     assert_eq!(back(2_500, Millis::ZERO, left), Some(Millis(1_250)));
     assert_eq!(back(2_000, Millis(500), left), Some(Millis(1_000)));
@@ -589,7 +590,7 @@
         let upstream = field.least_loaded(fresh).unwrap();
         let load = table.load(&upstream.incarnation, ADAPTER, upstream.slots);
         upstream.record_remote_load(load.running - upstream.running(), field.now);
-        if load.running < admission_policy::calm_limit(upstream.slots) {
+        if load.running < admission_policy::light_load_limit(upstream.slots) {
             return upstream;
         }
         asked.push((load.wait, load.running, upstream));
