--- a/lib/src/direct/selection.rs
+++ b/lib/src/direct/selection.rs
@@ -1,4 +1,4 @@
-//! Which upstream takes a request.
+//! Selects the upstream for a request.
 
 use std::cmp::Reverse;
 use std::sync::Arc;
@@ -10,67 +10,69 @@
 use crate::clock::Millis;
 use crate::name::Name;
 
-/// Seed of the placement of adapters. Changing it moves every adapter, so it stays.
+/// Seed of the placement order of adapters. Changing it would move every adapter.
 const PLACEMENT_SEED: u64 = 0x6469_7265_6374;
 
-/// What an upstream in another failure domain costs, in requests at the upstream.
+/// Cost of an upstream in another failure domain, as a fraction of the upstream's slots.
 ///
-/// Bytes between failure domains are dear; a request or two more in a batch of
-/// dozens cost less than carrying an answer across.
-const REMOTE: f64 = 0.08;
+/// Traffic between failure domains is expensive: one or two more requests in a batch of dozens
+/// cost less than transferring an answer across.
+const REMOTE_DOMAIN_COST: f64 = 0.08;
 
-/// What an upstream costs that is missing from the list and may have left, in places' shares.
+/// Cost of an upstream that is missing from the list and may have left, as a fraction of its slots.
 ///
-/// Where most are listed they have room for what the missing ones would get. Where all lapsed
-/// with the service it is the same for all; the few that are back first must not get everything.
-const DOUBTED: f64 = 0.5;
+/// If most upstreams are listed, they have room for the requests of the missing ones. If the entries
+/// of all expired in an outage of the key-value service, the cost is the same for all; the few that
+/// are listed again first must not get all requests.
+const MISSING_COST: f64 = 0.5;
 
-/// What the decision between upstreams that are alike weighs, in places' shares.
-const TIE: f64 = 0.03;
+/// Largest cost that decides between otherwise equal upstreams, as a fraction of their slots.
+const TIE_BREAK_COST: f64 = 0.03;
 
-/// How far choices scatter between upstreams of which nothing is known, in places' shares.
+/// Range of the random cost of upstreams whose load is unknown, as a fraction of their slots.
 ///
-/// More than what separates an upstream nearby from a distant one, so that requests of many
-/// nodes spread; less than the difference between an idle and a full one.
-const SCATTER: f64 = 0.5;
+/// It exceeds the cost of another failure domain, so that the requests of many nodes spread, and
+/// is less than the difference between an idle and a full upstream.
+const UNKNOWN_LOAD_SPREAD: f64 = 0.5;
 
-/// What a mean pause as long as callers bear costs, in parts of an upstream's places.
+/// Cost of a mean pause between events as long as callers tolerate, as a fraction of an upstream's
+/// slots.
 ///
-/// Counts of requests are up to a second old and say nothing of an upstream that has turned
-/// slow. The pauses of this node's own streams are what callers get there: with them late streams
-/// fell from 1,570 to 1,450 a day, with three times the weight they rose to 1,650, since all of
-/// a node's streams then follow the last pause that it saw.
-const PAUSES: f64 = 0.5;
-
-/// Upstreams of an adapter's order that are looked at for one load: five times as many as are
-/// asked.
+/// Request counts are up to a second old and don't show that an upstream has become slow. The
+/// pauses in this node's own streams show what callers get. Including them reduced late streams
+/// from 1,570 to 1,450 per day; three times this weight raised them to 1,650, since all streams of a
+/// node then follow the last pause that it observed.
+const PAUSE_COST: f64 = 0.5;
+
+/// Maximum number of upstreams considered for loading an adapter: five times as many as are asked
+/// to load it.
 pub const MAX_PLACEMENT_CANDIDATES: usize = 64;
 
-/// Where a request may go.
+/// Chooses among the upstreams of a pool for one request.
 #[derive(Debug)]
 pub struct Selector<'a> {
     /// All upstreams of the pool.
     pub upstreams: &'a [Arc<Upstream>],
-    /// Upstreams that this request was sent to before.
+    /// Incarnations of upstreams to which this request was sent before.
     pub tried: &'a [Name],
     /// This node's failure domain.
-    pub home: &'a str,
-    /// The time.
+    pub local_domain: &'a str,
+    /// The current time.
     pub now: Millis,
-    /// Decides between upstreams that are alike, the same for requests that share a prompt.
-    pub salt: u64,
-    /// The longest pause between events that callers bear, if the answer is a stream.
-    pub pause: Option<Millis>,
-    /// Which of the upstreams read prompts for the others.
+    /// Breaks ties between equal upstreams; the same for requests that share a prompt.
+    pub affinity_seed: u64,
+    /// The longest pause between events that callers tolerate, if the answer is a stream.
+    pub max_event_gap: Option<Millis>,
+    /// Which of the upstreams prefill for the others.
     pub roles: &'a Roles,
-    /// A number of this request's own, which decides between upstreams of which nothing is known.
-    pub id: u64,
-    /// What part of an upstream's places other nodes use, where nothing newer is known of it;
-    /// none where nobody counts their requests.
-    pub usual: Option<f64>,
+    /// Hash that is unique to this request; decides between upstreams whose load is unknown.
+    pub request_hash: u64,
+    /// Utilization of an upstream by other nodes to assume if no recent value is known; `None` if
+    /// nobody counts the requests of other nodes.
+    pub remote_prior: Option<f64>,
 }
 
-/// Returns what part of their places other nodes use at the mean of some upstreams.
+/// Returns the mean utilization of the upstreams by other nodes, as a fraction of their slots.
 #[must_use]
 #[allow(clippy::cast_precision_loss, reason = "some hundred upstreams")]
 pub fn mean_remote_utilization(upstreams: &[Arc<Upstream>]) -> f64 {
@@ -82,9 +84,9 @@
 }
 
 impl Selector<'_> {
-    /// Returns the least loaded of the upstreams that fit and take new work.
+    /// Returns the least loaded upstream that takes new requests and for which `fits` holds.
     ///
-    /// One that failed lately, or was tried before, is taken only if no other fits.
+    /// One that failed recently or was tried before is returned only if there is no other.
     pub fn least_loaded(&self, fits: impl Fn(&Upstream) -> bool) -> Option<Arc<Upstream>> {
         self.upstreams
             .iter()
@@ -94,79 +96,80 @@
             .map(|(_, upstream)| Arc::clone(upstream))
     }
 
-    /// Returns the upstream at which a request begins, among those that fit.
+    /// Returns the upstream at which a request starts, among those for which `fits` holds.
     ///
-    /// It begins at a reader if it reads most of the time, or if it can move to a writer
-    /// behind its first event. Else its answer is written where its prompt is read, better at
-    /// a writer: streams that stayed at a reader were late by a pause in 62 to 85 of 100
-    /// cases, those at a writer in 2 to 12.
+    /// The request starts at a prefill engine if it is prefill-heavy, or if it can move to a decode
+    /// engine after its first event. Otherwise it is decoded where it is prefilled, preferably at a
+    /// decode engine: 62 to 85 of 100 streams that stayed at a prefill engine were late by a long
+    /// pause, against 2 to 12 of 100 at a decode engine.
     pub fn select(
         &self,
-        manner: Workload,
+        workload: Workload,
         fits: impl Fn(&Upstream) -> bool,
     ) -> Option<Arc<Upstream>> {
-        let [reader, writer] = self.least_of_each(fits);
-        let sound = |found: &Option<Arc<Upstream>>| {
-            found.as_ref().is_some_and(|found| !self.avoided(found))
+        let [prefill, decode] = self.least_loaded_by_role(fits);
+        let is_usable = |found: &Option<Arc<Upstream>>| {
+            found.as_ref().is_some_and(|found| !self.is_avoided(found))
         };
-        let reads = match manner {
-            Workload::PrefillHeavy => sound(&reader),
-            Workload::DecodeHeavy => sound(&reader) && sound(&writer),
+        let starts_at_prefill = match workload {
+            Workload::PrefillHeavy => is_usable(&prefill),
+            Workload::DecodeHeavy => is_usable(&prefill) && is_usable(&decode),
         };
-        if reads {
-            return reader;
+        if starts_at_prefill {
+            return prefill;
         }
-        if sound(&writer) || reader.is_none() {
-            return writer;
+        if is_usable(&decode) || prefill.is_none() {
+            return decode;
         }
-        reader
+        prefill
     }
 
-    /// Returns the least loaded reader and the least loaded writer, as [`Self::least_loaded`] chooses.
+    /// Returns the least loaded prefill engine and the least loaded decode engine, as defined by
+    /// [`Self::least_loaded`].
     ///
-    /// One look at each upstream serves both: a request asks up to three
-    /// times before it is sent, each time about all upstreams of its pool.
-    fn least_of_each(&self, fits: impl Fn(&Upstream) -> bool) -> [Option<Arc<Upstream>>; 2] {
+    /// A single pass finds both, since this is called up to three times for each request and goes
+    /// through all upstreams of the pool.
+    fn least_loaded_by_role(&self, fits: impl Fn(&Upstream) -> bool) -> [Option<Arc<Upstream>>; 2] {
         let mut least: [Option<(f64, &Arc<Upstream>)>; 2] = [None, None];
-        let takers = self.upstreams.iter();
-        for upstream in takers.filter(|upstream| upstream.is_ready() && fits(upstream)) {
+        let upstreams = self.upstreams.iter();
+        for upstream in upstreams.filter(|upstream| upstream.is_ready() && fits(upstream)) {
             let cost = self.cost(upstream);
-            let known = &mut least[usize::from(!self.is_prefill(upstream))];
-            if known.is_none_or(|(least, _)| cost.total_cmp(&least).is_lt()) {
-                *known = Some((cost, upstream));
+            let entry = &mut least[usize::from(!self.is_prefill(upstream))];
+            if entry.is_none_or(|(least, _)| cost.total_cmp(&least).is_lt()) {
+                *entry = Some((cost, upstream));
             }
         }
         least.map(|least| least.map(|(_, upstream)| Arc::clone(upstream)))
     }
 
-    /// Whether an upstream reads prompts for the others.
+    /// Whether an upstream prefills for the others.
     #[must_use]
     pub fn is_prefill(&self, upstream: &Upstream) -> bool {
         self.roles.is_prefill(upstream.address)
     }
 
-    /// Returns upstreams that take new work and fit in an adapter's order of placement, those that
-    /// may have left last.
+    /// Returns the upstreams that may load an adapter, in its placement order.
     ///
-    /// Of many the first [`MAX_PLACEMENT_CANDIDATES`] are returned: a request asks some dozen at most, and
-    /// looking at thousands for each load cost a small VM milliseconds.
+    /// They take new requests and `fits` holds for them. Those that may have left come last. At most
+    /// [`MAX_PLACEMENT_CANDIDATES`] are returned: a request asks some dozen of them, and examining
+    /// thousands for each load took a small VM milliseconds.
     #[must_use]
     pub fn placement_candidates(
         &self,
         adapter: &str,
         fits: impl Fn(&Upstream) -> bool,
     ) -> Vec<Arc<Upstream>> {
-        let mut homes: Vec<(Reverse<bool>, u64, &Arc<Upstream>)> = self
+        let mut candidates: Vec<(Reverse<bool>, u64, &Arc<Upstream>)> = self
             .upstreams
             .iter()
-            .filter(|upstream| upstream.is_ready() && !self.avoided(upstream))
+            .filter(|upstream| upstream.is_ready() && !self.is_avoided(upstream))
             .map(|upstream| {
-                let is_doubted = Reverse(upstream.is_missing());
-                (is_doubted, rank(adapter, upstream), upstream)
+                let is_missing = Reverse(upstream.is_missing());
+                (is_missing, placement_rank(adapter, upstream), upstream)
             })
             .collect();
-        homes.sort_unstable_by_key(|(is_doubted, rank, _)| Reverse((*is_doubted, *rank)));
-        homes
+        candidates.sort_unstable_by_key(|(is_missing, rank, _)| Reverse((*is_missing, *rank)));
+        candidates
             .into_iter()
             .map(|(_, _, upstream)| upstream)
             .filter(|upstream| fits(upstream))
@@ -175,48 +178,49 @@
             .collect()
     }
 
-    fn avoided(&self, upstream: &Upstream) -> bool {
+    fn is_avoided(&self, upstream: &Upstream) -> bool {
         upstream.is_suspended(self.now) || self.tried.contains(&upstream.incarnation)
     }
 
-    /// A number from 0 to 1 for this request at this upstream.
+    /// Returns a pseudorandom number from 0 to 1 for a seed and an upstream.
     ///
-    /// Without it all requests of a quiet time would go to the first of the
-    /// list; with it those that share a prompt meet what is kept of it.
-    #[allow(clippy::cast_precision_loss, reason = "a share needs few bits")]
-    fn share(upstream: &Upstream, seed: u64) -> f64 {
+    /// Without it, all requests would go to the first upstream of the list at low load. With it,
+    /// requests that share a prompt go where its KV cache is kept.
+    #[allow(clippy::cast_precision_loss, reason = "a fraction needs few bits")]
+    fn unit_hash(upstream: &Upstream, seed: u64) -> f64 {
         let hash = xxh3_64_with_seed(upstream.incarnation.as_bytes(), seed);
         hash as f64 / u64::MAX as f64
     }
 
-    /// What part of its places is believed to be in use.
+    /// Returns the estimated fraction of an upstream's slots in use.
     ///
-    /// News counts less the older it is. Without that, all nodes that had heard of no request
-    /// sent to the same idle engine until they heard of the queue there.
-    fn occupied(&self, upstream: &Upstream) -> f64 {
+    /// Reported load counts less the older it is. Otherwise all nodes would send to the same engine
+    /// that was last reported idle, until they learned of the queue there.
+    fn estimated_utilization(&self, upstream: &Upstream) -> f64 {
         let own = f64::from(upstream.running()) / f64::from(upstream.slots);
-        let Some(usual) = self.usual else {
+        let Some(prior) = self.remote_prior else {
             return own + upstream.remote_utilization();
         };
-        let known = upstream.remote_load_confidence(self.now);
-        let unknown = usual + SCATTER * (Self::share(upstream, self.id) - 0.5);
-        own + known * upstream.remote_utilization() + (1.0 - known) * unknown
+        let confidence = upstream.remote_load_confidence(self.now);
+        let estimate =
+            prior + UNKNOWN_LOAD_SPREAD * (Self::unit_hash(upstream, self.request_hash) - 0.5);
+        own + confidence * upstream.remote_utilization() + (1.0 - confidence) * estimate
     }
 
-    /// Part of the upstream's places in use, with handicaps.
+    /// Returns the estimated utilization of an upstream plus the costs of choosing it.
     #[allow(clippy::cast_precision_loss, reason = "some seconds")]
     fn cost(&self, upstream: &Upstream) -> f64 {
-        let mut cost = self.occupied(upstream);
-        if &*upstream.failure_domain != self.home {
-            cost += REMOTE;
+        let mut cost = self.estimated_utilization(upstream);
+        if &*upstream.failure_domain != self.local_domain {
+            cost += REMOTE_DOMAIN_COST;
         }
         if upstream.is_missing() {
-            cost += DOUBTED;
+            cost += MISSING_COST;
         }
-        if let Some(most) = self.pause {
-            cost += PAUSES * upstream.mean_pause(self.now) / (most.0.max(1) as f64);
+        if let Some(max_gap) = self.max_event_gap {
+            cost += PAUSE_COST * upstream.mean_pause(self.now) / (max_gap.0.max(1) as f64);
         }
-        cost += TIE * Self::share(upstream, self.salt);
+        cost += TIE_BREAK_COST * Self::unit_hash(upstream, self.affinity_seed);
         if upstream.is_suspended(self.now) {
             cost += 100.0;
         }
@@ -227,10 +231,10 @@
     }
 }
 
-/// Returns how high an upstream stands in an adapter's order of placement.
+/// Returns the rank of an upstream in an adapter's placement order; the highest comes first.
 ///
-/// The hash is of the address: a restart of the upstream keeps its place.
-fn rank(adapter: &str, upstream: &Upstream) -> u64 {
+/// Hashes the address, so that an upstream keeps its rank over a restart.
+fn placement_rank(adapter: &str, upstream: &Upstream) -> u64 {
     let seed = xxh3_64_with_seed(adapter.as_bytes(), PLACEMENT_SEED);
     xxh3_64_with_seed(upstream.place.as_bytes(), seed)
 }
--- a/lib/src/direct/target.rs
+++ b/lib/src/direct/target.rs
@@ -144,13 +144,13 @@
         Selector {
             upstreams,
             tried: &self.tried,
-            home: &self.gate.failure_domain,
+            local_domain: &self.gate.failure_domain,
             now: self.now(),
-            salt: salt(&self.message.call),
-            pause: self.route.pause,
+            affinity_seed: salt(&self.message.call),
+            max_event_gap: self.route.pause,
             roles,
-            id: xxh3_64(self.id().as_bytes()),
-            usual: self
+            request_hash: xxh3_64(self.id().as_bytes()),
+            remote_prior: self
                 .message
                 .call
                 .model
@@ -356,7 +356,7 @@
                 && self.can_load(upstream, adapter)
         });
         let among = u64::try_from(replicas.clamp(1, homes.len().max(1))).unwrap_or(1);
-        let chosen = usize::try_from(field.id % among).unwrap_or_default();
+        let chosen = usize::try_from(field.request_hash % among).unwrap_or_default();
         if chosen < homes.len() {
             homes.swap(0, chosen);
         }
--- a/lib/tests/test_direct_admission.rs
+++ b/lib/tests/test_direct_admission.rs
@@ -548,13 +548,13 @@
             let field = Selector {
                 upstreams,
                 tried: &[],
-                home: "hall-a",
+                local_domain: "hall-a",
                 now,
-                salt: 7,
-                pause: None,
+                affinity_seed: 7,
+                max_event_gap: None,
                 roles: &WHOLE,
-                id: rng.random(),
-                usual: asks.then(|| mean_remote_utilization(upstreams)),
+                request_hash: rng.random(),
+                remote_prior: asks.then(|| mean_remote_utilization(upstreams)),
             };
             let chosen = if asks {
                 ask(&field, &table)
--- a/lib/tests/test_direct_parts.rs
+++ b/lib/tests/test_direct_parts.rs
@@ -41,17 +41,21 @@
 /// Each engine reads and writes.
 static WHOLE: LazyLock<Roles> = LazyLock::new(Roles::default);
 
-fn field<'a>(upstreams: &'a [Arc<Upstream>], tried: &'a [Name], salt: u64) -> Selector<'a> {
+fn field<'a>(
+    upstreams: &'a [Arc<Upstream>],
+    tried: &'a [Name],
+    affinity_seed: u64,
+) -> Selector<'a> {
     Selector {
         upstreams,
         tried,
-        home: "hall-a",
+        local_domain: "hall-a",
         now: Millis(1_000),
-        salt,
-        pause: None,
+        affinity_seed,
+        max_event_gap: None,
         roles: &WHOLE,
-        id: 0,
-        usual: None,
+        request_hash: 0,
+        remote_prior: None,
     }
 }
 
@@ -282,11 +286,11 @@
         upstreams[0].record_pause(Millis(180), now);
         upstreams[1].record_pause(Millis(40), now);
     }
-    let first_at = |at: Millis, pause: Option<Millis>| {
+    let first_at = |at: Millis, max_event_gap: Option<Millis>| {
         let chosen = |salt: &u64| {
             let field = Selector {
                 now: at,
-                pause,
+                max_event_gap,
                 ..field(&upstreams, &[], *salt)
             };
             &*field.least_loaded(|_| true).unwrap().incarnation == "i-1"
--- a/lib/tests/test_direct_roles.rs
+++ b/lib/tests/test_direct_roles.rs
@@ -173,13 +173,13 @@
     let field = Selector {
         upstreams: &engines,
         tried: &[],
-        home: "hall-a",
+        local_domain: "hall-a",
         now: Millis(1_000),
-        salt: 1,
-        pause: None,
+        affinity_seed: 1,
+        max_event_gap: None,
         roles: &roles,
-        id: 0,
-        usual: None,
+        request_hash: 0,
+        remote_prior: None,
     };
     let reader = engines
         .iter()
@@ -240,13 +240,13 @@
         let field = Selector {
             upstreams: &engines,
             tried: &tried,
-            home: "hall-a",
+            local_domain: "hall-a",
             now: Millis(1_000),
-            salt: seed,
-            pause: Some(Millis(200)),
+            affinity_seed: seed,
+            max_event_gap: Some(Millis(200)),
             roles: &roles,
-            id: seed,
-            usual: Some(0.3),
+            request_hash: seed,
+            remote_prior: Some(0.3),
         };
         let reader = field.least_loaded(|engine| field.is_prefill(engine) && fits(engine));
         let writer = field.least_loaded(|engine| !field.is_prefill(engine) && fits(engine));
