--- a/lib/src/direct/roles.rs
+++ b/lib/src/direct/roles.rs
@@ -78,8 +78,8 @@
 }
 
 impl Roles {
-    /// Assigns the prefill role to `prefill_count` of the engines, the first in an order that is the
-    /// same at all nodes.
+    /// Assigns the prefill role to `prefill_count` of the engines, the first in an order that is
+    /// the same at all nodes.
     #[must_use]
     pub fn split(engines: impl IntoIterator<Item = SocketAddr>, prefill_count: usize) -> Self {
         if prefill_count == 0 {
@@ -115,8 +115,8 @@
     xxh3_64_with_seed(address.to_string().as_bytes(), ORDER_SEED)
 }
 
-/// Number of recent streams that the fraction of streams with a long pause covers: about ten seconds
-/// of a node's traffic.
+/// Number of recent streams that the fraction of streams with a long pause covers: about ten
+/// seconds of a node's traffic.
 const STREAM_WINDOW: f64 = 200.0;
 
 /// Number of streams below which the fraction isn't significant.
--- a/lib/src/direct/selection.rs
+++ b/lib/src/direct/selection.rs
@@ -21,9 +21,9 @@
 
 /// Cost of an upstream that is missing from the list and may have left, as a fraction of its slots.
 ///
-/// If most upstreams are listed, they have room for the requests of the missing ones. If the entries
-/// of all expired in an outage of the key-value service, the cost is the same for all; the few that
-/// are listed again first must not get all requests.
+/// If most upstreams are listed, they have room for the requests of the missing ones. If the
+/// entries of all expired in an outage of the key-value service, the cost is the same for all; the
+/// few that are listed again first must not get all requests.
 const MISSING_COST: f64 = 0.5;
 
 /// Largest cost that decides between otherwise equal upstreams, as a fraction of their slots.
@@ -40,8 +40,8 @@
 ///
 /// Request counts are up to a second old and don't show that an upstream has become slow. The
 /// pauses in this node's own streams show what callers get. Including them reduced late streams
-/// from 1,570 to 1,450 per day; three times this weight raised them to 1,650, since all streams of a
-/// node then follow the last pause that it observed.
+/// from 1,570 to 1,450 per day; three times this weight raised them to 1,650, since all streams of
+/// a node then follow the last pause that it observed.
 const PAUSE_COST: f64 = 0.5;
 
 /// Maximum number of upstreams considered for loading an adapter: five times as many as are asked
@@ -150,7 +150,8 @@
 
     /// Returns the upstreams that may load an adapter, in its placement order.
     ///
-    /// They take new requests and `fits` holds for them. Those that may have left come last. At most
+    /// They take new requests and `fits` holds for them. Those that may have left come last. At
+    /// most
     /// [`MAX_PLACEMENT_CANDIDATES`] are returned: a request asks some dozen of them, and examining
     /// thousands for each load took a small VM milliseconds.
     #[must_use]
@@ -236,5 +237,5 @@
 /// Hashes the address, so that an upstream keeps its rank over a restart.
 fn placement_rank(adapter: &str, upstream: &Upstream) -> u64 {
     let seed = xxh3_64_with_seed(adapter.as_bytes(), PLACEMENT_SEED);
-    xxh3_64_with_seed(upstream.place.as_bytes(), seed)
+    xxh3_64_with_seed(upstream.address_text.as_bytes(), seed)
 }
--- a/lib/src/direct/upstream.rs
+++ b/lib/src/direct/upstream.rs
@@ -1,4 +1,4 @@
-//! One start of an upstream, as this node sees it.
+//! State of one start of an upstream, as this node sees it.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -13,46 +13,47 @@
 use crate::name::Name;
 use crate::ports::link::{Bounds, Link};
 
-/// How long connecting to an upstream may take.
+/// Timeout for connecting to an upstream.
 ///
-/// Within a deployment a connection takes a few milliseconds; the system sends
-/// a lost opening packet again only after a second.
-const CONNECT: Millis = Millis(400);
+/// Within a deployment, connecting takes a few milliseconds. The operating system retransmits a
+/// lost SYN packet only after a second.
+const CONNECT_TIMEOUT: Millis = Millis(400);
 
-/// How long an unused connection is kept when the upstream names no span.
-const IDLE: Millis = Millis(4_000);
+/// Time for which an idle connection is kept if the upstream names none.
+const IDLE_TIMEOUT: Millis = Millis(4_000);
 
-/// First pause in use after a failure.
-const SUSPENSION: Millis = Millis(300);
+/// Duration of the first suspension after failures.
+const FIRST_SUSPENSION: Millis = Millis(300);
 
-/// The longest pause in use.
-const LONGEST_SUSPENSION: Millis = Millis(4_000);
+/// Longest suspension.
+const MAX_SUSPENSION: Millis = Millis(4_000);
 
-/// Failures, less successes, from which on an upstream is paused.
-const TOLERATED: u32 = 2;
+/// Number of failures, less successes, at which an upstream is suspended.
+const SUSPENSION_THRESHOLD: u32 = 2;
 
-/// Weight of one pause in an upstream's mean: some ten count, a third of a second of its streams.
-const PACE_WEIGHT: f64 = 0.1;
+/// Weight of one pause in an upstream's moving average, which covers about ten pauses or a third of
+/// a second of its streams.
+const PAUSE_WEIGHT: f64 = 0.1;
 
-/// Time after which a mean pause that nothing renews counts half.
+/// Half-life of the mean pause while no new pauses are observed, in milliseconds.
 ///
-/// An upstream that is passed over shows no pauses; what was seen there must not keep it away.
-const PACE_HALVES: f64 = 2_000.0;
+/// An upstream that isn't selected yields no pauses, and old ones must not exclude it for good.
+const PAUSE_HALF_LIFE_MS: f64 = 2_000.0;
 
-/// Age at which news of other nodes' requests counts half, in milliseconds.
+/// Half-life of the reported load of other nodes, in milliseconds.
 ///
-/// Short answers take a second or two: after as long, none of the requests that the news
-/// counted is left, and how many came since nobody told.
-const NEWS_HALVES: f64 = 700.0;
+/// Short answers take a second or two. After that time, none of the reported requests is left, and
+/// how many have started since is unknown.
+const REMOTE_LOAD_HALF_LIFE_MS: f64 = 700.0;
 
-/// The mean pause between events, as this node's streams see it.
+/// Mean pause between events, as observed in this node's streams.
 #[derive(Debug, Default)]
-struct Pace {
-    mean: f64,
-    at: Millis,
+struct MeanPause {
+    millis: f64,
+    updated_at: Millis,
 }
 
-/// What is known of adapters, with the order count that it holds for.
+/// Models and adapters that an upstream is known to hold, as of its start and order count.
 #[derive(Debug, Default)]
 struct Holdings {
     born: u64,
@@ -64,57 +65,60 @@
 #[derive(Debug, Default)]
 struct Health {
     failures: u32,
-    until: Millis,
-    /// Whether no connection could be made the last time.
-    unreachable: bool,
+    suspended_until: Millis,
+    /// Whether connecting failed, with no success since.
+    is_unreachable: bool,
 }
 
-/// One start of an upstream.
+/// One start of an upstream, which ends when the upstream leaves or starts again.
 #[derive(Debug)]
 pub struct Upstream {
-    /// Identity of this start.
+    /// The incarnation: the name under which the upstream is listed.
     pub incarnation: Name,
     /// The pool that it serves.
     pub pool: Name,
-    /// Where it serves.
+    /// The address at which it serves.
     pub address: SocketAddr,
-    /// The address as text, which ranks it among others for each adapter.
-    pub place: Name,
+    /// The address as text, which is hashed to rank upstreams for each adapter.
+    pub address_text: Name,
     /// Its failure domain.
     pub failure_domain: Name,
-    /// Requests that it processes at once.
+    /// Number of requests that it processes concurrently.
     pub slots: u32,
-    /// When this start began, as it says of itself; 0 where it doesn't tell.
+    /// Start time as reported by the upstream; 0 if it reports none.
     pub born: u64,
-    /// When this node first saw it in the list.
+    /// When this node first saw it in the list of upstreams.
     pub first_seen: Millis,
     /// Connections to it.
     pub link: Link,
-    /// Whether it takes new work, which each choice asks of all upstreams.
+    /// Whether it takes new requests. This is read for all upstreams in each selection.
     takes_work: AtomicBool,
     presence: Mutex<Presence>,
+    /// Requests of this node.
     running: AtomicU32,
-    elsewhere: AtomicU32,
-    served: AtomicU32,
-    heard: AtomicU64,
-    using: Mutex<HashMap<Name, u32>>,
+    /// Requests of other nodes, as last reported.
+    remote_running: AtomicU32,
+    successes: AtomicU32,
+    remote_load_at: AtomicU64,
+    /// Requests of this node that the owner doesn't count, by adapter.
+    uncounted: Mutex<HashMap<Name, u32>>,
     holdings: Mutex<Holdings>,
     health: Mutex<Health>,
-    pace: Mutex<Pace>,
+    mean_pause: Mutex<MeanPause>,
 }
 
-/// Counts a request at an upstream until it is dropped.
+/// Counts a request at an upstream until this is dropped.
 #[derive(Debug)]
 pub struct InFlightRequest {
     upstream: Arc<Upstream>,
-    /// The adapter of a request that the owner doesn't count.
-    uncounted: Option<Name>,
-    /// The owner counts the request as long as this is kept.
+    /// The adapter of the request, if the owner doesn't count the request.
+    uncounted_adapter: Option<Name>,
+    /// Keeps the request counted by the owner.
     permit: Option<Permit>,
 }
 
 impl InFlightRequest {
-    /// Takes in that the upstream has read the request's prompt.
+    /// Records that the upstream has prefilled the request's prompt.
     pub fn prefill_done(&mut self) {
         if let Some(permit) = &mut self.permit {
             permit.prefill_done();
@@ -125,26 +129,26 @@
 impl Drop for InFlightRequest {
     fn drop(&mut self) {
         self.upstream.running.fetch_sub(1, Ordering::Relaxed);
-        if let Some(adapter) = &self.uncounted {
-            self.upstream.leave(adapter);
+        if let Some(adapter) = &self.uncounted_adapter {
+            self.upstream.end_uncounted(adapter);
         }
     }
 }
 
 impl Upstream {
-    /// Makes an upstream from its entry in the list.
+    /// Creates an upstream from its entry in the list.
     #[must_use]
     pub fn new(listed: &Listed, written: Written, connections: usize, now: Millis) -> Self {
         let bounds = Bounds {
-            connect: CONNECT,
-            idle: IDLE,
+            connect: CONNECT_TIMEOUT,
+            idle: IDLE_TIMEOUT,
             open: connections,
         };
         let upstream = Self {
             incarnation: Name::clone(&listed.incarnation),
             pool: Name::clone(&listed.pool),
             address: listed.address,
-            place: listed.address.to_string().into(),
+            address_text: listed.address.to_string().into(),
             failure_domain: Name::clone(&listed.failure_domain),
             slots: listed.slots.max(1),
             born: listed.held.born,
@@ -153,33 +157,33 @@
             takes_work: AtomicBool::new(listed.ready),
             presence: Mutex::new(Presence::new(written, listed.ready)),
             running: AtomicU32::new(0),
-            elsewhere: AtomicU32::new(0),
-            served: AtomicU32::new(0),
-            heard: AtomicU64::new(now.0),
-            using: Mutex::default(),
+            remote_running: AtomicU32::new(0),
+            successes: AtomicU32::new(0),
+            remote_load_at: AtomicU64::new(now.0),
+            uncounted: Mutex::default(),
             holdings: Mutex::default(),
             health: Mutex::default(),
-            pace: Mutex::default(),
+            mean_pause: Mutex::default(),
         };
         upstream.update_held(&listed.held);
         upstream
     }
 
-    /// Takes in an entry of the list, unless a newer one is known.
+    /// Applies an entry of the list, unless a newer one is known.
     pub fn update(&self, listed: &Listed, written: Written) {
-        if self.note(|presence| presence.entry(written, listed.ready)) {
+        if self.update_presence(|presence| presence.entry(written, listed.ready)) {
             self.update_held(&listed.held);
         }
     }
 
-    /// Changes what is known of its presence.
-    fn note<T>(&self, change: impl FnOnce(&mut Presence) -> T) -> T {
+    /// Updates the presence of the upstream and logs a change of its stage.
+    fn update_presence<T>(&self, change: impl FnOnce(&mut Presence) -> T) -> T {
         let mut presence = self.presence();
         let before = presence.stage();
         let result = change(&mut presence);
         let stage = presence.stage();
         self.takes_work.store(stage.takes_work(), Ordering::Relaxed);
-        // Whoever removes it says why.
+        // The code that removes an upstream logs the reason.
         if stage != before && stage != Stage::Gone {
             log::info!(
                 upstream = &*self.incarnation,
@@ -195,12 +199,12 @@
         self.presence.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Takes in what the upstream holds after its `sequence`th order.
+    /// Records what the upstream holds after its `sequence`th order.
     ///
-    /// Older news than is known is left aside. An engine may start again under its name: its
-    /// count begins anew then, so that news of the former start would look newer for as many
-    /// orders as that one took, and requests would go to adapters that are gone. The time of
-    /// the start goes first therefore.
+    /// Reports older than the last one are ignored. The start time is compared before the order
+    /// count: an engine that starts again under the same name counts its orders from the beginning,
+    /// so that by count alone, late reports of the former start would look newer until as many
+    /// orders had been given, and requests would go to adapters that are gone.
     pub fn update_held(&self, held: &Held) {
         let mut holdings = self.holdings();
         if (held.born, held.sequence) < (holdings.born, holdings.sequence) {
@@ -229,14 +233,14 @@
         }
     }
 
-    /// Takes in that an adapter is present.
+    /// Records that the upstream holds an adapter in a version.
     pub fn set_adapter(&self, adapter: &Name, version: u64) {
         self.holdings()
             .adapters
             .insert(Name::clone(adapter), version);
     }
 
-    /// Takes in that an adapter is absent, or there in another version.
+    /// Records that the upstream doesn't hold an adapter, or not in the expected version.
     pub fn remove_adapter(&self, adapter: &str) {
         self.holdings().adapters.remove(adapter);
     }
@@ -260,54 +264,55 @@
         self.holdings().models.iter().any(|held| &**held == base)
     }
 
-    /// Whether the upstream takes new work.
+    /// Whether the upstream takes new requests.
     #[must_use]
     pub fn is_ready(&self) -> bool {
         self.takes_work.load(Ordering::Relaxed)
     }
 
-    /// Returns how it stands.
+    /// Returns the stage of its presence.
     #[must_use]
     pub fn stage(&self) -> Stage {
         self.presence().stage()
     }
 
-    /// Returns where its newest entry stands in the service's history.
+    /// Returns the revisions of its newest entry in the key-value service.
     #[must_use]
     pub fn written(&self) -> Written {
         self.presence().written()
     }
 
-    /// Stops new work, as the upstream is no longer listed.
+    /// Stops new requests to an upstream that is no longer listed, and closes its idle connections.
     pub fn retire(&self) {
-        self.note(Presence::gone);
+        self.update_presence(Presence::gone);
         self.link.clear();
     }
 
-    /// Whether the upstream vanished from the list, or started again, without saying that it leaves.
+    /// Whether the upstream vanished from the list, or started again, without announcing that it
+    /// leaves.
     #[must_use]
     pub fn left_unannounced(&self) -> bool {
         self.presence().is_lost()
     }
 
-    /// Returns a name for this start, unlike that of any other start of the same upstream.
+    /// Returns a name that is unique to this start of the upstream.
     #[must_use]
     pub fn start_id(&self) -> Name {
         format!("{}@{}", self.incarnation, self.born).into()
     }
 
-    /// Takes in that the upstream is missing from the list, and may not have left.
+    /// Records that the upstream is missing from the list but may not have left.
     pub fn mark_missing(&self) {
-        self.note(Presence::missing);
+        self.update_presence(Presence::missing);
     }
 
-    /// Whether the upstream is missing from the list, and may not have left.
+    /// Whether the upstream is missing from the list but may not have left.
     #[must_use]
     pub fn is_missing(&self) -> bool {
         self.presence().is_missing()
     }
 
-    /// Counts a request that this node sends.
+    /// Counts a request of this node until the result is dropped.
     #[must_use]
     pub fn start_request(
         self: &Arc<Self>,
@@ -315,140 +320,146 @@
         permit: Option<Permit>,
     ) -> InFlightRequest {
         self.running.fetch_add(1, Ordering::Relaxed);
-        let uncounted = adapter.filter(|_| permit.is_none());
-        if let Some(adapter) = uncounted {
-            *self.using().entry(Name::clone(adapter)).or_default() += 1;
+        let uncounted_adapter = adapter.filter(|_| permit.is_none());
+        if let Some(adapter) = uncounted_adapter {
+            *self.uncounted().entry(Name::clone(adapter)).or_default() += 1;
         }
         InFlightRequest {
             upstream: Arc::clone(self),
-            uncounted: uncounted.cloned(),
+            uncounted_adapter: uncounted_adapter.cloned(),
             permit,
         }
     }
 
-    /// Returns the adapters that requests of this node use which the owner doesn't count.
+    /// Returns the adapters used by requests of this node that the owner doesn't count.
     #[must_use]
     pub fn uncounted_adapters(&self) -> Vec<Name> {
-        self.using().keys().cloned().collect()
+        self.uncounted().keys().cloned().collect()
     }
 
-    fn leave(&self, adapter: &Name) {
-        let mut using = self.using();
-        if let Some(count) = using.get_mut(adapter) {
+    fn end_uncounted(&self, adapter: &Name) {
+        let mut uncounted = self.uncounted();
+        if let Some(count) = uncounted.get_mut(adapter) {
             *count -= 1;
             if *count == 0 {
-                using.remove(adapter);
+                uncounted.remove(adapter);
             }
         }
     }
 
-    fn using(&self) -> std::sync::MutexGuard<'_, HashMap<Name, u32>> {
-        self.using.lock().unwrap_or_else(PoisonError::into_inner)
+    fn uncounted(&self) -> std::sync::MutexGuard<'_, HashMap<Name, u32>> {
+        self.uncounted
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Requests of this node.
+    /// Returns the number of running requests of this node.
     #[must_use]
     pub fn running(&self) -> u32 {
         self.running.load(Ordering::Relaxed)
     }
 
-    /// Requests of all nodes, as last heard.
+    /// Returns the number of running requests of all nodes, those of other nodes as last reported.
     #[must_use]
     pub fn total_running(&self) -> u32 {
-        self.running() + self.elsewhere.load(Ordering::Relaxed)
+        self.running() + self.remote_running.load(Ordering::Relaxed)
     }
 
-    /// Returns what part of its places other nodes were last heard to use.
+    /// Returns the fraction of its slots that other nodes use, as last reported.
     #[must_use]
     pub fn remote_utilization(&self) -> f64 {
-        f64::from(self.elsewhere.load(Ordering::Relaxed)) / f64::from(self.slots)
+        f64::from(self.remote_running.load(Ordering::Relaxed)) / f64::from(self.slots)
     }
 
-    /// Returns how far what was heard of other nodes' requests still tells of now, from 0 to 1.
+    /// Returns the confidence in the reported load of other nodes, from 0 to 1, which decays with
+    /// its age.
     #[must_use]
     #[allow(clippy::cast_precision_loss, reason = "some seconds")]
     pub fn remote_load_confidence(&self, now: Millis) -> f64 {
-        (-(now.since(self.remote_load_at()).0 as f64) / NEWS_HALVES).exp2()
+        (-(now.since(self.remote_load_at()).0 as f64) / REMOTE_LOAD_HALF_LIFE_MS).exp2()
     }
 
-    /// Returns when the load of other nodes was last heard of.
+    /// Returns when the load of other nodes was last reported.
     #[must_use]
     pub fn remote_load_at(&self) -> Millis {
-        Millis(self.heard.load(Ordering::Relaxed))
+        Millis(self.remote_load_at.load(Ordering::Relaxed))
     }
 
-    /// Takes in how many requests other nodes have there.
-    pub fn record_remote_load(&self, elsewhere: u32, now: Millis) {
-        self.heard.store(now.0, Ordering::Relaxed);
-        self.elsewhere.store(elsewhere, Ordering::Relaxed);
+    /// Records the number of running requests of other nodes.
+    pub fn record_remote_load(&self, running: u32, now: Millis) {
+        self.remote_load_at.store(now.0, Ordering::Relaxed);
+        self.remote_running.store(running, Ordering::Relaxed);
     }
 
-    /// Takes in a pause between two events of a stream.
+    /// Records a pause between two events of a stream.
     #[allow(clippy::cast_precision_loss, reason = "some seconds")]
     pub fn record_pause(&self, pause: Millis, now: Millis) {
-        let mut pace = self.pace();
-        pace.mean += PACE_WEIGHT * (pause.0 as f64 - pace.mean);
-        pace.at = now;
+        let mut mean = self.lock_mean_pause();
+        mean.millis += PAUSE_WEIGHT * (pause.0 as f64 - mean.millis);
+        mean.updated_at = now;
     }
 
-    /// Returns the mean pause between events in milliseconds, less the older it is.
+    /// Returns the mean pause between events in milliseconds, which decays with its age.
     #[must_use]
     #[allow(clippy::cast_precision_loss, reason = "some seconds")]
     pub fn mean_pause(&self, now: Millis) -> f64 {
-        let pace = self.pace();
-        pace.mean * (-(now.since(pace.at).0 as f64) / PACE_HALVES).exp2()
+        let mean = self.lock_mean_pause();
+        mean.millis * (-(now.since(mean.updated_at).0 as f64) / PAUSE_HALF_LIFE_MS).exp2()
     }
 
-    fn pace(&self) -> std::sync::MutexGuard<'_, Pace> {
-        self.pace.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock_mean_pause(&self) -> std::sync::MutexGuard<'_, MeanPause> {
+        self.mean_pause
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Takes in that a request failed at the upstream's fault.
+    /// Records that a request failed through the fault of the upstream, and suspends it if failures
+    /// accumulate.
     pub fn record_failure(&self, now: Millis) {
         let mut health = self.health();
         health.failures += 1;
-        if health.failures >= TOLERATED {
-            let doublings = (health.failures - TOLERATED).min(8);
-            let span = Millis(SUSPENSION.0 << doublings).min(LONGEST_SUSPENSION);
-            health.until = now + span;
+        if health.failures >= SUSPENSION_THRESHOLD {
+            let doublings = (health.failures - SUSPENSION_THRESHOLD).min(8);
+            let suspension = Millis(FIRST_SUSPENSION.0 << doublings).min(MAX_SUSPENSION);
+            health.suspended_until = now + suspension;
         }
     }
 
-    /// Takes in that no connection could be made: one such failure says enough.
+    /// Records a failure to connect, which counts twice so that a single one suspends the upstream.
     pub fn record_unreachable(&self, now: Millis) {
         {
             let mut health = self.health();
             health.failures += 1;
-            health.unreachable = true;
+            health.is_unreachable = true;
         }
         self.record_failure(now);
     }
 
-    /// Takes in that a request went well.
+    /// Records that a request succeeded.
     pub fn record_success(&self) {
-        self.served.fetch_add(1, Ordering::Relaxed);
+        self.successes.fetch_add(1, Ordering::Relaxed);
         let mut health = self.health();
         health.failures = health.failures.saturating_sub(1);
-        health.unreachable = false;
+        health.is_unreachable = false;
     }
 
-    /// Returns how many requests went well.
+    /// Returns the number of requests that succeeded.
     #[must_use]
     pub fn successes(&self) -> u32 {
-        self.served.load(Ordering::Relaxed)
+        self.successes.load(Ordering::Relaxed)
     }
 
-    /// Whether nothing listened there a moment ago.
+    /// Whether the upstream is suspended and connecting to it failed, with no success since.
     #[must_use]
     pub fn is_unreachable(&self, now: Millis) -> bool {
         let health = self.health();
-        health.unreachable && health.until > now
+        health.is_unreachable && health.suspended_until > now
     }
 
-    /// Whether the upstream is left alone for a while.
+    /// Whether the upstream is suspended after failures.
     #[must_use]
     pub fn is_suspended(&self, now: Millis) -> bool {
-        self.health().until > now
+        self.health().suspended_until > now
     }
 
     fn holdings(&self) -> std::sync::MutexGuard<'_, Holdings> {
