--- a/lib/src/direct/admit.rs
+++ b/lib/src/direct/admit.rs
@@ -106,7 +106,7 @@
     /// Has a request counted in at an engine by whoever gives it orders.
     pub async fn admit(&self, upstream: &Arc<Upstream>, question: AdmitQuery<'_>) -> AdmitDecision {
         let answer = if self.right.owns(upstream.address) {
-            self.admit_here(upstream, question)
+            self.admit_locally(upstream, question)
         } else {
             self.admit_there(upstream, question).await
         };
@@ -120,7 +120,7 @@
     }
 
     /// Answers for an engine that this node orders.
-    pub(super) fn admit_here(
+    pub(super) fn admit_locally(
         &self,
         upstream: &Arc<Upstream>,
         question: AdmitQuery<'_>,
--- a/lib/src/direct/serve.rs
+++ b/lib/src/direct/serve.rs
@@ -77,7 +77,7 @@
             max_wait: Millis(request.patience_ms),
         };
         let answer = match self.upstream(&request.incarnation) {
-            Some(upstream) => self.0.admit_here(&upstream, question),
+            Some(upstream) => self.0.admit_locally(&upstream, question),
             None => AdmitDecision::Unknown,
         };
         Ok(Response::new(AdmitReplies::new(answer, questions)))
