--- a/lib/src/direct/sends.rs
+++ b/lib/src/direct/sends.rs
@@ -1,11 +1,11 @@
-//! Sends of one request whose answers are still to come.
+//! Sends of one request whose responses are pending.
 //!
-//! An engine can be silent for seconds and go on: its queue is long, or it reads the prompts of
-//! others. Whoever drops a send there to try another engine has lost the place in the queue if
-//! the other one rejects the request, and the caller gets a failure for work that was about to
-//! begin. So the former send is kept until another engine has begun to answer; the first head
-//! that comes counts, and the connections of the others are closed then, which ends their runs.
-//! See docs/design/0010-leaving-a-silent-engine.md.
+//! An engine can be silent for seconds and then continue: its queue is long, or it is prefilling
+//! the prompts of others. If the send to it were dropped to try another engine and that engine
+//! rejected the request, the position in the queue would be lost and the caller would get a failure
+//! for work that was about to start. The earlier send is therefore kept until another engine starts
+//! to respond. The first response head wins; the connections of the other sends are then closed,
+//! which ends their runs. See docs/design/0010-leaving-a-silent-engine.md.
 
 use std::sync::Arc;
 
@@ -23,31 +23,31 @@
 /// A send that has ended.
 #[derive(Debug)]
 pub struct FinishedSend {
-    /// Where it went.
+    /// The upstream to which it went.
     pub upstream: Arc<Upstream>,
-    /// When it was sent.
+    /// When the request was sent.
     pub at: Millis,
-    /// The answer's head, or why there is none.
+    /// The response, whose head has arrived, or the reason why there is none.
     pub result: Result<Answer, Miss>,
 }
 
-/// A send in progress, as it is known without waiting for it.
+/// State of a pending send.
 #[derive(Debug)]
-struct Waiting {
+struct PendingSend {
     upstream: Arc<Upstream>,
-    /// Whether the upstream was found silent already.
-    silent: bool,
+    /// Whether the upstream has been marked as silent.
+    is_silent: bool,
 }
 
-/// Sends in progress; dropping them closes their connections.
+/// The pending sends of a request. Dropping them closes their connections.
 #[derive(Debug, Default)]
 pub struct PendingSends {
-    answers: FuturesUnordered<BoxFuture<'static, FinishedSend>>,
-    waiting: SmallVec<[Waiting; 2]>,
+    responses: FuturesUnordered<BoxFuture<'static, FinishedSend>>,
+    pending: SmallVec<[PendingSend; 2]>,
 }
 
 impl PendingSends {
-    /// Sends a request at `now`.
+    /// Starts to send a request to a target at `now`.
     pub fn begin(
         &mut self,
         message: &Arc<Message>,
@@ -60,14 +60,14 @@
         let Target {
             upstream, permit, ..
         } = target;
-        self.waiting.push(Waiting {
+        self.pending.push(PendingSend {
             upstream: Arc::clone(&upstream),
-            silent: false,
+            is_silent: false,
         });
         let (message, dialect) = (Arc::clone(message), Arc::clone(dialect));
-        self.answers.push(Box::pin(async move {
-            let sending = message.send(&upstream, &*dialect, &dispatch, permit, watch);
-            let result = sending.await;
+        self.responses.push(Box::pin(async move {
+            let send = message.send(&upstream, &*dialect, &dispatch, permit, watch);
+            let result = send.await;
             FinishedSend {
                 upstream,
                 at: now,
@@ -76,42 +76,42 @@
         }));
     }
 
-    /// Whether nothing is on its way.
+    /// Whether no send is pending.
     #[must_use]
     pub fn is_empty(&self) -> bool {
-        self.answers.is_empty()
+        self.responses.is_empty()
     }
 
-    /// Whether a send to an upstream is on its way.
+    /// Whether a send to an upstream is pending.
     #[must_use]
     pub fn includes(&self, upstream: &Upstream) -> bool {
-        let same = |one: &Waiting| one.upstream.incarnation == upstream.incarnation;
-        self.waiting.iter().any(same)
+        let same = |one: &PendingSend| one.upstream.incarnation == upstream.incarnation;
+        self.pending.iter().any(same)
     }
 
-    /// Returns the upstream that was tried last.
+    /// Returns the upstream of the newest pending send.
     #[must_use]
     pub fn newest(&self) -> Option<&Arc<Upstream>> {
-        self.waiting.last().map(|one| &one.upstream)
+        self.pending.last().map(|one| &one.upstream)
     }
 
-    /// Marks the upstream that was tried last as silent; returns it the first time.
+    /// Marks the upstream of the newest pending send as silent, and returns it the first time.
     ///
-    /// A request that waits for long speaks against its upstream once, however often it looks
-    /// elsewhere: two such marks suspend an upstream.
+    /// A request that waits for long counts as one failure of its upstream, however often it tries
+    /// to go elsewhere: two failures suspend an upstream.
     pub fn mark_silent(&mut self) -> Option<Arc<Upstream>> {
-        let newest = self.waiting.last_mut()?;
-        let first = !std::mem::replace(&mut newest.silent, true);
-        first.then(|| Arc::clone(&newest.upstream))
+        let newest = self.pending.last_mut()?;
+        let is_first = !std::mem::replace(&mut newest.is_silent, true);
+        is_first.then(|| Arc::clone(&newest.upstream))
     }
 
-    /// Waits for the next send to end; none if nothing is on its way.
+    /// Waits for the next send to finish; `None` if no send is pending.
     ///
-    /// Nothing is lost when this is dropped before it returns.
+    /// This is cancel safe: dropping the future loses nothing.
     pub async fn next(&mut self) -> Option<FinishedSend> {
-        let sent = self.answers.next().await?;
-        self.waiting
-            .retain(|one| one.upstream.incarnation != sent.upstream.incarnation);
-        Some(sent)
+        let finished = self.responses.next().await?;
+        self.pending
+            .retain(|one| one.upstream.incarnation != finished.upstream.incarnation);
+        Some(finished)
     }
 }
