--- a/lib/src/direct/admit.rs
+++ b/lib/src/direct/admit.rs
@@ -1,4 +1,6 @@
-//! Asking the owner of an engine to count a request in, and answering such questions.
+//! Admission of requests by the owners of engines, as the asking node and as the owner.
+//!
+//! The owner counts an admitted request for as long as its [`Permit`] lives.
 
 use std::pin::Pin;
 use std::sync::Arc;
@@ -18,48 +20,52 @@
 use crate::name::Name;
 use crate::schema::direct::{Admission, AdmitReply, AdmitRequest};
 
-/// The longest that an owner may take to answer.
+/// Timeout for an admission query to an owner.
 ///
-/// A fifth of what callers bear for a first event. An answer takes some milliseconds; one that
-/// is missing for longer is worth less than the time that the request would lose.
-const ANSWER: Millis = Millis(120);
+/// This is a fifth of the time for which callers tolerate waiting for the first event. An answer
+/// takes some milliseconds; waiting any longer would cost the request more than the answer is
+/// worth.
+const ADMIT_TIMEOUT: Millis = Millis(120);
 
-/// A request's place at an engine, counted by its owner until this is dropped.
+/// Keeps a request counted by the owner of its engine until this is dropped.
 #[derive(Debug)]
 pub struct Permit(Counted);
 
-/// Where the request is counted.
+/// Where a request is counted.
 #[derive(Debug)]
 enum Counted {
-    Here(OccupancyGuard),
-    /// Dropping the call tells the owner, at the latest when the connection is lost.
-    There {
-        /// Dropped to end this node's side of the call.
-        unread: Option<oneshot::Sender<()>>,
+    Local(OccupancyGuard),
+    /// At another node, which learns that the call was dropped when the connection is lost at the
+    /// latest.
+    Remote {
+        /// Dropped once the prompt is prefilled, which ends this node's side of the call.
+        prefill_pending: Option<oneshot::Sender<()>>,
         _call: Box<Streaming<AdmitReply>>,
     },
 }
 
 impl Permit {
-    /// Tells the owner that the engine has read the request's prompt.
+    /// Tells the owner that the engine has prefilled the request's prompt.
     pub fn prefill_done(&mut self) {
         match &mut self.0 {
-            Counted::Here(place) => place.prefill_done(),
-            Counted::There { unread, .. } => *unread = None,
+            Counted::Local(guard) => guard.prefill_done(),
+            Counted::Remote {
+                prefill_pending, ..
+            } => *prefill_pending = None,
         }
     }
 }
 
-/// What an owner said.
+/// Decision of an owner on an admission query.
 #[derive(Debug)]
 pub enum AdmitDecision {
-    /// The request counts while the permit lives.
+    /// The request is admitted and counted while the permit lives.
     Admitted(Permit, EngineLoad),
-    /// As many requests as the limit says are there.
+    /// The engine has reached the limit on running requests or on the wait.
     Busy(EngineLoad),
     /// The engine doesn't hold the adapter.
     Absent(EngineLoad),
-    /// Nobody counts there, or the owner didn't answer.
+    /// The engine has no owner that counts, or the owner didn't answer.
     Unknown,
 }
 
@@ -75,7 +81,7 @@
         }
     }
 
-    /// Returns how much the engine has to do, if the owner said so.
+    /// Returns the load of the engine, if the owner reported it.
     #[must_use]
     pub fn load(&self) -> Option<EngineLoad> {
         match self {
@@ -85,79 +91,79 @@
     }
 }
 
-/// What is asked of an owner.
+/// Admission query to the owner of an engine.
 #[derive(Debug, Clone, Copy)]
 pub struct AdmitQuery<'a> {
     /// The adapter that the request uses, if any.
     pub adapter: Option<&'a Name>,
-    /// The least version that will do; 0 is any.
+    /// The lowest acceptable version of the adapter; 0 accepts any.
     pub version: u64,
-    /// Requests there from which on this one isn't counted in; 0 counts it in always.
+    /// Number of running requests at which the request is rejected; 0 always admits it.
     pub max_running: u32,
-    /// Whether the adapter was loaded there for this request a moment ago.
+    /// Whether the adapter has just been loaded at the engine for this request.
     pub loaded: bool,
-    /// Tokens of the prompt that the engine has to read.
+    /// Number of prompt tokens that the engine has to prefill.
     pub tokens: u32,
-    /// The longest wait with which the request is counted in where there is a limit.
+    /// Longest expected wait with which the request is admitted. Ignored if `max_running` is 0.
     pub max_wait: Millis,
 }
 
 impl Controllers {
-    /// Has a request counted in at an engine by whoever gives it orders.
-    pub async fn admit(&self, upstream: &Arc<Upstream>, question: AdmitQuery<'_>) -> AdmitDecision {
-        let answer = if self.right.owns(upstream.address) {
-            self.admit_locally(upstream, question)
+    /// Asks the owner of an engine to admit a request.
+    pub async fn admit(&self, upstream: &Arc<Upstream>, query: AdmitQuery<'_>) -> AdmitDecision {
+        let decision = if self.right.owns(upstream.address) {
+            self.admit_locally(upstream, query)
         } else {
-            self.admit_there(upstream, question).await
+            self.admit_remotely(upstream, query).await
         };
         let counter = &self.metrics.admissions;
-        counter.with_label_values(&[answer.name()]).inc();
-        if let Some(load) = answer.load() {
-            let elsewhere = load.running.saturating_sub(upstream.running());
-            upstream.record_remote_load(elsewhere, self.clock.now());
+        counter.with_label_values(&[decision.name()]).inc();
+        if let Some(load) = decision.load() {
+            let remote = load.running.saturating_sub(upstream.running());
+            upstream.record_remote_load(remote, self.clock.now());
         }
-        answer
+        decision
     }
 
-    /// Answers for an engine that this node orders.
+    /// Decides on an admission query for an engine that this node owns.
     pub(super) fn admit_locally(
         &self,
         upstream: &Arc<Upstream>,
-        question: AdmitQuery<'_>,
+        query: AdmitQuery<'_>,
     ) -> AdmitDecision {
-        // Counting needs no right to give orders: an owner that has lost the key-value service
-        // still knows best what runs at its engines.
+        // Counting doesn't require a valid lease: an owner that has lost the key-value service
+        // still has the best count for its engines.
         if !self.right.owns(upstream.address) {
             return AdmitDecision::Unknown;
         }
-        let none = Name::from("");
-        let adapter = question.adapter.unwrap_or(&none);
+        let no_adapter = Name::from("");
+        let adapter = query.adapter.unwrap_or(&no_adapter);
         let engine = &upstream.incarnation;
         let load = self.table.load(engine, adapter, upstream.slots);
         let held = upstream.version(adapter);
-        let absent = held.is_none_or(|held| held < question.version);
-        if question.adapter.is_some() && absent && !question.loaded {
+        let is_absent = held.is_none_or(|held| held < query.version);
+        if query.adapter.is_some() && is_absent && !query.loaded {
             return AdmitDecision::Absent(load);
         }
-        let is_busy = load.running >= question.max_running || load.wait > question.max_wait;
-        if question.max_running > 0 && is_busy {
+        let is_busy = load.running >= query.max_running || load.wait > query.max_wait;
+        if query.max_running > 0 && is_busy {
             return AdmitDecision::Busy(load);
         }
-        if question.adapter.is_some() {
+        if query.adapter.is_some() {
             self.note_uses(engine, vec![Name::clone(adapter)], IN_USE_GRACE);
         }
         let request = CountedRequest {
             adapter: Name::clone(adapter),
-            prompt_tokens: question.tokens,
+            prompt_tokens: query.tokens,
         };
-        let place = self.table.start_request(engine, request);
-        AdmitDecision::Admitted(Permit(Counted::Here(place)), load)
+        let guard = self.table.start_request(engine, request);
+        AdmitDecision::Admitted(Permit(Counted::Local(guard)), load)
     }
 
-    async fn admit_there(
+    async fn admit_remotely(
         &self,
         upstream: &Arc<Upstream>,
-        question: AdmitQuery<'_>,
+        query: AdmitQuery<'_>,
     ) -> AdmitDecision {
         let Some((node, peer)) = self.view.owner(upstream.address) else {
             return AdmitDecision::Unknown;
@@ -167,38 +173,35 @@
         }
         let request = AdmitRequest {
             incarnation: upstream.incarnation.to_string(),
-            adapter: question
-                .adapter
-                .map(ToString::to_string)
-                .unwrap_or_default(),
-            version: question.version,
-            limit: question.max_running,
-            loaded: question.loaded,
-            tokens: question.tokens,
-            patience_ms: question.max_wait.0,
+            adapter: query.adapter.map(ToString::to_string).unwrap_or_default(),
+            version: query.version,
+            limit: query.max_running,
+            loaded: query.loaded,
+            tokens: query.tokens,
+            patience_ms: query.max_wait.0,
         };
-        // This side of the call ends when the sender is dropped.
-        let (unread, is_read) = oneshot::channel::<()>();
+        // The stream of requests ends when the sender is dropped.
+        let (prefill_pending, prefill_done) = oneshot::channel::<()>();
         let requests = stream::once(future::ready(request)).chain(
-            is_read
+            prefill_done
                 .into_stream()
                 .filter_map(|_| future::ready(None::<AdmitRequest>)),
         );
         let mut client = self.client(peer.address);
-        let asking = async {
+        let call = async {
             let mut replies = client.admit(requests).await?.into_inner();
             let reply = replies.message().await?;
             Ok::<_, Status>((replies, reply))
         };
-        match tokio::time::timeout(ANSWER.duration(), asking).await {
-            Ok(Ok((replies, Some(reply)))) => read(replies, &reply, unread),
+        match tokio::time::timeout(ADMIT_TIMEOUT.duration(), call).await {
+            Ok(Ok((replies, Some(reply)))) => decision_from_reply(replies, &reply, prefill_pending),
             Ok(Ok((_, None))) => AdmitDecision::Unknown,
             Ok(Err(status)) => {
                 log::info!("admit: {node} does not answer: {}", status.message());
                 AdmitDecision::Unknown
             }
             Err(_) => {
-                log::info!("admit: no answer from {node} within {ANSWER}");
+                log::info!("admit: no answer from {node} within {ADMIT_TIMEOUT}");
                 self.is_late(peer.address);
                 AdmitDecision::Unknown
             }
@@ -206,10 +209,10 @@
     }
 }
 
-fn read(
+fn decision_from_reply(
     replies: Streaming<AdmitReply>,
     reply: &AdmitReply,
-    unread: oneshot::Sender<()>,
+    prefill_pending: oneshot::Sender<()>,
 ) -> AdmitDecision {
     let load = EngineLoad {
         running: reply.running,
@@ -218,8 +221,8 @@
     };
     match reply.admission() {
         Admission::Admitted => {
-            let counted = Counted::There {
-                unread: Some(unread),
+            let counted = Counted::Remote {
+                prefill_pending: Some(prefill_pending),
                 _call: Box::new(replies),
             };
             AdmitDecision::Admitted(Permit(counted), load)
@@ -230,20 +233,21 @@
     }
 }
 
-/// The answer to another node: one message, and silence while the request runs.
+/// Response stream to another node: one message, then nothing until the request ends.
 #[derive(Debug)]
 pub struct AdmitReplies {
     reply: Option<AdmitReply>,
     permit: Option<Permit>,
-    /// The other node's side; its end says that the prompt is read.
-    questions: Option<Streaming<AdmitRequest>>,
+    /// The other node's side of the call, which ends once the prompt is prefilled.
+    requests: Option<Streaming<AdmitRequest>>,
 }
 
 impl AdmitReplies {
-    /// Makes the answer that keeps a request counted until the other node drops the call.
+    /// Creates the response stream, which keeps an admitted request counted until the other node
+    /// drops the call.
     #[must_use]
-    pub fn new(answer: AdmitDecision, questions: Streaming<AdmitRequest>) -> Self {
-        let (admission, load, permit) = match answer {
+    pub fn new(decision: AdmitDecision, requests: Streaming<AdmitRequest>) -> Self {
+        let (admission, load, permit) = match decision {
             AdmitDecision::Admitted(permit, load) => {
                 (Admission::Admitted, Some(load), Some(permit))
             }
@@ -260,7 +264,7 @@
         Self {
             reply: Some(reply),
             permit,
-            questions: Some(questions),
+            requests: Some(requests),
         }
     }
 }
@@ -276,18 +280,18 @@
         let Some(permit) = &mut this.permit else {
             return Poll::Ready(None);
         };
-        if let Some(questions) = &mut this.questions {
-            match questions.poll_next_unpin(context) {
+        if let Some(requests) = &mut this.requests {
+            match requests.poll_next_unpin(context) {
                 Poll::Ready(None) => {
                     permit.prefill_done();
-                    this.questions = None;
+                    this.requests = None;
                 }
-                // The call was dropped; the count must not outlast it.
+                // The call was dropped, so the request is no longer counted.
                 Poll::Ready(Some(Err(_))) => return Poll::Ready(None),
                 Poll::Ready(Some(Ok(_))) | Poll::Pending => {}
             }
         }
-        // The other node's dropping of the call ends it, so nothing else has to wake this.
+        // The stream ends when the other node drops the call; no other wake-up is needed.
         Poll::Pending
     }
 }
