--- a/lib/src/direct/acquire.rs
+++ b/lib/src/direct/acquire.rs
@@ -1,6 +1,7 @@
-//! A place for a request at an engine, asked of the engines' owners.
+//! Acquires a permit for a request from the owners of engines.
 //!
-//! The load is told in [`super::admission_policy`], which holds the decisions; here they are carried out.
+//! The thresholds are in [`super::admission_policy`], together with the traffic that they are made
+//! for; this module applies them.
 
 use std::sync::Arc;
 
@@ -11,24 +12,25 @@
 use super::occupancy::EngineLoad;
 use super::request::ActiveRequest;
 use super::selection::Selector;
-use super::target::{FIRST_HOMES, Target};
+use super::target::{PREFERRED_CANDIDATES, Target};
 use super::upstream::Upstream;
 use crate::clock::Millis;
 use crate::name::Name;
 
-/// What asking engines that are believed to hold an adapter led to.
+/// Result of querying the engines that are believed to hold an adapter.
 #[derive(Debug)]
-pub(super) enum Asked {
-    /// Send there.
-    Place(Target),
-    /// None holds it, or all have a queue that lasts longer than a load elsewhere.
-    Load(Option<Target>),
-    /// It would begin too late wherever it is sent.
+pub(super) enum HolderSearch {
+    /// The request is to be sent to this engine.
+    Found(Target),
+    /// No engine holds the adapter, or all have queues that take longer than a load at another
+    /// engine. In the second case, this is the engine with the shortest wait.
+    LoadElsewhere(Option<Target>),
+    /// The request would start too late at any engine; the caller should retry after this time.
     TooLate(Millis),
 }
 
 impl ActiveRequest {
-    /// Asks for a place at any load.
+    /// Returns an admission query that is admitted whatever the load.
     pub(super) fn admit_query<'a>(
         &self,
         adapter: Option<&'a Name>,
@@ -44,11 +46,16 @@
         }
     }
 
-    /// Finds an engine for a request that uses no adapter.
-    pub(super) async fn with_base(&self, field: &Selector<'_>, model: &Name) -> Option<Target> {
-        let upstream = field.select(self.manner(), |upstream| upstream.has_base_model(model))?;
-        let question = self.admit_query(None, 0);
-        let permit = match self.gate.controllers.admit(&upstream, question).await {
+    /// Finds an engine for a request that uses only a base model.
+    pub(super) async fn base_model_target(
+        &self,
+        selector: &Selector<'_>,
+        model: &Name,
+    ) -> Option<Target> {
+        let upstream =
+            selector.select(self.workload(), |upstream| upstream.has_base_model(model))?;
+        let query = self.admit_query(None, 0);
+        let permit = match self.gate.controllers.admit(&upstream, query).await {
             admit::AdmitDecision::Admitted(permit, _) => Some(permit),
             _ => None,
         };
@@ -59,122 +66,134 @@
         })
     }
 
-    /// Asks engines that are believed to hold the adapter for a place, the better ones first.
-    pub(super) async fn ask_holders(
+    /// Queries the engines that are believed to hold the adapter for admission, the best ones
+    /// first.
+    pub(super) async fn query_holders(
         &self,
-        field: &Selector<'_>,
+        selector: &Selector<'_>,
         adapter: &Name,
         wanted: u64,
-    ) -> Asked {
-        let turned_away = self.rejected > 0;
+    ) -> HolderSearch {
+        let was_rejected = self.rejected > 0;
         let mut busy: SmallVec<[(Arc<Upstream>, EngineLoad); MAX_ADMISSION_QUERIES]> =
             SmallVec::new();
         while busy.len() < MAX_ADMISSION_QUERIES {
             let holds = |upstream: &Upstream| {
-                let asked = |(one, _): &(Arc<Upstream>, EngineLoad)| {
+                let same = |(one, _): &(Arc<Upstream>, EngineLoad)| {
                     one.incarnation == upstream.incarnation
                 };
                 upstream.version(adapter).is_some_and(|held| held >= wanted)
-                    && !busy.iter().any(asked)
+                    && !busy.iter().any(same)
             };
-            let Some(upstream) = field.select(self.manner(), holds) else {
+            let Some(upstream) = selector.select(self.workload(), holds) else {
                 break;
             };
-            // One that only fails some requests keeps them: copies of all its adapters
-            // would cost more than the failures.
-            let full = turned_away && self.tried.contains(&upstream.incarnation);
-            if full || upstream.is_unreachable(field.now) {
+            // An engine that merely fails some requests still gets more: loading copies of all its
+            // adapters elsewhere would cost more than the failures.
+            let is_full = was_rejected && self.tried.contains(&upstream.incarnation);
+            if is_full || upstream.is_unreachable(selector.now) {
                 break;
             }
-            self.copy(field, adapter, wanted, &upstream);
-            let question = AdmitQuery {
+            self.copy_to_prefill(selector, adapter, wanted, &upstream);
+            let query = AdmitQuery {
                 max_running: admission_policy::light_load_limit(upstream.slots),
                 ..self.admit_query(Some(adapter), wanted)
             };
-            match self.gate.controllers.admit(&upstream, question).await {
+            match self.gate.controllers.admit(&upstream, query).await {
                 admit::AdmitDecision::Admitted(permit, _) => {
-                    return Asked::Place(Self::admitted(upstream, adapter, Some(permit)));
+                    return HolderSearch::Found(Self::target_with_permit(
+                        upstream,
+                        adapter,
+                        Some(permit),
+                    ));
                 }
                 admit::AdmitDecision::Busy(load) => busy.push((upstream, load)),
                 admit::AdmitDecision::Absent(_) => upstream.remove_adapter(adapter),
                 admit::AdmitDecision::Unknown => {
-                    return Asked::Place(Self::admitted(upstream, adapter, None));
+                    return HolderSearch::Found(Self::target_with_permit(upstream, adapter, None));
                 }
             }
         }
-        self.settle(field, adapter, wanted, &busy).await
+        self.choose_busy(selector, adapter, wanted, &busy).await
     }
 
-    /// Decides between engines that are all no longer calm.
-    async fn settle(
+    /// Chooses among engines of which none is lightly loaded.
+    async fn choose_busy(
         &self,
-        field: &Selector<'_>,
+        selector: &Selector<'_>,
         adapter: &Name,
         wanted: u64,
         busy: &[(Arc<Upstream>, EngineLoad)],
-    ) -> Asked {
-        let least = busy
+    ) -> HolderSearch {
+        let least_busy = busy
             .iter()
             .min_by_key(|(upstream, load)| (load.wait, load.running * 100 / upstream.slots));
-        let Some((upstream, load)) = least else {
-            return Asked::Load(None);
+        let Some((upstream, load)) = least_busy else {
+            return HolderSearch::LoadElsewhere(None);
         };
-        let reads = field.is_prefill(upstream);
-        if admission_policy::needs_replica(*load, upstream.slots, reads) {
-            self.spread(field, adapter, wanted, reads);
+        let is_prefill = selector.is_prefill(upstream);
+        if admission_policy::needs_replica(*load, upstream.slots, is_prefill) {
+            self.add_replica(selector, adapter, wanted, is_prefill);
         }
         let now = self.now();
         let (passed, left) = (now.since(self.began), self.until.since(now));
-        let late = admission_policy::retry_after(load.wait, self.route.objective, passed, left);
-        if let (Some(back), true) = (late, self.sent == 0) {
-            return Asked::TooLate(back);
+        let retry_after =
+            admission_policy::retry_after(load.wait, self.route.objective, passed, left);
+        if let (Some(retry_after), true) = (retry_after, self.sent == 0) {
+            return HolderSearch::TooLate(retry_after);
         }
         if admission_policy::is_load_faster(load.wait) {
-            return Asked::Load(Some(Self::at(Arc::clone(upstream), adapter)));
+            return HolderSearch::LoadElsewhere(Some(Self::uncounted_target(
+                Arc::clone(upstream),
+                adapter,
+            )));
         }
-        let question = self.admit_query(Some(adapter), wanted);
-        let target = self.counted(Arc::clone(upstream), adapter, question).await;
-        target.map_or(Asked::Load(None), Asked::Place)
+        let query = self.admit_query(Some(adapter), wanted);
+        let target = self
+            .request_permit(Arc::clone(upstream), adapter, query)
+            .await;
+        target.map_or(HolderSearch::LoadElsewhere(None), HolderSearch::Found)
     }
 
-    /// Has a request counted at the engine to which it goes whatever the load there.
+    /// Asks the owner to count a request at the engine to which it is sent whatever the load.
     ///
-    /// One that isn't counted shows to nobody until its node tells of it: others are told of a
-    /// queue that is shorter than it is, and its adapter could be evicted. Where nobody counts it
-    /// is sent by belief; none means that the owner says that the adapter isn't there.
-    pub(super) async fn counted(
+    /// Until its node reports it, an uncounted request is invisible to others: the owner reports a
+    /// queue that is too short, and the adapter could be evicted. If no owner counts it, the
+    /// request is sent uncounted. Returns `None` if the owner says that the engine doesn't hold the
+    /// adapter.
+    pub(super) async fn request_permit(
         &self,
         upstream: Arc<Upstream>,
         adapter: &Name,
-        question: AdmitQuery<'_>,
+        query: AdmitQuery<'_>,
     ) -> Option<Target> {
-        match self.gate.controllers.admit(&upstream, question).await {
+        match self.gate.controllers.admit(&upstream, query).await {
             admit::AdmitDecision::Admitted(permit, _) => {
-                Some(Self::admitted(upstream, adapter, Some(permit)))
+                Some(Self::target_with_permit(upstream, adapter, Some(permit)))
             }
             admit::AdmitDecision::Absent(_) => {
                 upstream.remove_adapter(adapter);
                 None
             }
             admit::AdmitDecision::Busy(_) | admit::AdmitDecision::Unknown => {
-                Some(Self::admitted(upstream, adapter, None))
+                Some(Self::target_with_permit(upstream, adapter, None))
             }
         }
     }
 
-    pub(super) fn admitted(
+    pub(super) fn target_with_permit(
         upstream: Arc<Upstream>,
         adapter: &Name,
         permit: Option<Permit>,
     ) -> Target {
         Target {
             permit,
-            ..Self::at(upstream, adapter)
+            ..Self::uncounted_target(upstream, adapter)
         }
     }
 
-    /// Whether another engine that holds what the request needs is believed to have free places.
-    pub(super) fn has_free_holder(&self, but: &Upstream) -> bool {
+    /// Whether another engine that holds what the request needs is believed to have free slots.
+    pub(super) fn has_free_holder(&self, except: &Upstream) -> bool {
         let Some(model) = &self.message.call.model else {
             return false;
         };
@@ -187,7 +206,7 @@
                 None => upstream.has_base_model(model),
             };
             holds
-                && upstream.incarnation != but.incarnation
+                && upstream.incarnation != except.incarnation
                 && upstream.is_ready()
                 && !upstream.is_suspended(now)
                 && !self.tried.contains(&upstream.incarnation)
@@ -195,47 +214,50 @@
         })
     }
 
-    /// Orders the engines that come first for an adapter by how soon they would begin.
+    /// Orders the first engines in an adapter's placement order by how soon they would start a
+    /// request.
     ///
-    /// Half of all adapters are asked for once a day. Loaded at their first engine whatever runs
-    /// there, they crowd the engines of popular adapters; the second one is as good a home.
+    /// Half of all adapters are requested once a day. If they were always loaded at their first
+    /// engine, they would overload the engines of popular adapters; the second engine is as good.
     ///
-    /// With `only_calm` the request could wait where its adapter is: a load then pays only at an
-    /// engine that has little to do. Where all are busy, loads for each request would crowd the
-    /// weight store and gain nothing.
-    pub(super) async fn by_load(
+    /// With `only_lightly_loaded`, the request could also wait at an engine that holds its adapter,
+    /// so a load pays only at a lightly loaded engine. If all engines are busy, a load for each
+    /// request would overload the weight store without any gain.
+    pub(super) async fn order_by_load(
         &self,
         adapter: &Name,
         wanted: u64,
-        mut homes: Vec<Arc<Upstream>>,
-        only_calm: bool,
+        mut candidates: Vec<Arc<Upstream>>,
+        only_lightly_loaded: bool,
     ) -> Vec<Arc<Upstream>> {
-        let first = &homes[..FIRST_HOMES.min(homes.len())];
-        let asking = first.iter().map(|upstream| {
-            let question = AdmitQuery {
+        let first = &candidates[..PREFERRED_CANDIDATES.min(candidates.len())];
+        let queries = first.iter().map(|upstream| {
+            let query = AdmitQuery {
                 max_running: 1,
                 max_wait: Millis::ZERO,
                 ..self.admit_query(Some(adapter), wanted)
             };
-            self.gate.controllers.admit(upstream, question)
+            self.gate.controllers.admit(upstream, query)
         });
-        let answers = futures::future::join_all(asking).await;
+        let decisions = futures::future::join_all(queries).await;
         let loads: Vec<Option<EngineLoad>> =
-            answers.iter().map(admit::AdmitDecision::load).collect();
+            decisions.iter().map(admit::AdmitDecision::load).collect();
         let objective = self.route.objective;
-        if only_calm {
-            let calm = homes.iter().zip(&loads).filter(|(upstream, load)| {
+        if only_lightly_loaded {
+            let lightly_loaded = candidates.iter().zip(&loads).filter(|(upstream, load)| {
                 load.is_some_and(|load| {
                     admission_policy::is_lightly_loaded(load, upstream.slots, objective)
                 })
             });
-            return calm.map(|(upstream, _)| Arc::clone(upstream)).collect();
+            return lightly_loaded
+                .map(|(upstream, _)| Arc::clone(upstream))
+                .collect();
         }
         if let [Some(one), Some(other)] = loads[..]
             && admission_policy::prefers_second_engine(one, other, objective)
         {
-            homes.swap(0, 1);
+            candidates.swap(0, 1);
         }
-        homes
+        candidates
     }
 }
--- a/lib/src/direct/roles.rs
+++ b/lib/src/direct/roles.rs
@@ -53,7 +53,8 @@
 ///
 /// `sent` is the version that its engine was expected to hold, `held` the version that the other
 /// engine is believed to hold, and `newest` the newest declared version. An adapter that was loaded
-/// without a version has the number 0. If no version was declared, there is only one.
+/// as the newest version, whichever that is, has the number 0. If no version was declared, there is
+/// only one.
 ///
 /// Continuing at another engine counts as starting there. A run that was started in time on an
 /// older version would be started again on that version long after it was replaced: 9.5 s
--- a/lib/src/direct/target.rs
+++ b/lib/src/direct/target.rs
@@ -1,11 +1,11 @@
-//! Where a request goes next: the engine that holds its adapter, or one that is to load it.
+//! Finds the next target of a request: an engine that holds its adapter, or one that is to load it.
 
 use std::sync::Arc;
 
 use smallvec::SmallVec;
 use xxhash_rust::xxh3::xxh3_64;
 
-use super::acquire::Asked;
+use super::acquire::HolderSearch;
 use super::admission_policy::{self, MAX_ADMISSION_QUERIES};
 use super::admit::{self, AdmitQuery, Permit};
 use super::attempt::Answer;
@@ -22,49 +22,52 @@
 use crate::error::{Code, Failure};
 use crate::name::Name;
 
-/// Part of the objective that a request may wait for an upstream before it is refused.
+/// Divisor of the latency objective that gives the time for which a request may wait for an
+/// upstream before it is refused.
 ///
-/// A refusal this early leaves the caller time to come back.
-const REFUSE_AFTER: u64 = 8;
+/// A refusal this early leaves the caller time to retry.
+const REFUSE_AFTER_DIVISOR: u64 = 8;
 
-/// Engines that are asked to load an adapter for one request, one after the other.
+/// Maximum number of engines that are asked in turn to load an adapter for one request.
 ///
-/// One whose queue is full says so within a millisecond or two; twelve such answers take
-/// less time than one load.
-const MOST_ASKED: usize = 12;
+/// An engine with a full queue answers within a millisecond or two; twelve such answers take less
+/// time than one load.
+const MAX_LOAD_ATTEMPTS: usize = 12;
 
-/// Engines whose owner has just lost its right that are asked for one request at most.
+/// Maximum number of engines that are asked for one request although their owner has just lost the
+/// right to give orders.
 ///
-/// They answer within milliseconds, unlike those that try a load.
-const MOST_UNOWNED: usize = 16;
+/// Such owners answer within milliseconds, unlike those that attempt a load.
+const MAX_UNOWNED_ATTEMPTS: usize = 16;
 
-/// Engines of an adapter's order that come first however loaded they are.
+/// Number of engines at the head of an adapter's placement order that stay first, however many
+/// adapters they hold.
 ///
-/// They may have kept a copy of it, which loads ten times as fast.
-pub(super) const FIRST_HOMES: usize = 2;
+/// They may have kept a copy of the adapter, which loads ten times as fast.
+pub(super) const PREFERRED_CANDIDATES: usize = 2;
 
-/// Requests at a writer, one of which asks that a reader hold the adapter too.
+/// One in this many requests that prefill at a decode engine loads the adapter at a prefill engine.
 ///
-/// Nodes see a ninth or less of an adapter's requests each. Chance asks after as many requests
-/// as this over all nodes, without counting together: adapters that are asked for once or
-/// twice seldom cost a second load, frequent ones get it at once.
-const COPY_ONE_IN: u64 = 2;
+/// Each node sees a ninth or less of an adapter's requests. A random choice triggers the load after
+/// about this many requests over all nodes without a shared count: adapters requested once or twice
+/// seldom cost a second load, and frequent ones get it at once.
+const PREFILL_COPY_ONE_IN: u64 = 2;
 
-/// Where to send, and the version of the adapter that is expected there.
+/// Upstream to send a request to, with the version of the adapter expected there.
 #[derive(Debug)]
 pub struct Target {
     /// The upstream.
     pub upstream: Arc<Upstream>,
-    /// The version of the adapter there; none where any will do.
+    /// The version of the adapter; `None` if any version is acceptable.
     pub version: Option<u64>,
-    /// The request's place in the count of the upstream's owner.
+    /// Keeps the request counted by the upstream's owner, if the owner admitted it.
     pub permit: Option<Permit>,
 }
 
 impl ActiveRequest {
-    /// Finds where to send, waiting a little if nothing fits.
+    /// Finds the target to send to, waiting briefly if there is none.
     pub(super) async fn find_target(&self) -> Result<Target, Failure> {
-        let patience = self.began + Millis(self.route.objective.0 / REFUSE_AFTER);
+        let refuse_at = self.began + Millis(self.route.objective.0 / REFUSE_AFTER_DIVISOR);
         let quarantine = &self.gate.quarantine;
         if !quarantine.is_empty() {
             quarantine.examined(self.message.fingerprint()).await;
@@ -73,70 +76,71 @@
             self.check()?;
             let upstreams = self.gate.view.pool(&self.pool);
             let roles = self.gate.roles(&self.pool);
-            let field = self.field(&upstreams, &roles);
+            let selector = self.selector(&upstreams, &roles);
             let found = match &self.message.call.model {
-                None => field.least_loaded(|_| true).map(anywhere),
+                None => selector.least_loaded(|_| true).map(any_version_target),
                 Some(model) => match self.message.call.adapter() {
-                    None => self.with_base(&field, model).await,
-                    Some(adapter) => self.holder(&field, adapter).await?,
+                    None => self.base_model_target(&selector, model).await,
+                    Some(adapter) => self.adapter_target(&selector, adapter).await?,
                 },
             };
             if let Some(target) = found {
-                // It can have waited for its adapter meanwhile.
+                // The request may have waited for its adapter in the meantime.
                 self.check()?;
                 return Ok(target);
             }
             let now = self.now();
-            if now >= patience || now >= self.until {
+            if now >= refuse_at || now >= self.until {
                 return Err(self.refusal(Code::NoUpstream, "no upstream can take it now"));
             }
             tokio::time::sleep(LOOK.duration()).await;
         }
     }
 
-    /// Returns the writer to which a run moves whose answer began, if there is one now.
+    /// Returns the decode engine to which a run moves after its answer has started, if there is
+    /// one.
     ///
-    /// With `ask`, a writer is asked to hold the adapter where none does, so that a later
-    /// event of this stream can move it.
-    pub(super) fn decode_target(&self, answer: &Answer, ask: bool) -> Option<Target> {
+    /// With `request_load`, a decode engine is asked to load the adapter if none holds it, so that
+    /// the run can move after a later event.
+    pub(super) fn decode_target(&self, answer: &Answer, request_load: bool) -> Option<Target> {
         let source = &answer.upstream;
         let roles = self.gate.roles(&self.pool);
         if !roles.is_prefill(source.address) {
             return None;
         }
         let upstreams = self.gate.view.pool(&self.pool);
-        let field = self.field(&upstreams, &roles);
-        let takes = |upstream: &Upstream| {
-            !field.is_prefill(upstream)
-                && !upstream.is_suspended(field.now)
+        let selector = self.selector(&upstreams, &roles);
+        let has_free_slot = |upstream: &Upstream| {
+            !selector.is_prefill(upstream)
+                && !upstream.is_suspended(selector.now)
                 && upstream.total_running() < upstream.slots
         };
         let Some(adapter) = self.message.call.adapter() else {
             let model = self.message.call.model.as_ref()?;
-            return field
-                .least_loaded(|upstream| takes(upstream) && upstream.has_base_model(model))
-                .map(anywhere);
+            return selector
+                .least_loaded(|upstream| has_free_slot(upstream) && upstream.has_base_model(model))
+                .map(any_version_target);
         };
         let newest = self.gate.view.newest(adapter).map(|newest| newest.version);
         let fits = |upstream: &Upstream| {
             let held = upstream.version(adapter);
             held.is_some_and(|held| may_move(answer.version, held, newest))
         };
-        let found = field.least_loaded(|upstream| takes(upstream) && fits(upstream));
-        if found.is_none() && ask {
-            let mut homes = self.homes(&field, adapter);
-            homes.retain(|upstream| !field.is_prefill(upstream));
+        let found = selector.least_loaded(|upstream| has_free_slot(upstream) && fits(upstream));
+        if found.is_none() && request_load {
+            let mut candidates = self.load_candidates(&selector, adapter);
+            candidates.retain(|upstream| !selector.is_prefill(upstream));
             self.gate
-                .load_soon(homes, adapter, newest.unwrap_or_default());
+                .load_soon(candidates, adapter, newest.unwrap_or_default());
         }
-        found.map(|upstream| Self::at(upstream, adapter))
+        found.map(|upstream| Self::uncounted_target(upstream, adapter))
     }
 
-    pub(super) fn manner(&self) -> Workload {
+    pub(super) fn workload(&self) -> Workload {
         Workload::of(self.message.call.tokens)
     }
 
-    pub(super) fn field<'a>(
+    pub(super) fn selector<'a>(
         &'a self,
         upstreams: &'a [Arc<Upstream>],
         roles: &'a Roles,
@@ -146,7 +150,7 @@
             tried: &self.tried,
             local_domain: &self.gate.failure_domain,
             now: self.now(),
-            affinity_seed: salt(&self.message.call),
+            affinity_seed: affinity_seed(&self.message.call),
             max_event_gap: self.route.pause,
             roles,
             request_hash: xxh3_64(self.id().as_bytes()),
@@ -159,98 +163,104 @@
         }
     }
 
-    /// Finds an engine that holds the adapter, or has one load it.
+    /// Finds an engine that holds the adapter, or gets one to load it.
     ///
     /// # Errors
     ///
-    /// A refusal when the request would begin too late wherever it is sent.
-    async fn holder(
+    /// A refusal if the request would start too late at any engine.
+    async fn adapter_target(
         &self,
-        field: &Selector<'_>,
+        selector: &Selector<'_>,
         adapter: &Name,
     ) -> Result<Option<Target>, Failure> {
         let newest = self.gate.view.newest(adapter);
         let wanted = newest.map_or(0, |newest| newest.version);
-        let waiting = match self.ask_holders(field, adapter, wanted).await {
-            Asked::Place(target) => return Ok(Some(target)),
-            Asked::TooLate(back) => {
+        let queued = match self.query_holders(selector, adapter, wanted).await {
+            HolderSearch::Found(target) => return Ok(Some(target)),
+            HolderSearch::TooLate(retry_after) => {
                 let failure = self.refusal(Code::NoUpstream, "it would begin too late");
                 return Err(match failure.retry_after {
-                    Some(_) => failure.retry_after(back),
+                    Some(_) => failure.retry_after(retry_after),
                     None => failure,
                 });
             }
-            Asked::Load(waiting) => waiting,
+            HolderSearch::LoadElsewhere(queued) => queued,
         };
-        if let Some(target) = self.older(field, adapter, wanted).await {
+        if let Some(target) = self.older_version_target(selector, adapter, wanted).await {
             self.gate
-                .load_soon(self.homes(field, adapter), adapter, wanted);
+                .load_soon(self.load_candidates(selector, adapter), adapter, wanted);
             return Ok(Some(target));
         }
-        let homes = self.homes(field, adapter);
-        let mut homes = self
-            .by_load(adapter, wanted, homes, waiting.is_some())
+        let candidates = self.load_candidates(selector, adapter);
+        let mut candidates = self
+            .order_by_load(adapter, wanted, candidates, queued.is_some())
             .await;
-        homes.extend(self.replacing(field, adapter));
-        if let Some(upstream) = self.loaded(homes, adapter, wanted).await {
-            let question = AdmitQuery {
+        candidates.extend(self.replacing_engines(selector, adapter));
+        if let Some(upstream) = self.load_adapter(candidates, adapter, wanted).await {
+            let query = AdmitQuery {
                 loaded: true,
                 ..self.admit_query(Some(adapter), wanted)
             };
-            return Ok(self.counted(upstream, adapter, question).await);
+            return Ok(self.request_permit(upstream, adapter, query).await);
         }
-        let question = self.admit_query(Some(adapter), wanted);
-        if let Some(waiting) = waiting
-            && let Some(target) = self.counted(waiting.upstream, adapter, question).await
+        let query = self.admit_query(Some(adapter), wanted);
+        if let Some(queued) = queued
+            && let Some(target) = self.request_permit(queued.upstream, adapter, query).await
         {
             return Ok(Some(target));
         }
-        // An engine that can't be reached holds the adapter for nobody: it was passed over
-        // above, and is better than none now.
+        // Engines that can't be reached were skipped above. As a last resort, one that holds the
+        // adapter is better than none.
         let holds =
             |upstream: &Upstream| upstream.version(adapter).is_some_and(|held| held >= wanted);
-        match field.select(self.manner(), holds) {
-            Some(upstream) => Ok(self.counted(upstream, adapter, question).await),
+        match selector.select(self.workload(), holds) {
+            Some(upstream) => Ok(self.request_permit(upstream, adapter, query).await),
             None => Ok(None),
         }
     }
 
-    /// Finds a place at an engine that holds an older version, if the request begins there in time.
+    /// Finds an engine that holds an older version, if the request would start there in time.
     ///
-    /// Only an engine with a free place will do. In a queue the request could outlast its version,
-    /// while the newest one is loaded elsewhere in less time than most queues take. A request
-    /// that doesn't show when it begins waits for the newest. Where the newest one's engines have
-    /// queues, a free place begins a request sooner than they or a further load would.
-    async fn older(&self, field: &Selector<'_>, adapter: &Name, newest: u64) -> Option<Target> {
+    /// Only an engine with a free slot is acceptable. In a queue, the request could wait until its
+    /// version may no longer start, and loading the newest version elsewhere takes less time than
+    /// most queues. A request that isn't streamed doesn't show when it starts, so it waits for the
+    /// newest version. If the engines with the newest version have queues, a free slot starts a
+    /// request sooner than they or another load would.
+    async fn older_version_target(
+        &self,
+        selector: &Selector<'_>,
+        adapter: &Name,
+        newest: u64,
+    ) -> Option<Target> {
         if !self.message.kind.streamed() {
             return None;
         }
-        let mut asked: SmallVec<[Name; MAX_ADMISSION_QUERIES]> = SmallVec::new();
-        while asked.len() < MAX_ADMISSION_QUERIES {
+        let mut queried: SmallVec<[Name; MAX_ADMISSION_QUERIES]> = SmallVec::new();
+        while queried.len() < MAX_ADMISSION_QUERIES {
             let fits = |upstream: &Upstream| {
                 upstream.version(adapter).is_some_and(|held| held < newest)
-                    && !asked.contains(&upstream.incarnation)
-                    && !upstream.is_unreachable(field.now)
+                    && !queried.contains(&upstream.incarnation)
+                    && !upstream.is_unreachable(selector.now)
                     && self.time_to_begin(upstream, adapter) > Millis::ZERO
             };
-            let upstream = field.select(self.manner(), fits)?;
-            asked.push(Name::clone(&upstream.incarnation));
-            let question = AdmitQuery {
+            let upstream = selector.select(self.workload(), fits)?;
+            queried.push(Name::clone(&upstream.incarnation));
+            let query = AdmitQuery {
                 max_running: upstream.slots,
                 max_wait: admission_policy::light_load_wait(self.route.objective)
                     .min(self.time_to_begin(&upstream, adapter)),
                 ..self.admit_query(Some(adapter), 0)
             };
-            match self.gate.controllers.admit(&upstream, question).await {
+            match self.gate.controllers.admit(&upstream, query).await {
                 admit::AdmitDecision::Admitted(permit, _) => {
-                    return Some(Self::admitted(upstream, adapter, Some(permit)));
+                    return Some(Self::target_with_permit(upstream, adapter, Some(permit)));
                 }
                 admit::AdmitDecision::Absent(_) => upstream.remove_adapter(adapter),
                 admit::AdmitDecision::Unknown
                     if upstream.total_running()
                         < admission_policy::light_load_limit(upstream.slots) =>
                 {
-                    return Some(Self::admitted(upstream, adapter, None));
+                    return Some(Self::target_with_permit(upstream, adapter, None));
                 }
                 admit::AdmitDecision::Busy(_) | admit::AdmitDecision::Unknown => {}
             }
@@ -258,7 +268,8 @@
         None
     }
 
-    /// Returns how long a request may wait at an engine before its version there is replaced.
+    /// Returns how long a request may wait at an engine before the version there may no longer
+    /// start.
     pub(super) fn time_to_begin(&self, upstream: &Upstream, adapter: &Name) -> Millis {
         let Some(version) = upstream.version(adapter) else {
             return Millis::ZERO;
@@ -269,16 +280,16 @@
         }
     }
 
-    /// Has an engine load the adapter, asking one after the other.
-    async fn loaded(
+    /// Asks the candidates in turn to load the adapter, and returns the first that holds it.
+    async fn load_adapter(
         &self,
-        homes: Vec<Arc<Upstream>>,
+        candidates: Vec<Arc<Upstream>>,
         adapter: &Name,
         wanted: u64,
     ) -> Option<Arc<Upstream>> {
-        let (mut asked, mut unowned) = (0, 0);
-        for upstream in homes {
-            if asked == MOST_ASKED || unowned == MOST_UNOWNED {
+        let (mut attempts, mut unowned) = (0, 0);
+        for upstream in candidates {
+            if attempts == MAX_LOAD_ATTEMPTS || unowned == MAX_UNOWNED_ATTEMPTS {
                 break;
             }
             let left = self.until.since(self.now());
@@ -298,38 +309,38 @@
                     return Some(upstream);
                 }
                 Loaded::NotOwner => unowned += 1,
-                _ => asked += 1,
+                _ => attempts += 1,
             }
         }
         None
     }
 
-    /// Whether an engine holds the adapter's base and somebody who answers gives it orders.
+    /// Whether an engine holds the adapter's base model and has an owner that answers.
     ///
-    /// An engine without an owner who answers can load nothing. While nodes are gone and the
-    /// service is away there are many of them; asked one after the other, they used up the
-    /// questions of a request that an engine further down could have served.
+    /// An engine without such an owner can't load anything. There are many of them while nodes are
+    /// down and the key-value service is unavailable. Asked in turn, they used up the load attempts
+    /// of a request that an engine further down the order could have served.
     fn can_load(&self, upstream: &Upstream, adapter: &Name) -> bool {
         upstream.has_base_model(adapter) && self.gate.controllers.is_ordered(upstream)
     }
 
-    /// Engines that could load the adapter, those with no older version of it first.
-    fn homes(&self, field: &Selector<'_>, adapter: &Name) -> Vec<Arc<Upstream>> {
-        let mut homes =
-            field.placement_candidates(adapter, |upstream| self.can_load(upstream, adapter));
-        let reads = self.manner() == Workload::PrefillHeavy;
-        homes.sort_by_key(|upstream| field.is_prefill(upstream) != reads);
-        if let Some(rest) = homes.get_mut(FIRST_HOMES..) {
+    /// Returns the engines that could load the adapter, those with no version of it first.
+    fn load_candidates(&self, selector: &Selector<'_>, adapter: &Name) -> Vec<Arc<Upstream>> {
+        let mut candidates =
+            selector.placement_candidates(adapter, |upstream| self.can_load(upstream, adapter));
+        let is_prefill_heavy = self.workload() == Workload::PrefillHeavy;
+        candidates.sort_by_key(|upstream| selector.is_prefill(upstream) != is_prefill_heavy);
+        if let Some(rest) = candidates.get_mut(PREFERRED_CANDIDATES..) {
             rest.sort_by_key(|upstream| upstream.adapter_count());
         }
-        homes.sort_by_key(|upstream| upstream.version(adapter).is_some());
-        homes
+        candidates.sort_by_key(|upstream| upstream.version(adapter).is_some());
+        candidates
     }
 
-    /// Engines that rejected the request for the load of a newer version, which they go on with.
-    fn replacing<'a>(
+    /// Returns the engines that rejected the request because they are loading a newer version.
+    fn replacing_engines<'a>(
         &'a self,
-        field: &Selector<'a>,
+        selector: &Selector<'a>,
         adapter: &'a Name,
     ) -> impl Iterator<Item = Arc<Upstream>> + use<'a> {
         let rejected = |upstream: &&Arc<Upstream>| {
@@ -337,47 +348,61 @@
                 && upstream.is_ready()
                 && self.can_load(upstream, adapter)
         };
-        field.upstreams.iter().filter(rejected).cloned()
+        selector.upstreams.iter().filter(rejected).cloned()
     }
 
-    /// Has a further engine hold an adapter whose requests crowd those that hold it.
+    /// Loads an adapter at one more engine when the engines that hold it are overloaded.
     ///
-    /// All nodes know the same order of engines; chance keeps those that notice the crowd
-    /// together from asking the same one, so that replicas double with each load.
-    pub(super) fn spread(&self, field: &Selector<'_>, adapter: &Name, wanted: u64, reads: bool) {
-        let holders = field.upstreams.iter();
+    /// All nodes use the same placement order. A random choice keeps nodes that notice the overload
+    /// at the same time from asking the same engine, so that the number of replicas doubles with
+    /// each load.
+    pub(super) fn add_replica(
+        &self,
+        selector: &Selector<'_>,
+        adapter: &Name,
+        wanted: u64,
+        is_prefill: bool,
+    ) {
+        let holders = selector.upstreams.iter();
         let replicas = holders
             .filter(|upstream| upstream.version(adapter).is_some())
             .count();
-        let mut homes = field.placement_candidates(adapter, |upstream| {
+        let mut candidates = selector.placement_candidates(adapter, |upstream| {
             upstream.version(adapter).is_none()
-                && field.is_prefill(upstream) == reads
+                && selector.is_prefill(upstream) == is_prefill
                 && upstream.total_running() < upstream.slots
                 && self.can_load(upstream, adapter)
         });
-        let among = u64::try_from(replicas.clamp(1, homes.len().max(1))).unwrap_or(1);
-        let chosen = usize::try_from(field.request_hash % among).unwrap_or_default();
-        if chosen < homes.len() {
-            homes.swap(0, chosen);
+        let choices = u64::try_from(replicas.clamp(1, candidates.len().max(1))).unwrap_or(1);
+        let chosen = usize::try_from(selector.request_hash % choices).unwrap_or_default();
+        if chosen < candidates.len() {
+            candidates.swap(0, chosen);
         }
-        self.gate.load_soon(homes, adapter, wanted);
+        self.gate.load_soon(candidates, adapter, wanted);
     }
 
-    /// Has a reader hold an adapter whose prompts are read at a writer, sooner the more there are.
-    pub(super) fn copy(&self, field: &Selector<'_>, adapter: &Name, wanted: u64, found: &Upstream) {
-        let chosen = xxh3_64(self.id().as_bytes()).is_multiple_of(COPY_ONE_IN);
-        if !field.roles.is_disaggregated() || field.is_prefill(found) || !chosen {
+    /// Loads an adapter at a prefill engine if its prompts are prefilled at a decode engine; the
+    /// more requests there are, the sooner.
+    pub(super) fn copy_to_prefill(
+        &self,
+        selector: &Selector<'_>,
+        adapter: &Name,
+        wanted: u64,
+        chosen: &Upstream,
+    ) {
+        let is_drawn = xxh3_64(self.id().as_bytes()).is_multiple_of(PREFILL_COPY_ONE_IN);
+        if !selector.roles.is_disaggregated() || selector.is_prefill(chosen) || !is_drawn {
             return;
         }
-        let homes = field.placement_candidates(adapter, |upstream| {
-            field.is_prefill(upstream) && self.can_load(upstream, adapter)
+        let candidates = selector.placement_candidates(adapter, |upstream| {
+            selector.is_prefill(upstream) && self.can_load(upstream, adapter)
         });
-        self.gate.load_soon(homes, adapter, wanted);
+        self.gate.load_soon(candidates, adapter, wanted);
     }
 
-    pub(super) fn at(upstream: Arc<Upstream>, adapter: &Name) -> Target {
-        // An adapter that was loaded as whatever is the newest has no number
-        // here; expecting one would have the engine turn the request away.
+    pub(super) fn uncounted_target(upstream: Arc<Upstream>, adapter: &Name) -> Target {
+        // An adapter that was loaded as the newest version, whichever that is, is recorded with the
+        // number 0. If the request expected that version, the engine would reject it.
         let version = upstream.version(adapter).filter(|version| *version > 0);
         Target {
             upstream,
@@ -387,7 +412,7 @@
     }
 }
 
-fn anywhere(upstream: Arc<Upstream>) -> Target {
+fn any_version_target(upstream: Arc<Upstream>) -> Target {
     Target {
         upstream,
         version: None,
@@ -395,8 +420,9 @@
     }
 }
 
-/// The last part of the prompt that others share, or the request itself.
-fn salt(call: &Call) -> u64 {
+/// Returns the id of the last prompt segment that other requests may share, or a hash of the
+/// request's id.
+fn affinity_seed(call: &Call) -> u64 {
     let shared = call.parts.len().checked_sub(2);
     match (shared.and_then(|at| call.parts.get(at)), &call.id) {
         (Some(part), _) => part.id,
