--- a/bench/src/policy/contender.rs
+++ b/bench/src/policy/contender.rs
@@ -8,13 +8,13 @@
 use chivevalve::adapter::Adapter;
 use chivevalve::clock::Millis;
 use chivevalve::error::{Code, Fate};
-use chivevalve::fate;
 use chivevalve::loads::Ask;
 use chivevalve::name::Name;
 use chivevalve::policy::loads;
 use chivevalve::policy::placement::{self, CANDIDATES, Pool, Router};
 use chivevalve::policy::upstream::{self, Demand, Machine};
 use chivevalve::request::{Id, Ticket};
+use chivevalve::retry;
 use chivevalve::runner::Share;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -279,7 +279,7 @@
 
 /// Whether an entry node makes only one more try, which goes where the request waits.
 fn ends_walk(route: &Route) -> bool {
-    route.tried.len() + 1 >= fate::Rules::default().redirects as usize
+    route.tried.len() + 1 >= retry::RetryPolicy::default().max_redirects as usize
 }
 
 /// Whether another upstream could do what this one refused.
--- a/cli/src/commands/quarantine.rs
+++ b/cli/src/commands/quarantine.rs
@@ -3,10 +3,10 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-use chivevalve::direct::lift;
+use chivevalve::direct::quarantine_admin;
 use chivevalve::poison::fingerprint::Fingerprint;
-use chivevalve::poison::ledger::Standing;
-use chivevalve_platform::Speech;
+use chivevalve::poison::ledger::SuspectStatus;
+use chivevalve_platform::PlatformDialect;
 use chivevalve_platform::store::Client;
 
 use super::Command;
@@ -57,18 +57,18 @@
 ) -> Result<(), Failure> {
     let client = Arc::new(Client::new(address));
     if let Some(request) = request {
-        lift::lift(&*client, &*client, &Speech, &request)
+        quarantine_admin::lift(&*client, &*client, &PlatformDialect, &request)
             .await
             .map_err(|error| Failure::Other(format!("the quarantine stands: {error}")))?;
         return output::print(&format!("{request} is sent again\n"));
     }
-    let standings = lift::list(&*client, &Speech)
+    let standings = quarantine_admin::list(&*client, &PlatformDialect)
         .await
         .map_err(|error| Failure::Other(format!("the records can't be read: {error}")))?;
     output::answer(args.format, &standings, |standings| table(standings))
 }
 
-fn table(standings: &[Standing]) -> String {
+fn table(standings: &[SuspectStatus]) -> String {
     if standings.is_empty() {
         return "no upstream ended under a request lately\n".to_owned();
     }
--- a/lib/src/direct/acquire.rs
+++ b/lib/src/direct/acquire.rs
@@ -41,8 +41,8 @@
             version,
             max_running: 0,
             loaded: false,
-            tokens: self.message.call.tokens.map_or(0, |(prompt, _)| prompt),
-            max_wait: admission_policy::light_load_wait(self.route.objective),
+            tokens: self.message.metadata.tokens.map_or(0, |(prompt, _)| prompt),
+            max_wait: admission_policy::light_load_wait(self.route.latency_objective),
         }
     }
 
@@ -55,7 +55,7 @@
         let upstream =
             selector.select(self.workload(), |upstream| upstream.has_base_model(model))?;
         let query = self.admit_query(None, 0);
-        let permit = match self.gate.controllers.admit(&upstream, query).await {
+        let permit = match self.frontend.controllers.admit(&upstream, query).await {
             admit::AdmitDecision::Admitted(permit, _) => Some(permit),
             _ => None,
         };
@@ -74,7 +74,7 @@
         adapter: &Name,
         wanted: u64,
     ) -> HolderSearch {
-        let was_rejected = self.rejected > 0;
+        let was_rejected = self.rejections > 0;
         let mut busy: SmallVec<[(Arc<Upstream>, EngineLoad); MAX_ADMISSION_QUERIES]> =
             SmallVec::new();
         while busy.len() < MAX_ADMISSION_QUERIES {
@@ -99,7 +99,7 @@
                 max_running: admission_policy::light_load_limit(upstream.slots),
                 ..self.admit_query(Some(adapter), wanted)
             };
-            match self.gate.controllers.admit(&upstream, query).await {
+            match self.frontend.controllers.admit(&upstream, query).await {
                 admit::AdmitDecision::Admitted(permit, _) => {
                     return HolderSearch::Found(Self::target_with_permit(
                         upstream,
@@ -136,10 +136,10 @@
             self.add_replica(selector, adapter, wanted, is_prefill);
         }
         let now = self.now();
-        let (passed, left) = (now.since(self.began), self.until.since(now));
+        let (passed, left) = (now.since(self.arrived_at), self.deadline.since(now));
         let retry_after =
-            admission_policy::retry_after(load.wait, self.route.objective, passed, left);
-        if let (Some(retry_after), true) = (retry_after, self.sent == 0) {
+            admission_policy::retry_after(load.wait, self.route.latency_objective, passed, left);
+        if let (Some(retry_after), true) = (retry_after, self.possible_runs == 0) {
             return HolderSearch::TooLate(retry_after);
         }
         if admission_policy::is_load_faster(load.wait) {
@@ -167,7 +167,7 @@
         adapter: &Name,
         query: AdmitQuery<'_>,
     ) -> Option<Target> {
-        match self.gate.controllers.admit(&upstream, query).await {
+        match self.frontend.controllers.admit(&upstream, query).await {
             admit::AdmitDecision::Admitted(permit, _) => {
                 Some(Self::target_with_permit(upstream, adapter, Some(permit)))
             }
@@ -194,12 +194,12 @@
 
     /// Whether another engine that holds what the request needs is believed to have free slots.
     pub(super) fn has_free_holder(&self, except: &Upstream) -> bool {
-        let Some(model) = &self.message.call.model else {
+        let Some(model) = &self.message.metadata.model else {
             return false;
         };
-        let adapter = self.message.call.adapter();
+        let adapter = self.message.metadata.adapter();
         let now = self.now();
-        let pool = self.gate.view.pool(&self.pool);
+        let pool = self.frontend.view.pool(&self.pool);
         pool.iter().any(|upstream| {
             let holds = match adapter {
                 Some(adapter) => self.time_to_begin(upstream, adapter) > Millis::ZERO,
@@ -237,12 +237,12 @@
                 max_wait: Millis::ZERO,
                 ..self.admit_query(Some(adapter), wanted)
             };
-            self.gate.controllers.admit(upstream, query)
+            self.frontend.controllers.admit(upstream, query)
         });
         let decisions = futures::future::join_all(queries).await;
         let loads: Vec<Option<EngineLoad>> =
             decisions.iter().map(admit::AdmitDecision::load).collect();
-        let objective = self.route.objective;
+        let objective = self.route.latency_objective;
         if only_lightly_loaded {
             let lightly_loaded = candidates.iter().zip(&loads).filter(|(upstream, load)| {
                 load.is_some_and(|load| {
--- a/lib/src/direct/admit.rs
+++ b/lib/src/direct/admit.rs
@@ -12,7 +12,7 @@
 use tokio::sync::oneshot;
 use tonic::{Status, Streaming};
 
-use super::ask::Controllers;
+use super::controllers::Controllers;
 use super::limits::IN_USE_GRACE;
 use super::occupancy::{CountedRequest, EngineLoad, OccupancyGuard};
 use super::upstream::Upstream;
@@ -111,7 +111,7 @@
 impl Controllers {
     /// Asks the owner of an engine to admit a request.
     pub async fn admit(&self, upstream: &Arc<Upstream>, query: AdmitQuery<'_>) -> AdmitDecision {
-        let decision = if self.right.owns(upstream.address) {
+        let decision = if self.ownership.owns(upstream.address) {
             self.admit_locally(upstream, query)
         } else {
             self.admit_remotely(upstream, query).await
@@ -133,7 +133,7 @@
     ) -> AdmitDecision {
         // Counting doesn't require a valid lease: an owner that has lost the key-value service
         // still has the best count for its engines.
-        if !self.right.owns(upstream.address) {
+        if !self.ownership.owns(upstream.address) {
             return AdmitDecision::Unknown;
         }
         let no_adapter = Name::from("");
@@ -150,7 +150,7 @@
             return AdmitDecision::Busy(load);
         }
         if query.adapter.is_some() {
-            self.note_uses(engine, vec![Name::clone(adapter)], IN_USE_GRACE);
+            self.record_uses(engine, vec![Name::clone(adapter)], IN_USE_GRACE);
         }
         let request = CountedRequest {
             adapter: Name::clone(adapter),
@@ -168,7 +168,7 @@
         let Some((node, peer)) = self.view.owner(upstream.address) else {
             return AdmitDecision::Unknown;
         };
-        if self.is_silent(peer.address) {
+        if self.is_unresponsive(peer.address) {
             return AdmitDecision::Unknown;
         }
         let request = AdmitRequest {
@@ -202,7 +202,7 @@
             }
             Err(_) => {
                 log::info!("admit: no answer from {node} within {ADMIT_TIMEOUT}");
-                self.is_late(peer.address);
+                self.mark_late(peer.address);
                 AdmitDecision::Unknown
             }
         }
--- a/lib/src/direct/claim/mod.rs
+++ b/lib/src/direct/claim/mod.rs
@@ -21,12 +21,12 @@
 use bytes::Bytes;
 
 use super::dialect::Dialect;
-use super::follow::NODES;
+use super::follow::NODE_PREFIX;
 use super::limits::{
-    LEASE_TTL, ORDER_GAP_MARGIN, RENEWAL_INTERVAL, RENEWAL_TIMEOUT, RIGHT, SharedLimits,
+    LEASE_TTL, ORDER_GAP_MARGIN, OWNERSHIP_TERM, RENEWAL_INTERVAL, RENEWAL_TIMEOUT, SharedLimits,
 };
-use super::right::Right;
-use super::view::{CLAIMS, Claim, Peer, View};
+use super::ownership::Ownership;
+use super::view::{CLAIM_PREFIX, Claim, Peer, View};
 use crate::clock::{Clock, Millis};
 use crate::metrics::Metrics;
 use crate::name::Name;
@@ -54,7 +54,7 @@
     /// What the follower sees.
     pub view: Arc<View>,
     /// What this node may do.
-    pub right: Arc<Right>,
+    pub ownership: Arc<Ownership>,
     /// The node's metrics.
     pub metrics: Arc<Metrics>,
     /// Bounds in force.
@@ -75,12 +75,14 @@
         let mut lease = None;
         let mut began = None;
         // A node that has left must not claim anew what it gave up.
-        while !self.right.left.load(Ordering::Relaxed) {
+        while !self.ownership.left.load(Ordering::Relaxed) {
             let knew_all = self.view.config().is_some();
-            let is_unbroken = self.right.lasts();
-            self.right.unbroken.store(is_unbroken, Ordering::Relaxed);
+            let is_unbroken = self.ownership.is_lease_valid();
+            self.ownership
+                .unbroken
+                .store(is_unbroken, Ordering::Relaxed);
             if let Err(error) = self.round(&mut lease, &mut began).await {
-                self.view.touched(false);
+                self.view.record_store_call(false);
                 self.extend(&error).await;
             }
             if knew_all {
@@ -111,7 +113,7 @@
     /// process, a node that starts in an outage would have waited long enough when the
     /// service returns, while an owner whose lease the others extended still gives orders.
     fn begin(&self) -> Millis {
-        self.right.begun.store(true, Ordering::SeqCst);
+        self.ownership.begun.store(true, Ordering::SeqCst);
         self.clock.now()
     }
 
@@ -128,8 +130,8 @@
                 // of others. Read here as well, thousands of claims took longer than the lease.
                 if began.is_some() {
                     self.read_claims().await?;
-                    if !self.right.unbroken.load(Ordering::Relaxed) {
-                        self.view.state().disown(&self.node);
+                    if !self.ownership.unbroken.load(Ordering::Relaxed) {
+                        self.view.state().anonymize_previous_claims(&self.node);
                     }
                 }
                 began.get_or_insert_with(|| self.begin());
@@ -137,26 +139,28 @@
                 *lease = Some(granted);
             }
             Some(held) => {
-                let lasted = self.right.lasts();
+                let lasted = self.ownership.is_lease_valid();
                 if self.renew(held).await? == Millis::ZERO {
                     log::warn!("right: the lease has lapsed");
                     *lease = None;
-                    self.right.until.store(0, Ordering::Relaxed);
-                    self.right.owned().clear();
+                    self.ownership.until.store(0, Ordering::Relaxed);
+                    self.ownership.owned().clear();
                     return Box::pin(self.round(lease, began)).await;
                 }
-                self.view.touched(true);
+                self.view.record_store_call(true);
                 if !lasted {
                     self.read_claims().await?;
-                    self.view.state().disown(&self.node);
+                    self.view.state().anonymize_previous_claims(&self.node);
                 }
             }
         }
-        if self.right.left.load(Ordering::Relaxed) {
+        if self.ownership.left.load(Ordering::Relaxed) {
             return Ok(());
         }
-        self.right.forget_lost();
-        self.right.until.store((sent + RIGHT).0, Ordering::Relaxed);
+        self.ownership.drop_lost_claims();
+        self.ownership
+            .until
+            .store((sent + OWNERSHIP_TERM).0, Ordering::Relaxed);
         if let (Some(held), Some(began)) = (*lease, *began) {
             self.claim(held, began).await?;
             self.hand_over(began).await?;
@@ -176,7 +180,7 @@
     /// Meanwhile the claims may have been taken away and others may have made
     /// theirs; what the view last saw is older than that.
     async fn read_claims(&self) -> Result<(), Error> {
-        let listing = self.store.list(&self.dialect.own(CLAIMS)).await?;
+        let listing = self.store.list(&self.dialect.own_key(CLAIM_PREFIX)).await?;
         let now = self.clock.now();
         self.view
             .state()
@@ -185,7 +189,7 @@
     }
 
     async fn register(&self, lease: LeaseId) -> Result<(), Error> {
-        let key = self.dialect.own(&format!("{NODES}{}", self.node));
+        let key = self.dialect.own_key(&format!("{NODE_PREFIX}{}", self.node));
         let transaction = Transaction {
             conditions: Vec::new(),
             writes: vec![Write::Put(key, encoded(&self.peer), Some(lease))],
@@ -210,7 +214,7 @@
     }
 
     fn key(&self, address: SocketAddr) -> String {
-        self.dialect.own(&format!("{CLAIMS}{address}"))
+        self.dialect.own_key(&format!("{CLAIM_PREFIX}{address}"))
     }
 }
 
--- a/lib/src/direct/entry/mod.rs
+++ b/lib/src/direct/entry/mod.rs
@@ -1,8 +1,8 @@
 //! The entry: callers' requests, from the first byte to the answer.
 
 mod accept;
-mod answer;
 mod gauges;
+mod handle;
 mod response;
 
 use std::collections::HashMap;
@@ -13,17 +13,17 @@
 use bytes::Bytes;
 use http_body_util::combinators::UnsyncBoxBody;
 
-use super::ask::Controllers;
 use super::budget::RetryBudget;
+use super::controllers::Controllers;
 use super::dialect::Dialect;
+use super::drain::Drain;
 use super::limits::SharedLimits;
 use super::outbox::Outbox;
 use super::quarantine::Quarantine;
-use super::relay::Cut;
+use super::relay::ResponseAborted;
 use super::roles::{PrefillScaler, Roles};
-use super::stop::Stop;
 use super::upstream::Upstream;
-use super::versions::Replacements;
+use super::versions::PendingReplacements;
 use super::view::View;
 use crate::clock::{Clock, Millis};
 use crate::error::Code;
@@ -32,7 +32,7 @@
 use crate::ports::metered::Metered;
 
 /// Body of an answer to a caller.
-pub type Body = UnsyncBoxBody<Bytes, Cut>;
+pub type Body = UnsyncBoxBody<Bytes, ResponseAborted>;
 
 /// Pause after which an adapter may be asked for at a further engine.
 const SPREAD_PAUSE: Millis = Millis(700);
@@ -43,11 +43,11 @@
 const ROLES_PAUSE: Millis = Millis(250);
 
 /// Label of the class in metrics: here routes and not classes rank requests.
-pub const CLASS: &str = "direct";
+pub const CLASS_LABEL: &str = "direct";
 
 /// What all requests of a node share.
 #[derive(Debug)]
-pub struct Gate {
+pub struct Frontend {
     /// What this node believes.
     pub view: Arc<View>,
     /// Orders to engines.
@@ -65,14 +65,14 @@
     /// What may not be sent any more.
     pub quarantine: Arc<Quarantine>,
     /// Versions that engines were asked to replace lately.
-    pub(super) replacements: Replacements,
+    pub(super) replacements: PendingReplacements,
     /// The key-value service.
     service: Arc<Metered>,
     budget: Mutex<RetryBudget>,
     spreading: Mutex<HashMap<Name, Millis>>,
     shares: Mutex<HashMap<Name, Share>>,
     /// The node's planned stop.
-    pub stop: Stop,
+    pub drain: Drain,
     active: AtomicUsize,
 }
 
@@ -84,7 +84,7 @@
     made: Millis,
 }
 
-impl Gate {
+impl Frontend {
     /// Makes a gate.
     #[must_use]
     pub fn new(
@@ -120,11 +120,11 @@
             failure_domain,
             budget: Mutex::new(RetryBudget::new(Arc::clone(&limits))),
             limits,
-            replacements: Replacements::default(),
+            replacements: PendingReplacements::default(),
             service,
             spreading: Mutex::default(),
             shares: Mutex::default(),
-            stop: Stop::default(),
+            drain: Drain::default(),
             active: AtomicUsize::new(0),
         }
     }
@@ -132,7 +132,7 @@
     /// Whether callers may be sent here.
     #[must_use]
     pub fn is_ready(&self) -> bool {
-        if self.stop.is_begun() {
+        if self.drain.is_draining() {
             return false;
         }
         let state = self.view.state();
@@ -141,7 +141,7 @@
 
     /// Requests in progress.
     #[must_use]
-    pub fn active(&self) -> usize {
+    pub fn active_requests(&self) -> usize {
         self.active.load(Ordering::Relaxed)
     }
 
@@ -155,7 +155,7 @@
         let number = code.to_string();
         self.metrics
             .requests
-            .with_label_values(&[number.as_str(), CLASS])
+            .with_label_values(&[number.as_str(), CLASS_LABEL])
             .inc();
         if let Some(code) = Code::from_number(code) {
             self.metrics
@@ -166,20 +166,20 @@
     }
 
     /// Takes what sending a request to a pool once more costs from the budget; false if it's spent.
-    pub fn take_repeat(&self, pool: &Name) -> bool {
-        let nodes = self.view.state().most_nodes;
+    pub fn take_retry(&self, pool: &Name) -> bool {
+        let nodes = self.view.state().max_nodes_seen;
         self.budget().try_retry(pool, self.clock.now(), nodes)
     }
 
     /// Counts a send to a pool that turned out to be a further one.
-    pub fn spend_repeat(&self, pool: &Name) {
+    pub fn charge_retry(&self, pool: &Name) {
         let now = self.clock.now();
         self.budget().record_retry(pool, now);
     }
 
     /// Whether the budget of a pool has room for a further send.
-    pub fn has_repeat(&self, pool: &Name) -> bool {
-        let nodes = self.view.state().most_nodes;
+    pub fn has_retry_budget(&self, pool: &Name) -> bool {
+        let nodes = self.view.state().max_nodes_seen;
         self.budget().has_room(pool, self.clock.now(), nodes)
     }
 
@@ -215,13 +215,18 @@
 
     /// Returns until when a request may begin on a version of an adapter; none is without end.
     #[must_use]
-    pub fn begin_by(&self, adapter: &str, version: u64) -> Option<Millis> {
+    pub fn begin_deadline(&self, adapter: &str, version: u64) -> Option<Millis> {
         let limit = self.limits.get().version_rollout;
-        self.view.begin_by(adapter, version, limit)
+        self.view.begin_deadline(adapter, version, limit)
     }
 
     /// Has an adapter made present at the first of some engines, without waiting.
-    pub fn load_soon(self: &Arc<Self>, homes: Vec<Arc<Upstream>>, adapter: &Name, version: u64) {
+    pub fn load_in_background(
+        self: &Arc<Self>,
+        homes: Vec<Arc<Upstream>>,
+        adapter: &Name,
+        version: u64,
+    ) {
         let now = self.clock.now();
         let Some(upstream) = homes.into_iter().next() else {
             return;
@@ -237,10 +242,13 @@
             }
             spreading.insert(Name::clone(adapter), now);
         }
-        let gate = Arc::clone(self);
+        let frontend = Arc::clone(self);
         let adapter = Name::clone(adapter);
         tokio::spawn(async move {
-            let loaded = gate.controllers.load(&upstream, &adapter, version).await;
+            let loaded = frontend
+                .controllers
+                .load(&upstream, &adapter, version)
+                .await;
             log::debug!(
                 "entry: {adapter} at {} too: {loaded:?}",
                 upstream.incarnation
--- a/lib/src/direct/handover.rs
+++ b/lib/src/direct/handover.rs
@@ -10,10 +10,10 @@
 use smallvec::{SmallVec, smallvec};
 use tokio_util::task::AbortOnDropHandle;
 
-use super::attempt::Answer;
-use super::dialect::{Memory, Transferred};
-use super::entry::Gate;
-use super::question;
+use super::attempt::UpstreamResponse;
+use super::control_call;
+use super::dialect::{KvCacheHandle, TransferOutcome};
+use super::entry::Frontend;
 use super::target::Target;
 use super::upstream::Upstream;
 use crate::clock::Millis;
@@ -27,14 +27,14 @@
     source: Arc<Upstream>,
     /// Version of the adapter that the run began on.
     version: Option<u64>,
-    asked: AbortOnDropHandle<Transferred>,
+    asked: AbortOnDropHandle<TransferOutcome>,
 }
 
 /// What an engine said to the question to move a run.
 #[derive(Debug)]
-pub enum Reply {
+pub enum HandoverReply {
     /// It was stopped, and can go on.
-    Stopped(Box<Moved>),
+    Stopped(Box<StoppedRun>),
     /// It was not stopped.
     Unchanged,
     /// Nothing so far.
@@ -43,9 +43,9 @@
 
 /// Where a run that was stopped can go on.
 #[derive(Debug)]
-pub struct Moved {
+pub struct StoppedRun {
     /// What to present there.
-    pub memory: Memory,
+    pub memory: KvCacheHandle,
     /// Engines that have it, the better one first.
     pub places: SmallVec<[Target; 2]>,
 }
@@ -56,15 +56,15 @@
     /// `left` is the time that the request has.
     #[must_use]
     pub fn begin(
-        gate: &Arc<Gate>,
+        frontend: &Arc<Frontend>,
         id: &str,
-        answer: &Answer,
+        answer: &UpstreamResponse,
         target: Target,
         left: Millis,
     ) -> Self {
         let source = Arc::clone(&answer.upstream);
         let asking = ask(
-            Arc::clone(gate),
+            Arc::clone(frontend),
             id.to_owned(),
             Arc::clone(&source),
             Arc::clone(&target.upstream),
@@ -83,10 +83,10 @@
     /// A run stops when its engine is asked, and the copy of its memory can queue behind others
     /// on the engine's link. The answer alone names the memory: without it, a stream that may
     /// not be repeated ends in the middle. So nothing is lost when this returns
-    /// [`Reply::Unanswered`].
-    pub async fn reply(&mut self, span: Millis) -> Reply {
+    /// [`HandoverReply::Unanswered`].
+    pub async fn reply(&mut self, span: Millis) -> HandoverReply {
         let Ok(asked) = tokio::time::timeout(span.duration(), &mut self.asked).await else {
-            return Reply::Unanswered;
+            return HandoverReply::Unanswered;
         };
         let source = Target {
             upstream: Arc::clone(&self.source),
@@ -94,49 +94,50 @@
             permit: None,
         };
         let (handle, places) = match asked {
-            Ok(Transferred::Copied(handle)) => {
+            Ok(TransferOutcome::Copied(handle)) => {
                 let target = self.target.take();
                 (handle, target.into_iter().chain([source]).collect())
             }
-            Ok(Transferred::Kept(handle)) => (handle, smallvec![source]),
-            Ok(Transferred::Unchanged) => return Reply::Unchanged,
+            Ok(TransferOutcome::Kept(handle)) => (handle, smallvec![source]),
+            Ok(TransferOutcome::Unchanged) => return HandoverReply::Unchanged,
             Err(error) => {
                 log::error!("handover: the question ended early: {error}");
-                return Reply::Unchanged;
+                return HandoverReply::Unchanged;
             }
         };
         self.source.record_success();
-        let memory = Memory {
+        let memory = KvCacheHandle {
             source: self.source.address,
             handle,
         };
-        Reply::Stopped(Box::new(Moved { memory, places }))
+        HandoverReply::Stopped(Box::new(StoppedRun { memory, places }))
     }
 }
 
 async fn ask(
-    gate: Arc<Gate>,
+    frontend: Arc<Frontend>,
     id: String,
     source: Arc<Upstream>,
     target: Arc<Upstream>,
     left: Millis,
-) -> Transferred {
-    let request = gate
+) -> TransferOutcome {
+    let request = frontend
         .dialect
-        .ask_transfer(&source.incarnation, &id, target.address);
-    let asked = question::ask(&*gate.dialect, &source, request);
+        .transfer_request(&source.incarnation, &id, target.address);
+    let asked = control_call::send(&*frontend.dialect, &source, request);
     let transferred = match tokio::time::timeout(left.duration(), asked).await {
-        Ok(Ok((head, body))) => gate.dialect.transferred(&head, &body),
+        Ok(Ok((head, body))) => frontend.dialect.transfer_outcome(&head, &body),
         Ok(Err(told)) => {
             log::info!(request = id.as_str(), cause = told.as_str(); "handover: no answer");
-            Transferred::Unchanged
+            TransferOutcome::Unchanged
         }
         Err(_) => {
             log::info!(request = id.as_str(); "handover: nothing within {left}");
-            Transferred::Unchanged
+            TransferOutcome::Unchanged
         }
     };
-    gate.metrics
+    frontend
+        .metrics
         .handovers
         .with_label_values(&[transferred.name()])
         .inc();
--- a/lib/src/direct/limits.rs
+++ b/lib/src/direct/limits.rs
@@ -84,7 +84,7 @@
 
 /// Time to live of a node's lease at the key-value service.
 ///
-/// After a node dies, its engines get no orders for this time plus [`RIGHT`] and
+/// After a node dies, its engines get no orders for this time plus [`OWNERSHIP_TERM`] and
 /// [`Limits::order_gap`], which calls for a short lease. Each renewal is billed, which rules out
 /// a shorter one.
 pub const LEASE_TTL: Millis = Millis(3_000);
@@ -92,7 +92,7 @@
 /// Time after sending a renewal during which a node may give orders.
 ///
 /// Shorter than [`LEASE_TTL`], so that a node stops giving orders before its keys expire.
-pub const RIGHT: Millis = Millis(2_000);
+pub const OWNERSHIP_TERM: Millis = Millis(2_000);
 
 /// Interval between lease renewals. Two in a row may fail before [`RIGHT`] has passed.
 pub const RENEWAL_INTERVAL: Millis = Millis(650);
--- a/lib/src/direct/relay.rs
+++ b/lib/src/direct/relay.rs
@@ -8,17 +8,17 @@
 use hyper::body::Frame;
 use thiserror::Error;
 
-use super::attempt::Answer;
-use super::entry::{CLASS, seconds};
-use super::handover::{Handover, Moved, Reply};
-use super::quarantine::SETTLED;
-use super::record::End;
+use super::attempt::UpstreamResponse;
+use super::entry::{CLASS_LABEL, seconds};
+use super::event_sequence::{EventSequence, StreamStep};
+use super::handover::{Handover, HandoverReply, StoppedRun};
+use super::quarantine::HARMLESS_AFTER;
 use super::request::ActiveRequest;
-use super::sequence::{Sequence, Step};
+use super::request_log::RequestOutcome;
 use super::upstream::Upstream;
 use super::versions;
 use crate::clock::Millis;
-use crate::poison::ledger::Sign;
+use crate::poison::ledger::Suspicion;
 
 /// A pause in the stream, in the longest pauses of the route, at which it is continued elsewhere.
 ///
@@ -41,7 +41,7 @@
 /// taken for whole.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 #[error("the answer broke off: {0}")]
-pub struct Cut(pub String);
+pub struct ResponseAborted(pub String);
 
 /// How far the run that is read now has come, which tells whether it can have ended its engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -58,14 +58,14 @@
 #[derive(Debug)]
 pub(super) struct Relay {
     pub(super) request: ActiveRequest,
-    pub(super) answer: Option<Answer>,
-    pub(super) events: Sequence,
+    pub(super) answer: Option<UpstreamResponse>,
+    pub(super) events: EventSequence,
     passed_on: Option<Millis>,
     progress: Progress,
     /// The question to move the run, as long as it has no answer.
     pub(super) handover: Option<Handover>,
     /// Where the run can go on, once it was stopped.
-    pub(super) stopped: Option<Box<Moved>>,
+    pub(super) stopped: Option<Box<StoppedRun>>,
     /// Whether the upstream was asked to move the run.
     pub(super) asked_to_move: bool,
     /// Whether the upstream was found silent already, which counts against it once.
@@ -75,11 +75,11 @@
 }
 
 /// Makes the body that the caller gets.
-pub fn body(
+pub fn stream_body(
     request: ActiveRequest,
-    answer: Answer,
-) -> impl Stream<Item = Result<Frame<Bytes>, Cut>> + Send {
-    let events = Sequence::new(request.message.call.resume_after);
+    answer: UpstreamResponse,
+) -> impl Stream<Item = Result<Frame<Bytes>, ResponseAborted>> + Send {
+    let events = EventSequence::new(request.message.metadata.resume_after);
     let relay = Relay {
         request,
         answer: Some(answer),
@@ -94,23 +94,23 @@
     };
     stream::unfold(Some(relay), |relay| async {
         let mut relay = relay?;
-        let gate = Arc::clone(&relay.request.gate);
+        let frontend = Arc::clone(&relay.request.frontend);
         let next = tokio::select! {
             biased;
             next = relay.next() => next,
-            () = gate.stop.over() => {
-                gate.stop.note_cut();
-                Err(Cut("the node stops".to_owned()))
+            () = frontend.drain.aborted() => {
+                frontend.drain.count_aborted();
+                Err(ResponseAborted("the node stops".to_owned()))
             }
         };
         match next {
             Ok(Some(bytes)) => Some((Ok(Frame::data(bytes)), Some(relay))),
             Ok(None) => {
-                relay.request.end(&End::Answered(200));
+                relay.request.end(&RequestOutcome::Answered(200));
                 None
             }
             Err(cut) => {
-                relay.request.end(&End::Cut(&cut.0));
+                relay.request.end(&RequestOutcome::Cut(&cut.0));
                 Some((Err(cut), None))
             }
         }
@@ -118,16 +118,16 @@
 }
 
 impl Relay {
-    async fn next(&mut self) -> Result<Option<Bytes>, Cut> {
+    async fn next(&mut self) -> Result<Option<Bytes>, ResponseAborted> {
         loop {
             match self.step().await {
-                Step::Events(bytes) => {
+                StreamStep::Events(bytes) => {
                     self.observe();
                     self.hand_over();
                     return Ok(Some(bytes));
                 }
-                Step::More => {}
-                Step::End => {
+                StreamStep::More => {}
+                StreamStep::End => {
                     if self.is_whole().await? {
                         self.settle();
                         self.judge_stay(false);
@@ -136,8 +136,8 @@
                         return Ok(None);
                     }
                 }
-                Step::Broken(told) => self.go_on(&told).await?,
-                Step::Withdrawn => self.withdraw().await?,
+                StreamStep::Broken(told) => self.go_on(&told).await?,
+                StreamStep::Withdrawn => self.withdraw().await?,
             }
         }
     }
@@ -145,20 +145,20 @@
     /// Counts the time to the first event, and the pauses behind it.
     fn observe(&mut self) {
         let now = self.request.now();
-        self.request.gate.metrics.tokens.inc();
+        self.request.frontend.metrics.tokens.inc();
         if let Some(answer) = &mut self.answer {
             answer.running.prefill_done();
         }
         match self.progress {
             Progress::Nothing => self.progress = Progress::Brought(now),
-            Progress::Brought(first) if now.since(first) >= SETTLED => self.settle(),
+            Progress::Brought(first) if now.since(first) >= HARMLESS_AFTER => self.settle(),
             Progress::Brought(_) | Progress::Settled => {}
         }
         match self.passed_on.replace(now) {
             Some(last) => self.observe_pause(now.since(last), now),
             None => self.observe_first(now),
         }
-        self.request.pace.pieces += 1;
+        self.request.timing.pieces += 1;
     }
 
     /// Notes once that the engine runs the request without harm.
@@ -180,34 +180,34 @@
     pub(super) fn broke(&self, upstream: &Arc<Upstream>) {
         let now = self.request.now();
         // At the end of its time a request is dropped here, and says nothing of its upstream.
-        if now >= self.request.until {
+        if now >= self.request.deadline {
             return;
         }
         let sign = match self.progress {
-            Progress::Nothing => Sign::Begun,
-            Progress::Brought(_) => Sign::Possible,
+            Progress::Nothing => Suspicion::Begun,
+            Progress::Brought(_) => Suspicion::Possible,
             Progress::Settled => return,
         };
         self.request.broke(upstream, sign);
     }
 
     fn observe_first(&mut self, now: Millis) {
-        let first = now.since(self.request.began);
-        self.request.pace.first = Some(first);
-        let histogram = &self.request.gate.metrics.first_token;
+        let first = now.since(self.request.arrived_at);
+        self.request.timing.first = Some(first);
+        let histogram = &self.request.frontend.metrics.first_token;
         histogram
-            .with_label_values(&[CLASS])
+            .with_label_values(&[CLASS_LABEL])
             .observe(seconds(first));
         self.judge_reading(now);
     }
 
     fn observe_pause(&mut self, pause: Millis, now: Millis) {
-        let metrics = &self.request.gate.metrics;
+        let metrics = &self.request.frontend.metrics;
         metrics.between_tokens.observe(seconds(pause));
         if let Some(answer) = &self.answer {
             answer.upstream.record_pause(pause, now);
         }
-        let pace = &mut self.request.pace;
+        let pace = &mut self.request.timing;
         if pause > pace.longest {
             pace.longest = pause;
             pace.longest_after = pace.pieces;
@@ -220,7 +220,7 @@
     /// Reading stretches a pause by as much as an engine reads within one event. One that is
     /// far longer has another cause, such as an engine that was lost.
     fn judge_pause(&mut self, pause: Millis) {
-        let Some(most) = self.request.route.pause else {
+        let Some(most) = self.request.route.max_event_gap else {
             return;
         };
         if pause > most {
@@ -230,13 +230,13 @@
 
     /// Counts the longest pause of a whole stream.
     fn observe_pauses(&self) {
-        let pace = &self.request.pace;
+        let pace = &self.request.timing;
         let written = if pace.moved > 0 {
             "elsewhere"
         } else {
             "where read"
         };
-        let histogram = &self.request.gate.metrics.longest_pause;
+        let histogram = &self.request.frontend.metrics.longest_pause;
         histogram
             .with_label_values(&[written])
             .observe(seconds(pace.longest));
@@ -249,12 +249,12 @@
         };
         let request = &self.request;
         let engine = answer.upstream.address;
-        let stayed = request.pace.moved == 0 && !self.asked_to_move;
-        if !stayed || self.judged || request.gate.roles(&request.pool).is_prefill(engine) {
+        let stayed = request.timing.moved == 0 && !self.asked_to_move;
+        if !stayed || self.judged || request.frontend.roles(&request.pool).is_prefill(engine) {
             return;
         }
         request
-            .gate
+            .frontend
             .observe(&request.pool, |mix| mix.record_stream(engine, late));
         self.judged = true;
     }
@@ -267,14 +267,14 @@
         };
         let request = &self.request;
         if request
-            .gate
+            .frontend
             .roles(&request.pool)
             .is_prefill(answer.upstream.address)
         {
-            let part =
-                now.since(request.sent_at).0 as f64 / request.route.objective.0.max(1) as f64;
+            let part = now.since(request.sent_at).0 as f64
+                / request.route.latency_objective.0.max(1) as f64;
             request
-                .gate
+                .frontend
                 .observe(&request.pool, |mix| mix.record_prefill_wait(part));
         }
     }
@@ -287,27 +287,32 @@
         let Some(answer) = &self.answer else {
             return;
         };
-        if self.asked_to_move || self.request.pace.moved > 0 {
+        if self.asked_to_move || self.request.timing.moved > 0 {
             return;
         }
         // A moved run that is rejected counts as a further send, and can't be taken back then.
-        if !self.request.gate.has_repeat(&self.request.pool) {
+        if !self.request.frontend.has_retry_budget(&self.request.pool) {
             return;
         }
-        let first = self.request.pace.pieces == 1;
+        let first = self.request.timing.pieces == 1;
         if let Some(target) = self.request.decode_target(answer, first) {
-            let left = self.request.until.since(self.request.now());
-            let handover =
-                Handover::begin(&self.request.gate, self.request.id(), answer, target, left);
+            let left = self.request.deadline.since(self.request.now());
+            let handover = Handover::begin(
+                &self.request.frontend,
+                self.request.id(),
+                answer,
+                target,
+                left,
+            );
             self.handover = Some(handover);
             self.asked_to_move = true;
         }
     }
 
-    async fn step(&mut self) -> Step {
+    async fn step(&mut self) -> StreamStep {
         let now = self.request.now();
-        if now >= self.request.until {
-            return Step::Broken("the time is up".to_owned());
+        if now >= self.request.deadline {
+            return StreamStep::Broken("the time is up".to_owned());
         }
         if let Some(step) = self.events.known() {
             return step;
@@ -317,7 +322,7 @@
             span = span.min(REST);
         }
         let Some(answer) = &mut self.answer else {
-            return Step::Broken("there is no answer".to_owned());
+            return StreamStep::Broken("there is no answer".to_owned());
         };
         let reply = tokio::select! {
             biased;
@@ -326,28 +331,28 @@
                 return self.events.receive(received);
             }
             reply = reply_of(&mut self.handover, span) => reply,
-            () = versions::expired(answer.watch.as_ref()) => return Step::Withdrawn,
-            () = tokio::time::sleep(span.duration()) => Reply::Unanswered,
+            () = versions::expired(answer.watch.as_ref()) => return StreamStep::Withdrawn,
+            () = tokio::time::sleep(span.duration()) => HandoverReply::Unanswered,
         };
         match reply {
-            Reply::Unanswered => return self.stalled(span).await,
-            Reply::Unchanged => {}
-            Reply::Stopped(moved) => self.stopped = Some(moved),
+            HandoverReply::Unanswered => return self.stalled(span).await,
+            HandoverReply::Unchanged => {}
+            HandoverReply::Stopped(moved) => self.stopped = Some(moved),
         }
         self.handover = None;
-        Step::More
+        StreamStep::More
     }
 
     /// How long to wait for the next event before another engine is looked for.
     pub(super) fn patience(&self, now: Millis) -> Millis {
-        let left = self.request.until.since(now);
+        let left = self.request.deadline.since(now);
         if !self.request.may_go_on() {
             return left;
         }
-        let pause = self.request.route.pause.unwrap_or(USUAL_PAUSE);
+        let pause = self.request.route.max_event_gap.unwrap_or(USUAL_PAUSE);
         let stall = Millis(pause.0 * STALL_PAUSES);
-        let first = if self.events.last() == self.request.message.call.resume_after {
-            self.request.route.objective
+        let first = if self.events.last() == self.request.message.metadata.resume_after {
+            self.request.route.latency_objective
         } else {
             Millis::ZERO
         };
@@ -368,7 +373,7 @@
 }
 
 /// Waits for what an engine says to the question to move a run, if there is one.
-async fn reply_of(handover: &mut Option<Handover>, span: Millis) -> Reply {
+async fn reply_of(handover: &mut Option<Handover>, span: Millis) -> HandoverReply {
     match handover {
         Some(handover) => handover.reply(span).await,
         None => std::future::pending().await,
--- a/lib/src/direct/request/outcome.rs
+++ b/lib/src/direct/request/outcome.rs
@@ -2,15 +2,15 @@
 
 use std::sync::Arc;
 
-use super::{ActiveRequest, LOOK};
+use super::{ActiveRequest, SELECTION_RETRY_PAUSE};
 use crate::clock::Millis;
-use crate::direct::attempt::{Answer, Miss};
-use crate::direct::record;
+use crate::direct::attempt::{SendError, UpstreamResponse};
+use crate::direct::request_log;
 use crate::direct::sends::{FinishedSend, PendingSends};
 use crate::direct::upstream::Upstream;
 use crate::error::{Code, Failure};
 use crate::name::Name;
-use crate::poison::ledger::Sign;
+use crate::poison::ledger::Suspicion;
 
 /// Sends that reached no upstream, after which a request is given up.
 const MOST_UNSENT: u32 = 4;
@@ -27,7 +27,7 @@
         &mut self,
         sends: &PendingSends,
         sent: FinishedSend,
-    ) -> Result<Option<Answer>, Failure> {
+    ) -> Result<Option<UpstreamResponse>, Failure> {
         let is_last = sends.is_empty();
         match sent.result {
             Ok(answer) => {
@@ -44,7 +44,7 @@
 
     /// Takes an answer, or sets a failed one aside if the request may be repeated or still waits
     /// at another upstream.
-    fn judge(&mut self, answer: Answer, is_last: bool) -> Option<Answer> {
+    fn judge(&mut self, answer: UpstreamResponse, is_last: bool) -> Option<UpstreamResponse> {
         if !answer.head.status.is_server_error() {
             answer.upstream.record_success();
             return Some(answer);
@@ -54,7 +54,7 @@
             if !(self.may_go_on() && self.others() && self.reserve_repeat()) {
                 return Some(answer);
             }
-            self.gate.count_retry("upstream_error");
+            self.frontend.count_retry("upstream_error");
         }
         self.failed = Some(Box::new(answer));
         None
@@ -68,52 +68,53 @@
     pub(in crate::direct) fn missed(
         &mut self,
         upstream: &Arc<Upstream>,
-        miss: Miss,
+        miss: SendError,
         is_last: bool,
     ) -> Result<(), Failure> {
-        record::missed(self, upstream, &miss);
+        request_log::missed(self, upstream, &miss);
         self.tried.push(Name::clone(&upstream.incarnation));
-        if matches!(miss, Miss::Rejected { replaced: true, .. }) {
-            self.replaced_at.push(Name::clone(&upstream.incarnation));
+        if matches!(miss, SendError::Rejected { replaced: true, .. }) {
+            self.replacing_upstreams
+                .push(Name::clone(&upstream.incarnation));
         }
         match miss {
-            Miss::Unsent(told) => self.was_not_sent(upstream, &told),
-            Miss::Rejected { status, .. } => self.was_rejected(upstream, status),
-            Miss::Withdrawn { sent } => self.was_withdrawn(sent),
-            Miss::Lost(code, told) => self.left_unannounced(upstream, code, told, is_last),
+            SendError::Unsent(told) => self.was_not_sent(upstream, &told),
+            SendError::Rejected { status, .. } => self.was_rejected(upstream, status),
+            SendError::Withdrawn { sent } => self.was_withdrawn(sent),
+            SendError::Lost(code, told) => self.left_unannounced(upstream, code, told, is_last),
         }
     }
 
     fn was_not_sent(&mut self, upstream: &Upstream, told: &str) -> Result<(), Failure> {
-        self.sent -= 1;
+        self.possible_runs -= 1;
         upstream.record_unreachable(self.now());
-        self.unsent += 1;
-        self.gate.count_retry("unsent");
-        if self.unsent >= MOST_UNSENT {
+        self.undelivered += 1;
+        self.frontend.count_retry("unsent");
+        if self.undelivered >= MOST_UNSENT {
             return Err(self.refusal(Code::ConnectFailed, told));
         }
         Ok(())
     }
 
     fn was_rejected(&mut self, upstream: &Upstream, status: u16) -> Result<(), Failure> {
-        self.sent -= 1;
-        self.rejected += 1;
-        self.gate.count_retry("rejected");
-        if let Some(adapter) = self.message.call.adapter()
+        self.possible_runs -= 1;
+        self.rejections += 1;
+        self.frontend.count_retry("rejected");
+        if let Some(adapter) = self.message.metadata.adapter()
             && status == 421
         {
             upstream.remove_adapter(adapter);
         }
-        if self.rejected >= MOST_REJECTED {
+        if self.rejections >= MOST_REJECTED {
             return Err(self.refusal(Code::UpstreamRefused, "upstreams are full"));
         }
         Ok(())
     }
 
     fn was_withdrawn(&mut self, sent: bool) -> Result<(), Failure> {
-        self.gate.count_retry("replaced");
+        self.frontend.count_retry("replaced");
         if !sent {
-            self.sent -= 1;
+            self.possible_runs -= 1;
             return Ok(());
         }
         if self.may_go_on() {
@@ -131,20 +132,20 @@
         is_last: bool,
     ) -> Result<(), Failure> {
         if code == Code::UpstreamLost {
-            self.broke(upstream, Sign::Possible);
+            self.broke(upstream, Suspicion::Possible);
         }
         upstream.record_failure(self.now());
         if !self.may_go_on() {
             return Err(Failure::new(code, told));
         }
         if is_last {
-            self.gate.count_retry("lost");
+            self.frontend.count_retry("lost");
         }
         Ok(())
     }
 
     fn others(&self) -> bool {
-        self.gate
+        self.frontend
             .view
             .pool(&self.pool)
             .iter()
@@ -153,7 +154,7 @@
 
     /// A refusal that is true: nothing runs, or what ran is said to be unknown.
     pub(in crate::direct) fn refusal(&self, code: Code, told: &str) -> Failure {
-        if self.sent > 0 {
+        if self.possible_runs > 0 {
             return Failure::new(Code::UpstreamLost, told);
         }
         Failure::new(code, told).retry_after(COME_BACK)
@@ -168,8 +169,8 @@
     /// Whether a broken answer may be continued, or a failed one repeated, elsewhere.
     #[must_use]
     pub fn may_go_on(&self) -> bool {
-        self.message.kind.repeatable()
-            && self.sent < self.route.attempts
-            && self.now() + LOOK < self.until
+        self.message.kind.is_retryable()
+            && self.possible_runs < self.route.max_attempts
+            && self.now() + SELECTION_RETRY_PAUSE < self.deadline
     }
 }
--- a/lib/src/direct/sends.rs
+++ b/lib/src/direct/sends.rs
@@ -13,11 +13,11 @@
 use futures::stream::{FuturesUnordered, StreamExt};
 use smallvec::SmallVec;
 
-use super::attempt::{Answer, Message, Miss};
-use super::dialect::{Dialect, Dispatch};
+use super::attempt::{RequestMessage, SendError, UpstreamResponse};
+use super::dialect::{Dialect, DispatchHeaders};
 use super::target::Target;
 use super::upstream::Upstream;
-use super::versions::Watch;
+use super::versions::VersionWatch;
 use crate::clock::Millis;
 
 /// A send that has ended.
@@ -28,7 +28,7 @@
     /// When the request was sent.
     pub at: Millis,
     /// The response, whose head has arrived, or the reason why there is none.
-    pub result: Result<Answer, Miss>,
+    pub result: Result<UpstreamResponse, SendError>,
 }
 
 /// State of a pending send.
@@ -50,11 +50,11 @@
     /// Starts to send a request to a target at `now`.
     pub fn begin(
         &mut self,
-        message: &Arc<Message>,
+        message: &Arc<RequestMessage>,
         dialect: &Arc<dyn Dialect>,
         target: Target,
-        dispatch: Dispatch,
-        watch: Option<Watch>,
+        dispatch: DispatchHeaders,
+        watch: Option<VersionWatch>,
         now: Millis,
     ) {
         let Target {
--- a/lib/src/direct/target.rs
+++ b/lib/src/direct/target.rs
@@ -5,22 +5,22 @@
 use smallvec::SmallVec;
 use xxhash_rust::xxh3::xxh3_64;
 
+use crate::clock::Millis;
+use crate::error::{Code, Failure};
+use crate::name::Name;
 use super::acquire::HolderSearch;
-use super::admission_policy::{self, MAX_ADMISSION_QUERIES};
-use super::admit::{self, AdmitQuery, Permit};
-use super::attempt::Answer;
-use super::call::Call;
-use super::entry::{CLASS, seconds};
-use super::orders::Loaded;
-use super::record::Asking;
-use super::request::{ActiveRequest, LOOK};
+use super::admission_policy::{MAX_ADMISSION_QUERIES, self};
+use super::admit::{AdmitQuery, Permit, self};
+use super::attempt::UpstreamResponse;
+use super::entry::{CLASS_LABEL, seconds};
+use super::metadata::RequestMetadata;
+use super::orders::LoadOutcome;
+use super::request::{ActiveRequest, SELECTION_RETRY_PAUSE};
+use super::request_log::LoadAttempt;
 use super::roles::{Roles, Workload, may_move};
 use super::selection::{Selector, mean_remote_utilization};
 use super::upstream::Upstream;
-use super::versions::{REPLACEMENT, WITHDRAWAL};
-use crate::clock::Millis;
-use crate::error::{Code, Failure};
-use crate::name::Name;
+use super::versions::{REPLACEMENT_LEAD, WITHDRAWAL_LEAD};
 
 /// Divisor of the latency objective that gives the time for which a request may wait for an
 /// upstream before it is refused.
@@ -67,33 +67,35 @@
 impl ActiveRequest {
     /// Finds the target to send to, waiting briefly if there is none.
     pub(super) async fn find_target(&self) -> Result<Target, Failure> {
-        let refuse_at = self.began + Millis(self.route.objective.0 / REFUSE_AFTER_DIVISOR);
-        let quarantine = &self.gate.quarantine;
+        let refuse_at = self.arrived_at + Millis(self.route.latency_objective.0 / REFUSE_AFTER_DIVISOR);
+        let quarantine = &self.frontend.quarantine;
         if !quarantine.is_empty() {
-            quarantine.examined(self.message.fingerprint()).await;
+            quarantine
+                .wait_for_crash_check(self.message.fingerprint())
+                .await;
         }
         loop {
-            self.check()?;
-            let upstreams = self.gate.view.pool(&self.pool);
-            let roles = self.gate.roles(&self.pool);
+            self.check_quarantine()?;
+            let upstreams = self.frontend.view.pool(&self.pool);
+            let roles = self.frontend.roles(&self.pool);
             let selector = self.selector(&upstreams, &roles);
-            let found = match &self.message.call.model {
+            let found = match &self.message.metadata.model {
                 None => selector.least_loaded(|_| true).map(any_version_target),
-                Some(model) => match self.message.call.adapter() {
+                Some(model) => match self.message.metadata.adapter() {
                     None => self.base_model_target(&selector, model).await,
                     Some(adapter) => self.adapter_target(&selector, adapter).await?,
                 },
             };
             if let Some(target) = found {
                 // The request may have waited for its adapter in the meantime.
-                self.check()?;
+                self.check_quarantine()?;
                 return Ok(target);
             }
             let now = self.now();
-            if now >= refuse_at || now >= self.until {
+            if now >= refuse_at || now >= self.deadline {
                 return Err(self.refusal(Code::NoUpstream, "no upstream can take it now"));
             }
-            tokio::time::sleep(LOOK.duration()).await;
+            tokio::time::sleep(SELECTION_RETRY_PAUSE.duration()).await;
         }
     }
 
@@ -102,26 +104,30 @@
     ///
     /// With `request_load`, a decode engine is asked to load the adapter if none holds it, so that
     /// the run can move after a later event.
-    pub(super) fn decode_target(&self, answer: &Answer, request_load: bool) -> Option<Target> {
+    pub(super) fn decode_target(&self, answer: &UpstreamResponse, request_load: bool) -> Option<Target> {
         let source = &answer.upstream;
-        let roles = self.gate.roles(&self.pool);
+        let roles = self.frontend.roles(&self.pool);
         if !roles.is_prefill(source.address) {
             return None;
         }
-        let upstreams = self.gate.view.pool(&self.pool);
+        let upstreams = self.frontend.view.pool(&self.pool);
         let selector = self.selector(&upstreams, &roles);
         let has_free_slot = |upstream: &Upstream| {
             !selector.is_prefill(upstream)
                 && !upstream.is_suspended(selector.now)
                 && upstream.total_running() < upstream.slots
         };
-        let Some(adapter) = self.message.call.adapter() else {
-            let model = self.message.call.model.as_ref()?;
+        let Some(adapter) = self.message.metadata.adapter() else {
+            let model = self.message.metadata.model.as_ref()?;
             return selector
                 .least_loaded(|upstream| has_free_slot(upstream) && upstream.has_base_model(model))
                 .map(any_version_target);
         };
-        let newest = self.gate.view.newest(adapter).map(|newest| newest.version);
+        let newest = self
+            .frontend
+            .view
+            .newest(adapter)
+            .map(|newest| newest.version);
         let fits = |upstream: &Upstream| {
             let held = upstream.version(adapter);
             held.is_some_and(|held| may_move(answer.version, held, newest))
@@ -130,14 +136,14 @@
         if found.is_none() && request_load {
             let mut candidates = self.load_candidates(&selector, adapter);
             candidates.retain(|upstream| !selector.is_prefill(upstream));
-            self.gate
-                .load_soon(candidates, adapter, newest.unwrap_or_default());
+            self.frontend
+                .load_in_background(candidates, adapter, newest.unwrap_or_default());
         }
         found.map(|upstream| Self::uncounted_target(upstream, adapter))
     }
 
     pub(super) fn workload(&self) -> Workload {
-        Workload::of(self.message.call.tokens)
+        Workload::of(self.message.metadata.tokens)
     }
 
     pub(super) fn selector<'a>(
@@ -148,15 +154,15 @@
         Selector {
             upstreams,
             tried: &self.tried,
-            local_domain: &self.gate.failure_domain,
+            local_domain: &self.frontend.failure_domain,
             now: self.now(),
-            affinity_seed: affinity_seed(&self.message.call),
-            max_event_gap: self.route.pause,
+            affinity_seed: affinity_seed(&self.message.metadata),
+            max_event_gap: self.route.max_event_gap,
             roles,
             request_hash: xxh3_64(self.id().as_bytes()),
             remote_prior: self
                 .message
-                .call
+                .metadata
                 .model
                 .is_some()
                 .then(|| mean_remote_utilization(upstreams)),
@@ -173,7 +179,7 @@
         selector: &Selector<'_>,
         adapter: &Name,
     ) -> Result<Option<Target>, Failure> {
-        let newest = self.gate.view.newest(adapter);
+        let newest = self.frontend.view.newest(adapter);
         let wanted = newest.map_or(0, |newest| newest.version);
         let queued = match self.query_holders(selector, adapter, wanted).await {
             HolderSearch::Found(target) => return Ok(Some(target)),
@@ -187,8 +193,8 @@
             HolderSearch::LoadElsewhere(queued) => queued,
         };
         if let Some(target) = self.older_version_target(selector, adapter, wanted).await {
-            self.gate
-                .load_soon(self.load_candidates(selector, adapter), adapter, wanted);
+            self.frontend
+                .load_in_background(self.load_candidates(selector, adapter), adapter, wanted);
             return Ok(Some(target));
         }
         let candidates = self.load_candidates(selector, adapter);
@@ -232,7 +238,7 @@
         adapter: &Name,
         newest: u64,
     ) -> Option<Target> {
-        if !self.message.kind.streamed() {
+        if !self.message.kind.is_streaming() {
             return None;
         }
         let mut queried: SmallVec<[Name; MAX_ADMISSION_QUERIES]> = SmallVec::new();
@@ -247,11 +253,11 @@
             queried.push(Name::clone(&upstream.incarnation));
             let query = AdmitQuery {
                 max_running: upstream.slots,
-                max_wait: admission_policy::light_load_wait(self.route.objective)
+                max_wait: admission_policy::light_load_wait(self.route.latency_objective)
                     .min(self.time_to_begin(&upstream, adapter)),
                 ..self.admit_query(Some(adapter), 0)
             };
-            match self.gate.controllers.admit(&upstream, query).await {
+            match self.frontend.controllers.admit(&upstream, query).await {
                 admit::AdmitDecision::Admitted(permit, _) => {
                     return Some(Self::target_with_permit(upstream, adapter, Some(permit)));
                 }
@@ -274,8 +280,10 @@
         let Some(version) = upstream.version(adapter) else {
             return Millis::ZERO;
         };
-        match self.gate.begin_by(adapter, version) {
-            Some(begin_by) => begin_by.since(self.now() + REPLACEMENT + WITHDRAWAL),
+        match self.frontend.begin_deadline(adapter, version) {
+            Some(begin_deadline) => {
+                begin_deadline.since(self.now() + REPLACEMENT_LEAD + WITHDRAWAL_LEAD)
+            }
             None => Millis::MAX,
         }
     }
@@ -292,23 +300,23 @@
             if attempts == MAX_LOAD_ATTEMPTS || unowned == MAX_UNOWNED_ATTEMPTS {
                 break;
             }
-            let left = self.until.since(self.now());
-            let asking = Asking::new(self, &upstream, adapter);
-            let load = self.gate.controllers.load(&upstream, adapter, wanted);
+            let left = self.deadline.since(self.now());
+            let load_attempt = LoadAttempt::new(self, &upstream, adapter);
+            let load = self.frontend.controllers.load(&upstream, adapter, wanted);
             let Ok(loaded) = tokio::time::timeout(left.duration(), load).await else {
                 break;
             };
-            let took = asking.answered(loaded);
-            self.gate
+            let took = load_attempt.finish(loaded);
+            self.frontend
                 .metrics
                 .load_wait
-                .with_label_values(&[CLASS])
+                .with_label_values(&[CLASS_LABEL])
                 .observe(seconds(took));
             match loaded {
-                Loaded::Ready(held) if held >= wanted && upstream.is_ready() => {
+                LoadOutcome::Ready(held) if held >= wanted && upstream.is_ready() => {
                     return Some(upstream);
                 }
-                Loaded::NotOwner => unowned += 1,
+                LoadOutcome::NotOwner => unowned += 1,
                 _ => attempts += 1,
             }
         }
@@ -321,7 +329,7 @@
     /// down and the key-value service is unavailable. Asked in turn, they used up the load attempts
     /// of a request that an engine further down the order could have served.
     fn can_load(&self, upstream: &Upstream, adapter: &Name) -> bool {
-        upstream.has_base_model(adapter) && self.gate.controllers.is_ordered(upstream)
+        upstream.has_base_model(adapter) && self.frontend.controllers.has_live_owner(upstream)
     }
 
     /// Returns the engines that could load the adapter, those with no version of it first.
@@ -344,7 +352,7 @@
         adapter: &'a Name,
     ) -> impl Iterator<Item = Arc<Upstream>> + use<'a> {
         let rejected = |upstream: &&Arc<Upstream>| {
-            self.replaced_at.contains(&upstream.incarnation)
+            self.replacing_upstreams.contains(&upstream.incarnation)
                 && upstream.is_ready()
                 && self.can_load(upstream, adapter)
         };
@@ -378,7 +386,7 @@
         if chosen < candidates.len() {
             candidates.swap(0, chosen);
         }
-        self.gate.load_soon(candidates, adapter, wanted);
+        self.frontend.load_in_background(candidates, adapter, wanted);
     }
 
     /// Loads an adapter at a prefill engine if its prompts are prefilled at a decode engine; the
@@ -397,7 +405,7 @@
         let candidates = selector.placement_candidates(adapter, |upstream| {
             selector.is_prefill(upstream) && self.can_load(upstream, adapter)
         });
-        self.gate.load_soon(candidates, adapter, wanted);
+        self.frontend.load_in_background(candidates, adapter, wanted);
     }
 
     pub(super) fn uncounted_target(upstream: Arc<Upstream>, adapter: &Name) -> Target {
@@ -422,9 +430,12 @@
 
 /// Returns the id of the last prompt segment that other requests may share, or a hash of the
 /// request's id.
-fn affinity_seed(call: &Call) -> u64 {
-    let shared = call.parts.len().checked_sub(2);
-    match (shared.and_then(|at| call.parts.get(at)), &call.id) {
+fn affinity_seed(metadata: &RequestMetadata) -> u64 {
+    let shared = metadata.prompt_segments.len().checked_sub(2);
+    match (
+        shared.and_then(|at| metadata.prompt_segments.get(at)),
+        &metadata.id,
+    ) {
         (Some(part), _) => part.id,
         (None, Some(id)) => xxh3_64(id.as_bytes()),
         (None, None) => 0,
--- a/lib/src/direct/upstream.rs
+++ b/lib/src/direct/upstream.rs
@@ -6,9 +6,9 @@
 use std::sync::{Arc, Mutex, PoisonError};
 
 use super::admit::Permit;
-use super::call::base_of;
-use super::dialect::{Held, Listed};
-use super::presence::{Presence, Stage, Written};
+use super::dialect::{LoadedModels, UpstreamEntry};
+use super::metadata::base_model_of;
+use super::presence::{EntryRevision, Presence, Stage};
 use crate::clock::Millis;
 use crate::name::Name;
 use crate::ports::link::{Bounds, Link};
@@ -56,7 +56,7 @@
 /// Models and adapters that an upstream is known to hold, as of its start and order count.
 #[derive(Debug, Default)]
 struct Holdings {
-    born: u64,
+    started_at_ms: u64,
     sequence: u64,
     models: Vec<Name>,
     adapters: HashMap<Name, u64>,
@@ -86,7 +86,7 @@
     /// Number of requests that it processes concurrently.
     pub slots: u32,
     /// Start time as reported by the upstream; 0 if it reports none.
-    pub born: u64,
+    pub started_at_ms: u64,
     /// When this node first saw it in the list of upstreams.
     pub first_seen: Millis,
     /// Connections to it.
@@ -138,7 +138,12 @@
 impl Upstream {
     /// Creates an upstream from its entry in the list.
     #[must_use]
-    pub fn new(listed: &Listed, written: Written, connections: usize, now: Millis) -> Self {
+    pub fn new(
+        listed: &UpstreamEntry,
+        written: EntryRevision,
+        connections: usize,
+        now: Millis,
+    ) -> Self {
         let bounds = Bounds {
             connect: CONNECT_TIMEOUT,
             idle: IDLE_TIMEOUT,
@@ -151,7 +156,7 @@
             address_text: listed.address.to_string().into(),
             failure_domain: Name::clone(&listed.failure_domain),
             slots: listed.slots.max(1),
-            born: listed.held.born,
+            started_at_ms: listed.held.started_at_ms,
             first_seen: now,
             link: Link::new(listed.address, bounds),
             takes_work: AtomicBool::new(listed.ready),
@@ -170,8 +175,8 @@
     }
 
     /// Applies an entry of the list, unless a newer one is known.
-    pub fn update(&self, listed: &Listed, written: Written) {
-        if self.update_presence(|presence| presence.entry(written, listed.ready)) {
+    pub fn update(&self, listed: &UpstreamEntry, written: EntryRevision) {
+        if self.update_presence(|presence| presence.apply_entry(written, listed.ready)) {
             self.update_held(&listed.held);
         }
     }
@@ -188,7 +193,7 @@
             log::info!(
                 upstream = &*self.incarnation,
                 before = before.name(),
-                revision = presence.written().revision;
+                revision = presence.entry_revision().revision;
                 "view: an upstream is {}", stage.name()
             );
         }
@@ -205,12 +210,12 @@
     /// count: an engine that starts again under the same name counts its orders from the beginning,
     /// so that by count alone, late reports of the former start would look newer until as many
     /// orders had been given, and requests would go to adapters that are gone.
-    pub fn update_held(&self, held: &Held) {
+    pub fn update_held(&self, held: &LoadedModels) {
         let mut holdings = self.holdings();
-        if (held.born, held.sequence) < (holdings.born, holdings.sequence) {
+        if (held.started_at_ms, held.sequence) < (holdings.started_at_ms, holdings.sequence) {
             return;
         }
-        holdings.born = held.born;
+        holdings.started_at_ms = held.started_at_ms;
         holdings.sequence = held.sequence;
         holdings.models.clone_from(&held.models);
         holdings.adapters = held.adapters.iter().cloned().collect();
@@ -218,10 +223,10 @@
 
     /// Returns what the upstream is known to hold.
     #[must_use]
-    pub fn held(&self) -> Held {
+    pub fn held(&self) -> LoadedModels {
         let holdings = self.holdings();
-        Held {
-            born: holdings.born,
+        LoadedModels {
+            started_at_ms: holdings.started_at_ms,
             sequence: holdings.sequence,
             models: holdings.models.clone(),
             adapters: holdings
@@ -260,7 +265,7 @@
     /// Whether the upstream holds the base model of `model`.
     #[must_use]
     pub fn has_base_model(&self, model: &str) -> bool {
-        let base = base_of(model);
+        let base = base_model_of(model);
         self.holdings().models.iter().any(|held| &**held == base)
     }
 
@@ -278,13 +283,13 @@
 
     /// Returns the revisions of its newest entry in the key-value service.
     #[must_use]
-    pub fn written(&self) -> Written {
-        self.presence().written()
+    pub fn entry_revision(&self) -> EntryRevision {
+        self.presence().entry_revision()
     }
 
     /// Stops new requests to an upstream that is no longer listed, and closes its idle connections.
     pub fn retire(&self) {
-        self.update_presence(Presence::gone);
+        self.update_presence(Presence::mark_gone);
         self.link.clear();
     }
 
@@ -292,18 +297,18 @@
     /// leaves.
     #[must_use]
     pub fn left_unannounced(&self) -> bool {
-        self.presence().is_lost()
+        self.presence().left_unannounced()
     }
 
     /// Returns a name that is unique to this start of the upstream.
     #[must_use]
     pub fn start_id(&self) -> Name {
-        format!("{}@{}", self.incarnation, self.born).into()
+        format!("{}@{}", self.incarnation, self.started_at_ms).into()
     }
 
     /// Records that the upstream is missing from the list but may not have left.
     pub fn mark_missing(&self) {
-        self.update_presence(Presence::missing);
+        self.update_presence(Presence::mark_missing);
     }
 
     /// Whether the upstream is missing from the list but may not have left.
--- a/lib/src/direct/versions.rs
+++ b/lib/src/direct/versions.rs
@@ -14,8 +14,8 @@
 
 use smallvec::SmallVec;
 
-use super::entry::Gate;
-use super::orders::Loaded;
+use super::entry::Frontend;
+use super::orders::LoadOutcome;
 use super::upstream::Upstream;
 use crate::clock::Millis;
 use crate::name::Name;
@@ -24,13 +24,13 @@
 /// no longer begins the request.
 ///
 /// The way to the engine, a step of its batch, and a late timer on a small VM.
-pub const WITHDRAWAL: Millis = Millis(150);
+pub const WITHDRAWAL_LEAD: Millis = Millis(150);
 
 /// Time before a withdrawal at which the engine is to load the newest version.
 ///
 /// The order has the engine reject what waits on an older one. It takes a question to the owner
 /// and an order, either of which may have to be repeated.
-pub const REPLACEMENT: Millis = Millis(850);
+pub const REPLACEMENT_LEAD: Millis = Millis(850);
 
 /// Pause after which an engine that refused is asked once more to replace a version.
 const REPLACEMENT_PAUSE: Millis = Millis(50);
@@ -93,7 +93,7 @@
 
     /// Returns until when a request may begin on a version; none where nothing bounds it.
     #[must_use]
-    pub fn begin_by(&self, version: u64, limit: Millis) -> Option<Millis> {
+    pub fn begin_deadline(&self, version: u64, limit: Millis) -> Option<Millis> {
         let newer = self.0.iter().filter(|one| one.version > version);
         newer.map(|one| one.forbids_from(limit)).min()
     }
@@ -103,8 +103,8 @@
 ///
 /// A version that was the newest when the request was sent can be replaced while it waits.
 #[derive(Debug, Clone)]
-pub struct Watch {
-    gate: Arc<Gate>,
+pub struct VersionWatch {
+    frontend: Arc<Frontend>,
     upstream: Arc<Upstream>,
     adapter: Name,
     /// The version that its engine is believed to hold; 0 is whatever was the newest at its load.
@@ -113,21 +113,21 @@
     shows_beginning: bool,
 }
 
-impl Watch {
+impl VersionWatch {
     /// Watches a request for an adapter at an upstream.
     ///
     /// An answer that isn't a stream shows nothing until it is whole: withdrawn, it could be one
     /// that began long before. There only the engine can tell, by rejecting what hasn't begun.
     #[must_use]
     pub fn new(
-        gate: Arc<Gate>,
+        frontend: Arc<Frontend>,
         upstream: Arc<Upstream>,
         adapter: Name,
         version: u64,
         shows_beginning: bool,
     ) -> Self {
         Self {
-            gate,
+            frontend,
             upstream,
             adapter,
             version,
@@ -138,20 +138,22 @@
     /// Whether the request may no longer begin there.
     #[must_use]
     pub fn has_expired(&self) -> bool {
-        self.left(WITHDRAWAL) == Some(Millis::ZERO)
+        self.left(WITHDRAWAL_LEAD) == Some(Millis::ZERO)
     }
 
     /// Whether a newer version than the request was sent for has been declared.
     #[must_use]
     pub fn is_replaced(&self) -> bool {
-        self.gate.begin_by(&self.adapter, self.version).is_some()
+        self.frontend
+            .begin_deadline(&self.adapter, self.version)
+            .is_some()
     }
 
     /// Waits until the request has to be withdrawn.
     pub async fn expired(&self) {
-        self.until(REPLACEMENT + WITHDRAWAL).await;
+        self.until(REPLACEMENT_LEAD + WITHDRAWAL_LEAD).await;
         let withdrawal = async {
-            self.until(WITHDRAWAL).await;
+            self.until(WITHDRAWAL_LEAD).await;
             if !self.shows_beginning {
                 std::future::pending::<()>().await;
             }
@@ -165,13 +167,13 @@
 
     /// Returns the time until `lead` before the last moment to begin, if there is one.
     fn left(&self, lead: Millis) -> Option<Millis> {
-        let begin_by = self.gate.begin_by(&self.adapter, self.version)?;
-        Some(begin_by.since(self.gate.clock.now() + lead))
+        let begin_deadline = self.frontend.begin_deadline(&self.adapter, self.version)?;
+        Some(begin_deadline.since(self.frontend.clock.now() + lead))
     }
 
     async fn until(&self, lead: Millis) {
         loop {
-            let changed = self.gate.view.changed.notified();
+            let changed = self.frontend.view.changed.notified();
             let mut changed = std::pin::pin!(changed);
             changed.as_mut().enable();
             match self.left(lead) {
@@ -197,14 +199,14 @@
 
     /// Asks once, unless another request of this queue does; true if the newest one is there.
     async fn has_replaced(&self) -> bool {
-        let Some(newest) = self.gate.view.newest(&self.adapter) else {
+        let Some(newest) = self.frontend.view.newest(&self.adapter) else {
             return true;
         };
-        let replacements = &self.gate.replacements;
+        let replacements = &self.frontend.replacements;
         let Some(_asking) = replacements.begin(&self.upstream, &self.adapter) else {
             return false;
         };
-        let controllers = &self.gate.controllers;
+        let controllers = &self.frontend.controllers;
         let load = controllers.load(&self.upstream, &self.adapter, newest.version);
         let loaded = load.await;
         log::info!(
@@ -214,12 +216,12 @@
             outcome = loaded.name();
             "versions: replaced where requests wait"
         );
-        matches!(loaded, Loaded::Ready(held) if held >= newest.version)
+        matches!(loaded, LoadOutcome::Ready(held) if held >= newest.version)
     }
 }
 
 /// Waits until a watched request has to be withdrawn; for ever if nothing watches it.
-pub async fn expired(watch: Option<&Watch>) {
+pub async fn expired(watch: Option<&VersionWatch>) {
     match watch {
         Some(watch) => watch.expired().await,
         None => std::future::pending().await,
@@ -228,16 +230,16 @@
 
 /// Replacements that are asked for, so that the many requests of one queue ask once.
 #[derive(Debug, Default)]
-pub struct Replacements(Mutex<HashSet<(Name, Name)>>);
+pub struct PendingReplacements(Mutex<HashSet<(Name, Name)>>);
 
 /// Keeps others from asking for the same replacement until it is dropped.
 #[derive(Debug)]
 struct Asking<'a> {
-    replacements: &'a Replacements,
+    replacements: &'a PendingReplacements,
     key: (Name, Name),
 }
 
-impl Replacements {
+impl PendingReplacements {
     /// Returns leave to ask an upstream to replace an adapter's version; none if others ask.
     fn begin(&self, upstream: &Upstream, adapter: &Name) -> Option<Asking<'_>> {
         let key = (Name::clone(&upstream.incarnation), Name::clone(adapter));
--- a/lib/tests/test_direct_admission.rs
+++ b/lib/tests/test_direct_admission.rs
@@ -8,21 +8,21 @@
 use chivevalve::clock::{Clock, Manual, Millis, Monotonic};
 use chivevalve::direct::admission_policy::{self, MAX_ADMISSION_QUERIES};
 use chivevalve::direct::admit::{AdmitDecision, AdmitQuery};
-use chivevalve::direct::ask::Controllers;
-use chivevalve::direct::dialect::Listed;
+use chivevalve::direct::controllers::Controllers;
+use chivevalve::direct::dialect::UpstreamEntry;
 use chivevalve::direct::limits::exchange_interval;
 use chivevalve::direct::occupancy::{
     CountedRequest, EngineLoad, Occupancy, OccupancyGuard, OccupancyTable,
 };
-use chivevalve::direct::right::Right;
+use chivevalve::direct::ownership::Ownership;
+use chivevalve::direct::peer_server::serve;
 use chivevalve::direct::roles::Roles;
 use chivevalve::direct::selection::{Selector, mean_remote_utilization};
-use chivevalve::direct::serve::serve;
 use chivevalve::direct::upstream::{InFlightRequest, Upstream};
-use chivevalve::direct::view::{Claim, Standing, View};
+use chivevalve::direct::view::{Claim, ClaimEntry, View};
 use chivevalve::name::Name;
-use chivevalve_platform::Speech;
-use direct_support::records::{listed, peer, written};
+use chivevalve_platform::PlatformDialect;
+use direct_support::records::{entry_revision, listed, peer};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -34,8 +34,8 @@
 /// Each engine reads and writes.
 static WHOLE: LazyLock<Roles> = LazyLock::new(Roles::default);
 
-fn engine(number: u16, slots: u32, adapters: &[(&str, u64)]) -> Listed {
-    Listed {
+fn engine(number: u16, slots: u32, adapters: &[(&str, u64)]) -> UpstreamEntry {
+    UpstreamEntry {
         address: SocketAddr::from(([127, 0, 0, 1], 9 + number)),
         slots,
         ..listed(&format!("i-{number}"), adapters)
@@ -193,10 +193,10 @@
 fn node(name: &str, owner: &str, at: SocketAddr, adapters: &[(&str, u64)]) -> Node {
     let clock: Arc<dyn Clock> = Arc::new(Monotonic::start());
     let view = Arc::new(View::default());
-    let right = Arc::new(Right::new(Arc::clone(&clock), Arc::clone(&view)));
+    let ownership = Arc::new(Ownership::new(Arc::clone(&clock), Arc::clone(&view)));
     let upstream = {
         let mut state = view.state();
-        state.list(&engine(0, 4, adapters), written(1), Millis::ZERO);
+        state.put_upstream(&engine(0, 4, adapters), entry_revision(1), Millis::ZERO);
         let claim = Claim {
             node: owner.into(),
             start: 1,
@@ -205,22 +205,22 @@
             boot: 0,
         };
         let upstream = Arc::clone(&state.upstreams["i-0"]);
-        let standing = Standing {
+        let standing = ClaimEntry {
             claim,
             revision: 7,
             seen: Millis::ZERO,
         };
-        state.claim(upstream.address, standing);
+        state.insert_claim(upstream.address, standing);
         state.nodes.insert(owner.into(), peer(at));
         upstream
     };
     if name == owner {
-        right.take(upstream.address, 7, Millis::ZERO);
+        ownership.acquire(upstream.address, 7, Millis::ZERO);
     }
     let controllers = Arc::new(Controllers::new(
         view,
-        right,
-        Arc::new(Speech),
+        ownership,
+        Arc::new(PlatformDialect),
         clock,
         name.into(),
         Arc::default(),
@@ -413,7 +413,7 @@
         loaded = load => panic!("the load ended: {loaded:?}"),
         () = late => {}
     }
-    assert!(asking.controllers.is_ordered(&asking.upstream));
+    assert!(asking.controllers.has_live_owner(&asking.upstream));
 }
 
 /// Passes bytes on from a node to another one, unless they are held back.
@@ -511,7 +511,7 @@
         .map(|_| {
             let entries = (0..ENGINES).map(|number| engine(number, SLOTS, &[(ADAPTER, 1)]));
             entries
-                .map(|entry| Arc::new(Upstream::new(&entry, written(1), 8, Millis::ZERO)))
+                .map(|entry| Arc::new(Upstream::new(&entry, entry_revision(1), 8, Millis::ZERO)))
                 .collect()
         })
         .collect();
--- a/lib/tests/test_direct_parts.rs
+++ b/lib/tests/test_direct_parts.rs
@@ -6,17 +6,17 @@
 
 use chivevalve::clock::Millis;
 use chivevalve::direct::budget::RetryBudget;
-use chivevalve::direct::dialect::Held;
+use chivevalve::direct::dialect::LoadedModels;
 use chivevalve::direct::limits::{
     Limits, RetryLimits, SharedLimits, exchange_interval, in_use_grace,
 };
 use chivevalve::direct::roles::Roles;
 use chivevalve::direct::selection::{MAX_PLACEMENT_CANDIDATES, Selector};
-use chivevalve::direct::sse::Splitter;
+use chivevalve::direct::sse::EventSplitter;
 use chivevalve::direct::upstream::Upstream;
 use chivevalve::direct::view::View;
 use chivevalve::name::Name;
-use direct_support::records::{listed, written};
+use direct_support::records::{entry_revision, listed};
 use quickcheck::{Gen, QuickCheck};
 
 const RETRIES: RetryLimits = RetryLimits {
@@ -35,7 +35,7 @@
 fn upstream(incarnation: &str, failure_domain: &str) -> Arc<Upstream> {
     let mut listed = listed(incarnation, &[("base/a1", 1)]);
     listed.failure_domain = failure_domain.into();
-    Arc::new(Upstream::new(&listed, written(1), 8, Millis::ZERO))
+    Arc::new(Upstream::new(&listed, entry_revision(1), 8, Millis::ZERO))
 }
 
 /// Each engine reads and writes.
@@ -63,7 +63,7 @@
 fn splitter_any_cuts_give_the_same_events() {
     fn holds(cuts: Vec<u8>) -> bool {
         let text = b"id: 1\ndata: a\n\nid: 2\r\ndata: b\r\n\r\ndata: no number\n\nid: 4\ndata: d";
-        let mut splitter = Splitter::default();
+        let mut splitter = EventSplitter::default();
         let mut ids = Vec::new();
         let mut at = 0;
         let mut cuts = cuts.into_iter();
@@ -76,7 +76,7 @@
                 ids.push(event.id);
             }
         }
-        ids == [Some(1), Some(2), None] && splitter.has_rest()
+        ids == [Some(1), Some(2), None] && splitter.has_partial_event()
     }
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(40, 7))
@@ -85,10 +85,10 @@
 
 #[test]
 fn splitter_too_long_event() {
-    let mut splitter = Splitter::default();
+    let mut splitter = EventSplitter::default();
     splitter.push(&vec![b'x'; 300_000]);
     assert!(splitter.event().is_none());
-    assert!(splitter.overflows());
+    assert!(splitter.is_oversized());
 }
 
 /// Symptom: servers get more further sends than the deployment allows.
@@ -260,8 +260,8 @@
 #[test]
 fn hold_of_a_former_start_left_aside() {
     let engine = upstream("i-1", "hall-a");
-    let held = |born: u64, sequence: u64, adapter: &str| Held {
-        born,
+    let held = |started_at_ms: u64, sequence: u64, adapter: &str| LoadedModels {
+        started_at_ms,
         sequence,
         models: vec!["base".into()],
         adapters: vec![(adapter.into(), 1)],
@@ -315,7 +315,8 @@
     for number in 0..500_u16 {
         let mut entry = listed(&format!("i-{number}"), &[]);
         entry.address = ([127, 0, 0, 1], 1_000 + number).into();
-        view.state().list(&entry, written(1), Millis::ZERO);
+        view.state()
+            .put_upstream(&entry, entry_revision(1), Millis::ZERO);
     }
     let first = view.pool("engines");
     assert_eq!(first.len(), 500);
@@ -323,9 +324,10 @@
     // A heartbeat of one that is known changes no group; one that leaves does.
     let mut entry = listed("i-7", &[("base/a1", 1)]);
     entry.address = ([127, 0, 0, 1], 1_007).into();
-    view.state().list(&entry, written(1), Millis::ZERO);
+    view.state()
+        .put_upstream(&entry, entry_revision(1), Millis::ZERO);
     assert!(Arc::ptr_eq(&first, &view.pool("engines")));
-    view.state().unlist("i-7");
+    view.state().remove_upstream("i-7");
     assert_eq!(view.pool("engines").len(), 499);
 }
 
@@ -335,7 +337,7 @@
         .map(|number| {
             let mut entry = listed(&format!("i-{number}"), &[]);
             entry.address = ([127, 0, 0, 1], 1_000 + number).into();
-            Arc::new(Upstream::new(&entry, written(1), 8, Millis::ZERO))
+            Arc::new(Upstream::new(&entry, entry_revision(1), 8, Millis::ZERO))
         })
         .collect();
     let all = field(&upstreams, &[], 0).placement_candidates("base/a1", |_| true);
--- a/lib/tests/test_direct_quarantine.rs
+++ b/lib/tests/test_direct_quarantine.rs
@@ -10,24 +10,24 @@
 use async_trait::async_trait;
 use bytes::Bytes;
 use chivevalve::clock::{Clock, Millis, Monotonic};
-use chivevalve::direct::outbox::{Others, Outbox};
-use chivevalve::direct::quarantine::{ENDS, Quarantine};
+use chivevalve::direct::outbox::{Outbox, PeerBroadcast};
+use chivevalve::direct::quarantine::{CRASH_REPORT_PREFIX, Quarantine};
 use chivevalve::direct::upstream::Upstream;
-use chivevalve::direct::view::{Evidence, View};
+use chivevalve::direct::view::{PutOutcome, View};
 use chivevalve::name::Name;
 use chivevalve::poison::fingerprint::{Fingerprint, Identity};
-use chivevalve::poison::ledger::{Report, Sign};
-use chivevalve_platform::Speech;
+use chivevalve::poison::ledger::{CrashReport, Suspicion};
+use chivevalve_platform::PlatformDialect;
 use direct_support::memory::Memory;
-use direct_support::records::{listed, written};
+use direct_support::records::{entry_revision, listed};
 
 /// There are no other nodes.
 #[derive(Debug)]
 struct Nobody;
 
 #[async_trait]
-impl Others for Nobody {
-    async fn tell(&self, _: &Name, _: &Bytes) {}
+impl PeerBroadcast for Nobody {
+    async fn broadcast(&self, _: &Name, _: &Bytes) {}
 }
 
 /// One other node.
@@ -35,10 +35,10 @@
 struct Other(Arc<View>);
 
 #[async_trait]
-impl Others for Other {
-    async fn tell(&self, name: &Name, value: &Bytes) {
-        let taken = self.0.state().put_evidence(name, value, None, NOW);
-        assert_eq!(taken, Evidence::Taken);
+impl PeerBroadcast for Other {
+    async fn broadcast(&self, name: &Name, value: &Bytes) {
+        let taken = self.0.state().put_quarantine_record(name, value, None, NOW);
+        assert_eq!(taken, PutOutcome::Applied);
         self.0.changed.notify_waiters();
     }
 }
@@ -56,14 +56,14 @@
     node("node-1", Arc::new(Nobody))
 }
 
-fn node(name: &str, others: Arc<dyn Others>) -> World {
+fn node(name: &str, others: Arc<dyn PeerBroadcast>) -> World {
     let view = Arc::new(View::default());
     let store = Arc::new(Memory::default());
     let clock: Arc<dyn Clock> = Arc::new(Monotonic::start());
     let outbox = Arc::new(Outbox::new(
         Arc::<Memory>::clone(&store),
         Arc::<Memory>::clone(&store),
-        Arc::new(Speech),
+        Arc::new(PlatformDialect),
         Arc::clone(&clock),
         others,
     ));
@@ -83,14 +83,14 @@
 
 impl World {
     fn ends(&self, request: &Fingerprint) -> usize {
-        self.view.state().ledger.ends(request, Millis::ZERO)
+        self.view.state().ledger.crash_count(request, Millis::ZERO)
     }
 
     /// The only report in the key-value service.
-    fn written(&self) -> Option<Report> {
+    fn written(&self) -> Option<CrashReport> {
         let state = self.store.state();
         let mut entries = state.entries.values();
-        let entry = entries.find(|entry| entry.key.contains(ENDS))?;
+        let entry = entries.find(|entry| entry.key.contains(CRASH_REPORT_PREFIX))?;
         Some(serde_json::from_slice(&entry.value).unwrap())
     }
 }
@@ -113,7 +113,7 @@
     drop(listener);
     let mut listed = listed("i-1", &[("base/a1", 1)]);
     listed.address = address;
-    Arc::new(Upstream::new(&listed, written(1), 8, Millis::ZERO))
+    Arc::new(Upstream::new(&listed, entry_revision(1), 8, Millis::ZERO))
 }
 
 async fn until(what: &str, holds: impl Fn() -> bool) {
@@ -135,7 +135,7 @@
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let mut listed = listed(name, &[]);
     listed.address = listener.local_addr().unwrap();
-    let upstream = Arc::new(Upstream::new(&listed, written(1), 8, Millis::ZERO));
+    let upstream = Arc::new(Upstream::new(&listed, entry_revision(1), 8, Millis::ZERO));
     (listener, upstream)
 }
 
@@ -151,7 +151,7 @@
     let suspect = request("/x");
     world
         .quarantine
-        .broke(&upstream, suspect.clone(), Sign::Begun);
+        .record_broken_connection(&upstream, suspect.clone(), Suspicion::Begun);
     pass(Millis(30_000)).await;
     assert_eq!(world.ends(&suspect), 0);
     upstream.retire();
@@ -166,9 +166,9 @@
     let suspect = request("/x");
     world
         .quarantine
-        .broke(&upstream, suspect.clone(), Sign::Begun);
+        .record_broken_connection(&upstream, suspect.clone(), Suspicion::Begun);
     upstream.mark_missing();
-    world.view.renew(Millis(60_000));
+    world.view.advance_as_of(Millis(60_000));
     pass(Millis(7_000)).await;
     upstream.retire();
     until("the report", || world.ends(&suspect) == 1).await;
@@ -182,7 +182,7 @@
     let suspect = request("/x");
     world
         .quarantine
-        .broke(&upstream, suspect.clone(), Sign::Begun);
+        .record_broken_connection(&upstream, suspect.clone(), Suspicion::Begun);
     pass(Millis(10_000)).await;
     upstream.record_success();
     pass(Millis(1_000)).await;
@@ -199,9 +199,9 @@
     let suspect = request("/x");
     world
         .quarantine
-        .broke(&upstream, suspect.clone(), Sign::Begun);
+        .record_broken_connection(&upstream, suspect.clone(), Suspicion::Begun);
     pass(Millis(2_000)).await;
-    world.view.renew(Millis(60_000));
+    world.view.advance_as_of(Millis(60_000));
     pass(Millis(1_000)).await;
     upstream.retire();
     pass(Millis(1_000)).await;
@@ -215,9 +215,9 @@
     let upstream = ended();
     let (first, later) = (request("/first"), request("/later"));
     let quarantine = &world.quarantine;
-    quarantine.broke(&upstream, first.clone(), Sign::Begun);
+    quarantine.record_broken_connection(&upstream, first.clone(), Suspicion::Begun);
     until("the first report", || world.ends(&first) == 1).await;
-    quarantine.broke(&upstream, later.clone(), Sign::Possible);
+    quarantine.record_broken_connection(&upstream, later.clone(), Suspicion::Possible);
     until("the second report", || world.ends(&later) == 1).await;
     assert_eq!(world.ends(&first), 1);
     let both = || {
@@ -237,7 +237,7 @@
     let broken = Arc::clone(&upstream);
     let listed_upstream = Arc::new(Upstream::new(
         &listed("i-1", &[]),
-        written(1),
+        entry_revision(1),
         8,
         Millis::ZERO,
     ));
@@ -247,7 +247,7 @@
     let suspect = request("/x");
     killed
         .quarantine
-        .broke(&broken, suspect.clone(), Sign::Begun);
+        .record_broken_connection(&broken, suspect.clone(), Suspicion::Begun);
     pass(Millis(3_000)).await;
     // The list is never read there again.
     listed_upstream.retire();
@@ -266,14 +266,14 @@
         assert!(world.quarantine.check_send(&suspect).is_ok(), "{number}");
         world
             .quarantine
-            .broke(upstream, suspect.clone(), Sign::Begun);
+            .record_broken_connection(upstream, suspect.clone(), Suspicion::Begun);
     }
     assert!(world.quarantine.check_send(&suspect).is_err());
     // What was sent already stays: nothing is known against it.
     assert!(world.quarantine.check(&suspect).is_ok());
     assert!(world.quarantine.check_send(&request("/other")).is_ok());
     // The list shows all of them alive.
-    world.view.renew(Millis(60_000));
+    world.view.advance_as_of(Millis(60_000));
     pass(Millis(7_000)).await;
     assert!(world.quarantine.check_send(&suspect).is_ok());
     assert_eq!(world.ends(&suspect), 0);
@@ -288,7 +288,7 @@
         let (_listener, upstream) = named_behind_a_proxy(name);
         world
             .quarantine
-            .broke(&upstream, proper.clone(), Sign::Possible);
+            .record_broken_connection(&upstream, proper.clone(), Suspicion::Possible);
     }
     assert!(world.quarantine.check_send(&proper).is_ok());
 }
@@ -301,7 +301,8 @@
     let suspect = request("/x");
     let upstreams = ["i-1", "i-2", "i-3"].map(named_behind_a_proxy);
     for (_, upstream) in &upstreams {
-        one.quarantine.broke(upstream, suspect.clone(), Sign::Begun);
+        one.quarantine
+            .record_broken_connection(upstream, suspect.clone(), Suspicion::Begun);
     }
     let is_held = || other.quarantine.check_send(&suspect).is_err();
     until("the cases", is_held).await;
--- a/lib/tests/test_direct_roles.rs
+++ b/lib/tests/test_direct_roles.rs
@@ -6,12 +6,12 @@
 use std::sync::Arc;
 
 use chivevalve::clock::Millis;
-use chivevalve::direct::dialect::{Held, Listed};
+use chivevalve::direct::dialect::{LoadedModels, UpstreamEntry};
 use chivevalve::direct::roles::{PrefillScaler, Roles, Workload, may_move};
 use chivevalve::direct::selection::Selector;
 use chivevalve::direct::upstream::Upstream;
 use chivevalve::name::Name;
-use direct_support::records::written;
+use direct_support::records::entry_revision;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64;
 
@@ -20,7 +20,7 @@
 }
 
 fn engine(number: u16) -> Arc<Upstream> {
-    let listed = Listed {
+    let listed = UpstreamEntry {
         incarnation: format!("i-{number}").into(),
         pool: "engines".into(),
         address: address(number),
@@ -29,9 +29,9 @@
         ready: true,
         cold: Millis::ZERO,
         remaining: None,
-        held: Held::default(),
+        held: LoadedModels::default(),
     };
-    Arc::new(Upstream::new(&listed, written(1), 8, Millis::ZERO))
+    Arc::new(Upstream::new(&listed, entry_revision(1), 8, Millis::ZERO))
 }
 
 /// A mix that has seen as many streams late by a pause as make it keep reading apart.
--- a/lib/tests/test_direct_versions.rs
+++ b/lib/tests/test_direct_versions.rs
@@ -5,21 +5,21 @@
 use std::sync::Arc;
 
 use chivevalve::clock::{Clock, Manual, Millis};
-use chivevalve::direct::ask::Controllers;
-use chivevalve::direct::attempt::{Message, Miss};
-use chivevalve::direct::call::{Call, Kind};
-use chivevalve::direct::dialect::{Dialect, Dispatch, Listed};
-use chivevalve::direct::entry::Gate;
+use chivevalve::direct::attempt::{RequestMessage, SendError};
+use chivevalve::direct::controllers::Controllers;
+use chivevalve::direct::dialect::{Dialect, DispatchHeaders, UpstreamEntry};
+use chivevalve::direct::entry::Frontend;
 use chivevalve::direct::limits::{Limits, SharedLimits};
-use chivevalve::direct::right::Right;
+use chivevalve::direct::metadata::{RequestKind, RequestMetadata};
+use chivevalve::direct::ownership::Ownership;
 use chivevalve::direct::upstream::Upstream;
-use chivevalve::direct::versions::{Declaration, Declarations, Watch};
+use chivevalve::direct::versions::{Declaration, Declarations, VersionWatch};
 use chivevalve::direct::view::View;
 use chivevalve::metrics::Metrics;
 use chivevalve::ports::metered::Metered;
-use chivevalve_platform::Speech;
+use chivevalve_platform::PlatformDialect;
 use direct_support::memory::Memory;
-use direct_support::records::{listed, written};
+use direct_support::records::{entry_revision, listed};
 use http::{HeaderMap, Method, Uri};
 use quickcheck::{Gen, QuickCheck};
 use tokio::net::TcpListener;
@@ -38,27 +38,27 @@
 
 #[test]
 fn begin_by_without_a_newer_version() {
-    assert_eq!(declared(&[]).begin_by(1, LIMIT), None);
-    assert_eq!(declared(&[(2, 1_000)]).begin_by(2, LIMIT), None);
-    assert_eq!(declared(&[(2, 1_000)]).begin_by(3, LIMIT), None);
+    assert_eq!(declared(&[]).begin_deadline(1, LIMIT), None);
+    assert_eq!(declared(&[(2, 1_000)]).begin_deadline(2, LIMIT), None);
+    assert_eq!(declared(&[(2, 1_000)]).begin_deadline(3, LIMIT), None);
 }
 
 #[test]
 fn begin_by_counts_from_the_declaration() {
     let declarations = declared(&[(2, 1_000)]);
-    assert_eq!(declarations.begin_by(1, LIMIT), Some(Millis(6_000)));
+    assert_eq!(declarations.begin_deadline(1, LIMIT), Some(Millis(6_000)));
     // What was loaded as whatever was the newest may be any version.
-    assert_eq!(declarations.begin_by(0, LIMIT), Some(Millis(6_000)));
+    assert_eq!(declarations.begin_deadline(0, LIMIT), Some(Millis(6_000)));
 }
 
 /// A further declaration gives versions that were replaced before no further time.
 #[test]
 fn begin_by_outlasts_a_further_declaration() {
     let declarations = declared(&[(2, 1_000), (3, 3_400), (4, 5_800)]);
-    assert_eq!(declarations.begin_by(1, LIMIT), Some(Millis(6_000)));
-    assert_eq!(declarations.begin_by(2, LIMIT), Some(Millis(8_400)));
-    assert_eq!(declarations.begin_by(3, LIMIT), Some(Millis(10_800)));
-    assert_eq!(declarations.begin_by(4, LIMIT), None);
+    assert_eq!(declarations.begin_deadline(1, LIMIT), Some(Millis(6_000)));
+    assert_eq!(declarations.begin_deadline(2, LIMIT), Some(Millis(8_400)));
+    assert_eq!(declarations.begin_deadline(3, LIMIT), Some(Millis(10_800)));
+    assert_eq!(declarations.begin_deadline(4, LIMIT), None);
 }
 
 /// An older declaration that is heard of late takes nothing back.
@@ -66,7 +66,7 @@
 fn declare_older_left_aside() {
     let declarations = declared(&[(3, 1_000), (2, 2_000)]);
     assert_eq!(declarations.newest().map(|one| one.version), Some(3));
-    assert_eq!(declarations.begin_by(2, LIMIT), Some(Millis(6_000)));
+    assert_eq!(declarations.begin_deadline(2, LIMIT), Some(Millis(6_000)));
 }
 
 /// No series of declarations lets a version be begun on for longer than the earliest newer one says.
@@ -89,7 +89,7 @@
             for held in 0..=version {
                 let newer = all.iter().filter(|(version, _)| *version > held);
                 let expected = newer.map(|(_, since)| *since + LIMIT).min();
-                let found = declarations.begin_by(held, LIMIT);
+                let found = declarations.begin_deadline(held, LIMIT);
                 // What is past for good may count from any moment that is past.
                 let both_past = [expected, found]
                     .iter()
@@ -108,11 +108,11 @@
 }
 
 /// A send on version 1 that is watched, with the clock that it goes by and the bounds in force.
-fn watched() -> (Watch, Arc<Manual>, Arc<Gate>) {
+fn watched() -> (VersionWatch, Arc<Manual>, Arc<Frontend>) {
     let manual = Arc::new(Manual::default());
     let clock: Arc<dyn Clock> = Arc::<Manual>::clone(&manual);
     let view = Arc::new(View::default());
-    let dialect: Arc<dyn Dialect> = Arc::new(Speech);
+    let dialect: Arc<dyn Dialect> = Arc::new(PlatformDialect);
     let metrics = Arc::new(Metrics::new());
     let memory = Arc::new(Memory::default());
     let service = Arc::new(Metered::new(
@@ -124,13 +124,13 @@
     ));
     let controllers = Arc::new(Controllers::new(
         Arc::clone(&view),
-        Arc::new(Right::new(Arc::clone(&clock), Arc::clone(&view))),
+        Arc::new(Ownership::new(Arc::clone(&clock), Arc::clone(&view))),
         Arc::clone(&dialect),
         Arc::clone(&clock),
         "node-1".into(),
         metrics,
     ));
-    let gate = Arc::new(Gate::new(
+    let frontend = Arc::new(Frontend::new(
         view,
         controllers,
         dialect,
@@ -141,23 +141,23 @@
     ));
     let engine = Upstream::new(
         &listed("i-1", &[("base/a1", 1)]),
-        written(1),
+        entry_revision(1),
         1,
         Millis::ZERO,
     );
     let adapter = "base/a1".into();
-    let watch = Watch::new(Arc::clone(&gate), Arc::new(engine), adapter, 1, true);
-    (watch, manual, gate)
+    let watch = VersionWatch::new(Arc::clone(&frontend), Arc::new(engine), adapter, 1, true);
+    (watch, manual, frontend)
 }
 
-fn declare(gate: &Gate, version: u64, since: Millis) {
+fn declare(frontend: &Frontend, version: u64, since: Millis) {
     let since = Some(since);
     let declaration = Declaration { version, since };
-    let mut state = gate.view.state();
+    let mut state = frontend.view.state();
     let declarations = state.versions.entry("base/a1".into()).or_default();
     declarations.declare(declaration, LIMIT);
     drop(state);
-    gate.view.changed.notify_waiters();
+    frontend.view.changed.notify_waiters();
 }
 
 /// Lets as much time pass by the timers, which stand while the VM is suspended, and by the clock.
@@ -171,8 +171,8 @@
 /// A send is withdrawn at the limit also where the VM was suspended for part of the time before.
 #[tokio::test(start_paused = true)]
 async fn expired_after_a_suspension() {
-    let (watch, manual, gate) = watched();
-    declare(&gate, 2, Millis(1));
+    let (watch, manual, frontend) = watched();
+    declare(&frontend, 2, Millis(1));
     let expired = tokio::spawn(async move { watch.expired().await });
     pass(&manual, Millis(1_000)).await;
     manual.advance(Millis(3_000));
@@ -183,11 +183,11 @@
 /// A send is withdrawn by the limit in force, also one that a reload made shorter meanwhile.
 #[tokio::test(start_paused = true)]
 async fn expired_by_a_limit_made_shorter() {
-    let (watch, manual, gate) = watched();
-    declare(&gate, 2, Millis(1));
+    let (watch, manual, frontend) = watched();
+    declare(&frontend, 2, Millis(1));
     let expired = tokio::spawn(async move { watch.expired().await });
     pass(&manual, Millis(1_000)).await;
-    gate.limits.set(Limits {
+    frontend.limits.set(Limits {
         version_rollout: Millis(3_000),
         ..Limits::default()
     });
@@ -198,33 +198,33 @@
 /// A request that may no longer begin on a version isn't sent, and so is known not to have run.
 #[tokio::test]
 async fn send_past_the_limit() {
-    let (watch, manual, gate) = watched();
-    declare(&gate, 2, Millis(1));
+    let (watch, manual, frontend) = watched();
+    declare(&frontend, 2, Millis(1));
     manual.advance(LIMIT + LIMIT);
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-    let engine = Listed {
+    let engine = UpstreamEntry {
         address: listener.local_addr().unwrap(),
         ..listed("i-1", &[("base/a1", 1)])
     };
-    let engine = Arc::new(Upstream::new(&engine, written(1), 1, Millis::ZERO));
-    let message = Message {
+    let engine = Arc::new(Upstream::new(&engine, entry_revision(1), 1, Millis::ZERO));
+    let message = RequestMessage {
         method: Method::POST,
         uri: Uri::from_static("/digest/x"),
         headers: HeaderMap::new(),
         body: "the request".into(),
-        call: Call::default(),
-        kind: Kind::Stream { resumable: false },
+        metadata: RequestMetadata::default(),
+        kind: RequestKind::Stream { resumable: false },
         fingerprint: std::sync::OnceLock::new(),
     };
-    let dispatch = Dispatch {
+    let dispatch = DispatchHeaders {
         incarnation: "i-1".into(),
         deadline: LIMIT,
         urgency: None,
         version: Some(1),
         resume_after: None,
-        memory: None,
+        kv_cache: None,
     };
-    let sent = message.send(&engine, &Speech, &dispatch, None, Some(watch));
+    let sent = message.send(&engine, &PlatformDialect, &dispatch, None, Some(watch));
     let miss = sent.await.unwrap_err();
-    assert_eq!(miss, Miss::Withdrawn { sent: false });
+    assert_eq!(miss, SendError::Withdrawn { sent: false });
 }
