--- a/lib/src/direct/target.rs
+++ b/lib/src/direct/target.rs
@@ -5,12 +5,9 @@
 use smallvec::SmallVec;
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::clock::Millis;
-use crate::error::{Code, Failure};
-use crate::name::Name;
 use super::acquire::HolderSearch;
-use super::admission_policy::{MAX_ADMISSION_QUERIES, self};
-use super::admit::{AdmitQuery, Permit, self};
+use super::admission_policy::{self, MAX_ADMISSION_QUERIES};
+use super::admit::{self, AdmitQuery, Permit};
 use super::attempt::UpstreamResponse;
 use super::entry::{CLASS_LABEL, seconds};
 use super::metadata::RequestMetadata;
@@ -21,6 +18,9 @@
 use super::selection::{Selector, mean_remote_utilization};
 use super::upstream::Upstream;
 use super::versions::{REPLACEMENT_LEAD, WITHDRAWAL_LEAD};
+use crate::clock::Millis;
+use crate::error::{Code, Failure};
+use crate::name::Name;
 
 /// Divisor of the latency objective that gives the time for which a request may wait for an
 /// upstream before it is refused.
@@ -67,7 +67,8 @@
 impl ActiveRequest {
     /// Finds the target to send to, waiting briefly if there is none.
     pub(super) async fn find_target(&self) -> Result<Target, Failure> {
-        let refuse_at = self.arrived_at + Millis(self.route.latency_objective.0 / REFUSE_AFTER_DIVISOR);
+        let refuse_at =
+            self.arrived_at + Millis(self.route.latency_objective.0 / REFUSE_AFTER_DIVISOR);
         let quarantine = &self.frontend.quarantine;
         if !quarantine.is_empty() {
             quarantine
@@ -104,7 +105,11 @@
     ///
     /// With `request_load`, a decode engine is asked to load the adapter if none holds it, so that
     /// the run can move after a later event.
-    pub(super) fn decode_target(&self, answer: &UpstreamResponse, request_load: bool) -> Option<Target> {
+    pub(super) fn decode_target(
+        &self,
+        answer: &UpstreamResponse,
+        request_load: bool,
+    ) -> Option<Target> {
         let source = &answer.upstream;
         let roles = self.frontend.roles(&self.pool);
         if !roles.is_prefill(source.address) {
@@ -193,8 +198,11 @@
             HolderSearch::LoadElsewhere(queued) => queued,
         };
         if let Some(target) = self.older_version_target(selector, adapter, wanted).await {
-            self.frontend
-                .load_in_background(self.load_candidates(selector, adapter), adapter, wanted);
+            self.frontend.load_in_background(
+                self.load_candidates(selector, adapter),
+                adapter,
+                wanted,
+            );
             return Ok(Some(target));
         }
         let candidates = self.load_candidates(selector, adapter);
@@ -386,7 +394,8 @@
         if chosen < candidates.len() {
             candidates.swap(0, chosen);
         }
-        self.frontend.load_in_background(candidates, adapter, wanted);
+        self.frontend
+            .load_in_background(candidates, adapter, wanted);
     }
 
     /// Loads an adapter at a prefill engine if its prompts are prefilled at a decode engine; the
@@ -405,7 +414,8 @@
         let candidates = selector.placement_candidates(adapter, |upstream| {
             selector.is_prefill(upstream) && self.can_load(upstream, adapter)
         });
-        self.frontend.load_in_background(candidates, adapter, wanted);
+        self.frontend
+            .load_in_background(candidates, adapter, wanted);
     }
 
     pub(super) fn uncounted_target(upstream: Arc<Upstream>, adapter: &Name) -> Target {
