--- a/lib/src/direct/upstream.rs
+++ b/lib/src/direct/upstream.rs
@@ -85,7 +85,7 @@
     pub failure_domain: Name,
     /// Number of requests that it processes concurrently.
     pub slots: u32,
-    /// Start time as reported by the upstream; 0 if it reports none.
+    /// Start time in milliseconds, as reported by the upstream; 0 if it reports none.
     pub started_at_ms: u64,
     /// When this node first saw it in the list of upstreams.
     pub first_seen: Millis,
@@ -139,8 +139,8 @@
     /// Creates an upstream from its entry in the list.
     #[must_use]
     pub fn new(
-        listed: &UpstreamEntry,
-        written: EntryRevision,
+        entry: &UpstreamEntry,
+        entry_revision: EntryRevision,
         connections: usize,
         now: Millis,
     ) -> Self {
@@ -150,17 +150,17 @@
             open: connections,
         };
         let upstream = Self {
-            incarnation: Name::clone(&listed.incarnation),
-            pool: Name::clone(&listed.pool),
-            address: listed.address,
-            address_text: listed.address.to_string().into(),
-            failure_domain: Name::clone(&listed.failure_domain),
-            slots: listed.slots.max(1),
-            started_at_ms: listed.held.started_at_ms,
+            incarnation: Name::clone(&entry.incarnation),
+            pool: Name::clone(&entry.pool),
+            address: entry.address,
+            address_text: entry.address.to_string().into(),
+            failure_domain: Name::clone(&entry.failure_domain),
+            slots: entry.slots.max(1),
+            started_at_ms: entry.held.started_at_ms,
             first_seen: now,
-            link: Link::new(listed.address, bounds),
-            takes_work: AtomicBool::new(listed.ready),
-            presence: Mutex::new(Presence::new(written, listed.ready)),
+            link: Link::new(entry.address, bounds),
+            takes_work: AtomicBool::new(entry.ready),
+            presence: Mutex::new(Presence::new(entry_revision, entry.ready)),
             running: AtomicU32::new(0),
             remote_running: AtomicU32::new(0),
             successes: AtomicU32::new(0),
@@ -170,14 +170,14 @@
             health: Mutex::default(),
             mean_pause: Mutex::default(),
         };
-        upstream.update_held(&listed.held);
+        upstream.update_held(&entry.held);
         upstream
     }
 
     /// Applies an entry of the list, unless a newer one is known.
-    pub fn update(&self, listed: &UpstreamEntry, written: EntryRevision) {
-        if self.update_presence(|presence| presence.apply_entry(written, listed.ready)) {
-            self.update_held(&listed.held);
+    pub fn update(&self, entry: &UpstreamEntry, entry_revision: EntryRevision) {
+        if self.update_presence(|presence| presence.apply_entry(entry_revision, entry.ready)) {
+            self.update_held(&entry.held);
         }
     }
 
