--- a/lib/tests/test_direct_admission.rs
+++ b/lib/tests/test_direct_admission.rs
@@ -1,4 +1,4 @@
-//! Requests counted by the owners of engines, and what callers get by it.
+//! Admission of requests by the owners of engines, and its effect on latency.
 
 mod direct_support;
 
@@ -31,8 +31,8 @@
 
 const ADAPTER: &str = "base/a1";
 
-/// Each engine reads and writes.
-static WHOLE: LazyLock<Roles> = LazyLock::new(Roles::default);
+/// No prefill engines: each engine does both prefill and decode.
+static AGGREGATED: LazyLock<Roles> = LazyLock::new(Roles::default);
 
 fn engine(number: u16, slots: u32, adapters: &[(&str, u64)]) -> UpstreamEntry {
     UpstreamEntry {
@@ -72,24 +72,24 @@
         assert_eq!(occupancy.expected_wait(4), Millis::ZERO);
         occupancy.add(&counted(&adapter, 0));
     }
-    // One of four places is free after a quarter of the time that requests stay.
+    // One of four slots is free after a quarter of the mean duration.
     assert_eq!(occupancy.expected_wait(4), Millis(375));
     occupancy.add(&counted(&adapter, 0));
     assert_eq!(occupancy.expected_wait(4), Millis(750));
     assert_eq!(occupancy.expected_wait(0), Millis(7_500));
 }
 
-/// Prompts that are still unread count as waiting time, though places are free.
+/// Prompts whose prefill is pending count as waiting time even if slots are free.
 #[test]
 fn occupancy_wait_counts_unread_prompts() {
     let mut occupancy = Occupancy::default();
     let request = counted(&ADAPTER.into(), 1_500);
-    let ahead: Vec<u64> = (0..6).map(|_| occupancy.add(&request)).collect();
+    let backlogs: Vec<u64> = (0..6).map(|_| occupancy.add(&request)).collect();
     assert_eq!(occupancy.expected_wait(12), Millis(360));
-    // They are read in half of the time that was assumed, and the owner learns it.
-    for (number, ahead) in ahead.iter().enumerate() {
+    // Prefill takes half of the assumed time, which the estimate follows.
+    for (number, backlog) in backlogs.iter().enumerate() {
         let took = Millis(30 * (number as u64 + 1));
-        occupancy.record_prefill(&request, *ahead, took);
+        occupancy.record_prefill(&request, *backlog, took);
         occupancy.remove(&request, Millis(1_500));
     }
     assert_eq!(occupancy.expected_wait(12), Millis::ZERO);
@@ -105,32 +105,32 @@
 }
 
 #[test]
-fn place_dropped_is_free() {
+fn occupancy_guard_dropped_frees_the_slot() {
     let clock: Arc<dyn Clock> = Arc::new(Manual::default());
     let table = Arc::new(OccupancyTable::new(clock));
     let (engine, adapter) = (Name::from("i-1"), Name::from(ADAPTER));
-    let place = table.start_request(&engine, counted(&adapter, 0));
+    let guard = table.start_request(&engine, counted(&adapter, 0));
     assert!(table.uses("i-1", ADAPTER));
     assert_eq!(table.load(&engine, ADAPTER, 4).running, 1);
-    drop(place);
+    drop(guard);
     assert!(!table.uses("i-1", ADAPTER));
     assert_eq!(table.running("i-1"), 0);
 }
 
-/// A request that ends after its engine has left leaves no count behind.
+/// A request that ends after its engine was removed leaves no count behind.
 #[test]
-fn place_outlives_its_engine() {
+fn occupancy_guard_outlives_its_engine() {
     let clock: Arc<dyn Clock> = Arc::new(Manual::default());
     let table = Arc::new(OccupancyTable::new(clock));
-    let place = table.start_request(&"i-1".into(), counted(&ADAPTER.into(), 0));
+    let guard = table.start_request(&"i-1".into(), counted(&ADAPTER.into(), 0));
     table.retain(|_| false);
     assert_eq!(table.running("i-1"), 0);
-    drop(place);
+    drop(guard);
     assert_eq!(table.running("i-1"), 0);
 }
 
 #[test]
-fn is_crowded_by_one_adapter_only() {
+fn needs_replica_for_one_adapter_only() {
     let load = |same_adapter| EngineLoad {
         running: 8,
         same_adapter,
@@ -141,25 +141,26 @@
     assert!(admission_policy::needs_replica(load(1), 12, true));
 }
 
-/// An adapter's first engine is left only where it makes the caller wait noticeably longer.
+/// An adapter's second engine is preferred only if the first one makes the caller wait noticeably
+/// longer.
 #[test]
-fn is_better_home_only_where_the_first_is_late() {
+fn prefers_second_engine_only_if_the_first_is_late() {
     let load = |wait| EngineLoad {
         running: 9,
         same_adapter: 0,
         wait: Millis(wait),
     };
-    let better = |first, second| {
+    let prefers_second = |first, second| {
         admission_policy::prefers_second_engine(load(first), load(second), Millis(600))
     };
-    assert!(!better(300, 0));
-    assert!(!better(400, 250));
-    assert!(better(400, 100));
+    assert!(!prefers_second(300, 0));
+    assert!(!prefers_second(400, 250));
+    assert!(prefers_second(400, 100));
 }
 
 #[test]
-fn is_calm_with_places_and_no_wait() {
-    let calm = |running, wait| {
+fn is_lightly_loaded_with_slots_and_no_wait() {
+    let is_light = |running, wait| {
         let load = EngineLoad {
             running,
             same_adapter: 0,
@@ -167,29 +168,32 @@
         };
         admission_policy::is_lightly_loaded(load, 12, Millis(600))
     };
-    assert!(calm(5, 150));
-    assert!(!calm(6, 0));
-    assert!(!calm(0, 151));
+    assert!(is_light(5, 150));
+    assert!(!is_light(6, 0));
+    assert!(!is_light(0, 151));
 }
 
 #[test]
-fn come_back_only_where_the_caller_would_have_gone() {
+fn retry_after_only_if_the_caller_would_give_up() {
     let (objective, left) = (Millis(600), Millis(12_000));
-    let back =
+    let retry_after =
         |wait, passed, left| admission_policy::retry_after(Millis(wait), objective, passed, left);
-    assert_eq!(back(2_000, Millis::ZERO, left), None);
-    assert_eq!(back(2_500, Millis::ZERO, left), Some(Millis(1_250)));
-    assert_eq!(back(2_000, Millis(500), left), Some(Millis(1_000)));
-    assert_eq!(back(900, Millis::ZERO, Millis(800)), Some(Millis(450)));
+    assert_eq!(retry_after(2_000, Millis::ZERO, left), None);
+    assert_eq!(retry_after(2_500, Millis::ZERO, left), Some(Millis(1_250)));
+    assert_eq!(retry_after(2_000, Millis(500), left), Some(Millis(1_000)));
+    assert_eq!(
+        retry_after(900, Millis::ZERO, Millis(800)),
+        Some(Millis(450))
+    );
 }
 
-/// A node's part that talks to other nodes, with what it believes.
+/// The controllers of a node, with the upstream that they admit requests to.
 struct Node {
     controllers: Arc<Controllers>,
     upstream: Arc<Upstream>,
 }
 
-/// A node that believes that `owner` gives the engine its orders.
+/// A node whose view has `owner` as the owner of the engine.
 fn node(name: &str, owner: &str, at: SocketAddr, adapters: &[(&str, u64)]) -> Node {
     let clock: Arc<dyn Clock> = Arc::new(Monotonic::start());
     let view = Arc::new(View::default());
@@ -231,7 +235,7 @@
     }
 }
 
-fn question(adapter: &Name, max_running: u32) -> AdmitQuery<'_> {
+fn admit_query(adapter: &Name, max_running: u32) -> AdmitQuery<'_> {
     AdmitQuery {
         adapter: Some(adapter),
         version: 0,
@@ -242,7 +246,7 @@
     }
 }
 
-/// An owner that answers over a socket, and another node that asks it.
+/// An owner that serves queries on a socket, and another node that sends them.
 async fn two_nodes() -> (Node, Node) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let at = listener.local_addr().unwrap();
@@ -251,14 +255,14 @@
     (owner, node("two", "one", at, &[(ADAPTER, 1)]))
 }
 
-/// Waits until the owner counts so many requests; the test ends by itself if it never does.
+/// Waits until the owner counts `number` requests; fails after a timeout.
 async fn until_counted(owner: &Node, number: u32) {
     let adapter = Name::from(ADAPTER);
     let counted = async {
         loop {
             let answer = owner
                 .controllers
-                .admit(&owner.upstream, question(&adapter, 1))
+                .admit(&owner.upstream, admit_query(&adapter, 1))
                 .await;
             let running = match answer {
                 AdmitDecision::Admitted(_, load) | AdmitDecision::Busy(load) => load.running,
@@ -281,17 +285,17 @@
     let adapter = Name::from(ADAPTER);
     let first = other
         .controllers
-        .admit(&other.upstream, question(&adapter, 2))
+        .admit(&other.upstream, admit_query(&adapter, 2))
         .await;
     let second = owner
         .controllers
-        .admit(&owner.upstream, question(&adapter, 2))
+        .admit(&owner.upstream, admit_query(&adapter, 2))
         .await;
     assert!(matches!(&first, AdmitDecision::Admitted(_, load) if load.running == 0));
     assert!(matches!(&second, AdmitDecision::Admitted(_, load) if load.same_adapter == 1));
     let third = other
         .controllers
-        .admit(&other.upstream, question(&adapter, 2))
+        .admit(&other.upstream, admit_query(&adapter, 2))
         .await;
     assert!(matches!(third, AdmitDecision::Busy(load) if load.running == 2));
     assert_eq!(other.upstream.total_running(), 2);
@@ -299,9 +303,9 @@
     until_counted(&owner, 1).await;
 }
 
-/// Requests counted for a node that is lost are given back at the engine's owner.
+/// Requests of a node that is lost are no longer counted by the engine's owner.
 #[tokio::test]
-async fn admit_lost_node_gives_its_places_back() {
+async fn admit_lost_node_frees_its_slots() {
     let (owner, other) = two_nodes().await;
     let adapter = Name::from(ADAPTER);
     let mut permits = Vec::new();
@@ -309,24 +313,24 @@
         permits.push(
             other
                 .controllers
-                .admit(&other.upstream, question(&adapter, 0))
+                .admit(&other.upstream, admit_query(&adapter, 0))
                 .await,
         );
     }
     until_counted(&owner, 3).await;
-    // Whatever the node held goes with its process.
+    // The permits end with the process of the node.
     drop(permits);
     drop(other);
     until_counted(&owner, 0).await;
 }
 
 #[tokio::test]
-async fn admit_waits_until_prompts_are_read() {
+async fn admit_busy_until_prompts_are_prefilled() {
     let (owner, other) = two_nodes().await;
     let adapter = Name::from(ADAPTER);
     let long = AdmitQuery {
         tokens: 20_000,
-        ..question(&adapter, 4)
+        ..admit_query(&adapter, 4)
     };
     let first = other.controllers.admit(&other.upstream, long).await;
     let AdmitDecision::Admitted(mut permit, _) = first else {
@@ -356,20 +360,20 @@
     let adapter = Name::from("base/a2");
     let answer = other
         .controllers
-        .admit(&other.upstream, question(&adapter, 0))
+        .admit(&other.upstream, admit_query(&adapter, 0))
         .await;
     assert!(matches!(answer, AdmitDecision::Absent(_)), "{answer:?}");
     let loaded = AdmitQuery {
         loaded: true,
-        ..question(&adapter, 0)
+        ..admit_query(&adapter, 0)
     };
     let answer = other.controllers.admit(&other.upstream, loaded).await;
     assert!(matches!(answer, AdmitDecision::Admitted(..)), "{answer:?}");
 }
 
-/// An owner that doesn't answer is asked once, and costs later requests no time.
+/// An owner that doesn't answer is queried once, and later requests don't wait for it.
 #[tokio::test(start_paused = true)]
-async fn admit_silent_owner_asked_once() {
+async fn admit_silent_owner_queried_once() {
     let suspended = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let asking = node(
         "two",
@@ -382,7 +386,7 @@
         let began = tokio::time::Instant::now();
         let answer = asking
             .controllers
-            .admit(&asking.upstream, question(&adapter, 0))
+            .admit(&asking.upstream, admit_query(&adapter, 0))
             .await;
         assert!(matches!(answer, AdmitDecision::Unknown), "{answer:?}");
         assert!(began.elapsed() <= Millis(130).duration());
@@ -390,12 +394,12 @@
     let began = tokio::time::Instant::now();
     let _ = asking
         .controllers
-        .admit(&asking.upstream, question(&adapter, 0))
+        .admit(&asking.upstream, admit_query(&adapter, 0))
         .await;
     assert_eq!(began.elapsed(), std::time::Duration::ZERO);
 }
 
-/// A late answer to an admission doesn't end a load that waits at the same owner.
+/// A timed-out admission query doesn't end a load that is pending at the same owner.
 #[tokio::test(start_paused = true)]
 async fn load_outlasts_a_late_admission() {
     let busy = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
@@ -404,8 +408,8 @@
     let load = asking.controllers.load(&asking.upstream, &wanted, 0);
     let late = async {
         let adapter = Name::from(ADAPTER);
-        let question = question(&adapter, 0);
-        let answer = asking.controllers.admit(&asking.upstream, question).await;
+        let query = admit_query(&adapter, 0);
+        let answer = asking.controllers.admit(&asking.upstream, query).await;
         assert!(matches!(answer, AdmitDecision::Unknown), "{answer:?}");
         tokio::time::sleep(Millis(300).duration()).await;
     };
@@ -416,8 +420,8 @@
     assert!(asking.controllers.has_live_owner(&asking.upstream));
 }
 
-/// Passes bytes on from a node to another one, unless they are held back.
-async fn held(to: SocketAddr) -> (SocketAddr, watch::Sender<bool>) {
+/// Proxies a connection from one node to another, which can hold back the bytes to the latter.
+async fn holding_proxy(to: SocketAddr) -> (SocketAddr, watch::Sender<bool>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     let hold = watch::Sender::new(false);
@@ -441,27 +445,28 @@
     (address, hold)
 }
 
-/// Many admissions given up at once don't reset the connection that carries a node's counts.
+/// Many admission queries that time out at once don't reset the connection that keeps a node's
+/// requests counted.
 #[tokio::test]
-async fn admit_counts_outlast_many_late_questions() {
+async fn admit_counts_outlast_many_late_queries() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let at = listener.local_addr().unwrap();
     let owner = node("one", "one", at, &[(ADAPTER, 1)]);
     tokio::spawn(serve(listener, Arc::clone(&owner.controllers)));
-    let (address, hold) = held(at).await;
+    let (address, hold) = holding_proxy(at).await;
     let other = node("two", "one", address, &[(ADAPTER, 1)]);
     let adapter = Name::from(ADAPTER);
     let answer = other
         .controllers
-        .admit(&other.upstream, question(&adapter, 0));
+        .admit(&other.upstream, admit_query(&adapter, 0));
     let AdmitDecision::Admitted(permit, _) = answer.await else {
-        panic!("there is no place");
+        panic!("the request is not admitted");
     };
     hold.send_replace(true);
     let late = (0..60).map(|_| {
         other
             .controllers
-            .admit(&other.upstream, question(&adapter, 0))
+            .admit(&other.upstream, admit_query(&adapter, 0))
     });
     for answer in futures::future::join_all(late).await {
         assert!(matches!(answer, AdmitDecision::Unknown), "{answer:?}");
@@ -473,20 +478,20 @@
     until_counted(&owner, 0).await;
 }
 
-/// The load of a fleet: a popular adapter on a part of the engines, many nodes before them.
+/// Simulated fleet: many nodes send requests for a popular adapter that some of the engines hold.
 const NODES: usize = 195;
 const ENGINES: u16 = 24;
 const SLOTS: u32 = 12;
-/// Time that a request has a place.
-const STAY: Millis = Millis(1_500);
-/// Requests each ten milliseconds: two thirds of what the engines can do.
-const EACH_STEP: f64 = 1.28;
+/// Time for which a request occupies a slot.
+const DURATION: Millis = Millis(1_500);
+/// Requests per step: two thirds of the capacity of the engines.
+const REQUESTS_PER_STEP: f64 = 1.28;
 const STEP: Millis = Millis(10);
-const PLAYED: Millis = Millis(30_000);
-/// Within it a request has to begin.
+const SIMULATED_TIME: Millis = Millis(30_000);
+/// Time within which a request must start.
 const OBJECTIVE: Millis = Millis(600);
 
-/// An engine: requests begin in order as places get free.
+/// Simulated engine, which starts requests in order as slots become free.
 #[derive(Default)]
 struct Engine {
     running: Vec<Request>,
@@ -494,15 +499,15 @@
 }
 
 struct Request {
-    came: Millis,
-    ends: Millis,
-    /// Counts it at its node and at the engine's owner until it ends.
+    arrived_at: Millis,
+    ends_at: Millis,
+    /// Keeps the request counted at its node and at the engine's owner.
     _counted: (InFlightRequest, OccupancyGuard),
 }
 
-/// Plays the load and returns the share of requests that began later than the objective.
+/// Simulates the fleet and returns the fraction of requests that start later than the objective.
 #[allow(clippy::cast_precision_loss, reason = "some thousand requests")]
-fn late_share(asks: bool) -> f64 {
+fn late_fraction(queries_owners: bool) -> f64 {
     let clock = Arc::new(Manual::default());
     let shared: Arc<dyn Clock> = Arc::<Manual>::clone(&clock);
     let table = Arc::new(OccupancyTable::new(shared));
@@ -519,16 +524,16 @@
     let mut rng = Pcg64::seed_from_u64(7);
     let mut due = 0.0;
     let (mut begun, mut late) = (0_u32, 0_u32);
-    while clock.now() < PLAYED {
+    while clock.now() < SIMULATED_TIME {
         clock.advance(STEP);
         let now = clock.now();
         for engine in &mut engines {
-            engine.running.retain(|request| request.ends > now);
+            engine.running.retain(|request| request.ends_at > now);
             while engine.running.len() < SLOTS as usize && !engine.queue.is_empty() {
                 let mut request = engine.queue.remove(0);
                 begun += 1;
-                late += u32::from(now.since(request.came) > OBJECTIVE);
-                request.ends = now + STAY;
+                late += u32::from(now.since(request.arrived_at) > OBJECTIVE);
+                request.ends_at = now + DURATION;
                 engine.running.push(request);
             }
         }
@@ -541,29 +546,29 @@
                 }
             }
         }
-        due += EACH_STEP;
+        due += REQUESTS_PER_STEP;
         while due >= 1.0 {
             due -= 1.0;
             let upstreams = &nodes[rng.random_range(0..NODES)];
-            let field = Selector {
+            let selector = Selector {
                 upstreams,
                 tried: &[],
                 local_domain: "hall-a",
                 now,
                 affinity_seed: 7,
                 max_event_gap: None,
-                roles: &WHOLE,
+                roles: &AGGREGATED,
                 request_hash: rng.random(),
-                remote_prior: asks.then(|| mean_remote_utilization(upstreams)),
+                remote_prior: queries_owners.then(|| mean_remote_utilization(upstreams)),
             };
-            let chosen = if asks {
-                ask(&field, &table)
+            let chosen = if queries_owners {
+                query_owners(&selector, &table)
             } else {
-                field.least_loaded(|_| true).unwrap()
+                selector.least_loaded(|_| true).unwrap()
             };
             let request = Request {
-                came: now,
-                ends: Millis::MAX,
+                arrived_at: now,
+                ends_at: Millis::MAX,
                 _counted: (
                     chosen.start_request(Some(&adapter), None),
                     table.start_request(&chosen.incarnation, counted(&adapter, 0)),
@@ -577,33 +582,34 @@
     f64::from(late) / f64::from(begun)
 }
 
-/// Asks owners as a request does: the better ones first, then the least busy of them.
-fn ask(field: &Selector<'_>, table: &OccupancyTable) -> Arc<Upstream> {
-    let mut asked: Vec<(Millis, u32, Arc<Upstream>)> = Vec::new();
-    while asked.len() < MAX_ADMISSION_QUERIES {
+/// Queries owners as a request does, the best first, and returns the least busy engine.
+fn query_owners(selector: &Selector<'_>, table: &OccupancyTable) -> Arc<Upstream> {
+    let mut queried: Vec<(Millis, u32, Arc<Upstream>)> = Vec::new();
+    while queried.len() < MAX_ADMISSION_QUERIES {
         let fresh = |upstream: &Upstream| {
             let same = |(_, _, one): &(Millis, u32, Arc<Upstream>)| {
                 one.incarnation == upstream.incarnation
             };
-            !asked.iter().any(same)
+            !queried.iter().any(same)
         };
-        let upstream = field.least_loaded(fresh).unwrap();
+        let upstream = selector.least_loaded(fresh).unwrap();
         let load = table.load(&upstream.incarnation, ADAPTER, upstream.slots);
-        upstream.record_remote_load(load.running - upstream.running(), field.now);
+        upstream.record_remote_load(load.running - upstream.running(), selector.now);
         if load.running < admission_policy::light_load_limit(upstream.slots) {
             return upstream;
         }
-        asked.push((load.wait, load.running, upstream));
+        queried.push((load.wait, load.running, upstream));
     }
-    asked.sort_by_key(|(wait, running, _)| (*wait, *running));
-    asked.remove(0).2
+    queried.sort_by_key(|(wait, running, _)| (*wait, *running));
+    queried.remove(0).2
 }
 
-/// Requests for a popular adapter begin in time, which nodes that go by old news alone miss.
+/// Requests for a popular adapter start in time if nodes query the owners, and many start late if
+/// nodes only use old exchanged counts.
 #[test]
-fn ask_popular_adapter_begins_in_time() {
-    let before = late_share(false);
-    let after = late_share(true);
+fn query_owners_popular_adapter_starts_in_time() {
+    let before = late_fraction(false);
+    let after = late_fraction(true);
     assert!(before > 0.25, "{before}");
     assert!(after < 0.01, "{after}");
 }
--- a/lib/tests/test_direct_parts.rs
+++ b/lib/tests/test_direct_parts.rs
@@ -38,10 +38,10 @@
     Arc::new(Upstream::new(&listed, entry_revision(1), 8, Millis::ZERO))
 }
 
-/// Each engine reads and writes.
-static WHOLE: LazyLock<Roles> = LazyLock::new(Roles::default);
+/// No prefill engines: each engine does both prefill and decode.
+static AGGREGATED: LazyLock<Roles> = LazyLock::new(Roles::default);
 
-fn field<'a>(
+fn selector<'a>(
     upstreams: &'a [Arc<Upstream>],
     tried: &'a [Name],
     affinity_seed: u64,
@@ -53,7 +53,7 @@
         now: Millis(1_000),
         affinity_seed,
         max_event_gap: None,
-        roles: &WHOLE,
+        roles: &AGGREGATED,
         request_hash: 0,
         remote_prior: None,
     }
@@ -91,11 +91,10 @@
     assert!(splitter.is_oversized());
 }
 
-/// Symptom: servers get more further sends than the deployment allows.
-/// Sequence: all nodes send requests again at the same time.
-/// Cause: each node takes the whole fixed part of the budget for itself.
+/// Servers get more retries than the deployment allows if each node uses the whole fixed part of
+/// the retry budget for itself while all nodes retry at the same time.
 #[test]
-fn budget_all_nodes_together() {
+fn budget_holds_over_all_nodes() {
     let pool = Name::from("engines");
     let mut total = 0;
     for _ in 0..7 {
@@ -123,73 +122,80 @@
 }
 
 #[test]
-fn least_prefers_free_then_near() {
+fn least_loaded_prefers_free_then_local() {
     let upstreams = [upstream("i-1", "hall-b"), upstream("i-2", "hall-a")];
-    let chosen = field(&upstreams, &[], 1).least_loaded(|_| true).unwrap();
+    let chosen = selector(&upstreams, &[], 1).least_loaded(|_| true).unwrap();
     assert_eq!(&*chosen.incarnation, "i-2");
     let _busy: Vec<_> = (0..5)
         .map(|_| upstreams[1].start_request(None, None))
         .collect();
-    let chosen = field(&upstreams, &[], 1).least_loaded(|_| true).unwrap();
+    let chosen = selector(&upstreams, &[], 1).least_loaded(|_| true).unwrap();
     assert_eq!(&*chosen.incarnation, "i-1");
 }
 
-/// A request goes to an upstream that may have left though others have room.
+/// A request must not go to an upstream that may have left while others have room.
 #[test]
-fn least_doubted_only_if_others_are_crowded() {
+fn least_loaded_missing_only_if_others_are_busy() {
     let upstreams = [upstream("i-1", "hall-a"), upstream("i-2", "hall-b")];
     upstreams[0].mark_missing();
-    let chosen = field(&upstreams, &[], 1).least_loaded(|_| true).unwrap();
+    let chosen = selector(&upstreams, &[], 1).least_loaded(|_| true).unwrap();
     assert_eq!(&*chosen.incarnation, "i-2");
     let _busy: Vec<_> = (0..7)
         .map(|_| upstreams[1].start_request(None, None))
         .collect();
-    let chosen = field(&upstreams, &[], 1).least_loaded(|_| true).unwrap();
+    let chosen = selector(&upstreams, &[], 1).least_loaded(|_| true).unwrap();
     assert_eq!(&*chosen.incarnation, "i-1");
     upstreams[1].retire();
-    assert!(field(&upstreams, &[], 1).least_loaded(|_| true).is_some());
+    assert!(
+        selector(&upstreams, &[], 1)
+            .least_loaded(|_| true)
+            .is_some()
+    );
 }
 
-/// An adapter is loaded at an engine that may have left though others take it.
+/// An adapter must not be loaded at an engine that may have left while others can load it.
 #[test]
-fn homes_doubted_come_last() {
+fn placement_candidates_missing_come_last() {
     let upstreams: Vec<_> = (0..6)
         .map(|number| upstream(&format!("i-{number}"), "hall-a"))
         .collect();
-    let order = || field(&upstreams, &[], 1).placement_candidates("base/a1", |_| true);
+    let order = || selector(&upstreams, &[], 1).placement_candidates("base/a1", |_| true);
     let first = Arc::clone(&order()[0]);
     first.mark_missing();
-    let homes = order();
-    assert_eq!(homes.len(), 6);
-    assert_eq!(homes[5].incarnation, first.incarnation);
+    let candidates = order();
+    assert_eq!(candidates.len(), 6);
+    assert_eq!(candidates[5].incarnation, first.incarnation);
 }
 
 #[test]
-fn least_tried_only_if_none_else() {
+fn least_loaded_tried_only_if_no_other() {
     let upstreams = [upstream("i-1", "hall-a"), upstream("i-2", "hall-b")];
     let tried = [Name::from("i-1")];
-    let chosen = field(&upstreams, &tried, 1).least_loaded(|_| true).unwrap();
+    let chosen = selector(&upstreams, &tried, 1)
+        .least_loaded(|_| true)
+        .unwrap();
     assert_eq!(&*chosen.incarnation, "i-2");
     upstreams[1].retire();
-    let chosen = field(&upstreams, &tried, 1).least_loaded(|_| true).unwrap();
+    let chosen = selector(&upstreams, &tried, 1)
+        .least_loaded(|_| true)
+        .unwrap();
     assert_eq!(&*chosen.incarnation, "i-1");
     upstreams[0].retire();
     assert!(
-        field(&upstreams, &tried, 1)
+        selector(&upstreams, &tried, 1)
             .least_loaded(|_| true)
             .is_none()
     );
 }
 
-/// Symptom: one of several idle servers gets all requests.
-/// Sequence: requests come one at a time, so that all are equally free.
-/// Cause: the first of the list wins each tie.
+/// One of several idle servers gets all requests if ties go to the first of the list. Requests that
+/// arrive one at a time find all servers equally idle.
 #[test]
-fn least_ties_are_spread() {
+fn least_loaded_spreads_ties() {
     let upstreams = [upstream("i-1", "hall-a"), upstream("i-2", "hall-a")];
     let first = (0..100)
-        .filter(|salt| {
-            let chosen = field(&upstreams, &[], *salt)
+        .filter(|affinity_seed| {
+            let chosen = selector(&upstreams, &[], *affinity_seed)
                 .least_loaded(|_| true)
                 .unwrap();
             &*chosen.incarnation == "i-1"
@@ -199,7 +205,7 @@
 }
 
 #[test]
-fn suspended_after_failures_until_it_ends() {
+fn is_suspended_after_failures_for_a_while() {
     let one = upstream("i-1", "hall-a");
     one.record_failure(Millis(1_000));
     assert!(!one.is_suspended(Millis(1_000)));
@@ -208,11 +214,10 @@
     assert!(!one.is_suspended(Millis(1_400)));
 }
 
-/// Symptom: requests go to an engine that dropped their adapter.
-/// Sequence: news of an engine's holdings arrive out of order.
-/// Cause: the last to arrive taken for the newest.
+/// Requests go to an engine that has dropped their adapter if reports of what it holds arrive out
+/// of order and the last to arrive is taken for the newest.
 #[test]
-fn hold_older_news_left_aside() {
+fn update_held_ignores_older_reports() {
     let one = upstream("i-1", "hall-a");
     one.update_held(&listed("i-1", &[("base/a2", 5)]).held);
     assert_eq!(one.version("base/a2"), Some(5));
@@ -223,7 +228,7 @@
 }
 
 #[test]
-fn in_use_until_the_last_request_ends() {
+fn uncounted_adapters_until_the_last_request_ends() {
     let one = upstream("i-1", "hall-a");
     let adapter = Name::from("base/a1");
     let first = one.start_request(Some(&adapter), None);
@@ -235,30 +240,29 @@
     assert_eq!(one.running(), 0);
 }
 
-/// Symptom: at many nodes exchanges alone take more of a node than control may.
-/// Sequence: each node exchanges with every other, at a fixed pause.
-/// Cause: a node's exchanges grow with the nodes.
+/// With a fixed interval, the exchanges of a node grow with the number of nodes until they alone
+/// exceed what control traffic may take of a node.
 #[test]
-fn exchange_pause_bounds_a_node() {
+fn exchange_interval_bounds_exchanges_per_node() {
     assert_eq!(exchange_interval(7), Millis(500));
     for nodes in [79, 320] {
-        let a_second = nodes as u64 * 1000 / exchange_interval(nodes).0;
-        assert!(a_second <= 84, "{a_second} at {nodes}");
+        let per_second = nodes as u64 * 1000 / exchange_interval(nodes).0;
+        assert!(per_second <= 84, "{per_second} at {nodes}");
         assert!(in_use_grace(nodes) > exchange_interval(nodes));
     }
 }
 
 #[test]
-fn poll_pause_leaves_time_for_the_call() {
+fn poll_interval_leaves_time_for_the_poll() {
     let limits = Limits::default();
     assert_eq!(limits.poll_interval(), Millis(800));
 }
 
-/// Symptom: requests are turned away for adapters that an engine no longer holds.
-/// Sequence: an engine takes five orders, ends, and starts again under its name with one.
-/// Cause: its count begins anew, so that news of the former start looked newer.
+/// Requests are rejected for adapters that an engine no longer holds if a report of its former
+/// start is taken for newer. The engine takes five orders, ends, and starts again under the same
+/// name, where its order count begins again.
 #[test]
-fn hold_of_a_former_start_left_aside() {
+fn update_held_ignores_a_former_start() {
     let engine = upstream("i-1", "hall-a");
     let held = |started_at_ms: u64, sequence: u64, adapter: &str| LoadedModels {
         started_at_ms,
@@ -275,40 +279,37 @@
     assert_eq!(engine.version("base/a7"), Some(1));
 }
 
-/// Symptom: streams go on to begin at an engine where every event comes late.
-/// Sequence: an engine turns slow; the counts of requests there are as elsewhere.
-/// Cause: engines chosen by counts alone, which say nothing of their speed.
+/// Streams keep starting at an engine where every event is late if engines are selected by request
+/// counts alone: a slow engine has the same counts as the others.
 #[test]
-fn least_avoids_long_pauses() {
+fn least_loaded_avoids_long_pauses() {
     let upstreams = [upstream("i-1", "hall-a"), upstream("i-2", "hall-a")];
     let now = Millis(1_000);
     for _ in 0..30 {
         upstreams[0].record_pause(Millis(180), now);
         upstreams[1].record_pause(Millis(40), now);
     }
-    let first_at = |at: Millis, max_event_gap: Option<Millis>| {
-        let chosen = |salt: &u64| {
-            let field = Selector {
+    let count_first = |at: Millis, max_event_gap: Option<Millis>| {
+        let chosen = |affinity_seed: &u64| {
+            let selector = Selector {
                 now: at,
                 max_event_gap,
-                ..field(&upstreams, &[], *salt)
+                ..selector(&upstreams, &[], *affinity_seed)
             };
-            &*field.least_loaded(|_| true).unwrap().incarnation == "i-1"
+            &*selector.least_loaded(|_| true).unwrap().incarnation == "i-1"
         };
         (0..100).filter(chosen).count()
     };
-    let most = Some(Millis(250));
-    assert_eq!(first_at(now, most), 0);
-    // Whole answers have no pauses, and what was seen long ago says nothing any more.
-    assert!((25..75).contains(&first_at(now, None)));
-    assert!((25..75).contains(&first_at(Millis(30_000), most)));
+    let max_gap = Some(Millis(250));
+    assert_eq!(count_first(now, max_gap), 0);
+    // Answers that are not streamed have no pauses, and old observations no longer count.
+    assert!((25..75).contains(&count_first(now, None)));
+    assert!((25..75).contains(&count_first(Millis(30_000), max_gap)));
 }
 
-/// Symptom: nodes that start before thousands of engines answer 503 for many seconds.
-/// Sequence: a node reads the list of all engines; each entry groups and sorts them all.
-/// Cause: work that grows with the square of the engines at a start.
-///
-/// Groups made: one for a whole listing, however long it is.
+/// A node that starts with thousands of engines answers 503 for many seconds if each entry of the
+/// listing groups and sorts all engines, which makes quadratic work. Groups are made once for a
+/// whole listing, however long it is.
 #[test]
 fn pool_grouped_once_after_a_listing() {
     let view = View::default();
@@ -321,7 +322,7 @@
     let first = view.pool("engines");
     assert_eq!(first.len(), 500);
     assert!(Arc::ptr_eq(&first, &view.pool("engines")));
-    // A heartbeat of one that is known changes no group; one that leaves does.
+    // A heartbeat of a known engine changes no group; an engine that leaves does.
     let mut entry = listed("i-7", &[("base/a1", 1)]);
     entry.address = ([127, 0, 0, 1], 1_007).into();
     view.state()
@@ -332,7 +333,7 @@
 }
 
 #[test]
-fn homes_are_the_first_that_fit() {
+fn placement_candidates_are_the_first_that_fit() {
     let upstreams: Vec<Arc<Upstream>> = (0..300_u16)
         .map(|number| {
             let mut entry = listed(&format!("i-{number}"), &[]);
@@ -340,15 +341,16 @@
             Arc::new(Upstream::new(&entry, entry_revision(1), 8, Millis::ZERO))
         })
         .collect();
-    let all = field(&upstreams, &[], 0).placement_candidates("base/a1", |_| true);
+    let all = selector(&upstreams, &[], 0).placement_candidates("base/a1", |_| true);
     assert_eq!(all.len(), MAX_PLACEMENT_CANDIDATES);
     let first = Arc::clone(&all[0]);
-    let others = field(&upstreams, &[], 0)
+    let others = selector(&upstreams, &[], 0)
         .placement_candidates("base/a1", |one| one.address != first.address);
     assert_eq!(others.len(), MAX_PLACEMENT_CANDIDATES);
-    let places = |homes: &[Arc<Upstream>]| homes.iter().map(|one| one.address).collect::<Vec<_>>();
+    let addresses =
+        |candidates: &[Arc<Upstream>]| candidates.iter().map(|one| one.address).collect::<Vec<_>>();
     assert_eq!(
-        places(&all[1..]),
-        places(&others[..MAX_PLACEMENT_CANDIDATES - 1])
+        addresses(&all[1..]),
+        addresses(&others[..MAX_PLACEMENT_CANDIDATES - 1])
     );
 }
--- a/lib/tests/test_direct_roles.rs
+++ b/lib/tests/test_direct_roles.rs
@@ -1,4 +1,4 @@
-//! Which engines read for others, and where a request begins.
+//! Prefill and decode roles, and the engine at which a request starts.
 
 mod direct_support;
 
@@ -34,13 +34,13 @@
     Arc::new(Upstream::new(&listed, entry_revision(1), 8, Millis::ZERO))
 }
 
-/// A mix that has seen as many streams late by a pause as make it keep reading apart.
-fn late_mix() -> PrefillScaler {
-    let mut mix = PrefillScaler::default();
+/// A scaler that has seen enough streams with a long pause to disaggregate prefill.
+fn disaggregating_scaler() -> PrefillScaler {
+    let mut scaler = PrefillScaler::default();
     for number in 0..40 {
-        mix.record_stream(address(number % 12), number % 5 == 0);
+        scaler.record_stream(address(number % 12), number % 5 == 0);
     }
-    mix
+    scaler
 }
 
 #[test]
@@ -48,11 +48,11 @@
     let engines: Vec<SocketAddr> = (1..=12).map(address).collect();
     let roles = Roles::split(engines.iter().copied(), 4);
     assert_eq!(roles, Roles::split(engines.iter().rev().copied(), 4));
-    let readers = engines.iter().filter(|engine| roles.is_prefill(**engine));
-    assert_eq!(readers.count(), 4);
+    let prefill_engines = engines.iter().filter(|engine| roles.is_prefill(**engine));
+    assert_eq!(prefill_engines.count(), 4);
 }
 
-/// An engine that leaves changes the role of one other at most, so that few adapters are reloaded.
+/// An engine that leaves changes the role of at most one other, so that few adapters are reloaded.
 #[test]
 fn split_changes_little_when_an_engine_leaves() {
     let engines: Vec<SocketAddr> = (1..=12).map(address).collect();
@@ -74,11 +74,11 @@
 }
 
 #[test]
-fn manner_by_tokens() {
+fn workload_by_tokens() {
     assert_eq!(Workload::of(Some((2_400, 90))), Workload::PrefillHeavy);
     assert_eq!(Workload::of(Some((826, 954))), Workload::DecodeHeavy);
     assert_eq!(Workload::of(Some((800, 100))), Workload::DecodeHeavy);
-    // What tells nothing of its answer may write for long.
+    // Without a limit on the answer, decode may take long.
     assert_eq!(Workload::of(Some((2_400, 0))), Workload::DecodeHeavy);
     assert_eq!(Workload::of(None), Workload::DecodeHeavy);
     assert_eq!(
@@ -88,89 +88,92 @@
 }
 
 #[test]
-fn readers_none_while_pauses_are_short() {
-    let mut mix = PrefillScaler::default();
+fn prefill_count_zero_while_pauses_are_short() {
+    let mut scaler = PrefillScaler::default();
     for number in 0..1_000 {
-        mix.record_stream(address(number % 12), number % 50 == 0);
+        scaler.record_stream(address(number % 12), number % 50 == 0);
     }
-    assert_eq!(mix.prefill_count(12, Millis(9_000)), 0);
+    assert_eq!(scaler.prefill_count(12, Millis(9_000)), 0);
 }
 
 #[test]
-fn readers_a_third_at_first_and_none_of_one() {
-    let mut mix = late_mix();
-    assert_eq!(mix.prefill_count(12, Millis(9_000)), 4);
-    assert_eq!(mix.prefill_count(1, Millis(9_000)), 0);
-    assert_eq!(mix.prefill_count(2, Millis(9_000)), 1);
+fn prefill_count_a_third_at_first_and_zero_of_one() {
+    let mut scaler = disaggregating_scaler();
+    assert_eq!(scaler.prefill_count(12, Millis(9_000)), 4);
+    assert_eq!(scaler.prefill_count(1, Millis(9_000)), 0);
+    assert_eq!(scaler.prefill_count(2, Millis(9_000)), 1);
 }
 
-/// The number of reading engines follows the wait for the first event, both up and down.
+/// The number of prefill engines follows the wait for the first event, both up and down.
 #[test]
-fn readers_follow_the_wait_for_the_first_event() {
-    let mut mix = late_mix();
-    let mut last = mix.prefill_count(12, Millis(9_000));
+fn prefill_count_follows_the_wait_for_the_first_event() {
+    let mut scaler = disaggregating_scaler();
+    let mut last = scaler.prefill_count(12, Millis(9_000));
     for number in 1..=9 {
         for _ in 0..100 {
-            mix.record_prefill_wait(0.9);
+            scaler.record_prefill_wait(0.9);
         }
-        let readers = mix.prefill_count(12, Millis(9_000 + number * 2_000));
-        assert!((last..=last + 1).contains(&readers), "{last} to {readers}");
-        last = readers;
+        let prefill_count = scaler.prefill_count(12, Millis(9_000 + number * 2_000));
+        assert!(
+            (last..=last + 1).contains(&prefill_count),
+            "{last} to {prefill_count}"
+        );
+        last = prefill_count;
     }
     assert_eq!(last, 6);
     for number in 10..=20 {
         for _ in 0..100 {
-            mix.record_prefill_wait(0.01);
+            scaler.record_prefill_wait(0.01);
         }
-        last = mix.prefill_count(12, Millis(9_000 + number * 2_000));
+        last = scaler.prefill_count(12, Millis(9_000 + number * 2_000));
     }
     assert_eq!(last, 2);
 }
 
 #[test]
-fn readers_none_again_when_pauses_stay_short() {
-    let mut mix = late_mix();
-    assert_eq!(mix.prefill_count(12, Millis(9_000)), 4);
+fn prefill_count_zero_again_when_pauses_stay_short() {
+    let mut scaler = disaggregating_scaler();
+    assert_eq!(scaler.prefill_count(12, Millis(9_000)), 4);
     for number in 0..150 {
-        mix.record_stream(address(number % 12), false);
+        scaler.record_stream(address(number % 12), false);
     }
-    assert_eq!(mix.prefill_count(12, Millis(9_000)), 4);
+    assert_eq!(scaler.prefill_count(12, Millis(9_000)), 4);
     for number in 0..1_000 {
-        mix.record_stream(address(number % 12), false);
+        scaler.record_stream(address(number % 12), false);
     }
-    assert_eq!(mix.prefill_count(12, Millis(9_000)), 0);
+    assert_eq!(scaler.prefill_count(12, Millis(9_000)), 0);
 }
 
-/// Late streams of a few slow engines aren't taken for prompts that delay everyone.
+/// Late streams of a few slow engines aren't attributed to prefill.
 #[test]
-fn readers_none_for_a_few_slow_engines() {
-    let mut mix = PrefillScaler::default();
+fn prefill_count_zero_for_a_few_slow_engines() {
+    let mut scaler = PrefillScaler::default();
     for number in 0..1_000 {
         let engine = number % 18;
-        mix.record_stream(address(engine), engine < 2);
+        scaler.record_stream(address(engine), engine < 2);
         assert_eq!(
-            mix.prefill_count(18, Millis(9_000)),
+            scaler.prefill_count(18, Millis(9_000)),
             0,
             "after {number} streams"
         );
     }
 }
 
-/// A few late streams right after a start set no engine apart for reading.
+/// A few late streams right after a start don't disaggregate prefill.
 #[test]
-fn readers_none_before_enough_is_seen() {
-    let mut mix = PrefillScaler::default();
+fn prefill_count_zero_before_enough_streams() {
+    let mut scaler = PrefillScaler::default();
     for number in 0..7 {
-        mix.record_stream(address(number), true);
-        assert_eq!(mix.prefill_count(12, Millis(9_000)), 0);
+        scaler.record_stream(address(number), true);
+        assert_eq!(scaler.prefill_count(12, Millis(9_000)), 0);
     }
 }
 
 #[test]
-fn first_by_manner_and_holders() {
+fn select_by_workload_and_holders() {
     let engines: Vec<Arc<Upstream>> = (1..=2).map(engine).collect();
     let roles = Roles::split(engines.iter().map(|engine| engine.address), 1);
-    let field = Selector {
+    let selector = Selector {
         upstreams: &engines,
         tried: &[],
         local_domain: "hall-a",
@@ -181,46 +184,59 @@
         request_hash: 0,
         remote_prior: None,
     };
-    let reader = engines
+    let prefill = engines
         .iter()
-        .find(|engine| field.is_prefill(engine))
+        .find(|engine| selector.is_prefill(engine))
         .unwrap();
-    let writer = engines
+    let decode = engines
         .iter()
-        .find(|engine| !field.is_prefill(engine))
+        .find(|engine| !selector.is_prefill(engine))
         .unwrap();
-    let begins = |manner: Workload, held: &[&Arc<Upstream>]| {
-        let found = field.select(manner, |engine| {
+    let start_address = |workload: Workload, held: &[&Arc<Upstream>]| {
+        let found = selector.select(workload, |engine| {
             held.iter()
                 .any(|holder| holder.incarnation == engine.incarnation)
         });
         found.map(|found| found.address)
     };
-    let both = [reader, writer];
-    assert_eq!(begins(Workload::DecodeHeavy, &both), Some(reader.address));
+    let both = [prefill, decode];
+    assert_eq!(
+        start_address(Workload::DecodeHeavy, &both),
+        Some(prefill.address)
+    );
+    assert_eq!(
+        start_address(Workload::DecodeHeavy, &[decode]),
+        Some(decode.address)
+    );
+    assert_eq!(
+        start_address(Workload::DecodeHeavy, &[prefill]),
+        Some(prefill.address)
+    );
+    assert_eq!(
+        start_address(Workload::PrefillHeavy, &both),
+        Some(prefill.address)
+    );
     assert_eq!(
-        begins(Workload::DecodeHeavy, &[writer]),
-        Some(writer.address)
+        start_address(Workload::PrefillHeavy, &[decode]),
+        Some(decode.address)
     );
+    assert_eq!(start_address(Workload::DecodeHeavy, &[]), None);
+    // A failing prefill engine is skipped while a decode engine can take the request.
+    prefill.record_unreachable(Millis(1_000));
     assert_eq!(
-        begins(Workload::DecodeHeavy, &[reader]),
-        Some(reader.address)
+        start_address(Workload::PrefillHeavy, &both),
+        Some(decode.address)
     );
-    assert_eq!(begins(Workload::PrefillHeavy, &both), Some(reader.address));
     assert_eq!(
-        begins(Workload::PrefillHeavy, &[writer]),
-        Some(writer.address)
+        start_address(Workload::DecodeHeavy, &both),
+        Some(decode.address)
     );
-    assert_eq!(begins(Workload::DecodeHeavy, &[]), None);
-    // A reader that fails is passed over while a writer can take the request.
-    reader.record_unreachable(Millis(1_000));
-    assert_eq!(begins(Workload::PrefillHeavy, &both), Some(writer.address));
-    assert_eq!(begins(Workload::DecodeHeavy, &both), Some(writer.address));
 }
 
-/// Compares with the least loaded of all readers, and of all writers, looked for one by one.
+/// Compares the single pass over all engines with two separate searches for the least loaded
+/// prefill engine and the least loaded decode engine.
 #[test]
-fn first_is_the_least_of_readers_or_writers() {
+fn select_is_the_least_loaded_of_its_role() {
     for seed in 0..200 {
         let mut random = Pcg64::seed_from_u64(seed);
         let engines: Vec<Arc<Upstream>> = (1..=30).map(engine).collect();
@@ -237,7 +253,7 @@
         let tried = [Name::clone(&engines[3].incarnation)];
         let held: Vec<bool> = engines.iter().map(|_| random.random_bool(0.2)).collect();
         let fits = |engine: &Upstream| held[usize::from(engine.address.port()) - 1];
-        let field = Selector {
+        let selector = Selector {
             upstreams: &engines,
             tried: &tried,
             local_domain: "hall-a",
@@ -248,41 +264,42 @@
             request_hash: seed,
             remote_prior: Some(0.3),
         };
-        let reader = field.least_loaded(|engine| field.is_prefill(engine) && fits(engine));
-        let writer = field.least_loaded(|engine| !field.is_prefill(engine) && fits(engine));
-        let sound = |found: &Option<Arc<Upstream>>| {
+        let prefill = selector.least_loaded(|engine| selector.is_prefill(engine) && fits(engine));
+        let decode = selector.least_loaded(|engine| !selector.is_prefill(engine) && fits(engine));
+        let is_usable = |found: &Option<Arc<Upstream>>| {
             found.as_ref().is_some_and(|found| {
-                !found.is_suspended(field.now) && !tried.contains(&found.incarnation)
+                !found.is_suspended(selector.now) && !tried.contains(&found.incarnation)
             })
         };
-        for manner in [Workload::PrefillHeavy, Workload::DecodeHeavy] {
-            let reads = match manner {
-                Workload::PrefillHeavy => sound(&reader),
-                Workload::DecodeHeavy => sound(&reader) && sound(&writer),
+        for workload in [Workload::PrefillHeavy, Workload::DecodeHeavy] {
+            let starts_at_prefill = match workload {
+                Workload::PrefillHeavy => is_usable(&prefill),
+                Workload::DecodeHeavy => is_usable(&prefill) && is_usable(&decode),
             };
-            let expected = match (&reader, &writer) {
-                (Some(reader), _) if reads => Some(reader),
-                (Some(reader), _) if !sound(&writer) => Some(reader),
-                (_, writer) => writer.as_ref(),
+            let expected = match (&prefill, &decode) {
+                (Some(prefill), _) if starts_at_prefill => Some(prefill),
+                (Some(prefill), _) if !is_usable(&decode) => Some(prefill),
+                (_, decode) => decode.as_ref(),
             };
-            let found = field.select(manner, fits);
+            let found = selector.select(workload, fits);
             let name = |one: &Arc<Upstream>| Name::clone(&one.incarnation);
             assert_eq!(found.as_ref().map(name), expected.map(name), "seed {seed}");
         }
     }
 }
 
-/// A stream on a replaced version isn't moved, which would begin that version anew elsewhere.
+/// A stream on a replaced version isn't moved, since that would start the old version again at
+/// another engine.
 #[test]
 fn may_move_only_on_the_newest_version() {
     assert!(may_move(Some(2), 2, Some(2)));
     assert!(!may_move(Some(1), 1, Some(2)));
     assert!(!may_move(Some(1), 2, Some(2)));
     assert!(!may_move(Some(2), 1, Some(2)));
-    // What was loaded without a number may be older than the one that was named since.
+    // An adapter loaded without a version may be older than the version declared since.
     assert!(!may_move(Some(2), 0, Some(2)));
     assert!(!may_move(None, 2, Some(2)));
-    // Where none was named, all engines hold the only one.
+    // If no version was declared, there is only one, which all engines hold.
     assert!(may_move(Some(1), 0, None));
     assert!(may_move(None, 1, None));
 }
