--- a/lib/src/direct/selection.rs
+++ b/lib/src/direct/selection.rs
@@ -150,10 +150,9 @@
 
     /// Returns the upstreams that may load an adapter, in its placement order.
     ///
-    /// They take new requests and `fits` holds for them. Those that may have left come last. At
-    /// most
-    /// [`MAX_PLACEMENT_CANDIDATES`] are returned: a request asks some dozen of them, and examining
-    /// thousands for each load took a small VM milliseconds.
+    /// They take new requests, and `fits` holds for them. Those that may have left come last. At
+    /// most [`MAX_PLACEMENT_CANDIDATES`] are returned: a request asks some dozen of them, and
+    /// examining thousands for each load took a small VM milliseconds.
     #[must_use]
     pub fn placement_candidates(
         &self,
