--- a/lib/src/direct/limits.rs
+++ b/lib/src/direct/limits.rs
@@ -94,7 +94,7 @@
 /// Shorter than [`LEASE_TTL`], so that a node stops giving orders before its keys expire.
 pub const OWNERSHIP_TERM: Millis = Millis(2_000);
 
-/// Interval between lease renewals. Two in a row may fail before [`RIGHT`] has passed.
+/// Interval between lease renewals. Two in a row may fail before [`OWNERSHIP_TERM`] has passed.
 pub const RENEWAL_INTERVAL: Millis = Millis(650);
 
 /// Timeout of a lease renewal: twice the 240 ms that the slowest service takes.
