--- a/lib/src/direct/control_call.rs
+++ b/lib/src/direct/control_call.rs
@@ -1,4 +1,4 @@
-//! A short question to an upstream, beside the requests that it runs.
+//! Control requests to an upstream, such as orders and status queries.
 
 use bytes::Bytes;
 use http::{Request, response};
@@ -8,33 +8,34 @@
 use super::upstream::Upstream;
 use crate::clock::Millis;
 
-/// How fresh a kept connection has to be for a question.
-const FRESH: Millis = Millis(1_000);
+/// Maximum idle time of a kept connection that a control request reuses.
+const MAX_CONNECTION_IDLE: Millis = Millis(1_000);
 
-/// Longest answer that is read, in bytes: a report names each adapter that an engine holds.
-const ANSWER_BYTES: usize = 256 * 1024;
+/// Maximum length of a response in bytes; a status response lists every adapter of the engine.
+const MAX_RESPONSE_BYTES: usize = 256 * 1024;
 
-/// Asks, and returns the whole answer; the connection is kept.
+/// Sends a control request and returns the complete response; the connection is kept for reuse.
 ///
 /// # Errors
 ///
-/// A sentence for people when there is no whole answer. The question may have arrived.
+/// A description of the failure when there is no complete response. The upstream may have
+/// received the request nevertheless.
 pub async fn send(
     dialect: &dyn Dialect,
     upstream: &Upstream,
-    question: Request<Full<Bytes>>,
+    request: Request<Full<Bytes>>,
 ) -> Result<(response::Parts, Bytes), String> {
     let mut connection = upstream
         .link
-        .take(FRESH)
+        .take(MAX_CONNECTION_IDLE)
         .await
         .map_err(|lost| format!("{lost:?}"))?;
     let response = connection
-        .send(question)
+        .send(request)
         .await
         .map_err(|lost| format!("{lost:?}"))?;
     let (head, body) = response.into_parts();
-    let body = Limited::new(body, ANSWER_BYTES)
+    let body = Limited::new(body, MAX_RESPONSE_BYTES)
         .collect()
         .await
         .map_err(|error| error.to_string())?
--- a/lib/src/direct/drain.rs
+++ b/lib/src/direct/drain.rs
@@ -1,4 +1,4 @@
-//! A planned stop of the node: until when requests may go on, and which were cut short.
+//! State of a node's drain: its deadline, and how many requests it aborted.
 
 use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering};
 
@@ -6,60 +6,62 @@
 
 use crate::clock::Millis;
 
-/// Whether the node stops, and how far the stop is.
+/// Progress of a node's drain.
+///
+/// Requests may finish until the deadline; those still in progress are aborted then.
 #[derive(Debug, Default)]
 pub struct Drain {
     started: CancellationToken,
     aborted: CancellationToken,
-    /// When requests are cut short, once the stop has begun.
+    /// When requests are aborted; meaningless until the drain has started.
     deadline: AtomicU64,
     aborted_count: AtomicUsize,
 }
 
 impl Drain {
-    /// Begins to stop; requests may go on until a time.
+    /// Starts the drain; requests may finish until `deadline`.
     pub fn begin(&self, deadline: Millis) {
         self.deadline.store(deadline.0, Ordering::Relaxed);
         self.started.cancel();
     }
 
-    /// Whether the node stops.
+    /// Whether the drain has started.
     #[must_use]
     pub fn is_draining(&self) -> bool {
         self.started.is_cancelled()
     }
 
-    /// Waits until the node stops.
+    /// Waits until the drain has started.
     pub async fn started(&self) {
         self.started.cancelled().await;
     }
 
-    /// Returns until when requests may go on, if the node stops.
+    /// Returns the deadline once the drain has started.
     #[must_use]
     pub fn deadline(&self) -> Option<Millis> {
         self.is_draining()
             .then(|| Millis(self.deadline.load(Ordering::Relaxed)))
     }
 
-    /// Has requests end that are still in progress.
+    /// Aborts the requests that are still in progress.
     ///
-    /// Left to the end of the process, their callers would get a closed connection without a
-    /// status, and the log would not name them.
+    /// If they were left to the exit of the process, their callers would see a closed connection
+    /// without a status, and nothing would log them.
     pub fn abort(&self) {
         self.aborted.cancel();
     }
 
-    /// Waits until requests have to end.
+    /// Waits until requests are to be aborted.
     pub async fn aborted(&self) {
         self.aborted.cancelled().await;
     }
 
-    /// Counts a request that may have run and ends early.
+    /// Counts an aborted request that may have run.
     pub fn count_aborted(&self) {
         self.aborted_count.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Returns how many requests were cut short.
+    /// Returns the number of aborted requests that may have run.
     #[must_use]
     pub fn aborted_count(&self) -> usize {
         self.aborted_count.load(Ordering::Relaxed)
--- a/lib/src/direct/metadata.rs
+++ b/lib/src/direct/metadata.rs
@@ -1,20 +1,20 @@
-//! A request as the entry node understands it.
+//! What a request's headers and its route say about it.
 
 use smallvec::SmallVec;
 
 use crate::clock::Millis;
 use crate::name::Name;
 
-/// What may be repeated, and how the answer comes.
+/// Whether requests of a route can be retried, and the form of their responses.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RequestKind {
-    /// May run any number of times; one whole answer.
+    /// May run any number of times; the response isn't a stream.
     Idempotent,
-    /// Runs at most once; one whole answer.
+    /// May run at most once; the response isn't a stream.
     AtMostOnce,
-    /// A stream of numbered events.
+    /// The response is a stream of numbered events.
     Stream {
-        /// Whether another upstream may continue after the last event that was passed on.
+        /// Whether another upstream can resume the stream after the last event forwarded.
         resumable: bool,
     },
 }
@@ -26,17 +26,18 @@
         matches!(self, Self::Idempotent | Self::Stream { resumable: true })
     }
 
-    /// Whether the answer is a stream of events.
+    /// Whether the response is a stream of events.
     #[must_use]
     pub fn is_streaming(self) -> bool {
         matches!(self, Self::Stream { .. })
     }
 }
 
-/// A part of a prompt that other requests may share.
+/// A segment of a prompt that other requests may share.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PromptSegment {
-    /// The same for all requests that begin with the same text up to here.
+    /// Identifies the prompt from its start to the end of this segment; equal for all requests
+    /// that share this prefix.
     pub id: u64,
     /// Length in tokens.
     pub tokens: u32,
@@ -45,24 +46,24 @@
 /// What a caller's request says about itself.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct RequestMetadata {
-    /// Identity of this attempt of the caller; an upstream's answer repeats it.
+    /// Identifies the caller's attempt; the upstream's response repeats it.
     pub id: Option<Name>,
-    /// The key that the caller sent, where callers have keys.
+    /// The caller's API key, where callers have one.
     pub caller: Option<Name>,
     /// How long the caller waits, counted from the arrival of the request.
     pub deadline: Option<Millis>,
-    /// Base model, and the adapter behind a slash if one is asked for.
+    /// `BASE`, or `BASE/ADAPTER` when the request uses an adapter.
     pub model: Option<Name>,
-    /// Tokens of the prompt and most tokens of the answer.
+    /// Tokens of the prompt, and the maximum number of tokens of the response.
     pub tokens: Option<(u32, u32)>,
-    /// The prompt's parts in order; the last is the request's or its session's own.
+    /// The prompt's segments in order; the last belongs to this request or its session alone.
     pub prompt_segments: SmallVec<[PromptSegment; 4]>,
-    /// Number of the last event that the caller has.
+    /// Number of the last event that the caller already has.
     pub resume_after: Option<u64>,
 }
 
 impl RequestMetadata {
-    /// Returns the base model and adapter, when an adapter is asked for.
+    /// Returns `BASE/ADAPTER` if the request uses an adapter.
     #[must_use]
     pub fn adapter(&self) -> Option<&Name> {
         self.model.as_ref().filter(|model| model.contains('/'))
--- a/lib/src/direct/peer_server.rs
+++ b/lib/src/direct/peer_server.rs
@@ -1,4 +1,5 @@
-//! Answering other nodes: loads at engines that this node orders, news, and votes for extensions.
+//! gRPC service for the other nodes: admissions and loads at the engines that this node owns, store
+//! updates, records, and votes for lease extensions.
 
 use std::sync::Arc;
 
@@ -24,7 +25,7 @@
     SupportReply, SupportRequest, TellReply, TellRequest, Update,
 };
 
-/// Answers other nodes.
+/// Handles the calls of other nodes.
 #[derive(Debug)]
 struct Service(Arc<Controllers>);
 
@@ -35,16 +36,17 @@
     }
 }
 
-/// Calls that one connection may have open: a request of the other node keeps one while it runs.
-const MOST_CALLS: u32 = 8_192;
+/// Maximum number of open calls on a connection; each admitted request of the other node keeps one
+/// open while it runs.
+const MAX_OPEN_CALLS: u32 = 8_192;
 
-/// Pause after which a silent connection is asked for a sign of life.
+/// Interval of HTTP/2 keepalive pings on a connection.
 ///
-/// The places that a lost node had taken would else count for ever.
-const ALIVE: Millis = Millis(2_000);
+/// Without them, the permits of a lost node would count forever.
+const KEEPALIVE_INTERVAL: Millis = Millis(2_000);
 
-/// The longest that such a sign may take.
-const ALIVE_ANSWER: Millis = Millis(1_000);
+/// Timeout of a keepalive ping, after which the connection is closed.
+const KEEPALIVE_TIMEOUT: Millis = Millis(1_000);
 
 #[async_trait]
 impl Orders for Service {
@@ -63,8 +65,8 @@
         &self,
         request: Request<Streaming<AdmitRequest>>,
     ) -> Result<Response<Replies>, Status> {
-        let mut questions = request.into_inner();
-        let Some(request) = questions.message().await? else {
+        let mut requests = request.into_inner();
+        let Some(request) = requests.message().await? else {
             return Err(Status::invalid_argument("there is no question"));
         };
         let adapter = (!request.adapter.is_empty()).then(|| Name::from(request.adapter));
@@ -80,7 +82,7 @@
             Some(upstream) => self.0.admit_here(&upstream, question),
             None => Answer::Unknown,
         };
-        Ok(Response::new(Replies::new(answer, questions)))
+        Ok(Response::new(Replies::new(answer, requests)))
     }
 
     async fn load(&self, request: Request<LoadRequest>) -> Result<Response<LoadReply>, Status> {
@@ -113,12 +115,12 @@
     ) -> Result<Response<SupportReply>, Status> {
         let request = request.into_inner();
         let mut owned = Vec::with_capacity(request.owned.len());
-        for one in &request.owned {
-            let address = one
+        for engine in &request.owned {
+            let address = engine
                 .address
                 .parse()
                 .map_err(|_| Status::invalid_argument("an owned engine has no address"))?;
-            owned.push((address, one.token));
+            owned.push((address, engine.token));
         }
         let supported = self.0.right.votes_for(&request.node, &owned);
         Ok(Response::new(SupportReply { supported }))
@@ -144,12 +146,15 @@
     ) -> Result<Response<ExchangeReply>, Status> {
         let request = request.into_inner();
         let mut standings = Vec::with_capacity(request.uses.len());
-        for one in &request.uses {
-            if let Some(standing) = self.0.standing(one) {
-                let adapters = one.adapters.iter().map(|name| name.as_str().into());
+        for upstream_use in &request.uses {
+            if let Some(standing) = self.0.standing(upstream_use) {
+                let adapters = upstream_use
+                    .adapters
+                    .iter()
+                    .map(|name| name.as_str().into());
                 let nodes = self.0.view.state().most_nodes;
                 self.0
-                    .note_uses(&one.incarnation, adapters.collect(), in_use(nodes));
+                    .note_uses(&upstream_use.incarnation, adapters.collect(), in_use(nodes));
                 standings.push(standing);
             }
         }
@@ -157,7 +162,7 @@
     }
 }
 
-/// Answers other nodes until the task is dropped.
+/// Serves other nodes until the task is dropped.
 ///
 /// # Errors
 ///
@@ -168,14 +173,14 @@
 ) -> Result<(), tonic::transport::Error> {
     Server::builder()
         .tcp_nodelay(true)
-        .max_concurrent_streams(Some(MOST_CALLS))
-        // The library takes some tens of calls that end before it has seen them for an attack, and
-        // ends the connection. Between nodes they are questions for a place that were given up
-        // while this node paused for a moment; with the connection, all requests of that node
-        // would no longer be counted.
-        .http2_max_pending_accept_reset_streams(Some(MOST_CALLS as usize))
-        .http2_keepalive_interval(Some(ALIVE.duration()))
-        .http2_keepalive_timeout(Some(ALIVE_ANSWER.duration()))
+        .max_concurrent_streams(Some(MAX_OPEN_CALLS))
+        // By default the library takes a few tens of calls that are reset before it accepted them
+        // for an attack and closes the connection. Between nodes, these are admission calls that
+        // the other node cancelled while this node paused for a moment. With the connection closed,
+        // none of that node's requests would be counted any more.
+        .http2_max_pending_accept_reset_streams(Some(MAX_OPEN_CALLS as usize))
+        .http2_keepalive_interval(Some(KEEPALIVE_INTERVAL.duration()))
+        .http2_keepalive_timeout(Some(KEEPALIVE_TIMEOUT.duration()))
         .add_service(OrdersServer::new(Service(controllers)))
         .serve_with_incoming(TcpListenerStream::new(listener))
         .await
--- a/lib/src/direct/sse.rs
+++ b/lib/src/direct/sse.rs
@@ -1,63 +1,64 @@
-//! Whole events of a stream.
+//! Splits the body of a server-sent event stream into events.
 
 use bytes::{Bytes, BytesMut};
 
-/// The longest event that is taken in, in bytes; a longer one breaks the stream off.
-const LONGEST_EVENT: usize = 256 * 1024;
+/// Maximum length of an event in bytes; a longer one ends the stream with an error.
+const MAX_EVENT_BYTES: usize = 256 * 1024;
 
-/// One event with its blank line.
+/// One event, including the blank line that ends it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Event {
     /// The bytes as the upstream sent them.
     pub bytes: Bytes,
-    /// The event's number, if it has one.
+    /// The number in the event's `id` field, if it has one.
     pub id: Option<u64>,
 }
 
-/// Splits a stream into whole events.
+/// Splits a byte stream into complete events.
 ///
-/// An upstream that breaks off can stop in the middle of an event; whoever gets
-/// half an event can't tell it from a whole one.
+/// An upstream can fail in the middle of an event, and a caller that received half an event
+/// couldn't tell it from a complete one.
 #[derive(Debug, Default)]
 pub struct EventSplitter {
     buffer: BytesMut,
+    /// Offset up to which the buffer was searched for the end of an event.
     scanned: usize,
 }
 
 impl EventSplitter {
-    /// Takes in bytes.
+    /// Appends received bytes.
     pub fn push(&mut self, bytes: &[u8]) {
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// Returns the next whole event.
+    /// Removes and returns the next complete event.
     pub fn event(&mut self) -> Option<Event> {
         let end = self.find_end()?;
         self.scanned = 0;
         let bytes = self.buffer.split_to(end).freeze();
-        let id = id_of(&bytes);
+        let id = event_id(&bytes);
         Some(Event { bytes, id })
     }
 
-    /// Whether part of an event is left.
+    /// Whether the buffer holds an incomplete event.
     #[must_use]
     pub fn has_partial_event(&self) -> bool {
         !self.buffer.is_empty()
     }
 
-    /// Whether what is left is too long for an event.
+    /// Whether the buffered bytes exceed the maximum length of an event.
     #[must_use]
     pub fn is_oversized(&self) -> bool {
-        self.buffer.len() > LONGEST_EVENT
+        self.buffer.len() > MAX_EVENT_BYTES
     }
 
-    /// Drops what is left.
+    /// Discards the buffered bytes.
     pub fn clear(&mut self) {
         self.buffer.clear();
         self.scanned = 0;
     }
 
-    /// Returns where the first event ends: behind a blank line.
+    /// Returns the offset just past the first blank line.
     fn find_end(&mut self) -> Option<usize> {
         let bytes = &self.buffer[..];
         let mut at = self.scanned;
@@ -71,13 +72,13 @@
                 None => break,
             }
         }
-        // The next bytes may make the line that ends here the last of an event.
+        // Search this line again: the next bytes may add the blank line after it.
         self.scanned = at;
         None
     }
 }
 
-fn id_of(event: &[u8]) -> Option<u64> {
+fn event_id(event: &[u8]) -> Option<u64> {
     event
         .split(|&byte| byte == b'\n')
         .find_map(|line| line.strip_prefix(b"id:"))
--- a/lib/tests/test_direct_stop.rs
+++ b/lib/tests/test_direct_stop.rs
@@ -1,24 +1,21 @@
-//! A planned stop, in virtual time.
+//! The start of a node's drain, in virtual time.
 
 use chivevalve::clock::Millis;
 use chivevalve::direct::node::give_notice;
 use chivevalve::ports::Error;
 use tokio::time::Instant;
 
-/// Symptom: a planned stop cuts off a request that was sent four seconds after it began.
-/// Sequence: a node is asked to stop while answers of the key-value service are lost; its call to
-/// give up its claims waits for an answer until it is out of time; the callers' port is closed only
-/// as much later, and what comes until then has as much less time to end.
-/// Cause: the time in which the balancer notices counted from the end of that call.
-/// Evidence: in the day that showed it the port was open until 3.9 s after the request to stop,
-/// 1.5 s of a call without an answer and 2.4 s of notice, and a request came just before.
+/// Guards against a drain that aborts a request which arrived four seconds after the drain began.
+/// The key-value service lost its responses, so the call that releases the claims waited for its
+/// timeout of 1.5 s. The 2.4 s in which the balancer notices the drain started only then: the
+/// callers' port closed after 3.9 s, and a request that had just arrived had too little time left.
 #[tokio::test(start_paused = true)]
 async fn give_notice_while_the_service_is_silent() {
     let took = async |leave: Millis| {
         let began = Instant::now();
         give_notice(async move {
             tokio::time::sleep(leave.duration()).await;
-            Err(Error::NoAnswer("as the test says".to_owned()))
+            Err(Error::NoAnswer("simulated by the test".to_owned()))
         })
         .await;
         began.elapsed()
