--- a/lib/src/direct/attempt.rs
+++ b/lib/src/direct/attempt.rs
@@ -1,4 +1,4 @@
-//! One send of a request to one upstream, and what became of it.
+//! One send of a request to one upstream, and its result.
 
 use std::sync::{Arc, OnceLock};
 
@@ -17,59 +17,62 @@
 use crate::poison::fingerprint::{Fingerprint, Identity};
 use crate::ports::link::{Connection, Lost};
 
-/// The longest whole answer that is held, in bytes.
-const WHOLE_BYTES: usize = 16 << 20;
+/// Maximum length in bytes of a response that is buffered completely.
+const MAX_BUFFERED_BODY_BYTES: usize = 16 << 20;
 
-/// How fresh a kept connection has to be for a request that may not be repeated.
+/// Maximum idle time of a reused connection for a request that may not be retried.
 ///
-/// An upstream or a device between may have dropped an unused connection
-/// without a word. What is then sent on it may have run, for all one can know.
-const FRESH: Millis = Millis(1_000);
+/// An upstream or a network device may have dropped an idle connection silently. A request sent on
+/// it then counts as possibly run.
+const MAX_IDLE_NOT_RETRYABLE: Millis = Millis(1_000);
 
-/// How fresh a kept connection has to be otherwise.
-const USABLE: Millis = Millis(4_000);
+/// Maximum idle time of a reused connection for other requests.
+const MAX_IDLE_RETRYABLE: Millis = Millis(4_000);
 
-/// How long the rest of an answer that is not passed on may take.
+/// Timeout for reading the rest of a rejection's body, after which the connection can be reused.
 ///
-/// A kept connection saves the next caller a millisecond or two; the one whose request was
-/// rejected waits meanwhile.
-const FINISH: Millis = Millis(50);
+/// Reusing the connection saves the next request a millisecond or two, while the rejected request
+/// waits for this read.
+const REJECTION_BODY_TIMEOUT: Millis = Millis(50);
 
-/// A request as it is sent, the same for each attempt.
+/// Maximum length in bytes of a rejection's body that is read to reuse the connection.
+const MAX_REJECTION_BODY_BYTES: usize = 64 * 1024;
+
+/// A request as it is sent to upstreams, the same for each attempt.
 #[derive(Debug)]
 pub struct RequestMessage {
-    /// Method.
+    /// HTTP method.
     pub method: Method,
     /// Path and query.
     pub uri: Uri,
-    /// Headers without those of one connection.
+    /// Headers without the hop-by-hop ones.
     pub headers: HeaderMap,
-    /// The whole body.
+    /// The complete body.
     pub body: Bytes,
-    /// What the request says about itself.
+    /// What the caller's headers say about the request.
     pub metadata: RequestMetadata,
-    /// What may be repeated.
+    /// Whether it can be retried, and the form of its response.
     pub kind: RequestKind,
-    /// What identifies it over its attempts, once that was needed.
+    /// Identifies it across attempts and nodes; computed on first use.
     pub fingerprint: OnceLock<Fingerprint>,
 }
 
-/// Why an attempt gave no answer.
+/// Why a send got no response.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum SendError {
     /// Nothing was sent.
     Unsent(String),
-    /// The upstream says that it did not run the request.
+    /// The upstream responded that it did not run the request.
     Rejected {
-        /// The answer's status.
+        /// The response's status.
         status: u16,
-        /// Whether a newer version of its adapter has been declared than it was sent for, so
-        /// that an order to load that one may be why.
+        /// Whether a newer version of the adapter was declared than the one it was sent for; the
+        /// upstream may have rejected it to load that version.
         replaced: bool,
     },
-    /// It was withdrawn, as it could no longer begin on the version of its adapter there.
+    /// It was withdrawn because it could no longer start on the upstream's version of its adapter.
     Withdrawn {
-        /// Whether it was sent, so that it may have begun nevertheless.
+        /// Whether it had been sent, and so may have started nevertheless.
         sent: bool,
     },
     /// It may have run.
@@ -77,7 +80,7 @@
 }
 
 impl SendError {
-    /// Whether the request may run, or have run, where it was sent.
+    /// Whether the request may be running, or have run, at the upstream.
     #[must_use]
     pub const fn may_run(&self) -> bool {
         matches!(self, Self::Lost(..) | Self::Withdrawn { sent: true })
@@ -95,29 +98,29 @@
     }
 }
 
-/// An answer whose head has come.
+/// A response whose head has arrived.
 #[derive(Debug)]
 pub struct UpstreamResponse {
-    /// Its head.
+    /// The head.
     pub head: response::Parts,
-    /// What the head says.
+    /// What the head says beyond HTTP.
     pub reply: Reply,
-    /// The rest.
+    /// The body.
     pub body: Incoming,
-    /// Where it comes from.
+    /// The upstream that sent it.
     pub upstream: Arc<Upstream>,
-    /// The version of the adapter that was expected there.
+    /// The version of the adapter that the upstream was expected to have.
     pub version: Option<u64>,
-    /// Watches until when the run may begin, if it hasn't.
+    /// Watches until when the run may start; `None` once it has started.
     pub watch: Option<Watch>,
-    /// The connection that it comes over.
+    /// The connection that it arrives on.
     pub connection: Connection,
-    /// Holds the place in the upstream's count.
+    /// Counts the request at the upstream until it is dropped.
     pub running: Running,
 }
 
 impl RequestMessage {
-    /// Returns what identifies the request over its attempts.
+    /// Returns the fingerprint that identifies the request across attempts and nodes.
     pub fn fingerprint(&self) -> &Fingerprint {
         self.fingerprint.get_or_init(|| {
             let metadata = &self.metadata;
@@ -133,11 +136,11 @@
         })
     }
 
-    /// Sends the request and returns the answer's head once it has come.
+    /// Sends the request and returns the response once its head has arrived.
     ///
     /// # Errors
     ///
-    /// A [`SendError`], which says truly whether the request may have run.
+    /// A [`SendError`], which tells whether the request may have run.
     pub async fn send(
         &self,
         upstream: &Arc<Upstream>,
@@ -147,18 +150,18 @@
         watch: Option<Watch>,
     ) -> Result<UpstreamResponse, SendError> {
         let running = upstream.enter(self.metadata.adapter(), permit);
-        let freshness = if self.kind.is_retryable() {
-            USABLE
+        let max_idle = if self.kind.is_retryable() {
+            MAX_IDLE_RETRYABLE
         } else {
-            FRESH
+            MAX_IDLE_NOT_RETRYABLE
         };
         let mut connection = upstream
             .link
-            .take(freshness)
+            .take(max_idle)
             .await
-            .map_err(|lost| miss(&lost))?;
-        // A request can have waited for seconds since this upstream was chosen,
-        // for its adapter or for a connection; one that leaves gets no new work.
+            .map_err(|lost| send_error(&lost))?;
+        // The request may have waited seconds for its adapter or a connection since this upstream
+        // was selected. An upstream that is leaving gets no new requests.
         if !upstream.is_ready() {
             upstream.link.keep(connection, None);
             return Err(SendError::Unsent("the upstream leaves".to_owned()));
@@ -170,15 +173,15 @@
         let request = self.request(dialect, dispatch);
         let response = tokio::select! {
             biased;
-            response = connection.send(request) => response.map_err(|lost| miss(&lost))?,
-            // Dropping the connection has the engine drop the request.
+            response = connection.send(request) => response.map_err(|lost| send_error(&lost))?,
+            // Dropping the connection makes the engine abort the request.
             () = versions::expired(watch.as_ref()) => return Err(SendError::Withdrawn { sent: true }),
         };
         let (head, body) = response.into_parts();
         let reply = dialect.reply(&head);
         if reply.id != self.metadata.id {
-            // Another request's answer came late over this connection. Whether
-            // the upstream runs ours, nobody can tell.
+            // This is a late response to another request on this connection, so it is unknown
+            // whether the upstream runs ours.
             return Err(SendError::Lost(
                 Code::WrongAnswer,
                 "the answer names another request".to_owned(),
@@ -186,14 +189,14 @@
         }
         if reply.not_run {
             let status = head.status.as_u16();
-            finish(body, connection, upstream, &reply).await;
+            discard_body(body, connection, upstream, &reply).await;
             let replaced = watch.as_ref().is_some_and(Watch::is_replaced);
             return Err(SendError::Rejected { status, replaced });
         }
         if head.status.is_success() && !reply.signed {
             return Err(SendError::Lost(
                 Code::WrongAnswer,
-                "the answer bears no signature".to_owned(),
+                "the answer is not signed".to_owned(),
             ));
         }
         Ok(UpstreamResponse {
@@ -219,18 +222,18 @@
 }
 
 impl UpstreamResponse {
-    /// Takes in that a part of the body has come, so that the run has begun.
-    pub fn has_begun(&mut self) {
+    /// Records that part of the body has arrived, so the run has started.
+    pub fn mark_started(&mut self) {
         self.watch = None;
     }
 
-    /// Reads the whole body.
+    /// Reads the complete body and returns the connection for reuse.
     ///
     /// # Errors
     ///
-    /// [`SendError::Lost`] when it breaks off or is too long.
-    pub async fn whole(self) -> Result<(response::Parts, Bytes), SendError> {
-        let body = Limited::new(self.body, WHOLE_BYTES)
+    /// [`SendError::Lost`] when the body ends early or is too long.
+    pub async fn read_body(self) -> Result<(response::Parts, Bytes), SendError> {
+        let body = Limited::new(self.body, MAX_BUFFERED_BODY_BYTES)
             .collect()
             .await
             .map_err(|error| SendError::Lost(Code::AnswerCut, error.to_string()))?
@@ -242,18 +245,18 @@
     }
 }
 
-/// Reads the rest of an answer that is not passed on, so that its connection can be kept.
-async fn finish(body: Incoming, connection: Connection, upstream: &Upstream, reply: &Reply) {
-    let rest = Limited::new(body, 64 * 1024).collect();
-    let rest = tokio::time::timeout(FINISH.duration(), rest).await;
+/// Reads and discards the body of a rejection, so that its connection can be reused.
+async fn discard_body(body: Incoming, connection: Connection, upstream: &Upstream, reply: &Reply) {
+    let rest = Limited::new(body, MAX_REJECTION_BODY_BYTES).collect();
+    let rest = tokio::time::timeout(REJECTION_BODY_TIMEOUT.duration(), rest).await;
     if matches!(rest, Ok(Ok(_))) && !reply.closes {
         upstream.link.keep(connection, reply.keep);
     }
 }
 
-fn miss(lost: &Lost) -> SendError {
+fn send_error(lost: &Lost) -> SendError {
     match lost {
-        Lost::Unsent(told) => SendError::Unsent(told.clone()),
-        Lost::Sent(told) => SendError::Lost(Code::UpstreamLost, told.clone()),
+        Lost::Unsent(cause) => SendError::Unsent(cause.clone()),
+        Lost::Sent(cause) => SendError::Lost(Code::UpstreamLost, cause.clone()),
     }
 }
--- a/lib/src/direct/entry/accept.rs
+++ b/lib/src/direct/entry/accept.rs
@@ -1,4 +1,4 @@
-//! What a caller sent: its route, its body and the pool that takes it.
+//! Matches a request to its route, reads its body and selects the pool that serves it.
 
 use bytes::Bytes;
 use http::header;
@@ -10,7 +10,7 @@
 use crate::error::{Code, Failure};
 use crate::name::Name;
 
-fn find<'a>(config: &'a Config, head: &http::request::Parts) -> Result<&'a Route, Failure> {
+fn find_route<'a>(config: &'a Config, head: &http::request::Parts) -> Result<&'a Route, Failure> {
     let host = head
         .headers
         .get(header::HOST)
@@ -22,19 +22,24 @@
         .ok_or_else(|| Failure::new(Code::UnknownPath, "no route matches"))
 }
 
+/// Returns the route and the complete body of a request.
+///
+/// # Errors
+///
+/// When no route matches, or when the body is too large, arrives too slowly or can't be read.
 pub(super) async fn accept<'a>(
     config: &'a Config,
     head: &http::request::Parts,
     body: Incoming,
 ) -> Result<(&'a Route, Bytes), Failure> {
-    let route = find(config, head)?;
-    Ok((route, read(body, config).await?))
+    let route = find_route(config, head)?;
+    Ok((route, read_body(body, config).await?))
 }
 
-async fn read(body: Incoming, config: &Config) -> Result<Bytes, Failure> {
-    let whole = Limited::new(body, config.limits.body).collect();
-    let within = config.limits.idle;
-    match tokio::time::timeout(within.duration(), whole).await {
+async fn read_body(body: Incoming, config: &Config) -> Result<Bytes, Failure> {
+    let collecting = Limited::new(body, config.limits.body).collect();
+    let timeout = config.limits.idle;
+    match tokio::time::timeout(timeout.duration(), collecting).await {
         Ok(Ok(collected)) => Ok(collected.to_bytes()),
         Ok(Err(error)) if error.is::<LengthLimitError>() => {
             Err(Failure::new(Code::BodyTooLarge, "the body is too large"))
@@ -47,8 +52,8 @@
     }
 }
 
-/// Chooses a pool by weight.
-pub(super) fn choose(route: &Route) -> Option<Name> {
+/// Selects a pool of a route at random by weight; `None` if the weights add up to zero.
+pub(super) fn select_pool(route: &Route) -> Option<Name> {
     let total: u32 = route.split.iter().map(|(_, weight)| weight).sum();
     if total == 0 {
         return None;
--- a/lib/src/direct/entry/handle.rs
+++ b/lib/src/direct/entry/handle.rs
@@ -1,4 +1,4 @@
-//! A request from its first byte to its answer.
+//! Handles a caller's request from its arrival to the response.
 
 use std::sync::atomic::Ordering;
 use std::sync::{Arc, OnceLock, PoisonError};
@@ -7,8 +7,8 @@
 use http_body_util::{BodyExt, StreamBody};
 use hyper::body::Incoming;
 
-use super::accept::{accept, choose};
-use super::response::{refusal, response_head, whole_response};
+use super::accept::{accept, select_pool};
+use super::response::{error_response, full_response, response_head};
 use super::{Body, Frontend};
 use crate::clock::Millis;
 use crate::direct::attempt::{RequestMessage, UpstreamResponse};
@@ -19,52 +19,55 @@
 use crate::poison::ledger::Sign;
 use crate::ports::http::remove_hop_by_hop;
 
-/// How long a caller's wait is assumed to be if nothing bounds it.
-const USUAL_WAIT: Millis = Millis::from_secs(30);
+/// Timeout of a request whose caller names none.
+const DEFAULT_TIMEOUT: Millis = Millis::from_secs(30);
 
-/// When a caller should come back to a node that knows no configuration yet.
-const UNREADY_PAUSE: Millis = Millis(300);
+/// `Retry-After` of a node that has no configuration yet.
+const NOT_READY_RETRY_AFTER: Millis = Millis(300);
 
-/// Counts a request in progress until it is dropped.
+/// `Retry-After` of a route whose pools all have weight zero.
+const NO_POOL_RETRY_AFTER: Millis = Millis(1_000);
+
+/// Counts a request as in progress until it is dropped.
 #[derive(Debug)]
-struct Active(Arc<Frontend>);
+struct ActiveGuard(Arc<Frontend>);
 
-impl Drop for Active {
+impl Drop for ActiveGuard {
     fn drop(&mut self) {
         self.0.active.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
-/// An answer as it begins.
-enum Begun {
-    /// Its head has come, and the rest is passed on as it comes.
+/// A response that can be sent to the caller.
+enum ReadyResponse {
+    /// The head has arrived; the events are forwarded as they arrive.
     Stream(Box<UpstreamResponse>),
-    /// All of it is there.
-    Whole(Response<Body>),
+    /// The complete body has arrived.
+    Full(Response<Body>),
 }
 
 impl Frontend {
-    /// Answers a caller's request.
+    /// Handles a caller's request.
     ///
     /// # Errors
     ///
-    /// Never before the head; the body can end in a [`ResponseAborted`].
+    /// Never before the head is sent; the body can end with [`ResponseAborted`].
     pub async fn handle(
         self: Arc<Self>,
         request: Request<Incoming>,
     ) -> Result<Response<Body>, ResponseAborted> {
         self.active.fetch_add(1, Ordering::Relaxed);
-        let active = Active(Arc::clone(&self));
+        let active = ActiveGuard(Arc::clone(&self));
         let mut response = match self.serve(request).await {
             Ok(response) => response,
-            Err(failure) => refusal(&failure),
+            Err(failure) => error_response(&failure),
         };
         if self.drain.is_draining() {
             response
                 .headers_mut()
                 .insert(header::CONNECTION, HeaderValue::from_static("close"));
         }
-        // The request counts until its body has left or the caller has gone.
+        // The guard lives in the body, so the request counts until the body is sent or dropped.
         Ok(response.map(|body| {
             body.map_frame(move |frame| {
                 let _ = &active;
@@ -78,33 +81,34 @@
         self: &Arc<Self>,
         request: Request<Incoming>,
     ) -> Result<Response<Body>, Failure> {
-        let began = self.clock.now();
+        let arrived_at = self.clock.now();
         let (head, body) = request.into_parts();
         let config = self.view.config().ok_or_else(|| {
             let failure = Failure::new(Code::NotReady, "no configuration is known yet")
-                .retry_after(UNREADY_PAUSE);
-            request_log::turned_away("", &failure);
-            self.count_end(failure.code.number());
+                .retry_after(NOT_READY_RETRY_AFTER);
+            request_log::refused("", &failure);
+            self.count_outcome(failure.code.number());
             failure
         })?;
         let metadata = self.dialect.call(&head);
         let (route, body) = match accept(&config, &head, body).await {
             Ok(accepted) => accepted,
             Err(failure) => {
-                request_log::turned_away(metadata.id.as_deref().unwrap_or_default(), &failure);
-                self.count_end(failure.code.number());
+                request_log::refused(metadata.id.as_deref().unwrap_or_default(), &failure);
+                self.count_outcome(failure.code.number());
                 return Err(failure);
             }
         };
-        let wait = metadata.deadline.unwrap_or(USUAL_WAIT);
-        let until = began + wait.min(route.timeout.unwrap_or(Millis::MAX));
-        let pool = choose(route).ok_or_else(|| {
-            Failure::new(Code::NoUpstream, "the route leads nowhere").retry_after(Millis(1_000))
+        let timeout = metadata.deadline.unwrap_or(DEFAULT_TIMEOUT);
+        let deadline = arrived_at + timeout.min(route.timeout.unwrap_or(Millis::MAX));
+        let pool = select_pool(route).ok_or_else(|| {
+            Failure::new(Code::NoUpstream, "no pool of the route has a weight")
+                .retry_after(NO_POOL_RETRY_AFTER)
         })?;
         self.budget
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
-            .request(&pool, began);
+            .request(&pool, arrived_at);
         let mut headers = head.headers;
         remove_hop_by_hop(&mut headers);
         headers.remove(header::CONTENT_LENGTH);
@@ -123,47 +127,49 @@
             message,
             route.clone(),
             pool,
-            began,
-            until,
+            arrived_at,
+            deadline,
             config.version,
         );
-        self.deliver(request).await
+        self.respond(request).await
     }
 
-    async fn deliver(&self, mut request: ActiveRequest) -> Result<Response<Body>, Failure> {
-        let begun = tokio::select! {
+    async fn respond(&self, mut request: ActiveRequest) -> Result<Response<Body>, Failure> {
+        let ready = tokio::select! {
             biased;
-            begun = self.begin(&mut request) => begun,
-            () = self.drain.aborted() => Err(self.cut_short(&request)),
+            ready = self.ready_response(&mut request) => ready,
+            () = self.drain.aborted() => Err(self.abort(&request)),
         };
-        match begun {
-            Ok(Begun::Whole(response)) => {
-                request.end(&RequestOutcome::Answered(response.status().as_u16()));
+        match ready {
+            Ok(ReadyResponse::Full(response)) => {
+                request.finish(&RequestOutcome::Answered(response.status().as_u16()));
                 Ok(response)
             }
-            Ok(Begun::Stream(answer)) => {
-                let head = response_head(&answer);
-                let body = StreamBody::new(relay::stream_body(request, *answer));
+            Ok(ReadyResponse::Stream(response)) => {
+                let head = response_head(&response);
+                let body = StreamBody::new(relay::stream_body(request, *response));
                 Ok(Response::from_parts(head, body.boxed_unsync()))
             }
             Err(failure) => {
-                request.end(&RequestOutcome::Failed(&failure));
+                request.finish(&RequestOutcome::Failed(&failure));
                 Err(failure)
             }
         }
     }
 
-    /// Has a request answered, as far as that goes before its caller gets a byte.
-    async fn begin(&self, request: &mut ActiveRequest) -> Result<Begun, Failure> {
-        let answer = request.answer(None).await?;
-        if request.message.kind.is_streaming() && answer.head.status.is_success() {
-            return Ok(Begun::Stream(Box::new(answer)));
+    /// Obtains the head of a stream, or a complete response.
+    async fn ready_response(&self, request: &mut ActiveRequest) -> Result<ReadyResponse, Failure> {
+        let response = request.next_response(None).await?;
+        if request.message.kind.is_streaming() && response.head.status.is_success() {
+            return Ok(ReadyResponse::Stream(Box::new(response)));
         }
-        self.whole(request, answer).await.map(Begun::Whole)
+        self.read_full(request, response)
+            .await
+            .map(ReadyResponse::Full)
     }
 
-    /// Returns what the caller gets whose request outlasts the node.
-    fn cut_short(&self, request: &ActiveRequest) -> Failure {
+    /// Returns the failure of a request that the drain aborts.
+    fn abort(&self, request: &ActiveRequest) -> Failure {
         if request.possible_runs() == 0 {
             return Failure::new(Code::Draining, "the node stops");
         }
@@ -171,31 +177,38 @@
         Failure::new(Code::ExpiredRunning, "no answer before the node stops")
     }
 
-    /// Reads an answer whole before it is passed on, so that one that breaks off can be repeated.
-    async fn whole(
+    /// Reads a response to its end before any of it is forwarded.
+    ///
+    /// A response that breaks off can so be requested again.
+    async fn read_full(
         &self,
         request: &mut ActiveRequest,
-        mut answer: UpstreamResponse,
+        mut response: UpstreamResponse,
     ) -> Result<Response<Body>, Failure> {
         loop {
-            let head = response_head(&answer);
-            let upstream = Arc::clone(&answer.upstream);
+            let head = response_head(&response);
+            let upstream = Arc::clone(&response.upstream);
             let left = request.deadline.since(request.now());
-            let told = match tokio::time::timeout(left.duration(), answer.whole()).await {
+            let cause = match tokio::time::timeout(left.duration(), response.read_body()).await {
                 Ok(Ok((_, body))) => {
-                    request.survived();
-                    return Ok(whole_response(head, body));
+                    request.record_harmless_run();
+                    return Ok(full_response(head, body));
+                }
+                Ok(Err(error)) => format!("{error:?}"),
+                Err(_) => {
+                    return Err(Failure::new(
+                        Code::ExpiredRunning,
+                        "the deadline has passed",
+                    ));
                 }
-                Ok(Err(miss)) => format!("{miss:?}"),
-                Err(_) => return Err(Failure::new(Code::ExpiredRunning, "the time is up")),
             };
-            request.blame(&upstream);
-            request.broke(&upstream, Sign::Begun);
-            if !request.may_go_on() {
-                return Err(Failure::new(Code::AnswerCut, told));
+            request.penalize(&upstream);
+            request.record_broken_connection(&upstream, Sign::Begun);
+            if !request.may_retry() {
+                return Err(Failure::new(Code::AnswerCut, cause));
             }
             self.count_retry("cut");
-            answer = request.answer(None).await?;
+            response = request.next_response(None).await?;
         }
     }
 }
--- a/lib/src/direct/entry/mod.rs
+++ b/lib/src/direct/entry/mod.rs
@@ -1,4 +1,4 @@
-//! The entry: callers' requests, from the first byte to the answer.
+//! Entry point of callers' requests: the state they share on a node, and their handling.
 
 mod accept;
 mod gauges;
@@ -31,61 +31,62 @@
 use crate::name::Name;
 use crate::ports::metered::Metered;
 
-/// Body of an answer to a caller.
+/// Body of a response to a caller.
 pub type Body = UnsyncBoxBody<Bytes, ResponseAborted>;
 
-/// Pause after which an adapter may be asked for at a further engine.
-const SPREAD_PAUSE: Millis = Millis(700);
+/// Minimum time between two background loads of the same adapter.
+const BACKGROUND_LOAD_COOLDOWN: Millis = Millis(700);
 
-/// Pause between looks at which engines read for the others.
+/// How long the prefill and decode roles of a pool's engines are cached.
 ///
-/// Lists of engines change by seconds, and a look sorts them.
-const ROLES_PAUSE: Millis = Millis(250);
+/// Lists of engines change over seconds, and computing the roles sorts the list.
+const ROLES_CACHE_TTL: Millis = Millis(250);
 
-/// Label of the class in metrics: here routes and not classes rank requests.
+/// Value of the metrics' class label; with direct serving, routes rank requests and not classes.
 pub const CLASS_LABEL: &str = "direct";
 
-/// What all requests of a node share.
+/// State shared by all requests of a node.
 #[derive(Debug)]
 pub struct Frontend {
-    /// What this node believes.
+    /// The node's view of the cluster.
     pub view: Arc<View>,
-    /// Orders to engines.
+    /// Sends orders to engines, directly or through their owners.
     pub controllers: Arc<Controllers>,
-    /// Formats.
+    /// Formats and header names of the platform.
     pub dialect: Arc<dyn Dialect>,
     /// The node's clock.
     pub clock: Arc<dyn Clock>,
     /// The node's metrics.
     pub metrics: Arc<Metrics>,
-    /// Where the node is.
+    /// The node's failure domain.
     pub failure_domain: Name,
-    /// Bounds in force.
+    /// Limits in force.
     pub limits: Arc<Current>,
-    /// What may not be sent any more.
+    /// Tracks requests that crash upstreams.
     pub quarantine: Arc<Quarantine>,
-    /// Versions that engines were asked to replace lately.
+    /// Replacements of adapter versions that are in progress at engines.
     pub(super) replacements: Replacements,
     /// The key-value service.
     service: Arc<Metered>,
     budget: Mutex<Budget>,
-    spreading: Mutex<HashMap<Name, Millis>>,
-    shares: Mutex<HashMap<Name, Share>>,
-    /// The node's planned stop.
+    /// When each adapter was last loaded in the background.
+    background_loads: Mutex<HashMap<Name, Millis>>,
+    pool_roles: Mutex<HashMap<Name, PoolRoles>>,
+    /// State of the node's drain.
     pub drain: Drain,
     active: AtomicUsize,
 }
 
-/// How the engines of a pool share their work at this moment.
+/// Cached prefill and decode roles of a pool's engines.
 #[derive(Debug, Default)]
-struct Share {
+struct PoolRoles {
     mix: Mix,
     roles: Arc<Roles>,
-    made: Millis,
+    updated_at: Millis,
 }
 
 impl Frontend {
-    /// Makes a gate.
+    /// Creates the shared state of a node's requests.
     #[must_use]
     pub fn new(
         view: Arc<View>,
@@ -122,14 +123,14 @@
             limits,
             replacements: Replacements::default(),
             service,
-            spreading: Mutex::default(),
-            shares: Mutex::default(),
+            background_loads: Mutex::default(),
+            pool_roles: Mutex::default(),
             drain: Drain::default(),
             active: AtomicUsize::new(0),
         }
     }
 
-    /// Whether callers may be sent here.
+    /// Whether the node is ready for callers.
     #[must_use]
     pub fn is_ready(&self) -> bool {
         if self.drain.is_draining() {
@@ -139,19 +140,19 @@
         state.config.is_some() && !state.upstreams.is_empty()
     }
 
-    /// Requests in progress.
+    /// Returns the number of requests in progress.
     #[must_use]
     pub fn active_requests(&self) -> usize {
         self.active.load(Ordering::Relaxed)
     }
 
-    /// Counts a further send by its reason.
+    /// Counts a retry by its reason.
     pub fn count_retry(&self, reason: &str) {
         self.metrics.retries.with_label_values(&[reason]).inc();
     }
 
-    /// Counts how a request ended; 0 is a whole answer.
-    pub fn count_end(&self, code: u32) {
+    /// Counts the outcome of a request; code 0 is a complete response.
+    pub fn count_outcome(&self, code: u32) {
         let number = code.to_string();
         self.metrics
             .requests
@@ -165,19 +166,19 @@
         }
     }
 
-    /// Takes what sending a request to a pool once more costs from the budget; false if it's spent.
+    /// Takes a retry from the pool's budget; false if the budget is used up.
     pub fn take_retry(&self, pool: &Name) -> bool {
         let nodes = self.view.state().most_nodes;
         self.budget().repeat(pool, self.clock.now(), nodes)
     }
 
-    /// Counts a send to a pool that turned out to be a further one.
+    /// Charges the pool's budget for a send that turned out to be a retry.
     pub fn charge_retry(&self, pool: &Name) {
         let now = self.clock.now();
         self.budget().spend(pool, now);
     }
 
-    /// Whether the budget of a pool has room for a further send.
+    /// Whether the pool's budget allows another retry.
     pub fn has_retry_budget(&self, pool: &Name) -> bool {
         let nodes = self.view.state().most_nodes;
         self.budget().has_room(pool, self.clock.now(), nodes)
@@ -187,40 +188,44 @@
         self.budget.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Returns which engines of a pool read for the others.
+    /// Returns which engines of a pool are prefill engines.
     #[must_use]
     pub fn roles(&self, pool: &Name) -> Arc<Roles> {
         let now = self.clock.now();
-        let mut shares = self.shares();
-        let share = shares.entry(Name::clone(pool)).or_default();
-        if now.since(share.made) >= ROLES_PAUSE {
-            share.made = now;
+        let mut pool_roles = self.pool_roles();
+        let cached = pool_roles.entry(Name::clone(pool)).or_default();
+        if now.since(cached.updated_at) >= ROLES_CACHE_TTL {
+            cached.updated_at = now;
             let upstreams = self.view.pool(pool);
             let ready = upstreams.iter().filter(|upstream| upstream.is_ready());
             let engines: Vec<SocketAddr> = ready.map(|upstream| upstream.address).collect();
-            let readers = share.mix.readers(engines.len(), now);
-            share.roles = Arc::new(Roles::split(engines, readers));
+            let prefill = cached.mix.readers(engines.len(), now);
+            cached.roles = Arc::new(Roles::split(engines, prefill));
         }
-        Arc::clone(&share.roles)
+        Arc::clone(&cached.roles)
     }
 
-    /// Takes in something about the mix of requests for a pool.
-    pub fn observe(&self, pool: &Name, seen: impl FnOnce(&mut Mix)) {
-        seen(&mut self.shares().entry(Name::clone(pool)).or_default().mix);
+    /// Updates the statistics by which the pool's engines are divided into prefill and decode.
+    pub fn update_mix(&self, pool: &Name, update: impl FnOnce(&mut Mix)) {
+        update(&mut self.pool_roles().entry(Name::clone(pool)).or_default().mix);
     }
 
-    fn shares(&self) -> MutexGuard<'_, HashMap<Name, Share>> {
-        self.shares.lock().unwrap_or_else(PoisonError::into_inner)
+    fn pool_roles(&self) -> MutexGuard<'_, HashMap<Name, PoolRoles>> {
+        self.pool_roles
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Returns until when a request may begin on a version of an adapter; none is without end.
+    /// Returns until when a request may start on a version of an adapter; `None` if unlimited.
     #[must_use]
     pub fn begin_by(&self, adapter: &str, version: u64) -> Option<Millis> {
         let limit = self.limits.get().version;
         self.view.begin_by(adapter, version, limit)
     }
 
-    /// Has an adapter made present at the first of some engines, without waiting.
+    /// Loads an adapter at the first of `homes`, without waiting for it.
+    ///
+    /// Does nothing if the adapter was loaded in the background a moment ago.
     pub fn load_in_background(
         self: &Arc<Self>,
         homes: Vec<Arc<Upstream>>,
@@ -232,15 +237,15 @@
             return;
         };
         {
-            let mut spreading = self
-                .spreading
+            let mut recent = self
+                .background_loads
                 .lock()
                 .unwrap_or_else(PoisonError::into_inner);
-            spreading.retain(|_, since| now.since(*since) < SPREAD_PAUSE);
-            if spreading.contains_key(adapter) {
+            recent.retain(|_, since| now.since(*since) < BACKGROUND_LOAD_COOLDOWN);
+            if recent.contains_key(adapter) {
                 return;
             }
-            spreading.insert(Name::clone(adapter), now);
+            recent.insert(Name::clone(adapter), now);
         }
         let frontend = Arc::clone(self);
         let adapter = Name::clone(adapter);
@@ -250,14 +255,14 @@
                 .load(&upstream, &adapter, version)
                 .await;
             log::debug!(
-                "entry: {adapter} at {} too: {loaded:?}",
+                "entry: background load of {adapter} at {}: {loaded:?}",
                 upstream.incarnation
             );
         });
     }
 }
 
-/// Returns a span in the unit of histograms.
+/// Converts a span to seconds, the unit of the histograms.
 #[must_use]
 pub fn seconds(span: Millis) -> f64 {
     span.duration().as_secs_f64()
--- a/lib/src/direct/handover.rs
+++ b/lib/src/direct/handover.rs
@@ -1,9 +1,10 @@
-//! Moving a run from the engine that read its prompt to one that writes its answer.
+//! Moves a run from a prefill engine to a decode engine.
 //!
-//! The source stops the run, copies its memory to the target and closes the stream without
-//! its end; the same request, sent to the target with the memory's name, goes on behind the
-//! last event. It counts as one run: the prompt isn't read again, and at no time do two
-//! engines work on it. [`super::roles`] decides what moves where. See docs/decisions/reading-apart.md.
+//! The source stops the run, copies its KV cache to the target and closes the stream without an
+//! end event. The same request, sent to the target with the handle of the KV cache, resumes after
+//! the last event. It counts as one run: the prompt isn't prefilled again, and no two engines work
+//! on it at the same time. [`super::roles`] decides which runs move where. See
+//! docs/decisions/reading-apart.md.
 
 use std::sync::Arc;
 
@@ -18,52 +19,52 @@
 use super::upstream::Upstream;
 use crate::clock::Millis;
 
-/// A run that is being moved.
+/// A transfer of a run's KV cache in progress.
 ///
-/// Dropping it ends the question.
+/// Dropping it cancels the request to the source.
 #[derive(Debug)]
 pub struct Handover {
     target: Option<Target>,
     source: Arc<Upstream>,
-    /// Version of the adapter that the run began on.
+    /// Version of the adapter that the run uses.
     version: Option<u64>,
-    asked: AbortOnDropHandle<Transferred>,
+    transfer: AbortOnDropHandle<Transferred>,
 }
 
-/// What an engine said to the question to move a run.
+/// Result of a handover as far as the source has responded.
 #[derive(Debug)]
 pub enum HandoverReply {
-    /// It was stopped, and can go on.
+    /// The run was stopped and can be resumed.
     Stopped(Box<StoppedRun>),
-    /// It was not stopped.
-    Unchanged,
-    /// Nothing so far.
+    /// The run was not stopped.
+    NotStopped,
+    /// The source hasn't responded yet.
     Unanswered,
 }
 
-/// Where a run that was stopped can go on.
+/// A stopped run and where it can be resumed.
 #[derive(Debug)]
 pub struct StoppedRun {
-    /// What to present there.
+    /// Identifies the run's KV cache.
     pub memory: Memory,
-    /// Engines that have it, the better one first.
-    pub places: SmallVec<[Target; 2]>,
+    /// Engines that hold the KV cache, the preferred one first.
+    pub targets: SmallVec<[Target; 2]>,
 }
 
 impl Handover {
-    /// Asks an engine to stop a request's run and to copy its memory to `target`.
+    /// Asks the engine that runs a request to stop it and to copy its KV cache to `target`.
     ///
-    /// `left` is the time that the request has.
+    /// `left` is the time until the request's deadline.
     #[must_use]
     pub fn begin(
         frontend: &Arc<Frontend>,
         id: &str,
-        answer: &UpstreamResponse,
+        response: &UpstreamResponse,
         target: Target,
         left: Millis,
     ) -> Self {
-        let source = Arc::clone(&answer.upstream);
-        let asking = ask(
+        let source = Arc::clone(&response.upstream);
+        let transfer = transfer(
             Arc::clone(frontend),
             id.to_owned(),
             Arc::clone(&source),
@@ -73,19 +74,20 @@
         Self {
             target: Some(target),
             source,
-            version: answer.version,
-            asked: AbortOnDropHandle::new(tokio::spawn(asking)),
+            version: response.version,
+            transfer: AbortOnDropHandle::new(tokio::spawn(transfer)),
         }
     }
 
-    /// Returns what the engine said, waiting for it up to `span`.
+    /// Returns the source's reply, waiting for it up to `timeout`.
     ///
-    /// A run stops when its engine is asked, and the copy of its memory can queue behind others
-    /// on the engine's link. The answer alone names the memory: without it, a stream that may
-    /// not be repeated ends in the middle. So nothing is lost when this returns
-    /// [`HandoverReply::Unanswered`].
-    pub async fn reply(&mut self, span: Millis) -> HandoverReply {
-        let Ok(asked) = tokio::time::timeout(span.duration(), &mut self.asked).await else {
+    /// The run stops as soon as the source is asked, while the copy of its KV cache can queue
+    /// behind others on the source's network link. Only the reply contains the handle of the KV
+    /// cache; without it, a stream that may not be retried is aborted. So the transfer continues
+    /// when this returns [`HandoverReply::Unanswered`], and this can be called again.
+    pub async fn reply(&mut self, timeout: Millis) -> HandoverReply {
+        let Ok(transferred) = tokio::time::timeout(timeout.duration(), &mut self.transfer).await
+        else {
             return HandoverReply::Unanswered;
         };
         let source = Target {
@@ -93,16 +95,16 @@
             version: self.version,
             permit: None,
         };
-        let (handle, places) = match asked {
+        let (handle, targets) = match transferred {
             Ok(Transferred::Copied(handle)) => {
                 let target = self.target.take();
                 (handle, target.into_iter().chain([source]).collect())
             }
             Ok(Transferred::Kept(handle)) => (handle, smallvec![source]),
-            Ok(Transferred::Unchanged) => return HandoverReply::Unchanged,
+            Ok(Transferred::Unchanged) => return HandoverReply::NotStopped,
             Err(error) => {
-                log::error!("handover: the question ended early: {error}");
-                return HandoverReply::Unchanged;
+                log::error!("handover: the transfer task failed: {error}");
+                return HandoverReply::NotStopped;
             }
         };
         self.source.succeeded();
@@ -110,11 +112,12 @@
             source: self.source.address,
             handle,
         };
-        HandoverReply::Stopped(Box::new(StoppedRun { memory, places }))
+        HandoverReply::Stopped(Box::new(StoppedRun { memory, targets }))
     }
 }
 
-async fn ask(
+/// Requests a transfer from the source; a failure counts as a run that wasn't stopped.
+async fn transfer(
     frontend: Arc<Frontend>,
     id: String,
     source: Arc<Upstream>,
@@ -124,15 +127,15 @@
     let request = frontend
         .dialect
         .ask_transfer(&source.incarnation, &id, target.address);
-    let asked = control_call::send(&*frontend.dialect, &source, request);
-    let transferred = match tokio::time::timeout(left.duration(), asked).await {
+    let sending = control_call::send(&*frontend.dialect, &source, request);
+    let transferred = match tokio::time::timeout(left.duration(), sending).await {
         Ok(Ok((head, body))) => frontend.dialect.transferred(&head, &body),
-        Ok(Err(told)) => {
-            log::info!(request = id.as_str(), cause = told.as_str(); "handover: no answer");
+        Ok(Err(cause)) => {
+            log::info!(request = id.as_str(), cause = cause.as_str(); "handover: no answer");
             Transferred::Unchanged
         }
         Err(_) => {
-            log::info!(request = id.as_str(); "handover: nothing within {left}");
+            log::info!(request = id.as_str(); "handover: no answer within {left}");
             Transferred::Unchanged
         }
     };
--- a/lib/src/direct/relay.rs
+++ b/lib/src/direct/relay.rs
@@ -1,4 +1,4 @@
-//! A stream on its way to the caller, continued elsewhere if its upstream breaks off.
+//! Relays a stream to the caller, and resumes it at another upstream if its upstream fails.
 
 use std::sync::Arc;
 
@@ -20,84 +20,84 @@
 use crate::clock::Millis;
 use crate::poison::ledger::Sign;
 
-/// A pause in the stream, in the longest pauses of the route, at which it is continued elsewhere.
+/// Wait for an event, in longest gaps of the route, after which the stream is resumed elsewhere.
 ///
-/// Callers give a stream up at eight such pauses; a continued one needs some
-/// hundred milliseconds to go on.
-const STALL_PAUSES: u64 = 5;
+/// Callers give a stream up after eight such gaps, and resuming it takes a few hundred
+/// milliseconds.
+const STALL_GAPS: u64 = 5;
 
-/// Time for the last events of a stopped run to arrive, which left before the engine said so.
-const REST: Millis = Millis(200);
+/// How long to wait for the last events of a stopped run, which the engine sent before its reply.
+const STOPPED_RUN_EVENTS_TIMEOUT: Millis = Millis(200);
 
-/// The longest pause, in those that the route allows, that reading can cause.
-const READING_PAUSES: u64 = 2;
+/// The longest gap, in longest gaps of the route, that is attributed to prefills.
+const MAX_PREFILL_GAPS: u64 = 2;
 
-/// The pause to assume for routes that name none.
-pub(super) const USUAL_PAUSE: Millis = Millis(500);
+/// The longest gap between events for routes that set none.
+pub(super) const DEFAULT_GAP: Millis = Millis(500);
 
-/// The answer ends without its end.
+/// A response body that ends before its end.
 ///
-/// The connection to the caller is closed, so that what was passed on can't be
-/// taken for whole.
+/// The connection to the caller is closed, so that the caller can't take the part that it
+/// received for the complete response.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
-#[error("the answer broke off: {0}")]
+#[error("the response was aborted: {0}")]
 pub struct ResponseAborted(pub String);
 
-/// How far the run that is read now has come, which tells whether it can have ended its engine.
+/// Progress of the current run, which tells how likely it is to crash its engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Progress {
-    /// It has brought no event.
-    Nothing,
-    /// It brought its first event at this time.
-    Brought(Millis),
-    /// An engine has run the request without harm.
-    Settled,
+enum RunProgress {
+    /// No event has arrived.
+    NoEvent,
+    /// The first event arrived at this time.
+    FirstEventAt(Millis),
+    /// An engine has run the request without crashing.
+    Harmless,
 }
 
 /// A stream in progress.
 #[derive(Debug)]
 pub(super) struct Relay {
     pub(super) request: ActiveRequest,
-    pub(super) answer: Option<UpstreamResponse>,
+    pub(super) response: Option<UpstreamResponse>,
     pub(super) events: EventSequence,
-    passed_on: Option<Millis>,
-    progress: Progress,
-    /// The question to move the run, as long as it has no answer.
+    last_chunk_at: Option<Millis>,
+    progress: RunProgress,
+    /// The request to move the run, until the engine replies.
     pub(super) handover: Option<Handover>,
-    /// Where the run can go on, once it was stopped.
+    /// The run once it was stopped, until it is resumed.
     pub(super) stopped: Option<Box<StoppedRun>>,
-    /// Whether the upstream was asked to move the run.
-    pub(super) asked_to_move: bool,
-    /// Whether the upstream was found silent already, which counts against it once.
-    pub(super) silent: bool,
-    /// Whether it was told how the stream went where it stayed.
-    judged: bool,
+    /// Whether a handover of the current run was started.
+    pub(super) handover_started: bool,
+    /// Whether the upstream was already penalized for being silent.
+    pub(super) penalized: bool,
+    /// Whether the gaps of a stream that stayed at its engine were already recorded.
+    stay_recorded: bool,
 }
 
-/// Makes the body that the caller gets.
+/// Returns the response body for the caller.
 pub fn stream_body(
     request: ActiveRequest,
-    answer: UpstreamResponse,
+    response: UpstreamResponse,
 ) -> impl Stream<Item = Result<Frame<Bytes>, ResponseAborted>> + Send {
     let events = EventSequence::new(request.message.metadata.resume_after);
     let relay = Relay {
         request,
-        answer: Some(answer),
+        response: Some(response),
         events,
-        passed_on: None,
-        progress: Progress::Nothing,
+        last_chunk_at: None,
+        progress: RunProgress::NoEvent,
         handover: None,
         stopped: None,
-        asked_to_move: false,
-        silent: false,
-        judged: false,
+        handover_started: false,
+        penalized: false,
+        stay_recorded: false,
     };
     stream::unfold(Some(relay), |relay| async {
         let mut relay = relay?;
         let frontend = Arc::clone(&relay.request.frontend);
         let next = tokio::select! {
             biased;
-            next = relay.next() => next,
+            next = relay.next_chunk() => next,
             () = frontend.drain.aborted() => {
                 frontend.drain.count_aborted();
                 Err(ResponseAborted("the node stops".to_owned()))
@@ -106,276 +106,281 @@
         match next {
             Ok(Some(bytes)) => Some((Ok(Frame::data(bytes)), Some(relay))),
             Ok(None) => {
-                relay.request.end(&RequestOutcome::Answered(200));
+                relay.request.finish(&RequestOutcome::Answered(200));
                 None
             }
-            Err(cut) => {
-                relay.request.end(&RequestOutcome::Cut(&cut.0));
-                Some((Err(cut), None))
+            Err(aborted) => {
+                relay.request.finish(&RequestOutcome::Aborted(&aborted.0));
+                Some((Err(aborted), None))
             }
         }
     })
 }
 
 impl Relay {
-    async fn next(&mut self) -> Result<Option<Bytes>, ResponseAborted> {
+    /// Returns the next events to forward; `None` at the end of the stream.
+    async fn next_chunk(&mut self) -> Result<Option<Bytes>, ResponseAborted> {
         loop {
             match self.step().await {
                 StreamStep::Events(bytes) => {
-                    self.observe();
-                    self.hand_over();
+                    self.record_chunk();
+                    self.maybe_hand_over();
                     return Ok(Some(bytes));
                 }
                 StreamStep::More => {}
                 StreamStep::End => {
-                    if self.is_whole().await? {
-                        self.settle();
-                        self.judge_stay(false);
-                        self.observe_pauses();
-                        self.keep();
+                    if self.is_complete().await? {
+                        self.record_harmless_run();
+                        self.record_stay(false);
+                        self.record_longest_gap();
+                        self.keep_connection();
                         return Ok(None);
                     }
                 }
-                StreamStep::Broken(told) => self.go_on(&told).await?,
+                StreamStep::Broken(cause) => self.resume(&cause).await?,
                 StreamStep::Withdrawn => self.withdraw().await?,
             }
         }
     }
 
-    /// Counts the time to the first event, and the pauses behind it.
-    fn observe(&mut self) {
+    /// Records the arrival of a chunk: the time to the first event, or the gap since the last one.
+    fn record_chunk(&mut self) {
         let now = self.request.now();
         self.request.frontend.metrics.tokens.inc();
-        if let Some(answer) = &mut self.answer {
-            answer.running.read();
+        if let Some(response) = &mut self.response {
+            response.running.read();
         }
         match self.progress {
-            Progress::Nothing => self.progress = Progress::Brought(now),
-            Progress::Brought(first) if now.since(first) >= SETTLED => self.settle(),
-            Progress::Brought(_) | Progress::Settled => {}
+            RunProgress::NoEvent => self.progress = RunProgress::FirstEventAt(now),
+            RunProgress::FirstEventAt(first) if now.since(first) >= SETTLED => {
+                self.record_harmless_run();
+            }
+            RunProgress::FirstEventAt(_) | RunProgress::Harmless => {}
         }
-        match self.passed_on.replace(now) {
-            Some(last) => self.observe_pause(now.since(last), now),
-            None => self.observe_first(now),
+        match self.last_chunk_at.replace(now) {
+            Some(last) => self.record_gap(now.since(last), now),
+            None => self.record_first_event(now),
         }
-        self.request.timing.pieces += 1;
+        self.request.timing.chunks += 1;
     }
 
-    /// Notes once that the engine runs the request without harm.
-    fn settle(&mut self) {
-        if self.progress != Progress::Settled {
-            self.progress = Progress::Settled;
-            self.request.survived();
+    /// Records once that the engine runs the request without crashing.
+    fn record_harmless_run(&mut self) {
+        if self.progress != RunProgress::Harmless {
+            self.progress = RunProgress::Harmless;
+            self.request.record_harmless_run();
         }
     }
 
-    /// Begins with a run that has brought nothing yet.
-    pub(super) fn begin_run(&mut self) {
-        if self.progress != Progress::Settled {
-            self.progress = Progress::Nothing;
+    /// Resets the progress for a new run, unless the request is known to be harmless.
+    pub(super) fn reset_progress(&mut self) {
+        if self.progress != RunProgress::Harmless {
+            self.progress = RunProgress::NoEvent;
         }
     }
 
-    /// Takes in that the connection to an upstream broke while it ran the request.
-    pub(super) fn broke(&self, upstream: &Arc<Upstream>) {
+    /// Records that the connection to an upstream broke while it ran the request.
+    pub(super) fn record_broken_connection(&self, upstream: &Arc<Upstream>) {
         let now = self.request.now();
-        // At the end of its time a request is dropped here, and says nothing of its upstream.
+        // After its deadline the request is dropped by this node, whatever the upstream's state.
         if now >= self.request.deadline {
             return;
         }
         let sign = match self.progress {
-            Progress::Nothing => Sign::Begun,
-            Progress::Brought(_) => Sign::Possible,
-            Progress::Settled => return,
+            RunProgress::NoEvent => Sign::Begun,
+            RunProgress::FirstEventAt(_) => Sign::Possible,
+            RunProgress::Harmless => return,
         };
-        self.request.broke(upstream, sign);
+        self.request.record_broken_connection(upstream, sign);
     }
 
-    fn observe_first(&mut self, now: Millis) {
+    fn record_first_event(&mut self, now: Millis) {
         let first = now.since(self.request.arrived_at);
-        self.request.timing.first = Some(first);
+        self.request.timing.first_event = Some(first);
         let histogram = &self.request.frontend.metrics.first_token;
         histogram
             .with_label_values(&[CLASS_LABEL])
             .observe(seconds(first));
-        self.judge_reading(now);
+        self.record_prefill_wait(now);
     }
 
-    fn observe_pause(&mut self, pause: Millis, now: Millis) {
+    fn record_gap(&mut self, gap: Millis, now: Millis) {
         let metrics = &self.request.frontend.metrics;
-        metrics.between_tokens.observe(seconds(pause));
-        if let Some(answer) = &self.answer {
-            answer.upstream.paused(pause, now);
+        metrics.between_tokens.observe(seconds(gap));
+        if let Some(response) = &self.response {
+            response.upstream.paused(gap, now);
         }
-        let pace = &mut self.request.timing;
-        if pause > pace.longest {
-            pace.longest = pause;
-            pace.longest_after = pace.pieces;
+        let timing = &mut self.request.timing;
+        if gap > timing.longest_gap {
+            timing.longest_gap = gap;
+            timing.chunks_before_longest_gap = timing.chunks;
         }
-        self.judge_pause(pause);
+        self.record_long_gap(gap);
     }
 
-    /// Lets the first pause that is too long speak against reading where answers are written.
+    /// Counts the first gap that is too long as a sign that prefills delay decoding.
     ///
-    /// Reading stretches a pause by as much as an engine reads within one event. One that is
-    /// far longer has another cause, such as an engine that was lost.
-    fn judge_pause(&mut self, pause: Millis) {
-        let Some(most) = self.request.route.pause else {
+    /// Prefills lengthen a gap by as much as an engine prefills between two events. A far longer
+    /// gap has another cause, such as the loss of the engine.
+    fn record_long_gap(&mut self, gap: Millis) {
+        let Some(longest) = self.request.route.pause else {
             return;
         };
-        if pause > most {
-            self.judge_stay(pause.0 <= most.0 * READING_PAUSES);
+        if gap > longest {
+            self.record_stay(gap.0 <= longest.0 * MAX_PREFILL_GAPS);
         }
     }
 
-    /// Counts the longest pause of a whole stream.
-    fn observe_pauses(&self) {
-        let pace = &self.request.timing;
-        let written = if pace.moved > 0 {
+    /// Records the longest gap of a complete stream.
+    fn record_longest_gap(&self) {
+        let timing = &self.request.timing;
+        let decoded = if timing.handovers > 0 {
             "elsewhere"
         } else {
             "where read"
         };
         let histogram = &self.request.frontend.metrics.longest_pause;
         histogram
-            .with_label_values(&[written])
-            .observe(seconds(pace.longest));
+            .with_label_values(&[decoded])
+            .observe(seconds(timing.longest_gap));
     }
 
-    /// Tells once how a stream went that stayed where its prompt was read.
-    fn judge_stay(&mut self, late: bool) {
-        let Some(answer) = &self.answer else {
+    /// Records once whether a stream that is decoded where it was prefilled had too long a gap.
+    fn record_stay(&mut self, late: bool) {
+        let Some(response) = &self.response else {
             return;
         };
         let request = &self.request;
-        let engine = answer.upstream.address;
-        let stayed = request.timing.moved == 0 && !self.asked_to_move;
-        if !stayed || self.judged || request.frontend.roles(&request.pool).reads(engine) {
+        let engine = response.upstream.address;
+        let stayed = request.timing.handovers == 0 && !self.handover_started;
+        if !stayed || self.stay_recorded || request.frontend.roles(&request.pool).reads(engine) {
             return;
         }
         request
             .frontend
-            .observe(&request.pool, |mix| mix.stayed(engine, late));
-        self.judged = true;
+            .update_mix(&request.pool, |mix| mix.stayed(engine, late));
+        self.stay_recorded = true;
     }
 
-    /// Tells what part of the objective a reader took.
+    /// Records which part of the latency objective passed at a prefill engine.
     #[allow(clippy::cast_precision_loss, reason = "some seconds")]
-    fn judge_reading(&self, now: Millis) {
-        let Some(answer) = &self.answer else {
+    fn record_prefill_wait(&self, now: Millis) {
+        let Some(response) = &self.response else {
             return;
         };
         let request = &self.request;
         if request
             .frontend
             .roles(&request.pool)
-            .reads(answer.upstream.address)
+            .reads(response.upstream.address)
         {
             let part =
                 now.since(request.sent_at).0 as f64 / request.route.objective.0.max(1) as f64;
             request
                 .frontend
-                .observe(&request.pool, |mix| mix.read(part));
+                .update_mix(&request.pool, |mix| mix.read(part));
         }
     }
 
-    /// Begins to move the run to an engine that reads little, if this one reads for others.
+    /// Starts to move the run to a decode engine if it is at a prefill engine.
     ///
-    /// What a reader holds is moved behind the first event, or behind a later one where the
-    /// adapter is still on its way to a writer.
-    fn hand_over(&mut self) {
-        let Some(answer) = &self.answer else {
+    /// This is tried after the first event, and after later ones while the adapter is still being
+    /// loaded at a decode engine.
+    fn maybe_hand_over(&mut self) {
+        let Some(response) = &self.response else {
             return;
         };
-        if self.asked_to_move || self.request.timing.moved > 0 {
+        if self.handover_started || self.request.timing.handovers > 0 {
             return;
         }
-        // A moved run that is rejected counts as a further send, and can't be taken back then.
+        // If the target rejects the moved run, the send counts as a retry, which then can't be
+        // undone.
         if !self.request.frontend.has_retry_budget(&self.request.pool) {
             return;
         }
-        let first = self.request.timing.pieces == 1;
-        if let Some(target) = self.request.writer(answer, first) {
+        let is_first = self.request.timing.chunks == 1;
+        if let Some(target) = self.request.writer(response, is_first) {
             let left = self.request.deadline.since(self.request.now());
             let handover = Handover::begin(
                 &self.request.frontend,
                 self.request.id(),
-                answer,
+                response,
                 target,
                 left,
             );
             self.handover = Some(handover);
-            self.asked_to_move = true;
+            self.handover_started = true;
         }
     }
 
     async fn step(&mut self) -> StreamStep {
         let now = self.request.now();
         if now >= self.request.deadline {
-            return StreamStep::Broken("the time is up".to_owned());
+            return StreamStep::Broken("the deadline has passed".to_owned());
         }
-        if let Some(step) = self.events.known() {
+        if let Some(step) = self.events.take_pending_error() {
             return step;
         }
-        let mut span = self.patience(now);
+        let mut timeout = self.event_timeout(now);
         if self.stopped.is_some() {
-            span = span.min(REST);
+            timeout = timeout.min(STOPPED_RUN_EVENTS_TIMEOUT);
         }
-        let Some(answer) = &mut self.answer else {
-            return StreamStep::Broken("there is no answer".to_owned());
+        let Some(response) = &mut self.response else {
+            return StreamStep::Broken("no upstream serves the stream".to_owned());
         };
         let reply = tokio::select! {
             biased;
-            received = answer.body.frame() => {
-                answer.has_begun();
-                return self.events.receive(received);
+            frame = response.body.frame() => {
+                response.mark_started();
+                return self.events.receive(frame);
             }
-            reply = reply_of(&mut self.handover, span) => reply,
-            () = versions::expired(answer.watch.as_ref()) => return StreamStep::Withdrawn,
-            () = tokio::time::sleep(span.duration()) => HandoverReply::Unanswered,
+            reply = handover_reply(&mut self.handover, timeout) => reply,
+            () = versions::expired(response.watch.as_ref()) => return StreamStep::Withdrawn,
+            () = tokio::time::sleep(timeout.duration()) => HandoverReply::Unanswered,
         };
         match reply {
-            HandoverReply::Unanswered => return self.stalled(span).await,
-            HandoverReply::Unchanged => {}
-            HandoverReply::Stopped(moved) => self.stopped = Some(moved),
+            HandoverReply::Unanswered => return self.handle_stall(timeout).await,
+            HandoverReply::NotStopped => {}
+            HandoverReply::Stopped(run) => self.stopped = Some(run),
         }
         self.handover = None;
         StreamStep::More
     }
 
-    /// How long to wait for the next event before another engine is looked for.
-    pub(super) fn patience(&self, now: Millis) -> Millis {
+    /// Returns how long to wait for the next event before another engine is tried.
+    pub(super) fn event_timeout(&self, now: Millis) -> Millis {
         let left = self.request.deadline.since(now);
-        if !self.request.may_go_on() {
+        if !self.request.may_retry() {
             return left;
         }
-        let pause = self.request.route.pause.unwrap_or(USUAL_PAUSE);
-        let stall = Millis(pause.0 * STALL_PAUSES);
-        let first = if self.events.last() == self.request.message.metadata.resume_after {
+        let gap = self.request.route.pause.unwrap_or(DEFAULT_GAP);
+        let stall = Millis(gap.0 * STALL_GAPS);
+        let first_event = if self.events.last() == self.request.message.metadata.resume_after {
             self.request.route.objective
         } else {
             Millis::ZERO
         };
-        left.min(stall + first)
+        left.min(stall + first_event)
     }
 
-    fn keep(&mut self) {
-        if let Some(answer) = self.answer.take() {
-            answer.upstream.succeeded();
-            if !answer.reply.closes {
-                answer
+    /// Returns the connection of a complete response for reuse.
+    fn keep_connection(&mut self) {
+        if let Some(response) = self.response.take() {
+            response.upstream.succeeded();
+            if !response.reply.closes {
+                response
                     .upstream
                     .link
-                    .keep(answer.connection, answer.reply.keep);
+                    .keep(response.connection, response.reply.keep);
             }
         }
     }
 }
 
-/// Waits for what an engine says to the question to move a run, if there is one.
-async fn reply_of(handover: &mut Option<Handover>, span: Millis) -> HandoverReply {
+/// Waits for the reply to a handover in progress; forever if there is none.
+async fn handover_reply(handover: &mut Option<Handover>, timeout: Millis) -> HandoverReply {
     match handover {
-        Some(handover) => handover.reply(span).await,
+        Some(handover) => handover.reply(timeout).await,
         None => std::future::pending().await,
     }
 }
--- a/lib/src/direct/request/mod.rs
+++ b/lib/src/direct/request/mod.rs
@@ -1,4 +1,4 @@
-//! The way of one request: which upstreams it is sent to, and when it is given up.
+//! The life of one request: which upstreams it is sent to, and when it fails.
 
 mod outcome;
 mod quarantine;
@@ -20,70 +20,70 @@
 use crate::error::{Code, Failure};
 use crate::name::Name;
 
-/// Pause before an upstream is looked for again.
+/// Pause before the selection of an upstream is repeated.
 pub(in crate::direct) const SELECTION_RETRY_PAUSE: Millis = Millis(20);
 
-/// Objectives after which another upstream is looked for beside one that is silent.
-const PATIENCE: u64 = 3;
+/// Wait for a response's head, in latency objectives of the route, before the request is hedged.
+const HEDGE_AFTER_OBJECTIVES: u64 = 3;
 
-/// A request on its way.
+/// A request in progress.
 #[derive(Debug)]
 pub struct ActiveRequest {
-    /// The node's parts.
+    /// State shared by the node's requests.
     pub frontend: Arc<Frontend>,
-    /// What is sent.
+    /// The request as it is sent to upstreams.
     pub message: Arc<RequestMessage>,
-    /// The route that it came by.
+    /// The route that it matched.
     pub route: Route,
-    /// The pool that takes it.
+    /// The pool that serves it.
     pub pool: Name,
     /// When it arrived.
     pub arrived_at: Millis,
-    /// When it is given up.
+    /// When it fails if it hasn't finished.
     pub deadline: Millis,
-    /// Version of the configuration that it goes by.
+    /// Version of the configuration that applies to it.
     pub config_version: u64,
-    /// How the events of the answer came.
+    /// When the events of the response arrived.
     pub timing: StreamTiming,
     /// When it was last sent.
     pub(in crate::direct) sent_at: Millis,
     pub(in crate::direct) tried: SmallVec<[Name; 4]>,
-    /// Upstreams that rejected it on an older version and are about to hold the newest.
+    /// Upstreams that rejected it, probably to load a newer version of its adapter.
     pub(in crate::direct) replacing_upstreams: SmallVec<[Name; 1]>,
-    ended: bool,
-    /// Sends that may have run, those on their way among them.
+    finished: bool,
+    /// Sends that may have run, including those in flight.
     pub(in crate::direct) possible_runs: u32,
     undelivered: u32,
     pub(in crate::direct) rejections: u32,
-    /// Whether the next send's part of the budget for repeats is taken already.
-    repeat_reserved: bool,
-    /// An upstream's error that was set aside while another one is asked.
-    failed: Option<Box<UpstreamResponse>>,
-    /// The upstream at which this request stands besides, while another one is looked for.
-    pub(in crate::direct) stands_at: Option<Name>,
+    /// Whether the next send was already taken from the retry budget.
+    retry_reserved: bool,
+    /// A server error of an upstream, returned to the caller if no other upstream responds.
+    failed_response: Option<Box<UpstreamResponse>>,
+    /// The upstream where this request is still in flight while another one is tried.
+    pub(in crate::direct) in_flight_at: Option<Name>,
 }
 
-/// How the events of a stream came.
+/// When the events of a stream arrived.
 ///
-/// A stream is late by its first event or by a pause behind it, and these have different
-/// causes: a wait for the adapter or in a queue, or the reading of other prompts where the
-/// answer is written.
+/// A stream can miss its objectives with its first event or with a later gap, which have
+/// different causes: the first waits for the adapter to load or in a queue, while gaps come from
+/// prefills of other prompts at the engine that decodes.
 #[derive(Debug, Default)]
 pub struct StreamTiming {
     /// Time from the request's arrival to its first event.
-    pub first: Option<Millis>,
-    /// The longest pause between two events.
-    pub longest: Millis,
-    /// Events that came before the longest pause.
-    pub longest_after: u64,
-    /// Pieces passed on.
-    pub pieces: u64,
+    pub first_event: Option<Millis>,
+    /// The longest gap between two chunks.
+    pub longest_gap: Millis,
+    /// Chunks forwarded before the longest gap.
+    pub chunks_before_longest_gap: u64,
+    /// Chunks forwarded; each holds one or more events.
+    pub chunks: u64,
     /// How often the run was moved to another engine.
-    pub moved: u32,
+    pub handovers: u32,
 }
 
 impl ActiveRequest {
-    /// Begins to serve a request.
+    /// Creates a request that hasn't been sent yet.
     #[must_use]
     pub fn new(
         frontend: Arc<Frontend>,
@@ -106,31 +106,34 @@
             sent_at: arrived_at,
             tried: SmallVec::new(),
             replacing_upstreams: SmallVec::new(),
-            ended: false,
+            finished: false,
             possible_runs: 0,
             undelivered: 0,
             rejections: 0,
-            repeat_reserved: false,
-            failed: None,
-            stands_at: None,
+            retry_reserved: false,
+            failed_response: None,
+            in_flight_at: None,
         }
     }
 
-    /// Returns the next answer, sending as often as is allowed.
+    /// Returns the next response, retrying and hedging as far as that is allowed.
     ///
-    /// What was sent and not answered counts as sent when this is dropped before it returns.
+    /// If this is dropped before it returns, unanswered sends still count as possible runs.
     ///
     /// # Errors
     ///
-    /// The failure that the caller gets; its code's fate is true.
-    pub async fn answer(&mut self, resume_after: Option<u64>) -> Result<UpstreamResponse, Failure> {
-        let answer = self.next_answer(resume_after).await;
-        let failed = self.failed.take();
-        // An upstream's own error tells callers more than a failure of ours to ask another one.
-        answer.or_else(|failure| failed.map_or(Err(failure), |answer| Ok(*answer)))
+    /// The failure for the caller; the fate of its code is correct.
+    pub async fn next_response(
+        &mut self,
+        resume_after: Option<u64>,
+    ) -> Result<UpstreamResponse, Failure> {
+        let response = self.send_until_response(resume_after).await;
+        let failed = self.failed_response.take();
+        // An upstream's own error tells the caller more than our failure to find another one.
+        response.or_else(|failure| failed.map_or(Err(failure), |response| Ok(*response)))
     }
 
-    async fn next_answer(
+    async fn send_until_response(
         &mut self,
         resume_after: Option<u64>,
     ) -> Result<UpstreamResponse, Failure> {
@@ -141,53 +144,56 @@
                 let target = self.next_target().await?;
                 self.send(&mut sends, target, resume_after);
             }
-            let span = self.patience();
-            let stops = self.frontend.drain.is_draining();
+            let timeout = self.head_timeout();
+            let is_draining = self.frontend.drain.is_draining();
             let next = tokio::select! {
                 biased;
                 sent = sends.next() => Some(sent),
-                () = self.frontend.drain.started(), if !stops => continue,
-                // Its engine may not have begun it: dropped now, it ends no further one.
-                failure = self.quarantined() => return Err(failure),
-                () = tokio::time::sleep(span.duration()) => None,
+                () = self.frontend.drain.started(), if !is_draining => continue,
+                // Dropping the sends now can keep an engine that hasn't started the request from
+                // crashing.
+                failure = self.wait_until_quarantined() => return Err(failure),
+                () = tokio::time::sleep(timeout.duration()) => None,
             };
-            let answer = match next {
-                Some(Some(sent)) => self.conclude(&sends, sent)?,
+            let response = match next {
+                Some(Some(sent)) => self.handle_finished_send(&sends, sent)?,
                 Some(None) => None,
-                None => self.look_further(&mut sends, resume_after).await?,
+                None => self.handle_silence(&mut sends, resume_after).await?,
             };
-            if let Some(answer) = answer {
-                return Ok(answer);
+            if let Some(response) = response {
+                return Ok(response);
             }
         }
     }
 
-    /// Finds where to send while nothing is on its way, with its part of the budget taken if it is a repeat.
+    /// Selects an upstream while no send is in flight, and reserves a retry if this is one.
     async fn next_target(&mut self) -> Result<Target, Failure> {
         let target = self.target().await?;
-        if self.stands_at(&target.upstream) {
+        if self.is_in_flight_at(&target.upstream) {
             return Err(self.refusal(Code::NoUpstream, "no other upstream can take it now"));
         }
-        let is_repeat = self.possible_runs + self.rejections > 0;
-        if is_repeat && !self.reserve_repeat() {
+        let is_retry = self.possible_runs + self.rejections > 0;
+        if is_retry && !self.reserve_retry() {
             return Err(self.refusal(Code::UpstreamRefused, "the budget for repeats is used up"));
         }
         Ok(target)
     }
 
-    /// Whether the request stands at an upstream while another one is looked for.
+    /// Whether the request is still in flight at an upstream while another one is tried.
     ///
-    /// Sent there once more, it would run there twice at once.
-    fn stands_at(&self, upstream: &Upstream) -> bool {
-        self.stands_at.as_ref() == Some(&upstream.incarnation)
+    /// Sent there again, it would run there twice at the same time.
+    fn is_in_flight_at(&self, upstream: &Upstream) -> bool {
+        self.in_flight_at.as_ref() == Some(&upstream.incarnation)
     }
 
-    /// Decides what becomes of a request whose upstreams have been silent for long.
+    /// Fails the request at its deadline, or else hedges it at another upstream if that is allowed.
+    ///
+    /// Called when no upstream responded within the head timeout.
     ///
     /// # Errors
     ///
-    /// When its time is up.
-    async fn look_further(
+    /// When the deadline has passed.
+    async fn handle_silence(
         &mut self,
         sends: &mut Sends,
         resume_after: Option<u64>,
@@ -197,25 +203,27 @@
         };
         let now = self.now();
         if now >= self.deadline {
-            let told = format!("no answer within {}", now.since(self.sent_at));
-            let miss = SendError::Lost(Code::ExpiredRunning, told);
-            return self.missed(&newest, miss, true).map(|()| None);
+            let cause = format!("no answer within {}", now.since(self.sent_at));
+            let error = SendError::Lost(Code::ExpiredRunning, cause);
+            return self.handle_send_error(&newest, error, true).map(|()| None);
         }
         if let Some(silent) = sends.mark_silent() {
-            // Its queue is long, or it no longer answers: others are better sent elsewhere.
-            self.blame(&silent);
+            // Its queue is long or it no longer responds; either way others should avoid it.
+            self.penalize(&silent);
         }
-        // A request that may run once waits where it is, however long.
-        if !self.may_go_on() || !self.reserve_elsewhere(&newest) {
+        // A request that may run only once waits where it is until its deadline.
+        if !self.may_retry() || !self.reserve_hedge(&newest) {
             return Ok(None);
         }
         let target = tokio::select! {
             biased;
-            Some(sent) = sends.next() => return self.conclude(sends, sent),
+            Some(sent) = sends.next() => return self.handle_finished_send(sends, sent),
             target = self.target() => target,
         };
         match target {
-            Ok(target) if !self.stands_at(&target.upstream) && !sends.reaches(&target.upstream) => {
+            Ok(target)
+                if !self.is_in_flight_at(&target.upstream) && !sends.reaches(&target.upstream) =>
+            {
                 self.frontend.count_retry("silent");
                 self.send(sends, target, resume_after);
             }
@@ -224,51 +232,51 @@
         Ok(None)
     }
 
-    /// Returns the request's id, for logs.
+    /// Returns the request's id for logs; empty if it has none.
     #[must_use]
     pub fn id(&self) -> &str {
         self.message.metadata.id.as_deref().unwrap_or_default()
     }
 
-    /// Returns how many sends may have run.
+    /// Returns the number of sends that may have run.
     #[must_use]
     pub fn possible_runs(&self) -> u32 {
         self.possible_runs
     }
 
-    /// Records how the request ended; the first end counts.
-    pub fn end(&mut self, end: &RequestOutcome<'_>) {
-        if !std::mem::replace(&mut self.ended, true) {
-            request_log::ended(self, end);
-            self.frontend.count_end(end.code());
+    /// Logs and counts the outcome of the request; only the first call has an effect.
+    pub fn finish(&mut self, outcome: &RequestOutcome<'_>) {
+        if !std::mem::replace(&mut self.finished, true) {
+            request_log::ended(self, outcome);
+            self.frontend.count_outcome(outcome.code());
         }
     }
 
-    /// The time.
+    /// Returns the current time.
     #[must_use]
     pub fn now(&self) -> Millis {
         self.frontend.clock.now()
     }
 
-    /// How long to wait for an answer's head before another upstream is looked for.
-    fn patience(&self) -> Millis {
+    /// Returns how long to wait for a response's head before another upstream is tried.
+    fn head_timeout(&self) -> Millis {
         let left = self.deadline.since(self.now());
         if !self.message.kind.is_retryable() || self.possible_runs >= self.route.attempts {
             return left;
         }
-        let span = left.min(Millis(self.route.objective.0 * PATIENCE));
-        let Some(end) = self.frontend.drain.deadline() else {
-            return span;
+        let timeout = left.min(Millis(self.route.objective.0 * HEDGE_AFTER_OBJECTIVES));
+        let Some(drain_deadline) = self.frontend.drain.deadline() else {
+            return timeout;
         };
-        // What stands at a silent upstream for as long as the node lives is cut short.
-        let half = Millis(end.since(self.now()).0 / 2);
-        span.min(half.max(SELECTION_RETRY_PAUSE))
+        // A request that waits at a silent upstream until the drain's deadline is aborted.
+        let half = Millis(drain_deadline.since(self.now()).0 / 2);
+        timeout.min(half.max(SELECTION_RETRY_PAUSE))
     }
 }
 
 impl Drop for ActiveRequest {
-    /// A request whose caller goes away is dropped wherever it stands.
+    /// Records a request that is dropped unfinished because its caller disconnected.
     fn drop(&mut self) {
-        self.end(&RequestOutcome::Left);
+        self.finish(&RequestOutcome::CallerGone);
     }
 }
--- a/lib/src/direct/request/outcome.rs
+++ b/lib/src/direct/request/outcome.rs
@@ -1,4 +1,4 @@
-//! What becomes of a request by how its sends end.
+//! Handles finished sends: returns the response, retries, or fails the request.
 
 use std::sync::Arc;
 
@@ -12,91 +12,95 @@
 use crate::name::Name;
 use crate::poison::ledger::Sign;
 
-/// Sends that reached no upstream, after which a request is given up.
-const MOST_UNSENT: u32 = 4;
+/// Undelivered sends after which a request fails.
+const MAX_UNDELIVERED: u32 = 4;
 
-/// Sends that upstreams rejected, after which a request is given up.
-const MOST_REJECTED: u32 = 3;
+/// Rejections by upstreams after which a request fails.
+const MAX_REJECTIONS: u32 = 3;
 
-/// When a refused caller should come back at the earliest.
-const COME_BACK: Millis = Millis(250);
+/// `Retry-After` of refused requests.
+const MIN_RETRY_AFTER: Millis = Millis(250);
 
 impl ActiveRequest {
-    /// Takes in how a send ended; none if the request goes on.
-    pub(super) fn conclude(
+    /// Handles a finished send; returns `None` if the request continues.
+    pub(super) fn handle_finished_send(
         &mut self,
         sends: &Sends,
         sent: Sent,
     ) -> Result<Option<UpstreamResponse>, Failure> {
         let is_last = sends.is_empty();
         match sent.result {
-            Ok(answer) => {
+            Ok(response) => {
                 self.sent_at = sent.at;
-                Ok(self.judge(answer, is_last))
+                Ok(self.accept_or_retry(response, is_last))
             }
-            Err(miss) => match self.missed(&sent.upstream, miss, is_last) {
+            Err(error) => match self.handle_send_error(&sent.upstream, error, is_last) {
                 Err(failure) if is_last => Err(failure),
-                // It still waits at another upstream.
+                // Another send is still in flight.
                 _ => Ok(None),
             },
         }
     }
 
-    /// Takes an answer, or sets a failed one aside if the request may be repeated or still waits
-    /// at another upstream.
-    fn judge(&mut self, answer: UpstreamResponse, is_last: bool) -> Option<UpstreamResponse> {
-        if !answer.head.status.is_server_error() {
-            answer.upstream.succeeded();
-            return Some(answer);
+    /// Returns the response, or keeps a server error for later if the request can be retried or
+    /// is still in flight at another upstream.
+    fn accept_or_retry(
+        &mut self,
+        response: UpstreamResponse,
+        is_last: bool,
+    ) -> Option<UpstreamResponse> {
+        if !response.head.status.is_server_error() {
+            response.upstream.succeeded();
+            return Some(response);
         }
-        self.blame(&answer.upstream);
+        self.penalize(&response.upstream);
         if is_last {
-            if !(self.may_go_on() && self.others() && self.reserve_repeat()) {
-                return Some(answer);
+            if !(self.may_retry() && self.has_untried_upstream() && self.reserve_retry()) {
+                return Some(response);
             }
             self.frontend.count_retry("upstream_error");
         }
-        self.failed = Some(Box::new(answer));
+        self.failed_response = Some(Box::new(response));
         None
     }
 
-    /// Takes in that a send gave no answer.
+    /// Handles a send that got no response.
     ///
     /// # Errors
     ///
-    /// The failure that the caller gets where nothing else is on its way.
-    pub(in crate::direct) fn missed(
+    /// The failure for the caller, which applies only if no other send is in flight.
+    pub(in crate::direct) fn handle_send_error(
         &mut self,
         upstream: &Arc<Upstream>,
-        miss: SendError,
+        error: SendError,
         is_last: bool,
     ) -> Result<(), Failure> {
-        request_log::missed(self, upstream, &miss);
+        request_log::send_failed(self, upstream, &error);
         self.tried.push(Name::clone(&upstream.incarnation));
-        if matches!(miss, SendError::Rejected { replaced: true, .. }) {
+        if matches!(error, SendError::Rejected { replaced: true, .. }) {
             self.replacing_upstreams
                 .push(Name::clone(&upstream.incarnation));
         }
-        match miss {
-            SendError::Unsent(told) => self.was_not_sent(upstream, &told),
-            SendError::Rejected { status, .. } => self.was_rejected(upstream, status),
-            SendError::Withdrawn { sent } => self.was_withdrawn(sent),
-            SendError::Lost(code, told) => self.was_lost(upstream, code, told, is_last),
+        match error {
+            SendError::Unsent(cause) => self.handle_unsent(upstream, &cause),
+            SendError::Rejected { status, .. } => self.handle_rejection(upstream, status),
+            SendError::Withdrawn { sent } => self.handle_withdrawal(sent),
+            SendError::Lost(code, cause) => self.handle_loss(upstream, code, cause, is_last),
         }
     }
 
-    fn was_not_sent(&mut self, upstream: &Upstream, told: &str) -> Result<(), Failure> {
+    fn handle_unsent(&mut self, upstream: &Upstream, cause: &str) -> Result<(), Failure> {
         self.possible_runs -= 1;
         upstream.unreachable(self.now());
         self.undelivered += 1;
         self.frontend.count_retry("unsent");
-        if self.undelivered >= MOST_UNSENT {
-            return Err(self.refusal(Code::ConnectFailed, told));
+        if self.undelivered >= MAX_UNDELIVERED {
+            return Err(self.refusal(Code::ConnectFailed, cause));
         }
         Ok(())
     }
 
-    fn was_rejected(&mut self, upstream: &Upstream, status: u16) -> Result<(), Failure> {
+    fn handle_rejection(&mut self, upstream: &Upstream, status: u16) -> Result<(), Failure> {
         self.possible_runs -= 1;
         self.rejections += 1;
         self.frontend.count_retry("rejected");
@@ -105,38 +109,38 @@
         {
             upstream.lost(adapter);
         }
-        if self.rejections >= MOST_REJECTED {
+        if self.rejections >= MAX_REJECTIONS {
             return Err(self.refusal(Code::UpstreamRefused, "upstreams are full"));
         }
         Ok(())
     }
 
-    fn was_withdrawn(&mut self, sent: bool) -> Result<(), Failure> {
+    fn handle_withdrawal(&mut self, sent: bool) -> Result<(), Failure> {
         self.frontend.count_retry("replaced");
         if !sent {
             self.possible_runs -= 1;
             return Ok(());
         }
-        if self.may_go_on() {
+        if self.may_retry() {
             return Ok(());
         }
-        let told = "a newer version of the adapter was declared while it waited";
-        Err(Failure::new(Code::VersionReplaced, told))
+        let cause = "a newer version of the adapter was declared while it waited";
+        Err(Failure::new(Code::VersionReplaced, cause))
     }
 
-    fn was_lost(
+    fn handle_loss(
         &mut self,
         upstream: &Arc<Upstream>,
         code: Code,
-        told: String,
+        cause: String,
         is_last: bool,
     ) -> Result<(), Failure> {
         if code == Code::UpstreamLost {
-            self.broke(upstream, Sign::Possible);
+            self.record_broken_connection(upstream, Sign::Possible);
         }
         upstream.failed(self.now());
-        if !self.may_go_on() {
-            return Err(Failure::new(code, told));
+        if !self.may_retry() {
+            return Err(Failure::new(code, cause));
         }
         if is_last {
             self.frontend.count_retry("lost");
@@ -144,7 +148,7 @@
         Ok(())
     }
 
-    fn others(&self) -> bool {
+    fn has_untried_upstream(&self) -> bool {
         self.frontend
             .view
             .pool(&self.pool)
@@ -152,23 +156,23 @@
             .any(|upstream| upstream.is_ready() && !self.tried.contains(&upstream.incarnation))
     }
 
-    /// A refusal that is true: nothing runs, or what ran is said to be unknown.
-    pub(in crate::direct) fn refusal(&self, code: Code, told: &str) -> Failure {
+    /// Returns a failure with `code`, or one whose fate is unknown if the request may have run.
+    pub(in crate::direct) fn refusal(&self, code: Code, cause: &str) -> Failure {
         if self.possible_runs > 0 {
-            return Failure::new(Code::UpstreamLost, told);
+            return Failure::new(Code::UpstreamLost, cause);
         }
-        Failure::new(code, told).retry_after(COME_BACK)
+        Failure::new(code, cause).retry_after(MIN_RETRY_AFTER)
     }
 
-    /// Notes that an upstream is silent, broke an answer off, or says that it failed.
-    pub fn blame(&mut self, upstream: &Upstream) {
+    /// Records a failure of an upstream that was silent, broke off a response or returned an error.
+    pub fn penalize(&mut self, upstream: &Upstream) {
         upstream.failed(self.now());
         self.tried.push(Name::clone(&upstream.incarnation));
     }
 
-    /// Whether a broken answer may be continued, or a failed one repeated, elsewhere.
+    /// Whether an interrupted stream may be resumed, or a failed request retried, elsewhere.
     #[must_use]
-    pub fn may_go_on(&self) -> bool {
+    pub fn may_retry(&self) -> bool {
         self.message.kind.is_retryable()
             && self.possible_runs < self.route.attempts
             && self.now() + SELECTION_RETRY_PAUSE < self.deadline
--- a/lib/src/direct/request/quarantine.rs
+++ b/lib/src/direct/request/quarantine.rs
@@ -1,4 +1,4 @@
-//! Whether a request may be sent at all, by what became of upstreams that ran it.
+//! Stops requests that crash the upstreams that run them, and reports crashes.
 
 use std::sync::Arc;
 
@@ -8,33 +8,34 @@
 use crate::poison::ledger::Sign;
 
 impl ActiveRequest {
-    /// Whether the request may be sent to an upstream, for the first time or again.
+    /// Fails if the request is quarantined; runs right before each send.
     ///
-    /// A request that ends every engine that begins to run it goes on at the next one by itself,
-    /// and its caller's next attempt starts anew at any node: one request ended nearly all engines
-    /// of a fleet, again and again. All that is sent passes this check, right before it is.
+    /// A request that crashes every engine that starts it would be retried at the next engine, and
+    /// its caller's next attempt would start over at any node: one such request crashed nearly all
+    /// engines of a fleet, repeatedly.
     ///
     /// # Errors
     ///
-    /// When upstreams ended under it; nothing more of it is sent.
+    /// When upstreams crashed while they ran it; it is not sent again.
     pub(in crate::direct) fn check_quarantine(&self) -> Result<(), Failure> {
         let quarantine = &self.frontend.quarantine;
         if quarantine.is_empty() {
             return Ok(());
         }
         let checked = quarantine.check_send(self.message.fingerprint());
-        checked.map_err(|failure| self.suspected(failure))
+        checked.map_err(|failure| self.quarantine_failure(failure))
     }
 
-    fn suspected(&self, failure: Failure) -> Failure {
+    /// Returns the failure for the caller; its fate is unknown if the request may have run.
+    fn quarantine_failure(&self, failure: Failure) -> Failure {
         match self.possible_runs {
             0 => failure,
             _ => Failure::new(Code::UpstreamLost, failure.detail),
         }
     }
 
-    /// Waits until the request may no longer stay where it was sent.
-    pub(super) async fn quarantined(&self) -> Failure {
+    /// Waits until the request is quarantined while it is in flight.
+    pub(super) async fn wait_until_quarantined(&self) -> Failure {
         loop {
             let changed = self.frontend.view.changed.notified();
             let mut changed = std::pin::pin!(changed);
@@ -43,14 +44,14 @@
             if !quarantine.is_empty()
                 && let Err(failure) = quarantine.check(self.message.fingerprint())
             {
-                return self.suspected(failure);
+                return self.quarantine_failure(failure);
             }
             changed.await;
         }
     }
 
-    /// Takes in that the connection to an upstream broke while the request stood there.
-    pub(in crate::direct) fn broke(&self, upstream: &Arc<Upstream>, sign: Sign) {
+    /// Records that the connection to an upstream broke while the request was in flight there.
+    pub(in crate::direct) fn record_broken_connection(&self, upstream: &Arc<Upstream>, sign: Sign) {
         let fingerprint = self.message.fingerprint().clone();
         log::info!(
             request = self.id(),
@@ -62,8 +63,8 @@
         self.frontend.quarantine.broke(upstream, fingerprint, sign);
     }
 
-    /// Takes in that an upstream ran the request without harm.
-    pub(in crate::direct) fn survived(&self) {
+    /// Records that an upstream ran the request without crashing.
+    pub(in crate::direct) fn record_harmless_run(&self) {
         self.frontend
             .quarantine
             .survived(self.message.fingerprint());
--- a/lib/src/direct/request/retry.rs
+++ b/lib/src/direct/request/retry.rs
@@ -1,22 +1,23 @@
-//! Leave to send a request again, out of the budget of all nodes.
+//! Takes retries and hedges of a request from the budget shared by all nodes.
 
 use super::ActiveRequest;
 use crate::clock::Millis;
 use crate::direct::upstream::Upstream;
 
 impl ActiveRequest {
-    /// Takes from the budget for repeats what sending a request elsewhere too costs, if that pays.
+    /// Reserves a send to a second upstream while the first one is silent, if it is worthwhile.
     ///
-    /// An engine that lives has the request in its queue, and begins it sooner than another one
-    /// at which it would be the last again: it is sent only where a free place is believed.
-    pub(in crate::direct) fn reserve_elsewhere(&mut self, waits_at: &Upstream) -> bool {
-        let is_plain = self.message.metadata.model.is_none();
-        (is_plain || self.has_free_holder(waits_at)) && self.reserve_repeat()
+    /// An engine that is alive has the request in its queue and starts it sooner than another
+    /// engine would that puts it at the end of its queue. So a request for a model is hedged only
+    /// where an engine is believed to have a free slot.
+    pub(in crate::direct) fn reserve_hedge(&mut self, waits_at: &Upstream) -> bool {
+        let uses_no_model = self.message.metadata.model.is_none();
+        (uses_no_model || self.has_free_holder(waits_at)) && self.reserve_retry()
     }
 
-    /// Waits for `pause`, and on until the budget allows a further send; false if it doesn't
-    /// before `until`.
-    pub(in crate::direct) async fn wait_for_repeat(&self, pause: Millis, until: Millis) -> bool {
+    /// Waits for `pause` at a time until the budget allows a retry; false if it doesn't before
+    /// `until`.
+    pub(in crate::direct) async fn wait_for_retry(&self, pause: Millis, until: Millis) -> bool {
         while self.now() + pause < until {
             tokio::time::sleep(pause.duration()).await;
             if self.take_retry() {
@@ -26,13 +27,13 @@
         false
     }
 
-    /// Takes what the next send costs from the budget, unless it was taken already.
-    pub(super) fn reserve_repeat(&mut self) -> bool {
-        self.repeat_reserved = self.repeat_reserved || self.take_retry();
-        self.repeat_reserved
+    /// Takes the next send from the retry budget unless that was done already.
+    pub(super) fn reserve_retry(&mut self) -> bool {
+        self.retry_reserved = self.retry_reserved || self.take_retry();
+        self.retry_reserved
     }
 
-    /// Takes what one more send costs from the budget of all nodes.
+    /// Takes one retry from the budget of all nodes.
     fn take_retry(&self) -> bool {
         self.frontend.take_retry(&self.pool)
     }
--- a/lib/src/direct/request/send.rs
+++ b/lib/src/direct/request/send.rs
@@ -1,4 +1,4 @@
-//! What is sent to an upstream, and with what it goes.
+//! Sends a request to an upstream, or resumes its moved run there.
 
 use std::sync::Arc;
 
@@ -14,27 +14,28 @@
 use crate::name::Name;
 
 impl ActiveRequest {
+    /// Sends the request to a target; the response arrives through `sends`.
     pub(super) fn send(&mut self, sends: &mut Sends, target: Target, resume_after: Option<u64>) {
         let dispatch = Dispatch {
             resume_after: resume_after.or(self.message.metadata.resume_after),
             ..self.dispatch(&target)
         };
-        self.repeat_reserved = false;
+        self.retry_reserved = false;
         self.possible_runs += 1;
         self.sent_at = self.now();
         request_log::sent(self, &target.upstream, target.version, dispatch.deadline);
-        self.note_uncounted(&target, target.permit.as_ref());
+        self.report_uncounted(&target, target.permit.as_ref());
         let watch = self.watch(&target);
         let (message, dialect) = (&self.message, &self.frontend.dialect);
         sends.begin(message, dialect, target, dispatch, watch, self.sent_at);
     }
 
-    /// Sends the request to where the memory of its stopped run lies, to go on behind `last`.
+    /// Resumes a stopped run after event `last`, at an engine that can obtain its KV cache.
     ///
-    /// It counts as the same run, so it takes nothing from the budget for repeats.
-    pub(in crate::direct) async fn continue_run(
+    /// It is still the same run, so it takes nothing from the retry budget.
+    pub(in crate::direct) async fn resume_moved_run(
         &self,
-        place: &Target,
+        target: &Target,
         memory: Memory,
         last: Option<u64>,
     ) -> Result<UpstreamResponse, SendError> {
@@ -43,60 +44,60 @@
         let dispatch = Dispatch {
             resume_after: last,
             memory: Some(memory),
-            ..self.dispatch(place)
+            ..self.dispatch(target)
         };
-        request_log::sent(self, &place.upstream, place.version, dispatch.deadline);
-        let permit = self.permit(place).await;
-        let (upstream, dialect) = (&place.upstream, &*self.frontend.dialect);
-        let watch = self.watch(place);
+        request_log::sent(self, &target.upstream, target.version, dispatch.deadline);
+        let permit = self.moved_run_permit(target).await;
+        let (upstream, dialect) = (&target.upstream, &*self.frontend.dialect);
+        let watch = self.watch(target);
         let send = self
             .message
             .send(upstream, dialect, &dispatch, permit, watch);
-        // With nowhere else to go, an engine that is slow to begin is better than none: given up
-        // after an objective, the caller's stream was cut.
-        let span = if self.may_go_on() {
+        // Without another way to continue, wait for a slow engine until the deadline: giving up
+        // after the route's latency objective aborted streams that could have continued.
+        let timeout = if self.may_retry() {
             dispatch.deadline.min(self.route.objective)
         } else {
             dispatch.deadline
         };
-        let answer = tokio::time::timeout(span.duration(), send)
+        let response = tokio::time::timeout(timeout.duration(), send)
             .await
             .unwrap_or_else(|_| {
-                let told = format!("no answer within {span}");
-                Err(SendError::Lost(Code::ExpiredRunning, told))
+                let cause = format!("no answer within {timeout}");
+                Err(SendError::Lost(Code::ExpiredRunning, cause))
             })?;
-        if answer.head.status.is_success() {
-            return Ok(answer);
+        if response.head.status.is_success() {
+            return Ok(response);
         }
-        let told = format!("status {}", answer.head.status);
-        Err(SendError::Lost(Code::UpstreamLost, told))
+        let cause = format!("status {}", response.head.status);
+        Err(SendError::Lost(Code::UpstreamLost, cause))
     }
 
-    /// Has a run that was moved counted in where it goes on.
-    async fn permit(&self, place: &Target) -> Option<Permit> {
+    /// Asks the owner of the engine where a moved run resumes to count it.
+    async fn moved_run_permit(&self, target: &Target) -> Option<Permit> {
         let question = Question {
             loaded: true,
-            // Its prompt isn't read again.
+            // The prompt isn't prefilled again.
             tokens: 0,
             ..self.question(
                 self.message.metadata.adapter(),
-                place.version.unwrap_or_default(),
+                target.version.unwrap_or_default(),
             )
         };
         let permit = match self
             .frontend
             .controllers
-            .admit(&place.upstream, question)
+            .admit(&target.upstream, question)
             .await
         {
             admit::Answer::Admitted(permit, _) => Some(permit),
             _ => None,
         };
-        self.note_uncounted(place, permit.as_ref());
+        self.report_uncounted(target, permit.as_ref());
         permit
     }
 
-    /// Watches until when the request may begin at a target.
+    /// Watches until when the request may start on the target's version of its adapter.
     fn watch(&self, target: &Target) -> Option<Watch> {
         let adapter = self.message.metadata.adapter()?;
         Some(Watch::new(
@@ -108,8 +109,8 @@
         ))
     }
 
-    /// Lets the owner hear of a request that it doesn't count, by the next exchange.
-    fn note_uncounted(&self, target: &Target, permit: Option<&Permit>) {
+    /// Reports a request that the engine's owner doesn't count with the next exchange.
+    fn report_uncounted(&self, target: &Target, permit: Option<&Permit>) {
         if let (Some(adapter), None) = (self.message.metadata.adapter(), permit) {
             self.frontend
                 .controllers
--- a/lib/src/direct/request_log.rs
+++ b/lib/src/direct/request_log.rs
@@ -1,8 +1,8 @@
-//! One line for each decision that touches a request.
+//! Logs one line for each decision about a request.
 //!
-//! Engineers on call have nothing but a request's id. Each line carries it, what
-//! decided, how old that was, and the outcome with its numbered code. No line
-//! holds a prompt, a body or a header of the caller.
+//! An engineer on call starts from a request's id alone. Each line carries the id, the data that
+//! the decision rested on with its age, and the outcome with its numeric code. No line contains a
+//! prompt, a body or a header of the caller.
 
 use super::attempt::SendError;
 use super::orders::Loaded;
@@ -14,43 +14,43 @@
 /// How a request ended.
 #[derive(Debug)]
 pub enum RequestOutcome<'a> {
-    /// The upstream's answer was passed on whole.
+    /// The upstream's complete response was forwarded, with this status.
     Answered(u16),
-    /// It was refused or failed before a byte of an answer left.
+    /// It was refused or failed before any of a response was sent to the caller.
     Failed(&'a Failure),
-    /// The answer broke off on its way.
-    Cut(&'a str),
-    /// The caller went away.
-    Left,
+    /// The response was aborted after part of it was sent, for this reason.
+    Aborted(&'a str),
+    /// The caller disconnected.
+    CallerGone,
 }
 
 impl RequestOutcome<'_> {
-    /// Returns the numbered code; 0 is a whole answer.
+    /// Returns the numeric code; 0 is a complete response.
     #[must_use]
     pub fn code(&self) -> u32 {
         match self {
             Self::Answered(_) => 0,
             Self::Failed(failure) => failure.code.number(),
-            Self::Cut(_) => Code::AnswerCut.number(),
-            Self::Left => Code::CallerGoneRunning.number(),
+            Self::Aborted(_) => Code::AnswerCut.number(),
+            Self::CallerGone => Code::CallerGoneRunning.number(),
         }
     }
 
-    fn told(&self) -> String {
+    fn cause(&self) -> String {
         match self {
             Self::Answered(status) => format!("status {status}"),
             Self::Failed(failure) => failure.detail.clone(),
-            Self::Cut(told) => (*told).to_owned(),
-            Self::Left => "the caller went away".to_owned(),
+            Self::Aborted(cause) => (*cause).to_owned(),
+            Self::CallerGone => "the caller went away".to_owned(),
         }
     }
 }
 
-/// Records that a request is sent.
+/// Logs that a request is sent.
 ///
-/// The newest version that this node knows of, and for how long, tell whether an older one was
-/// chosen knowingly; the age of the list and whether the upstream is missing from it, whether one
-/// that had left was.
+/// The newest version known and its age show whether an older version was chosen although the node
+/// knew of a newer one. The age of the list and the upstream's stage show the same for an upstream
+/// that had left.
 pub fn sent(request: &ActiveRequest, upstream: &Upstream, version: Option<u64>, left: Millis) {
     let adapter = request.message.metadata.adapter();
     let newest = adapter.and_then(|adapter| request.frontend.view.newest(adapter));
@@ -79,58 +79,59 @@
     );
 }
 
-/// Records that an attempt gave no answer.
-pub fn missed(request: &ActiveRequest, upstream: &Upstream, miss: &SendError) {
-    let (code, told) = match miss {
-        SendError::Unsent(told) => (Code::ConnectFailed, told.clone()),
+/// Logs that a send got no response.
+pub fn send_failed(request: &ActiveRequest, upstream: &Upstream, error: &SendError) {
+    let (code, cause) = match error {
+        SendError::Unsent(cause) => (Code::ConnectFailed, cause.clone()),
         SendError::Rejected { status, .. } => (Code::UpstreamRefused, format!("status {status}")),
         SendError::Withdrawn { sent } => {
-            let told = format!("a newer version was declared, sent={sent}");
-            (Code::VersionReplaced, told)
+            let cause = format!("a newer version was declared, sent={sent}");
+            (Code::VersionReplaced, cause)
         }
-        SendError::Lost(code, told) => (*code, told.clone()),
+        SendError::Lost(code, cause) => (*code, cause.clone()),
     };
     log::info!(
         request = request.id(),
         upstream = &*upstream.incarnation,
-        outcome = miss.name(),
+        outcome = error.name(),
         code = code.number(),
-        cause = told.as_str(),
+        cause = cause.as_str(),
         passed_ms = request.now().since(request.arrived_at).0;
         "request: missed"
     );
 }
 
-/// A question for an adapter at an engine, recorded when it ends.
+/// A request's wait for an engine to load its adapter, logged when it ends.
 ///
-/// A caller may leave while it waits; without a line then, nothing tells where it waited.
+/// It is logged on drop, so that the line also appears when the caller disconnects meanwhile;
+/// nothing else would show what the request was waiting for.
 #[derive(Debug)]
 pub struct LoadAttempt<'a> {
     request: &'a ActiveRequest,
     upstream: &'a Upstream,
     adapter: &'a str,
-    began: Millis,
+    started_at: Millis,
     outcome: &'static str,
 }
 
 impl<'a> LoadAttempt<'a> {
-    /// Begins to ask.
+    /// Starts the wait.
     #[must_use]
     pub fn new(request: &'a ActiveRequest, upstream: &'a Upstream, adapter: &'a str) -> Self {
         Self {
             request,
             upstream,
             adapter,
-            began: request.now(),
+            started_at: request.now(),
             outcome: "given_up",
         }
     }
 
-    /// Notes the answer, and returns how long it took.
+    /// Records the outcome and returns how long it took.
     #[must_use]
     pub fn finish(mut self, loaded: Loaded) -> Millis {
         self.outcome = loaded.name();
-        self.request.now().since(self.began)
+        self.request.now().since(self.started_at)
     }
 }
 
@@ -143,14 +144,14 @@
             upstream = &*self.upstream.incarnation,
             adapter = self.adapter,
             outcome = self.outcome,
-            took_ms = self.request.now().since(self.began).0;
+            took_ms = self.request.now().since(self.started_at).0;
             "request: asked for the adapter"
         );
     }
 }
 
-/// Records that a run is moved to another engine, or that it could not go on there.
-pub fn moved(request: &ActiveRequest, to: &Upstream, after: Option<u64>, outcome: &str) {
+/// Logs that a moved run resumed at another engine, or why it could not.
+pub fn run_moved(request: &ActiveRequest, to: &Upstream, after: Option<u64>, outcome: &str) {
     log::info!(
         request = request.id(),
         upstream = &*to.incarnation,
@@ -160,7 +161,7 @@
     );
 }
 
-/// Records that a stream goes on at another upstream.
+/// Logs that a stream resumes at another upstream.
 pub fn resumed(request: &ActiveRequest, after: Option<u64>, cause: &str) {
     log::info!(
         request = request.id(),
@@ -170,7 +171,7 @@
     );
 }
 
-/// Records that nothing better than an upstream that is silent was found.
+/// Logs that the request stays at a silent upstream because no better one was found.
 pub fn stays(request: &ActiveRequest, upstream: &Upstream) {
     log::info!(
         request = request.id(),
@@ -180,30 +181,30 @@
     );
 }
 
-/// Records how a request ended.
-pub fn ended(request: &ActiveRequest, end: &RequestOutcome<'_>) {
-    let cause = end.told();
+/// Logs the outcome of a request.
+pub fn ended(request: &ActiveRequest, outcome: &RequestOutcome<'_>) {
+    let cause = outcome.cause();
     log::info!(
         request = request.id(),
         route = &*request.route.name,
         pool = &*request.pool,
         config = request.config_version,
-        code = end.code(),
+        code = outcome.code(),
         cause = cause.as_str(),
         sent = request.possible_runs(),
-        first_ms = request.timing.first.map_or(0, |first| first.0),
-        pause_ms = request.timing.longest.0,
-        pause_after = request.timing.longest_after,
-        pieces = request.timing.pieces,
-        moved = request.timing.moved,
+        first_ms = request.timing.first_event.map_or(0, |first| first.0),
+        pause_ms = request.timing.longest_gap.0,
+        pause_after = request.timing.chunks_before_longest_gap,
+        pieces = request.timing.chunks,
+        moved = request.timing.handovers,
         passed_ms = request.now().since(request.arrived_at).0,
         allowed_ms = request.deadline.since(request.arrived_at).0;
         "request: ended"
     );
 }
 
-/// Records a request that was refused before it had a way.
-pub fn turned_away(id: &str, failure: &Failure) {
+/// Logs a request that was refused before a pool was selected for it.
+pub fn refused(id: &str, failure: &Failure) {
     log::info!(
         request = id,
         code = failure.code.number(),
--- a/lib/src/direct/resume.rs
+++ b/lib/src/direct/resume.rs
@@ -1,8 +1,9 @@
-//! How a stream goes on where its upstream is silent, has broken off, or stopped the run.
+//! Resumes a stream whose upstream is silent, has broken it off, or has stopped its run.
 //!
-//! Callers see one stream. Nothing that can still bring its next event is given up before
-//! something else does: not a silent engine, not a place in another one's queue, not the memory
-//! of a run that was stopped to be moved. See docs/design/0010-leaving-a-silent-engine.md.
+//! Callers see one stream. Nothing that may still produce its next event is given up before
+//! something else has produced it: not the connection to a silent engine, not a position in another
+//! engine's queue, not the KV cache of a run that was stopped for a handover. See
+//! docs/design/0010-leaving-a-silent-engine.md.
 
 use std::sync::Arc;
 
@@ -11,115 +12,119 @@
 use super::attempt::{SendError, UpstreamResponse};
 use super::event_sequence::{EventSequence, StreamStep};
 use super::handover::{HandoverReply, StoppedRun};
-use super::relay::{Relay, ResponseAborted, USUAL_PAUSE};
+use super::relay::{DEFAULT_GAP, Relay, ResponseAborted};
 use super::request::SELECTION_RETRY_PAUSE;
 use super::request_log;
 use super::versions;
 use crate::clock::Millis;
 use crate::error::Failure;
 
-/// Longest pauses after which callers give a stream up.
-const BORNE_PAUSES: u64 = 8;
+/// Wait for an event, in longest gaps of the route, after which callers give a stream up.
+const CALLER_TIMEOUT_GAPS: u64 = 8;
 
-/// Why a run was given up that could no longer begin.
+/// Cause logged for a run that could no longer start on its version of the adapter.
 const REPLACED: &str = "a newer version of the adapter was declared before it began";
 
-/// What came first.
-enum Found {
-    /// What the silent engine brought.
-    Here(StreamStep),
-    /// The search's result, and how the silent engine's answer ended meanwhile, if it did.
-    Elsewhere(Result<Box<UpstreamResponse>, Failure>, Option<StreamStep>),
+/// What happened first while another engine was tried for a silent one.
+enum FirstResult {
+    /// The silent engine's stream continued or ended.
+    SilentEngine(StreamStep),
+    /// The attempt elsewhere finished; with how the silent engine's response ended, if it did.
+    OtherEngine(Result<Box<UpstreamResponse>, Failure>, Option<StreamStep>),
 }
 
 impl Relay {
-    /// Decides what becomes of a stream whose engine is silent.
+    /// Handles a stream whose engine sent nothing for `timeout`.
     ///
-    /// An engine can pause for longer than callers bear and go on. It is left only for another
-    /// one that has begun to go on with the stream.
-    pub(super) async fn stalled(&mut self, span: Millis) -> StreamStep {
-        let told = format!("nothing for {span}");
+    /// An engine can pause for longer than callers wait, and then continue. So it is abandoned only
+    /// once another engine has started to resume the stream.
+    pub(super) async fn handle_stall(&mut self, timeout: Millis) -> StreamStep {
+        let cause = format!("nothing for {timeout}");
         if self.stopped.is_some() || self.request.now() >= self.request.deadline {
-            return StreamStep::Broken(told);
+            return StreamStep::Broken(cause);
         }
-        let Some(former) = self.answer.take() else {
-            return StreamStep::Broken(told);
+        let Some(silent) = self.response.take() else {
+            return StreamStep::Broken(cause);
         };
-        if !self.request.reserve_elsewhere(&former.upstream) {
-            self.answer = Some(former);
+        if !self.request.reserve_hedge(&silent.upstream) {
+            self.response = Some(silent);
             return StreamStep::More;
         }
-        self.look_elsewhere(former, told).await
+        self.hedge(silent, cause).await
     }
 
-    /// Has another engine go on with a stream, unless the silent one does so first.
+    /// Resumes a stream at another engine unless the silent one continues first.
     ///
-    /// A free place elsewhere is only believed, and the engine there can reject the request. So
-    /// the silent one is read meanwhile, and closed once another one's head has come. Where its
-    /// answer ends meanwhile, the other one's is waited for all the same.
-    async fn look_elsewhere(&mut self, former: UpstreamResponse, told: String) -> StreamStep {
-        let upstream = Arc::clone(&former.upstream);
-        if !std::mem::replace(&mut self.silent, true) {
-            self.request.blame(&upstream);
+    /// A free slot elsewhere is only an estimate, and the engine there can reject the request. So
+    /// the silent engine's response is still read, and closed only once the other response's head
+    /// has arrived. If the silent engine's response ends first, the other one is awaited anyway.
+    async fn hedge(&mut self, silent: UpstreamResponse, cause: String) -> StreamStep {
+        let upstream = Arc::clone(&silent.upstream);
+        if !std::mem::replace(&mut self.penalized, true) {
+            self.request.penalize(&upstream);
         }
-        self.request.stands_at = Some(Arc::clone(&upstream.incarnation));
-        let mut former = Some(former);
-        let found = self.first_of(&mut former).await;
-        self.request.stands_at = None;
-        match found {
-            Found::Here(step) => {
-                self.answer = former;
+        self.request.in_flight_at = Some(Arc::clone(&upstream.incarnation));
+        let mut silent = Some(silent);
+        let result = self.first_result(&mut silent).await;
+        self.request.in_flight_at = None;
+        match result {
+            FirstResult::SilentEngine(step) => {
+                self.response = silent;
                 step
             }
-            Found::Elsewhere(Ok(answer), _) if answer.head.status.is_success() => {
+            FirstResult::OtherEngine(Ok(response), _) if response.head.status.is_success() => {
                 self.request.frontend.count_retry("resumed");
-                request_log::resumed(&self.request, self.events.last(), &told);
-                drop(former);
-                // What was asked of the former engine is of no use any more.
+                request_log::resumed(&self.request, self.events.last(), &cause);
+                drop(silent);
+                // A handover requested from the silent engine no longer matters.
                 self.handover = None;
-                self.begin(*answer);
+                self.switch_to(*response);
                 StreamStep::More
             }
-            Found::Elsewhere(_, Some(StreamStep::Withdrawn)) => {
+            FirstResult::OtherEngine(_, Some(StreamStep::Withdrawn)) => {
                 StreamStep::Broken(REPLACED.to_owned())
             }
-            Found::Elsewhere(_, Some(ended)) => {
-                self.broke(&upstream);
+            FirstResult::OtherEngine(_, Some(ended)) => {
+                self.record_broken_connection(&upstream);
                 match ended {
-                    StreamStep::Broken(told) => StreamStep::Broken(told),
+                    StreamStep::Broken(cause) => StreamStep::Broken(cause),
                     _ => StreamStep::Broken("the run may have been stopped".to_owned()),
                 }
             }
-            Found::Elsewhere(_, None) => {
+            FirstResult::OtherEngine(_, None) => {
                 request_log::stays(&self.request, &upstream);
-                self.answer = former;
+                self.response = silent;
                 StreamStep::More
             }
         }
     }
 
-    /// Reads a silent engine's answer while another engine is looked for.
+    /// Reads a silent engine's response while another engine is tried.
     ///
-    /// The answer is dropped when it ends, or when its run may no longer begin.
-    async fn first_of(&mut self, former: &mut Option<UpstreamResponse>) -> Found {
-        // A run that may have been stopped to be moved ends its stream early.
-        let ends_whole = self.handover.is_none();
+    /// The response is dropped when it ends, or when its run may no longer start.
+    async fn first_result(&mut self, silent: &mut Option<UpstreamResponse>) -> FirstResult {
+        // The stream of a run that is stopped for a handover ends early.
+        let end_is_complete = self.handover.is_none();
         let Self {
             request, events, ..
         } = self;
         let mut ended = None;
-        let search = request.answer(events.last());
-        let mut search = std::pin::pin!(search);
+        let attempt = request.next_response(events.last());
+        let mut attempt = std::pin::pin!(attempt);
         loop {
             tokio::select! {
                 biased;
-                answer = &mut search => return Found::Elsewhere(answer.map(Box::new), ended),
-                step = next_step(former, events) => match step {
+                response = &mut attempt => {
+                    return FirstResult::OtherEngine(response.map(Box::new), ended);
+                }
+                step = next_step(silent, events) => match step {
                     StreamStep::More => {}
-                    StreamStep::End if ends_whole => return Found::Here(StreamStep::End),
-                    step @ StreamStep::Events(_) => return Found::Here(step),
+                    StreamStep::End if end_is_complete => {
+                        return FirstResult::SilentEngine(StreamStep::End);
+                    }
+                    step @ StreamStep::Events(_) => return FirstResult::SilentEngine(step),
                     step => {
-                        *former = None;
+                        *silent = None;
                         ended = Some(step);
                     }
                 },
@@ -127,188 +132,193 @@
         }
     }
 
-    /// Goes on elsewhere with a stream whose run may no longer begin where it is.
+    /// Moves a stream elsewhere whose run may no longer start at its engine.
     pub(super) async fn withdraw(&mut self) -> Result<(), ResponseAborted> {
-        if let Some(former) = self.answer.take() {
-            let upstream = Arc::clone(&former.upstream);
-            drop(former);
-            let miss = SendError::Withdrawn { sent: true };
-            let missed = self.request.missed(&upstream, miss, true);
-            missed.map_err(|failure| ResponseAborted(failure.to_string()))?;
+        if let Some(response) = self.response.take() {
+            let upstream = Arc::clone(&response.upstream);
+            drop(response);
+            let error = SendError::Withdrawn { sent: true };
+            let handled = self.request.handle_send_error(&upstream, error, true);
+            handled.map_err(|failure| ResponseAborted(failure.to_string()))?;
         }
-        self.read_anew(REPLACED).await
+        self.resume_with_prefill(REPLACED).await
     }
 
-    /// Whether a stream that ended in order is whole.
+    /// Whether a stream that ended normally is complete; if not, the stream is resumed.
     ///
-    /// Where its run was to be moved, the engine's answer tells whether it was stopped.
+    /// If a handover was started, the engine's reply tells whether it stopped the run.
     ///
     /// # Errors
     ///
-    /// [`ResponseAborted`] when it isn't and can't go on.
-    pub(super) async fn is_whole(&mut self) -> Result<bool, ResponseAborted> {
+    /// [`ResponseAborted`] when the stream is incomplete and can't be resumed.
+    pub(super) async fn is_complete(&mut self) -> Result<bool, ResponseAborted> {
         if self.handover.is_none() && self.stopped.is_none() {
             return Ok(true);
         }
-        let span = self.patience(self.request.now());
-        match self.moved(span).await {
-            HandoverReply::Unchanged => Ok(true),
-            HandoverReply::Stopped(moved) => self.continue_moved(&moved).await.map(|()| false),
+        let timeout = self.event_timeout(self.request.now());
+        match self.take_handover_reply(timeout).await {
+            HandoverReply::NotStopped => Ok(true),
+            HandoverReply::Stopped(run) => self.resume_stopped_run(&run).await.map(|()| false),
             HandoverReply::Unanswered => {
-                let told = "the run may have been stopped";
-                self.go_on_elsewhere(told).await.map(|()| false)
+                let cause = "the run may have been stopped";
+                self.resume_elsewhere(cause).await.map(|()| false)
             }
         }
     }
 
-    /// Goes on behind the last event: where the run's memory lies, or anew elsewhere.
+    /// Resumes the stream after the last event: with the run's KV cache, or by a new prefill.
     ///
     /// # Errors
     ///
-    /// [`ResponseAborted`] when it can't go on.
-    pub(super) async fn go_on(&mut self, told: &str) -> Result<(), ResponseAborted> {
-        let span = self.patience(self.request.now());
-        if let HandoverReply::Stopped(moved) = self.moved(span).await {
-            return self.continue_moved(&moved).await;
+    /// [`ResponseAborted`] when the stream can't be resumed.
+    pub(super) async fn resume(&mut self, cause: &str) -> Result<(), ResponseAborted> {
+        let timeout = self.event_timeout(self.request.now());
+        if let HandoverReply::Stopped(run) = self.take_handover_reply(timeout).await {
+            return self.resume_stopped_run(&run).await;
         }
-        self.go_on_elsewhere(told).await
+        self.resume_elsewhere(cause).await
     }
 
-    /// Goes on anew elsewhere, or where the run's memory lies if the engine tells that after all.
-    async fn go_on_elsewhere(&mut self, told: &str) -> Result<(), ResponseAborted> {
-        // Dropping the answer closes its connection, so that the former
-        // upstream stops before another begins.
-        if let Some(former) = self.answer.take() {
-            let upstream = Arc::clone(&former.upstream);
-            drop(former);
-            self.request.blame(&upstream);
-            self.broke(&upstream);
+    /// Resumes the stream by a new prefill, or with the run's KV cache if the engine's handover
+    /// reply arrives after all.
+    async fn resume_elsewhere(&mut self, cause: &str) -> Result<(), ResponseAborted> {
+        // Dropping the response closes its connection, so that the former upstream stops the run
+        // before another one starts.
+        if let Some(response) = self.response.take() {
+            let upstream = Arc::clone(&response.upstream);
+            drop(response);
+            self.request.penalize(&upstream);
+            self.record_broken_connection(&upstream);
         }
-        let Err(cut) = self.read_anew(told).await else {
+        let Err(aborted) = self.resume_with_prefill(cause).await else {
             self.handover = None;
             return Ok(());
         };
-        // The memory of a run that was stopped may still be named.
+        // The handover reply may still arrive and contain the handle of the KV cache.
         let left = self.request.deadline.since(self.request.now());
-        match self.moved(left).await {
-            HandoverReply::Stopped(moved) => self.continue_moved(&moved).await,
-            HandoverReply::Unchanged | HandoverReply::Unanswered => Err(cut),
+        match self.take_handover_reply(left).await {
+            HandoverReply::Stopped(run) => self.resume_stopped_run(&run).await,
+            HandoverReply::NotStopped | HandoverReply::Unanswered => Err(aborted),
         }
     }
 
-    /// Returns what the engine said to the question to move the run.
-    async fn moved(&mut self, span: Millis) -> HandoverReply {
-        if let Some(moved) = self.stopped.take() {
-            return HandoverReply::Stopped(moved);
+    /// Returns the engine's reply to the handover, waiting for it up to `timeout`.
+    ///
+    /// The handover is kept for another call if the engine hasn't replied.
+    async fn take_handover_reply(&mut self, timeout: Millis) -> HandoverReply {
+        if let Some(run) = self.stopped.take() {
+            return HandoverReply::Stopped(run);
         }
         let Some(mut handover) = self.handover.take() else {
-            return HandoverReply::Unchanged;
+            return HandoverReply::NotStopped;
         };
-        let reply = handover.reply(span).await;
+        let reply = handover.reply(timeout).await;
         if matches!(reply, HandoverReply::Unanswered) {
             self.handover = Some(handover);
         }
         reply
     }
 
-    /// Has another upstream read the prompt and go on behind the last event.
-    async fn read_anew(&mut self, told: &str) -> Result<(), ResponseAborted> {
-        if !self.request.may_go_on() {
-            return Err(ResponseAborted(told.to_owned()));
+    /// Resumes the stream after the last event at another upstream, which prefills the prompt.
+    async fn resume_with_prefill(&mut self, cause: &str) -> Result<(), ResponseAborted> {
+        if !self.request.may_retry() {
+            return Err(ResponseAborted(cause.to_owned()));
         }
         self.request.frontend.count_retry("resumed");
-        request_log::resumed(&self.request, self.events.last(), told);
-        let answer = self
+        request_log::resumed(&self.request, self.events.last(), cause);
+        let response = self
             .request
-            .answer(self.events.last())
+            .next_response(self.events.last())
             .await
-            .map_err(|failure| ResponseAborted(format!("{told}; then {failure}")))?;
-        if !answer.head.status.is_success() {
+            .map_err(|failure| ResponseAborted(format!("{cause}; then {failure}")))?;
+        if !response.head.status.is_success() {
             return Err(ResponseAborted(format!(
-                "{told}; then status {}",
-                answer.head.status
+                "{cause}; then status {}",
+                response.head.status
             )));
         }
-        self.begin(answer);
+        self.switch_to(response);
         Ok(())
     }
 
-    /// Has an engine go on with a run whose memory lies there or is to be had from there.
+    /// Resumes a stopped run at an engine that holds its KV cache or can fetch it.
     ///
-    /// Both engines can be full at that moment, and the memory stays where it is for seconds.
-    /// Where the prompt can't be read anew either, they are asked again for as long as callers
-    /// bear a pause: the memory is all that is left of the answer.
-    async fn continue_moved(&mut self, moved: &StoppedRun) -> Result<(), ResponseAborted> {
-        self.answer = None;
-        let pause = self
+    /// Both engines can be full at the moment, and the KV cache is kept for seconds. If a new
+    /// prefill isn't possible either, they are asked again for as long as callers wait for an
+    /// event, because only the KV cache can still complete the stream.
+    async fn resume_stopped_run(&mut self, run: &StoppedRun) -> Result<(), ResponseAborted> {
+        self.response = None;
+        let gap = self
             .request
             .route
             .pause
-            .unwrap_or(USUAL_PAUSE)
+            .unwrap_or(DEFAULT_GAP)
             .max(SELECTION_RETRY_PAUSE);
-        let given_up = self.request.now() + Millis(pause.0 * BORNE_PAUSES);
-        let until = given_up.min(self.request.deadline);
+        let caller_timeout = self.request.now() + Millis(gap.0 * CALLER_TIMEOUT_GAPS);
+        let until = caller_timeout.min(self.request.deadline);
         let mut asked = 0;
-        for place in moved.places.iter().cycle() {
+        for target in run.targets.iter().cycle() {
             let last = self.events.last();
-            let sent = self.request.continue_run(place, moved.memory.clone(), last);
-            match sent.await {
-                Ok(answer) => {
-                    request_log::moved(&self.request, &place.upstream, last, "goes on");
-                    self.request.timing.moved += 1;
-                    self.begin(answer);
+            let sending = self
+                .request
+                .resume_moved_run(target, run.memory.clone(), last);
+            match sending.await {
+                Ok(response) => {
+                    request_log::run_moved(&self.request, &target.upstream, last, "goes on");
+                    self.request.timing.handovers += 1;
+                    self.switch_to(response);
                     return Ok(());
                 }
-                Err(miss) => {
-                    request_log::moved(&self.request, &place.upstream, last, miss.name());
-                    if matches!(miss, SendError::Rejected { .. }) {
+                Err(error) => {
+                    request_log::run_moved(&self.request, &target.upstream, last, error.name());
+                    if matches!(error, SendError::Rejected { .. }) {
                         self.request.frontend.charge_retry(&self.request.pool);
                     }
-                    // It may run there: nobody else may go on with the memory.
-                    if miss.may_run() {
-                        return self.read_anew("the moved run was lost").await;
+                    // The run may have resumed there, so no other engine may use the KV cache.
+                    if error.may_run() {
+                        return self.resume_with_prefill("the moved run was lost").await;
                     }
                 }
             }
             asked += 1;
-            if asked < moved.places.len() {
+            if asked < run.targets.len() {
                 continue;
             }
-            let told = "no engine has a place for the moved run";
-            if asked == moved.places.len() && self.read_anew(told).await.is_ok() {
+            let cause = "no engine has a free slot for the moved run";
+            if asked == run.targets.len() && self.resume_with_prefill(cause).await.is_ok() {
                 return Ok(());
             }
-            if !self.request.wait_for_repeat(pause, until).await {
-                return Err(ResponseAborted(told.to_owned()));
+            if !self.request.wait_for_retry(gap, until).await {
+                return Err(ResponseAborted(cause.to_owned()));
             }
         }
-        Err(ResponseAborted("the memory lies nowhere".to_owned()))
+        Err(ResponseAborted("no engine holds the KV cache".to_owned()))
     }
 
-    /// Goes on with another answer, behind the last event.
-    fn begin(&mut self, answer: UpstreamResponse) {
+    /// Continues the stream with another response, after the last event.
+    fn switch_to(&mut self, response: UpstreamResponse) {
         self.events.restart();
-        self.begin_run();
-        self.silent = false;
-        self.asked_to_move = false;
-        self.answer = Some(answer);
+        self.reset_progress();
+        self.penalized = false;
+        self.handover_started = false;
+        self.response = Some(response);
     }
 }
 
-/// Reads what an answer brings next; for ever if it was dropped.
+/// Reads the next step of a response; waits forever if it was dropped.
 async fn next_step(
-    answer: &mut Option<UpstreamResponse>,
+    response: &mut Option<UpstreamResponse>,
     events: &mut EventSequence,
 ) -> StreamStep {
-    let Some(answer) = answer else {
+    let Some(response) = response else {
         return std::future::pending().await;
     };
     tokio::select! {
         biased;
-        received = answer.body.frame() => {
-            answer.has_begun();
-            events.receive(received)
+        frame = response.body.frame() => {
+            response.mark_started();
+            events.receive(frame)
         }
-        () = versions::expired(answer.watch.as_ref()) => StreamStep::Withdrawn,
+        () = versions::expired(response.watch.as_ref()) => StreamStep::Withdrawn,
     }
 }
