--- a/lib/src/direct/attempt.rs
+++ b/lib/src/direct/attempt.rs
@@ -111,7 +111,7 @@
     pub upstream: Arc<Upstream>,
     /// The version of the adapter that the upstream was expected to have.
     pub version: Option<u64>,
-    /// Watches until when the run may start; `None` once it has started.
+    /// Watches until when the run may start; `None` once it has started, or without an adapter.
     pub watch: Option<Watch>,
     /// The connection that it arrives on.
     pub connection: Connection,
--- a/lib/src/direct/entry/mod.rs
+++ b/lib/src/direct/entry/mod.rs
@@ -223,17 +223,17 @@
         self.view.begin_by(adapter, version, limit)
     }
 
-    /// Loads an adapter at the first of `homes`, without waiting for it.
+    /// Loads an adapter at the first of some candidates, without waiting for it.
     ///
     /// Does nothing if the adapter was loaded in the background a moment ago.
     pub fn load_in_background(
         self: &Arc<Self>,
-        homes: Vec<Arc<Upstream>>,
+        candidates: Vec<Arc<Upstream>>,
         adapter: &Name,
         version: u64,
     ) {
         let now = self.clock.now();
-        let Some(upstream) = homes.into_iter().next() else {
+        let Some(upstream) = candidates.into_iter().next() else {
             return;
         };
         {
