--- a/lib/src/direct/attempt.rs
+++ b/lib/src/direct/attempt.rs
@@ -175,7 +175,9 @@
             biased;
             response = connection.send(request) => response.map_err(|lost| send_error(&lost))?,
             // Dropping the connection makes the engine abort the request.
-            () = versions::expired(watch.as_ref()) => return Err(SendError::Withdrawn { sent: true }),
+            () = versions::expired(watch.as_ref()) => {
+                return Err(SendError::Withdrawn { sent: true });
+            }
         };
         let (head, body) = response.into_parts();
         let reply = dialect.reply(&head);
