--- a/lib/src/direct/attempt.rs
+++ b/lib/src/direct/attempt.rs
@@ -8,10 +8,10 @@
 use hyper::body::Incoming;
 
 use super::admit::Permit;
-use super::dialect::{Dialect, Dispatch, Reply};
+use super::dialect::{Dialect, DispatchHeaders, ResponseMetadata};
 use super::metadata::{RequestKind, RequestMetadata};
-use super::upstream::{Running, Upstream};
-use super::versions::{self, Watch};
+use super::upstream::{InFlightRequest, Upstream};
+use super::versions::{self, VersionWatch};
 use crate::clock::Millis;
 use crate::error::Code;
 use crate::poison::fingerprint::{Fingerprint, Identity};
@@ -104,7 +104,7 @@
     /// The head.
     pub head: response::Parts,
     /// What the head says beyond HTTP.
-    pub reply: Reply,
+    pub reply: ResponseMetadata,
     /// The body.
     pub body: Incoming,
     /// The upstream that sent it.
@@ -112,11 +112,11 @@
     /// The version of the adapter that the upstream was expected to have.
     pub version: Option<u64>,
     /// Watches until when the run may start; `None` once it has started, or without an adapter.
-    pub watch: Option<Watch>,
+    pub watch: Option<VersionWatch>,
     /// The connection that it arrives on.
     pub connection: Connection,
     /// Counts the request at the upstream until it is dropped.
-    pub running: Running,
+    pub running: InFlightRequest,
 }
 
 impl RequestMessage {
@@ -145,11 +145,11 @@
         &self,
         upstream: &Arc<Upstream>,
         dialect: &dyn Dialect,
-        dispatch: &Dispatch,
+        dispatch: &DispatchHeaders,
         permit: Option<Permit>,
-        watch: Option<Watch>,
+        watch: Option<VersionWatch>,
     ) -> Result<UpstreamResponse, SendError> {
-        let running = upstream.enter(self.metadata.adapter(), permit);
+        let running = upstream.start_request(self.metadata.adapter(), permit);
         let max_idle = if self.kind.is_retryable() {
             MAX_IDLE_RETRYABLE
         } else {
@@ -166,7 +166,7 @@
             upstream.link.keep(connection, None);
             return Err(SendError::Unsent("the upstream leaves".to_owned()));
         }
-        if watch.as_ref().is_some_and(Watch::has_expired) {
+        if watch.as_ref().is_some_and(VersionWatch::has_expired) {
             upstream.link.keep(connection, None);
             return Err(SendError::Withdrawn { sent: false });
         }
@@ -180,7 +180,7 @@
             }
         };
         let (head, body) = response.into_parts();
-        let reply = dialect.reply(&head);
+        let reply = dialect.response_metadata(&head);
         if reply.id != self.metadata.id {
             // This is a late response to another request on this connection, so it is unknown
             // whether the upstream runs ours.
@@ -192,7 +192,7 @@
         if reply.not_run {
             let status = head.status.as_u16();
             discard_body(body, connection, upstream, &reply).await;
-            let replaced = watch.as_ref().is_some_and(Watch::is_replaced);
+            let replaced = watch.as_ref().is_some_and(VersionWatch::is_replaced);
             return Err(SendError::Rejected { status, replaced });
         }
         if head.status.is_success() && !reply.signed {
@@ -213,12 +213,12 @@
         })
     }
 
-    fn request(&self, dialect: &dyn Dialect, dispatch: &Dispatch) -> Request<Full<Bytes>> {
+    fn request(&self, dialect: &dyn Dialect, dispatch: &DispatchHeaders) -> Request<Full<Bytes>> {
         let mut request = Request::new(Full::new(self.body.clone()));
         *request.method_mut() = self.method.clone();
         *request.uri_mut() = self.uri.clone();
         *request.headers_mut() = self.headers.clone();
-        dialect.dispatch(request.headers_mut(), dispatch);
+        dialect.apply_dispatch_headers(request.headers_mut(), dispatch);
         request
     }
 }
@@ -248,7 +248,12 @@
 }
 
 /// Reads and discards the body of a rejection, so that its connection can be reused.
-async fn discard_body(body: Incoming, connection: Connection, upstream: &Upstream, reply: &Reply) {
+async fn discard_body(
+    body: Incoming,
+    connection: Connection,
+    upstream: &Upstream,
+    reply: &ResponseMetadata,
+) {
     let rest = Limited::new(body, MAX_REJECTION_BODY_BYTES).collect();
     let rest = tokio::time::timeout(REJECTION_BODY_TIMEOUT.duration(), rest).await;
     if matches!(rest, Ok(Ok(_))) && !reply.closes {
--- a/lib/src/direct/claim/extension.rs
+++ b/lib/src/direct/claim/extension.rs
@@ -9,7 +9,7 @@
 
 use super::Claimer;
 use crate::clock::Millis;
-use crate::direct::limits::RIGHT;
+use crate::direct::limits::OWNERSHIP_TERM;
 use crate::ports::Error;
 
 /// Pause before nodes that refused are asked again; twice what connecting takes.
@@ -21,7 +21,7 @@
     /// Where it was asked.
     pub peer: SocketAddr,
     /// What it said, or why it said nothing.
-    pub why: String,
+    pub reason: String,
 }
 
 /// All other nodes, asked for their votes while the key-value service is unavailable.
@@ -32,10 +32,10 @@
 
     /// Asks nodes for their votes, and returns those that gave none.
     ///
-    /// A node votes as [`Right::votes_for`] says, or by not running: its next start begins
+    /// A node votes as [`Ownership::votes_for`] says, or by not running: its next start begins
     /// later than the question.
     ///
-    /// [`Right::votes_for`]: crate::direct::right::Right::votes_for
+    /// [`Ownership::votes_for`]: crate::direct::ownership::Ownership::votes_for
     async fn refusals(&self, asked: &[SocketAddr], owned: &[(SocketAddr, u64)]) -> Vec<Refusal>;
 }
 
@@ -51,7 +51,7 @@
     pub(super) async fn extend(&self, error: &Error) {
         let sent = self.clock.now();
         let owned: Vec<(SocketAddr, u64)> = self
-            .right
+            .ownership
             .owned()
             .iter()
             .map(|(address, owned)| (*address, owned.token))
@@ -61,35 +61,37 @@
             return;
         }
         let refusals = self.refusals(&owned).await;
-        let extended = refusals.is_empty() && self.right.lasts();
+        let extended = refusals.is_empty() && self.ownership.is_lease_valid();
         let outcome = if extended { "granted" } else { "refused" };
         self.metrics.extensions.with_label_values(&[outcome]).inc();
         if extended {
-            self.right.until.store((sent + RIGHT).0, Ordering::Relaxed);
+            self.ownership
+                .until
+                .store((sent + OWNERSHIP_TERM).0, Ordering::Relaxed);
             log::info!("right: extended by the votes of all others, without a renewal: {error}");
             return;
         }
         let owned = owned.len();
         log::warn!("right: no renewal and no extension for {owned} engines: {error}");
-        for Refusal { peer, why } in refusals {
-            log::info!("right: {peer} does not vote for it: {why}");
+        for Refusal { peer, reason } in refusals {
+            log::info!("right: {peer} does not vote for it: {reason}");
         }
     }
 
     /// Asks others until all vote for it or the right has ended, and returns who didn't.
     async fn refusals(&self, owned: &[(SocketAddr, u64)]) -> Vec<Refusal> {
-        if !self.right.lasts() {
+        if !self.ownership.is_lease_valid() {
             return Vec::new();
         }
         let Some(mut asked) = self.voters.others() else {
             return vec![Refusal {
                 peer: self.peer.address,
-                why: "no other node is known, and there were some".to_owned(),
+                reason: "no other node is known, and there were some".to_owned(),
             }];
         };
         loop {
             let refusals = self.voters.refusals(&asked, owned).await;
-            if refusals.is_empty() || !self.right.lasts() {
+            if refusals.is_empty() || !self.ownership.is_lease_valid() {
                 return refusals;
             }
             tokio::time::sleep(ROUND_PAUSE.duration()).await;
--- a/lib/src/direct/claim/takeover.rs
+++ b/lib/src/direct/claim/takeover.rs
@@ -7,7 +7,7 @@
 use super::{CLAIMS_AT_ONCE, Claimer, encoded};
 use crate::clock::Millis;
 use crate::direct::dialect::Key;
-use crate::direct::view::{Standing, claimed};
+use crate::direct::view::{ClaimEntry, claim_address};
 use crate::ports::{Condition, Entry, Error, LeaseId, Transaction, Write};
 
 /// Tries of a round to claim what the service didn't say was taken the time before.
@@ -67,8 +67,8 @@
         let mut state = self.view.state();
         let mut learnt = false;
         for entry in found {
-            if let Key::Own(name) = self.dialect.key(&entry.key)
-                && let Some(address) = claimed(&name)
+            if let Key::Own(name) = self.dialect.parse_key(&entry.key)
+                && let Some(address) = claim_address(&name)
             {
                 state.put_claim(address, entry, now);
                 learnt = true;
@@ -91,7 +91,7 @@
                     standing.claim.node == self.node
                         && standing.claim.start == self.peer.start
                         && standing.claim.left.is_none()
-                        && !self.right.owns(**address)
+                        && !self.ownership.owns(**address)
                 })
                 .map(|(address, standing)| (*address, standing.revision, standing.claim.from))
                 .collect()
@@ -109,14 +109,14 @@
         log::info!(
             "right: orders to {address} are this node's, token {token}, from {start}, previous owner: {name}"
         );
-        self.view.state().claim(
+        self.view.state().insert_claim(
             address,
-            Standing {
+            ClaimEntry {
                 claim: self.own_claim(None, from),
                 revision: token,
                 seen: now,
             },
         );
-        self.right.take(address, token, start);
+        self.ownership.acquire(address, token, start);
     }
 }
--- a/lib/src/direct/ask/exchange.rs
+++ b/lib/src/direct/controllers/exchange.rs
@@ -6,9 +6,9 @@
 
 use super::{Controllers, Silence};
 use crate::clock::Millis;
-use crate::direct::dialect::Held;
-use crate::direct::limits::in_use;
-use crate::direct::orders::Used;
+use crate::direct::dialect::LoadedModels;
+use crate::direct::limits::in_use_grace;
+use crate::direct::orders::MarkInUse;
 use crate::direct::upstream::Upstream;
 use crate::name::Name;
 use crate::schema::direct::{ExchangeReply, ExchangeRequest, Resident, Standing, Use};
@@ -19,7 +19,7 @@
 impl Controllers {
     /// Tells each owner what this node did at its engines.
     pub(super) fn exchange_all(self: &Arc<Self>) {
-        for (address, request) in self.exchanges() {
+        for (address, request) in self.take_exchange_requests() {
             let controllers = Arc::clone(self);
             tokio::spawn(async move { controllers.exchange(address, request).await });
         }
@@ -28,7 +28,7 @@
     /// Returns what this node has to tell other nodes, by their addresses.
     ///
     /// Uses that were noted are told once: they are gone from here then.
-    pub fn exchanges(&self) -> HashMap<SocketAddr, ExchangeRequest> {
+    pub fn take_exchange_requests(&self) -> HashMap<SocketAddr, ExchangeRequest> {
         let mut requests: HashMap<SocketAddr, ExchangeRequest> = HashMap::new();
         let uses = std::mem::take(&mut *self.uses.lock().unwrap_or_else(PoisonError::into_inner));
         let mut concerned: HashSet<SocketAddr> = self.awaited().keys().copied().collect();
@@ -37,13 +37,13 @@
         for upstream in upstreams {
             let mut adapters = uses.get(&upstream.incarnation).cloned().unwrap_or_default();
             // A long stream uses its adapter though it was asked for long ago.
-            for adapter in upstream.in_use() {
+            for adapter in upstream.uncounted_adapters() {
                 if !adapters.contains(&adapter) {
                     adapters.push(adapter);
                 }
             }
-            if self.right.owns(upstream.address) {
-                self.note_uses(&upstream.incarnation, adapters, in_use(nodes));
+            if self.ownership.owns(upstream.address) {
+                self.record_uses(&upstream.incarnation, adapters, in_use_grace(nodes));
                 continue;
             }
             let Some((_, peer)) = self.view.owner(upstream.address) else {
@@ -86,7 +86,7 @@
                 || uses.contains_key(&upstream.incarnation)
                 || (!concerned.is_empty() && is_concerned(upstream))
         });
-        (upstreams.cloned().collect(), state.most_nodes)
+        (upstreams.cloned().collect(), state.max_nodes_seen)
     }
 
     async fn exchange(&self, address: SocketAddr, request: ExchangeRequest) {
@@ -115,9 +115,9 @@
             let Some(upstream) = state.upstreams.get(standing.incarnation.as_str()) else {
                 continue;
             };
-            upstream.heard_load(standing.running, self.clock.now());
-            upstream.hold(&Held {
-                born: standing.born,
+            upstream.record_remote_load(standing.running, self.clock.now());
+            upstream.update_held(&LoadedModels {
+                started_at_ms: standing.born,
                 sequence: standing.sequence,
                 models: standing.models.into_iter().map(Name::from).collect(),
                 adapters: standing
@@ -131,7 +131,7 @@
     }
 
     /// Has an owner's order queue hear of adapters that are in use here, or at another node.
-    pub(in crate::direct) fn note_uses(
+    pub(in crate::direct) fn record_uses(
         &self,
         incarnation: &str,
         adapters: Vec<Name>,
@@ -144,7 +144,7 @@
         let open = self.open.lock().unwrap_or_else(PoisonError::into_inner);
         if let Some((_, controller)) = open.get(incarnation)
             && controller
-                .tell(Used { adapters, until })
+                .tell(MarkInUse { adapters, until })
                 .try_send()
                 .is_err()
         {
@@ -164,7 +164,7 @@
         Some(Standing {
             incarnation: one.incarnation.clone(),
             running: others,
-            born: held.born,
+            born: held.started_at_ms,
             sequence: held.sequence,
             models: held.models.iter().map(ToString::to_string).collect(),
             adapters: held
--- a/lib/src/direct/ask/mod.rs
+++ b/lib/src/direct/controllers/mod.rs
@@ -13,12 +13,12 @@
 use tokio::sync::oneshot;
 use tonic::transport::{Channel, Endpoint};
 
-use super::admission::Table;
 use super::dialect::Dialect;
 use super::fanout::Hub;
-use super::limits::exchange_pause;
-use super::orders::{Controller, Load, Loaded, Parts, Tick};
-use super::right::Right;
+use super::limits::exchange_interval;
+use super::occupancy::OccupancyTable;
+use super::orders::{EngineClient, EngineController, LoadCommand, LoadOutcome, Tick};
+use super::ownership::Ownership;
 use super::upstream::Upstream;
 use super::view::View;
 use crate::clock::{Clock, Millis};
@@ -61,7 +61,7 @@
     /// What this node believes.
     pub view: Arc<View>,
     /// What it may do.
-    pub right: Arc<Right>,
+    pub ownership: Arc<Ownership>,
     /// Formats.
     pub dialect: Arc<dyn Dialect>,
     /// The node's clock.
@@ -71,13 +71,13 @@
     /// Its metrics.
     pub metrics: Arc<Metrics>,
     /// By the engine's name, with the start that each is for.
-    open: Mutex<HashMap<Name, (u64, ActorRef<Controller>)>>,
+    open: Mutex<HashMap<Name, (u64, ActorRef<EngineController>)>>,
     channels: Mutex<HashMap<SocketAddr, OrdersClient<Channel>>>,
     uses: Mutex<HashMap<Name, Vec<Name>>>,
     /// Nodes that gave no answer the last time.
     silent: Mutex<HashMap<SocketAddr, Silence>>,
     /// Requests of all nodes at the engines that this node orders.
-    pub(super) table: Arc<Table>,
+    pub(super) table: Arc<OccupancyTable>,
     /// Changes of the key-value service, for nodes of this failure domain.
     pub hub: Arc<Hub>,
     /// Loads that this node waits for, by the owner that was asked.
@@ -115,7 +115,7 @@
     #[must_use]
     pub fn new(
         view: Arc<View>,
-        right: Arc<Right>,
+        ownership: Arc<Ownership>,
         dialect: Arc<dyn Dialect>,
         clock: Arc<dyn Clock>,
         node: Name,
@@ -123,9 +123,9 @@
     ) -> Self {
         Self {
             view,
-            right,
+            ownership,
             dialect,
-            table: Arc::new(Table::new(Arc::clone(&clock))),
+            table: Arc::new(OccupancyTable::new(Arc::clone(&clock))),
             hub: Arc::new(Hub::new(Arc::clone(&clock), Arc::clone(&metrics))),
             clock,
             node,
@@ -139,7 +139,7 @@
     }
 
     /// Notes that a request of this node uses an adapter without being counted.
-    pub fn note_use(&self, upstream: &Upstream, adapter: &Name) {
+    pub fn record_use(&self, upstream: &Upstream, adapter: &Name) {
         let mut uses = self.uses.lock().unwrap_or_else(PoisonError::into_inner);
         let adapters = uses.entry(Name::clone(&upstream.incarnation)).or_default();
         if !adapters.contains(adapter) {
@@ -149,54 +149,64 @@
 
     /// Whether somebody who answers gives an engine its orders.
     #[must_use]
-    pub fn is_ordered(&self, upstream: &Upstream) -> bool {
-        if self.right.owns(upstream.address) {
-            return self.right.check(upstream.address).is_some();
+    pub fn has_live_owner(&self, upstream: &Upstream) -> bool {
+        if self.ownership.owns(upstream.address) {
+            return self.ownership.fencing_token(upstream.address).is_some();
         }
         let owner = self.view.owner(upstream.address);
         owner.is_some_and(|(_, peer)| !self.is_gone(peer.address))
     }
 
     /// Has an adapter made present at an engine, by whichever node may.
-    pub async fn load(&self, upstream: &Arc<Upstream>, adapter: &Name, version: u64) -> Loaded {
-        if self.right.owns(upstream.address) {
-            return self.load_here(upstream, adapter, version).await;
+    pub async fn load(
+        &self,
+        upstream: &Arc<Upstream>,
+        adapter: &Name,
+        version: u64,
+    ) -> LoadOutcome {
+        if self.ownership.owns(upstream.address) {
+            return self.load_locally(upstream, adapter, version).await;
         }
         let loaded = self.load_there(upstream, adapter, version).await;
-        if let Loaded::Ready(version) = loaded {
-            upstream.gained(adapter, version);
+        if let LoadOutcome::Ready(version) = loaded {
+            upstream.set_adapter(adapter, version);
         }
         loaded
     }
 
-    pub(super) async fn load_here(
+    pub(super) async fn load_locally(
         &self,
         upstream: &Arc<Upstream>,
         adapter: &Name,
         version: u64,
-    ) -> Loaded {
+    ) -> LoadOutcome {
         let Some(controller) = self.controller(upstream) else {
-            return Loaded::Failed;
+            return LoadOutcome::Failed;
         };
         let (reply, loaded) = oneshot::channel();
-        let load = Load {
+        let load = LoadCommand {
             adapter: Name::clone(adapter),
             version,
             reply,
         };
         if controller.tell(load).try_send().is_err() {
-            return Loaded::Full;
+            return LoadOutcome::Full;
         }
-        let loaded = loaded.await.unwrap_or(Loaded::Failed);
-        if let Loaded::Ready(version) = loaded {
-            upstream.gained(adapter, version);
+        let loaded = loaded.await.unwrap_or(LoadOutcome::Failed);
+        if let LoadOutcome::Ready(version) = loaded {
+            upstream.set_adapter(adapter, version);
         }
         loaded
     }
 
-    async fn load_there(&self, upstream: &Arc<Upstream>, adapter: &Name, version: u64) -> Loaded {
+    async fn load_there(
+        &self,
+        upstream: &Arc<Upstream>,
+        adapter: &Name,
+        version: u64,
+    ) -> LoadOutcome {
         let Some((node, peer)) = self.view.owner(upstream.address) else {
-            return Loaded::NotOwner;
+            return LoadOutcome::NotOwner;
         };
         let request = LoadRequest {
             incarnation: upstream.incarnation.to_string(),
@@ -210,18 +220,18 @@
             asked = asked => asked,
             () = self.falls_silent(peer.address) => {
                 log::info!("ask: {node} no longer answers");
-                return Loaded::Failed;
+                return LoadOutcome::Failed;
             }
         };
         match asked {
             Ok(Ok(reply)) => read(reply.get_ref()),
             Ok(Err(status)) => {
                 log::info!("ask: {node} does not answer: {}", status.message());
-                Loaded::Failed
+                LoadOutcome::Failed
             }
             Err(_) => {
                 self.forget(peer.address);
-                Loaded::Failed
+                LoadOutcome::Failed
             }
         }
     }
@@ -242,7 +252,7 @@
     }
 
     /// Whether a node gave no answer the last time, and has not answered an exchange since.
-    pub(super) fn is_silent(&self, address: SocketAddr) -> bool {
+    pub(super) fn is_unresponsive(&self, address: SocketAddr) -> bool {
         self.silent().contains_key(&address)
     }
 
@@ -252,7 +262,7 @@
     }
 
     /// Notes that a node answers questions for a place too late, until an exchange has an answer.
-    pub(super) fn is_late(&self, address: SocketAddr) {
+    pub(super) fn mark_late(&self, address: SocketAddr) {
         self.silent().entry(address).or_insert(Silence::Late);
     }
 
@@ -261,23 +271,23 @@
     }
 
     /// Returns the controller of an engine, opened if this is the first call for it.
-    fn controller(&self, upstream: &Arc<Upstream>) -> Option<ActorRef<Controller>> {
+    fn controller(&self, upstream: &Arc<Upstream>) -> Option<ActorRef<EngineController>> {
         let config = self.view.config()?;
         let engine = config.pools.get(&upstream.pool)?.engine.clone()?;
         let mut open = self.open.lock().unwrap_or_else(PoisonError::into_inner);
-        if let Some((born, controller)) = open.get(&upstream.incarnation)
+        if let Some((started_at_ms, controller)) = open.get(&upstream.incarnation)
             && controller.is_alive()
         {
-            if *born == upstream.born {
+            if *started_at_ms == upstream.started_at_ms {
                 return Some(controller.clone());
             }
             // Its book is of a start that has ended: the count in its orders would be wrong.
             controller.kill();
         }
-        let parts = Parts {
+        let parts = EngineClient {
             upstream: Arc::clone(upstream),
             engine,
-            right: Arc::clone(&self.right),
+            ownership: Arc::clone(&self.ownership),
             dialect: Arc::clone(&self.dialect),
             clock: Arc::clone(&self.clock),
             holder: Name::clone(&self.node),
@@ -285,10 +295,10 @@
             metrics: Arc::clone(&self.metrics),
             table: Arc::clone(&self.table),
         };
-        let controller = Controller::spawn_with_mailbox(parts, mailbox::bounded(MAILBOX));
+        let controller = EngineController::spawn_with_mailbox(parts, mailbox::bounded(MAILBOX));
         open.insert(
             Name::clone(&upstream.incarnation),
-            (upstream.born, controller.clone()),
+            (upstream.started_at_ms, controller.clone()),
         );
         Some(controller)
     }
@@ -324,8 +334,8 @@
             tokio::time::sleep(TICK.duration()).await;
             self.tick();
             let now = self.clock.now();
-            let nodes = self.view.state().most_nodes;
-            if now.since(exchanged) >= exchange_pause(nodes) {
+            let nodes = self.view.state().max_nodes_seen;
+            if now.since(exchanged) >= exchange_interval(nodes) {
                 exchanged = now;
                 self.exchange_all();
             }
@@ -341,9 +351,9 @@
         let now = self.clock.now();
         for upstream in upstreams {
             upstream.link.sweep();
-            if self.right.owns(upstream.address) {
+            if self.ownership.owns(upstream.address) {
                 let running = self.table.running(&upstream.incarnation);
-                upstream.heard_load(running.saturating_sub(upstream.running()), now);
+                upstream.record_remote_load(running.saturating_sub(upstream.running()), now);
             }
             if let Some(controller) = self.controller_to_tick(&upstream)
                 && controller.tell(Tick).try_send().is_err()
@@ -357,8 +367,8 @@
     ///
     /// One whose right has gone must hear of time too, or those who wait at it would wait
     /// for as long as a load may take: four seconds on each planned stop.
-    fn controller_to_tick(&self, upstream: &Arc<Upstream>) -> Option<ActorRef<Controller>> {
-        if self.right.check(upstream.address).is_some() {
+    fn controller_to_tick(&self, upstream: &Arc<Upstream>) -> Option<ActorRef<EngineController>> {
+        if self.ownership.fencing_token(upstream.address).is_some() {
             return self.controller(upstream);
         }
         let open = self.open.lock().unwrap_or_else(PoisonError::into_inner);
@@ -381,11 +391,11 @@
     }
 }
 
-fn read(reply: &LoadReply) -> Loaded {
+fn read(reply: &LoadReply) -> LoadOutcome {
     match reply.outcome() {
-        Outcome::Ready => Loaded::Ready(reply.version),
-        Outcome::Full => Loaded::Full,
-        Outcome::NotOwner => Loaded::NotOwner,
-        Outcome::Failed | Outcome::Unspecified => Loaded::Failed,
+        Outcome::Ready => LoadOutcome::Ready(reply.version),
+        Outcome::Full => LoadOutcome::Full,
+        Outcome::NotOwner => LoadOutcome::NotOwner,
+        Outcome::Failed | Outcome::Unspecified => LoadOutcome::Failed,
     }
 }
--- a/lib/src/direct/ask/vote.rs
+++ b/lib/src/direct/controllers/vote.rs
@@ -21,7 +21,7 @@
         let peers: Vec<SocketAddr> = others.map(|(_, peer)| peer.address).collect();
         // Nobody to ask is no vote where there were others: their records
         // may have lapsed while they live.
-        (!peers.is_empty() || state.most_nodes <= 1).then_some(peers)
+        (!peers.is_empty() || state.max_nodes_seen <= 1).then_some(peers)
     }
 
     async fn refusals(&self, asked: &[SocketAddr], owned: &[(SocketAddr, u64)]) -> Vec<Refusal> {
@@ -38,8 +38,8 @@
         let answers = asked.iter().map(|&peer| {
             let request = request.clone();
             async move {
-                let why = self.vote(peer, request).await.err()?;
-                Some(Refusal { peer, why })
+                let reason = self.vote(peer, request).await.err()?;
+                Some(Refusal { peer, reason })
             }
         });
         let answers = futures::future::join_all(answers).await;
--- a/lib/src/direct/entry/accept.rs
+++ b/lib/src/direct/entry/accept.rs
@@ -37,8 +37,8 @@
 }
 
 async fn read_body(body: Incoming, config: &Config) -> Result<Bytes, Failure> {
-    let collecting = Limited::new(body, config.limits.body).collect();
-    let timeout = config.limits.idle;
+    let collecting = Limited::new(body, config.limits.body_bytes).collect();
+    let timeout = config.limits.idle_timeout;
     match tokio::time::timeout(timeout.duration(), collecting).await {
         Ok(Ok(collected)) => Ok(collected.to_bytes()),
         Ok(Err(error)) if error.is::<LengthLimitError>() => {
@@ -54,12 +54,12 @@
 
 /// Selects a pool of a route at random by weight; `None` if the weights add up to zero.
 pub(super) fn select_pool(route: &Route) -> Option<Name> {
-    let total: u32 = route.split.iter().map(|(_, weight)| weight).sum();
+    let total: u32 = route.pool_weights.iter().map(|(_, weight)| weight).sum();
     if total == 0 {
         return None;
     }
     let mut at = rand::rng().random_range(0..total);
-    for (pool, weight) in &route.split {
+    for (pool, weight) in &route.pool_weights {
         if at < *weight {
             return Some(Name::clone(pool));
         }
--- a/lib/src/direct/entry/gauges.rs
+++ b/lib/src/direct/entry/gauges.rs
@@ -20,13 +20,13 @@
         metrics.in_flight.set(gauge_value(self.active_requests()));
         metrics
             .owned
-            .set(gauge_value(self.controllers.right.owned_engines()));
+            .set(gauge_value(self.controllers.ownership.owned_count()));
         let mut state = self.view.state();
         let version = state.config.as_ref().map_or(0, |config| config.version);
         metrics.revision.set(gauge_value(version));
         metrics
             .quarantined
-            .set(gauge_value(state.ledger.blamed(self.clock.now())));
+            .set(gauge_value(state.ledger.blamed_count(self.clock.now())));
         let ready = state.upstreams.values().filter(|one| one.is_ready());
         let ready = ready.count();
         let unconfirmed = state.upstreams.values().filter(|one| one.is_missing());
@@ -35,7 +35,7 @@
         let upstreams: Vec<Arc<Upstream>> = state.upstreams.values().cloned().collect();
         // `roles` locks the view too; calling it with the lock held would deadlock.
         drop(state);
-        let is_prefill = |one: &&Arc<Upstream>| self.roles(&one.pool).reads(one.address);
+        let is_prefill = |one: &&Arc<Upstream>| self.roles(&one.pool).is_prefill(one.address);
         let prefill = upstreams.iter().filter(is_prefill).count();
         let counts = [
             ("usable", ready),
--- a/lib/src/direct/entry/handle.rs
+++ b/lib/src/direct/entry/handle.rs
@@ -16,7 +16,7 @@
 use crate::direct::request::ActiveRequest;
 use crate::direct::request_log::{self, RequestOutcome};
 use crate::error::{Code, Failure};
-use crate::poison::ledger::Sign;
+use crate::poison::ledger::Suspicion;
 use crate::ports::http::remove_hop_by_hop;
 
 /// Timeout of a request whose caller names none.
@@ -90,7 +90,7 @@
             self.count_outcome(failure.code.number());
             failure
         })?;
-        let metadata = self.dialect.call(&head);
+        let metadata = self.dialect.request_metadata(&head);
         let (route, body) = match accept(&config, &head, body).await {
             Ok(accepted) => accepted,
             Err(failure) => {
@@ -108,7 +108,7 @@
         self.budget
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
-            .request(&pool, arrived_at);
+            .record_request(&pool, arrived_at);
         let mut headers = head.headers;
         remove_hop_by_hop(&mut headers);
         headers.remove(header::CONTENT_LENGTH);
@@ -203,7 +203,7 @@
                 }
             };
             request.penalize(&upstream);
-            request.record_broken_connection(&upstream, Sign::Begun);
+            request.record_broken_connection(&upstream, Suspicion::Begun);
             if !request.may_retry() {
                 return Err(Failure::new(Code::AnswerCut, cause));
             }
--- a/lib/src/direct/entry/mod.rs
+++ b/lib/src/direct/entry/mod.rs
@@ -13,17 +13,17 @@
 use bytes::Bytes;
 use http_body_util::combinators::UnsyncBoxBody;
 
-use super::ask::Controllers;
-use super::budget::Budget;
+use super::budget::RetryBudget;
+use super::controllers::Controllers;
 use super::dialect::Dialect;
 use super::drain::Drain;
-use super::limits::Current;
+use super::limits::SharedLimits;
 use super::outbox::Outbox;
 use super::quarantine::Quarantine;
 use super::relay::ResponseAborted;
-use super::roles::{Mix, Roles};
+use super::roles::{PrefillScaler, Roles};
 use super::upstream::Upstream;
-use super::versions::Replacements;
+use super::versions::PendingReplacements;
 use super::view::View;
 use crate::clock::{Clock, Millis};
 use crate::error::Code;
@@ -61,14 +61,14 @@
     /// The node's failure domain.
     pub failure_domain: Name,
     /// Limits in force.
-    pub limits: Arc<Current>,
+    pub limits: Arc<SharedLimits>,
     /// Tracks requests that crash upstreams.
     pub quarantine: Arc<Quarantine>,
     /// Replacements of adapter versions that are in progress at engines.
-    pub(super) replacements: Replacements,
+    pub(super) replacements: PendingReplacements,
     /// The key-value service.
     service: Arc<Metered>,
-    budget: Mutex<Budget>,
+    budget: Mutex<RetryBudget>,
     /// When each adapter was last loaded in the background.
     background_loads: Mutex<HashMap<Name, Millis>>,
     pool_roles: Mutex<HashMap<Name, PoolRoles>>,
@@ -80,7 +80,7 @@
 /// Cached prefill and decode roles of a pool's engines.
 #[derive(Debug, Default)]
 struct PoolRoles {
-    mix: Mix,
+    mix: PrefillScaler,
     roles: Arc<Roles>,
     updated_at: Millis,
 }
@@ -94,7 +94,7 @@
         dialect: Arc<dyn Dialect>,
         clock: Arc<dyn Clock>,
         failure_domain: Name,
-        limits: Arc<Current>,
+        limits: Arc<SharedLimits>,
         service: Arc<Metered>,
     ) -> Self {
         let outbox = Arc::new(Outbox::new(
@@ -119,9 +119,9 @@
             dialect,
             clock,
             failure_domain,
-            budget: Mutex::new(Budget::new(Arc::clone(&limits))),
+            budget: Mutex::new(RetryBudget::new(Arc::clone(&limits))),
             limits,
-            replacements: Replacements::default(),
+            replacements: PendingReplacements::default(),
             service,
             background_loads: Mutex::default(),
             pool_roles: Mutex::default(),
@@ -168,23 +168,23 @@
 
     /// Takes a retry from the pool's budget; false if the budget is used up.
     pub fn take_retry(&self, pool: &Name) -> bool {
-        let nodes = self.view.state().most_nodes;
-        self.budget().repeat(pool, self.clock.now(), nodes)
+        let nodes = self.view.state().max_nodes_seen;
+        self.budget().try_retry(pool, self.clock.now(), nodes)
     }
 
     /// Charges the pool's budget for a send that turned out to be a retry.
     pub fn charge_retry(&self, pool: &Name) {
         let now = self.clock.now();
-        self.budget().spend(pool, now);
+        self.budget().record_retry(pool, now);
     }
 
     /// Whether the pool's budget allows another retry.
     pub fn has_retry_budget(&self, pool: &Name) -> bool {
-        let nodes = self.view.state().most_nodes;
+        let nodes = self.view.state().max_nodes_seen;
         self.budget().has_room(pool, self.clock.now(), nodes)
     }
 
-    fn budget(&self) -> MutexGuard<'_, Budget> {
+    fn budget(&self) -> MutexGuard<'_, RetryBudget> {
         self.budget.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -199,14 +199,14 @@
             let upstreams = self.view.pool(pool);
             let ready = upstreams.iter().filter(|upstream| upstream.is_ready());
             let engines: Vec<SocketAddr> = ready.map(|upstream| upstream.address).collect();
-            let prefill = cached.mix.readers(engines.len(), now);
+            let prefill = cached.mix.prefill_count(engines.len(), now);
             cached.roles = Arc::new(Roles::split(engines, prefill));
         }
         Arc::clone(&cached.roles)
     }
 
     /// Updates the statistics by which the pool's engines are divided into prefill and decode.
-    pub fn update_mix(&self, pool: &Name, update: impl FnOnce(&mut Mix)) {
+    pub fn update_mix(&self, pool: &Name, update: impl FnOnce(&mut PrefillScaler)) {
         update(&mut self.pool_roles().entry(Name::clone(pool)).or_default().mix);
     }
 
@@ -218,9 +218,9 @@
 
     /// Returns until when a request may start on a version of an adapter; `None` if unlimited.
     #[must_use]
-    pub fn begin_by(&self, adapter: &str, version: u64) -> Option<Millis> {
-        let limit = self.limits.get().version;
-        self.view.begin_by(adapter, version, limit)
+    pub fn begin_deadline(&self, adapter: &str, version: u64) -> Option<Millis> {
+        let limit = self.limits.get().version_rollout;
+        self.view.begin_deadline(adapter, version, limit)
     }
 
     /// Loads an adapter at the first of some candidates, without waiting for it.
--- a/lib/src/direct/follow/entries.rs
+++ b/lib/src/direct/follow/entries.rs
@@ -3,13 +3,13 @@
 use std::collections::HashSet;
 use std::sync::Arc;
 
-use super::{Follower, NODES};
+use super::{Follower, NODE_PREFIX};
 use crate::clock::Millis;
 use crate::direct::dialect::Key;
-use crate::direct::presence::Written;
+use crate::direct::presence::EntryRevision;
+use crate::direct::validate::RejectReason;
 use crate::direct::versions::Declaration;
-use crate::direct::vet::Refusal;
-use crate::direct::view::{CLAIMS, Evidence, Peer, State, claimed};
+use crate::direct::view::{CLAIM_PREFIX, Peer, PutOutcome, State, claim_address};
 use crate::name::Name;
 use crate::ports::{Entry, Event};
 
@@ -23,7 +23,7 @@
         if self.holds_upstreams(prefix) {
             self.drop_upstreams(&mut state, &present);
         }
-        if self.dialect.own("").starts_with(prefix) {
+        if self.dialect.own_key("").starts_with(prefix) {
             self.drop_own(&mut state, &present, now);
         }
         for entry in entries {
@@ -39,7 +39,7 @@
     fn drop_upstreams(&self, state: &mut State, present: &HashSet<String>) {
         let listed: HashSet<Name> = present
             .iter()
-            .filter_map(|key| match self.dialect.key(key) {
+            .filter_map(|key| match self.dialect.parse_key(key) {
                 Key::Upstream(incarnation) => Some(incarnation),
                 _ => None,
             })
@@ -56,14 +56,14 @@
     }
 
     fn drop_own(&self, state: &mut State, present: &HashSet<String>, now: Millis) {
-        state
-            .nodes
-            .retain(|name, _| present.contains(&self.dialect.own(&format!("{NODES}{name}"))));
-        state.keep_claims(now, |address| {
-            present.contains(&self.dialect.own(&format!("{CLAIMS}{address}")))
+        state.nodes.retain(|name, _| {
+            present.contains(&self.dialect.own_key(&format!("{NODE_PREFIX}{name}")))
         });
-        let is_present = |name: &str| present.contains(&self.dialect.own(name));
-        state.ledger.keep(is_present);
+        state.retain_claims(now, |address| {
+            present.contains(&self.dialect.own_key(&format!("{CLAIM_PREFIX}{address}")))
+        });
+        let is_present = |name: &str| present.contains(&self.dialect.own_key(name));
+        state.ledger.retain_reports(is_present);
     }
 
     /// Takes in changes that lead to how everything stood at a time.
@@ -86,21 +86,24 @@
     }
 
     fn put(&self, state: &mut State, entry: &Entry, now: Millis) {
-        let told = match self.dialect.key(&entry.key) {
-            Key::Config => self.dialect.config(&entry.value).map(|config| {
+        let told = match self.dialect.parse_key(&entry.key) {
+            Key::Config => self.dialect.decode_config(&entry.value).map(|config| {
                 let version = config.version;
-                if state.configure(config) {
+                if state.apply_config(config) {
                     log::info!("follow: configuration {version} is in force");
                 }
             }),
             Key::Upstream(incarnation) => self
                 .dialect
-                .upstream(&incarnation, &entry.value)
-                .map(|listed| state.list(&listed, written(entry), now)),
-            Key::Version => self.dialect.version(&entry.value).map(|(name, version)| {
-                let since = self.fresh;
-                self.declare(state, name, Declaration { version, since });
-            }),
+                .decode_upstream(&incarnation, &entry.value)
+                .map(|listed| state.put_upstream(&listed, written(entry), now)),
+            Key::Version => self
+                .dialect
+                .decode_version(&entry.value)
+                .map(|(name, version)| {
+                    let since = self.fresh;
+                    self.declare(state, name, Declaration { version, since });
+                }),
             Key::Own(name) => {
                 if let Some(refusal) = put_own(state, &name, entry, now) {
                     self.refuse(refusal);
@@ -108,32 +111,33 @@
                 Ok(())
             }
             Key::Other => {
-                self.refuse(Refusal::Unused);
+                self.refuse(RejectReason::UnusedKey);
                 Ok(())
             }
         };
         if let Err(error) = told {
-            self.refuse(Refusal::Unreadable);
+            self.refuse(RejectReason::Unreadable);
             log::error!("follow: {} is left as it was: {error}", entry.key);
         }
     }
 
     fn remove(&self, state: &mut State, event: &Event, now: Millis) {
-        match self.dialect.key(&event.key) {
+        match self.dialect.parse_key(&event.key) {
             Key::Upstream(incarnation) => {
                 // A page of the list may have shown an entry that was written behind this.
                 let known = state.upstreams.get(&incarnation);
-                if known.is_none_or(|upstream| upstream.written().revision < event.revision) {
+                if known.is_none_or(|upstream| upstream.entry_revision().revision < event.revision)
+                {
                     self.vanish(state, &incarnation);
                 }
             }
             Key::Own(name) => {
-                if let Some(node) = name.strip_prefix(NODES) {
+                if let Some(node) = name.strip_prefix(NODE_PREFIX) {
                     state.nodes.remove(node);
-                } else if let Some(address) = claimed(&name) {
-                    state.unclaim(address, now);
+                } else if let Some(address) = claim_address(&name) {
+                    state.remove_claim(address, now);
                 } else {
-                    state.remove_evidence(&name);
+                    state.remove_quarantine_record(&name);
                 }
             }
             Key::Config | Key::Version | Key::Other => {}
@@ -142,7 +146,7 @@
 
     /// Takes in a version that operators declared.
     fn declare(&self, state: &mut State, adapter: Name, declaration: Declaration) {
-        let limit = self.limits.get().version;
+        let limit = self.limits.get().version_rollout;
         let told = format!("version {} of {adapter}", declaration.version);
         let declarations = state.versions.entry(adapter).or_default();
         if declarations.declare(declaration, limit) {
@@ -152,11 +156,11 @@
 }
 
 /// Takes in an entry of this system's own; returns why not if it is left aside.
-fn put_own(state: &mut State, name: &str, entry: &Entry, now: Millis) -> Option<Refusal> {
-    let is_readable = if let Some(node) = name.strip_prefix(NODES) {
+fn put_own(state: &mut State, name: &str, entry: &Entry, now: Millis) -> Option<RejectReason> {
+    let is_readable = if let Some(node) = name.strip_prefix(NODE_PREFIX) {
         match serde_json::from_slice::<Peer>(&entry.value) {
             Ok(peer) => {
-                state.join(node.into(), peer);
+                state.put_node(node.into(), peer);
                 true
             }
             Err(error) => {
@@ -164,20 +168,20 @@
                 false
             }
         }
-    } else if let Some(address) = claimed(name) {
+    } else if let Some(address) = claim_address(name) {
         state.put_claim(address, entry, now)
     } else {
-        return match state.put_evidence(name, &entry.value, Some(entry.revision), now) {
-            Evidence::Taken => None,
-            Evidence::Unreadable => Some(Refusal::Unreadable),
-            Evidence::Other => Some(Refusal::Unused),
+        return match state.put_quarantine_record(name, &entry.value, Some(entry.revision), now) {
+            PutOutcome::Applied => None,
+            PutOutcome::Unreadable => Some(RejectReason::Unreadable),
+            PutOutcome::Unrelated => Some(RejectReason::UnusedKey),
         };
     };
-    (!is_readable).then_some(Refusal::Unreadable)
+    (!is_readable).then_some(RejectReason::Unreadable)
 }
 
-fn written(entry: &Entry) -> Written {
-    Written {
+fn written(entry: &Entry) -> EntryRevision {
+    EntryRevision {
         revision: entry.revision,
         created: entry.created,
     }
--- a/lib/src/direct/follow/missing.rs
+++ b/lib/src/direct/follow/missing.rs
@@ -13,7 +13,7 @@
 impl Follower {
     /// Notes that the service answers, and whether it was away.
     pub(super) fn alive(&mut self) {
-        self.view.touched(true);
+        self.view.record_store_call(true);
         let now = self.clock.now();
         let Some(back) = self.outage.answered(now, self.doubt.is_some()) else {
             return;
@@ -33,11 +33,11 @@
         if self.doubt.is_some()
             && let Some(upstream) = state.upstreams.get(incarnation)
         {
-            upstream.missing();
+            upstream.mark_missing();
             return;
         }
         log::info!("follow: upstream {incarnation} is gone");
-        state.unlist(incarnation);
+        state.remove_upstream(incarnation);
     }
 
     /// Removes what is missing, if what is known as of a time shows that it has left.
@@ -61,7 +61,7 @@
                     "has left meanwhile"
                 };
                 log::info!("follow: upstream {} {why}", upstream.incarnation);
-                state.unlist(&upstream.incarnation);
+                state.remove_upstream(&upstream.incarnation);
             }
         }
     }
@@ -72,7 +72,9 @@
         let upstreams = state.upstreams.values();
         upstreams
             .filter(|upstream| !upstream.is_missing())
-            .filter(|upstream| doubt.is_disproved_by(upstream.written().created, as_of, &limits))
+            .filter(|upstream| {
+                doubt.is_disproved_by(upstream.entry_revision().created, as_of, &limits)
+            })
             .map(|upstream| Name::clone(&upstream.pool))
             .collect()
     }
--- a/lib/src/direct/handover.rs
+++ b/lib/src/direct/handover.rs
@@ -13,7 +13,7 @@
 
 use super::attempt::UpstreamResponse;
 use super::control_call;
-use super::dialect::{Memory, Transferred};
+use super::dialect::{KvCacheHandle, TransferOutcome};
 use super::entry::Frontend;
 use super::target::Target;
 use super::upstream::Upstream;
@@ -28,7 +28,7 @@
     source: Arc<Upstream>,
     /// Version of the adapter that the run uses.
     version: Option<u64>,
-    transfer: AbortOnDropHandle<Transferred>,
+    transfer: AbortOnDropHandle<TransferOutcome>,
 }
 
 /// Result of a handover as far as the source has responded.
@@ -46,7 +46,7 @@
 #[derive(Debug)]
 pub struct StoppedRun {
     /// Identifies the run's KV cache.
-    pub memory: Memory,
+    pub memory: KvCacheHandle,
     /// Engines that hold the KV cache, the preferred one first.
     pub targets: SmallVec<[Target; 2]>,
 }
@@ -96,19 +96,19 @@
             permit: None,
         };
         let (handle, targets) = match transferred {
-            Ok(Transferred::Copied(handle)) => {
+            Ok(TransferOutcome::Copied(handle)) => {
                 let target = self.target.take();
                 (handle, target.into_iter().chain([source]).collect())
             }
-            Ok(Transferred::Kept(handle)) => (handle, smallvec![source]),
-            Ok(Transferred::Unchanged) => return HandoverReply::NotStopped,
+            Ok(TransferOutcome::Kept(handle)) => (handle, smallvec![source]),
+            Ok(TransferOutcome::Unchanged) => return HandoverReply::NotStopped,
             Err(error) => {
                 log::error!("handover: the transfer task failed: {error}");
                 return HandoverReply::NotStopped;
             }
         };
-        self.source.succeeded();
-        let memory = Memory {
+        self.source.record_success();
+        let memory = KvCacheHandle {
             source: self.source.address,
             handle,
         };
@@ -123,20 +123,20 @@
     source: Arc<Upstream>,
     target: Arc<Upstream>,
     left: Millis,
-) -> Transferred {
+) -> TransferOutcome {
     let request = frontend
         .dialect
-        .ask_transfer(&source.incarnation, &id, target.address);
+        .transfer_request(&source.incarnation, &id, target.address);
     let sending = control_call::send(&*frontend.dialect, &source, request);
     let transferred = match tokio::time::timeout(left.duration(), sending).await {
-        Ok(Ok((head, body))) => frontend.dialect.transferred(&head, &body),
+        Ok(Ok((head, body))) => frontend.dialect.transfer_outcome(&head, &body),
         Ok(Err(cause)) => {
             log::info!(request = id.as_str(), cause = cause.as_str(); "handover: no answer");
-            Transferred::Unchanged
+            TransferOutcome::Unchanged
         }
         Err(_) => {
             log::info!(request = id.as_str(); "handover: no answer within {left}");
-            Transferred::Unchanged
+            TransferOutcome::Unchanged
         }
     };
     frontend
--- a/lib/src/direct/node.rs
+++ b/lib/src/direct/node.rs
@@ -18,15 +18,15 @@
 use tokio::task::{JoinHandle, JoinSet};
 use tokio_util::sync::CancellationToken;
 
-use super::ask::Controllers;
 use super::claim::Claimer;
+use super::controllers::Controllers;
 use super::dialect::Dialect;
 use super::entry::Frontend;
 use super::fanout::Subscription;
 use super::follow::Follower;
-use super::limits::{Current, Limits};
+use super::limits::{Limits, SharedLimits};
+use super::ownership::Ownership;
 use super::peer_server;
-use super::right::Right;
 use super::view::{Peer, View};
 use crate::clock::{Boot, Clock, Millis};
 use crate::metrics::Metrics;
@@ -81,7 +81,7 @@
 
 /// What reaches the platform.
 #[derive(Debug, Clone)]
-pub struct Reach {
+pub struct PlatformClients {
     /// Formats.
     pub dialect: Arc<dyn Dialect>,
     /// The key-value service.
@@ -120,7 +120,7 @@
     metrics: SocketAddr,
     frontend: Arc<Frontend>,
     claimer: Arc<Claimer>,
-    limits: Arc<Current>,
+    limits: Arc<SharedLimits>,
     closing: CancellationToken,
     /// Ends once the port is closed and no caller's connection is left.
     serving: JoinHandle<()>,
@@ -133,11 +133,11 @@
     /// # Errors
     ///
     /// When one of its addresses can't be listened at.
-    pub fn start(settings: &Settings, reach: Reach) -> Result<Self> {
+    pub fn start(settings: &Settings, reach: PlatformClients) -> Result<Self> {
         let listeners = Listeners::bind(settings)?;
         let clock: Arc<dyn Clock> = Arc::new(Boot);
         let view = Arc::new(View::default());
-        let limits = Arc::new(Current::new(settings.limits));
+        let limits = Arc::new(SharedLimits::new(settings.limits));
         let metrics = Arc::new(Metrics::new());
         let service = Arc::new(Metered::new(
             reach.store,
@@ -146,10 +146,10 @@
             Arc::clone(&metrics),
             Arc::clone(&clock),
         ));
-        let right = Arc::new(Right::new(Arc::clone(&clock), Arc::clone(&view)));
+        let ownership = Arc::new(Ownership::new(Arc::clone(&clock), Arc::clone(&view)));
         let controllers = Arc::new(Controllers::new(
             Arc::clone(&view),
-            Arc::clone(&right),
+            Arc::clone(&ownership),
             Arc::clone(&reach.dialect),
             Arc::clone(&clock),
             Name::clone(&settings.node),
@@ -171,7 +171,7 @@
             dialect: Arc::clone(&reach.dialect),
             clock: Arc::clone(&clock),
             view: Arc::clone(&view),
-            right,
+            ownership,
             metrics,
             limits: Arc::clone(&limits),
             node: Name::clone(&settings.node),
@@ -195,7 +195,7 @@
             view,
             Arc::clone(&limits),
         )
-        .within_domain(Arc::clone(&controllers.hub), Box::new(subscription));
+        .with_fanout(Arc::clone(&controllers.hub), Box::new(subscription));
         let closing = CancellationToken::new();
         let callers = listeners.callers.local_addr()?;
         let serving = serve_callers(listeners.callers, Arc::clone(&frontend), closing.clone());
@@ -244,7 +244,7 @@
 
     /// Returns the bounds in force, to put others in force while the node runs.
     #[must_use]
-    pub fn limits(&self) -> Arc<Current> {
+    pub fn limits(&self) -> Arc<SharedLimits> {
         Arc::clone(&self.limits)
     }
 
@@ -272,9 +272,9 @@
     /// Returns whether every request was answered in its own time.
     pub async fn drain(mut self) -> bool {
         let clock = Arc::clone(&self.frontend.clock);
-        let end = clock.now() + self.limits.get().stop - END_MARGIN;
+        let end = clock.now() + self.limits.get().shutdown - END_MARGIN;
         self.frontend.drain.begin(end);
-        give_notice(self.claimer.leave()).await;
+        release_claims_before_close(self.claimer.leave()).await;
         self.closing.cancel();
         self.finish(end).await;
         self.report(end).await;
@@ -318,7 +318,7 @@
     /// Waits until all that this node saw of upstreams' ends is reported, until `end` at most.
     async fn report(&self, end: Millis) {
         let left = end.since(self.frontend.clock.now());
-        let reported = self.frontend.quarantine.reported();
+        let reported = self.frontend.quarantine.flush_reports();
         if tokio::time::timeout(left.duration(), reported)
             .await
             .is_err()
@@ -332,7 +332,7 @@
 ///
 /// The key-value service can be silent. Were it waited for first, the callers' port would be open
 /// for as much longer, and requests that come late would be cut off at the end of the stop.
-pub async fn give_notice(leave: impl Future<Output = Result<(), Error>>) {
+pub async fn release_claims_before_close(leave: impl Future<Output = Result<(), Error>>) {
     let noticed = tokio::time::sleep(NOTICE.duration());
     let (left, ()) = tokio::join!(tokio::time::timeout(NOTICE.duration(), leave), noticed);
     match left {
@@ -386,7 +386,7 @@
 
 fn readiness_of(frontend: &Frontend, request: &Request<Incoming>) -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::default());
-    if !frontend.dialect.asks_readiness(request.uri().path()) {
+    if !frontend.dialect.is_readiness_path(request.uri().path()) {
         *response.status_mut() = StatusCode::NOT_FOUND;
     } else if !frontend.is_ready() {
         *response.status_mut() = StatusCode::SERVICE_UNAVAILABLE;
@@ -430,8 +430,8 @@
     let service = service_fn(move |request| Arc::clone(&frontend).handle(request));
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
-        .header_read_timeout(limits.idle.duration())
-        .max_buf_size(limits.head.max(8 * 1024))
+        .header_read_timeout(limits.idle_timeout.duration())
+        .max_buf_size(limits.head_bytes.max(8 * 1024))
         .serve_connection(TokioIo::new(stream), service);
     let connection = graceful.watch(connection);
     tokio::spawn(async move {
--- a/lib/src/direct/orders/load.rs
+++ b/lib/src/direct/orders/load.rs
@@ -2,11 +2,11 @@
 
 use kameo::actor::ActorRef;
 
-use super::message::{Load, Loaded, LookDue, Looked};
-use super::slots::{Look, Slots, answer};
-use super::{Controller, MOST_IN_TRANSIT, MOST_INCOMING};
+use super::message::{LoadCommand, LoadOutcome, LookDue, Looked};
+use super::slots::{LoadProbe, Slots, answer};
+use super::{EngineController, MOST_IN_TRANSIT, MOST_INCOMING};
 use crate::clock::Millis;
-use crate::direct::dialect::{Action, Order, Ordered};
+use crate::direct::dialect::{Action, Order, OrderOutcome};
 use crate::name::Name;
 
 /// Loads that may wait for a place on their way.
@@ -29,18 +29,18 @@
     }
 }
 
-impl Controller {
-    pub(super) async fn start(&mut self, load: Load) {
+impl EngineController {
+    pub(super) async fn start(&mut self, load: LoadCommand) {
         if !self.takes_load() {
             if self.queue.len() < MOST_WAITING {
                 self.queue.push_back(load);
             } else {
-                answer(load.reply, Loaded::Full);
+                answer(load.reply, LoadOutcome::Full);
             }
             return;
         }
         if !self.make_room(&load.adapter).await {
-            answer(load.reply, Loaded::Full);
+            answer(load.reply, LoadOutcome::Full);
             return;
         }
         let version = (load.version > 0).then_some(load.version);
@@ -59,27 +59,27 @@
         })
     }
 
-    fn started(&mut self, load: Load, outcome: Option<Ordered>) {
+    fn started(&mut self, load: LoadCommand, outcome: Option<OrderOutcome>) {
         let now = self.parts.clock.now();
         let Some(slots) = &mut self.slots else {
-            answer(load.reply, Loaded::Failed);
+            answer(load.reply, LoadOutcome::Failed);
             return;
         };
         match outcome {
-            Some(Ordered::Holds) => {
+            Some(OrderOutcome::Holds) => {
                 slots.holds(load, now);
                 self.publish();
             }
-            Some(Ordered::Started) => {
+            Some(OrderOutcome::Started) => {
                 slots.began(load, now);
                 self.publish();
             }
-            Some(Ordered::Fenced) => answer(load.reply, Loaded::NotOwner),
-            Some(Ordered::Conflict | Ordered::Elsewhere | Ordered::Refused) => {
+            Some(OrderOutcome::Fenced) => answer(load.reply, LoadOutcome::NotOwner),
+            Some(OrderOutcome::Conflict | OrderOutcome::Elsewhere | OrderOutcome::Refused) => {
                 self.pause();
-                answer(load.reply, Loaded::Full);
+                answer(load.reply, LoadOutcome::Full);
             }
-            None => answer(load.reply, Loaded::Failed),
+            None => answer(load.reply, LoadOutcome::Failed),
         }
     }
 
@@ -103,7 +103,7 @@
             return false;
         };
         match outcome {
-            Some(Ordered::Holds) => {
+            Some(OrderOutcome::Holds) => {
                 slots.dropped(&victim);
                 self.publish();
                 self.has_room(adapter, now)
@@ -159,14 +159,14 @@
         }
     }
 
-    fn ask(&self, look: Look, actor: &ActorRef<Self>) {
+    fn ask(&self, look: LoadProbe, actor: &ActorRef<Self>) {
         let order = Order {
             action: Action::Load,
             model: Name::clone(&look.adapter),
             version: (look.version > 0).then_some(look.version),
             sequence: look.sequence,
             holder: Name::clone(&self.parts.holder),
-            fence: 0,
+            fencing_token: 0,
         };
         let parts = self.parts.clone();
         let actor = actor.clone();
@@ -186,7 +186,7 @@
         };
         let is_known = slots.looked(&look, outcome, now);
         self.stale |= !is_known;
-        if outcome == Some(Ordered::Holds) {
+        if outcome == Some(OrderOutcome::Holds) {
             self.publish();
             self.next().await;
         }
--- a/lib/src/direct/orders/message.rs
+++ b/lib/src/direct/orders/message.rs
@@ -3,15 +3,15 @@
 use kameo::message::{Context, Message};
 use tokio::sync::oneshot;
 
-use super::Controller;
-use super::slots::Look;
+use super::EngineController;
+use super::slots::LoadProbe;
 use crate::clock::Millis;
-use crate::direct::dialect::Ordered;
+use crate::direct::dialect::OrderOutcome;
 use crate::name::Name;
 
 /// How an order to make an adapter present ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Loaded {
+pub enum LoadOutcome {
     /// It is held in this version.
     Ready(u64),
     /// All places are in use or on their way.
@@ -22,7 +22,7 @@
     Failed,
 }
 
-impl Loaded {
+impl LoadOutcome {
     /// Returns the name used in logs and metrics.
     #[must_use]
     pub const fn name(self) -> &'static str {
@@ -37,18 +37,18 @@
 
 /// Asks for an adapter.
 #[derive(Debug)]
-pub struct Load {
+pub struct LoadCommand {
     /// `BASE/NAME`.
     pub adapter: Name,
     /// The least version that will do; 0 is any.
     pub version: u64,
     /// Told when the adapter is held, or can't be.
-    pub reply: oneshot::Sender<Loaded>,
+    pub reply: oneshot::Sender<LoadOutcome>,
 }
 
 /// Tells that adapters are in use.
 #[derive(Debug)]
-pub struct Used {
+pub struct MarkInUse {
     /// `BASE/NAME` of each.
     pub adapters: Vec<Name>,
     /// Until when nothing else may be heard of them though they are.
@@ -66,23 +66,23 @@
 /// Tells what a look found.
 #[derive(Debug)]
 pub(super) struct Looked {
-    pub(super) look: Look,
-    pub(super) outcome: Option<Ordered>,
+    pub(super) look: LoadProbe,
+    pub(super) outcome: Option<OrderOutcome>,
 }
 
-impl Message<Load> for Controller {
+impl Message<LoadCommand> for EngineController {
     type Reply = ();
 
-    async fn handle(&mut self, load: Load, context: &mut Context<Self, ()>) {
+    async fn handle(&mut self, load: LoadCommand, context: &mut Context<Self, ()>) {
         self.load(load).await;
         self.schedule(context.actor_ref());
     }
 }
 
-impl Message<Used> for Controller {
+impl Message<MarkInUse> for EngineController {
     type Reply = ();
 
-    async fn handle(&mut self, used: Used, _: &mut Context<Self, ()>) {
+    async fn handle(&mut self, used: MarkInUse, _: &mut Context<Self, ()>) {
         if let Some(slots) = &mut self.slots {
             for adapter in used.adapters {
                 slots.uses(adapter, used.until);
@@ -91,7 +91,7 @@
     }
 }
 
-impl Message<LookDue> for Controller {
+impl Message<LookDue> for EngineController {
     type Reply = ();
 
     async fn handle(&mut self, _: LookDue, context: &mut Context<Self, ()>) {
@@ -100,7 +100,7 @@
     }
 }
 
-impl Message<Looked> for Controller {
+impl Message<Looked> for EngineController {
     type Reply = ();
 
     async fn handle(&mut self, looked: Looked, context: &mut Context<Self, ()>) {
@@ -109,7 +109,7 @@
     }
 }
 
-impl Message<Tick> for Controller {
+impl Message<Tick> for EngineController {
     type Reply = ();
 
     async fn handle(&mut self, _: Tick, context: &mut Context<Self, ()>) {
--- a/lib/src/direct/relay.rs
+++ b/lib/src/direct/relay.rs
@@ -12,13 +12,13 @@
 use super::entry::{CLASS_LABEL, seconds};
 use super::event_sequence::{EventSequence, StreamStep};
 use super::handover::{Handover, HandoverReply, StoppedRun};
-use super::quarantine::SETTLED;
+use super::quarantine::HARMLESS_AFTER;
 use super::request::ActiveRequest;
 use super::request_log::RequestOutcome;
 use super::upstream::Upstream;
 use super::versions;
 use crate::clock::Millis;
-use crate::poison::ledger::Sign;
+use crate::poison::ledger::Suspicion;
 
 /// Wait for an event, in longest gaps of the route, after which the stream is resumed elsewhere.
 ///
@@ -148,11 +148,11 @@
         let now = self.request.now();
         self.request.frontend.metrics.tokens.inc();
         if let Some(response) = &mut self.response {
-            response.running.read();
+            response.running.prefill_done();
         }
         match self.progress {
             RunProgress::NoEvent => self.progress = RunProgress::FirstEventAt(now),
-            RunProgress::FirstEventAt(first) if now.since(first) >= SETTLED => {
+            RunProgress::FirstEventAt(first) if now.since(first) >= HARMLESS_AFTER => {
                 self.record_harmless_run();
             }
             RunProgress::FirstEventAt(_) | RunProgress::Harmless => {}
@@ -187,8 +187,8 @@
             return;
         }
         let sign = match self.progress {
-            RunProgress::NoEvent => Sign::Begun,
-            RunProgress::FirstEventAt(_) => Sign::Possible,
+            RunProgress::NoEvent => Suspicion::Begun,
+            RunProgress::FirstEventAt(_) => Suspicion::Possible,
             RunProgress::Harmless => return,
         };
         self.request.record_broken_connection(upstream, sign);
@@ -208,7 +208,7 @@
         let metrics = &self.request.frontend.metrics;
         metrics.between_tokens.observe(seconds(gap));
         if let Some(response) = &self.response {
-            response.upstream.paused(gap, now);
+            response.upstream.record_pause(gap, now);
         }
         let timing = &mut self.request.timing;
         if gap > timing.longest_gap {
@@ -223,7 +223,7 @@
     /// Prefills lengthen a gap by as much as an engine prefills between two events. A far longer
     /// gap has another cause, such as the loss of the engine.
     fn record_long_gap(&mut self, gap: Millis) {
-        let Some(longest) = self.request.route.pause else {
+        let Some(longest) = self.request.route.max_event_gap else {
             return;
         };
         if gap > longest {
@@ -253,12 +253,13 @@
         let request = &self.request;
         let engine = response.upstream.address;
         let stayed = request.timing.handovers == 0 && !self.handover_started;
-        if !stayed || self.stay_recorded || request.frontend.roles(&request.pool).reads(engine) {
+        if !stayed || self.stay_recorded || request.frontend.roles(&request.pool).is_prefill(engine)
+        {
             return;
         }
         request
             .frontend
-            .update_mix(&request.pool, |mix| mix.stayed(engine, late));
+            .update_mix(&request.pool, |mix| mix.record_stream(engine, late));
         self.stay_recorded = true;
     }
 
@@ -272,13 +273,13 @@
         if request
             .frontend
             .roles(&request.pool)
-            .reads(response.upstream.address)
+            .is_prefill(response.upstream.address)
         {
-            let part =
-                now.since(request.sent_at).0 as f64 / request.route.objective.0.max(1) as f64;
+            let part = now.since(request.sent_at).0 as f64
+                / request.route.latency_objective.0.max(1) as f64;
             request
                 .frontend
-                .update_mix(&request.pool, |mix| mix.read(part));
+                .update_mix(&request.pool, |mix| mix.record_prefill_wait(part));
         }
     }
 
@@ -299,7 +300,7 @@
             return;
         }
         let is_first = self.request.timing.chunks == 1;
-        if let Some(target) = self.request.writer(response, is_first) {
+        if let Some(target) = self.request.decode_target(response, is_first) {
             let left = self.request.deadline.since(self.request.now());
             let handover = Handover::begin(
                 &self.request.frontend,
@@ -353,10 +354,10 @@
         if !self.request.may_retry() {
             return left;
         }
-        let gap = self.request.route.pause.unwrap_or(DEFAULT_GAP);
+        let gap = self.request.route.max_event_gap.unwrap_or(DEFAULT_GAP);
         let stall = Millis(gap.0 * STALL_GAPS);
         let first_event = if self.events.last() == self.request.message.metadata.resume_after {
-            self.request.route.objective
+            self.request.route.latency_objective
         } else {
             Millis::ZERO
         };
@@ -366,7 +367,7 @@
     /// Returns the connection of a complete response for reuse.
     fn keep_connection(&mut self) {
         if let Some(response) = self.response.take() {
-            response.upstream.succeeded();
+            response.upstream.record_success();
             if !response.reply.closes {
                 response
                     .upstream
--- a/lib/src/direct/request/mod.rs
+++ b/lib/src/direct/request/mod.rs
@@ -13,7 +13,7 @@
 use super::config::Route;
 use super::entry::Frontend;
 use super::request_log::{self, RequestOutcome};
-use super::sends::Sends;
+use super::sends::PendingSends;
 use super::target::Target;
 use super::upstream::Upstream;
 use crate::clock::Millis;
@@ -137,7 +137,7 @@
         &mut self,
         resume_after: Option<u64>,
     ) -> Result<UpstreamResponse, Failure> {
-        let mut sends = Sends::default();
+        let mut sends = PendingSends::default();
         (self.undelivered, self.rejections) = (0, 0);
         loop {
             if sends.is_empty() {
@@ -168,7 +168,7 @@
 
     /// Selects an upstream while no send is in flight, and reserves a retry if this is one.
     async fn next_target(&mut self) -> Result<Target, Failure> {
-        let target = self.target().await?;
+        let target = self.find_target().await?;
         if self.is_in_flight_at(&target.upstream) {
             return Err(self.refusal(Code::NoUpstream, "no other upstream can take it now"));
         }
@@ -195,7 +195,7 @@
     /// When the deadline has passed.
     async fn handle_silence(
         &mut self,
-        sends: &mut Sends,
+        sends: &mut PendingSends,
         resume_after: Option<u64>,
     ) -> Result<Option<UpstreamResponse>, Failure> {
         let Some(newest) = sends.newest().map(Arc::clone) else {
@@ -218,11 +218,11 @@
         let target = tokio::select! {
             biased;
             Some(sent) = sends.next() => return self.handle_finished_send(sends, sent),
-            target = self.target() => target,
+            target = self.find_target() => target,
         };
         match target {
             Ok(target)
-                if !self.is_in_flight_at(&target.upstream) && !sends.reaches(&target.upstream) =>
+                if !self.is_in_flight_at(&target.upstream) && !sends.includes(&target.upstream) =>
             {
                 self.frontend.count_retry("silent");
                 self.send(sends, target, resume_after);
@@ -261,10 +261,12 @@
     /// Returns how long to wait for a response's head before another upstream is tried.
     fn head_timeout(&self) -> Millis {
         let left = self.deadline.since(self.now());
-        if !self.message.kind.is_retryable() || self.possible_runs >= self.route.attempts {
+        if !self.message.kind.is_retryable() || self.possible_runs >= self.route.max_attempts {
             return left;
         }
-        let timeout = left.min(Millis(self.route.objective.0 * HEDGE_AFTER_OBJECTIVES));
+        let timeout = left.min(Millis(
+            self.route.latency_objective.0 * HEDGE_AFTER_OBJECTIVES,
+        ));
         let Some(drain_deadline) = self.frontend.drain.deadline() else {
             return timeout;
         };
--- a/lib/src/direct/request/outcome.rs
+++ b/lib/src/direct/request/outcome.rs
@@ -6,11 +6,11 @@
 use crate::clock::Millis;
 use crate::direct::attempt::{SendError, UpstreamResponse};
 use crate::direct::request_log;
-use crate::direct::sends::{Sends, Sent};
+use crate::direct::sends::{FinishedSend, PendingSends};
 use crate::direct::upstream::Upstream;
 use crate::error::{Code, Failure};
 use crate::name::Name;
-use crate::poison::ledger::Sign;
+use crate::poison::ledger::Suspicion;
 
 /// Undelivered sends after which a request fails.
 const MAX_UNDELIVERED: u32 = 4;
@@ -25,8 +25,8 @@
     /// Handles a finished send; returns `None` if the request continues.
     pub(super) fn handle_finished_send(
         &mut self,
-        sends: &Sends,
-        sent: Sent,
+        sends: &PendingSends,
+        sent: FinishedSend,
     ) -> Result<Option<UpstreamResponse>, Failure> {
         let is_last = sends.is_empty();
         match sent.result {
@@ -50,7 +50,7 @@
         is_last: bool,
     ) -> Option<UpstreamResponse> {
         if !response.head.status.is_server_error() {
-            response.upstream.succeeded();
+            response.upstream.record_success();
             return Some(response);
         }
         self.penalize(&response.upstream);
@@ -91,7 +91,7 @@
 
     fn handle_unsent(&mut self, upstream: &Upstream, cause: &str) -> Result<(), Failure> {
         self.possible_runs -= 1;
-        upstream.unreachable(self.now());
+        upstream.record_unreachable(self.now());
         self.undelivered += 1;
         self.frontend.count_retry("unsent");
         if self.undelivered >= MAX_UNDELIVERED {
@@ -107,7 +107,7 @@
         if let Some(adapter) = self.message.metadata.adapter()
             && status == 421
         {
-            upstream.lost(adapter);
+            upstream.remove_adapter(adapter);
         }
         if self.rejections >= MAX_REJECTIONS {
             return Err(self.refusal(Code::UpstreamRefused, "upstreams are full"));
@@ -136,9 +136,9 @@
         is_last: bool,
     ) -> Result<(), Failure> {
         if code == Code::UpstreamLost {
-            self.record_broken_connection(upstream, Sign::Possible);
+            self.record_broken_connection(upstream, Suspicion::Possible);
         }
-        upstream.failed(self.now());
+        upstream.record_failure(self.now());
         if !self.may_retry() {
             return Err(Failure::new(code, cause));
         }
@@ -166,7 +166,7 @@
 
     /// Records a failure of an upstream that was silent, broke off a response or returned an error.
     pub fn penalize(&mut self, upstream: &Upstream) {
-        upstream.failed(self.now());
+        upstream.record_failure(self.now());
         self.tried.push(Name::clone(&upstream.incarnation));
     }
 
@@ -174,7 +174,7 @@
     #[must_use]
     pub fn may_retry(&self) -> bool {
         self.message.kind.is_retryable()
-            && self.possible_runs < self.route.attempts
+            && self.possible_runs < self.route.max_attempts
             && self.now() + SELECTION_RETRY_PAUSE < self.deadline
     }
 }
--- a/lib/src/direct/request/quarantine.rs
+++ b/lib/src/direct/request/quarantine.rs
@@ -5,7 +5,7 @@
 use super::ActiveRequest;
 use crate::direct::upstream::Upstream;
 use crate::error::{Code, Failure};
-use crate::poison::ledger::Sign;
+use crate::poison::ledger::Suspicion;
 
 impl ActiveRequest {
     /// Fails if the request is quarantined; runs right before each send.
@@ -51,7 +51,11 @@
     }
 
     /// Records that the connection to an upstream broke while the request was in flight there.
-    pub(in crate::direct) fn record_broken_connection(&self, upstream: &Arc<Upstream>, sign: Sign) {
+    pub(in crate::direct) fn record_broken_connection(
+        &self,
+        upstream: &Arc<Upstream>,
+        sign: Suspicion,
+    ) {
         let fingerprint = self.message.fingerprint().clone();
         log::info!(
             request = self.id(),
@@ -60,13 +64,15 @@
             sign = sign.name();
             "request: broke"
         );
-        self.frontend.quarantine.broke(upstream, fingerprint, sign);
+        self.frontend
+            .quarantine
+            .record_broken_connection(upstream, fingerprint, sign);
     }
 
     /// Records that an upstream ran the request without crashing.
     pub(in crate::direct) fn record_harmless_run(&self) {
         self.frontend
             .quarantine
-            .survived(self.message.fingerprint());
+            .record_harmless_run(self.message.fingerprint());
     }
 }
--- a/lib/src/direct/request/send.rs
+++ b/lib/src/direct/request/send.rs
@@ -3,20 +3,25 @@
 use std::sync::Arc;
 
 use super::ActiveRequest;
-use crate::direct::admit::{self, Permit, Question};
+use crate::direct::admit::{self, AdmitQuery, Permit};
 use crate::direct::attempt::{SendError, UpstreamResponse};
-use crate::direct::dialect::{Dispatch, Memory};
+use crate::direct::dialect::{DispatchHeaders, KvCacheHandle};
 use crate::direct::request_log;
-use crate::direct::sends::Sends;
+use crate::direct::sends::PendingSends;
 use crate::direct::target::Target;
-use crate::direct::versions::Watch;
+use crate::direct::versions::VersionWatch;
 use crate::error::Code;
 use crate::name::Name;
 
 impl ActiveRequest {
     /// Sends the request to a target; the response arrives through `sends`.
-    pub(super) fn send(&mut self, sends: &mut Sends, target: Target, resume_after: Option<u64>) {
-        let dispatch = Dispatch {
+    pub(super) fn send(
+        &mut self,
+        sends: &mut PendingSends,
+        target: Target,
+        resume_after: Option<u64>,
+    ) {
+        let dispatch = DispatchHeaders {
             resume_after: resume_after.or(self.message.metadata.resume_after),
             ..self.dispatch(&target)
         };
@@ -36,14 +41,14 @@
     pub(in crate::direct) async fn resume_moved_run(
         &self,
         target: &Target,
-        memory: Memory,
+        memory: KvCacheHandle,
         last: Option<u64>,
     ) -> Result<UpstreamResponse, SendError> {
         self.check_quarantine()
             .map_err(|failure| SendError::Lost(failure.code, failure.detail))?;
-        let dispatch = Dispatch {
+        let dispatch = DispatchHeaders {
             resume_after: last,
-            memory: Some(memory),
+            kv_cache: Some(memory),
             ..self.dispatch(target)
         };
         request_log::sent(self, &target.upstream, target.version, dispatch.deadline);
@@ -56,7 +61,7 @@
         // Without another way to continue, wait for a slow engine until the deadline: giving up
         // after the route's latency objective aborted streams that could have continued.
         let timeout = if self.may_retry() {
-            dispatch.deadline.min(self.route.objective)
+            dispatch.deadline.min(self.route.latency_objective)
         } else {
             dispatch.deadline
         };
@@ -75,11 +80,11 @@
 
     /// Asks the owner of the engine where a moved run resumes to count it.
     async fn moved_run_permit(&self, target: &Target) -> Option<Permit> {
-        let question = Question {
+        let question = AdmitQuery {
             loaded: true,
             // The prompt isn't prefilled again.
             tokens: 0,
-            ..self.question(
+            ..self.admit_query(
                 self.message.metadata.adapter(),
                 target.version.unwrap_or_default(),
             )
@@ -90,7 +95,7 @@
             .admit(&target.upstream, question)
             .await
         {
-            admit::Answer::Admitted(permit, _) => Some(permit),
+            admit::AdmitDecision::Admitted(permit, _) => Some(permit),
             _ => None,
         };
         self.report_uncounted(target, permit.as_ref());
@@ -98,9 +103,9 @@
     }
 
     /// Watches until when the request may start on the target's version of its adapter.
-    fn watch(&self, target: &Target) -> Option<Watch> {
+    fn watch(&self, target: &Target) -> Option<VersionWatch> {
         let adapter = self.message.metadata.adapter()?;
-        Some(Watch::new(
+        Some(VersionWatch::new(
             Arc::clone(&self.frontend),
             Arc::clone(&target.upstream),
             Name::clone(adapter),
@@ -114,12 +119,12 @@
         if let (Some(adapter), None) = (self.message.metadata.adapter(), permit) {
             self.frontend
                 .controllers
-                .note_use(&target.upstream, adapter);
+                .record_use(&target.upstream, adapter);
         }
     }
 
-    fn dispatch(&self, target: &Target) -> Dispatch {
-        Dispatch {
+    fn dispatch(&self, target: &Target) -> DispatchHeaders {
+        DispatchHeaders {
             incarnation: Name::clone(&target.upstream.incarnation),
             deadline: self.deadline.since(self.now()),
             urgency: self
@@ -129,7 +134,7 @@
                 .then_some(self.route.urgency),
             version: target.version,
             resume_after: None,
-            memory: None,
+            kv_cache: None,
         }
     }
 }
--- a/lib/src/direct/request_log.rs
+++ b/lib/src/direct/request_log.rs
@@ -5,7 +5,7 @@
 //! prompt, a body or a header of the caller.
 
 use super::attempt::SendError;
-use super::orders::Loaded;
+use super::orders::LoadOutcome;
 use super::request::ActiveRequest;
 use super::upstream::Upstream;
 use crate::clock::Millis;
@@ -67,10 +67,10 @@
             let since = newest.since.unwrap_or_default();
             request.now().since(since).0
         }),
-        load = upstream.load(),
-        reader = request.frontend.roles(&request.pool).reads(upstream.address),
+        load = upstream.total_running(),
+        reader = request.frontend.roles(&request.pool).is_prefill(upstream.address),
         tokens = request.message.metadata.tokens.map_or(0, |(prompt, _)| prompt),
-        load_age_ms = request.now().since(upstream.heard_at()).0,
+        load_age_ms = request.now().since(upstream.remote_load_at()).0,
         list_age_ms = request.now().since(request.frontend.view.as_of()).0,
         stage = upstream.stage().name(),
         passed_ms = request.now().since(request.arrived_at).0,
@@ -129,7 +129,7 @@
 
     /// Records the outcome and returns how long it took.
     #[must_use]
-    pub fn finish(mut self, loaded: Loaded) -> Millis {
+    pub fn finish(mut self, loaded: LoadOutcome) -> Millis {
         self.outcome = loaded.name();
         self.request.now().since(self.started_at)
     }
--- a/lib/src/direct/resume.rs
+++ b/lib/src/direct/resume.rs
@@ -251,7 +251,7 @@
         let gap = self
             .request
             .route
-            .pause
+            .max_event_gap
             .unwrap_or(DEFAULT_GAP)
             .max(SELECTION_RETRY_PAUSE);
         let caller_timeout = self.request.now() + Millis(gap.0 * CALLER_TIMEOUT_GAPS);
--- a/lib/src/direct/pick.rs
+++ b/lib/src/direct/selection.rs
@@ -5,7 +5,7 @@
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-use super::roles::{Manner, Roles};
+use super::roles::{Roles, Workload};
 use super::upstream::Upstream;
 use crate::clock::Millis;
 use crate::name::Name;
@@ -44,11 +44,11 @@
 
 /// Upstreams of an adapter's order that are looked at for one load: five times as many as are
 /// asked.
-pub const MOST_HOMES: usize = 64;
+pub const MAX_PLACEMENT_CANDIDATES: usize = 64;
 
 /// Where a request may go.
 #[derive(Debug)]
-pub struct Field<'a> {
+pub struct Selector<'a> {
     /// All upstreams of the pool.
     pub upstreams: &'a [Arc<Upstream>],
     /// Upstreams that this request was sent to before.
@@ -73,19 +73,19 @@
 /// Returns what part of their places other nodes use at the mean of some upstreams.
 #[must_use]
 #[allow(clippy::cast_precision_loss, reason = "some hundred upstreams")]
-pub fn usual_share(upstreams: &[Arc<Upstream>]) -> f64 {
+pub fn mean_remote_utilization(upstreams: &[Arc<Upstream>]) -> f64 {
     let sum: f64 = upstreams
         .iter()
-        .map(|upstream| upstream.elsewhere_share())
+        .map(|upstream| upstream.remote_utilization())
         .sum();
     sum / upstreams.len().max(1) as f64
 }
 
-impl Field<'_> {
+impl Selector<'_> {
     /// Returns the least loaded of the upstreams that fit and take new work.
     ///
     /// One that failed lately, or was tried before, is taken only if no other fits.
-    pub fn least(&self, fits: impl Fn(&Upstream) -> bool) -> Option<Arc<Upstream>> {
+    pub fn least_loaded(&self, fits: impl Fn(&Upstream) -> bool) -> Option<Arc<Upstream>> {
         self.upstreams
             .iter()
             .filter(|upstream| upstream.is_ready() && fits(upstream))
@@ -100,14 +100,18 @@
     /// behind its first event. Else its answer is written where its prompt is read, better at
     /// a writer: streams that stayed at a reader were late by a pause in 62 to 85 of 100
     /// cases, those at a writer in 2 to 12.
-    pub fn first(&self, manner: Manner, fits: impl Fn(&Upstream) -> bool) -> Option<Arc<Upstream>> {
+    pub fn select(
+        &self,
+        manner: Workload,
+        fits: impl Fn(&Upstream) -> bool,
+    ) -> Option<Arc<Upstream>> {
         let [reader, writer] = self.least_of_each(fits);
         let sound = |found: &Option<Arc<Upstream>>| {
             found.as_ref().is_some_and(|found| !self.avoided(found))
         };
         let reads = match manner {
-            Manner::Reads => sound(&reader),
-            Manner::Writes => sound(&reader) && sound(&writer),
+            Workload::PrefillHeavy => sound(&reader),
+            Workload::DecodeHeavy => sound(&reader) && sound(&writer),
         };
         if reads {
             return reader;
@@ -118,7 +122,7 @@
         reader
     }
 
-    /// Returns the least loaded reader and the least loaded writer, as [`Self::least`] chooses.
+    /// Returns the least loaded reader and the least loaded writer, as [`Self::least_loaded`] chooses.
     ///
     /// One look at each upstream serves both: a request asks up to three
     /// times before it is sent, each time about all upstreams of its pool.
@@ -127,7 +131,7 @@
         let takers = self.upstreams.iter();
         for upstream in takers.filter(|upstream| upstream.is_ready() && fits(upstream)) {
             let cost = self.cost(upstream);
-            let known = &mut least[usize::from(!self.reads(upstream))];
+            let known = &mut least[usize::from(!self.is_prefill(upstream))];
             if known.is_none_or(|(least, _)| cost.total_cmp(&least).is_lt()) {
                 *known = Some((cost, upstream));
             }
@@ -137,17 +141,21 @@
 
     /// Whether an upstream reads prompts for the others.
     #[must_use]
-    pub fn reads(&self, upstream: &Upstream) -> bool {
-        self.roles.reads(upstream.address)
+    pub fn is_prefill(&self, upstream: &Upstream) -> bool {
+        self.roles.is_prefill(upstream.address)
     }
 
     /// Returns upstreams that take new work and fit in an adapter's order of placement, those that
     /// may have left last.
     ///
-    /// Of many the first [`MOST_HOMES`] are returned: a request asks some dozen at most, and
+    /// Of many the first [`MAX_PLACEMENT_CANDIDATES`] are returned: a request asks some dozen at most, and
     /// looking at thousands for each load cost a small VM milliseconds.
     #[must_use]
-    pub fn homes(&self, adapter: &str, fits: impl Fn(&Upstream) -> bool) -> Vec<Arc<Upstream>> {
+    pub fn placement_candidates(
+        &self,
+        adapter: &str,
+        fits: impl Fn(&Upstream) -> bool,
+    ) -> Vec<Arc<Upstream>> {
         let mut homes: Vec<(Reverse<bool>, u64, &Arc<Upstream>)> = self
             .upstreams
             .iter()
@@ -162,13 +170,13 @@
             .into_iter()
             .map(|(_, _, upstream)| upstream)
             .filter(|upstream| fits(upstream))
-            .take(MOST_HOMES)
+            .take(MAX_PLACEMENT_CANDIDATES)
             .cloned()
             .collect()
     }
 
     fn avoided(&self, upstream: &Upstream) -> bool {
-        upstream.suspended(self.now) || self.tried.contains(&upstream.incarnation)
+        upstream.is_suspended(self.now) || self.tried.contains(&upstream.incarnation)
     }
 
     /// A number from 0 to 1 for this request at this upstream.
@@ -188,11 +196,11 @@
     fn occupied(&self, upstream: &Upstream) -> f64 {
         let own = f64::from(upstream.running()) / f64::from(upstream.slots);
         let Some(usual) = self.usual else {
-            return own + upstream.elsewhere_share();
+            return own + upstream.remote_utilization();
         };
-        let known = upstream.certainty(self.now);
+        let known = upstream.remote_load_confidence(self.now);
         let unknown = usual + SCATTER * (Self::share(upstream, self.id) - 0.5);
-        own + known * upstream.elsewhere_share() + (1.0 - known) * unknown
+        own + known * upstream.remote_utilization() + (1.0 - known) * unknown
     }
 
     /// Part of the upstream's places in use, with handicaps.
@@ -209,7 +217,7 @@
             cost += PAUSES * upstream.mean_pause(self.now) / (most.0.max(1) as f64);
         }
         cost += TIE * Self::share(upstream, self.salt);
-        if upstream.suspended(self.now) {
+        if upstream.is_suspended(self.now) {
             cost += 100.0;
         }
         if self.tried.contains(&upstream.incarnation) {
--- a/lib/src/direct/target.rs
+++ b/lib/src/direct/target.rs
@@ -5,19 +5,19 @@
 use smallvec::SmallVec;
 use xxhash_rust::xxh3::xxh3_64;
 
-use super::admit::{self, Permit, Question};
+use super::acquire::Asked;
+use super::admission_policy::{self, MAX_ADMISSION_QUERIES};
+use super::admit::{self, AdmitQuery, Permit};
 use super::attempt::UpstreamResponse;
-use super::choice::{self, MOST_QUESTIONS};
 use super::entry::{CLASS_LABEL, seconds};
 use super::metadata::RequestMetadata;
-use super::orders::Loaded;
-use super::pick::{Field, usual_share};
-use super::place::Asked;
+use super::orders::LoadOutcome;
 use super::request::{ActiveRequest, SELECTION_RETRY_PAUSE};
 use super::request_log::LoadAttempt;
-use super::roles::{Manner, Roles, may_move};
+use super::roles::{Roles, Workload, may_move};
+use super::selection::{Selector, mean_remote_utilization};
 use super::upstream::Upstream;
-use super::versions::{REPLACEMENT, WITHDRAWAL};
+use super::versions::{REPLACEMENT_LEAD, WITHDRAWAL_LEAD};
 use crate::clock::Millis;
 use crate::error::{Code, Failure};
 use crate::name::Name;
@@ -63,11 +63,13 @@
 
 impl ActiveRequest {
     /// Finds where to send, waiting a little if nothing fits.
-    pub(super) async fn target(&self) -> Result<Target, Failure> {
-        let patience = self.arrived_at + Millis(self.route.objective.0 / REFUSE_AFTER);
+    pub(super) async fn find_target(&self) -> Result<Target, Failure> {
+        let patience = self.arrived_at + Millis(self.route.latency_objective.0 / REFUSE_AFTER);
         let quarantine = &self.frontend.quarantine;
         if !quarantine.is_empty() {
-            quarantine.examined(self.message.fingerprint()).await;
+            quarantine
+                .wait_for_crash_check(self.message.fingerprint())
+                .await;
         }
         loop {
             self.check_quarantine()?;
@@ -75,7 +77,7 @@
             let roles = self.frontend.roles(&self.pool);
             let field = self.field(&upstreams, &roles);
             let found = match &self.message.metadata.model {
-                None => field.least(|_| true).map(anywhere),
+                None => field.least_loaded(|_| true).map(anywhere),
                 Some(model) => match self.message.metadata.adapter() {
                     None => self.with_base(&field, model).await,
                     Some(adapter) => self.holder(&field, adapter).await?,
@@ -98,23 +100,23 @@
     ///
     /// With `ask`, a writer is asked to hold the adapter where none does, so that a later
     /// event of this stream can move it.
-    pub(super) fn writer(&self, answer: &UpstreamResponse, ask: bool) -> Option<Target> {
+    pub(super) fn decode_target(&self, answer: &UpstreamResponse, ask: bool) -> Option<Target> {
         let source = &answer.upstream;
         let roles = self.frontend.roles(&self.pool);
-        if !roles.reads(source.address) {
+        if !roles.is_prefill(source.address) {
             return None;
         }
         let upstreams = self.frontend.view.pool(&self.pool);
         let field = self.field(&upstreams, &roles);
         let takes = |upstream: &Upstream| {
-            !field.reads(upstream)
-                && !upstream.suspended(field.now)
-                && upstream.load() < upstream.slots
+            !field.is_prefill(upstream)
+                && !upstream.is_suspended(field.now)
+                && upstream.total_running() < upstream.slots
         };
         let Some(adapter) = self.message.metadata.adapter() else {
             let model = self.message.metadata.model.as_ref()?;
             return field
-                .least(|upstream| takes(upstream) && upstream.has_base(model))
+                .least_loaded(|upstream| takes(upstream) && upstream.has_base_model(model))
                 .map(anywhere);
         };
         let newest = self
@@ -126,32 +128,32 @@
             let held = upstream.version(adapter);
             held.is_some_and(|held| may_move(answer.version, held, newest))
         };
-        let found = field.least(|upstream| takes(upstream) && fits(upstream));
+        let found = field.least_loaded(|upstream| takes(upstream) && fits(upstream));
         if found.is_none() && ask {
             let mut homes = self.homes(&field, adapter);
-            homes.retain(|upstream| !field.reads(upstream));
+            homes.retain(|upstream| !field.is_prefill(upstream));
             self.frontend
                 .load_in_background(homes, adapter, newest.unwrap_or_default());
         }
         found.map(|upstream| Self::at(upstream, adapter))
     }
 
-    pub(super) fn manner(&self) -> Manner {
-        Manner::of(self.message.metadata.tokens)
+    pub(super) fn manner(&self) -> Workload {
+        Workload::of(self.message.metadata.tokens)
     }
 
     pub(super) fn field<'a>(
         &'a self,
         upstreams: &'a [Arc<Upstream>],
         roles: &'a Roles,
-    ) -> Field<'a> {
-        Field {
+    ) -> Selector<'a> {
+        Selector {
             upstreams,
             tried: &self.tried,
             home: &self.frontend.failure_domain,
             now: self.now(),
             salt: salt(&self.message.metadata),
-            pause: self.route.pause,
+            pause: self.route.max_event_gap,
             roles,
             id: xxh3_64(self.id().as_bytes()),
             usual: self
@@ -159,7 +161,7 @@
                 .metadata
                 .model
                 .is_some()
-                .then(|| usual_share(upstreams)),
+                .then(|| mean_remote_utilization(upstreams)),
         }
     }
 
@@ -168,7 +170,11 @@
     /// # Errors
     ///
     /// A refusal when the request would begin too late wherever it is sent.
-    async fn holder(&self, field: &Field<'_>, adapter: &Name) -> Result<Option<Target>, Failure> {
+    async fn holder(
+        &self,
+        field: &Selector<'_>,
+        adapter: &Name,
+    ) -> Result<Option<Target>, Failure> {
         let newest = self.frontend.view.newest(adapter);
         let wanted = newest.map_or(0, |newest| newest.version);
         let waiting = match self.ask_holders(field, adapter, wanted).await {
@@ -193,13 +199,13 @@
             .await;
         homes.extend(self.replacing(field, adapter));
         if let Some(upstream) = self.loaded(homes, adapter, wanted).await {
-            let question = Question {
+            let question = AdmitQuery {
                 loaded: true,
-                ..self.question(Some(adapter), wanted)
+                ..self.admit_query(Some(adapter), wanted)
             };
             return Ok(self.counted(upstream, adapter, question).await);
         }
-        let question = self.question(Some(adapter), wanted);
+        let question = self.admit_query(Some(adapter), wanted);
         if let Some(waiting) = waiting
             && let Some(target) = self.counted(waiting.upstream, adapter, question).await
         {
@@ -209,7 +215,7 @@
         // above, and is better than none now.
         let holds =
             |upstream: &Upstream| upstream.version(adapter).is_some_and(|held| held >= wanted);
-        match field.first(self.manner(), holds) {
+        match field.select(self.manner(), holds) {
             Some(upstream) => Ok(self.counted(upstream, adapter, question).await),
             None => Ok(None),
         }
@@ -221,35 +227,37 @@
     /// while the newest one is loaded elsewhere in less time than most queues take. A request
     /// that doesn't show when it begins waits for the newest. Where the newest one's engines have
     /// queues, a free place begins a request sooner than they or a further load would.
-    async fn older(&self, field: &Field<'_>, adapter: &Name, newest: u64) -> Option<Target> {
+    async fn older(&self, field: &Selector<'_>, adapter: &Name, newest: u64) -> Option<Target> {
         if !self.message.kind.is_streaming() {
             return None;
         }
-        let mut asked: SmallVec<[Name; MOST_QUESTIONS]> = SmallVec::new();
-        while asked.len() < MOST_QUESTIONS {
+        let mut asked: SmallVec<[Name; MAX_ADMISSION_QUERIES]> = SmallVec::new();
+        while asked.len() < MAX_ADMISSION_QUERIES {
             let fits = |upstream: &Upstream| {
                 upstream.version(adapter).is_some_and(|held| held < newest)
                     && !asked.contains(&upstream.incarnation)
                     && !upstream.is_unreachable(field.now)
                     && self.time_to_begin(upstream, adapter) > Millis::ZERO
             };
-            let upstream = field.first(self.manner(), fits)?;
+            let upstream = field.select(self.manner(), fits)?;
             asked.push(Name::clone(&upstream.incarnation));
-            let question = Question {
-                limit: upstream.slots,
-                patience: choice::calm_wait(self.route.objective)
+            let question = AdmitQuery {
+                max_running: upstream.slots,
+                max_wait: admission_policy::calm_wait(self.route.latency_objective)
                     .min(self.time_to_begin(&upstream, adapter)),
-                ..self.question(Some(adapter), 0)
+                ..self.admit_query(Some(adapter), 0)
             };
             match self.frontend.controllers.admit(&upstream, question).await {
-                admit::Answer::Admitted(permit, _) => {
+                admit::AdmitDecision::Admitted(permit, _) => {
                     return Some(Self::admitted(upstream, adapter, Some(permit)));
                 }
-                admit::Answer::Absent(_) => upstream.lost(adapter),
-                admit::Answer::Unknown if upstream.load() < choice::calm_limit(upstream.slots) => {
+                admit::AdmitDecision::Absent(_) => upstream.remove_adapter(adapter),
+                admit::AdmitDecision::Unknown
+                    if upstream.total_running() < admission_policy::calm_limit(upstream.slots) =>
+                {
                     return Some(Self::admitted(upstream, adapter, None));
                 }
-                admit::Answer::Busy(_) | admit::Answer::Unknown => {}
+                admit::AdmitDecision::Busy(_) | admit::AdmitDecision::Unknown => {}
             }
         }
         None
@@ -260,8 +268,10 @@
         let Some(version) = upstream.version(adapter) else {
             return Millis::ZERO;
         };
-        match self.frontend.begin_by(adapter, version) {
-            Some(begin_by) => begin_by.since(self.now() + REPLACEMENT + WITHDRAWAL),
+        match self.frontend.begin_deadline(adapter, version) {
+            Some(begin_deadline) => {
+                begin_deadline.since(self.now() + REPLACEMENT_LEAD + WITHDRAWAL_LEAD)
+            }
             None => Millis::MAX,
         }
     }
@@ -291,10 +301,10 @@
                 .with_label_values(&[CLASS_LABEL])
                 .observe(seconds(took));
             match loaded {
-                Loaded::Ready(held) if held >= wanted && upstream.is_ready() => {
+                LoadOutcome::Ready(held) if held >= wanted && upstream.is_ready() => {
                     return Some(upstream);
                 }
-                Loaded::NotOwner => unowned += 1,
+                LoadOutcome::NotOwner => unowned += 1,
                 _ => asked += 1,
             }
         }
@@ -307,16 +317,17 @@
     /// service is away there are many of them; asked one after the other, they used up the
     /// questions of a request that an engine further down could have served.
     fn can_load(&self, upstream: &Upstream, adapter: &Name) -> bool {
-        upstream.has_base(adapter) && self.frontend.controllers.is_ordered(upstream)
+        upstream.has_base_model(adapter) && self.frontend.controllers.has_live_owner(upstream)
     }
 
     /// Engines that could load the adapter, those with no older version of it first.
-    fn homes(&self, field: &Field<'_>, adapter: &Name) -> Vec<Arc<Upstream>> {
-        let mut homes = field.homes(adapter, |upstream| self.can_load(upstream, adapter));
-        let reads = self.manner() == Manner::Reads;
-        homes.sort_by_key(|upstream| field.reads(upstream) != reads);
+    fn homes(&self, field: &Selector<'_>, adapter: &Name) -> Vec<Arc<Upstream>> {
+        let mut homes =
+            field.placement_candidates(adapter, |upstream| self.can_load(upstream, adapter));
+        let reads = self.manner() == Workload::PrefillHeavy;
+        homes.sort_by_key(|upstream| field.is_prefill(upstream) != reads);
         if let Some(rest) = homes.get_mut(FIRST_HOMES..) {
-            rest.sort_by_key(|upstream| upstream.held_count());
+            rest.sort_by_key(|upstream| upstream.adapter_count());
         }
         homes.sort_by_key(|upstream| upstream.version(adapter).is_some());
         homes
@@ -325,7 +336,7 @@
     /// Engines that rejected the request for the load of a newer version, which they go on with.
     fn replacing<'a>(
         &'a self,
-        field: &Field<'a>,
+        field: &Selector<'a>,
         adapter: &'a Name,
     ) -> impl Iterator<Item = Arc<Upstream>> + use<'a> {
         let rejected = |upstream: &&Arc<Upstream>| {
@@ -340,15 +351,15 @@
     ///
     /// All nodes know the same order of engines; chance keeps those that notice the crowd
     /// together from asking the same one, so that replicas double with each load.
-    pub(super) fn spread(&self, field: &Field<'_>, adapter: &Name, wanted: u64, reads: bool) {
+    pub(super) fn spread(&self, field: &Selector<'_>, adapter: &Name, wanted: u64, reads: bool) {
         let holders = field.upstreams.iter();
         let replicas = holders
             .filter(|upstream| upstream.version(adapter).is_some())
             .count();
-        let mut homes = field.homes(adapter, |upstream| {
+        let mut homes = field.placement_candidates(adapter, |upstream| {
             upstream.version(adapter).is_none()
-                && field.reads(upstream) == reads
-                && upstream.load() < upstream.slots
+                && field.is_prefill(upstream) == reads
+                && upstream.total_running() < upstream.slots
                 && self.can_load(upstream, adapter)
         });
         let among = u64::try_from(replicas.clamp(1, homes.len().max(1))).unwrap_or(1);
@@ -360,13 +371,13 @@
     }
 
     /// Has a reader hold an adapter whose prompts are read at a writer, sooner the more there are.
-    pub(super) fn copy(&self, field: &Field<'_>, adapter: &Name, wanted: u64, found: &Upstream) {
+    pub(super) fn copy(&self, field: &Selector<'_>, adapter: &Name, wanted: u64, found: &Upstream) {
         let chosen = xxh3_64(self.id().as_bytes()).is_multiple_of(COPY_ONE_IN);
-        if !field.roles.is_split() || field.reads(found) || !chosen {
+        if !field.roles.is_disaggregated() || field.is_prefill(found) || !chosen {
             return;
         }
-        let homes = field.homes(adapter, |upstream| {
-            field.reads(upstream) && self.can_load(upstream, adapter)
+        let homes = field.placement_candidates(adapter, |upstream| {
+            field.is_prefill(upstream) && self.can_load(upstream, adapter)
         });
         self.frontend.load_in_background(homes, adapter, wanted);
     }
--- a/lib/src/direct/upstream.rs
+++ b/lib/src/direct/upstream.rs
@@ -6,9 +6,9 @@
 use std::sync::{Arc, Mutex, PoisonError};
 
 use super::admit::Permit;
-use super::dialect::{Held, Listed};
+use super::dialect::{LoadedModels, UpstreamEntry};
 use super::metadata::base_model_of;
-use super::presence::{Presence, Stage, Written};
+use super::presence::{EntryRevision, Presence, Stage};
 use crate::clock::Millis;
 use crate::name::Name;
 use crate::ports::link::{Bounds, Link};
@@ -55,7 +55,7 @@
 /// What is known of adapters, with the order count that it holds for.
 #[derive(Debug, Default)]
 struct Holdings {
-    born: u64,
+    started_at_ms: u64,
     sequence: u64,
     models: Vec<Name>,
     adapters: HashMap<Name, u64>,
@@ -85,9 +85,9 @@
     /// Requests that it processes at once.
     pub slots: u32,
     /// When this start began, as it says of itself; 0 where it doesn't tell.
-    pub born: u64,
+    pub started_at_ms: u64,
     /// When this node first saw it in the list.
-    pub seen: Millis,
+    pub first_seen: Millis,
     /// Connections to it.
     pub link: Link,
     /// Whether it takes new work, which each choice asks of all upstreams.
@@ -105,7 +105,7 @@
 
 /// Counts a request at an upstream until it is dropped.
 #[derive(Debug)]
-pub struct Running {
+pub struct InFlightRequest {
     upstream: Arc<Upstream>,
     /// The adapter of a request that the owner doesn't count.
     uncounted: Option<Name>,
@@ -113,16 +113,16 @@
     permit: Option<Permit>,
 }
 
-impl Running {
+impl InFlightRequest {
     /// Takes in that the upstream has read the request's prompt.
-    pub fn read(&mut self) {
+    pub fn prefill_done(&mut self) {
         if let Some(permit) = &mut self.permit {
-            permit.read();
+            permit.prefill_done();
         }
     }
 }
 
-impl Drop for Running {
+impl Drop for InFlightRequest {
     fn drop(&mut self) {
         self.upstream.running.fetch_sub(1, Ordering::Relaxed);
         if let Some(adapter) = &self.uncounted {
@@ -134,7 +134,12 @@
 impl Upstream {
     /// Makes an upstream from its entry in the list.
     #[must_use]
-    pub fn new(listed: &Listed, written: Written, connections: usize, now: Millis) -> Self {
+    pub fn new(
+        listed: &UpstreamEntry,
+        written: EntryRevision,
+        connections: usize,
+        now: Millis,
+    ) -> Self {
         let bounds = Bounds {
             connect: CONNECT,
             idle: IDLE,
@@ -147,8 +152,8 @@
             place: listed.address.to_string().into(),
             failure_domain: Name::clone(&listed.failure_domain),
             slots: listed.slots.max(1),
-            born: listed.held.born,
-            seen: now,
+            started_at_ms: listed.held.started_at_ms,
+            first_seen: now,
             link: Link::new(listed.address, bounds),
             takes_work: AtomicBool::new(listed.ready),
             presence: Mutex::new(Presence::new(written, listed.ready)),
@@ -161,14 +166,14 @@
             health: Mutex::default(),
             pace: Mutex::default(),
         };
-        upstream.hold(&listed.held);
+        upstream.update_held(&listed.held);
         upstream
     }
 
     /// Takes in an entry of the list, unless a newer one is known.
-    pub fn update(&self, listed: &Listed, written: Written) {
-        if self.note(|presence| presence.entry(written, listed.ready)) {
-            self.hold(&listed.held);
+    pub fn update(&self, listed: &UpstreamEntry, written: EntryRevision) {
+        if self.note(|presence| presence.apply_entry(written, listed.ready)) {
+            self.update_held(&listed.held);
         }
     }
 
@@ -184,7 +189,7 @@
             log::info!(
                 upstream = &*self.incarnation,
                 before = before.name(),
-                revision = presence.written().revision;
+                revision = presence.entry_revision().revision;
                 "view: an upstream is {}", stage.name()
             );
         }
@@ -201,12 +206,12 @@
     /// count begins anew then, so that news of the former start would look newer for as many
     /// orders as that one took, and requests would go to adapters that are gone. The time of
     /// the start goes first therefore.
-    pub fn hold(&self, held: &Held) {
+    pub fn update_held(&self, held: &LoadedModels) {
         let mut holdings = self.holdings();
-        if (held.born, held.sequence) < (holdings.born, holdings.sequence) {
+        if (held.started_at_ms, held.sequence) < (holdings.started_at_ms, holdings.sequence) {
             return;
         }
-        holdings.born = held.born;
+        holdings.started_at_ms = held.started_at_ms;
         holdings.sequence = held.sequence;
         holdings.models.clone_from(&held.models);
         holdings.adapters = held.adapters.iter().cloned().collect();
@@ -214,10 +219,10 @@
 
     /// Returns what the upstream is known to hold.
     #[must_use]
-    pub fn held(&self) -> Held {
+    pub fn held(&self) -> LoadedModels {
         let holdings = self.holdings();
-        Held {
-            born: holdings.born,
+        LoadedModels {
+            started_at_ms: holdings.started_at_ms,
             sequence: holdings.sequence,
             models: holdings.models.clone(),
             adapters: holdings
@@ -230,14 +235,14 @@
     }
 
     /// Takes in that an adapter is present.
-    pub fn gained(&self, adapter: &Name, version: u64) {
+    pub fn set_adapter(&self, adapter: &Name, version: u64) {
         self.holdings()
             .adapters
             .insert(Name::clone(adapter), version);
     }
 
     /// Takes in that an adapter is absent, or there in another version.
-    pub fn lost(&self, adapter: &str) {
+    pub fn remove_adapter(&self, adapter: &str) {
         self.holdings().adapters.remove(adapter);
     }
 
@@ -249,13 +254,13 @@
 
     /// Returns how many adapters the upstream is known to hold.
     #[must_use]
-    pub fn held_count(&self) -> usize {
+    pub fn adapter_count(&self) -> usize {
         self.holdings().adapters.len()
     }
 
     /// Whether the upstream holds the base model of `model`.
     #[must_use]
-    pub fn has_base(&self, model: &str) -> bool {
+    pub fn has_base_model(&self, model: &str) -> bool {
         let base = base_model_of(model);
         self.holdings().models.iter().any(|held| &**held == base)
     }
@@ -274,31 +279,31 @@
 
     /// Returns where its newest entry stands in the service's history.
     #[must_use]
-    pub fn written(&self) -> Written {
-        self.presence().written()
+    pub fn entry_revision(&self) -> EntryRevision {
+        self.presence().entry_revision()
     }
 
     /// Stops new work, as the upstream is no longer listed.
     pub fn retire(&self) {
-        self.note(Presence::gone);
+        self.note(Presence::mark_gone);
         self.link.clear();
     }
 
     /// Whether the upstream vanished from the list, or started again, without saying that it leaves.
     #[must_use]
-    pub fn was_lost(&self) -> bool {
-        self.presence().is_lost()
+    pub fn left_unannounced(&self) -> bool {
+        self.presence().left_unannounced()
     }
 
     /// Returns a name for this start, unlike that of any other start of the same upstream.
     #[must_use]
-    pub fn start(&self) -> Name {
-        format!("{}@{}", self.incarnation, self.born).into()
+    pub fn start_id(&self) -> Name {
+        format!("{}@{}", self.incarnation, self.started_at_ms).into()
     }
 
     /// Takes in that the upstream is missing from the list, and may not have left.
-    pub fn missing(&self) {
-        self.note(Presence::missing);
+    pub fn mark_missing(&self) {
+        self.note(Presence::mark_missing);
     }
 
     /// Whether the upstream is missing from the list, and may not have left.
@@ -309,13 +314,17 @@
 
     /// Counts a request that this node sends.
     #[must_use]
-    pub fn enter(self: &Arc<Self>, adapter: Option<&Name>, permit: Option<Permit>) -> Running {
+    pub fn start_request(
+        self: &Arc<Self>,
+        adapter: Option<&Name>,
+        permit: Option<Permit>,
+    ) -> InFlightRequest {
         self.running.fetch_add(1, Ordering::Relaxed);
         let uncounted = adapter.filter(|_| permit.is_none());
         if let Some(adapter) = uncounted {
             *self.using().entry(Name::clone(adapter)).or_default() += 1;
         }
-        Running {
+        InFlightRequest {
             upstream: Arc::clone(self),
             uncounted: uncounted.cloned(),
             permit,
@@ -324,7 +333,7 @@
 
     /// Returns the adapters that requests of this node use which the owner doesn't count.
     #[must_use]
-    pub fn in_use(&self) -> Vec<Name> {
+    pub fn uncounted_adapters(&self) -> Vec<Name> {
         self.using().keys().cloned().collect()
     }
 
@@ -350,38 +359,38 @@
 
     /// Requests of all nodes, as last heard.
     #[must_use]
-    pub fn load(&self) -> u32 {
+    pub fn total_running(&self) -> u32 {
         self.running() + self.elsewhere.load(Ordering::Relaxed)
     }
 
     /// Returns what part of its places other nodes were last heard to use.
     #[must_use]
-    pub fn elsewhere_share(&self) -> f64 {
+    pub fn remote_utilization(&self) -> f64 {
         f64::from(self.elsewhere.load(Ordering::Relaxed)) / f64::from(self.slots)
     }
 
     /// Returns how far what was heard of other nodes' requests still tells of now, from 0 to 1.
     #[must_use]
     #[allow(clippy::cast_precision_loss, reason = "some seconds")]
-    pub fn certainty(&self, now: Millis) -> f64 {
-        (-(now.since(self.heard_at()).0 as f64) / NEWS_HALVES).exp2()
+    pub fn remote_load_confidence(&self, now: Millis) -> f64 {
+        (-(now.since(self.remote_load_at()).0 as f64) / NEWS_HALVES).exp2()
     }
 
     /// Returns when the load of other nodes was last heard of.
     #[must_use]
-    pub fn heard_at(&self) -> Millis {
+    pub fn remote_load_at(&self) -> Millis {
         Millis(self.heard.load(Ordering::Relaxed))
     }
 
     /// Takes in how many requests other nodes have there.
-    pub fn heard_load(&self, elsewhere: u32, now: Millis) {
+    pub fn record_remote_load(&self, elsewhere: u32, now: Millis) {
         self.heard.store(now.0, Ordering::Relaxed);
         self.elsewhere.store(elsewhere, Ordering::Relaxed);
     }
 
     /// Takes in a pause between two events of a stream.
     #[allow(clippy::cast_precision_loss, reason = "some seconds")]
-    pub fn paused(&self, pause: Millis, now: Millis) {
+    pub fn record_pause(&self, pause: Millis, now: Millis) {
         let mut pace = self.pace();
         pace.mean += PACE_WEIGHT * (pause.0 as f64 - pace.mean);
         pace.at = now;
@@ -400,7 +409,7 @@
     }
 
     /// Takes in that a request failed at the upstream's fault.
-    pub fn failed(&self, now: Millis) {
+    pub fn record_failure(&self, now: Millis) {
         let mut health = self.health();
         health.failures += 1;
         if health.failures >= TOLERATED {
@@ -411,17 +420,17 @@
     }
 
     /// Takes in that no connection could be made: one such failure says enough.
-    pub fn unreachable(&self, now: Millis) {
+    pub fn record_unreachable(&self, now: Millis) {
         {
             let mut health = self.health();
             health.failures += 1;
             health.unreachable = true;
         }
-        self.failed(now);
+        self.record_failure(now);
     }
 
     /// Takes in that a request went well.
-    pub fn succeeded(&self) {
+    pub fn record_success(&self) {
         self.served.fetch_add(1, Ordering::Relaxed);
         let mut health = self.health();
         health.failures = health.failures.saturating_sub(1);
@@ -430,7 +439,7 @@
 
     /// Returns how many requests went well.
     #[must_use]
-    pub fn served(&self) -> u32 {
+    pub fn successes(&self) -> u32 {
         self.served.load(Ordering::Relaxed)
     }
 
@@ -443,7 +452,7 @@
 
     /// Whether the upstream is left alone for a while.
     #[must_use]
-    pub fn suspended(&self, now: Millis) -> bool {
+    pub fn is_suspended(&self, now: Millis) -> bool {
         self.health().until > now
     }
 
--- a/lib/src/entry/dispatch.rs
+++ b/lib/src/entry/dispatch.rs
@@ -16,14 +16,14 @@
 use crate::claim::Claim;
 use crate::clock::Millis;
 use crate::error::{Code, Failure, Fate};
-use crate::fate::{Context, State, Verdict};
 use crate::membership::fleet::Owner;
 use crate::name::Name;
 use crate::poison::fingerprint::Fingerprint;
-use crate::poison::ledger::Sign;
+use crate::poison::ledger::Suspicion;
 use crate::policy::placement::Pool;
 use crate::ports::Answer;
 use crate::request::Ticket;
+use crate::retry::{FailureContext, RequestState, RetryDecision};
 use crate::runner::{Attempt, Share, Work};
 
 /// How long after the deadline the owner's own word on the request is awaited.
@@ -135,7 +135,7 @@
     claim: &mut Option<Claim>,
 ) -> Result<Outcome, Failure> {
     let now = gateway.parts.clock.now();
-    lock(&gateway.budget).earn(now);
+    lock(&gateway.budget).record_first_try(now);
     let mut tried = Tried::new();
     loop {
         gateway
@@ -151,7 +151,7 @@
         match attempt(gateway, session, order, &target).await {
             Ok(outcome) => {
                 if !matches!(outcome, Outcome::Flow(_)) {
-                    gateway.quarantine().survived(&order.fingerprint);
+                    gateway.quarantine().record_harmless_run(&order.fingerprint);
                 }
                 return Ok(outcome);
             }
@@ -183,8 +183,8 @@
 /// Notes that an upstream may have ended under a request that has brought nothing yet.
 fn note_lost(gateway: &Gateway, session: &mut Session, run: &Run, failure: &Failure) {
     let sign = match session.machine().state() {
-        State::Running => Sign::Begun,
-        _ => Sign::Possible,
+        RequestState::Running => Suspicion::Begun,
+        _ => Suspicion::Possible,
     };
     gateway.note_lost(run, failure.code, sign);
 }
@@ -215,9 +215,9 @@
     if blames_upstream(failure.code) {
         gateway.refused(&target.pool, target.index, adapter, failure.code, now);
     }
-    let context = Context {
+    let context = FailureContext {
         now,
-        untried: target.others,
+        has_untried_upstream: target.others,
         random: gateway.random(),
     };
     let metrics = &gateway.parts.metrics;
@@ -230,13 +230,13 @@
     );
     let verdict = session
         .machine()
-        .fail(failure, context, &mut lock(&gateway.budget));
+        .handle_failure(failure, context, &mut lock(&gateway.budget));
     match verdict {
-        Verdict::Retry(pause) => {
+        RetryDecision::Retry(pause) => {
             metrics.retries.with_label_values(&[reason]).inc();
             Ok(pause)
         }
-        Verdict::End { failure, denial } => {
+        RetryDecision::End { failure, denial } => {
             if let Some(denial) = denial {
                 let labels = [denial.name()];
                 metrics.retries_denied.with_label_values(&labels).inc();
@@ -304,7 +304,7 @@
     let made: u32 = tried.values().sum();
     // A request that came to rest wherever the walk happens to end would cost a
     // load there, at each upstream in turn under overload.
-    let walks_on = made + 1 < gateway.parts.limits.rules.redirects;
+    let walks_on = made + 1 < gateway.parts.limits.rules.max_redirects;
     let mut untried = replicas.iter().filter(|index| times(**index) == 0);
     let untried = untried.next().filter(|_| walks_on);
     let index = *untried.unwrap_or(wait);
@@ -327,8 +327,8 @@
     target: &Target,
 ) -> Result<Outcome, Failure> {
     let left = (order.deadline + GRACE).since(gateway.parts.clock.now());
-    let last = !target.others || session.machine().at_last_try();
-    session.machine().send();
+    let last = !target.others || session.machine().is_last_try();
+    session.machine().record_send();
     let attempt = Attempt {
         ticket: order.ticket.clone(),
         share: order.share,
@@ -340,7 +340,7 @@
     let runner = gateway.parts.reach.runner(&target.owner);
     let begin = async {
         let answer = runner.run(attempt).await?;
-        session.machine().begin();
+        session.machine().record_response_start();
         let run = order.run_at(target);
         receive(gateway, &mut session.reserve, order.form, answer, run).await
     };
--- a/lib/src/entry/quarantine.rs
+++ b/lib/src/entry/quarantine.rs
@@ -20,8 +20,8 @@
 use crate::metrics::Metrics;
 use crate::name::Name;
 use crate::poison::fingerprint::Fingerprint;
-use crate::poison::ledger::{LAPSE, Ledger, Report, Sign, Suspect};
-use crate::poison::survivors::Survivors;
+use crate::poison::harmless::HarmlessRequests;
+use crate::poison::ledger::{CrashLedger, CrashReport, REPORT_TTL, Suspect, Suspicion};
 
 /// How long after a connection broke an end of its upstream explains that.
 ///
@@ -29,7 +29,7 @@
 const WATCHED: Millis = Millis(5_000);
 
 /// How long a run has to go on behind its first piece until it counts as survived.
-pub const SETTLED: Millis = Millis(300);
+pub const HARMLESS_AFTER: Millis = Millis(300);
 
 /// Ends that speak against a request from which on its survival is told to all nodes.
 const CLEARED_FROM: usize = 2;
@@ -86,8 +86,8 @@
 
 #[derive(Debug, Default)]
 struct State {
-    ledger: Ledger,
-    survivors: Survivors,
+    ledger: CrashLedger,
+    harmless: HarmlessRequests,
     lost: HashMap<Name, Vec<Loss>>,
     ends: HashMap<Name, End>,
     told: BTreeMap<Name, Told>,
@@ -145,46 +145,52 @@
     pub fn check(&self, request: &Fingerprint) -> Result<(), Failure> {
         let now = self.clock.now();
         let mut state = self.state();
-        let Some(ends) = state.ledger.blames(request, now) else {
+        let Some(ends) = state.ledger.blamed_crashes(request, now) else {
             return Ok(());
         };
-        if state.survivors.contains(request, now) {
+        if state.harmless.contains(request, now) {
             self.clear(&mut state, request, now);
             return Ok(());
         }
         let detail = format!("{ends} upstreams ended as they began to run this request");
-        Err(Failure::new(Code::Quarantined, detail).retry_after(LAPSE))
+        Err(Failure::new(Code::Quarantined, detail).retry_after(REPORT_TTL))
     }
 
     /// Takes in that an upstream ran a request without harm.
-    pub fn survived(&self, request: &Fingerprint) {
+    pub fn record_harmless_run(&self, request: &Fingerprint) {
         let now = self.clock.now();
         let mut state = self.state();
-        state.survivors.remember(request.clone(), now);
+        state.harmless.insert(request.clone(), now);
         // One more end alone blames nobody, and each survival that is told is bytes at all nodes.
-        if state.ledger.ends(request, now) >= CLEARED_FROM {
+        if state.ledger.crash_count(request, now) >= CLEARED_FROM {
             self.clear(&mut state, request, now);
         }
     }
 
     /// Takes in that the connection to an upstream broke while a request stood there.
-    pub fn lost(&self, fleet: &Fleet, upstream: &Name, request: &Fingerprint, sign: Sign) {
+    pub fn lost(
+        &self,
+        fleet: &Fleet,
+        upstream: &Name,
+        request: &Fingerprint,
+        suspicion: Suspicion,
+    ) {
         let now = self.clock.now();
         let mut state = self.state();
         // One that leaves in order ends with whatever still runs there.
         let is_leaving =
             usability(fleet, upstream).is_none_or(|usable| usable == Usability::Leaving);
-        if is_leaving || state.survivors.contains(request, now) {
+        if is_leaving || state.harmless.contains(request, now) {
             return;
         }
         let suspect = Suspect {
             request: request.clone(),
-            sign,
+            suspicion,
         };
         log::info!(
             suspect = request.as_str(),
             upstream = &**upstream,
-            sign = sign.name();
+            sign = suspicion.name();
             "entry: an upstream broke under a request"
         );
         let losses = state.lost.entry(Name::clone(upstream)).or_default();
@@ -275,22 +281,26 @@
     /// Takes in a report of this node or another one; true if it was news.
     fn report(&self, state: &mut State, mut told: Told, now: Millis) -> bool {
         let name = Name::from(format!("{}/{}", told.end, told.node));
-        let known: Vec<Suspect> = state.ledger.reported(&name).cloned().collect();
+        let known: Vec<Suspect> = state.ledger.suspects_in(&name).cloned().collect();
         let was_known = state.told.contains_key(&name);
         let suspects = std::mem::take(&mut told.suspects);
         let all = known.iter().cloned().chain(suspects);
-        let report = Report::new(Name::clone(&told.end), all);
+        let report = CrashReport::new(Name::clone(&told.end), all);
         if was_known && report.suspects == known {
             return false;
         }
         told.suspects.clone_from(&report.suspects);
-        state.ledger.report(Name::clone(&name), report, None, now);
+        state
+            .ledger
+            .add_report(Name::clone(&name), report, None, now);
         for Suspect { request, .. } in &told.suspects {
-            if let Some(ends) = state.ledger.blames(request, now) {
+            if let Some(ends) = state.ledger.blamed_crashes(request, now) {
                 log::warn!(suspect = request.as_str(), ends = ends; "entry: a request is no longer sent");
             }
         }
-        state.told.retain(|_, one| now.since(one.since) < LAPSE);
+        state
+            .told
+            .retain(|_, one| now.since(one.since) < REPORT_TTL);
         state.told.insert(name, told);
         self.news.send_modify(|version| *version += 1);
         true
@@ -310,7 +320,7 @@
 impl State {
     /// Takes in that a request survived at `since`: reports from before count no more.
     fn clear(&mut self, request: &Fingerprint, since: Millis) {
-        self.cleared.retain(|_, at| since.since(*at) < LAPSE);
+        self.cleared.retain(|_, at| since.since(*at) < REPORT_TTL);
         let known = self.cleared.entry(request.clone()).or_default();
         *known = since.max(*known);
         self.ledger.clear(request, None);
--- a/lib/src/entry/quarantine/share.rs
+++ b/lib/src/entry/quarantine/share.rs
@@ -4,12 +4,12 @@
 
 use xxhash_rust::xxh3::xxh3_64;
 
-use super::{End, LAPSE, Quarantine, Sight, State, Told};
+use super::{End, Quarantine, REPORT_TTL, Sight, State, Told};
 use crate::clock::Millis;
 use crate::gossip::Share;
 use crate::name::Name;
 use crate::poison::fingerprint::Fingerprint;
-use crate::poison::ledger::{Sign, Suspect};
+use crate::poison::ledger::{Suspect, Suspicion};
 use crate::schema::peer::{self, Delta, Digest};
 
 /// Reports that are told: the newest, two kilobytes of hashes in an exchange.
@@ -67,7 +67,7 @@
     /// Takes in another node's report, and adds this node's requests at the same end.
     fn learn_end(&self, state: &mut State, report: &peer::EndReport, now: Millis) -> bool {
         let since = now.since(Millis(u64::from(report.age_ms)));
-        if report.node == *self.node || now.since(since) >= LAPSE {
+        if report.node == *self.node || now.since(since) >= REPORT_TTL {
             return false;
         }
         let upstream = Name::from(report.upstream.as_str());
@@ -113,7 +113,7 @@
         return false;
     };
     let at = now.since(Millis(u64::from(survivor.age_ms)));
-    if now.since(at) >= LAPSE || state.cleared.contains_key(&request) {
+    if now.since(at) >= REPORT_TTL || state.cleared.contains_key(&request) {
         return false;
     }
     state.clear(&request, at);
@@ -131,7 +131,7 @@
     let mut text = format!("{}/{}", told.end, told.node);
     for suspect in &told.suspects {
         text.push_str(suspect.request.as_str());
-        text.push_str(suspect.sign.name());
+        text.push_str(suspect.suspicion.name());
     }
     xxh3_64(text.as_bytes())
 }
@@ -146,20 +146,20 @@
         suspects: suspects
             .map(|suspect| peer::Suspect {
                 request: suspect.request.to_string(),
-                begun: suspect.sign == Sign::Begun,
+                begun: suspect.suspicion == Suspicion::Begun,
             })
             .collect(),
     }
 }
 
 fn suspect(message: &peer::Suspect) -> Option<Suspect> {
-    let sign = if message.begun {
-        Sign::Begun
+    let suspicion = if message.begun {
+        Suspicion::Begun
     } else {
-        Sign::Possible
+        Suspicion::Possible
     };
     let request = Fingerprint::read(&message.request)?;
-    Some(Suspect { request, sign })
+    Some(Suspect { request, suspicion })
 }
 
 fn age(now: Millis, at: Millis) -> u32 {
--- a/lib/src/fate/budget.rs
+++ b/lib/src/retry/budget.rs
@@ -18,13 +18,13 @@
 /// Under an outage each retry adds load exactly when there is least room for
 /// it; bounding their share keeps an outage from growing into a retry storm.
 #[derive(Debug)]
-pub struct Budget {
+pub struct RetryBudget {
     percent: u64,
     tokens: u64,
     filled: Millis,
 }
 
-impl Budget {
+impl RetryBudget {
     /// Starts a budget with this many retries for each hundred first tries.
     #[must_use]
     pub fn new(percent: u32, now: Millis) -> Self {
@@ -36,7 +36,7 @@
     }
 
     /// Notes a first try.
-    pub fn earn(&mut self, now: Millis) {
+    pub fn record_first_try(&mut self, now: Millis) {
         let trickle = now.since(self.filled).0.saturating_mul(TRICKLE * RETRY) / 1_000;
         if trickle > 0 {
             self.filled = now;
@@ -47,7 +47,7 @@
     }
 
     /// Takes one retry, if there is one.
-    pub fn spend(&mut self) -> bool {
+    pub fn try_spend(&mut self) -> bool {
         match self.tokens.checked_sub(RETRY) {
             Some(left) => {
                 self.tokens = left;
@@ -67,20 +67,20 @@
     /// Cause: each request knew only its own bound on tries.
     #[test]
     fn spend_all_fail() {
-        let mut budget = Budget::new(20, Millis::ZERO);
+        let mut budget = RetryBudget::new(20, Millis::ZERO);
         let mut retries = 0;
         for _ in 0..10_000 {
-            budget.earn(Millis::ZERO);
-            retries += u64::from(budget.spend());
+            budget.record_first_try(Millis::ZERO);
+            retries += u64::from(budget.try_spend());
         }
         assert_eq!(retries, 10_000 / 5 + TRICKLE);
     }
 
     #[test]
     fn earn_quiet_node() {
-        let mut budget = Budget::new(0, Millis::ZERO);
-        while budget.spend() {}
-        budget.earn(Millis::from_secs(1));
-        assert!(budget.spend());
+        let mut budget = RetryBudget::new(0, Millis::ZERO);
+        while budget.try_spend() {}
+        budget.record_first_try(Millis::from_secs(1));
+        assert!(budget.try_spend());
     }
 }
--- a/lib/tests/slots_model/engine.rs
+++ b/lib/tests/slots_model/engine.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use chivevalve::clock::Millis;
-use chivevalve::direct::dialect::{Held, Ordered, Report};
+use chivevalve::direct::dialect::{EngineStatus, LoadedModels, OrderOutcome};
 use chivevalve::name::Name;
 
 /// The version that an order without one means.
@@ -25,11 +25,11 @@
 /// The engine.
 #[derive(Debug)]
 pub struct Engine {
-    held: Held,
+    held: LoadedModels,
     adapters: BTreeMap<Name, u64>,
     transits: BTreeMap<Name, Transit>,
     /// What it held, by the time since when.
-    past: Vec<(Millis, Held)>,
+    past: Vec<(Millis, LoadedModels)>,
     /// Orders to refuse.
     refusals: u64,
     /// Replacements wait for runs.
@@ -38,9 +38,9 @@
 
 impl Engine {
     pub fn new(now: Millis) -> Self {
-        let held = Held {
-            born: 1,
-            ..Held::default()
+        let held = LoadedModels {
+            started_at_ms: 1,
+            ..LoadedModels::default()
         };
         Self {
             past: vec![(now, held.clone())],
@@ -93,18 +93,18 @@
     }
 
     /// What a report says whose values are of this moment.
-    pub fn report(&self, at: Millis) -> Report {
+    pub fn report(&self, at: Millis) -> EngineStatus {
         let past = self.past.iter().rev().find(|(since, _)| *since <= at);
         let (_, held) = past.unwrap_or(&self.past[0]);
-        Report {
+        EngineStatus {
             held: held.clone(),
-            ..Report::default()
+            ..EngineStatus::default()
         }
     }
 
     /// Whether it held an adapter in a version not long ago; 0 is any.
     pub fn held_lately(&self, adapter: &str, version: u64, now: Millis) -> bool {
-        let holds = |held: &Held| {
+        let holds = |held: &LoadedModels| {
             let mut adapters = held.adapters.iter();
             adapters.any(|(name, held)| &**name == adapter && (version == 0 || *held == version))
         };
@@ -125,14 +125,20 @@
                 .count()
     }
 
-    pub fn load(&mut self, adapter: &Name, version: u64, expected: u64, now: Millis) -> Ordered {
+    pub fn load(
+        &mut self,
+        adapter: &Name,
+        version: u64,
+        expected: u64,
+        now: Millis,
+    ) -> OrderOutcome {
         if self.refuses(expected) {
-            return Ordered::Conflict;
+            return OrderOutcome::Conflict;
         }
         let version = if version == 0 { NEWEST } else { version };
         match self.transits.get(adapter) {
-            Some(transit) if transit.version == version => return Ordered::Started,
-            None if self.adapters.get(adapter) == Some(&version) => return Ordered::Holds,
+            Some(transit) if transit.version == version => return OrderOutcome::Started,
+            None if self.adapters.get(adapter) == Some(&version) => return OrderOutcome::Holds,
             _ => {}
         }
         self.held.sequence += 1;
@@ -140,18 +146,18 @@
         self.transits
             .insert(Name::clone(adapter), Transit { version, until });
         self.remember(now);
-        Ordered::Started
+        OrderOutcome::Started
     }
 
-    pub fn unload(&mut self, adapter: &Name, expected: u64, now: Millis) -> Ordered {
+    pub fn unload(&mut self, adapter: &Name, expected: u64, now: Millis) -> OrderOutcome {
         if self.refuses(expected) {
-            return Ordered::Conflict;
+            return OrderOutcome::Conflict;
         }
         self.held.sequence += 1;
         self.adapters.remove(adapter);
         self.transits.remove(adapter);
         self.remember(now);
-        Ordered::Holds
+        OrderOutcome::Holds
     }
 
     fn refuses(&mut self, expected: u64) -> bool {
@@ -181,7 +187,7 @@
     }
 
     pub fn restart(&mut self) {
-        self.held.born += 1;
+        self.held.started_at_ms += 1;
         self.held.sequence = 0;
         self.adapters.clear();
         self.transits.clear();
--- a/lib/tests/test_direct_fanout_fuzz.rs
+++ b/lib/tests/test_direct_fanout_fuzz.rs
@@ -13,14 +13,14 @@
 use bytes::Bytes;
 use chivevalve::clock::{Clock, Millis, Monotonic};
 use chivevalve::direct::dialect::{Dialect, Key};
-use chivevalve::direct::fanout::{Heard, Hub, Source, Update};
-use chivevalve::direct::follow::{Follower, NODES};
-use chivevalve::direct::limits::Current;
-use chivevalve::direct::vet::Refusal;
-use chivevalve::direct::view::{CLAIMS, View};
+use chivevalve::direct::fanout::{Hub, Received, Source, Update};
+use chivevalve::direct::follow::{Follower, NODE_PREFIX};
+use chivevalve::direct::limits::SharedLimits;
+use chivevalve::direct::validate::RejectReason;
+use chivevalve::direct::view::{CLAIM_PREFIX, View};
 use chivevalve::metrics::Metrics;
 use chivevalve::ports::{Entry, Event};
-use chivevalve_platform::Speech;
+use chivevalve_platform::PlatformDialect;
 use direct_support::SERVER;
 use direct_support::listen::Direct;
 use direct_support::memory::Memory;
@@ -139,12 +139,12 @@
 /// The node that updates come from, as the test plays it.
 #[derive(Debug, Default)]
 struct Feed {
-    waiting: Mutex<VecDeque<Heard>>,
+    waiting: Mutex<VecDeque<Received>>,
     fed: Notify,
 }
 
 impl Feed {
-    fn give(&self, heard: Heard) {
+    fn give(&self, heard: Received) {
         self.waiting.lock().unwrap().push_back(heard);
         self.fed.notify_one();
     }
@@ -159,13 +159,13 @@
 
 #[async_trait]
 impl Source for Fed {
-    fn is_shared(&self) -> bool {
+    fn may_have_subscribers(&self) -> bool {
         true
     }
 
-    async fn next(&mut self, _: u64, within: Millis) -> Heard {
+    async fn next(&mut self, _: u64, within: Millis) -> Received {
         if std::mem::take(&mut self.avoided) {
-            return Heard::Nobody;
+            return Received::NoSource;
         }
         let next = async {
             loop {
@@ -177,7 +177,7 @@
             }
         };
         let heard = tokio::time::timeout(within.duration(), next).await;
-        heard.unwrap_or(Heard::Nothing)
+        heard.unwrap_or(Received::Timeout)
     }
 
     fn avoid(&mut self) {
@@ -192,7 +192,7 @@
 ///
 /// Values that can't be read are written under keys of their own, where they mean nothing.
 fn replay(known: &mut Known, event: &Event) {
-    let name = match Speech.key(&event.key) {
+    let name = match PlatformDialect.parse_key(&event.key) {
         Key::Config => "config".to_owned(),
         Key::Upstream(name) => format!("upstream {name}"),
         Key::Version => event.key.replace("op/version/base.", "version base/"),
@@ -227,10 +227,13 @@
         known.insert(format!("version {name}"), version.to_string());
     }
     for (name, peer) in &state.nodes {
-        known.insert(format!("{NODES}{name}"), peer.start.to_string());
+        known.insert(format!("{NODE_PREFIX}{name}"), peer.start.to_string());
     }
     for (address, standing) in &state.claims {
-        known.insert(format!("{CLAIMS}{address}"), standing.revision.to_string());
+        known.insert(
+            format!("{CLAIM_PREFIX}{address}"),
+            standing.revision.to_string(),
+        );
     }
     known
 }
@@ -247,12 +250,15 @@
             let value = format!(
                 r#"{{"address":"127.0.0.1:7","start":{revision},"failure_domain":"hall-a"}}"#
             );
-            (Speech.own(&format!("{NODES}n{number}")), value)
+            (
+                PlatformDialect.own_key(&format!("{NODE_PREFIX}n{number}")),
+                value,
+            )
         }
         2 => {
             let value = format!(r#"{{"node":"n{number}","start":{revision},"left":null}}"#);
-            let name = format!("{CLAIMS}{}", claim_address(number));
-            (Speech.own(&name), value)
+            let name = format!("{CLAIM_PREFIX}{}", claim_address(number));
+            (PlatformDialect.own_key(&name), value)
         }
         3 | 4 => {
             let value = SERVER.replace("\"sequence\":0", &format!("\"sequence\":{revision}"));
@@ -269,8 +275,8 @@
         7 => {
             let keys = [
                 "servers/junk".to_owned(),
-                Speech.own("node/junk"),
-                Speech.own("claim/junk"),
+                PlatformDialect.own_key("node/junk"),
+                PlatformDialect.own_key("claim/junk"),
             ];
             (keys[usize::from(number)].clone(), "\u{0}no JSON".to_owned())
         }
@@ -299,12 +305,12 @@
     let follower = Follower::new(
         Arc::<Memory>::clone(memory),
         Arc::<Memory>::clone(memory),
-        Arc::new(Speech),
+        Arc::new(PlatformDialect),
         Arc::clone(&clock),
         Arc::clone(&view),
-        Arc::new(Current::default()),
+        Arc::new(SharedLimits::default()),
     )
-    .within_domain(Arc::clone(&hub), source(clock));
+    .with_fanout(Arc::clone(&hub), source(clock));
     tokio::spawn(follower.run());
     Node {
         name,
@@ -317,7 +323,7 @@
 
 impl Node {
     /// How often something was left aside for a reason.
-    fn refused(&self, refusal: Refusal) -> u64 {
+    fn refused(&self, refusal: RejectReason) -> u64 {
         let refused = &self.metrics.updates_refused;
         refused.with_label_values(&[refusal.name()]).get()
     }
@@ -334,7 +340,7 @@
             ));
         };
         self.at += found;
-        let vanished = self.view.state().vanished.len();
+        let vanished = self.view.state().previous_claims.len();
         if vanished > usize::from(NAMES) {
             return Err(format!("{}: {vanished} claims have vanished", self.name));
         }
@@ -469,14 +475,14 @@
                     let ages = [0, 40, 900, 60_000, u64::MAX];
                     let age = Millis(ages[usize::from(age) % ages.len()]);
                     let update = self.part(back, until, age);
-                    self.feed.give(Heard::Update(update));
+                    self.feed.give(Received::Update(update));
                 }
                 Step::Spoilt(kind, back, until) => {
                     let mut update = self.part(back, until, Millis::ZERO);
                     self.spoil(kind, &mut update);
-                    self.feed.give(Heard::Update(update));
+                    self.feed.give(Received::Update(update));
                 }
-                Step::End => self.feed.give(Heard::Nobody),
+                Step::End => self.feed.give(Received::NoSource),
             }
             pass(Millis(1)).await;
             self.judge()
@@ -533,7 +539,7 @@
 }
 
 /// Plays a sequence; returns how often the first node left something aside for a reason.
-fn play(steps: &[Step]) -> Result<impl Fn(Refusal) -> u64 + use<>, String> {
+fn play(steps: &[Step]) -> Result<impl Fn(RejectReason) -> u64 + use<>, String> {
     let (play, result) = runtime().block_on(async {
         let mut play = Play::new();
         let result = play.play(steps).await;
@@ -573,34 +579,34 @@
     let spoilt = |kind, reason| (Step::Spoilt(kind, 1, 0), Some(reason));
     let cases = [
         (Step::Hear(1, 0, 0), None),
-        (Step::Hear(0, 0, 0), Some(Refusal::Gap)),
+        (Step::Hear(0, 0, 0), Some(RejectReason::Gap)),
         (Step::Hear(3, 0, 0), None),
-        (Step::Hear(2, 2, 0), Some(Refusal::Old)),
-        spoilt(Spoilt::Backwards, Refusal::Backwards),
-        spoilt(Spoilt::Nowhere, Refusal::Backwards),
-        spoilt(Spoilt::Endless, Refusal::Ahead),
-        spoilt(Spoilt::Ahead, Refusal::Gap),
-        spoilt(Spoilt::AheadWithChanges, Refusal::Ahead),
-        spoilt(Spoilt::ChangeOfNothing, Refusal::Outside),
-        spoilt(Spoilt::ChangeOfTheEnd, Refusal::Outside),
-        spoilt(Spoilt::End, Refusal::Ahead),
-        spoilt(Spoilt::Older, Refusal::Outside),
+        (Step::Hear(2, 2, 0), Some(RejectReason::Stale)),
+        spoilt(Spoilt::Backwards, RejectReason::Backwards),
+        spoilt(Spoilt::Nowhere, RejectReason::Backwards),
+        spoilt(Spoilt::Endless, RejectReason::Ahead),
+        spoilt(Spoilt::Ahead, RejectReason::Gap),
+        spoilt(Spoilt::AheadWithChanges, RejectReason::Ahead),
+        spoilt(Spoilt::ChangeOfNothing, RejectReason::OutOfRange),
+        spoilt(Spoilt::ChangeOfTheEnd, RejectReason::OutOfRange),
+        spoilt(Spoilt::End, RejectReason::Ahead),
+        spoilt(Spoilt::Older, RejectReason::OutOfRange),
         (
             Step::Spoilt(Spoilt::Disordered, 2, 0),
-            Some(Refusal::Disordered),
+            Some(RejectReason::OutOfOrder),
         ),
-        spoilt(Spoilt::Foreign, Refusal::Unused),
-        spoilt(Spoilt::Oversized, Refusal::Unused),
+        spoilt(Spoilt::Foreign, RejectReason::UnusedKey),
+        spoilt(Spoilt::Oversized, RejectReason::UnusedKey),
     ];
     let all = [
-        Refusal::Old,
-        Refusal::Gap,
-        Refusal::Backwards,
-        Refusal::Ahead,
-        Refusal::Outside,
-        Refusal::Disordered,
-        Refusal::Unreadable,
-        Refusal::Unused,
+        RejectReason::Stale,
+        RejectReason::Gap,
+        RejectReason::Backwards,
+        RejectReason::Ahead,
+        RejectReason::OutOfRange,
+        RejectReason::OutOfOrder,
+        RejectReason::Unreadable,
+        RejectReason::UnusedKey,
     ];
     for (step, reason) in cases {
         let told = format!("{step:?}");
@@ -624,11 +630,11 @@
     for number in 0..NAMES {
         let refused = play(&[Step::Write(7, number), Step::Hear(1, 0, 0)]).unwrap();
         let claim = number == 2;
-        assert_eq!(refused(Refusal::Unreadable) > 0, !claim, "{number}");
-        assert_eq!(refused(Refusal::Unused) > 0, claim, "{number}");
+        assert_eq!(refused(RejectReason::Unreadable) > 0, !claim, "{number}");
+        assert_eq!(refused(RejectReason::UnusedKey) > 0, claim, "{number}");
     }
     let refused = play(&[Step::Write(8, 0), Step::Hear(1, 0, 0)]).unwrap();
-    assert_eq!(refused(Refusal::Unused), 1);
+    assert_eq!(refused(RejectReason::UnusedKey), 1);
 }
 
 /// An update that begins behind what is known is refused, as changes between are missing.
@@ -683,7 +689,7 @@
         let upstream = || play.nodes[0].view.state().upstreams["i-1"].clone();
         let before = upstream();
         let again = play.part(3, 0, Millis::ZERO);
-        play.feed.give(Heard::Update(again));
+        play.feed.give(Received::Update(again));
         pass(Millis(1)).await;
         assert!(Arc::ptr_eq(&before, &upstream()));
     });
--- a/lib/tests/test_fate.rs
+++ b/lib/tests/test_fate.rs
@@ -7,7 +7,9 @@
 
 use chivevalve::clock::Millis;
 use chivevalve::error::{Code, Failure, Fate};
-use chivevalve::fate::{Budget, Context, Machine, Rules, Verdict};
+use chivevalve::retry::{
+    FailureContext, RetryBudget, RetryDecision, RetryPolicy, RetryStateMachine,
+};
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 
 /// Fixed, so that CI tries the same stories each time.
@@ -126,41 +128,41 @@
 
 /// Plays a story; returns what is wrong with how the machine dealt with it.
 fn play(story: &Story) -> Result<(), String> {
-    let rules = Rules {
-        attempts: story.attempts,
-        redirects: story.redirects,
-        unknowns: story.unknowns,
-        ..Rules::default()
+    let rules = RetryPolicy {
+        max_attempts: story.attempts,
+        max_redirects: story.redirects,
+        max_unknowns: story.unknowns,
+        ..RetryPolicy::default()
     };
-    let mut machine = Machine::new(rules, story.idempotent, Millis(DEADLINE));
-    let mut budget = Budget::new(story.percent, Millis::ZERO);
+    let mut machine = RetryStateMachine::new(rules, story.idempotent, Millis(DEADLINE));
+    let mut budget = RetryBudget::new(story.percent, Millis::ZERO);
     let mut truth = Truth::default();
     let mut now = Millis::ZERO;
     for attempt in &story.tries {
         if now.0 >= DEADLINE {
             return Err("tried after the deadline".into());
         }
-        machine.send();
+        machine.record_send();
         if attempt.answer >= Progress::Begun {
-            machine.begin();
+            machine.record_response_start();
         }
         if attempt.answer == Progress::Passed {
-            machine.pass();
+            machine.record_forwarded();
         }
         truth.see(attempt);
         now += Millis(attempt.took);
-        let context = Context {
+        let context = FailureContext {
             now,
-            untried: attempt.untried,
+            has_untried_upstream: attempt.untried,
             random: attempt.random,
         };
         let failure = Failure::new(attempt.code, "");
-        match machine.fail(failure, context, &mut budget) {
-            Verdict::Retry(pause) => {
+        match machine.handle_failure(failure, context, &mut budget) {
+            RetryDecision::Retry(pause) => {
                 retried(story, &truth)?;
                 now += pause;
             }
-            Verdict::End { failure, .. } => return ended(&failure, &truth),
+            RetryDecision::End { failure, .. } => return ended(&failure, &truth),
         }
         if machine.certainly_not_run() && truth.unknowns > 0 {
             return Err("called certainly not run".into());
@@ -214,10 +216,10 @@
 fn budget_bounds_all_requests() {
     fn holds(codes: Vec<u16>, percent: u32) -> bool {
         let percent = percent % 101;
-        let mut budget = Budget::new(percent, Millis::ZERO);
+        let mut budget = RetryBudget::new(percent, Millis::ZERO);
         let mut retries = 0;
         for code in &codes {
-            budget.earn(Millis::ZERO);
+            budget.record_first_try(Millis::ZERO);
             let code = Code::ALL[usize::from(*code) % Code::ALL.len()];
             retries += retries_of(code, &mut budget);
         }
@@ -232,7 +234,7 @@
 }
 
 /// Counts the charged retries of an idempotent request that always fails in one way.
-fn retries_of(code: Code, budget: &mut Budget) -> u64 {
+fn retries_of(code: Code, budget: &mut RetryBudget) -> u64 {
     let free = [
         Code::NotOwner,
         Code::PeerUnreachable,
@@ -242,18 +244,18 @@
         Code::PassedOn,
         Code::Busy,
     ];
-    let mut machine = Machine::new(Rules::default(), true, Millis::MAX);
+    let mut machine = RetryStateMachine::new(RetryPolicy::default(), true, Millis::MAX);
     let mut retries = 0;
     for _ in 0..ENDLESS {
-        machine.send();
-        let context = Context {
+        machine.record_send();
+        let context = FailureContext {
             now: Millis::ZERO,
-            untried: true,
+            has_untried_upstream: true,
             random: 0,
         };
-        match machine.fail(Failure::new(code, ""), context, budget) {
-            Verdict::Retry(_) => retries += u64::from(!free.contains(&code)),
-            Verdict::End { .. } => return retries,
+        match machine.handle_failure(Failure::new(code, ""), context, budget) {
+            RetryDecision::Retry(_) => retries += u64::from(!free.contains(&code)),
+            RetryDecision::End { .. } => return retries,
         }
     }
     panic!("tried without end after {code}")
