--- a/lib/src/direct/entry/mod.rs
+++ b/lib/src/direct/entry/mod.rs
@@ -80,7 +80,7 @@
 /// Cached prefill and decode roles of a pool's engines.
 #[derive(Debug, Default)]
 struct PoolRoles {
-    mix: PrefillScaler,
+    scaler: PrefillScaler,
     roles: Arc<Roles>,
     updated_at: Millis,
 }
@@ -199,15 +199,21 @@
             let upstreams = self.view.pool(pool);
             let ready = upstreams.iter().filter(|upstream| upstream.is_ready());
             let engines: Vec<SocketAddr> = ready.map(|upstream| upstream.address).collect();
-            let prefill = cached.mix.prefill_count(engines.len(), now);
+            let prefill = cached.scaler.prefill_count(engines.len(), now);
             cached.roles = Arc::new(Roles::split(engines, prefill));
         }
         Arc::clone(&cached.roles)
     }
 
-    /// Updates the statistics by which the pool's engines are divided into prefill and decode.
-    pub fn update_mix(&self, pool: &Name, update: impl FnOnce(&mut PrefillScaler)) {
-        update(&mut self.pool_roles().entry(Name::clone(pool)).or_default().mix);
+    /// Updates the statistics that set the number of prefill engines in a pool.
+    pub fn update_scaler(&self, pool: &Name, update: impl FnOnce(&mut PrefillScaler)) {
+        update(
+            &mut self
+                .pool_roles()
+                .entry(Name::clone(pool))
+                .or_default()
+                .scaler,
+        );
     }
 
     fn pool_roles(&self) -> MutexGuard<'_, HashMap<Name, PoolRoles>> {
--- a/lib/src/direct/handover.rs
+++ b/lib/src/direct/handover.rs
@@ -46,7 +46,7 @@
 #[derive(Debug)]
 pub struct StoppedRun {
     /// Identifies the run's KV cache.
-    pub memory: KvCacheHandle,
+    pub kv_cache: KvCacheHandle,
     /// Engines that hold the KV cache, the preferred one first.
     pub targets: SmallVec<[Target; 2]>,
 }
@@ -108,11 +108,11 @@
             }
         };
         self.source.record_success();
-        let memory = KvCacheHandle {
+        let kv_cache = KvCacheHandle {
             source: self.source.address,
             handle,
         };
-        HandoverReply::Stopped(Box::new(StoppedRun { memory, targets }))
+        HandoverReply::Stopped(Box::new(StoppedRun { kv_cache, targets }))
     }
 }
 
--- a/lib/src/direct/peer_server.rs
+++ b/lib/src/direct/peer_server.rs
@@ -70,7 +70,7 @@
             return Err(Status::invalid_argument("there is no question"));
         };
         let adapter = (!request.adapter.is_empty()).then(|| Name::from(request.adapter));
-        let question = AdmitQuery {
+        let query = AdmitQuery {
             adapter: adapter.as_ref(),
             version: request.version,
             max_running: request.limit,
@@ -78,11 +78,11 @@
             tokens: request.tokens,
             max_wait: Millis(request.patience_ms),
         };
-        let answer = match self.upstream(&request.incarnation) {
-            Some(upstream) => self.0.admit_here(&upstream, question),
+        let decision = match self.upstream(&request.incarnation) {
+            Some(upstream) => self.0.admit_here(&upstream, query),
             None => AdmitDecision::Unknown,
         };
-        Ok(Response::new(AdmitReplies::new(answer, requests)))
+        Ok(Response::new(AdmitReplies::new(decision, requests)))
     }
 
     async fn load(&self, request: Request<LoadRequest>) -> Result<Response<LoadReply>, Status> {
@@ -130,10 +130,10 @@
         let request = request.into_inner();
         let now = self.0.clock.now();
         let view = &self.0.view;
-        let taken = view
+        let put = view
             .state()
             .put_quarantine_record(&request.name, &request.value, None, now);
-        if taken != PutOutcome::Applied {
+        if put != PutOutcome::Applied {
             return Err(Status::invalid_argument("the record is none that is told"));
         }
         view.changed.notify_waiters();
--- a/lib/src/direct/relay.rs
+++ b/lib/src/direct/relay.rs
@@ -20,7 +20,8 @@
 use crate::clock::Millis;
 use crate::poison::ledger::Suspicion;
 
-/// Wait for an event, in longest gaps of the route, after which the stream is resumed elsewhere.
+/// Wait for an event, in multiples of the route's maximum gap, before the stream is resumed
+/// elsewhere.
 ///
 /// Callers give a stream up after eight such gaps, and resuming it takes a few hundred
 /// milliseconds.
@@ -29,11 +30,11 @@
 /// How long to wait for the last events of a stopped run, which the engine sent before its reply.
 const STOPPED_RUN_EVENTS_TIMEOUT: Millis = Millis(200);
 
-/// The longest gap, in longest gaps of the route, that is attributed to prefills.
+/// The longest gap, in multiples of the route's maximum gap, that is attributed to prefills.
 const MAX_PREFILL_GAPS: u64 = 2;
 
-/// The longest gap between events for routes that set none.
-pub(super) const DEFAULT_GAP: Millis = Millis(500);
+/// Maximum gap between events of routes that set none.
+pub(super) const DEFAULT_MAX_EVENT_GAP: Millis = Millis(500);
 
 /// A response body that ends before its end.
 ///
@@ -186,12 +187,12 @@
         if now >= self.request.deadline {
             return;
         }
-        let sign = match self.progress {
+        let suspicion = match self.progress {
             RunProgress::NoEvent => Suspicion::Begun,
             RunProgress::FirstEventAt(_) => Suspicion::Possible,
             RunProgress::Harmless => return,
         };
-        self.request.record_broken_connection(upstream, sign);
+        self.request.record_broken_connection(upstream, suspicion);
     }
 
     fn record_first_event(&mut self, now: Millis) {
@@ -223,11 +224,11 @@
     /// Prefills lengthen a gap by as much as an engine prefills between two events. A far longer
     /// gap has another cause, such as the loss of the engine.
     fn record_long_gap(&mut self, gap: Millis) {
-        let Some(longest) = self.request.route.max_event_gap else {
+        let Some(max_gap) = self.request.route.max_event_gap else {
             return;
         };
-        if gap > longest {
-            self.record_stay(gap.0 <= longest.0 * MAX_PREFILL_GAPS);
+        if gap > max_gap {
+            self.record_stay(gap.0 <= max_gap.0 * MAX_PREFILL_GAPS);
         }
     }
 
@@ -259,7 +260,7 @@
         }
         request
             .frontend
-            .update_mix(&request.pool, |mix| mix.record_stream(engine, late));
+            .update_scaler(&request.pool, |scaler| scaler.record_stream(engine, late));
         self.stay_recorded = true;
     }
 
@@ -279,7 +280,7 @@
                 / request.route.latency_objective.0.max(1) as f64;
             request
                 .frontend
-                .update_mix(&request.pool, |mix| mix.record_prefill_wait(part));
+                .update_scaler(&request.pool, |scaler| scaler.record_prefill_wait(part));
         }
     }
 
@@ -354,8 +355,12 @@
         if !self.request.may_retry() {
             return left;
         }
-        let gap = self.request.route.max_event_gap.unwrap_or(DEFAULT_GAP);
-        let stall = Millis(gap.0 * STALL_GAPS);
+        let max_gap = self
+            .request
+            .route
+            .max_event_gap
+            .unwrap_or(DEFAULT_MAX_EVENT_GAP);
+        let stall = Millis(max_gap.0 * STALL_GAPS);
         let first_event = if self.events.last() == self.request.message.metadata.resume_after {
             self.request.route.latency_objective
         } else {
--- a/lib/src/direct/request/mod.rs
+++ b/lib/src/direct/request/mod.rs
@@ -23,7 +23,8 @@
 /// Pause before the selection of an upstream is repeated.
 pub(in crate::direct) const SELECTION_RETRY_PAUSE: Millis = Millis(20);
 
-/// Wait for a response's head, in latency objectives of the route, before the request is hedged.
+/// Wait for a response's head, in multiples of the route's latency objective, before the request
+/// is hedged.
 const HEDGE_AFTER_OBJECTIVES: u64 = 3;
 
 /// A request in progress.
--- a/lib/src/direct/request/quarantine.rs
+++ b/lib/src/direct/request/quarantine.rs
@@ -54,19 +54,19 @@
     pub(in crate::direct) fn record_broken_connection(
         &self,
         upstream: &Arc<Upstream>,
-        sign: Suspicion,
+        suspicion: Suspicion,
     ) {
         let fingerprint = self.message.fingerprint().clone();
         log::info!(
             request = self.id(),
             suspect = fingerprint.as_str(),
             upstream = &*upstream.incarnation,
-            sign = sign.name();
+            sign = suspicion.name();
             "request: broke"
         );
         self.frontend
             .quarantine
-            .record_broken_connection(upstream, fingerprint, sign);
+            .record_broken_connection(upstream, fingerprint, suspicion);
     }
 
     /// Records that an upstream ran the request without crashing.
--- a/lib/src/direct/request/send.rs
+++ b/lib/src/direct/request/send.rs
@@ -41,14 +41,14 @@
     pub(in crate::direct) async fn resume_moved_run(
         &self,
         target: &Target,
-        memory: KvCacheHandle,
+        kv_cache: KvCacheHandle,
         last: Option<u64>,
     ) -> Result<UpstreamResponse, SendError> {
         self.check_quarantine()
             .map_err(|failure| SendError::Lost(failure.code, failure.detail))?;
         let dispatch = DispatchHeaders {
             resume_after: last,
-            kv_cache: Some(memory),
+            kv_cache: Some(kv_cache),
             ..self.dispatch(target)
         };
         request_log::sent(self, &target.upstream, target.version, dispatch.deadline);
@@ -80,7 +80,7 @@
 
     /// Asks the owner of the engine where a moved run resumes to count it.
     async fn moved_run_permit(&self, target: &Target) -> Option<Permit> {
-        let question = AdmitQuery {
+        let query = AdmitQuery {
             loaded: true,
             // The prompt isn't prefilled again.
             tokens: 0,
@@ -92,7 +92,7 @@
         let permit = match self
             .frontend
             .controllers
-            .admit(&target.upstream, question)
+            .admit(&target.upstream, query)
             .await
         {
             admit::AdmitDecision::Admitted(permit, _) => Some(permit),
--- a/lib/src/direct/resume.rs
+++ b/lib/src/direct/resume.rs
@@ -12,14 +12,14 @@
 use super::attempt::{SendError, UpstreamResponse};
 use super::event_sequence::{EventSequence, StreamStep};
 use super::handover::{HandoverReply, StoppedRun};
-use super::relay::{DEFAULT_GAP, Relay, ResponseAborted};
+use super::relay::{DEFAULT_MAX_EVENT_GAP, Relay, ResponseAborted};
 use super::request::SELECTION_RETRY_PAUSE;
 use super::request_log;
 use super::versions;
 use crate::clock::Millis;
 use crate::error::Failure;
 
-/// Wait for an event, in longest gaps of the route, after which callers give a stream up.
+/// Wait for an event, in multiples of the route's maximum gap, after which callers give up.
 const CALLER_TIMEOUT_GAPS: u64 = 8;
 
 /// Cause logged for a run that could no longer start on its version of the adapter.
@@ -248,20 +248,20 @@
     /// event, because only the KV cache can still complete the stream.
     async fn resume_stopped_run(&mut self, run: &StoppedRun) -> Result<(), ResponseAborted> {
         self.response = None;
-        let gap = self
+        let max_gap = self
             .request
             .route
             .max_event_gap
-            .unwrap_or(DEFAULT_GAP)
+            .unwrap_or(DEFAULT_MAX_EVENT_GAP)
             .max(SELECTION_RETRY_PAUSE);
-        let caller_timeout = self.request.now() + Millis(gap.0 * CALLER_TIMEOUT_GAPS);
+        let caller_timeout = self.request.now() + Millis(max_gap.0 * CALLER_TIMEOUT_GAPS);
         let until = caller_timeout.min(self.request.deadline);
         let mut asked = 0;
         for target in run.targets.iter().cycle() {
             let last = self.events.last();
             let sending = self
                 .request
-                .resume_moved_run(target, run.memory.clone(), last);
+                .resume_moved_run(target, run.kv_cache.clone(), last);
             match sending.await {
                 Ok(response) => {
                     request_log::run_moved(&self.request, &target.upstream, last, "goes on");
@@ -288,7 +288,7 @@
             if asked == run.targets.len() && self.resume_with_prefill(cause).await.is_ok() {
                 return Ok(());
             }
-            if !self.request.wait_for_retry(gap, until).await {
+            if !self.request.wait_for_retry(max_gap, until).await {
                 return Err(ResponseAborted(cause.to_owned()));
             }
         }
