--- a/bench/src/fuzz_outcomes/harness/traffic/owner.rs
+++ b/bench/src/fuzz_outcomes/harness/traffic/owner.rs
@@ -143,13 +143,13 @@
                     self.reply(node, &route, Err(failure));
                 }
             }
-            Action::Ask { adapter, .. } => {
+            Action::RequestPermit { adapter, .. } => {
                 let start = self.nodes[node].identity.incarnation;
                 let wait = self.rng.random_range(5..200);
                 let granted = Arrival::Granted(upstream.clone(), index(&adapter));
                 self.later(wait, Due::Node(node, start, granted));
             }
-            Action::Withdraw { .. } => {}
+            Action::CancelPermit { .. } => {}
             Action::Load { adapter, evict } => {
                 let order = Order::Load {
                     adapter: index(&adapter),
--- a/bench/src/policy/contender.rs
+++ b/bench/src/policy/contender.rs
@@ -213,12 +213,12 @@
             upstream::Action::Refuse { id, failure } => {
                 self.refused(world, engine, number(&id), failure.code, actions);
             }
-            upstream::Action::Ask { adapter, demand } => {
+            upstream::Action::RequestPermit { adapter, demand } => {
                 let key = self.key(engine, &adapter);
                 let ask = ask(&self.names[engine], adapter, demand);
                 self.loads.ask(key, ask, world.now());
             }
-            upstream::Action::Withdraw { adapter } => {
+            upstream::Action::CancelPermit { adapter } => {
                 let key = self.key(engine, &adapter);
                 self.loads.withdraw(key);
             }
--- a/lib/src/owner/driver/mod.rs
+++ b/lib/src/owner/driver/mod.rs
@@ -321,8 +321,8 @@
                     load_wait,
                 } => left.extend(self.begin(&id, queued, load_wait)),
                 Action::Refuse { id, failure } => self.refuse(&id, failure),
-                Action::Ask { adapter, demand } => self.ask(adapter, demand),
-                Action::Withdraw { adapter } => {
+                Action::RequestPermit { adapter, demand } => self.ask(adapter, demand),
+                Action::CancelPermit { adapter } => {
                     self.asking.remove(&adapter);
                     self.permits.remove(&adapter);
                 }
--- a/lib/src/policy/upstream/load.rs
+++ b/lib/src/policy/upstream/load.rs
@@ -71,7 +71,7 @@
             if let Some(demand) = self.demand(&adapter, now) {
                 self.asked
                     .insert(adapter.clone(), Asked { at: now, demand });
-                actions.push(Action::Ask { adapter, demand });
+                actions.push(Action::RequestPermit { adapter, demand });
             }
         }
     }
@@ -104,7 +104,7 @@
         };
         self.asked
             .insert(adapter.clone(), Asked { at: now, demand });
-        actions.push(Action::Ask { adapter, demand });
+        actions.push(Action::RequestPermit { adapter, demand });
     }
 
     /// Tells the store's queue when an ask has become clearly more or less urgent.
@@ -120,7 +120,7 @@
         if grown || fewer || demand.class != asked.demand.class {
             let at = asked.at;
             self.asked.insert(adapter.clone(), Asked { at, demand });
-            actions.push(Action::Ask {
+            actions.push(Action::RequestPermit {
                 adapter: adapter.clone(),
                 demand,
             });
@@ -161,7 +161,7 @@
         // One try: whatever became of it, requests will ask for themselves.
         self.upcoming.remove(adapter);
         if !begun {
-            actions.push(Action::Withdraw {
+            actions.push(Action::CancelPermit {
                 adapter: adapter.clone(),
             });
             self.want(adapter);
@@ -278,7 +278,7 @@
         self.upcoming.remove(adapter);
         self.refill.remove(adapter);
         if self.asked.remove(adapter).is_some() {
-            actions.push(Action::Withdraw {
+            actions.push(Action::CancelPermit {
                 adapter: adapter.clone(),
             });
         }
--- a/lib/src/policy/upstream/mod.rs
+++ b/lib/src/policy/upstream/mod.rs
@@ -96,14 +96,14 @@
         failure: Failure,
     },
     /// Ask the weight store's queue for a permit to load, or replace an earlier ask's demand.
-    Ask {
+    RequestPermit {
         /// What would be loaded.
         adapter: Adapter,
         /// How the queue should order it.
         demand: Demand,
     },
     /// Take an ask back; if a permit has been granted meanwhile, give it back unused.
-    Withdraw {
+    CancelPermit {
         /// What is no longer needed.
         adapter: Adapter,
     },
@@ -226,7 +226,7 @@
 
     /// The weight store's queue grants the ask for this adapter.
     ///
-    /// The answer holds [`Action::Load`], or [`Action::Withdraw`] when the load is no longer wanted.
+    /// The answer holds [`Action::Load`], or [`Action::CancelPermit`] when the load is no longer wanted.
     #[must_use]
     pub fn granted(&mut self, adapter: &Adapter, now: Millis) -> Vec<Action> {
         let mut actions = Vec::new();
@@ -331,7 +331,7 @@
         let asked = std::mem::take(&mut self.asked);
         let withdrawn = asked
             .into_keys()
-            .map(|adapter| Action::Withdraw { adapter });
+            .map(|adapter| Action::CancelPermit { adapter });
         refused.chain(withdrawn).collect()
     }
 
@@ -427,7 +427,7 @@
         }
         self.unasked.remove(adapter);
         if self.asked.remove(adapter).is_some() {
-            actions.push(Action::Withdraw {
+            actions.push(Action::CancelPermit {
                 adapter: adapter.clone(),
             });
         }
--- a/lib/src/policy/upstream/replace.rs
+++ b/lib/src/policy/upstream/replace.rs
@@ -43,7 +43,7 @@
             };
             self.asked
                 .insert(adapter.clone(), Asked { at: now, demand });
-            actions.push(Action::Ask { adapter, demand });
+            actions.push(Action::RequestPermit { adapter, demand });
         }
     }
 
--- a/lib/tests/test_policy_parts.rs
+++ b/lib/tests/test_policy_parts.rs
@@ -443,7 +443,7 @@
     let id = waiting.id.clone();
     let _ = machine.arrive(waiting, share(1), true, Millis::ZERO);
     let actions = machine.cancelled(&id, Millis(1));
-    let back = Action::Withdraw {
+    let back = Action::CancelPermit {
         adapter: wanted.clone(),
     };
     assert_eq!(actions, std::slice::from_ref(&back));
@@ -508,7 +508,7 @@
         let ended = Id(Arc::from(format!("r{ended}")));
         actions.extend(machine.finished(&ended, now + Millis(100)));
         let asks =
-            |action: &Action| matches!(action, Action::Ask { adapter, .. } if *adapter == other);
+            |action: &Action| matches!(action, Action::RequestPermit { adapter, .. } if *adapter == other);
         if actions.iter().any(asks) {
             return;
         }
@@ -529,7 +529,7 @@
     assert!(again > Millis(100) && again < Millis(60_000));
     assert!(matches!(
         machine.tick(again).as_slice(),
-        [Action::Ask { .. }]
+        [Action::RequestPermit { .. }]
     ));
     let _ = machine.granted(&wanted, again);
     let actions = machine.loaded(&wanted, false, again + Millis(100));
--- a/lib/tests/test_policy_upstream.rs
+++ b/lib/tests/test_policy_upstream.rs
@@ -211,7 +211,7 @@
             self.asked.remove(&adapter);
             let actions = self.machine.granted(&adapter, self.now);
             let used = actions.iter().any(|action| match action {
-                Action::Load { adapter: used, .. } | Action::Withdraw { adapter: used } => {
+                Action::Load { adapter: used, .. } | Action::CancelPermit { adapter: used } => {
                     *used == adapter
                 }
                 _ => false,
@@ -251,12 +251,12 @@
                     assert!(self.waiting.remove(&id).is_some(), "{id} refused twice");
                     self.refused += 1;
                 }
-                Action::Ask { adapter, .. } => {
+                Action::RequestPermit { adapter, .. } => {
                     assert!(!self.resident.contains(&adapter), "{adapter} is resident");
                     assert!(!self.loading.contains(&adapter), "{adapter} is loading");
                     self.asked.insert(adapter);
                 }
-                Action::Withdraw { adapter } => {
+                Action::CancelPermit { adapter } => {
                     self.asked.remove(&adapter);
                 }
                 Action::Load { adapter, evict } => self.load(adapter, evict),
