--- a/bench/src/policy/contender.rs
+++ b/bench/src/policy/contender.rs
@@ -8,7 +8,7 @@
 use chivevalve::adapter::Adapter;
 use chivevalve::clock::Millis;
 use chivevalve::error::{Code, Fate};
-use chivevalve::loads::Ask;
+use chivevalve::loads::PermitRequest;
 use chivevalve::name::Name;
 use chivevalve::policy::loads;
 use chivevalve::policy::placement::{self, CANDIDATES, Pool, Router};
@@ -299,8 +299,8 @@
     }
 }
 
-fn ask(upstream: &Name, adapter: Adapter, demand: Demand) -> Ask {
-    Ask {
+fn ask(upstream: &Name, adapter: Adapter, demand: Demand) -> PermitRequest {
+    PermitRequest {
         upstream: Name::clone(upstream),
         adapter,
         class: demand.class,
--- a/lib/src/loads/mod.rs
+++ b/lib/src/loads/mod.rs
@@ -26,7 +26,7 @@
 
 /// What the queue needs to know to order a load.
 #[derive(Debug, Clone)]
-pub struct Ask {
+pub struct PermitRequest {
     /// The upstream that would load it.
     pub upstream: Name,
     /// What would be loaded.
@@ -59,5 +59,5 @@
     ///
     /// The ask may change while it waits: more requests come, or the most
     /// urgent one goes away.
-    async fn acquire(&self, ask: watch::Receiver<Ask>) -> Result<Box<dyn Permit>, Failure>;
+    async fn acquire(&self, ask: watch::Receiver<PermitRequest>) -> Result<Box<dyn Permit>, Failure>;
 }
--- a/lib/src/loads/queue.rs
+++ b/lib/src/loads/queue.rs
@@ -13,7 +13,7 @@
 use kameo::message::{Context, Message};
 use tokio::sync::{mpsc, oneshot, watch};
 
-use super::{Ask, Permit, Permits};
+use super::{PermitRequest, Permit, Permits};
 use crate::clock::{Clock, Millis};
 use crate::error::{Code, Failure};
 use crate::policy;
@@ -66,7 +66,7 @@
     async fn ask(
         &self,
         key: Key,
-        ask: Ask,
+        ask: PermitRequest,
         reply: Option<oneshot::Sender<()>>,
     ) -> Result<(), Failure> {
         let asked = self.actor.tell(Asked { key, ask, reply }).send().await;
@@ -76,7 +76,7 @@
 
 #[async_trait]
 impl Permits for Queue {
-    async fn acquire(&self, mut ask: watch::Receiver<Ask>) -> Result<Box<dyn Permit>, Failure> {
+    async fn acquire(&self, mut ask: watch::Receiver<PermitRequest>) -> Result<Box<dyn Permit>, Failure> {
         let key = (0, self.serial.fetch_add(1, Ordering::Relaxed));
         let grant = Grant {
             key,
@@ -125,7 +125,7 @@
 #[derive(Debug)]
 struct Asked {
     key: Key,
-    ask: Ask,
+    ask: PermitRequest,
     reply: Option<oneshot::Sender<()>>,
 }
 
--- a/lib/src/loads/shared.rs
+++ b/lib/src/loads/shared.rs
@@ -13,7 +13,7 @@
 use tokio::sync::watch;
 
 use super::queue::{Limits, Queue};
-use super::{Ask, Permit, Permits, WEIGHTS};
+use super::{PermitRequest, Permit, Permits, WEIGHTS};
 use crate::clock::{Clock, Millis};
 use crate::error::{Code, Failure};
 use crate::membership::Fleet;
@@ -86,7 +86,7 @@
     }
 
     /// Waits for a permit at the queue's owner.
-    async fn owner_permit(&self, ask: watch::Receiver<Ask>) -> Result<Box<dyn Permit>, Failure> {
+    async fn owner_permit(&self, ask: watch::Receiver<PermitRequest>) -> Result<Box<dyn Permit>, Failure> {
         match self.owner() {
             Some(owner) if owner.node == self.parts.node => self.queue.acquire(ask).await,
             Some(owner) => {
@@ -101,7 +101,7 @@
     }
 
     /// Waits for a permit from this node's share.
-    async fn share_permit(&self, ask: watch::Receiver<Ask>) -> Result<Box<dyn Permit>, Failure> {
+    async fn share_permit(&self, ask: watch::Receiver<PermitRequest>) -> Result<Box<dyn Permit>, Failure> {
         let nodes = nodes(&self.parts.fleet.borrow());
         let load = load_time(self.parts.loads_per_kilosecond);
         self.share.space(Millis(load.0.saturating_mul(nodes))).await;
@@ -109,7 +109,7 @@
     }
 
     /// Tries the queue's owner again and again.
-    async fn owner_again(&self, ask: &watch::Receiver<Ask>) -> Box<dyn Permit> {
+    async fn owner_again(&self, ask: &watch::Receiver<PermitRequest>) -> Box<dyn Permit> {
         loop {
             tokio::time::sleep(OWNER_AGAIN.duration()).await;
             if let Ok(permit) = self.owner_permit(ask.clone()).await {
@@ -131,7 +131,7 @@
 
 #[async_trait]
 impl Permits for Shared {
-    async fn acquire(&self, ask: watch::Receiver<Ask>) -> Result<Box<dyn Permit>, Failure> {
+    async fn acquire(&self, ask: watch::Receiver<PermitRequest>) -> Result<Box<dyn Permit>, Failure> {
         loop {
             let failure = tokio::select! {
                 permit = self.owner_permit(ask.clone()) => match permit {
@@ -156,7 +156,7 @@
 
 #[async_trait]
 impl Permits for Served {
-    async fn acquire(&self, ask: watch::Receiver<Ask>) -> Result<Box<dyn Permit>, Failure> {
+    async fn acquire(&self, ask: watch::Receiver<PermitRequest>) -> Result<Box<dyn Permit>, Failure> {
         if !self.0.is_here() {
             return Err(no_owner());
         }
--- a/lib/src/node/deferred.rs
+++ b/lib/src/node/deferred.rs
@@ -13,7 +13,7 @@
 
 use crate::error::{Code, Failure};
 use crate::gossip::{Peer, Peers};
-use crate::loads::{Ask, Permit, Permits};
+use crate::loads::{PermitRequest, Permit, Permits};
 use crate::membership::Detector;
 use crate::owner::Decisions;
 use crate::request::Ticket;
@@ -23,7 +23,7 @@
 
 #[async_trait]
 impl Permits for OnceLock<Arc<dyn Permits>> {
-    async fn acquire(&self, ask: watch::Receiver<Ask>) -> Result<Box<dyn Permit>, Failure> {
+    async fn acquire(&self, ask: watch::Receiver<PermitRequest>) -> Result<Box<dyn Permit>, Failure> {
         match self.get() {
             Some(permits) => permits.acquire(ask).await,
             None => Err(Failure::new(Code::NotReady, "the node is starting")),
--- a/lib/src/owner/driver/load.rs
+++ b/lib/src/owner/driver/load.rs
@@ -4,7 +4,7 @@
 use crate::adapter::Adapter;
 use crate::clock::Millis;
 use crate::error::Failure;
-use crate::loads::{Ask, Permit};
+use crate::loads::{PermitRequest, Permit};
 use crate::owner::load::{Asking, Load};
 use crate::owner::run::Target;
 use crate::policy::upstream::{Action, Demand};
@@ -38,7 +38,7 @@
         if self.releasing {
             return;
         }
-        let ask = Ask {
+        let ask = PermitRequest {
             upstream: self.name().clone(),
             adapter: adapter.clone(),
             class: demand.class,
--- a/lib/src/owner/load.rs
+++ b/lib/src/owner/load.rs
@@ -9,7 +9,7 @@
 use crate::adapter::Adapter;
 use crate::clock::{Clock, Millis};
 use crate::error::{Code, Failure};
-use crate::loads::{Ask, Permit, Permits};
+use crate::loads::{PermitRequest, Permit, Permits};
 use crate::membership::Hold;
 use crate::metrics::Metrics;
 use crate::ports::Engine;
@@ -22,7 +22,7 @@
 pub(super) struct Asking {
     /// Number of the ask, so that leave that comes for an earlier one is given back.
     pub(super) number: u64,
-    demand: watch::Sender<Ask>,
+    demand: watch::Sender<PermitRequest>,
     _task: AbortOnDropHandle<()>,
 }
 
@@ -30,7 +30,7 @@
     /// Starts to ask.
     pub(super) fn start(
         number: u64,
-        ask: Ask,
+        ask: PermitRequest,
         permits: Arc<dyn Permits>,
         events: mpsc::UnboundedSender<Event>,
     ) -> Self {
@@ -52,12 +52,12 @@
     }
 
     /// Replaces what the queue knows of the ask.
-    pub(super) fn update(&self, ask: Ask) {
+    pub(super) fn update(&self, ask: PermitRequest) {
         self.demand.send_replace(ask);
     }
 }
 
-async fn acquired(permits: &dyn Permits, ask: &watch::Receiver<Ask>) -> Box<dyn Permit> {
+async fn acquired(permits: &dyn Permits, ask: &watch::Receiver<PermitRequest>) -> Box<dyn Permit> {
     loop {
         match permits.acquire(ask.clone()).await {
             Ok(permit) => return permit,
--- a/lib/src/peer/permit.rs
+++ b/lib/src/peer/permit.rs
@@ -17,7 +17,7 @@
 use crate::adapter::Adapter;
 use crate::clock::Millis;
 use crate::error::{Code, Failure};
-use crate::loads::{Ask, Permit, Permits};
+use crate::loads::{PermitRequest, Permit, Permits};
 use crate::metrics::Metrics;
 use crate::request::Class;
 use crate::schema::peer::{PermitAsk, PermitDone, PermitDown, PermitUp, permit_up};
@@ -38,7 +38,7 @@
         return Err(Status::invalid_argument("a stream begins with an ask"));
     };
     let load_id = ask.load_id;
-    let (asks, changes) = watch::channel(Ask::from(ask));
+    let (asks, changes) = watch::channel(PermitRequest::from(ask));
     let granted = async move {
         let acquired = {
             let acquire = permits.acquire(changes);
@@ -121,7 +121,7 @@
 
 #[async_trait]
 impl Permits for Remote {
-    async fn acquire(&self, ask: watch::Receiver<Ask>) -> Result<Box<dyn Permit>, Failure> {
+    async fn acquire(&self, ask: watch::Receiver<PermitRequest>) -> Result<Box<dyn Permit>, Failure> {
         let link = self.clients.link(self.address);
         let way = link.way()?;
         let mut client = way.client();
@@ -175,7 +175,7 @@
     }
 }
 
-impl From<PermitAsk> for Ask {
+impl From<PermitAsk> for PermitRequest {
     fn from(ask: PermitAsk) -> Self {
         Self {
             upstream: ask.upstream.into(),
@@ -193,8 +193,8 @@
     }
 }
 
-impl From<Ask> for PermitAsk {
-    fn from(ask: Ask) -> Self {
+impl From<PermitRequest> for PermitAsk {
+    fn from(ask: PermitRequest) -> Self {
         Self {
             load_id: 0,
             upstream: ask.upstream.to_string(),
--- a/lib/src/policy/loads.rs
+++ b/lib/src/policy/loads.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 
 use crate::clock::Millis;
-use crate::loads::Ask;
+use crate::loads::PermitRequest;
 use crate::policy::demand::{factor, float, millis};
 use crate::policy::pace::Mean;
 use crate::request::Class;
@@ -43,7 +43,7 @@
 
 #[derive(Debug)]
 struct Waiting {
-    ask: Ask,
+    ask: PermitRequest,
     /// When it first came; a replaced ask keeps its age.
     first: Millis,
     /// When the demand was last told.
@@ -118,7 +118,7 @@
     /// Puts an ask in, or replaces an earlier one of the same key without losing its age.
     ///
     /// Returns whether there was room.
-    pub fn ask(&mut self, key: Key, ask: Ask, now: Millis) -> bool {
+    pub fn ask(&mut self, key: Key, ask: PermitRequest, now: Millis) -> bool {
         let earlier = self.waiting.get(&key).map(|waiting| waiting.first);
         if earlier.is_none() && self.waiting.len() >= self.limits.waiting {
             return false;
@@ -141,7 +141,7 @@
     }
 
     /// Grants the next load, if none is under way.
-    pub fn next(&mut self, now: Millis) -> Option<(Key, Ask)> {
+    pub fn next(&mut self, now: Millis) -> Option<(Key, PermitRequest)> {
         if let Some((_, until)) = self.current {
             if now < until {
                 return None;
@@ -191,7 +191,7 @@
     }
 
     /// Counts a grant, and learns how long a load takes while others wait.
-    fn count(&mut self, ask: &Ask, now: Millis) {
+    fn count(&mut self, ask: &PermitRequest, now: Millis) {
         self.grants = self.grants.wrapping_add(1);
         if let Some(class) = ask.class {
             self.served[class as usize] = self.grants;
--- a/lib/src/policy/upstream/mod.rs
+++ b/lib/src/policy/upstream/mod.rs
@@ -60,7 +60,7 @@
 
 /// What the weight store's queue needs to know to order a load.
 ///
-/// The same fields as [`crate::loads::Ask`], but for the names.
+/// The same fields as [`crate::loads::PermitRequest`], but for the names.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Demand {
     /// Class of the most urgent waiter; none is a prefetch.
--- a/lib/tests/test_peer.rs
+++ b/lib/tests/test_peer.rs
@@ -542,8 +542,8 @@
     assert!(bytes.with_label_values(&["sent"]).get() > 0);
 }
 
-fn wanted(name: &str) -> watch::Receiver<loads::Ask> {
-    watch::Sender::new(loads::Ask {
+fn wanted(name: &str) -> watch::Receiver<loads::PermitRequest> {
+    watch::Sender::new(loads::PermitRequest {
         upstream: "engine-1".into(),
         adapter: owner_fakes::adapter(name),
         class: None,
--- a/lib/tests/test_policy_parts.rs
+++ b/lib/tests/test_policy_parts.rs
@@ -6,7 +6,7 @@
 use chivevalve::adapter::Adapter;
 use chivevalve::clock::Millis;
 use chivevalve::error::Code;
-use chivevalve::loads::Ask;
+use chivevalve::loads::PermitRequest;
 use chivevalve::policy::demand::Forecast;
 use chivevalve::policy::loads;
 use chivevalve::policy::placement::{self, CANDIDATES, Pool, Router};
@@ -568,8 +568,8 @@
     assert!(table.is_resident(&second), "loaded after the report");
 }
 
-fn ask(class: Option<Class>, waiters: u32, gain: u64) -> Ask {
-    Ask {
+fn ask(class: Option<Class>, waiters: u32, gain: u64) -> PermitRequest {
+    PermitRequest {
         upstream: Arc::from("e"),
         adapter: adapter(1),
         class,
