--- a/lib/src/loads/mod.rs
+++ b/lib/src/loads/mod.rs
@@ -54,7 +54,7 @@
 
 /// The queue of the weight store, in this process or behind a peer connection.
 #[async_trait]
-pub trait Permits: fmt::Debug + Send + Sync {
+pub trait PermitSource: fmt::Debug + Send + Sync {
     /// Waits for a permit to load; dropping the future takes the ask back.
     ///
     /// The ask may change while it waits: more requests come, or the most
--- a/lib/src/loads/queue.rs
+++ b/lib/src/loads/queue.rs
@@ -13,7 +13,7 @@
 use kameo::message::{Context, Message};
 use tokio::sync::{mpsc, oneshot, watch};
 
-use super::{PermitRequest, Permit, Permits};
+use super::{PermitRequest, Permit, PermitSource};
 use crate::clock::{Clock, Millis};
 use crate::error::{Code, Failure};
 use crate::policy;
@@ -75,7 +75,7 @@
 }
 
 #[async_trait]
-impl Permits for Queue {
+impl PermitSource for Queue {
     async fn acquire(&self, mut ask: watch::Receiver<PermitRequest>) -> Result<Box<dyn Permit>, Failure> {
         let key = (0, self.serial.fetch_add(1, Ordering::Relaxed));
         let grant = Grant {
--- a/lib/src/loads/shared.rs
+++ b/lib/src/loads/shared.rs
@@ -13,7 +13,7 @@
 use tokio::sync::watch;
 
 use super::queue::{Limits, Queue};
-use super::{PermitRequest, Permit, Permits, WEIGHTS};
+use super::{PermitRequest, Permit, PermitSource, WEIGHTS};
 use crate::clock::{Clock, Millis};
 use crate::error::{Code, Failure};
 use crate::membership::Fleet;
@@ -72,7 +72,7 @@
 
     /// Returns the queue that this node's service gives its peers.
     #[must_use]
-    pub fn served(self: &Arc<Self>) -> Arc<dyn Permits> {
+    pub fn served(self: &Arc<Self>) -> Arc<dyn PermitSource> {
         Arc::new(Served(Arc::clone(self)))
     }
 
@@ -130,7 +130,7 @@
 }
 
 #[async_trait]
-impl Permits for Shared {
+impl PermitSource for Shared {
     async fn acquire(&self, ask: watch::Receiver<PermitRequest>) -> Result<Box<dyn Permit>, Failure> {
         loop {
             let failure = tokio::select! {
@@ -155,7 +155,7 @@
 struct Served(Arc<Shared>);
 
 #[async_trait]
-impl Permits for Served {
+impl PermitSource for Served {
     async fn acquire(&self, ask: watch::Receiver<PermitRequest>) -> Result<Box<dyn Permit>, Failure> {
         if !self.0.is_here() {
             return Err(no_owner());
--- a/lib/src/node/assembly.rs
+++ b/lib/src/node/assembly.rs
@@ -84,7 +84,7 @@
             metrics,
             stop,
         };
-        let permits = Deferred::<dyn loads::Permits>::default();
+        let permits = Deferred::<dyn loads::PermitSource>::default();
         let detector = Deferred::<dyn membership::Detector>::default();
         let peers = Deferred::<dyn gossip::Peers>::default();
         let decisions = Deferred::<dyn owner::Decisions>::default();
@@ -178,7 +178,7 @@
 impl Base {
     fn owner(
         &self,
-        permits: &Deferred<dyn loads::Permits>,
+        permits: &Deferred<dyn loads::PermitSource>,
         detector: &Deferred<dyn membership::Detector>,
         decisions: &Deferred<dyn owner::Decisions>,
     ) -> owner::Parts {
--- a/lib/src/node/deferred.rs
+++ b/lib/src/node/deferred.rs
@@ -13,7 +13,7 @@
 
 use crate::error::{Code, Failure};
 use crate::gossip::{Peer, Peers};
-use crate::loads::{PermitRequest, Permit, Permits};
+use crate::loads::{PermitRequest, Permit, PermitSource};
 use crate::membership::Detector;
 use crate::owner::Decisions;
 use crate::request::Ticket;
@@ -22,7 +22,7 @@
 pub type Deferred<T> = Arc<OnceLock<Arc<T>>>;
 
 #[async_trait]
-impl Permits for OnceLock<Arc<dyn Permits>> {
+impl PermitSource for OnceLock<Arc<dyn PermitSource>> {
     async fn acquire(&self, ask: watch::Receiver<PermitRequest>) -> Result<Box<dyn Permit>, Failure> {
         match self.get() {
             Some(permits) => permits.acquire(ask).await,
--- a/lib/src/owner/load.rs
+++ b/lib/src/owner/load.rs
@@ -9,7 +9,7 @@
 use crate::adapter::Adapter;
 use crate::clock::{Clock, Millis};
 use crate::error::{Code, Failure};
-use crate::loads::{PermitRequest, Permit, Permits};
+use crate::loads::{PermitRequest, Permit, PermitSource};
 use crate::membership::Hold;
 use crate::metrics::Metrics;
 use crate::ports::Engine;
@@ -31,7 +31,7 @@
     pub(super) fn start(
         number: u64,
         ask: PermitRequest,
-        permits: Arc<dyn Permits>,
+        permits: Arc<dyn PermitSource>,
         events: mpsc::UnboundedSender<Event>,
     ) -> Self {
         let (demand, changes) = watch::channel(ask);
@@ -57,7 +57,7 @@
     }
 }
 
-async fn acquired(permits: &dyn Permits, ask: &watch::Receiver<PermitRequest>) -> Box<dyn Permit> {
+async fn acquired(permits: &dyn PermitSource, ask: &watch::Receiver<PermitRequest>) -> Box<dyn Permit> {
     loop {
         match permits.acquire(ask.clone()).await {
             Ok(permit) => return permit,
--- a/lib/src/owner/registry.rs
+++ b/lib/src/owner/registry.rs
@@ -21,7 +21,7 @@
 use crate::config::prefetch::{Prefetch, Upcoming};
 use crate::declaration::Pool;
 use crate::error::{Code, Failure};
-use crate::loads::{Permits, WEIGHTS};
+use crate::loads::{PermitSource, WEIGHTS};
 use crate::membership::{Adopter, Detector, Hold, fleet};
 use crate::metrics::Metrics;
 use crate::name::Name;
@@ -38,7 +38,7 @@
     /// Makes clients for upstreams.
     pub connector: Arc<dyn Connector>,
     /// Gives leave to load.
-    pub permits: Arc<dyn Permits>,
+    pub permits: Arc<dyn PermitSource>,
     /// Learns how owned upstreams are, so that membership can hold one out.
     pub detector: Option<Arc<dyn Detector>>,
     /// Tells whether what waits is still wanted as it was decided.
--- a/lib/src/peer/permit.rs
+++ b/lib/src/peer/permit.rs
@@ -17,7 +17,7 @@
 use crate::adapter::Adapter;
 use crate::clock::Millis;
 use crate::error::{Code, Failure};
-use crate::loads::{PermitRequest, Permit, Permits};
+use crate::loads::{PermitRequest, Permit, PermitSource};
 use crate::metrics::Metrics;
 use crate::request::Class;
 use crate::schema::peer::{PermitAsk, PermitDone, PermitDown, PermitUp, permit_up};
@@ -30,7 +30,7 @@
 /// Serves one ask: waits for leave and then for how the load ended.
 pub(super) async fn serve(
     mut up: Streaming<PermitUp>,
-    permits: Arc<dyn Permits>,
+    permits: Arc<dyn PermitSource>,
     metrics: Arc<Metrics>,
 ) -> Result<BoxStream<'static, Result<PermitDown, Status>>, Status> {
     let first = next(&mut up, &metrics).await?;
@@ -120,7 +120,7 @@
 }
 
 #[async_trait]
-impl Permits for Remote {
+impl PermitSource for Remote {
     async fn acquire(&self, ask: watch::Receiver<PermitRequest>) -> Result<Box<dyn Permit>, Failure> {
         let link = self.clients.link(self.address);
         let way = link.way()?;
--- a/lib/src/peer/server.rs
+++ b/lib/src/peer/server.rs
@@ -17,7 +17,7 @@
 use crate::clock::Clock;
 use crate::error::{Code, Failure};
 use crate::gossip::{Exchange, Snapshot};
-use crate::loads::Permits;
+use crate::loads::PermitSource;
 use crate::membership::Renewal;
 use crate::metrics::Metrics;
 use crate::ports::Answer;
@@ -40,7 +40,7 @@
     /// Gives the whole configuration.
     pub snapshot: Arc<dyn Snapshot>,
     /// Gives leave to load, if this node owns the weight store's queue.
-    pub permits: Arc<dyn Permits>,
+    pub permits: Arc<dyn PermitSource>,
     /// The node's clock.
     pub clock: Arc<dyn Clock>,
     /// The node's metrics.
--- a/lib/tests/owner_fakes/mod.rs
+++ b/lib/tests/owner_fakes/mod.rs
@@ -12,7 +12,7 @@
 use chivevalve::clock::{Clock, Millis, Monotonic};
 use chivevalve::declaration::{Kind, Pool};
 use chivevalve::error::{Code, Failure};
-use chivevalve::loads::{PermitRequest, Permit, Permits};
+use chivevalve::loads::{PermitRequest, Permit, PermitSource};
 use chivevalve::membership::fleet::{State, Upstream};
 use chivevalve::membership::{Adopter, Detector, Hold};
 use chivevalve::metrics::Metrics;
@@ -315,7 +315,7 @@
 }
 
 #[async_trait]
-impl Permits for Gate {
+impl PermitSource for Gate {
     async fn acquire(&self, _: watch::Receiver<PermitRequest>) -> Result<Box<dyn Permit>, Failure> {
         let mut open = self.0.subscribe();
         open.wait_for(|open| *open).await.unwrap();
--- a/lib/tests/test_peer.rs
+++ b/lib/tests/test_peer.rs
@@ -573,12 +573,12 @@
     let node = Node::start(Arc::new(Nobody)).await;
     let (address, cut) = relay(node.owner.peer).await;
     let dying = shared(&clients(), &through(&node, address));
-    let leave = loads::Permits::acquire(&*dying, wanted("plans"))
+    let leave = loads::PermitSource::acquire(&*dying, wanted("plans"))
         .await
         .unwrap();
     cut.cancel();
     let living = shared(&clients(), &node.owner);
-    let next = loads::Permits::acquire(&*living, wanted("faults"))
+    let next = loads::PermitSource::acquire(&*living, wanted("faults"))
         .await
         .unwrap();
     next.done(true, Millis(300)).await;
@@ -591,7 +591,7 @@
     let (listener, owner) = listening().await;
     drop(listener);
     let shared = shared(&clients(), &owner);
-    let leave = loads::Permits::acquire(&*shared, wanted("plans"))
+    let leave = loads::PermitSource::acquire(&*shared, wanted("plans"))
         .await
         .unwrap();
     leave.done(true, Millis(300)).await;
@@ -602,7 +602,7 @@
 async fn permit_owner_silent() {
     let (listener, owner) = listening().await;
     let shared = shared(&impatient(), &owner);
-    let leave = loads::Permits::acquire(&*shared, wanted("plans"));
+    let leave = loads::PermitSource::acquire(&*shared, wanted("plans"));
     let leave = tokio::time::timeout(Millis::from_secs(30).duration(), leave).await;
     leave.unwrap().unwrap().done(true, Millis(300)).await;
     drop(listener);
