--- a/bench/src/policy/contender.rs
+++ b/bench/src/policy/contender.rs
@@ -48,7 +48,7 @@
     /// Usable upstreams by base model.
     pools: Vec<Pool>,
     machines: Vec<Machine>,
-    loads: loads::Queue,
+    loads: loads::LoadQueue,
     routes: HashMap<u32, Route>,
     adapters: Vec<Adapter>,
     numbers: HashMap<Adapter, u32>,
@@ -95,7 +95,7 @@
                 .map(|_| Machine::new(limits.clone()))
                 .collect(),
             limits,
-            loads: loads::Queue::new(loads::Limits::default()),
+            loads: loads::LoadQueue::new(loads::Limits::default()),
             routes: HashMap::new(),
             adapters,
             numbers,
@@ -233,7 +233,7 @@
         }
     }
 
-    fn key(&self, engine: usize, adapter: &Adapter) -> loads::Key {
+    fn key(&self, engine: usize, adapter: &Adapter) -> loads::RequestKey {
         (engine as u64, u64::from(self.numbers[adapter]))
     }
 
--- a/lib/src/loads/queue.rs
+++ b/lib/src/loads/queue.rs
@@ -17,7 +17,7 @@
 use crate::clock::{Clock, Millis};
 use crate::error::{Code, Failure};
 use crate::policy;
-use crate::policy::loads::Key;
+use crate::policy::loads::RequestKey;
 
 /// Messages that wait for the actor.
 const MAILBOX: usize = 1024;
@@ -35,7 +35,7 @@
 #[derive(Clone)]
 pub struct Queue {
     actor: ActorRef<Limiter>,
-    ends: mpsc::UnboundedSender<Key>,
+    ends: mpsc::UnboundedSender<RequestKey>,
     serial: Arc<AtomicU64>,
 }
 
@@ -65,7 +65,7 @@
 
     async fn ask(
         &self,
-        key: Key,
+        key: RequestKey,
         ask: PermitRequest,
         reply: Option<oneshot::Sender<()>>,
     ) -> Result<(), Failure> {
@@ -106,8 +106,8 @@
 /// A holder that ends with its permit would block every load of the deployment.
 #[derive(Debug)]
 struct Grant {
-    key: Key,
-    ends: mpsc::UnboundedSender<Key>,
+    key: RequestKey,
+    ends: mpsc::UnboundedSender<RequestKey>,
 }
 
 impl Drop for Grant {
@@ -124,7 +124,7 @@
 /// An ask comes or changes.
 #[derive(Debug)]
 struct Asked {
-    key: Key,
+    key: RequestKey,
     ask: PermitRequest,
     reply: Option<oneshot::Sender<()>>,
 }
@@ -136,12 +136,12 @@
 /// The actor: it grants one permit at a time, no faster than the weight store serves loads.
 #[derive(Debug)]
 struct Limiter {
-    order: policy::loads::Queue,
+    order: policy::loads::LoadQueue,
     spacing: Millis,
     next_start: Millis,
-    waiting: HashMap<Key, oneshot::Sender<()>>,
+    waiting: HashMap<RequestKey, oneshot::Sender<()>>,
     clock: Arc<dyn Clock>,
-    ended: mpsc::UnboundedReceiver<Key>,
+    ended: mpsc::UnboundedReceiver<RequestKey>,
 }
 
 impl Limiter {
@@ -174,7 +174,7 @@
         spaced.max(next).map(|at| at.since(now))
     }
 
-    fn end(&mut self, key: Key) {
+    fn end(&mut self, key: RequestKey) {
         self.waiting.remove(&key);
         self.order.withdraw(key);
         self.grant();
@@ -182,13 +182,13 @@
 }
 
 impl Actor for Limiter {
-    type Args = (Limits, Arc<dyn Clock>, mpsc::UnboundedReceiver<Key>);
+    type Args = (Limits, Arc<dyn Clock>, mpsc::UnboundedReceiver<RequestKey>);
     type Error = Infallible;
 
     async fn on_start(args: Self::Args, _: ActorRef<Self>) -> Result<Self, Infallible> {
         let (limits, clock, ended) = args;
         Ok(Self {
-            order: policy::loads::Queue::new(limits.order),
+            order: policy::loads::LoadQueue::new(limits.order),
             spacing: limits.spacing,
             next_start: Millis::ZERO,
             waiting: HashMap::new(),
--- a/lib/src/policy/loads.rs
+++ b/lib/src/policy/loads.rs
@@ -13,7 +13,7 @@
 use crate::request::Class;
 
 /// Names an ask; the driver chooses it, such as a connection's number and the load's.
-pub type Key = (u64, u64);
+pub type RequestKey = (u64, u64);
 
 /// How the queue behaves.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -86,10 +86,10 @@
 
 /// Asks for loads, one granted at a time.
 #[derive(Debug)]
-pub struct Queue {
+pub struct LoadQueue {
     limits: Limits,
-    waiting: BTreeMap<Key, Waiting>,
-    current: Option<(Key, Millis)>,
+    waiting: BTreeMap<RequestKey, Waiting>,
+    current: Option<(RequestKey, Millis)>,
     grants: u32,
     /// Number of the grant that last served each class.
     served: [u32; 3],
@@ -99,7 +99,7 @@
     lost: u64,
 }
 
-impl Queue {
+impl LoadQueue {
     /// Starts empty.
     #[must_use]
     pub fn new(limits: Limits) -> Self {
@@ -118,7 +118,7 @@
     /// Puts an ask in, or replaces an earlier one of the same key without losing its age.
     ///
     /// Returns whether there was room.
-    pub fn ask(&mut self, key: Key, ask: PermitRequest, now: Millis) -> bool {
+    pub fn ask(&mut self, key: RequestKey, ask: PermitRequest, now: Millis) -> bool {
         let earlier = self.waiting.get(&key).map(|waiting| waiting.first);
         if earlier.is_none() && self.waiting.len() >= self.limits.waiting {
             return false;
@@ -133,7 +133,7 @@
     }
 
     /// Takes an ask back, granted or not.
-    pub fn withdraw(&mut self, key: Key) {
+    pub fn withdraw(&mut self, key: RequestKey) {
         self.waiting.remove(&key);
         if self.current.is_some_and(|(current, _)| current == key) {
             self.current = None;
@@ -141,7 +141,7 @@
     }
 
     /// Grants the next load, if none is under way.
-    pub fn next(&mut self, now: Millis) -> Option<(Key, PermitRequest)> {
+    pub fn next(&mut self, now: Millis) -> Option<(RequestKey, PermitRequest)> {
         if let Some((_, until)) = self.current {
             if now < until {
                 return None;
@@ -159,11 +159,11 @@
     }
 
     /// Tells that a granted load has ended, or that its permit came back unused.
-    pub fn done(&mut self, key: Key) {
+    pub fn done(&mut self, key: RequestKey) {
         self.withdraw(key);
     }
 
-    /// Returns when [`Queue::next`] should be tried again if nothing else happens.
+    /// Returns when [`LoadQueue::next`] should be tried again if nothing else happens.
     #[must_use]
     pub fn next_wakeup(&self) -> Option<Millis> {
         if self.waiting.is_empty() {
@@ -221,7 +221,7 @@
     }
 
     /// Picks the load that goes next.
-    fn pick(&self, now: Millis) -> Option<Key> {
+    fn pick(&self, now: Millis) -> Option<RequestKey> {
         let congested = self.is_congested();
         let turn = self.turn();
         self.waiting
--- a/lib/tests/test_policy_parts.rs
+++ b/lib/tests/test_policy_parts.rs
@@ -582,7 +582,7 @@
 
 #[test]
 fn loads_order_by_urgency_then_waiters_then_prefetch() {
-    let mut queue = loads::Queue::new(loads::Limits::default());
+    let mut queue = loads::LoadQueue::new(loads::Limits::default());
     let now = Millis::ZERO;
     queue.ask((0, 1), ask(None, 0, 1_000_000), now);
     queue.ask((0, 2), ask(Some(Class::Normal), 1, 60_000), now);
@@ -601,7 +601,7 @@
 /// A bulk load gets its turn though urgent loads keep coming.
 #[test]
 fn loads_each_class_has_its_turn() {
-    let mut queue = loads::Queue::new(loads::Limits::default());
+    let mut queue = loads::LoadQueue::new(loads::Limits::default());
     queue.ask((0, 0), ask(Some(Class::Bulk), 1, 600_000), Millis::ZERO);
     for number in 1..40 {
         let now = Millis(number * 300);
@@ -618,7 +618,7 @@
 /// A permit whose holder never reports ends by itself, so that others may load.
 #[test]
 fn loads_lost_leave_ends() {
-    let mut queue = loads::Queue::new(loads::Limits::default());
+    let mut queue = loads::LoadQueue::new(loads::Limits::default());
     queue.ask((0, 1), ask(Some(Class::Normal), 1, 1), Millis::ZERO);
     queue.ask((0, 2), ask(Some(Class::Normal), 1, 1), Millis::ZERO);
     assert!(queue.next(Millis::ZERO).is_some());
@@ -635,7 +635,7 @@
         turn_every: 0,
         ..loads::Limits::default()
     };
-    let mut queue = loads::Queue::new(limits);
+    let mut queue = loads::LoadQueue::new(limits);
     for number in 0..10 {
         queue.ask(
             (0, number),
