--- a/lib/src/loads/mod.rs
+++ b/lib/src/loads/mod.rs
@@ -7,8 +7,8 @@
 mod queue;
 mod shared;
 
-pub use queue::{Limits, Queue};
-pub use shared::{Parts, Shared};
+pub use queue::{Limits, PermitQueue};
+pub use shared::{Dependencies, SharedPermitQueue};
 
 use std::fmt;
 
--- a/lib/src/loads/queue.rs
+++ b/lib/src/loads/queue.rs
@@ -33,19 +33,19 @@
 
 /// The queue, as those see it that want to load.
 #[derive(Clone)]
-pub struct Queue {
+pub struct PermitQueue {
     actor: ActorRef<Limiter>,
     ends: mpsc::UnboundedSender<RequestKey>,
     serial: Arc<AtomicU64>,
 }
 
-impl fmt::Debug for Queue {
+impl fmt::Debug for PermitQueue {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.debug_struct("Queue").finish_non_exhaustive()
     }
 }
 
-impl Queue {
+impl PermitQueue {
     /// Starts with nobody waiting.
     #[must_use]
     pub fn start(limits: Limits, clock: Arc<dyn Clock>) -> Self {
@@ -75,7 +75,7 @@
 }
 
 #[async_trait]
-impl PermitSource for Queue {
+impl PermitSource for PermitQueue {
     async fn acquire(&self, mut ask: watch::Receiver<PermitRequest>) -> Result<Box<dyn Permit>, Failure> {
         let key = (0, self.serial.fetch_add(1, Ordering::Relaxed));
         let grant = Grant {
--- a/lib/src/loads/shared.rs
+++ b/lib/src/loads/shared.rs
@@ -12,7 +12,7 @@
 use async_trait::async_trait;
 use tokio::sync::watch;
 
-use super::queue::{Limits, Queue};
+use super::queue::{Limits, PermitQueue};
 use super::{PermitRequest, Permit, PermitSource, WEIGHTS};
 use crate::clock::{Clock, Millis};
 use crate::error::{Code, Failure};
@@ -30,7 +30,7 @@
 
 /// What the shared queue works with.
 #[derive(Debug, Clone)]
-pub struct Parts {
+pub struct Dependencies {
     /// This node's name.
     pub node: Name,
     /// Who owns what.
@@ -45,16 +45,16 @@
 
 /// Permits to load, wherever the queue is.
 #[derive(Debug)]
-pub struct Shared {
-    parts: Parts,
-    queue: Queue,
-    share: Queue,
+pub struct SharedPermitQueue {
+    parts: Dependencies,
+    queue: PermitQueue,
+    share: PermitQueue,
 }
 
-impl Shared {
+impl SharedPermitQueue {
     /// Starts this node's part.
     #[must_use]
-    pub fn start(parts: Parts) -> Arc<Self> {
+    pub fn start(parts: Dependencies) -> Arc<Self> {
         let load = load_time(parts.loads_per_kilosecond);
         let limits = |spacing| Limits {
             order: policy::loads::Limits {
@@ -64,8 +64,8 @@
             spacing,
         };
         Arc::new(Self {
-            queue: Queue::start(limits(Millis::ZERO), Arc::clone(&parts.clock)),
-            share: Queue::start(limits(load), Arc::clone(&parts.clock)),
+            queue: PermitQueue::start(limits(Millis::ZERO), Arc::clone(&parts.clock)),
+            share: PermitQueue::start(limits(load), Arc::clone(&parts.clock)),
             parts,
         })
     }
@@ -130,7 +130,7 @@
 }
 
 #[async_trait]
-impl PermitSource for Shared {
+impl PermitSource for SharedPermitQueue {
     async fn acquire(&self, ask: watch::Receiver<PermitRequest>) -> Result<Box<dyn Permit>, Failure> {
         loop {
             let failure = tokio::select! {
@@ -152,7 +152,7 @@
 
 /// The queue as peers see it: only while this node owns it.
 #[derive(Debug)]
-struct Served(Arc<Shared>);
+struct Served(Arc<SharedPermitQueue>);
 
 #[async_trait]
 impl PermitSource for Served {
--- a/lib/src/node/assembly.rs
+++ b/lib/src/node/assembly.rs
@@ -60,7 +60,7 @@
     base: Base,
     pub(super) registry: Arc<Registry>,
     clients: Arc<Clients>,
-    loads: Arc<loads::Shared>,
+    loads: Arc<loads::SharedPermitQueue>,
     gossip: Arc<gossip::Keeper>,
     pub(super) config: Arc<config::Keeper>,
     pub(super) membership: Arc<membership::Keeper>,
@@ -92,7 +92,7 @@
         let clients = Clients::new(base.clients(&registry, security));
         let config = config::Keeper::start(base.config(&registry, &peers));
         let membership = base.membership(&config, &registry, &clients);
-        let loads = loads::Shared::start(base.loads(&membership, &clients));
+        let loads = loads::SharedPermitQueue::start(base.loads(&membership, &clients));
         decisions.get_or_init(|| Arc::clone(&config) as _);
         permits.get_or_init(|| Arc::clone(&loads) as _);
         detector.get_or_init(|| Arc::clone(&membership) as _);
@@ -251,8 +251,8 @@
         membership::Keeper::start(parts, self.stop.clone())
     }
 
-    fn loads(&self, membership: &membership::Keeper, clients: &Arc<Clients>) -> loads::Parts {
-        loads::Parts {
+    fn loads(&self, membership: &membership::Keeper, clients: &Arc<Clients>) -> loads::Dependencies {
+        loads::Dependencies {
             node: Arc::clone(&self.identity.name),
             fleet: membership.fleet(),
             clients: Arc::clone(clients),
--- a/lib/tests/peer_fakes/mod.rs
+++ b/lib/tests/peer_fakes/mod.rs
@@ -83,7 +83,7 @@
     pub async fn secured(runner: Arc<dyn Runner>, security: Security) -> Self {
         let clock: Arc<dyn Clock> = Arc::new(Monotonic::start());
         let metrics = Arc::new(Metrics::new());
-        let queue = loads::Queue::start(
+        let queue = loads::PermitQueue::start(
             loads::Limits {
                 order: chivevalve::policy::loads::Limits::default(),
                 spacing: Millis::ZERO,
--- a/lib/tests/test_peer.rs
+++ b/lib/tests/test_peer.rs
@@ -555,10 +555,10 @@
     .subscribe()
 }
 
-fn shared(clients: &Arc<Clients>, owner: &Owner) -> Arc<loads::Shared> {
+fn shared(clients: &Arc<Clients>, owner: &Owner) -> Arc<loads::SharedPermitQueue> {
     let owners = [(loads::WEIGHTS.into(), Arc::new(owner.clone()))];
     let fleet = Fleet::new(Vec::new(), owners.into_iter().collect());
-    loads::Shared::start(loads::Parts {
+    loads::SharedPermitQueue::start(loads::Dependencies {
         node: "a".into(),
         fleet: watch::Sender::new(Arc::new(fleet)).subscribe(),
         clients: Arc::clone(clients),
