--- a/lib/src/loads/mod.rs
+++ b/lib/src/loads/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! The store gives a few loads a second to the whole deployment, and two loads
 //! at once slow each other down. One node, the owner of the pseudo-upstream
-//! [`WEIGHTS`], orders all loads by who waits and how urgently.
+//! [`WEIGHT_STORE`], orders all loads by who waits and how urgently.
 
 mod queue;
 mod shared;
@@ -22,7 +22,7 @@
 use crate::request::Class;
 
 /// Name under which the weight store's queue is owned, like an upstream.
-pub const WEIGHTS: &str = "weights";
+pub const WEIGHT_STORE: &str = "weights";
 
 /// What the queue needs to know to order a load.
 #[derive(Debug, Clone)]
--- a/lib/src/loads/shared.rs
+++ b/lib/src/loads/shared.rs
@@ -13,7 +13,7 @@
 use tokio::sync::watch;
 
 use super::queue::{Limits, PermitQueue};
-use super::{PermitRequest, Permit, PermitSource, WEIGHTS};
+use super::{PermitRequest, Permit, PermitSource, WEIGHT_STORE};
 use crate::clock::{Clock, Millis};
 use crate::error::{Code, Failure};
 use crate::membership::Fleet;
@@ -77,7 +77,7 @@
     }
 
     fn owner(&self) -> Option<Arc<Owner>> {
-        self.parts.fleet.borrow().owner(WEIGHTS).cloned()
+        self.parts.fleet.borrow().owner(WEIGHT_STORE).cloned()
     }
 
     fn is_here(&self) -> bool {
@@ -122,7 +122,7 @@
     async fn moved(&self) {
         let before = self.owner();
         let mut fleet = self.parts.fleet.clone();
-        let changed = fleet.wait_for(|fleet| fleet.owner(WEIGHTS) != before.as_ref());
+        let changed = fleet.wait_for(|fleet| fleet.owner(WEIGHT_STORE) != before.as_ref());
         if changed.await.is_err() {
             std::future::pending::<()>().await;
         }
--- a/lib/src/membership/keeper/publish.rs
+++ b/lib/src/membership/keeper/publish.rs
@@ -8,7 +8,7 @@
 use super::{Adoption, Core, Keeper};
 use crate::clock::Millis;
 use crate::declaration::{Kind, Pool};
-use crate::loads::WEIGHTS;
+use crate::loads::WEIGHT_STORE;
 use crate::membership::Hold;
 use crate::membership::fleet::{self, Fleet, State};
 use crate::name::Name;
@@ -31,7 +31,7 @@
         now: Millis,
         upstream: &Name,
     ) -> Option<(fleet::Upstream, Arc<Pool>)> {
-        if **upstream == *WEIGHTS {
+        if **upstream == *WEIGHT_STORE {
             return Some(weights());
         }
         let found = core.upstreams.get(now, upstream)?;
@@ -77,7 +77,7 @@
             .map(|upstream| (upstream.vm.name, upstream.vm.region))
             .collect();
         if !regions.is_empty() {
-            regions.insert(Name::from(WEIGHTS), Name::from(""));
+            regions.insert(Name::from(WEIGHT_STORE), Name::from(""));
         }
         regions
     }
@@ -122,7 +122,7 @@
 
 /// The weight store's queue is owned like an upstream, though it has no address.
 fn weights() -> (fleet::Upstream, Arc<Pool>) {
-    let name = Name::from(WEIGHTS);
+    let name = Name::from(WEIGHT_STORE);
     let vm = Vm {
         name: name.clone(),
         address: SocketAddr::from(([0, 0, 0, 0], 0)),
--- a/lib/src/owner/registry.rs
+++ b/lib/src/owner/registry.rs
@@ -21,7 +21,7 @@
 use crate::config::prefetch::{Prefetch, Upcoming};
 use crate::declaration::Pool;
 use crate::error::{Code, Failure};
-use crate::loads::{PermitSource, WEIGHTS};
+use crate::loads::{PermitSource, WEIGHT_STORE};
 use crate::membership::{Adopter, Detector, Hold, fleet};
 use crate::metrics::Metrics;
 use crate::name::Name;
@@ -246,7 +246,7 @@
     async fn adopt(&self, upstream: fleet::Upstream, pool: Arc<Pool>, hold: Hold) {
         let name = Arc::clone(&upstream.vm.name);
         // The weight store's queue is owned like an upstream, but nothing runs there.
-        if &*name == WEIGHTS {
+        if &*name == WEIGHT_STORE {
             return;
         }
         let args = Args {
--- a/lib/tests/test_peer.rs
+++ b/lib/tests/test_peer.rs
@@ -556,7 +556,7 @@
 }
 
 fn shared(clients: &Arc<Clients>, owner: &Owner) -> Arc<loads::SharedPermitQueue> {
-    let owners = [(loads::WEIGHTS.into(), Arc::new(owner.clone()))];
+    let owners = [(loads::WEIGHT_STORE.into(), Arc::new(owner.clone()))];
     let fleet = Fleet::new(Vec::new(), owners.into_iter().collect());
     loads::SharedPermitQueue::start(loads::Dependencies {
         node: "a".into(),
