--- a/bench/src/policy/contender.rs
+++ b/bench/src/policy/contender.rs
@@ -307,7 +307,7 @@
         waiters: demand.waiters,
         weight: demand.weight,
         waited: demand.waited,
-        gain: demand.gain,
+        stall_savings: demand.stall_savings,
     }
 }
 
--- a/lib/src/loads/mod.rs
+++ b/lib/src/loads/mod.rs
@@ -42,7 +42,7 @@
     /// Time that the waiters have left before their deadlines, summed, each times its class's factor.
     ///
     /// It is the stall that the load can still save; see docs/design/0002-decisions.md.
-    pub gain: Millis,
+    pub stall_savings: Millis,
 }
 
 /// A permit for one load; the queue goes on when it is dropped or told of the outcome.
--- a/lib/src/owner/driver/load.rs
+++ b/lib/src/owner/driver/load.rs
@@ -45,7 +45,7 @@
             waiters: demand.waiters,
             weight: demand.weight,
             waited: demand.waited,
-            gain: demand.gain,
+            stall_savings: demand.stall_savings,
         };
         if let Some(asking) = self.asking.get(&adapter) {
             asking.update(ask);
--- a/lib/src/peer/permit.rs
+++ b/lib/src/peer/permit.rs
@@ -188,7 +188,7 @@
             waiters: ask.waiters,
             weight: ask.weight,
             waited: Millis(ask.waited_ms),
-            gain: Millis(ask.gain_ms),
+            stall_savings: Millis(ask.gain_ms),
         }
     }
 }
@@ -205,7 +205,7 @@
             waiters: ask.waiters,
             weight: ask.weight,
             waited_ms: ask.waited.0,
-            gain_ms: ask.gain.0,
+            gain_ms: ask.stall_savings.0,
         }
     }
 }
--- a/lib/src/policy/loads.rs
+++ b/lib/src/policy/loads.rs
@@ -55,13 +55,13 @@
     ///
     /// Each waiter's time runs out while it waits, so of two asks that are alike
     /// the later one saves more.
-    fn gain(&self, now: Millis) -> u64 {
+    fn stall_savings(&self, now: Millis) -> u64 {
         let factor = self.ask.class.map_or(0, factor);
         let spent = now.since(self.told).0;
         let lost = spent
             .saturating_mul(u64::from(self.ask.waiters))
             .saturating_mul(u64::from(factor));
-        self.ask.gain.0.saturating_sub(lost)
+        self.ask.stall_savings.0.saturating_sub(lost)
     }
 
     /// Returns the place in the order; the smallest goes next.
@@ -73,11 +73,11 @@
     /// and all would have waited in vain.
     fn place(&self, congested: bool, now: Millis) -> (u8, Reverse<u64>, Millis) {
         let Some(class) = self.ask.class else {
-            return (2, Reverse(self.ask.gain.0), self.first);
+            return (2, Reverse(self.ask.stall_savings.0), self.first);
         };
         let rank = u8::from(class != Class::Urgent);
         if congested {
-            return (rank, Reverse(self.gain(now)), self.first);
+            return (rank, Reverse(self.stall_savings(now)), self.first);
         }
         let ended = u64::from(self.ask.waiters) * u64::from(factor(class));
         (rank, Reverse(ended), self.first)
--- a/lib/src/policy/upstream/load.rs
+++ b/lib/src/policy/upstream/load.rs
@@ -100,7 +100,7 @@
             waiters: 0,
             weight: 0,
             waited: Millis::ZERO,
-            gain: future(rate),
+            stall_savings: future(rate),
         };
         self.asked
             .insert(adapter.clone(), Asked { at: now, demand });
@@ -115,7 +115,7 @@
         let Some(demand) = self.demand(adapter, now) else {
             return;
         };
-        let grown = demand.gain.0 > asked.demand.gain.0.saturating_mul(5) / 4;
+        let grown = demand.stall_savings.0 > asked.demand.stall_savings.0.saturating_mul(5) / 4;
         let fewer = demand.waiters < asked.demand.waiters;
         if grown || fewer || demand.class != asked.demand.class {
             let at = asked.at;
@@ -134,7 +134,7 @@
             waiters: 0,
             weight: 0,
             waited: Millis::ZERO,
-            gain: Millis::ZERO,
+            stall_savings: Millis::ZERO,
         };
         for entry in self.queue.blocked_on(adapter) {
             let ticket = &entry.ticket;
@@ -144,10 +144,10 @@
             demand.weight = demand.weight.saturating_add(ticket.weight);
             demand.waited = demand.waited.max(now.since(entry.arrived));
             let left = ticket.deadline.since(now + self.limits.load_time);
-            demand.gain += Millis(left.0.saturating_mul(u64::from(factor(ticket.class))));
+            demand.stall_savings += Millis(left.0.saturating_mul(u64::from(factor(ticket.class))));
         }
         demand.class?;
-        demand.gain += future(self.forecast.rate(adapter, now));
+        demand.stall_savings += future(self.forecast.rate(adapter, now));
         Some(demand)
     }
 
--- a/lib/src/policy/upstream/mod.rs
+++ b/lib/src/policy/upstream/mod.rs
@@ -72,7 +72,7 @@
     /// How long the oldest waiter has waited.
     pub waited: Millis,
     /// Time that the waiters have left before their deadlines, summed, each times its class's factor.
-    pub gain: Millis,
+    pub stall_savings: Millis,
 }
 
 /// An order to the owner of the upstream.
--- a/lib/src/policy/upstream/replace.rs
+++ b/lib/src/policy/upstream/replace.rs
@@ -39,7 +39,7 @@
                 waiters: 0,
                 weight: 0,
                 waited: Millis::ZERO,
-                gain: future(self.forecast.rate(&adapter, now)),
+                stall_savings: future(self.forecast.rate(&adapter, now)),
             };
             self.asked
                 .insert(adapter.clone(), Asked { at: now, demand });
--- a/lib/tests/test_peer.rs
+++ b/lib/tests/test_peer.rs
@@ -550,7 +550,7 @@
         waiters: 1,
         weight: 1,
         waited: Millis::ZERO,
-        gain: Millis::ZERO,
+        stall_savings: Millis::ZERO,
     })
     .subscribe()
 }
--- a/lib/tests/test_policy_parts.rs
+++ b/lib/tests/test_policy_parts.rs
@@ -568,7 +568,7 @@
     assert!(table.is_resident(&second), "loaded after the report");
 }
 
-fn ask(class: Option<Class>, waiters: u32, gain: u64) -> PermitRequest {
+fn ask(class: Option<Class>, waiters: u32, stall_savings: u64) -> PermitRequest {
     PermitRequest {
         upstream: Arc::from("e"),
         adapter: adapter(1),
@@ -576,7 +576,7 @@
         waiters,
         weight: waiters,
         waited: Millis::ZERO,
-        gain: Millis(gain),
+        stall_savings: Millis(stall_savings),
     }
 }
 
