--- a/lib/src/loads/queue.rs
+++ b/lib/src/loads/queue.rs
@@ -26,9 +26,9 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Limits {
     /// Bounds of the decisions.
-    pub order: policy::loads::Limits,
+    pub queue: policy::loads::Limits,
     /// Shortest time between the starts of two loads; zero is one load right after another.
-    pub spacing: Millis,
+    pub min_start_interval: Millis,
 }
 
 /// The queue, as those see it that want to load.
@@ -59,8 +59,8 @@
     }
 
     /// Changes the shortest time between the starts of two loads.
-    pub(super) async fn space(&self, spacing: Millis) {
-        let _ = self.actor.tell(Space(spacing)).send().await;
+    pub(super) async fn space(&self, min_start_interval: Millis) {
+        let _ = self.actor.tell(Space(min_start_interval)).send().await;
     }
 
     async fn ask(
@@ -137,7 +137,7 @@
 #[derive(Debug)]
 struct Limiter {
     order: policy::loads::LoadQueue,
-    spacing: Millis,
+    min_start_interval: Millis,
     next_start: Millis,
     waiting: HashMap<RequestKey, oneshot::Sender<()>>,
     clock: Arc<dyn Clock>,
@@ -156,7 +156,7 @@
                 .remove(&key)
                 .is_some_and(|reply| reply.send(()).is_ok());
             if told {
-                self.next_start = now + self.spacing;
+                self.next_start = now + self.min_start_interval;
             } else {
                 self.order.withdraw(key);
             }
@@ -188,8 +188,8 @@
     async fn on_start(args: Self::Args, _: ActorRef<Self>) -> Result<Self, Infallible> {
         let (limits, clock, ended) = args;
         Ok(Self {
-            order: policy::loads::LoadQueue::new(limits.order),
-            spacing: limits.spacing,
+            order: policy::loads::LoadQueue::new(limits.queue),
+            min_start_interval: limits.min_start_interval,
             next_start: Millis::ZERO,
             waiting: HashMap::new(),
             clock,
@@ -241,6 +241,6 @@
     type Reply = ();
 
     async fn handle(&mut self, space: Space, _: &mut Context<Self, ()>) {
-        self.spacing = space.0;
+        self.min_start_interval = space.0;
     }
 }
--- a/lib/src/loads/shared.rs
+++ b/lib/src/loads/shared.rs
@@ -56,12 +56,12 @@
     #[must_use]
     pub fn start(parts: Dependencies) -> Arc<Self> {
         let load = load_time(parts.loads_per_kilosecond);
-        let limits = |spacing| Limits {
-            order: policy::loads::Limits {
+        let limits = |min_start_interval| Limits {
+            queue: policy::loads::Limits {
                 timeout: Millis(load.0.saturating_mul(TIMEOUT_LOADS)),
                 ..policy::loads::Limits::default()
             },
-            spacing,
+            min_start_interval,
         };
         Arc::new(Self {
             queue: PermitQueue::start(limits(Millis::ZERO), Arc::clone(&parts.clock)),
--- a/lib/tests/peer_fakes/mod.rs
+++ b/lib/tests/peer_fakes/mod.rs
@@ -85,8 +85,8 @@
         let metrics = Arc::new(Metrics::new());
         let queue = loads::PermitQueue::start(
             loads::Limits {
-                order: chivevalve::policy::loads::Limits::default(),
-                spacing: Millis::ZERO,
+                queue: chivevalve::policy::loads::Limits::default(),
+                min_start_interval: Millis::ZERO,
             },
             Arc::clone(&clock),
         );
