--- a/lib/src/policy/loads.rs
+++ b/lib/src/policy/loads.rs
@@ -22,21 +22,21 @@
     pub timeout: Millis,
     /// Every so many grants the class that was served longest ago goes first, so
     /// that none waits for as long as others ask.
-    pub turn_every: u32,
+    pub fair_turn_interval: u32,
     /// Above this time to clear all asks the store is congested: some can't be
     /// served in time, and the order changes to what saves most.
-    pub congested: Millis,
+    pub congestion_threshold: Millis,
     /// Most asks that wait.
-    pub waiting: usize,
+    pub max_waiting: usize,
 }
 
 impl Default for Limits {
     fn default() -> Self {
         Self {
             timeout: Millis::from_secs(10),
-            turn_every: 16,
-            congested: Millis(2_500),
-            waiting: 16_384,
+            fair_turn_interval: 16,
+            congestion_threshold: Millis(2_500),
+            max_waiting: 16_384,
         }
     }
 }
@@ -120,7 +120,7 @@
     /// Returns whether there was room.
     pub fn ask(&mut self, key: RequestKey, ask: PermitRequest, now: Millis) -> bool {
         let earlier = self.waiting.get(&key).map(|waiting| waiting.first);
-        if earlier.is_none() && self.waiting.len() >= self.limits.waiting {
+        if earlier.is_none() && self.waiting.len() >= self.limits.max_waiting {
             return false;
         }
         let waiting = Waiting {
@@ -205,12 +205,12 @@
     /// Returns whether the asks that wait take longer than is good to get through.
     fn is_congested(&self) -> bool {
         let interval = millis(self.interval.or(0.0)).0;
-        interval.saturating_mul(self.waiting.len() as u64) > self.limits.congested.0
+        interval.saturating_mul(self.waiting.len() as u64) > self.limits.congestion_threshold.0
     }
 
     /// Returns the class whose turn it is, whatever the order says.
     fn turn(&self) -> Option<Class> {
-        let due = self.limits.turn_every > 0 && self.grants.is_multiple_of(self.limits.turn_every);
+        let due = self.limits.fair_turn_interval > 0 && self.grants.is_multiple_of(self.limits.fair_turn_interval);
         if !due {
             return None;
         }
--- a/lib/tests/test_policy_parts.rs
+++ b/lib/tests/test_policy_parts.rs
@@ -631,8 +631,8 @@
 #[test]
 fn loads_congested_serves_what_still_gains() {
     let limits = loads::Limits {
-        congested: Millis::ZERO,
-        turn_every: 0,
+        congestion_threshold: Millis::ZERO,
+        fair_turn_interval: 0,
         ..loads::Limits::default()
     };
     let mut queue = loads::LoadQueue::new(limits);
