--- a/bench/src/fuzz_outcomes/harness/traffic/owner.rs
+++ b/bench/src/fuzz_outcomes/harness/traffic/owner.rs
@@ -286,15 +286,15 @@
         self.decide(node, upstream, |machine, now| {
             let mut actions = Vec::new();
             if restarted {
-                actions.extend(machine.restarted(now));
+                actions.extend(machine.engine_restarted(now));
             }
             let as_of = Millis(now.0.saturating_sub(20));
-            actions.extend(machine.reported(&resident, as_of, now));
+            actions.extend(machine.engine_reported(&resident, as_of, now));
             for pin in gone {
                 actions.extend(machine.finished(&pin, now));
             }
             for (pin, used) in begun {
-                machine.runs_already(pin, &adapter(used), now);
+                machine.adopt_running(pin, &adapter(used), now);
             }
             actions
         });
--- a/bench/src/fuzz_outcomes/harness/world/calls.rs
+++ b/bench/src/fuzz_outcomes/harness/world/calls.rs
@@ -51,7 +51,7 @@
     pub(super) fn release(&mut self, index: usize, number: u64, upstream: Name, limit: Millis) {
         let start = self.nodes[index].identity.incarnation;
         let until = self.nodes[index].clock(self.now) + limit;
-        self.decide(index, &upstream, |machine, _| machine.leave(Code::NotOwner));
+        self.decide(index, &upstream, |machine, _| machine.close(Code::NotOwner));
         let mut token = 0;
         if let Some(served) = self.nodes[index].served.get_mut(&upstream) {
             served.releasing = true;
--- a/lib/src/owner/driver/correct.rs
+++ b/lib/src/owner/driver/correct.rs
@@ -35,7 +35,7 @@
             for id in self.foreign.clear() {
                 actions.extend(self.machine.finished(&id, now));
             }
-            actions.extend(self.machine.restarted(now));
+            actions.extend(self.machine.engine_restarted(now));
         }
         let resident: Vec<Adapter> = report
             .resident
@@ -43,7 +43,7 @@
             .filter_map(|name| self.adapter(name))
             .collect();
         // Pins come between what the slots hold and what is started or evicted next.
-        actions.extend(self.machine.reported(&resident, as_of, now));
+        actions.extend(self.machine.engine_reported(&resident, as_of, now));
         actions.extend(self.pin_foreign(report, now));
         self.reported = Some(now);
         self.carry(actions);
@@ -66,7 +66,7 @@
             actions.extend(self.machine.finished(&id, now));
         }
         for (id, adapter) in change.begun {
-            self.machine.runs_already(id, &adapter, now);
+            self.machine.adopt_running(id, &adapter, now);
         }
         self.pin_own(report, now);
         actions
@@ -83,7 +83,7 @@
                 .find(|(_, entry)| entry.reply.is_none() && name.contains(&*entry.request.0))
                 .map(|(key, _)| key.clone());
             if let (Some(key), Some(adapter)) = (started, parsed(base.as_ref(), model)) {
-                self.machine.runs_already(key, &adapter, now);
+                self.machine.adopt_running(key, &adapter, now);
             }
         }
     }
--- a/lib/src/owner/driver/mod.rs
+++ b/lib/src/owner/driver/mod.rs
@@ -152,7 +152,7 @@
     pub(super) fn adopt(&mut self, args: Args) {
         self.args = args;
         let limits = limits(&self.parts, &self.args);
-        let actions = self.machine.limit(limits, self.now());
+        let actions = self.machine.set_limits(limits, self.now());
         self.carry(actions);
         if let Err(failure) = self.takes_work() {
             self.refuse_waiting(&failure);
@@ -163,7 +163,7 @@
     /// Prepares for templates that will move from one adapter to another.
     pub(super) fn replaced(&mut self, old: &Adapter, new: &Adapter) {
         if self.is_known() && self.takes_work().is_ok() {
-            let actions = self.machine.replaced(old, new, self.now());
+            let actions = self.machine.prefetch_replacement(old, new, self.now());
             self.carry(actions);
         }
     }
@@ -172,7 +172,7 @@
     pub(super) fn release(&mut self, done: Option<oneshot::Sender<()>>) {
         self.releasing = true;
         self.refuse_waiting(&failure(Code::NotOwner, "the upstream is handed over"));
-        let actions = self.machine.leave(Code::NotOwner);
+        let actions = self.machine.close(Code::NotOwner);
         self.carry(actions);
         self.drained.extend(done);
         self.tell_drained();
--- a/lib/src/policy/upstream/mod.rs
+++ b/lib/src/policy/upstream/mod.rs
@@ -202,7 +202,7 @@
 
     /// Takes over changed limits; what runs and what is resident stays.
     #[must_use]
-    pub fn limit(&mut self, limits: Limits, now: Millis) -> Vec<Action> {
+    pub fn set_limits(&mut self, limits: Limits, now: Millis) -> Vec<Action> {
         self.slots.resize(limits.slots.unwrap_or(0));
         self.limits = limits;
         self.tick(now)
@@ -290,7 +290,7 @@
     ///
     /// The owner still tells of each running request's end by [`Machine::finished`].
     #[must_use]
-    pub fn restarted(&mut self, now: Millis) -> Vec<Action> {
+    pub fn engine_restarted(&mut self, now: Millis) -> Vec<Action> {
         let mut actions = Vec::new();
         self.expire(now, &mut actions);
         self.lose_slots();
@@ -301,7 +301,7 @@
     /// The engine says what its slots held at `as_of`; it lags, so only what the
     /// machine hasn't touched since then is corrected.
     #[must_use]
-    pub fn reported(&mut self, resident: &[Adapter], as_of: Millis, now: Millis) -> Vec<Action> {
+    pub fn engine_reported(&mut self, resident: &[Adapter], as_of: Millis, now: Millis) -> Vec<Action> {
         let mut actions = Vec::new();
         self.expire(now, &mut actions);
         let (gone, found) = self.slots.correct(resident, as_of, now);
@@ -319,7 +319,7 @@
     /// The upstream leaves, or is another node's now: what waits is refused
     /// with `code`, as is all that arrives later; what runs goes on.
     #[must_use]
-    pub fn leave(&mut self, code: Code) -> Vec<Action> {
+    pub fn close(&mut self, code: Code) -> Vec<Action> {
         self.leaving = true;
         self.unasked.clear();
         self.upcoming.clear();
--- a/lib/src/policy/upstream/start.rs
+++ b/lib/src/policy/upstream/start.rs
@@ -20,7 +20,7 @@
     /// It takes a place in the batch and pins its adapter until
     /// [`Machine::finished`], as this owner's own do. Without it a new owner
     /// would evict what the former one's requests still use.
-    pub fn runs_already(&mut self, id: Id, adapter: &Adapter, now: Millis) {
+    pub fn adopt_running(&mut self, id: Id, adapter: &Adapter, now: Millis) {
         if let Some(running) = self.running.get_mut(&id) {
             // A cold start takes all pins. What was started after it, before this
             // owner heard of it, runs in the new slots and must be pinned there.
--- a/lib/tests/test_policy_upstream.rs
+++ b/lib/tests/test_policy_upstream.rs
@@ -168,7 +168,7 @@
                 self.boot += 1;
                 self.resident.clear();
                 self.loading.clear();
-                let actions = self.machine.restarted(self.now);
+                let actions = self.machine.engine_restarted(self.now);
                 self.follow(actions);
             }
             Event::Report(stale) => {
@@ -179,7 +179,7 @@
                 } else {
                     (listed, self.now)
                 };
-                let actions = self.machine.reported(&listed, as_of, self.now);
+                let actions = self.machine.engine_reported(&listed, as_of, self.now);
                 self.follow(actions);
             }
             Event::Wait(span) => {
@@ -391,7 +391,7 @@
     for _ in 0..EVENTS {
         oracle.apply(&Event::arbitrary(&mut g));
     }
-    let actions = oracle.machine.leave(Code::UpstreamLeaving);
+    let actions = oracle.machine.close(Code::UpstreamLeaving);
     oracle.follow(actions);
     assert!(oracle.waiting.is_empty());
     assert!(oracle.asked.is_empty());
