--- a/bench/src/fuzz_outcomes/harness/traffic/owner.rs
+++ b/bench/src/fuzz_outcomes/harness/traffic/owner.rs
@@ -32,8 +32,8 @@
     pub fn new() -> Self {
         let limits = upstream::Limits {
             slots: Some(u32::try_from(SLOTS).unwrap_or(u32::MAX)),
-            batch: 3,
-            queue: 8,
+            max_batch: 3,
+            max_queued: 8,
             ..upstream::Limits::default()
         };
         Self {
--- a/bench/src/policy/contender.rs
+++ b/bench/src/policy/contender.rs
@@ -68,7 +68,7 @@
     let small = |value: usize| u32::try_from(value).unwrap_or(u32::MAX);
     upstream::Limits {
         slots: Some(small(deployment.slots)),
-        batch: small(deployment.batch),
+        max_batch: small(deployment.batch),
         batch_weight: deployment.batch_weight,
         load_time: millis(1e6 / deployment.loads_per_second),
         ..upstream::Limits::default()
--- a/lib/src/node/limits.rs
+++ b/lib/src/node/limits.rs
@@ -35,11 +35,11 @@
     let policy = &settings.policy;
     owner::Limits {
         machine: policy::upstream::Limits {
-            queue: settings.limits.queue,
+            max_queued: settings.limits.queue,
             batch_weight: policy.batch_weight,
             load_time: Millis(KILOSECOND / u64::from(policy.loads_per_kilosecond.max(1))),
-            first_token: policy.first_token,
-            between_tokens: policy.between_tokens,
+            first_token_target: policy.first_token,
+            between_tokens_target: policy.between_tokens,
             ..policy::upstream::Limits::default()
         },
         ..owner::Limits::default()
--- a/lib/src/owner/driver/mod.rs
+++ b/lib/src/owner/driver/mod.rs
@@ -138,7 +138,7 @@
         };
         if self.is_known() {
             self.arrive(early);
-        } else if self.early.len() < self.parts.limits.machine.queue as usize {
+        } else if self.early.len() < self.parts.limits.machine.max_queued as usize {
             self.early.push(early);
         } else {
             self.refuse(
@@ -437,7 +437,7 @@
     };
     Limits {
         slots,
-        batch: args.pool.batch,
+        max_batch: args.pool.batch,
         ..parts.limits.machine.clone()
     }
 }
--- a/lib/src/policy/upstream/admit.rs
+++ b/lib/src/policy/upstream/admit.rs
@@ -110,7 +110,7 @@
     fn check_passing(&mut self, ticket: &Ticket, now: Millis) -> Result<(), Failure> {
         let wait = self.wait(ticket.class);
         let Some(adapter) = &ticket.adapter else {
-            return if wait > self.limits.first_token {
+            return if wait > self.limits.first_token_target {
                 Err(self.refusal(Code::PassedOn, "the upstream is busy", ticket))
             } else {
                 Ok(())
@@ -166,7 +166,7 @@
             return Millis::ZERO;
         }
         self.pace
-            .backlog(self.queue.ready_cost(class), self.limits.batch)
+            .backlog(self.queue.ready_cost(class), self.limits.max_batch)
     }
 
     /// Returns whether a fuller batch than needed makes the answer end after its deadline.
@@ -174,7 +174,7 @@
     /// Each request in the batch slows its steps, so an upstream that serves
     /// fewer may still answer in time.
     fn is_too_slow(&self, ticket: &Ticket, now: Millis) -> bool {
-        let batch = self.limits.batch as usize;
+        let batch = self.limits.max_batch as usize;
         let service = self.pace.service(queue::cost(ticket));
         self.running.len() * SLOWING > batch && now + service > ticket.deadline
     }
@@ -202,7 +202,7 @@
         now: Millis,
         actions: &mut Vec<Action>,
     ) -> Result<(), Failure> {
-        if self.queue.len() < self.limits.queue as usize {
+        if self.queue.len() < self.limits.max_queued as usize {
             return Ok(());
         }
         let Some(id) = self.queue.gives_way(ticket.class, &ticket.account) else {
--- a/lib/src/policy/upstream/mod.rs
+++ b/lib/src/policy/upstream/mod.rs
@@ -31,29 +31,29 @@
     /// Adapters that fit at a time; none for a plain service.
     pub slots: Option<u32>,
     /// Most requests running at a time, at least 1.
-    pub batch: u32,
+    pub max_batch: u32,
     /// Most requests waiting, all classes together.
-    pub queue: u32,
+    pub max_queued: u32,
     /// 0 spends nothing for fuller batches, 100 spends nothing against load stalls.
     pub batch_weight: u32,
     /// How long one load takes when the weight store is free.
     pub load_time: Millis,
     /// Target for the time to the first token.
-    pub first_token: Millis,
+    pub first_token_target: Millis,
     /// Target for the time between tokens.
-    pub between_tokens: Millis,
+    pub between_tokens_target: Millis,
 }
 
 impl Default for Limits {
     fn default() -> Self {
         Self {
             slots: Some(8),
-            batch: 32,
-            queue: 512,
+            max_batch: 32,
+            max_queued: 512,
             batch_weight: 0,
             load_time: Millis(300),
-            first_token: Millis(890),
-            between_tokens: Millis(54),
+            first_token_target: Millis(890),
+            between_tokens_target: Millis(54),
         }
     }
 }
--- a/lib/src/policy/upstream/start.rs
+++ b/lib/src/policy/upstream/start.rs
@@ -70,7 +70,7 @@
 
     /// Returns how many requests may run before this class must wait.
     pub(super) fn places(&self, class: Class) -> u32 {
-        self.pace.places(self.limits.batch, class)
+        self.pace.places(self.limits.max_batch, class)
     }
 
     /// Takes the next request to start from the queue.
@@ -79,7 +79,7 @@
         if self.queue.ready(Class::Bulk) == 0 {
             self.released = false;
         }
-        if running >= self.limits.batch as usize {
+        if running >= self.limits.max_batch as usize {
             return None;
         }
         // A class that was passed over often enough goes first, past the places
@@ -175,7 +175,7 @@
         {
             return None;
         }
-        let full = pace::full(self.limits.batch, self.limits.batch_weight) as usize;
+        let full = pace::full(self.limits.max_batch, self.limits.batch_weight) as usize;
         if ready >= full {
             return None;
         }
--- a/lib/tests/test_policy_parts.rs
+++ b/lib/tests/test_policy_parts.rs
@@ -371,8 +371,8 @@
 fn machine_bulk_gives_way_first() {
     let limits = Limits {
         slots: None,
-        batch: 1,
-        queue: 4,
+        max_batch: 1,
+        max_queued: 4,
         ..Limits::default()
     };
     let mut machine = Machine::new(limits);
@@ -395,7 +395,7 @@
 fn machine_bulk_is_not_starved() {
     let limits = Limits {
         slots: None,
-        batch: 1,
+        max_batch: 1,
         ..Limits::default()
     };
     let mut machine = Machine::new(limits);
@@ -455,7 +455,7 @@
 fn machine_same_id_is_taken_once() {
     let limits = Limits {
         slots: None,
-        batch: 1,
+        max_batch: 1,
         ..Limits::default()
     };
     let mut machine = Machine::new(limits);
@@ -657,7 +657,7 @@
 fn arrive_passes_on_what_a_large_batch_would_answer_late() {
     let wanted = adapter(1);
     let mut machine = Machine::new(Limits {
-        batch: 8,
+        max_batch: 8,
         ..Limits::default()
     });
     let arrive = |machine: &mut Machine, id, deadline, last, now| {
--- a/lib/tests/test_policy_upstream.rs
+++ b/lib/tests/test_policy_upstream.rs
@@ -271,7 +271,7 @@
         }
         assert!(self.now < ticket.deadline, "{id} starts after its deadline");
         self.running.insert(id.clone(), (ticket.adapter, self.boot));
-        assert!(self.running.len() <= self.limits.batch as usize);
+        assert!(self.running.len() <= self.limits.max_batch as usize);
         self.started += 1;
     }
 
@@ -337,8 +337,8 @@
 fn limits() -> Limits {
     Limits {
         slots: Some(3),
-        batch: 4,
-        queue: 12,
+        max_batch: 4,
+        max_queued: 12,
         ..Limits::default()
     }
 }
@@ -371,7 +371,7 @@
 fn machine_random_events_held_batches() {
     run(&Limits {
         batch_weight: 100,
-        batch: 8,
+        max_batch: 8,
         ..limits()
     });
 }
