--- a/bench/src/policy/contender.rs
+++ b/bench/src/policy/contender.rs
@@ -11,7 +11,7 @@
 use chivevalve::loads::PermitRequest;
 use chivevalve::name::Name;
 use chivevalve::policy::loads;
-use chivevalve::policy::placement::{self, CANDIDATES, Pool, Router};
+use chivevalve::policy::placement::{self, MAX_CANDIDATES, Pool, Router};
 use chivevalve::policy::upstream::{self, Demand, Machine};
 use chivevalve::request::{Id, Ticket};
 use chivevalve::retry;
@@ -35,7 +35,7 @@
 struct Route {
     node: usize,
     /// Upstreams it was tried on, by their places in the pool; the last is under way.
-    tried: SmallVec<[usize; CANDIDATES]>,
+    tried: SmallVec<[usize; MAX_CANDIDATES]>,
     /// Whether no other is tried after it.
     last: bool,
 }
@@ -115,7 +115,7 @@
     fn prepare_pools(&mut self, deployment: &Deployment, up: impl Fn(usize) -> bool) {
         let pool = |base: usize| {
             let engines = (base..deployment.engines).step_by(deployment.base_models);
-            Pool::of(engines.map(|e| (self.names[e].as_ref(), self.domains[e].as_ref(), up(e))))
+            Pool::from_entries(engines.map(|e| (self.names[e].as_ref(), self.domains[e].as_ref(), up(e))))
         };
         self.pools = (0..deployment.base_models).map(pool).collect();
     }
@@ -149,7 +149,7 @@
         let base_models = world.deployment().base_models;
         let base = world.deployment().base_of(world.request(id).adapter);
         let router = &mut self.routers[route.node];
-        let order = router.order(&self.pools[base], ticket.adapter.as_ref(), world.now());
+        let order = router.candidates(&self.pools[base], ticket.adapter.as_ref(), world.now());
         let Some((wait, replicas)) = order.split_last() else {
             self.routes.remove(&id);
             let code = Code::NoUpstream;
@@ -254,7 +254,7 @@
         let pool = &self.pools[deployment.base_of(adapter)];
         let index = engine / deployment.base_models;
         let adapter = Some(&self.adapters[adapter as usize]);
-        self.routers[route.node].refused(pool, index, adapter, code, world.now());
+        self.routers[route.node].record_refusal(pool, index, adapter, code, world.now());
         let more = !route.last && world.now() < world.request(id).deadline();
         if more && code.fate() == Fate::NotRun && tries_next(code) {
             self.attempt(world, id, actions);
--- a/bench/src/policy/cost.rs
+++ b/bench/src/policy/cost.rs
@@ -97,13 +97,13 @@
         .collect();
     let awake: Vec<Adapter> = (0..adapters / AWAKE).map(adapter).collect();
     let before = resident_kb()?;
-    let pool = Pool::of(names.iter().map(|name| (name.as_ref(), "domain", true)));
+    let pool = Pool::from_entries(names.iter().map(|name| (name.as_ref(), "domain", true)));
     let mut router = Router::new(placement::Limits::default(), 1);
     let limits = upstream::Limits::default();
     let mut machines: Vec<Machine> = names.iter().map(|_| Machine::new(limits.clone())).collect();
     let homes: Vec<usize> = awake
         .iter()
-        .map(|adapter| router.order(&pool, Some(adapter), Millis::ZERO)[0])
+        .map(|adapter| router.candidates(&pool, Some(adapter), Millis::ZERO)[0])
         .collect();
     let slots = limits.slots.unwrap_or(0) as usize;
     let mut resident = Vec::new();
@@ -116,7 +116,7 @@
     let began = Instant::now();
     for number in 0..DECISIONS {
         let adapter = &awake[number % awake.len()];
-        std::hint::black_box(router.order(&pool, Some(adapter), at(number)));
+        std::hint::black_box(router.candidates(&pool, Some(adapter), at(number)));
     }
     let order = began.elapsed();
     let began = Instant::now();
--- a/lib/src/entry/gateway.rs
+++ b/lib/src/entry/gateway.rs
@@ -156,8 +156,8 @@
 
     /// Orders a pool's upstreams for one try.
     #[must_use]
-    pub fn order(&self, pool: &Pool, adapter: Option<&Adapter>, now: Millis) -> placement::Order {
-        lock(&self.router).order(pool, adapter, now)
+    pub fn order(&self, pool: &Pool, adapter: Option<&Adapter>, now: Millis) -> placement::CandidateOrder {
+        lock(&self.router).candidates(pool, adapter, now)
     }
 
     /// Remembers for a short while that an upstream refused or broke.
@@ -169,7 +169,7 @@
         code: Code,
         now: Millis,
     ) {
-        lock(&self.router).refused(pool, index, adapter, code, now);
+        lock(&self.router).record_refusal(pool, index, adapter, code, now);
     }
 
     /// Answers a request.
@@ -457,7 +457,7 @@
 }
 
 fn prepare(fleet: &Fleet, name: &str) -> Pool {
-    Pool::of(fleet.pool(name).iter().map(|upstream| {
+    Pool::from_entries(fleet.pool(name).iter().map(|upstream| {
         let vm = &upstream.vm;
         let usable = upstream.state == State::Usable && fleet.owner(&vm.name).is_some();
         (vm.name.as_ref(), vm.failure_domain.as_ref(), usable)
--- a/lib/src/operators/explain.rs
+++ b/lib/src/operators/explain.rs
@@ -73,10 +73,10 @@
     })
 }
 
-fn order(facts: &Facts<'_>, upstreams: &[Arc<Upstream>], template: &Template) -> placement::Order {
+fn order(facts: &Facts<'_>, upstreams: &[Arc<Upstream>], template: &Template) -> placement::CandidateOrder {
     let pool = Pool::new(upstreams.iter().map(AsRef::as_ref));
     let mut router = Router::new(facts.placement.clone(), 0);
-    router.order(&pool, template.adapter.as_ref(), Millis::ZERO)
+    router.candidates(&pool, template.adapter.as_ref(), Millis::ZERO)
 }
 
 fn candidate(facts: &Facts<'_>, upstream: &Upstream, template: &Template) -> Candidate {
--- a/lib/src/policy/placement.rs
+++ b/lib/src/policy/placement.rs
@@ -19,12 +19,12 @@
 
 /// Most upstreams that one request is tried at; further ones would cost its caller more time
 /// than a refusal and a later try.
-pub const CANDIDATES: usize = 16;
+pub const MAX_CANDIDATES: usize = 16;
 /// Best upstreams among which replicas are spread over failure domains.
 const SHORTLIST: usize = 32;
 
 /// Indices into the pool's upstreams, the first to try first.
-pub type Order = SmallVec<[usize; CANDIDATES]>;
+pub type CandidateOrder = SmallVec<[usize; MAX_CANDIDATES]>;
 
 /// One upstream, with what its place in every order needs worked out beforehand.
 #[derive(Debug, Clone)]
@@ -34,16 +34,16 @@
     usable: bool,
 }
 
-/// A pool's upstreams, prepared for [`Router::order`]; made anew when the fleet changes.
+/// A pool's upstreams, prepared for [`Router::candidates`]; made anew when the fleet changes.
 #[derive(Debug, Clone, Default)]
 pub struct Pool {
     members: Vec<Member>,
 }
 
 impl Pool {
-    /// Prepares upstreams; indices of an [`Order`] are positions in this list.
+    /// Prepares upstreams; indices of an [`CandidateOrder`] are positions in this list.
     pub fn new<'a>(upstreams: impl IntoIterator<Item = &'a Upstream>) -> Self {
-        Self::of(upstreams.into_iter().map(|upstream| {
+        Self::from_entries(upstreams.into_iter().map(|upstream| {
             (
                 upstream.vm.name.as_ref(),
                 upstream.vm.failure_domain.as_ref(),
@@ -53,7 +53,7 @@
     }
 
     /// Prepares upstreams given by name, failure domain, and whether they may get new work.
-    pub fn of<'a>(upstreams: impl IntoIterator<Item = (&'a str, &'a str, bool)>) -> Self {
+    pub fn from_entries<'a>(upstreams: impl IntoIterator<Item = (&'a str, &'a str, bool)>) -> Self {
         let mut domains: Vec<&str> = Vec::new();
         let mut members = Vec::new();
         for (name, domain, usable) in upstreams {
@@ -90,7 +90,7 @@
     /// domains that have no replica yet go first, so that the loss of one
     /// doesn't take all replicas.
     #[must_use]
-    pub fn rendezvous(&self, key: u64, count: usize) -> Order {
+    pub fn rendezvous(&self, key: u64, count: usize) -> CandidateOrder {
         let mut best: SmallVec<[(u64, usize); SHORTLIST]> = SmallVec::new();
         for (index, member) in self.members.iter().enumerate() {
             if !member.usable {
@@ -115,8 +115,8 @@
     /// narrower one, and goes on by score alone: among many, failure domains mix anyway.
     #[must_use]
     fn nearest(&self, key: u64, count: usize) -> Vec<usize> {
-        let mut first = self.rendezvous(key, (CANDIDATES - 1).min(count)).to_vec();
-        if count < CANDIDATES {
+        let mut first = self.rendezvous(key, (MAX_CANDIDATES - 1).min(count)).to_vec();
+        if count < MAX_CANDIDATES {
             return first;
         }
         let usable = self.members.iter().enumerate();
@@ -139,12 +139,12 @@
     }
 
     /// Takes `count` of a shortlist, at each step from the failure domain used least so far.
-    fn spread(&self, mut shortlist: SmallVec<[usize; SHORTLIST]>, count: usize) -> Order {
+    fn spread(&self, mut shortlist: SmallVec<[usize; SHORTLIST]>, count: usize) -> CandidateOrder {
         let domains = shortlist
             .iter()
             .map(|index| self.members[*index].domain + 1);
         let mut used: SmallVec<[usize; SHORTLIST]> = smallvec![0; domains.max().unwrap_or(0)];
-        let mut order = Order::new();
+        let mut order = CandidateOrder::new();
         while order.len() < count && !shortlist.is_empty() {
             let next = (0..shortlist.len())
                 .min_by_key(|place| (used[self.members[shortlist[*place]].domain], *place))
@@ -235,10 +235,10 @@
     /// rest at any of them would cost a load and a slot there. Upstreams that
     /// refused lately are left out. The list is empty only when no upstream is
     /// usable.
-    pub fn order(&mut self, pool: &Pool, adapter: Option<&Adapter>, now: Millis) -> Order {
+    pub fn candidates(&mut self, pool: &Pool, adapter: Option<&Adapter>, now: Millis) -> CandidateOrder {
         let Some(key) = adapter.map(Adapter::hash) else {
             // A plain service needs no home: each call draws an order of its own.
-            let order = pool.rendezvous(self.draw(), CANDIDATES - 1);
+            let order = pool.rendezvous(self.draw(), MAX_CANDIDATES - 1);
             return self.ending_at_home(pool, ANY, order, now);
         };
         let replicas = self.replicas.replicas(key, now);
@@ -246,12 +246,12 @@
             return self.evenly(pool, key, replicas as usize, now);
         }
         let most = self.limits.max_replicas as usize;
-        let order = pool.rendezvous(key, most.clamp(1, CANDIDATES - 1));
+        let order = pool.rendezvous(key, most.clamp(1, MAX_CANDIDATES - 1));
         self.ending_at_home(pool, key, order, now)
     }
 
     /// Leaves out what refused lately, and adds the home as the place to wait.
-    fn ending_at_home(&self, pool: &Pool, key: u64, mut order: Order, now: Millis) -> Order {
+    fn ending_at_home(&self, pool: &Pool, key: u64, mut order: CandidateOrder, now: Millis) -> CandidateOrder {
         let Some(home) = self.home(pool, &order, now) else {
             return order;
         };
@@ -266,11 +266,11 @@
     ///
     /// A fixed order would fill its first upstreams, whose other adapters then
     /// suffer, and pass them all by before it finds a free one.
-    fn evenly(&mut self, pool: &Pool, key: u64, replicas: usize, now: Millis) -> Order {
+    fn evenly(&mut self, pool: &Pool, key: u64, replicas: usize, now: Millis) -> CandidateOrder {
         let count = (2 * replicas).min(self.limits.max_replicas as usize);
         let mut near = pool.nearest(key, count);
         let Some(home) = self.home(pool, &near, now) else {
-            return Order::new();
+            return CandidateOrder::new();
         };
         let wait = self.holder(pool, key, &near, now).unwrap_or(home);
         let mut far = near.split_off(replicas.min(near.len()));
@@ -278,7 +278,7 @@
         self.shuffle(&mut far);
         let both = near.into_iter().chain(far);
         let open = both.filter(|index| !self.is_hinted(key, pool.members[*index].hash, now));
-        let mut order: Order = open.take(CANDIDATES - 1).collect();
+        let mut order: CandidateOrder = open.take(MAX_CANDIDATES - 1).collect();
         order.push(wait);
         order
     }
@@ -297,14 +297,14 @@
             hint.is_some_and(|hint| hint.holds && now < hint.until)
                 && !self.is_hinted(ANY, hash, now)
         };
-        let holders: SmallVec<[usize; CANDIDATES]> = order.iter().copied().filter(holds).collect();
+        let holders: SmallVec<[usize; MAX_CANDIDATES]> = order.iter().copied().filter(holds).collect();
         let place = below(self.draw(), holders.len())?;
         Some(holders[place])
     }
 
     fn shuffle(&mut self, list: &mut [usize]) {
         // Only the first ones are ever used.
-        for place in 0..list.len().min(CANDIDATES) {
+        for place in 0..list.len().min(MAX_CANDIDATES) {
             if let Some(other) = below(self.draw(), list.len() - place) {
                 list.swap(place, place + other);
             }
@@ -312,7 +312,7 @@
     }
 
     /// A try at the pool's upstream `index` was refused with a code whose fate is not run.
-    pub fn refused(
+    pub fn record_refusal(
         &mut self,
         pool: &Pool,
         index: usize,
--- a/lib/tests/test_policy_parts.rs
+++ b/lib/tests/test_policy_parts.rs
@@ -9,7 +9,7 @@
 use chivevalve::loads::PermitRequest;
 use chivevalve::policy::demand::Forecast;
 use chivevalve::policy::loads;
-use chivevalve::policy::placement::{self, CANDIDATES, Pool, Router};
+use chivevalve::policy::placement::{self, MAX_CANDIDATES, Pool, Router};
 use chivevalve::policy::queue::{Entry, Queue};
 use chivevalve::policy::replicas;
 use chivevalve::policy::slots::Table;
@@ -58,7 +58,7 @@
     let domains: Vec<String> = (0..upstreams)
         .map(|n| format!("domain-{}", n % 5))
         .collect();
-    Pool::of((0..upstreams).map(|n| (names[n].as_str(), domains[n].as_str(), Some(n) != without)))
+    Pool::from_entries((0..upstreams).map(|n| (names[n].as_str(), domains[n].as_str(), Some(n) != without)))
 }
 
 fn router() -> Router {
@@ -68,7 +68,7 @@
 fn homes(pool: &Pool) -> Vec<usize> {
     let mut router = router();
     (0..ADAPTERS)
-        .map(|number| router.order(pool, Some(&adapter(number)), Millis::ZERO)[0])
+        .map(|number| router.candidates(pool, Some(&adapter(number)), Millis::ZERO)[0])
         .collect()
 }
 
@@ -96,12 +96,12 @@
 #[test]
 fn rendezvous_is_stable_over_order_of_list() {
     let names = ["a", "b", "c", "d", "e"];
-    let forward = Pool::of(names.iter().map(|name| (*name, "x", true)));
-    let backward = Pool::of(names.iter().rev().map(|name| (*name, "x", true)));
+    let forward = Pool::from_entries(names.iter().map(|name| (*name, "x", true)));
+    let backward = Pool::from_entries(names.iter().rev().map(|name| (*name, "x", true)));
     for key in 0..100 {
         let there = forward.rendezvous(key, 3);
         let back = backward.rendezvous(key, 3);
-        let in_words = |order: &placement::Order, reverse: bool| -> Vec<&str> {
+        let in_words = |order: &placement::CandidateOrder, reverse: bool| -> Vec<&str> {
             let place = |index: &usize| if reverse { 4 - index } else { *index };
             order.iter().map(|index| names[place(index)]).collect()
         };
@@ -124,17 +124,17 @@
 #[test]
 fn order_hint_expires() {
     let (pool, mut router, wanted) = (pool(12, None), router(), adapter(1));
-    let order = router.order(&pool, Some(&wanted), Millis::ZERO);
+    let order = router.candidates(&pool, Some(&wanted), Millis::ZERO);
     let home = order[0];
     assert_eq!(order.last(), Some(&home), "it waits at home");
-    router.refused(&pool, home, Some(&wanted), Code::PassedOn, Millis::ZERO);
-    let hinted = router.order(&pool, Some(&wanted), Millis(1));
+    router.record_refusal(&pool, home, Some(&wanted), Code::PassedOn, Millis::ZERO);
+    let hinted = router.candidates(&pool, Some(&wanted), Millis(1));
     assert_ne!(hinted[0], home);
     assert_eq!(hinted.last(), Some(&home));
-    let other = router.order(&pool, Some(&adapter(1)), Millis(60_000));
+    let other = router.candidates(&pool, Some(&adapter(1)), Millis(60_000));
     assert_eq!(other[0], home);
-    router.refused(&pool, home, None, Code::ConnectFailed, Millis(60_000));
-    let broken = router.order(&pool, Some(&wanted), Millis(60_001));
+    router.record_refusal(&pool, home, None, Code::ConnectFailed, Millis(60_000));
+    let broken = router.candidates(&pool, Some(&wanted), Millis(60_001));
     assert!(!broken.contains(&home));
 }
 
@@ -142,17 +142,17 @@
 fn order_never_empty_while_one_is_usable() {
     let (pool, mut router, wanted) = (pool(3, Some(1)), router(), adapter(5));
     for index in 0..3 {
-        router.refused(
+        router.record_refusal(
             &pool,
             index,
             Some(&wanted),
             Code::ConnectFailed,
             Millis::ZERO,
         );
-        router.refused(&pool, index, Some(&wanted), Code::PassedOn, Millis::ZERO);
+        router.record_refusal(&pool, index, Some(&wanted), Code::PassedOn, Millis::ZERO);
     }
-    let order = router.order(&pool, Some(&wanted), Millis(1));
-    assert!(!order.is_empty() && order.len() <= CANDIDATES);
+    let order = router.candidates(&pool, Some(&wanted), Millis(1));
+    assert!(!order.is_empty() && order.len() <= MAX_CANDIDATES);
     assert!(!order.contains(&1), "an unusable upstream is never tried");
 }
 
@@ -162,12 +162,12 @@
     let (pool, mut router) = (pool(12, None), router());
     for number in 0..ADAPTERS {
         let wanted = adapter(number);
-        router.refused(&pool, 0, Some(&wanted), Code::PassedOn, Millis::ZERO);
+        router.record_refusal(&pool, 0, Some(&wanted), Code::PassedOn, Millis::ZERO);
     }
     assert!(router.len() <= most, "hints alone");
     for number in 0..ADAPTERS {
         let wanted = adapter(number);
-        router.refused(&pool, 0, Some(&wanted), Code::Busy, Millis::ZERO);
+        router.record_refusal(&pool, 0, Some(&wanted), Code::Busy, Millis::ZERO);
     }
     // A busy answer leaves a hint and a replica count; each table is bounded by itself.
     assert!(router.len() <= 2 * most, "hints and replica counts");
@@ -177,14 +177,14 @@
 fn walk(router: &mut Router, pool: &Pool, wanted: &Adapter, busy: &BTreeSet<usize>) -> Vec<usize> {
     let mut tried = Vec::new();
     for _ in 0..10 {
-        let order = router.order(pool, Some(wanted), Millis(1));
+        let order = router.candidates(pool, Some(wanted), Millis(1));
         let next = order.iter().find(|index| !tried.contains(*index));
         let Some(index) = next.copied() else { break };
         tried.push(index);
         if !busy.contains(&index) {
             break;
         }
-        router.refused(pool, index, Some(wanted), Code::Busy, Millis(1));
+        router.record_refusal(pool, index, Some(wanted), Code::Busy, Millis(1));
     }
     tried
 }
@@ -208,11 +208,11 @@
     let (pool, mut router, wanted) = (pool(200, None), router(), adapter(1));
     let home = pool.rendezvous(wanted.hash(), 1)[0];
     for _ in 0..5 {
-        router.refused(&pool, home, Some(&wanted), Code::Busy, Millis::ZERO);
+        router.record_refusal(&pool, home, Some(&wanted), Code::Busy, Millis::ZERO);
     }
     let mut begun: BTreeMap<usize, u32> = BTreeMap::new();
     for _ in 0..3_200 {
-        let order = router.order(&pool, Some(&wanted), Millis(1_000));
+        let order = router.candidates(&pool, Some(&wanted), Millis(1_000));
         *begun.entry(order[0]).or_default() += 1;
         assert_eq!(
             order.last(),
@@ -231,11 +231,11 @@
 #[test]
 fn order_spread_falls_back_to_the_home() {
     let (pool, mut router, wanted) = (pool(200, None), router(), adapter(1));
-    let before = router.order(&pool, Some(&wanted), Millis::ZERO);
+    let before = router.candidates(&pool, Some(&wanted), Millis::ZERO);
     for _ in 0..20 {
-        router.refused(&pool, 3, Some(&wanted), Code::Busy, Millis::ZERO);
+        router.record_refusal(&pool, 3, Some(&wanted), Code::Busy, Millis::ZERO);
     }
-    let after = router.order(&pool, Some(&wanted), Millis::from_secs(60));
+    let after = router.candidates(&pool, Some(&wanted), Millis::from_secs(60));
     assert_eq!(before, after);
 }
 
@@ -247,9 +247,9 @@
         let mut router = Router::new(placement::Limits::default(), seed);
         let mut tried = Vec::new();
         for _ in 0..9 {
-            let index = router.order(&pool, Some(&wanted), Millis(1))[0];
+            let index = router.candidates(&pool, Some(&wanted), Millis(1))[0];
             tried.push(index);
-            router.refused(&pool, index, Some(&wanted), Code::PassedOn, Millis(1));
+            router.record_refusal(&pool, index, Some(&wanted), Code::PassedOn, Millis(1));
         }
         tried
     };
