--- a/lib/src/policy/placement.rs
+++ b/lib/src/policy/placement.rs
@@ -163,28 +163,28 @@
     /// Most upstreams that share one adapter's requests.
     pub max_replicas: u32,
     /// How long an upstream that takes no work at all is left out.
-    pub unusable_for: Millis,
+    pub unusable_ttl: Millis,
     /// How long an upstream that failed to load an adapter is left out for it.
-    pub failed_for: Millis,
+    pub load_failure_ttl: Millis,
     /// How long an upstream that passed an adapter's request on is left out for it.
     ///
     /// It is short, so that a replica takes only what the home can't.
-    pub passed_for: Millis,
+    pub passed_on_ttl: Millis,
     /// After how long without a busy answer an adapter's requests go to half as many upstreams.
     pub halve_after: Millis,
     /// Most hints remembered at a time, and most busy adapters.
-    pub remembered: usize,
+    pub max_hints: usize,
 }
 
 impl Default for Limits {
     fn default() -> Self {
         Self {
             max_replicas: 64,
-            unusable_for: Millis::from_secs(2),
-            failed_for: Millis::from_secs(10),
-            passed_for: Millis(300),
+            unusable_ttl: Millis::from_secs(2),
+            load_failure_ttl: Millis::from_secs(10),
+            passed_on_ttl: Millis(300),
             halve_after: Millis::from_secs(10),
-            remembered: 8_192,
+            max_hints: 8_192,
         }
     }
 }
@@ -217,7 +217,7 @@
     #[must_use]
     pub fn new(limits: Limits, seed: u64) -> Self {
         let replicas =
-            replicas::Table::new(limits.max_replicas, limits.halve_after, limits.remembered);
+            replicas::Table::new(limits.max_replicas, limits.halve_after, limits.max_hints);
         Self {
             limits,
             hints: HashMap::new(),
@@ -325,14 +325,14 @@
         };
         let own = adapter.map_or(ANY, Adapter::hash);
         let (key, span) = match code {
-            Code::LoadFailed | Code::UnknownAdapter => (own, self.limits.failed_for),
+            Code::LoadFailed | Code::UnknownAdapter => (own, self.limits.load_failure_ttl),
             Code::PassedOn
             | Code::Busy
             | Code::QueueFull
             | Code::Brownout
-            | Code::DeadlineTooShort => (own, self.limits.passed_for),
+            | Code::DeadlineTooShort => (own, self.limits.passed_on_ttl),
             Code::AccountLimit | Code::ExpiredWaiting | Code::CallerGoneWaiting => return,
-            _ => (ANY, self.limits.unusable_for),
+            _ => (ANY, self.limits.unusable_ttl),
         };
         let holds = code == Code::Busy;
         if holds && own != ANY {
@@ -363,10 +363,10 @@
     }
 
     fn remember(&mut self, key: (u64, u64), hint: Hint, now: Millis) {
-        if self.hints.len() >= self.limits.remembered {
+        if self.hints.len() >= self.limits.max_hints {
             self.hints.retain(|_, hint| now < hint.until);
         }
-        if self.hints.len() < self.limits.remembered {
+        if self.hints.len() < self.limits.max_hints {
             self.hints.insert(key, hint);
         }
     }
--- a/lib/tests/test_policy_parts.rs
+++ b/lib/tests/test_policy_parts.rs
@@ -158,7 +158,7 @@
 
 #[test]
 fn router_memory_is_bounded() {
-    let most = placement::Limits::default().remembered;
+    let most = placement::Limits::default().max_hints;
     let (pool, mut router) = (pool(12, None), router());
     for number in 0..ADAPTERS {
         let wanted = adapter(number);
