--- a/lib/src/policy/placement.rs
+++ b/lib/src/policy/placement.rs
@@ -208,7 +208,7 @@
 pub struct Router {
     limits: Limits,
     hints: HashMap<(u64, u64), Hint>,
-    replicas: replicas::Table,
+    replicas: replicas::ReplicaTable,
     draws: u64,
 }
 
@@ -217,7 +217,7 @@
     #[must_use]
     pub fn new(limits: Limits, seed: u64) -> Self {
         let replicas =
-            replicas::Table::new(limits.max_replicas, limits.halve_after, limits.max_hints);
+            replicas::ReplicaTable::new(limits.max_replicas, limits.halve_after, limits.max_hints);
         Self {
             limits,
             hints: HashMap::new(),
--- a/lib/src/policy/queue.rs
+++ b/lib/src/policy/queue.rs
@@ -26,7 +26,7 @@
 
 /// A request that waits.
 #[derive(Debug, Clone)]
-pub struct Entry {
+pub struct QueuedRequest {
     /// What is known of it.
     pub ticket: Ticket,
     /// Its account's limits.
@@ -38,7 +38,7 @@
     ready: bool,
 }
 
-impl Entry {
+impl QueuedRequest {
     /// Makes the entry of a request that arrives now.
     #[must_use]
     pub fn new(ticket: Ticket, share: Share, now: Millis) -> Self {
@@ -84,8 +84,8 @@
 
 /// All requests that wait at one upstream.
 #[derive(Debug, Default)]
-pub struct Queue {
-    entries: BTreeMap<u64, Entry>,
+pub struct RequestQueue {
+    entries: BTreeMap<u64, QueuedRequest>,
     ids: HashMap<Id, u64>,
     deadlines: BTreeSet<(Millis, u64)>,
     blocked: HashMap<Adapter, BTreeSet<u64>>,
@@ -97,7 +97,7 @@
     next: u64,
 }
 
-impl Queue {
+impl RequestQueue {
     /// Starts empty.
     #[must_use]
     pub fn new() -> Self {
@@ -150,7 +150,7 @@
     }
 
     /// Puts a request in: ready, or blocked until its adapter is resident.
-    pub fn push(&mut self, entry: Entry, ready: bool) {
+    pub fn push(&mut self, entry: QueuedRequest, ready: bool) {
         let number = self.next;
         self.next += 1;
         self.ids.insert(entry.ticket.id.clone(), number);
@@ -176,13 +176,13 @@
     }
 
     /// Takes a request out by id.
-    pub fn remove(&mut self, id: &Id) -> Option<Entry> {
+    pub fn remove(&mut self, id: &Id) -> Option<QueuedRequest> {
         let number = *self.ids.get(id)?;
         self.take(number)
     }
 
     /// Takes out one request whose deadline is `now` or earlier.
-    pub fn expired(&mut self, now: Millis) -> Option<Entry> {
+    pub fn expired(&mut self, now: Millis) -> Option<QueuedRequest> {
         let (deadline, number) = *self.deadlines.first()?;
         if now < deadline {
             return None;
@@ -224,7 +224,7 @@
     }
 
     /// Lists the blocked requests of an adapter, the oldest first.
-    pub fn blocked_on(&self, adapter: &Adapter) -> impl Iterator<Item = &Entry> {
+    pub fn blocked_on(&self, adapter: &Adapter) -> impl Iterator<Item = &QueuedRequest> {
         self.blocked
             .get(adapter)
             .into_iter()
@@ -260,7 +260,7 @@
     /// Takes out the request of a class that fair queueing has next.
     ///
     /// `allowed` says whether an account may start one more.
-    pub fn pop(&mut self, class: Class, allowed: impl Fn(&Name, &Share) -> bool) -> Option<Entry> {
+    pub fn pop(&mut self, class: Class, allowed: impl Fn(&Name, &Share) -> bool) -> Option<QueuedRequest> {
         let fair = &self.classes[class as usize];
         let (start, number) = fair
             .accounts
@@ -291,13 +291,13 @@
     /// Within the arriving request's own class only an account that holds at
     /// least two more than the arriving account gives way.
     #[must_use]
-    pub fn gives_way(&self, class: Class, account: &str) -> Option<Id> {
+    pub fn shed_candidate(&self, class: Class, account: &str) -> Option<Id> {
         let own = self.of_account(account);
         for lower in Class::ALL.into_iter().rev() {
             if lower < class {
                 return None;
             }
-            let fits = |entry: &&Entry| {
+            let fits = |entry: &&QueuedRequest| {
                 entry.ticket.class == lower
                     && (lower > class
                         || self.of_account(&entry.ticket.account) >= own.saturating_add(2))
@@ -322,13 +322,13 @@
     }
 
     /// Takes out everything.
-    pub fn drain(&mut self) -> Vec<Entry> {
+    pub fn drain(&mut self) -> Vec<QueuedRequest> {
         let queue = std::mem::take(self);
         self.next = queue.next;
         queue.entries.into_values().collect()
     }
 
-    fn take(&mut self, number: u64) -> Option<Entry> {
+    fn take(&mut self, number: u64) -> Option<QueuedRequest> {
         if self.entries.get(&number)?.ready {
             self.make_unready(number);
         }
--- a/lib/src/policy/replicas.rs
+++ b/lib/src/policy/replicas.rs
@@ -19,14 +19,14 @@
 
 /// Replica counts of the adapters that were busy of late.
 #[derive(Debug)]
-pub struct Table {
+pub struct ReplicaTable {
     counts: HashMap<u64, Count>,
     most: u32,
     halve_after: Millis,
     remembered: usize,
 }
 
-impl Table {
+impl ReplicaTable {
     /// Starts with no memory; a replica count never exceeds `most`.
     #[must_use]
     pub fn new(most: u32, halve_after: Millis, remembered: usize) -> Self {
--- a/lib/src/policy/slots.rs
+++ b/lib/src/policy/slots.rs
@@ -23,7 +23,7 @@
 
 /// What a slot is doing.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum State {
+pub enum SlotState {
     /// The engine loads the adapter; nothing may start on it.
     Loading,
     /// Requests may start on it.
@@ -41,7 +41,7 @@
 
 #[derive(Debug)]
 struct Slot {
-    state: State,
+    state: SlotState,
     pins: u32,
     filling: u64,
     changed: Millis,
@@ -55,7 +55,7 @@
 
 /// The slots of one engine.
 #[derive(Debug)]
-pub struct Table {
+pub struct SlotTable {
     capacity: usize,
     slots: BTreeMap<Adapter, Slot>,
     backoffs: BTreeMap<Adapter, Backoff>,
@@ -63,7 +63,7 @@
     fillings: u64,
 }
 
-impl Table {
+impl SlotTable {
     /// Starts with all slots empty.
     #[must_use]
     pub fn new(capacity: u32) -> Self {
@@ -83,14 +83,14 @@
 
     /// Returns what the slot of an adapter is doing.
     #[must_use]
-    pub fn state(&self, adapter: &Adapter) -> Option<State> {
+    pub fn state(&self, adapter: &Adapter) -> Option<SlotState> {
         self.slots.get(adapter).map(|slot| slot.state)
     }
 
     /// Returns whether requests may start on the adapter.
     #[must_use]
     pub fn is_resident(&self, adapter: &Adapter) -> bool {
-        self.state(adapter) == Some(State::Resident)
+        self.state(adapter) == Some(SlotState::Resident)
     }
 
     /// Returns whether a slot is empty.
@@ -112,7 +112,7 @@
     }
 
     /// Lists the adapters in slots, in order, with state and pins.
-    pub fn iter(&self) -> impl Iterator<Item = (&Adapter, State, u32)> {
+    pub fn iter(&self) -> impl Iterator<Item = (&Adapter, SlotState, u32)> {
         self.slots
             .iter()
             .map(|(adapter, slot)| (adapter, slot.state, slot.pins))
@@ -122,7 +122,7 @@
     #[must_use]
     pub fn pin(&mut self, adapter: &Adapter) -> Option<Pin> {
         let slot = self.slots.get_mut(adapter)?;
-        if slot.state != State::Resident {
+        if slot.state != SlotState::Resident {
             return None;
         }
         slot.pins += 1;
@@ -133,7 +133,7 @@
     #[must_use]
     pub fn pin_running(&mut self, adapter: &Adapter) -> Option<Pin> {
         let slot = self.slots.get_mut(adapter)?;
-        if slot.state == State::Loading {
+        if slot.state == SlotState::Loading {
             return None;
         }
         slot.pins += 1;
@@ -165,9 +165,9 @@
     pub fn victim(&self, demand: impl Fn(&Adapter) -> Option<f64>) -> Option<(&Adapter, f64)> {
         self.slots
             .iter()
-            .filter(|(_, slot)| slot.pins == 0 && slot.state != State::Loading)
+            .filter(|(_, slot)| slot.pins == 0 && slot.state != SlotState::Loading)
             .filter_map(|(adapter, slot)| match slot.state {
-                State::Draining => Some((adapter, -1.0)),
+                SlotState::Draining => Some((adapter, -1.0)),
                 _ => demand(adapter).map(|demand| (adapter, demand)),
             })
             .min_by(|a, b| a.1.total_cmp(&b.1))
@@ -185,7 +185,7 @@
             let free = self
                 .slots
                 .get(victim)
-                .is_some_and(|slot| slot.pins == 0 && slot.state != State::Loading);
+                .is_some_and(|slot| slot.pins == 0 && slot.state != SlotState::Loading);
             if !free || self.slots.len() > self.capacity {
                 return false;
             }
@@ -194,7 +194,7 @@
         } else if !self.has_empty() {
             return false;
         }
-        self.insert(adapter, State::Loading, now);
+        self.insert(adapter, SlotState::Loading, now);
         true
     }
 
@@ -203,11 +203,11 @@
         let Some(slot) = self.slots.get_mut(adapter) else {
             return false;
         };
-        if slot.state != State::Loading {
+        if slot.state != SlotState::Loading {
             return false;
         }
         if ok {
-            slot.state = State::Resident;
+            slot.state = SlotState::Resident;
             slot.changed = now;
             self.backoffs.remove(adapter);
             return true;
@@ -220,18 +220,18 @@
     /// Stops new starts on a resident adapter, so that its pins run out.
     pub fn drain(&mut self, adapter: &Adapter) {
         if let Some(slot) = self.slots.get_mut(adapter)
-            && slot.state == State::Resident
+            && slot.state == SlotState::Resident
         {
-            slot.state = State::Draining;
+            slot.state = SlotState::Draining;
         }
     }
 
     /// Lets requests start on a draining adapter again.
     pub fn undrain(&mut self, adapter: &Adapter) {
         if let Some(slot) = self.slots.get_mut(adapter)
-            && slot.state == State::Draining
+            && slot.state == SlotState::Draining
         {
-            slot.state = State::Resident;
+            slot.state = SlotState::Resident;
         }
     }
 
@@ -241,7 +241,7 @@
     pub fn clear(&mut self) -> SmallVec<[Adapter; 8]> {
         std::mem::take(&mut self.slots)
             .into_iter()
-            .filter(|(_, slot)| slot.state != State::Loading)
+            .filter(|(_, slot)| slot.state != SlotState::Loading)
             .map(|(adapter, _)| adapter)
             .collect()
     }
@@ -274,7 +274,7 @@
         let gone: SmallVec<[Adapter; 4]> = self
             .slots
             .iter()
-            .filter(|(_, slot)| slot.state != State::Loading && slot.pins == 0)
+            .filter(|(_, slot)| slot.state != SlotState::Loading && slot.pins == 0)
             .filter(|(adapter, slot)| slot.changed < as_of && !resident.contains(adapter))
             .map(|(adapter, _)| adapter.clone())
             .collect();
@@ -286,14 +286,14 @@
             let known = self.slots.contains_key(adapter);
             let evicted = self.evicted.get(adapter).is_some_and(|at| *at >= as_of);
             if !known && !evicted && self.has_empty() {
-                self.insert(adapter, State::Resident, now);
+                self.insert(adapter, SlotState::Resident, now);
                 found.push(adapter.clone());
             }
         }
         (gone, found)
     }
 
-    fn insert(&mut self, adapter: &Adapter, state: State, now: Millis) {
+    fn insert(&mut self, adapter: &Adapter, state: SlotState, now: Millis) {
         self.fillings += 1;
         let slot = Slot {
             state,
--- a/lib/src/policy/upstream/admit.rs
+++ b/lib/src/policy/upstream/admit.rs
@@ -5,7 +5,7 @@
 use crate::clock::Millis;
 use crate::error::{Code, Failure};
 use crate::policy::demand::{float, millis};
-use crate::policy::queue::{self, Entry};
+use crate::policy::queue::{self, QueuedRequest};
 use crate::request::{Class, Ticket};
 use crate::runner::Share;
 
@@ -50,7 +50,7 @@
         let ready = adapter
             .as_ref()
             .is_none_or(|adapter| self.slots.is_resident(adapter));
-        self.queue.push(Entry::new(ticket, share, now), ready);
+        self.queue.push(QueuedRequest::new(ticket, share, now), ready);
         if let Some(adapter) = adapter.filter(|_| !ready) {
             self.want(&adapter);
             self.refresh(&adapter, now, actions);
@@ -205,7 +205,7 @@
         if self.queue.len() < self.limits.max_queued as usize {
             return Ok(());
         }
-        let Some(id) = self.queue.gives_way(ticket.class, &ticket.account) else {
+        let Some(id) = self.queue.shed_candidate(ticket.class, &ticket.account) else {
             return Err(self.refusal(Code::QueueFull, "the queue is full", ticket));
         };
         if let Some(entry) = self.queue.remove(&id) {
--- a/lib/src/policy/upstream/load.rs
+++ b/lib/src/policy/upstream/load.rs
@@ -6,7 +6,7 @@
 use crate::error::Code;
 use crate::policy::demand::{factor, float, millis};
 use crate::policy::queue;
-use crate::policy::slots::State;
+use crate::policy::slots::SlotState;
 use crate::request::Class;
 
 /// How far ahead a load's future use counts for its place in the store's queue.
@@ -25,7 +25,7 @@
     pub(super) fn want(&mut self, adapter: &Adapter) {
         if self.queue.is_blocked(adapter)
             && !self.asked.contains_key(adapter)
-            && self.slots.state(adapter) != Some(State::Loading)
+            && self.slots.state(adapter) != Some(SlotState::Loading)
         {
             self.unasked.insert(adapter.clone());
         }
@@ -289,7 +289,7 @@
         let loading: Vec<Adapter> = self
             .slots
             .iter()
-            .filter(|(_, state, _)| *state == State::Loading)
+            .filter(|(_, state, _)| *state == SlotState::Loading)
             .map(|(adapter, _, _)| adapter.clone())
             .collect();
         for adapter in self.slots.clear() {
@@ -307,7 +307,7 @@
         let draining = self
             .slots
             .iter()
-            .find(|(_, state, _)| *state == State::Draining)
+            .find(|(_, state, _)| *state == SlotState::Draining)
             .map(|(adapter, _, _)| adapter.clone());
         let Some(draining) = draining else {
             return;
@@ -348,7 +348,7 @@
         let settled = self
             .slots
             .iter()
-            .all(|(_, state, _)| state == State::Resident);
+            .all(|(_, state, _)| state == SlotState::Resident);
         if !settled {
             return;
         }
--- a/lib/src/policy/upstream/mod.rs
+++ b/lib/src/policy/upstream/mod.rs
@@ -17,8 +17,8 @@
 use crate::name::Name;
 use crate::policy::demand::DemandForecast;
 use crate::policy::service_time::ServiceEstimator;
-use crate::policy::queue::{Entry, Queue};
-use crate::policy::slots::{Pin, State, Table};
+use crate::policy::queue::{QueuedRequest, RequestQueue};
+use crate::policy::slots::{Pin, SlotState, SlotTable};
 use crate::request::{Class, Id, Ticket};
 use crate::runner::Share;
 
@@ -155,8 +155,8 @@
 #[derive(Debug)]
 pub struct Machine {
     limits: Limits,
-    queue: Queue,
-    slots: Table,
+    queue: RequestQueue,
+    slots: SlotTable,
     forecast: DemandForecast,
     service: ServiceEstimator,
     running: HashMap<Id, Running>,
@@ -182,8 +182,8 @@
     #[must_use]
     pub fn new(limits: Limits) -> Self {
         Self {
-            queue: Queue::new(),
-            slots: Table::new(limits.slots.unwrap_or(0)),
+            queue: RequestQueue::new(),
+            slots: SlotTable::new(limits.slots.unwrap_or(0)),
             forecast: DemandForecast::new(REMEMBERED),
             service: ServiceEstimator::default(),
             running: HashMap::new(),
@@ -375,7 +375,7 @@
     /// Returns what operators see.
     #[must_use]
     pub fn status(&self) -> Status {
-        let in_state = |wanted: fn(State) -> bool| {
+        let in_state = |wanted: fn(SlotState) -> bool| {
             self.slots
                 .iter()
                 .filter(move |(_, state, _)| wanted(*state))
@@ -384,8 +384,8 @@
         Status {
             running: u32::try_from(self.running.len()).unwrap_or(u32::MAX),
             waiting: self.queue.by_class(),
-            resident: in_state(|state| state != State::Loading).collect(),
-            loading: in_state(|state| state == State::Loading)
+            resident: in_state(|state| state != SlotState::Loading).collect(),
+            loading: in_state(|state| state == SlotState::Loading)
                 .map(|(adapter, _)| adapter)
                 .collect(),
             asked: self.asked.keys().cloned().collect(),
@@ -417,7 +417,7 @@
     }
 
     /// Follows a waiting request that went away: a load that nobody waits for is not asked for.
-    fn left(&mut self, entry: &Entry, now: Millis, actions: &mut Vec<Action>) {
+    fn left(&mut self, entry: &QueuedRequest, now: Millis, actions: &mut Vec<Action>) {
         let Some(adapter) = &entry.ticket.adapter else {
             return;
         };
--- a/lib/src/policy/upstream/start.rs
+++ b/lib/src/policy/upstream/start.rs
@@ -6,7 +6,7 @@
 use crate::error::Code;
 use crate::name::Name;
 use crate::policy::service_time;
-use crate::policy::queue::Entry;
+use crate::policy::queue::QueuedRequest;
 use crate::request::{Class, Id};
 
 /// Account of requests that another owner started; no declared name is empty.
@@ -74,7 +74,7 @@
     }
 
     /// Takes the next request to start from the queue.
-    fn next(&mut self, now: Millis) -> Option<Entry> {
+    fn next(&mut self, now: Millis) -> Option<QueuedRequest> {
         let running = self.running.len();
         if self.queue.ready(Class::Bulk) == 0 {
             self.released = false;
@@ -101,7 +101,7 @@
         None
     }
 
-    fn pop(&mut self, class: Class) -> Option<Entry> {
+    fn pop(&mut self, class: Class) -> Option<QueuedRequest> {
         let in_flight = &self.in_flight;
         let entry = self.queue.pop(class, |account, share| {
             share.max_in_flight == 0
@@ -116,7 +116,7 @@
         Some(entry)
     }
 
-    fn run(&mut self, entry: Entry, now: Millis, actions: &mut Vec<Action>) {
+    fn run(&mut self, entry: QueuedRequest, now: Millis, actions: &mut Vec<Action>) {
         let cost = entry.cost();
         let ticket = entry.ticket;
         let pin = match ticket.adapter {
--- a/lib/tests/test_policy_parts.rs
+++ b/lib/tests/test_policy_parts.rs
@@ -10,9 +10,9 @@
 use chivevalve::policy::demand::DemandForecast;
 use chivevalve::policy::loads;
 use chivevalve::policy::placement::{self, MAX_CANDIDATES, Pool, Router};
-use chivevalve::policy::queue::{Entry, Queue};
+use chivevalve::policy::queue::{QueuedRequest, RequestQueue};
 use chivevalve::policy::replicas;
-use chivevalve::policy::slots::Table;
+use chivevalve::policy::slots::SlotTable;
 use chivevalve::policy::upstream::{Action, Limits, Machine};
 use chivevalve::request::{Class, Id, Ticket};
 use chivevalve::runner::Share;
@@ -258,7 +258,7 @@
 
 #[test]
 fn replicas_double_and_halve_within_bounds() {
-    let mut table = replicas::Table::new(20, Millis(1_000), 2);
+    let mut table = replicas::ReplicaTable::new(20, Millis(1_000), 2);
     let counts: Vec<u32> = (0..6)
         .map(|_| {
             table.grow(1, 600, Millis::ZERO);
@@ -322,16 +322,16 @@
 /// A burst of one client account doesn't delay another account's request.
 #[test]
 fn queue_burst_delays_only_its_own_account() {
-    let mut queue = Queue::new();
+    let mut queue = RequestQueue::new();
     for id in 0..100 {
         let ticket = ticket(id, "burst", Class::Normal, None);
-        queue.push(Entry::new(ticket, share(1), Millis::ZERO), true);
+        queue.push(QueuedRequest::new(ticket, share(1), Millis::ZERO), true);
     }
     for _ in 0..10 {
         queue.pop(Class::Normal, |_, _| true);
     }
     let late = ticket(999, "other", Class::Normal, None);
-    queue.push(Entry::new(late, share(1), Millis(5)), true);
+    queue.push(QueuedRequest::new(late, share(1), Millis(5)), true);
     let next = queue.pop(Class::Normal, |_, _| true).unwrap();
     assert_eq!(&*next.ticket.account, "other");
 }
@@ -343,12 +343,12 @@
         let weights: Vec<u32> = (0..3)
             .map(|_| 1 + u32::from(u8::arbitrary(&mut g) % 4))
             .collect();
-        let mut queue = Queue::new();
+        let mut queue = RequestQueue::new();
         for id in 0..900 {
             let place = id as usize % 3;
             let ticket = ticket(id, &format!("account{place}"), Class::Bulk, None);
             queue.push(
-                Entry::new(ticket, share(weights[place]), Millis::ZERO),
+                QueuedRequest::new(ticket, share(weights[place]), Millis::ZERO),
                 true,
             );
         }
@@ -542,7 +542,7 @@
 /// A pin from before a restart doesn't unpin the adapter that was loaded anew and is in use.
 #[test]
 fn slots_old_pin_frees_no_new_filling() {
-    let mut table = Table::new(1);
+    let mut table = SlotTable::new(1);
     let (used, other) = (adapter(1), adapter(2));
     assert!(table.begin(&used, None, Millis::ZERO) && table.end(&used, true, Millis(1)));
     let old = table.pin(&used).unwrap();
@@ -556,7 +556,7 @@
 /// A report from before an eviction or a load doesn't override what happened since.
 #[test]
 fn slots_stale_report_brings_nothing_back() {
-    let mut table = Table::new(2);
+    let mut table = SlotTable::new(2);
     let (first, second) = (adapter(1), adapter(2));
     table.begin(&first, None, Millis(1));
     table.end(&first, true, Millis(2));
