--- a/bench/src/policy/contender.rs
+++ b/bench/src/policy/contender.rs
@@ -115,7 +115,9 @@
     fn prepare_pools(&mut self, deployment: &Deployment, up: impl Fn(usize) -> bool) {
         let pool = |base: usize| {
             let engines = (base..deployment.engines).step_by(deployment.base_models);
-            Pool::from_entries(engines.map(|e| (self.names[e].as_ref(), self.domains[e].as_ref(), up(e))))
+            Pool::from_entries(
+                engines.map(|e| (self.names[e].as_ref(), self.domains[e].as_ref(), up(e))),
+            )
         };
         self.pools = (0..deployment.base_models).map(pool).collect();
     }
--- a/bench/src/spread/loopback.rs
+++ b/bench/src/spread/loopback.rs
@@ -10,7 +10,7 @@
 use chivevalve::clock::Monotonic;
 use chivevalve::error::{Code, Failure};
 use chivevalve::gossip::{Peer, Peers, Snapshot};
-use chivevalve::loads::{PermitRequest, Permit, PermitSource};
+use chivevalve::loads::{Permit, PermitRequest, PermitSource};
 use chivevalve::membership::{Renewal, witness};
 use chivevalve::metrics::Metrics;
 use chivevalve::name::Name;
@@ -88,7 +88,10 @@
 
 #[async_trait]
 impl PermitSource for Unused {
-    async fn acquire(&self, _ask: watch::Receiver<PermitRequest>) -> Result<Box<dyn Permit>, Failure> {
+    async fn acquire(
+        &self,
+        _ask: watch::Receiver<PermitRequest>,
+    ) -> Result<Box<dyn Permit>, Failure> {
         Err(Failure::new(Code::NotOwner, "nothing loads here"))
     }
 }
--- a/lib/src/entry/gateway.rs
+++ b/lib/src/entry/gateway.rs
@@ -156,7 +156,12 @@
 
     /// Orders a pool's upstreams for one try.
     #[must_use]
-    pub fn order(&self, pool: &Pool, adapter: Option<&Adapter>, now: Millis) -> placement::CandidateOrder {
+    pub fn order(
+        &self,
+        pool: &Pool,
+        adapter: Option<&Adapter>,
+        now: Millis,
+    ) -> placement::CandidateOrder {
         lock(&self.router).candidates(pool, adapter, now)
     }
 
--- a/lib/src/loads/mod.rs
+++ b/lib/src/loads/mod.rs
@@ -59,5 +59,8 @@
     ///
     /// The ask may change while it waits: more requests come, or the most
     /// urgent one goes away.
-    async fn acquire(&self, ask: watch::Receiver<PermitRequest>) -> Result<Box<dyn Permit>, Failure>;
+    async fn acquire(
+        &self,
+        ask: watch::Receiver<PermitRequest>,
+    ) -> Result<Box<dyn Permit>, Failure>;
 }
--- a/lib/src/loads/queue.rs
+++ b/lib/src/loads/queue.rs
@@ -13,7 +13,7 @@
 use kameo::message::{Context, Message};
 use tokio::sync::{mpsc, oneshot, watch};
 
-use super::{PermitRequest, Permit, PermitSource};
+use super::{Permit, PermitRequest, PermitSource};
 use crate::clock::{Clock, Millis};
 use crate::error::{Code, Failure};
 use crate::policy;
@@ -76,7 +76,10 @@
 
 #[async_trait]
 impl PermitSource for PermitQueue {
-    async fn acquire(&self, mut ask: watch::Receiver<PermitRequest>) -> Result<Box<dyn Permit>, Failure> {
+    async fn acquire(
+        &self,
+        mut ask: watch::Receiver<PermitRequest>,
+    ) -> Result<Box<dyn Permit>, Failure> {
         let key = (0, self.serial.fetch_add(1, Ordering::Relaxed));
         let grant = Grant {
             key,
--- a/lib/src/loads/shared.rs
+++ b/lib/src/loads/shared.rs
@@ -13,7 +13,7 @@
 use tokio::sync::watch;
 
 use super::queue::{Limits, PermitQueue};
-use super::{PermitRequest, Permit, PermitSource, WEIGHT_STORE};
+use super::{Permit, PermitRequest, PermitSource, WEIGHT_STORE};
 use crate::clock::{Clock, Millis};
 use crate::error::{Code, Failure};
 use crate::membership::Fleet;
@@ -86,7 +86,10 @@
     }
 
     /// Waits for a permit at the queue's owner.
-    async fn owner_permit(&self, ask: watch::Receiver<PermitRequest>) -> Result<Box<dyn Permit>, Failure> {
+    async fn owner_permit(
+        &self,
+        ask: watch::Receiver<PermitRequest>,
+    ) -> Result<Box<dyn Permit>, Failure> {
         match self.owner() {
             Some(owner) if owner.node == self.parts.node => self.queue.acquire(ask).await,
             Some(owner) => {
@@ -101,7 +104,10 @@
     }
 
     /// Waits for a permit from this node's share.
-    async fn share_permit(&self, ask: watch::Receiver<PermitRequest>) -> Result<Box<dyn Permit>, Failure> {
+    async fn share_permit(
+        &self,
+        ask: watch::Receiver<PermitRequest>,
+    ) -> Result<Box<dyn Permit>, Failure> {
         let nodes = nodes(&self.parts.fleet.borrow());
         let load = load_time(self.parts.loads_per_kilosecond);
         self.share.space(Millis(load.0.saturating_mul(nodes))).await;
@@ -131,7 +137,10 @@
 
 #[async_trait]
 impl PermitSource for SharedPermitQueue {
-    async fn acquire(&self, ask: watch::Receiver<PermitRequest>) -> Result<Box<dyn Permit>, Failure> {
+    async fn acquire(
+        &self,
+        ask: watch::Receiver<PermitRequest>,
+    ) -> Result<Box<dyn Permit>, Failure> {
         loop {
             let failure = tokio::select! {
                 permit = self.owner_permit(ask.clone()) => match permit {
@@ -156,7 +165,10 @@
 
 #[async_trait]
 impl PermitSource for Served {
-    async fn acquire(&self, ask: watch::Receiver<PermitRequest>) -> Result<Box<dyn Permit>, Failure> {
+    async fn acquire(
+        &self,
+        ask: watch::Receiver<PermitRequest>,
+    ) -> Result<Box<dyn Permit>, Failure> {
         if !self.0.is_here() {
             return Err(no_owner());
         }
--- a/lib/src/node/assembly.rs
+++ b/lib/src/node/assembly.rs
@@ -251,7 +251,11 @@
         membership::Keeper::start(parts, self.stop.clone())
     }
 
-    fn loads(&self, membership: &membership::Keeper, clients: &Arc<Clients>) -> loads::Dependencies {
+    fn loads(
+        &self,
+        membership: &membership::Keeper,
+        clients: &Arc<Clients>,
+    ) -> loads::Dependencies {
         loads::Dependencies {
             node: Arc::clone(&self.identity.name),
             fleet: membership.fleet(),
--- a/lib/src/node/deferred.rs
+++ b/lib/src/node/deferred.rs
@@ -13,7 +13,7 @@
 
 use crate::error::{Code, Failure};
 use crate::gossip::{Peer, Peers};
-use crate::loads::{PermitRequest, Permit, PermitSource};
+use crate::loads::{Permit, PermitRequest, PermitSource};
 use crate::membership::Detector;
 use crate::owner::Decisions;
 use crate::request::Ticket;
@@ -23,7 +23,10 @@
 
 #[async_trait]
 impl PermitSource for OnceLock<Arc<dyn PermitSource>> {
-    async fn acquire(&self, ask: watch::Receiver<PermitRequest>) -> Result<Box<dyn Permit>, Failure> {
+    async fn acquire(
+        &self,
+        ask: watch::Receiver<PermitRequest>,
+    ) -> Result<Box<dyn Permit>, Failure> {
         match self.get() {
             Some(permits) => permits.acquire(ask).await,
             None => Err(Failure::new(Code::NotReady, "the node is starting")),
--- a/lib/src/operators/explain.rs
+++ b/lib/src/operators/explain.rs
@@ -73,7 +73,11 @@
     })
 }
 
-fn order(facts: &Facts<'_>, upstreams: &[Arc<Upstream>], template: &Template) -> placement::CandidateOrder {
+fn order(
+    facts: &Facts<'_>,
+    upstreams: &[Arc<Upstream>],
+    template: &Template,
+) -> placement::CandidateOrder {
     let pool = Pool::new(upstreams.iter().map(AsRef::as_ref));
     let mut router = Router::new(facts.placement.clone(), 0);
     router.candidates(&pool, template.adapter.as_ref(), Millis::ZERO)
--- a/lib/src/owner/driver/load.rs
+++ b/lib/src/owner/driver/load.rs
@@ -4,7 +4,7 @@
 use crate::adapter::Adapter;
 use crate::clock::Millis;
 use crate::error::Failure;
-use crate::loads::{PermitRequest, Permit};
+use crate::loads::{Permit, PermitRequest};
 use crate::owner::load::{Asking, Load};
 use crate::owner::run::Target;
 use crate::policy::upstream::{Action, Demand};
--- a/lib/src/owner/load.rs
+++ b/lib/src/owner/load.rs
@@ -9,7 +9,7 @@
 use crate::adapter::Adapter;
 use crate::clock::{Clock, Millis};
 use crate::error::{Code, Failure};
-use crate::loads::{PermitRequest, Permit, PermitSource};
+use crate::loads::{Permit, PermitRequest, PermitSource};
 use crate::membership::Hold;
 use crate::metrics::Metrics;
 use crate::ports::Engine;
@@ -57,7 +57,10 @@
     }
 }
 
-async fn acquired(permits: &dyn PermitSource, ask: &watch::Receiver<PermitRequest>) -> Box<dyn Permit> {
+async fn acquired(
+    permits: &dyn PermitSource,
+    ask: &watch::Receiver<PermitRequest>,
+) -> Box<dyn Permit> {
     loop {
         match permits.acquire(ask.clone()).await {
             Ok(permit) => return permit,
--- a/lib/src/peer/permit.rs
+++ b/lib/src/peer/permit.rs
@@ -17,7 +17,7 @@
 use crate::adapter::Adapter;
 use crate::clock::Millis;
 use crate::error::{Code, Failure};
-use crate::loads::{PermitRequest, Permit, PermitSource};
+use crate::loads::{Permit, PermitRequest, PermitSource};
 use crate::metrics::Metrics;
 use crate::request::Class;
 use crate::schema::peer::{PermitAsk, PermitDone, PermitDown, PermitUp, permit_up};
@@ -121,7 +121,10 @@
 
 #[async_trait]
 impl PermitSource for Remote {
-    async fn acquire(&self, ask: watch::Receiver<PermitRequest>) -> Result<Box<dyn Permit>, Failure> {
+    async fn acquire(
+        &self,
+        ask: watch::Receiver<PermitRequest>,
+    ) -> Result<Box<dyn Permit>, Failure> {
         let link = self.clients.link(self.address);
         let way = link.way()?;
         let mut client = way.client();
--- a/lib/src/policy/loads.rs
+++ b/lib/src/policy/loads.rs
@@ -210,7 +210,8 @@
 
     /// Returns the class whose turn it is, whatever the order says.
     fn turn(&self) -> Option<Class> {
-        let due = self.limits.fair_turn_interval > 0 && self.grants.is_multiple_of(self.limits.fair_turn_interval);
+        let due = self.limits.fair_turn_interval > 0
+            && self.grants.is_multiple_of(self.limits.fair_turn_interval);
         if !due {
             return None;
         }
--- a/lib/src/policy/mod.rs
+++ b/lib/src/policy/mod.rs
@@ -12,9 +12,9 @@
 
 pub mod demand;
 pub mod loads;
-pub mod service_time;
 pub mod placement;
 pub mod queue;
 pub mod replicas;
+pub mod service_time;
 pub mod slots;
 pub mod upstream;
--- a/lib/src/policy/placement.rs
+++ b/lib/src/policy/placement.rs
@@ -115,7 +115,9 @@
     /// narrower one, and goes on by score alone: among many, failure domains mix anyway.
     #[must_use]
     fn nearest(&self, key: u64, count: usize) -> Vec<usize> {
-        let mut first = self.rendezvous(key, (MAX_CANDIDATES - 1).min(count)).to_vec();
+        let mut first = self
+            .rendezvous(key, (MAX_CANDIDATES - 1).min(count))
+            .to_vec();
         if count < MAX_CANDIDATES {
             return first;
         }
@@ -235,7 +237,12 @@
     /// rest at any of them would cost a load and a slot there. Upstreams that
     /// refused lately are left out. The list is empty only when no upstream is
     /// usable.
-    pub fn candidates(&mut self, pool: &Pool, adapter: Option<&Adapter>, now: Millis) -> CandidateOrder {
+    pub fn candidates(
+        &mut self,
+        pool: &Pool,
+        adapter: Option<&Adapter>,
+        now: Millis,
+    ) -> CandidateOrder {
         let Some(key) = adapter.map(Adapter::hash) else {
             // A plain service needs no home: each call draws an order of its own.
             let order = pool.rendezvous(self.draw(), MAX_CANDIDATES - 1);
@@ -251,7 +258,13 @@
     }
 
     /// Leaves out what refused lately, and adds the home as the place to wait.
-    fn ending_at_home(&self, pool: &Pool, key: u64, mut order: CandidateOrder, now: Millis) -> CandidateOrder {
+    fn ending_at_home(
+        &self,
+        pool: &Pool,
+        key: u64,
+        mut order: CandidateOrder,
+        now: Millis,
+    ) -> CandidateOrder {
         let Some(home) = self.home(pool, &order, now) else {
             return order;
         };
@@ -297,7 +310,8 @@
             hint.is_some_and(|hint| hint.holds && now < hint.until)
                 && !self.is_hinted(ANY, hash, now)
         };
-        let holders: SmallVec<[usize; MAX_CANDIDATES]> = order.iter().copied().filter(holds).collect();
+        let holders: SmallVec<[usize; MAX_CANDIDATES]> =
+            order.iter().copied().filter(holds).collect();
         let place = below(self.draw(), holders.len())?;
         Some(holders[place])
     }
--- a/lib/src/policy/queue.rs
+++ b/lib/src/policy/queue.rs
@@ -260,7 +260,11 @@
     /// Takes out the request of a class that fair queueing has next.
     ///
     /// `allowed` says whether an account may start one more.
-    pub fn pop(&mut self, class: Class, allowed: impl Fn(&Name, &Share) -> bool) -> Option<QueuedRequest> {
+    pub fn pop(
+        &mut self,
+        class: Class,
+        allowed: impl Fn(&Name, &Share) -> bool,
+    ) -> Option<QueuedRequest> {
         let fair = &self.classes[class as usize];
         let (start, number) = fair
             .accounts
--- a/lib/src/policy/upstream/admit.rs
+++ b/lib/src/policy/upstream/admit.rs
@@ -50,7 +50,8 @@
         let ready = adapter
             .as_ref()
             .is_none_or(|adapter| self.slots.is_resident(adapter));
-        self.queue.push(QueuedRequest::new(ticket, share, now), ready);
+        self.queue
+            .push(QueuedRequest::new(ticket, share, now), ready);
         if let Some(adapter) = adapter.filter(|_| !ready) {
             self.want(&adapter);
             self.refresh(&adapter, now, actions);
--- a/lib/src/policy/upstream/mod.rs
+++ b/lib/src/policy/upstream/mod.rs
@@ -16,8 +16,8 @@
 use crate::error::{Code, Failure};
 use crate::name::Name;
 use crate::policy::demand::DemandForecast;
-use crate::policy::service_time::ServiceEstimator;
 use crate::policy::queue::{QueuedRequest, RequestQueue};
+use crate::policy::service_time::ServiceEstimator;
 use crate::policy::slots::{Pin, SlotState, SlotTable};
 use crate::request::{Class, Id, Ticket};
 use crate::runner::Share;
@@ -301,7 +301,12 @@
     /// The engine says what its slots held at `as_of`; it lags, so only what the
     /// machine hasn't touched since then is corrected.
     #[must_use]
-    pub fn engine_reported(&mut self, resident: &[Adapter], as_of: Millis, now: Millis) -> Vec<Action> {
+    pub fn engine_reported(
+        &mut self,
+        resident: &[Adapter],
+        as_of: Millis,
+        now: Millis,
+    ) -> Vec<Action> {
         let mut actions = Vec::new();
         self.expire(now, &mut actions);
         let (gone, found) = self.slots.correct(resident, as_of, now);
--- a/lib/src/policy/upstream/replace.rs
+++ b/lib/src/policy/upstream/replace.rs
@@ -12,7 +12,12 @@
     /// with what the weight store has to spare. Its permit may evict only what is
     /// in less demand than the old one, which itself stays until the switch.
     #[must_use]
-    pub fn prefetch_replacement(&mut self, old: &Adapter, new: &Adapter, now: Millis) -> Vec<Action> {
+    pub fn prefetch_replacement(
+        &mut self,
+        old: &Adapter,
+        new: &Adapter,
+        now: Millis,
+    ) -> Vec<Action> {
         let mut actions = Vec::new();
         let wanted = self.slots.is_resident(old) && self.slots.state(new).is_none();
         if wanted && self.forecast.rate(old, now) >= PREFETCH_DEMAND {
--- a/lib/src/policy/upstream/start.rs
+++ b/lib/src/policy/upstream/start.rs
@@ -5,8 +5,8 @@
 use crate::clock::Millis;
 use crate::error::Code;
 use crate::name::Name;
-use crate::policy::service_time;
 use crate::policy::queue::QueuedRequest;
+use crate::policy::service_time;
 use crate::request::{Class, Id};
 
 /// Account of requests that another owner started; no declared name is empty.
--- a/lib/tests/owner_fakes/mod.rs
+++ b/lib/tests/owner_fakes/mod.rs
@@ -12,7 +12,7 @@
 use chivevalve::clock::{Clock, Millis, Monotonic};
 use chivevalve::declaration::{Kind, Pool};
 use chivevalve::error::{Code, Failure};
-use chivevalve::loads::{PermitRequest, Permit, PermitSource};
+use chivevalve::loads::{Permit, PermitRequest, PermitSource};
 use chivevalve::membership::fleet::{State, Upstream};
 use chivevalve::membership::{Adopter, Detector, Hold};
 use chivevalve::metrics::Metrics;
--- a/lib/tests/test_policy_parts.rs
+++ b/lib/tests/test_policy_parts.rs
@@ -58,7 +58,9 @@
     let domains: Vec<String> = (0..upstreams)
         .map(|n| format!("domain-{}", n % 5))
         .collect();
-    Pool::from_entries((0..upstreams).map(|n| (names[n].as_str(), domains[n].as_str(), Some(n) != without)))
+    Pool::from_entries(
+        (0..upstreams).map(|n| (names[n].as_str(), domains[n].as_str(), Some(n) != without)),
+    )
 }
 
 fn router() -> Router {
@@ -507,8 +509,7 @@
         let ended = if id == 2 { 0 } else { id - 1 };
         let ended = Id(Arc::from(format!("r{ended}")));
         actions.extend(machine.finished(&ended, now + Millis(100)));
-        let asks =
-            |action: &Action| matches!(action, Action::RequestPermit { adapter, .. } if *adapter == other);
+        let asks = |action: &Action| matches!(action, Action::RequestPermit { adapter, .. } if *adapter == other);
         if actions.iter().any(asks) {
             return;
         }
