--- a/lib/src/owner/driver/mod.rs
+++ b/lib/src/owner/driver/mod.rs
@@ -17,7 +17,7 @@
 use super::place::{End, Outcome};
 use super::registry::Parts;
 use super::report::Reports;
-use super::run::{Grant, Target, Waits};
+use super::run::{Grant, Target, WaitTimes};
 use super::status::{Slot, Status};
 use crate::adapter::Adapter;
 use crate::clock::Millis;
@@ -354,7 +354,7 @@
         let grant = Grant {
             target: self.target.clone(),
             hold: self.args.hold.clone(),
-            waits: Waits { queued, load },
+            waits: WaitTimes { queued, load },
         };
         if reply.send(Ok(grant)).is_ok() {
             return Vec::new();
--- a/lib/src/owner/mod.rs
+++ b/lib/src/owner/mod.rs
@@ -21,7 +21,7 @@
 mod status;
 
 pub use registry::{Decisions, Parts, Registry};
-pub use run::Waits;
+pub use run::WaitTimes;
 pub use status::{Slot, Status};
 
 use crate::clock::Millis;
--- a/lib/src/owner/run.rs
+++ b/lib/src/owner/run.rs
@@ -28,7 +28,7 @@
 
 /// How long a request waited at its upstream's owner; an answer's extensions carry it.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Waits {
+pub struct WaitTimes {
     /// In the queue, the load included.
     pub queued: Millis,
     /// For its adapter's load.
@@ -49,7 +49,7 @@
 pub(super) struct Grant {
     pub(super) target: Target,
     pub(super) hold: Hold,
-    pub(super) waits: Waits,
+    pub(super) waits: WaitTimes,
 }
 
 /// A request made ready for its upstream, before it queues for a place.
--- a/lib/src/peer/wire.rs
+++ b/lib/src/peer/wire.rs
@@ -6,7 +6,7 @@
 use crate::adapter::Adapter;
 use crate::clock::Millis;
 use crate::error::{Code, Failure, Fate};
-use crate::owner::Waits;
+use crate::owner::WaitTimes;
 use crate::request::{Class, Id, Ticket};
 use crate::runner::{Attempt, Share, Work};
 use crate::schema::peer::{AnswerHead, Down, End, Head, Header, down};
@@ -125,7 +125,7 @@
 
 /// Makes the message of an answer's head.
 pub(super) fn answer_head(head: &response::Parts) -> Down {
-    let waits = head.extensions.get::<Waits>().copied().unwrap_or_default();
+    let waits = head.extensions.get::<WaitTimes>().copied().unwrap_or_default();
     down(down::Part::Head(AnswerHead {
         status: u32::from(head.status.as_u16()),
         headers: headers(&head.headers),
@@ -142,7 +142,7 @@
     let (mut parts, ()) = http::Response::new(()).into_parts();
     parts.status = status.ok_or_else(unreadable)?;
     parts.headers = header_map(&head.headers).map_err(|_| unreadable())?;
-    parts.extensions.insert(Waits {
+    parts.extensions.insert(WaitTimes {
         queued: Millis(head.queued_ms),
         load: Millis(head.load_wait_ms),
     });
