--- a/lib/src/config/keeper.rs
+++ b/lib/src/config/keeper.rs
@@ -23,7 +23,7 @@
 use crate::gossip::Peers;
 use crate::metrics::Metrics;
 use crate::name::Name;
-use crate::owner::Decisions;
+use crate::owner::RoutingCheck;
 use crate::ports::{Store, Watch, Weights};
 use crate::request::Ticket;
 use crate::schema::declaration::{Difference, Operation};
@@ -427,8 +427,8 @@
     events
 }
 
-impl Decisions for Keeper {
-    fn holds(&self, ticket: &Ticket) -> bool {
+impl RoutingCheck for Keeper {
+    fn is_current(&self, ticket: &Ticket) -> bool {
         let view = self.in_force.borrow();
         if view.revision() <= ticket.revision {
             return true;
--- a/lib/src/node/assembly.rs
+++ b/lib/src/node/assembly.rs
@@ -87,13 +87,13 @@
         let permits = Deferred::<dyn loads::Permits>::default();
         let detector = Deferred::<dyn membership::Detector>::default();
         let peers = Deferred::<dyn gossip::Peers>::default();
-        let decisions = Deferred::<dyn owner::Decisions>::default();
-        let registry = Registry::start(base.owner(&permits, &detector, &decisions));
+        let routing = Deferred::<dyn owner::RoutingCheck>::default();
+        let registry = Registry::start(base.owner(&permits, &detector, &routing));
         let clients = Clients::new(base.clients(&registry, security));
         let config = config::Keeper::start(base.config(&registry, &peers));
         let membership = base.membership(&config, &registry, &clients);
         let loads = loads::Shared::start(base.loads(&membership, &clients));
-        decisions.get_or_init(|| Arc::clone(&config) as _);
+        routing.get_or_init(|| Arc::clone(&config) as _);
         permits.get_or_init(|| Arc::clone(&loads) as _);
         detector.get_or_init(|| Arc::clone(&membership) as _);
         peers.get_or_init(|| Arc::clone(&membership) as _);
@@ -180,13 +180,13 @@
         &self,
         permits: &Deferred<dyn loads::Permits>,
         detector: &Deferred<dyn membership::Detector>,
-        decisions: &Deferred<dyn owner::Decisions>,
+        routing: &Deferred<dyn owner::RoutingCheck>,
     ) -> owner::Parts {
         owner::Parts {
             connector: Arc::new(upstream::Connector::new(upstream::Limits::default())),
             permits: Arc::clone(permits) as _,
             detector: Some(Arc::clone(detector) as _),
-            decisions: Arc::clone(decisions) as _,
+            routing: Arc::clone(routing) as _,
             clock: Arc::clone(&self.clock),
             metrics: Arc::clone(&self.metrics),
             limits: limits::owner(&self.settings),
--- a/lib/src/node/deferred.rs
+++ b/lib/src/node/deferred.rs
@@ -15,7 +15,7 @@
 use crate::gossip::{Peer, Peers};
 use crate::loads::{Ask, Permit, Permits};
 use crate::membership::Detector;
-use crate::owner::Decisions;
+use crate::owner::RoutingCheck;
 use crate::request::Ticket;
 
 /// A part that is set once, in the node's start.
@@ -45,9 +45,9 @@
     }
 }
 
-impl Decisions for OnceLock<Arc<dyn Decisions>> {
-    fn holds(&self, ticket: &Ticket) -> bool {
-        self.get().is_none_or(|decisions| decisions.holds(ticket))
+impl RoutingCheck for OnceLock<Arc<dyn RoutingCheck>> {
+    fn is_current(&self, ticket: &Ticket) -> bool {
+        self.get().is_none_or(|routing| routing.is_current(ticket))
     }
 }
 
--- a/lib/src/owner/driver/mod.rs
+++ b/lib/src/owner/driver/mod.rs
@@ -1,4 +1,4 @@
-//! Feeds what happens at one upstream to its decisions, and carries out the orders.
+//! Feeds what happens at one upstream to its routing, and carries out the orders.
 
 mod correct;
 mod load;
@@ -39,7 +39,7 @@
     reply: Option<oneshot::Sender<Result<Grant, Failure>>>,
 }
 
-/// A request that came before the engine first said what it holds.
+/// A request that came before the engine first said what it is_current.
 #[derive(Debug)]
 struct Early {
     ticket: Ticket,
@@ -201,8 +201,8 @@
 
     /// Refuses what waits for something that its template no longer names.
     fn refuse_outdated(&mut self) {
-        let decisions = Arc::clone(&self.parts.decisions);
-        self.refuse_waiting_if(&outdated(), |ticket| !decisions.holds(ticket));
+        let routing = Arc::clone(&self.parts.routing);
+        self.refuse_waiting_if(&outdated(), |ticket| !routing.is_current(ticket));
     }
 
     /// Takes news from a task.
@@ -345,7 +345,7 @@
             return self.machine.finished(id, self.parts.clock.now());
         }
         // It may have waited for longer than changes take to be in force.
-        if !self.parts.decisions.holds(&entry.ticket) {
+        if !self.parts.routing.is_current(&entry.ticket) {
             let _ = reply.send(Err(outdated()));
             self.entries.remove(id);
             return self.machine.finished(id, self.parts.clock.now());
--- a/lib/src/owner/registry.rs
+++ b/lib/src/owner/registry.rs
@@ -42,7 +42,7 @@
     /// Learns how owned upstreams are, so that membership can hold one out.
     pub detector: Option<Arc<dyn Detector>>,
     /// Tells whether what waits is still wanted as it was decided.
-    pub decisions: Arc<dyn Decisions>,
+    pub routing: Arc<dyn RoutingCheck>,
     /// The node's clock.
     pub clock: Arc<dyn Clock>,
     /// The node's metrics.
@@ -52,11 +52,11 @@
 }
 
 /// The configuration, as far as it decides about requests that wait.
-pub trait Decisions: fmt::Debug + Send + Sync {
+pub trait RoutingCheck: fmt::Debug + Send + Sync {
     /// Whether the configuration in force decides a request as its ticket says.
     ///
     /// An entry node that knows a newer one than this node decided on that.
-    fn holds(&self, ticket: &Ticket) -> bool;
+    fn is_current(&self, ticket: &Ticket) -> bool;
 }
 
 /// One upstream's actor and the ways to it.
--- a/lib/tests/owner_fakes/mod.rs
+++ b/lib/tests/owner_fakes/mod.rs
@@ -16,7 +16,7 @@
 use chivevalve::membership::fleet::{State, Upstream};
 use chivevalve::membership::{Adopter, Detector, Hold};
 use chivevalve::metrics::Metrics;
-use chivevalve::owner::{Decisions, Limits, Parts, Registry};
+use chivevalve::owner::{RoutingCheck, Limits, Parts, Registry};
 use chivevalve::ports::{Answer, Call, Connector, Engine, Fence, Report, Service, Vm};
 use chivevalve::request::{Class, Id, Ticket};
 use chivevalve::runner::{Attempt, Share, Work};
@@ -363,8 +363,8 @@
     }
 }
 
-impl Decisions for Decided {
-    fn holds(&self, ticket: &Ticket) -> bool {
+impl RoutingCheck for Decided {
+    fn is_current(&self, ticket: &Ticket) -> bool {
         let named = self.0.lock().unwrap();
         named.is_none() || ticket.adapter == *named
     }
@@ -377,7 +377,7 @@
     pub registry: Arc<Registry>,
     pub permits: Arc<Gate>,
     pub detector: Arc<Counts>,
-    pub decisions: Arc<Decided>,
+    pub routing: Arc<Decided>,
     pub metrics: Arc<Metrics>,
     pub clock: Arc<dyn Clock>,
     pub until: Arc<AtomicU64>,
@@ -401,14 +401,14 @@
         let engine = Arc::new(FakeEngine::new());
         let permits = Arc::new(Gate(watch::Sender::new(true)));
         let detector = Arc::new(Counts::default());
-        let decisions = Arc::new(Decided::default());
+        let routing = Arc::new(Decided::default());
         let metrics = Arc::new(Metrics::new());
         let clock: Arc<dyn Clock> = Arc::new(Monotonic::start());
         let registry = Registry::start(Parts {
             connector: Arc::new(One(Arc::clone(&engine))),
             permits: permits.clone(),
             detector: Some(detector.clone()),
-            decisions: decisions.clone(),
+            routing: routing.clone(),
             clock: Arc::clone(&clock),
             metrics: Arc::clone(&metrics),
             limits: Limits::default(),
@@ -418,7 +418,7 @@
             registry,
             permits,
             detector,
-            decisions,
+            routing,
             metrics,
             clock,
             until: Arc::new(AtomicU64::new(FAR.0)),
--- a/lib/tests/test_owner.rs
+++ b/lib/tests/test_owner.rs
@@ -54,7 +54,7 @@
     let waiting = tokio::spawn(async move { registry.run(attempt("r2", "plans", true)).await });
     tokio::time::sleep(Millis(100).duration()).await;
     assert!(!waiting.is_finished());
-    bench.decisions.change(adapter("faults"));
+    bench.routing.change(adapter("faults"));
     let failure = waiting.await.unwrap().unwrap_err();
     assert_eq!(failure.code, Code::Outdated);
     assert_eq!(failure.fate(), Fate::NotRun);
@@ -76,7 +76,7 @@
     let waiting = tokio::spawn(async move { registry.run(attempt("r2", "plans", true)).await });
     tokio::time::sleep(Millis(100).duration()).await;
     // No time passes between the change and the end that makes room.
-    bench.decisions.change(adapter("faults"));
+    bench.routing.change(adapter("faults"));
     drop(running.unwrap());
     let failure = waiting.await.unwrap().unwrap_err();
     assert_eq!(failure.code, Code::Outdated);
