--- a/lib/src/node/assembly.rs
+++ b/lib/src/node/assembly.rs
@@ -181,8 +181,8 @@
         permits: &Deferred<dyn loads::Permits>,
         detector: &Deferred<dyn membership::Detector>,
         routing: &Deferred<dyn owner::RoutingCheck>,
-    ) -> owner::Parts {
-        owner::Parts {
+    ) -> owner::Dependencies {
+        owner::Dependencies {
             connector: Arc::new(upstream::Connector::new(upstream::Limits::default())),
             permits: Arc::clone(permits) as _,
             detector: Some(Arc::clone(detector) as _),
--- a/lib/src/owner/actor.rs
+++ b/lib/src/owner/actor.rs
@@ -14,7 +14,7 @@
 
 use super::driver::Driver;
 use super::event::Event;
-use super::registry::Parts;
+use super::registry::Dependencies;
 use super::run::Grant;
 use super::status::Status;
 use crate::adapter::Adapter;
@@ -82,7 +82,7 @@
 
 /// What an actor is started with.
 pub(super) type Start = (
-    Parts,
+    Dependencies,
     Args,
     mpsc::UnboundedSender<Event>,
     mpsc::UnboundedReceiver<Event>,
--- a/lib/src/owner/driver/mod.rs
+++ b/lib/src/owner/driver/mod.rs
@@ -15,7 +15,7 @@
 use super::health::Health;
 use super::load::Asking;
 use super::place::{End, Outcome};
-use super::registry::Parts;
+use super::registry::Dependencies;
 use super::report::Reports;
 use super::run::{Grant, Target, WaitTimes};
 use super::status::{Slot, Status};
@@ -50,7 +50,7 @@
 /// The state of one owned upstream.
 #[derive(Debug)]
 pub(super) struct Driver {
-    parts: Parts,
+    parts: Dependencies,
     args: Args,
     target: Target,
     machine: Machine,
@@ -73,7 +73,7 @@
 impl Driver {
     /// Starts with what the engine will report.
     pub(super) fn new(
-        parts: Parts,
+        parts: Dependencies,
         args: Args,
         events: mpsc::UnboundedSender<Event>,
         status: watch::Sender<Status>,
@@ -430,7 +430,7 @@
     }
 }
 
-fn limits(parts: &Parts, args: &Args) -> Limits {
+fn limits(parts: &Dependencies, args: &Args) -> Limits {
     let slots = match args.pool.kind {
         Kind::Engine { slots, .. } => Some(slots),
         Kind::Service => None,
--- a/lib/src/owner/registry.rs
+++ b/lib/src/owner/registry.rs
@@ -34,7 +34,7 @@
 
 /// What the registry works with.
 #[derive(Debug, Clone)]
-pub struct Parts {
+pub struct Dependencies {
     /// Makes clients for upstreams.
     pub connector: Arc<dyn Connector>,
     /// Gives leave to load.
@@ -76,7 +76,7 @@
 /// All upstreams that this node owns.
 #[derive(Debug)]
 pub struct Registry {
-    parts: Parts,
+    parts: Dependencies,
     owned: RwLock<HashMap<Name, Arc<Handle>>>,
     serial: AtomicU64,
     /// Every request that has a place, whatever has become of the ownership.
@@ -86,7 +86,7 @@
 impl Registry {
     /// Starts with no upstream.
     #[must_use]
-    pub fn start(parts: Parts) -> Arc<Self> {
+    pub fn start(parts: Dependencies) -> Arc<Self> {
         Arc::new(Self {
             parts,
             owned: RwLock::default(),
--- a/lib/src/owner/report.rs
+++ b/lib/src/owner/report.rs
@@ -6,7 +6,7 @@
 use tokio_util::task::AbortOnDropHandle;
 
 use super::event::Event;
-use super::registry::Parts;
+use super::registry::Dependencies;
 use super::run::Target;
 use crate::clock::Millis;
 use crate::error::{Code, Failure};
@@ -23,7 +23,7 @@
     /// Starts to ask, at once and then each period; a plain service isn't asked.
     pub(super) fn start(
         target: &Target,
-        parts: &Parts,
+        parts: &Dependencies,
         events: mpsc::UnboundedSender<Event>,
     ) -> Self {
         let now = Arc::new(Notify::new());
@@ -48,7 +48,7 @@
     }
 }
 
-async fn news(target: &Target, parts: &Parts) -> Event {
+async fn news(target: &Target, parts: &Dependencies) -> Event {
     match target {
         Target::Engine(engine) => Event::Reported {
             as_of: parts.clock.now(),
--- a/lib/src/owner/run.rs
+++ b/lib/src/owner/run.rs
@@ -14,7 +14,7 @@
 use super::events::Events;
 use super::place::{Outcome, Place};
 
-use super::registry::Parts;
+use super::registry::Dependencies;
 use crate::adapter::Adapter;
 use crate::clock::Millis;
 use crate::error::{Code, Failure};
@@ -95,7 +95,7 @@
         self,
         place: Place,
         grant: Grant,
-        parts: &Parts,
+        parts: &Dependencies,
     ) -> Result<Answer, Failure> {
         let left = self.deadline.since(parts.clock.now());
         let running = Running {
@@ -189,7 +189,7 @@
 struct Running<'a> {
     place: Place,
     deadline: Instant,
-    parts: &'a Parts,
+    parts: &'a Dependencies,
 }
 
 impl Running<'_> {
