--- a/lib/src/claim/desk.rs
+++ b/lib/src/claim/desk.rs
@@ -17,7 +17,7 @@
 use super::keeper::{Claim, unavailable};
 use super::record::Record;
 use super::writer::{Change, Held, Job, Outcome, Writer};
-use super::{Limits, Parts};
+use super::{Limits, Dependencies};
 use crate::clock::Millis;
 use crate::error::{Code, Failure};
 use crate::membership::Fleet;
@@ -116,7 +116,7 @@
 /// The actor's state.
 #[derive(Debug, Actor)]
 pub struct Desk {
-    parts: Arc<Parts>,
+    parts: Arc<Dependencies>,
     writer: Writer,
     waiting: VecDeque<Work>,
     /// Keys of the batch under way; other work on them waits for it.
@@ -131,7 +131,7 @@
 
 impl Desk {
     /// Makes the actor's state at a node's start.
-    pub fn new(parts: Arc<Parts>) -> Self {
+    pub fn new(parts: Arc<Dependencies>) -> Self {
         let writer = Writer {
             store: Arc::clone(&parts.store),
             lease: Arc::clone(&parts.lease),
--- a/lib/src/claim/keeper.rs
+++ b/lib/src/claim/keeper.rs
@@ -6,7 +6,7 @@
 use kameo::mailbox;
 use tokio::sync::oneshot;
 
-use super::Parts;
+use super::Dependencies;
 use super::desk::{Desk, Release, Take};
 use super::record::{self, Record};
 use crate::clock::Millis;
@@ -24,13 +24,13 @@
 #[derive(Debug, Clone)]
 pub struct Keeper {
     desk: ActorRef<Desk>,
-    parts: Arc<Parts>,
+    parts: Arc<Dependencies>,
 }
 
 impl Keeper {
     /// Starts the actor; it ends when the last keeper and the last claim are gone.
     #[must_use]
-    pub fn start(parts: Parts) -> Self {
+    pub fn start(parts: Dependencies) -> Self {
         let parts = Arc::new(parts);
         let desk = Desk::new(Arc::clone(&parts));
         Self {
--- a/lib/src/claim/mod.rs
+++ b/lib/src/claim/mod.rs
@@ -51,7 +51,7 @@
 
 /// What claims need of the node's other parts.
 #[derive(Debug, Clone)]
-pub struct Parts {
+pub struct Dependencies {
     /// Holds the claims.
     pub store: Arc<dyn Store>,
     /// Bounds how long they are kept.
--- a/lib/src/entry/gateway.rs
+++ b/lib/src/entry/gateway.rs
@@ -421,8 +421,8 @@
     }
 }
 
-fn claims(parts: &Parts) -> claim::Parts {
-    claim::Parts {
+fn claims(parts: &Parts) -> claim::Dependencies {
+    claim::Dependencies {
         store: Arc::clone(&parts.store),
         lease: Arc::clone(&parts.lease),
         fleet: parts.fleet.clone(),
--- a/lib/tests/test_entry_claims_fuzz.rs
+++ b/lib/tests/test_entry_claims_fuzz.rs
@@ -5,7 +5,7 @@
 use std::collections::{HashMap, HashSet};
 use std::sync::Arc;
 
-use chivevalve::claim::{Keeper, Limits, Parts};
+use chivevalve::claim::{Keeper, Limits, Dependencies};
 use chivevalve::clock::{Millis, Monotonic};
 use chivevalve::error::Code;
 use chivevalve::request::Id;
@@ -102,7 +102,7 @@
     let store = Arc::<Memory>::default();
     let (sender, fleet) = watch::channel(Arc::new(three()));
     let node = |index: usize| {
-        Keeper::start(Parts {
+        Keeper::start(Dependencies {
             store: store.clone(),
             lease: store.clone(),
             fleet: fleet.clone(),
