--- a/lib/src/owner/driver/mod.rs
+++ b/lib/src/owner/driver/mod.rs
@@ -86,7 +86,7 @@
         let machine = Machine::new(limits(&parts, &args));
         let reports = Reports::start(&target, &parts, events.clone());
         let mut driver = Self {
-            health: Health::new(parts.limits.failures),
+            health: Health::new(parts.limits.failure_threshold),
             parts,
             args,
             target,
--- a/lib/src/owner/mod.rs
+++ b/lib/src/owner/mod.rs
@@ -33,29 +33,29 @@
     /// Bounds of the decisions; slots and batch come from each pool's declaration.
     pub machine: policy::upstream::Limits,
     /// Messages that wait for one upstream's actor before more are refused.
-    pub mailbox: usize,
+    pub mailbox_capacity: usize,
     /// Time between two questions to an engine about what it holds.
-    pub report_period: Millis,
+    pub report_interval: Millis,
     /// Longest time to such an answer.
     pub report_timeout: Millis,
     /// Longest time of one load or unload.
     pub load_timeout: Millis,
     /// Failed connections in a row after which the upstream gets no work until it answers again.
-    pub failures: u32,
+    pub failure_threshold: u32,
     /// Largest whole answer of a completion, in bytes.
-    pub answer_bytes: usize,
+    pub max_response_bytes: usize,
 }
 
 impl Default for Limits {
     fn default() -> Self {
         Self {
             machine: policy::upstream::Limits::default(),
-            mailbox: 1024,
-            report_period: Millis::from_secs(1),
+            mailbox_capacity: 1024,
+            report_interval: Millis::from_secs(1),
             report_timeout: Millis::from_secs(1),
             load_timeout: Millis::from_secs(30),
-            failures: 3,
-            answer_bytes: 16 << 20,
+            failure_threshold: 3,
+            max_response_bytes: 16 << 20,
         }
     }
 }
--- a/lib/src/owner/registry.rs
+++ b/lib/src/owner/registry.rs
@@ -168,7 +168,7 @@
                 heard,
                 status,
             ),
-            mailbox::bounded(self.parts.limits.mailbox),
+            mailbox::bounded(self.parts.limits.mailbox_capacity),
         );
         Handle {
             actor,
--- a/lib/src/owner/report.rs
+++ b/lib/src/owner/report.rs
@@ -30,7 +30,7 @@
         let hurried = Arc::clone(&now);
         let target = target.clone();
         let parts = parts.clone();
-        let period = parts.limits.report_period.duration();
+        let period = parts.limits.report_interval.duration();
         let task = tokio::spawn(async move {
             while events.send(news(&target, &parts).await).is_ok() {
                 let _ = tokio::time::timeout(period, hurried.notified()).await;
--- a/lib/src/owner/run.rs
+++ b/lib/src/owner/run.rs
@@ -264,7 +264,7 @@
     /// wasn't whole, or wasn't its own.
     async fn whole(self, answer: Answer, check: &Check) -> Result<Answer, Failure> {
         let Answer { mut head, mut body } = answer;
-        let limit = self.parts.limits.answer_bytes;
+        let limit = self.parts.limits.max_response_bytes;
         let read = read(&mut body, limit, length(&head));
         let read = tokio::time::timeout_at(self.deadline, read)
             .await
