--- a/lib/src/node/mod.rs
+++ b/lib/src/node/mod.rs
@@ -215,7 +215,7 @@
         tokio::join!(
             self.serving.wait(),
             self.membership.drain(limit),
-            self.registry.ended()
+            self.registry.wait_until_idle()
         );
         // What has ended here may still wait for an entry node whose caller reads
         // slowly; it would look cut there if this node's connections broke now.
--- a/lib/src/owner/registry.rs
+++ b/lib/src/owner/registry.rs
@@ -101,7 +101,7 @@
     /// when an earlier one lapsed, or outlasted its release, still runs here and
     /// its caller reads it; a node that stopped without a look at those would cut
     /// them off.
-    pub async fn ended(&self) {
+    pub async fn wait_until_idle(&self) {
         // Closing lets the wait end; places are still made and counted.
         self.places.close();
         self.places.wait().await;
--- a/lib/tests/test_owner_failures.rs
+++ b/lib/tests/test_owner_failures.rs
@@ -142,7 +142,7 @@
     let limit = Millis::from_secs(60);
     bench.registry.release("engine-1", limit).await;
     let registry = Arc::clone(&bench.registry);
-    let ended = tokio::spawn(async move { registry.ended().await });
+    let ended = tokio::spawn(async move { registry.wait_until_idle().await });
     pass(Millis::from_secs(1)).await;
     assert!(!ended.is_finished());
     text(running).await.unwrap();
--- a/lib/tests/test_peer.rs
+++ b/lib/tests/test_peer.rs
@@ -502,7 +502,7 @@
     });
     let runner = clients().runner(&node.owner);
     let answer = runner.run(attempt("r1", "plans", true)).await.unwrap();
-    bench.registry.ended().await;
+    bench.registry.wait_until_idle().await;
     node.stop.cancel();
     tokio::time::sleep(Millis(500).duration()).await;
     assert!(!node.served.is_finished());
