--- a/lib/src/claim/desk.rs
+++ b/lib/src/claim/desk.rs
@@ -14,7 +14,7 @@
 use kameo::message::{Context, Message};
 use tokio::sync::oneshot;
 
-use super::keeper::{Claim, unavailable};
+use super::manager::{Claim, unavailable};
 use super::record::Record;
 use super::writer::{Change, Held, Job, Outcome, Writer};
 use super::{Limits, Dependencies};
--- a/lib/src/claim/keeper.rs
+++ b/lib/src/claim/manager.rs
@@ -22,12 +22,12 @@
 
 /// Takes claims.
 #[derive(Debug, Clone)]
-pub struct Keeper {
+pub struct ClaimManager {
     desk: ActorRef<Desk>,
     parts: Arc<Dependencies>,
 }
 
-impl Keeper {
+impl ClaimManager {
     /// Starts the actor; it ends when the last keeper and the last claim are gone.
     #[must_use]
     pub fn start(parts: Dependencies) -> Self {
@@ -45,7 +45,7 @@
     ///
     /// [`Code::KeyTaken`] or [`Code::KeyReused`] when another request has it,
     /// [`Code::ClaimUnavailable`] when the service didn't say that it is this one's.
-    pub async fn take(
+    pub async fn acquire(
         &self,
         account: &str,
         key: &[u8],
--- a/lib/src/claim/mod.rs
+++ b/lib/src/claim/mod.rs
@@ -6,11 +6,11 @@
 //! could live and says what is promised without a key.
 
 mod desk;
-mod keeper;
+mod manager;
 mod record;
 mod writer;
 
-pub use keeper::{Claim, Keeper};
+pub use manager::{Claim, ClaimManager};
 pub use record::{Record, digest};
 
 use std::sync::Arc;
--- a/lib/src/entry/gateway.rs
+++ b/lib/src/entry/gateway.rs
@@ -20,7 +20,7 @@
 use super::session::Session;
 use super::{Parts, body, idempotency, key, models, service};
 use crate::adapter::Adapter;
-use crate::claim::{self, Claim, Keeper};
+use crate::claim::{self, Claim, ClaimManager};
 use crate::clock::Millis;
 use crate::config::View;
 use crate::declaration::{Account, Template};
@@ -52,7 +52,7 @@
     pub buffer: Buffer,
     /// Retries left.
     pub budget: Mutex<RetryBudget>,
-    claims: Keeper,
+    claims: ClaimManager,
     jitter: Mutex<Pcg64Mcg>,
     router: Mutex<Router>,
     pools: Mutex<Pools>,
@@ -82,7 +82,7 @@
             gate: Gate::new(limits.in_flight),
             buffer: Buffer::new(limits.buffered_bytes),
             budget: Mutex::new(RetryBudget::new(limits.retry_percent, parts.clock.now())),
-            claims: Keeper::start(claims(&parts)),
+            claims: ClaimManager::start(claims(&parts)),
             jitter: Mutex::new(Pcg64Mcg::seed_from_u64(parts.seed)),
             router: Mutex::new(Router::new(limits.placement.clone(), parts.seed)),
             pools: Mutex::default(),
@@ -346,7 +346,7 @@
         let digest = idempotency::digest(ticket, work);
         let taken = self
             .claims
-            .take(&ticket.account, key, digest, &ticket.id)
+            .acquire(&ticket.account, key, digest, &ticket.id)
             .await;
         taken
             .map(Some)
--- a/lib/tests/test_entry_claims_fuzz.rs
+++ b/lib/tests/test_entry_claims_fuzz.rs
@@ -5,7 +5,7 @@
 use std::collections::{HashMap, HashSet};
 use std::sync::Arc;
 
-use chivevalve::claim::{Keeper, Limits, Dependencies};
+use chivevalve::claim::{ClaimManager, Limits, Dependencies};
 use chivevalve::clock::{Millis, Monotonic};
 use chivevalve::error::Code;
 use chivevalve::request::Id;
@@ -93,7 +93,7 @@
 }
 
 struct World {
-    nodes: Vec<Keeper>,
+    nodes: Vec<ClaimManager>,
     store: Arc<Memory>,
     _fleet: watch::Sender<Arc<chivevalve::membership::Fleet>>,
 }
@@ -102,7 +102,7 @@
     let store = Arc::<Memory>::default();
     let (sender, fleet) = watch::channel(Arc::new(three()));
     let node = |index: usize| {
-        Keeper::start(Dependencies {
+        ClaimManager::start(Dependencies {
             store: store.clone(),
             lease: store.clone(),
             fleet: fleet.clone(),
@@ -120,9 +120,9 @@
 }
 
 /// What a call came to: whether it may have run, or the code that refused it.
-async fn make(node: &Keeper, call: &Call, id: &Id) -> Result<bool, Code> {
+async fn make(node: &ClaimManager, call: &Call, id: &Id) -> Result<bool, Code> {
     let digest = format!("body {}", call.body);
-    let taken = node.take("shop", &[call.key], digest, id).await;
+    let taken = node.acquire("shop", &[call.key], digest, id).await;
     let mut claim = taken.map_err(|failure| failure.code)?;
     match call.end {
         End::CallerGoneUnsent => drop(claim),
