--- a/lib/src/claim/manager.rs
+++ b/lib/src/claim/manager.rs
@@ -106,12 +106,12 @@
     }
 
     /// Notes whether the request may have run; said before each try and after each failure.
-    pub fn set_spent(&mut self, spent: bool) {
+    pub fn set_may_have_run(&mut self, spent: bool) {
         self.spent = spent;
     }
 
     /// Gives the claim back if nothing was sent on it, and waits until others can see that.
-    pub async fn settle(mut self) {
+    pub async fn release_unused(mut self) {
         if self.spent {
             return;
         }
--- a/lib/src/entry/dispatch.rs
+++ b/lib/src/entry/dispatch.rs
@@ -191,7 +191,7 @@
 
 fn spend(claim: &mut Option<Claim>, spent: bool) {
     if let Some(claim) = claim {
-        claim.set_spent(spent);
+        claim.set_may_have_run(spent);
     }
 }
 
--- a/lib/src/entry/gateway.rs
+++ b/lib/src/entry/gateway.rs
@@ -327,7 +327,7 @@
         // The caller may send it again as soon as it reads that it wasn't run,
         // so the key is free before it reads that.
         if let Some(claim) = claim {
-            claim.settle().await;
+            claim.release_unused().await;
         }
         Err(failure.into())
     }
--- a/lib/tests/test_entry_claims_fuzz.rs
+++ b/lib/tests/test_entry_claims_fuzz.rs
@@ -126,12 +126,12 @@
     let mut claim = taken.map_err(|failure| failure.code)?;
     match call.end {
         End::CallerGoneUnsent => drop(claim),
-        End::MayHaveRun => claim.set_spent(true),
+        End::MayHaveRun => claim.set_may_have_run(true),
         End::NotRun => {
-            claim.set_spent(true);
+            claim.set_may_have_run(true);
             tokio::task::yield_now().await;
-            claim.set_spent(false);
-            claim.settle().await;
+            claim.set_may_have_run(false);
+            claim.release_unused().await;
         }
     }
     Ok(call.end == End::MayHaveRun)
