--- a/lib/src/claim/desk.rs
+++ b/lib/src/claim/desk.rs
@@ -202,18 +202,18 @@
     fn pause(&self) -> Millis {
         let Limits {
             writes_per_second,
-            spacing,
+            min_write_interval,
             ..
         } = self.parts.limits;
         let nodes = nodes(&self.parts.fleet.borrow());
         let fair = 1_000 * nodes / u64::from(writes_per_second.max(1));
-        spacing.max(Millis(fair))
+        min_write_interval.max(Millis(fair))
     }
 
     fn take(&mut self, take: Take) {
         if let Some(found) = self.recall(&take.key) {
             answer_taken(take, Some(found));
-        } else if self.waiting.len() >= self.parts.limits.waiting {
+        } else if self.waiting.len() >= self.parts.limits.max_waiting {
             let failure = unavailable("too many claims wait at this node");
             let _ = take.reply.send(Err(failure));
         } else {
--- a/lib/src/claim/mod.rs
+++ b/lib/src/claim/mod.rs
@@ -32,9 +32,9 @@
     /// Transactions a second that all nodes together may spend on claims.
     pub writes_per_second: u32,
     /// Shortest time between two transactions of this node.
-    pub spacing: Millis,
+    pub min_write_interval: Millis,
     /// Most claims that wait at this node.
-    pub waiting: usize,
+    pub max_waiting: usize,
 }
 
 impl Default for Limits {
@@ -43,8 +43,8 @@
             timeout: Millis::from_secs(3),
             retention: Millis::from_secs(12 * 60 * 60),
             writes_per_second: 200,
-            spacing: Millis(20),
-            waiting: 512,
+            min_write_interval: Millis(20),
+            max_waiting: 512,
         }
     }
 }
