--- a/lib/src/claim/desk.rs
+++ b/lib/src/claim/desk.rs
@@ -15,7 +15,7 @@
 use tokio::sync::oneshot;
 
 use super::manager::{Claim, unavailable};
-use super::record::Record;
+use super::record::ClaimRecord;
 use super::writer::{Change, Held, Job, Outcome, Writer};
 use super::{Limits, Dependencies};
 use crate::clock::Millis;
@@ -44,7 +44,7 @@
     /// The service's key.
     pub key: String,
     /// What the claim would hold.
-    pub record: Record,
+    pub record: ClaimRecord,
     /// Gets the claim, or why there is none.
     pub reply: oneshot::Sender<Result<Claim, Failure>>,
 }
@@ -109,7 +109,7 @@
 /// A claim that this node saw of late.
 #[derive(Debug)]
 struct Seen {
-    record: Record,
+    record: ClaimRecord,
     at: Millis,
 }
 
@@ -221,13 +221,13 @@
         }
     }
 
-    fn recall(&self, key: &str) -> Option<&Record> {
+    fn recall(&self, key: &str) -> Option<&ClaimRecord> {
         let seen = self.seen.get(key)?;
         let age = self.parts.clock.now().since(seen.at);
         (age < self.parts.limits.retention).then_some(&seen.record)
     }
 
-    fn remember(&mut self, key: &str, record: Record) {
+    fn remember(&mut self, key: &str, record: ClaimRecord) {
         if self.order.len() >= REMEMBERED
             && let Some(oldest) = self.order.pop_front()
         {
@@ -320,7 +320,7 @@
     names.len() as u64
 }
 
-fn answer_taken(take: Take, found: Option<&Record>) {
+fn answer_taken(take: Take, found: Option<&ClaimRecord>) {
     let failure = match found {
         Some(found) if found.digest != take.record.digest => Failure::new(
             Code::KeyReused,
--- a/lib/src/claim/manager.rs
+++ b/lib/src/claim/manager.rs
@@ -8,7 +8,7 @@
 
 use super::Dependencies;
 use super::desk::{Desk, Release, Take};
-use super::record::{self, Record};
+use super::record::{self, ClaimRecord};
 use crate::clock::Millis;
 use crate::error::{Code, Failure};
 use crate::name::Name;
@@ -55,7 +55,7 @@
         let (reply, answer) = oneshot::channel();
         let take = Take {
             key: record::path(&self.parts.prefix, account, key),
-            record: Record::new(digest, id, &self.parts.node),
+            record: ClaimRecord::new(digest, id, &self.parts.node),
             reply,
         };
         if self.desk.tell(take).try_send().is_err() {
--- a/lib/src/claim/mod.rs
+++ b/lib/src/claim/mod.rs
@@ -11,7 +11,7 @@
 mod writer;
 
 pub use manager::{Claim, ClaimManager};
-pub use record::{Record, digest};
+pub use record::{ClaimRecord, digest};
 
 use std::sync::Arc;
 
--- a/lib/src/claim/record.rs
+++ b/lib/src/claim/record.rs
@@ -16,7 +16,7 @@
 /// The request's identity is the mark by which a node knows its own write again
 /// when the answer to it was lost.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Record {
+pub struct ClaimRecord {
     /// Digest of the request that the key was first used for.
     pub digest: String,
     /// Identity of that request.
@@ -27,7 +27,7 @@
     pub time_ms: u64,
 }
 
-impl Record {
+impl ClaimRecord {
     /// Makes the record of a request that claims a key now.
     #[must_use]
     pub fn new(digest: String, request: &Id, node: &Name) -> Self {
@@ -42,13 +42,13 @@
 
     /// Reads a claim's value; a value that can't be read is nobody's own.
     #[must_use]
-    pub fn read(value: &[u8]) -> Option<Self> {
+    pub fn decode(value: &[u8]) -> Option<Self> {
         serde_json::from_slice(value).ok()
     }
 
     /// Returns the claim's value.
     #[must_use]
-    pub fn write(&self) -> Bytes {
+    pub fn encode(&self) -> Bytes {
         serde_json::to_vec(self).unwrap_or_default().into()
     }
 }
@@ -83,9 +83,9 @@
 
     #[test]
     fn record_round_trip() {
-        let record = Record::new(digest(&[b"a"]), &Id("r1".into()), &"n1".into());
-        assert_eq!(Record::read(&record.write()), Some(record));
-        assert_eq!(Record::read(b"?"), None);
+        let record = ClaimRecord::new(digest(&[b"a"]), &Id("r1".into()), &"n1".into());
+        assert_eq!(ClaimRecord::decode(&record.encode()), Some(record));
+        assert_eq!(ClaimRecord::decode(b"?"), None);
     }
 
     #[test]
--- a/lib/src/claim/writer.rs
+++ b/lib/src/claim/writer.rs
@@ -6,7 +6,7 @@
 use crate::clock::{Clock, Millis};
 use crate::ports::{Condition, Entry, Error, Lease, LeaseId, Store, Transaction, Write};
 
-use super::record::Record;
+use super::record::ClaimRecord;
 
 /// Transactions that one batch gets; what is open after them counts as doubtful, so that a
 /// caller is not kept waiting for a service that keeps refusing.
@@ -16,7 +16,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Change {
     /// Take it, if nobody has.
-    Take(Record),
+    Take(ClaimRecord),
     /// Give it back, as it was written at this revision of the service.
     Release(u64),
 }
@@ -36,7 +36,7 @@
     /// The claim is this request's own, written at this revision of the service.
     Taken(u64),
     /// Another request has the claim; none if its record can't be read.
-    Found(Option<Record>),
+    Found(Option<ClaimRecord>),
     /// The claim is given back.
     Released,
     /// Nothing was written, and nothing will be.
@@ -167,7 +167,7 @@
         let Some(entry) = self.store.get(key).await? else {
             return Ok(());
         };
-        if Record::read(&entry.value).is_none_or(|record| &*record.request != mark) {
+        if ClaimRecord::decode(&entry.value).is_none_or(|record| &*record.request != mark) {
             return Ok(());
         }
         let transaction = Transaction {
@@ -200,7 +200,7 @@
         let (condition, write) = match &job.change {
             Change::Take(record) => (
                 Condition::Absent(key()),
-                Write::Put(key(), record.write(), Some(lease)),
+                Write::Put(key(), record.encode(), Some(lease)),
             ),
             Change::Release(revision) => {
                 (Condition::Unchanged(key(), *revision), Write::Delete(key()))
@@ -225,7 +225,7 @@
         match (&self.change, entry) {
             (Change::Take(_), None) => None,
             (Change::Take(own), Some(entry)) => {
-                let record = Record::read(&entry.value);
+                let record = ClaimRecord::decode(&entry.value);
                 let mine = record
                     .as_ref()
                     .is_some_and(|found| found.request == own.request);
