--- a/lib/src/claim/desk.rs
+++ b/lib/src/claim/desk.rs
@@ -17,7 +17,7 @@
 use super::manager::{Claim, unavailable};
 use super::record::ClaimRecord;
 use super::writer::{Change, Held, Job, Outcome, Writer};
-use super::{Limits, Dependencies};
+use super::{Dependencies, Limits};
 use crate::clock::Millis;
 use crate::error::{Code, Failure};
 use crate::membership::Fleet;
--- a/lib/src/owner/driver/mod.rs
+++ b/lib/src/owner/driver/mod.rs
@@ -1,4 +1,4 @@
-//! Feeds what happens at one upstream to its routing, and carries out the orders.
+//! Feeds what happens at one upstream to its decisions, and carries out the orders.
 
 mod correct;
 mod load;
@@ -39,7 +39,7 @@
     reply: Option<oneshot::Sender<Result<Grant, Failure>>>,
 }
 
-/// A request that came before the engine first said what it is_current.
+/// A request that came before the engine first said what it holds.
 #[derive(Debug)]
 struct Early {
     ticket: Ticket,
--- a/lib/src/owner/mod.rs
+++ b/lib/src/owner/mod.rs
@@ -20,7 +20,7 @@
 mod run;
 mod status;
 
-pub use registry::{RoutingCheck, Dependencies, Registry};
+pub use registry::{Dependencies, Registry, RoutingCheck};
 pub use run::WaitTimes;
 pub use status::{Slot, Status};
 
--- a/lib/src/peer/wire.rs
+++ b/lib/src/peer/wire.rs
@@ -125,7 +125,11 @@
 
 /// Makes the message of an answer's head.
 pub(super) fn answer_head(head: &response::Parts) -> Down {
-    let waits = head.extensions.get::<WaitTimes>().copied().unwrap_or_default();
+    let waits = head
+        .extensions
+        .get::<WaitTimes>()
+        .copied()
+        .unwrap_or_default();
     down(down::Part::Head(AnswerHead {
         status: u32::from(head.status.as_u16()),
         headers: headers(&head.headers),
--- a/lib/tests/owner_fakes/mod.rs
+++ b/lib/tests/owner_fakes/mod.rs
@@ -16,7 +16,7 @@
 use chivevalve::membership::fleet::{State, Upstream};
 use chivevalve::membership::{Adopter, Detector, Hold};
 use chivevalve::metrics::Metrics;
-use chivevalve::owner::{RoutingCheck, Limits, Dependencies, Registry};
+use chivevalve::owner::{Dependencies, Limits, Registry, RoutingCheck};
 use chivevalve::ports::{Answer, Call, Connector, Engine, Fence, Report, Service, Vm};
 use chivevalve::request::{Class, Id, Ticket};
 use chivevalve::runner::{Attempt, Share, Work};
@@ -148,7 +148,7 @@
     }
 }
 
-fn head(status: u16) -> response::Dependencies {
+fn head(status: u16) -> response::Parts {
     let response = http::Response::builder().status(status).body(()).unwrap();
     response.into_parts().0
 }
@@ -271,7 +271,7 @@
 /// As a plain service it sends back what it is called with.
 #[async_trait]
 impl Service for FakeEngine {
-    async fn call(&self, called: request::Dependencies, body: Bytes) -> Result<Answer, Failure> {
+    async fn call(&self, called: request::Parts, body: Bytes) -> Result<Answer, Failure> {
         let knobs = self.reach()?;
         let line = format!("{} {}", called.method, called.uri);
         self.seen.lock().unwrap().runs.push(line);
--- a/lib/tests/test_entry_claims_fuzz.rs
+++ b/lib/tests/test_entry_claims_fuzz.rs
@@ -5,7 +5,7 @@
 use std::collections::{HashMap, HashSet};
 use std::sync::Arc;
 
-use chivevalve::claim::{ClaimManager, Limits, Dependencies};
+use chivevalve::claim::{ClaimManager, Dependencies, Limits};
 use chivevalve::clock::{Millis, Monotonic};
 use chivevalve::error::Code;
 use chivevalve::request::Id;
