--- a/lib/src/claim/desk.rs
+++ b/lib/src/claim/desk.rs
@@ -14,10 +14,10 @@
 use kameo::message::{Context, Message};
 use tokio::sync::oneshot;
 
-use super::keeper::{Claim, unavailable};
-use super::record::Record;
+use super::manager::{Claim, unavailable};
+use super::record::ClaimRecord;
 use super::writer::{Change, Held, Job, Outcome, Writer};
-use super::{Limits, Parts};
+use super::{Dependencies, Limits};
 use crate::clock::Millis;
 use crate::error::{Code, Failure};
 use crate::membership::Fleet;
@@ -44,7 +44,7 @@
     /// The service's key.
     pub key: String,
     /// What the claim would hold.
-    pub record: Record,
+    pub record: ClaimRecord,
     /// Gets the claim, or why there is none.
     pub reply: oneshot::Sender<Result<Claim, Failure>>,
 }
@@ -109,14 +109,14 @@
 /// A claim that this node saw of late.
 #[derive(Debug)]
 struct Seen {
-    record: Record,
+    record: ClaimRecord,
     at: Millis,
 }
 
 /// The actor's state.
 #[derive(Debug, Actor)]
 pub struct Desk {
-    parts: Arc<Parts>,
+    parts: Arc<Dependencies>,
     writer: Writer,
     waiting: VecDeque<Work>,
     /// Keys of the batch under way; other work on them waits for it.
@@ -131,7 +131,7 @@
 
 impl Desk {
     /// Makes the actor's state at a node's start.
-    pub fn new(parts: Arc<Parts>) -> Self {
+    pub fn new(parts: Arc<Dependencies>) -> Self {
         let writer = Writer {
             store: Arc::clone(&parts.store),
             lease: Arc::clone(&parts.lease),
@@ -202,18 +202,18 @@
     fn pause(&self) -> Millis {
         let Limits {
             writes_per_second,
-            spacing,
+            min_write_interval,
             ..
         } = self.parts.limits;
         let nodes = nodes(&self.parts.fleet.borrow());
         let fair = 1_000 * nodes / u64::from(writes_per_second.max(1));
-        spacing.max(Millis(fair))
+        min_write_interval.max(Millis(fair))
     }
 
     fn take(&mut self, take: Take) {
         if let Some(found) = self.recall(&take.key) {
             answer_taken(take, Some(found));
-        } else if self.waiting.len() >= self.parts.limits.waiting {
+        } else if self.waiting.len() >= self.parts.limits.max_waiting {
             let failure = unavailable("too many claims wait at this node");
             let _ = take.reply.send(Err(failure));
         } else {
@@ -221,13 +221,13 @@
         }
     }
 
-    fn recall(&self, key: &str) -> Option<&Record> {
+    fn recall(&self, key: &str) -> Option<&ClaimRecord> {
         let seen = self.seen.get(key)?;
         let age = self.parts.clock.now().since(seen.at);
         (age < self.parts.limits.retention).then_some(&seen.record)
     }
 
-    fn remember(&mut self, key: &str, record: Record) {
+    fn remember(&mut self, key: &str, record: ClaimRecord) {
         if self.order.len() >= REMEMBERED
             && let Some(oldest) = self.order.pop_front()
         {
@@ -320,7 +320,7 @@
     names.len() as u64
 }
 
-fn answer_taken(take: Take, found: Option<&Record>) {
+fn answer_taken(take: Take, found: Option<&ClaimRecord>) {
     let failure = match found {
         Some(found) if found.digest != take.record.digest => Failure::new(
             Code::KeyReused,
--- a/lib/src/claim/keeper.rs
+++ b/lib/src/claim/manager.rs
@@ -6,9 +6,9 @@
 use kameo::mailbox;
 use tokio::sync::oneshot;
 
-use super::Parts;
+use super::Dependencies;
 use super::desk::{Desk, Release, Take};
-use super::record::{self, Record};
+use super::record::{self, ClaimRecord};
 use crate::clock::Millis;
 use crate::error::{Code, Failure};
 use crate::name::Name;
@@ -22,15 +22,15 @@
 
 /// Takes claims.
 #[derive(Debug, Clone)]
-pub struct Keeper {
+pub struct ClaimManager {
     desk: ActorRef<Desk>,
-    parts: Arc<Parts>,
+    parts: Arc<Dependencies>,
 }
 
-impl Keeper {
+impl ClaimManager {
     /// Starts the actor; it ends when the last keeper and the last claim are gone.
     #[must_use]
-    pub fn start(parts: Parts) -> Self {
+    pub fn start(parts: Dependencies) -> Self {
         let parts = Arc::new(parts);
         let desk = Desk::new(Arc::clone(&parts));
         Self {
@@ -45,7 +45,7 @@
     ///
     /// [`Code::KeyTaken`] or [`Code::KeyReused`] when another request has it,
     /// [`Code::ClaimUnavailable`] when the service didn't say that it is this one's.
-    pub async fn take(
+    pub async fn acquire(
         &self,
         account: &str,
         key: &[u8],
@@ -55,7 +55,7 @@
         let (reply, answer) = oneshot::channel();
         let take = Take {
             key: record::path(&self.parts.prefix, account, key),
-            record: Record::new(digest, id, &self.parts.node),
+            record: ClaimRecord::new(digest, id, &self.parts.node),
             reply,
         };
         if self.desk.tell(take).try_send().is_err() {
@@ -106,12 +106,12 @@
     }
 
     /// Notes whether the request may have run; said before each try and after each failure.
-    pub fn set_spent(&mut self, spent: bool) {
+    pub fn set_may_have_run(&mut self, spent: bool) {
         self.spent = spent;
     }
 
     /// Gives the claim back if nothing was sent on it, and waits until others can see that.
-    pub async fn settle(mut self) {
+    pub async fn release_unused(mut self) {
         if self.spent {
             return;
         }
--- a/lib/src/owner/driver/mod.rs
+++ b/lib/src/owner/driver/mod.rs
@@ -15,9 +15,9 @@
 use super::health::Health;
 use super::load::Asking;
 use super::place::{End, Outcome};
-use super::registry::Parts;
+use super::registry::Dependencies;
 use super::report::Reports;
-use super::run::{Grant, Target, Waits};
+use super::run::{Grant, Target, WaitTimes};
 use super::status::{Slot, Status};
 use crate::adapter::Adapter;
 use crate::clock::Millis;
@@ -50,7 +50,7 @@
 /// The state of one owned upstream.
 #[derive(Debug)]
 pub(super) struct Driver {
-    parts: Parts,
+    parts: Dependencies,
     args: Args,
     target: Target,
     machine: Machine,
@@ -73,7 +73,7 @@
 impl Driver {
     /// Starts with what the engine will report.
     pub(super) fn new(
-        parts: Parts,
+        parts: Dependencies,
         args: Args,
         events: mpsc::UnboundedSender<Event>,
         status: watch::Sender<Status>,
@@ -86,7 +86,7 @@
         let machine = Machine::new(limits(&parts, &args));
         let reports = Reports::start(&target, &parts, events.clone());
         let mut driver = Self {
-            health: Health::new(parts.limits.failures),
+            health: Health::new(parts.limits.failure_threshold),
             parts,
             args,
             target,
@@ -201,8 +201,8 @@
 
     /// Refuses what waits for something that its template no longer names.
     fn refuse_outdated(&mut self) {
-        let decisions = Arc::clone(&self.parts.decisions);
-        self.refuse_waiting_if(&outdated(), |ticket| !decisions.holds(ticket));
+        let routing = Arc::clone(&self.parts.routing);
+        self.refuse_waiting_if(&outdated(), |ticket| !routing.is_current(ticket));
     }
 
     /// Takes news from a task.
@@ -345,7 +345,7 @@
             return self.machine.finished(id, self.parts.clock.now());
         }
         // It may have waited for longer than changes take to be in force.
-        if !self.parts.decisions.holds(&entry.ticket) {
+        if !self.parts.routing.is_current(&entry.ticket) {
             let _ = reply.send(Err(outdated()));
             self.entries.remove(id);
             return self.machine.finished(id, self.parts.clock.now());
@@ -354,7 +354,7 @@
         let grant = Grant {
             target: self.target.clone(),
             hold: self.args.hold.clone(),
-            waits: Waits { queued, load },
+            waits: WaitTimes { queued, load },
         };
         if reply.send(Ok(grant)).is_ok() {
             return Vec::new();
@@ -430,7 +430,7 @@
     }
 }
 
-fn limits(parts: &Parts, args: &Args) -> Limits {
+fn limits(parts: &Dependencies, args: &Args) -> Limits {
     let slots = match args.pool.kind {
         Kind::Engine { slots, .. } => Some(slots),
         Kind::Service => None,
--- a/lib/src/owner/registry.rs
+++ b/lib/src/owner/registry.rs
@@ -34,7 +34,7 @@
 
 /// What the registry works with.
 #[derive(Debug, Clone)]
-pub struct Parts {
+pub struct Dependencies {
     /// Makes clients for upstreams.
     pub connector: Arc<dyn Connector>,
     /// Gives leave to load.
@@ -42,7 +42,7 @@
     /// Learns how owned upstreams are, so that membership can hold one out.
     pub detector: Option<Arc<dyn Detector>>,
     /// Tells whether what waits is still wanted as it was decided.
-    pub decisions: Arc<dyn Decisions>,
+    pub routing: Arc<dyn RoutingCheck>,
     /// The node's clock.
     pub clock: Arc<dyn Clock>,
     /// The node's metrics.
@@ -52,11 +52,11 @@
 }
 
 /// The configuration, as far as it decides about requests that wait.
-pub trait Decisions: fmt::Debug + Send + Sync {
+pub trait RoutingCheck: fmt::Debug + Send + Sync {
     /// Whether the configuration in force decides a request as its ticket says.
     ///
     /// An entry node that knows a newer one than this node decided on that.
-    fn holds(&self, ticket: &Ticket) -> bool;
+    fn is_current(&self, ticket: &Ticket) -> bool;
 }
 
 /// One upstream's actor and the ways to it.
@@ -76,7 +76,7 @@
 /// All upstreams that this node owns.
 #[derive(Debug)]
 pub struct Registry {
-    parts: Parts,
+    parts: Dependencies,
     owned: RwLock<HashMap<Name, Arc<Handle>>>,
     serial: AtomicU64,
     /// Every request that has a place, whatever has become of the ownership.
@@ -86,7 +86,7 @@
 impl Registry {
     /// Starts with no upstream.
     #[must_use]
-    pub fn start(parts: Parts) -> Arc<Self> {
+    pub fn start(parts: Dependencies) -> Arc<Self> {
         Arc::new(Self {
             parts,
             owned: RwLock::default(),
@@ -101,7 +101,7 @@
     /// when an earlier one lapsed, or outlasted its release, still runs here and
     /// its caller reads it; a node that stopped without a look at those would cut
     /// them off.
-    pub async fn ended(&self) {
+    pub async fn wait_until_idle(&self) {
         // Closing lets the wait end; places are still made and counted.
         self.places.close();
         self.places.wait().await;
@@ -168,7 +168,7 @@
                 heard,
                 status,
             ),
-            mailbox::bounded(self.parts.limits.mailbox),
+            mailbox::bounded(self.parts.limits.mailbox_capacity),
         );
         Handle {
             actor,
--- a/lib/src/owner/run.rs
+++ b/lib/src/owner/run.rs
@@ -14,7 +14,7 @@
 use super::events::Events;
 use super::place::{Outcome, Place};
 
-use super::registry::Parts;
+use super::registry::Dependencies;
 use crate::adapter::Adapter;
 use crate::clock::Millis;
 use crate::error::{Code, Failure};
@@ -28,7 +28,7 @@
 
 /// How long a request waited at its upstream's owner; an answer's extensions carry it.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Waits {
+pub struct WaitTimes {
     /// In the queue, the load included.
     pub queued: Millis,
     /// For its adapter's load.
@@ -49,7 +49,7 @@
 pub(super) struct Grant {
     pub(super) target: Target,
     pub(super) hold: Hold,
-    pub(super) waits: Waits,
+    pub(super) waits: WaitTimes,
 }
 
 /// A request made ready for its upstream, before it queues for a place.
@@ -95,7 +95,7 @@
         self,
         place: Place,
         grant: Grant,
-        parts: &Parts,
+        parts: &Dependencies,
     ) -> Result<Answer, Failure> {
         let left = self.deadline.since(parts.clock.now());
         let running = Running {
@@ -189,7 +189,7 @@
 struct Running<'a> {
     place: Place,
     deadline: Instant,
-    parts: &'a Parts,
+    parts: &'a Dependencies,
 }
 
 impl Running<'_> {
@@ -264,7 +264,7 @@
     /// wasn't whole, or wasn't its own.
     async fn whole(self, answer: Answer, check: &Check) -> Result<Answer, Failure> {
         let Answer { mut head, mut body } = answer;
-        let limit = self.parts.limits.answer_bytes;
+        let limit = self.parts.limits.max_response_bytes;
         let read = read(&mut body, limit, length(&head));
         let read = tokio::time::timeout_at(self.deadline, read)
             .await
