--- a/lib/src/membership/keeper/mod.rs
+++ b/lib/src/membership/keeper/mod.rs
@@ -27,7 +27,7 @@
 use crate::membership::node::{Identity, Keys};
 use crate::membership::upstreams::{Upstreams, Verdict};
 use crate::membership::witness::{Ask, Vote};
-use crate::membership::{Adopter, Detector, Hold, Relay, Renewal};
+use crate::membership::{Adopter, Detector, UpstreamOwnership, Relay, Renewal};
 use crate::metrics::Metrics;
 use crate::name::Name;
 use crate::ports::{Directory, Error, Lease, Store, Vm, Watch};
@@ -99,7 +99,7 @@
 /// What the adopter is told, in order.
 #[derive(Debug)]
 enum Adoption {
-    Adopt(fleet::Upstream, Arc<Pool>, Hold),
+    Adopt(fleet::Upstream, Arc<Pool>, UpstreamOwnership),
     Release(u64, Name, Millis),
 }
 
@@ -215,8 +215,8 @@
                 token,
                 until,
             } => {
-                let hold = Hold::new(token, until, Arc::clone(&self.parts.clock));
-                self.adopt(core, now, &upstream, hold);
+                let ownership = UpstreamOwnership::new(token, until, Arc::clone(&self.parts.clock));
+                self.adopt(core, now, &upstream, ownership);
             }
             Action::Call(number, Call::Release(upstream, limit)) => {
                 self.send(Adoption::Release(number, upstream, limit));
@@ -302,8 +302,8 @@
     async fn tell_adopter(self: Arc<Self>, mut queue: mpsc::UnboundedReceiver<Adoption>) {
         while let Some(adoption) = queue.recv().await {
             match adoption {
-                Adoption::Adopt(upstream, pool, hold) => {
-                    self.parts.adopter.adopt(upstream, pool, hold).await;
+                Adoption::Adopt(upstream, pool, ownership) => {
+                    self.parts.adopter.adopt(upstream, pool, ownership).await;
                 }
                 Adoption::Release(number, upstream, limit) if limit == Millis::ZERO => {
                     self.parts.adopter.release(&upstream, limit).await;
--- a/lib/src/membership/keeper/publish.rs
+++ b/lib/src/membership/keeper/publish.rs
@@ -9,20 +9,20 @@
 use crate::clock::Millis;
 use crate::declaration::{Kind, Pool};
 use crate::loads::WEIGHTS;
-use crate::membership::Hold;
+use crate::membership::UpstreamOwnership;
 use crate::membership::fleet::{self, Fleet, State};
 use crate::name::Name;
 use crate::ports::Vm;
 
 impl Keeper {
-    pub(super) fn adopt(&self, core: &mut Core, now: Millis, upstream: &Name, hold: Hold) {
+    pub(super) fn adopt(&self, core: &mut Core, now: Millis, upstream: &Name, ownership: UpstreamOwnership) {
         let Some((found, pool)) = self.describe(core, now, upstream) else {
             core.adopted.remove(upstream);
             return;
         };
-        let mark = (found.state, hold.token());
+        let mark = (found.state, ownership.token());
         core.adopted.insert(upstream.clone(), mark);
-        self.send(Adoption::Adopt(found, pool, hold));
+        self.send(Adoption::Adopt(found, pool, ownership));
     }
 
     fn describe(
@@ -101,20 +101,20 @@
     }
 
     fn readopt(&self, core: &mut Core, now: Millis) {
-        let held: Vec<(Name, Hold)> = core
+        let held: Vec<(Name, UpstreamOwnership)> = core
             .machine
             .holds(&self.parts.clock)
-            .map(|(name, hold)| (name.clone(), hold))
+            .map(|(name, ownership)| (name.clone(), ownership))
             .collect();
-        for (upstream, hold) in held {
+        for (upstream, ownership) in held {
             let state = core.upstreams.get(now, &upstream).map(|found| found.state);
             let told = core.adopted.get(&upstream).copied();
             let changed = match told {
-                Some((told, token)) => token != hold.token() || state.is_some_and(|s| s != told),
+                Some((told, token)) => token != ownership.token() || state.is_some_and(|s| s != told),
                 None => true,
             };
             if changed {
-                self.adopt(core, now, &upstream, hold);
+                self.adopt(core, now, &upstream, ownership);
             }
         }
     }
--- a/lib/src/membership/machine/mod.rs
+++ b/lib/src/membership/machine/mod.rs
@@ -22,7 +22,7 @@
 use rand_pcg::Pcg64Mcg;
 
 use crate::clock::{Clock, Millis};
-use crate::membership::Hold;
+use crate::membership::UpstreamOwnership;
 use crate::membership::guard::{Guard, Guards};
 use crate::membership::limits::Limits;
 use crate::membership::node::{Identity, Keys};
@@ -317,10 +317,10 @@
     pub fn holds<'a>(
         &'a self,
         clock: &'a Arc<dyn Clock>,
-    ) -> impl Iterator<Item = (&'a Name, Hold)> + 'a {
+    ) -> impl Iterator<Item = (&'a Name, UpstreamOwnership)> + 'a {
         self.holds.iter().map(|(name, held)| {
             let until = Arc::clone(&held.until);
-            (name, Hold::new(held.token, until, Arc::clone(clock)))
+            (name, UpstreamOwnership::new(held.token, until, Arc::clone(clock)))
         })
     }
 
--- a/lib/src/membership/mod.rs
+++ b/lib/src/membership/mod.rs
@@ -2,7 +2,7 @@
 
 pub mod fleet;
 pub mod guard;
-pub mod hold;
+pub mod ownership;
 pub mod keeper;
 pub mod last_seen;
 pub mod limits;
@@ -15,7 +15,7 @@
 pub mod witness;
 
 pub use fleet::Fleet;
-pub use hold::Hold;
+pub use ownership::UpstreamOwnership;
 pub use keeper::{Keeper, Parts};
 pub use limits::Limits;
 pub use node::Identity;
@@ -34,7 +34,7 @@
 #[async_trait]
 pub trait Adopter: fmt::Debug + Send + Sync {
     /// Starts to serve an upstream under a hold. Adopting again replaces the hold or the pool.
-    async fn adopt(&self, upstream: fleet::Upstream, pool: Arc<Pool>, hold: Hold);
+    async fn adopt(&self, upstream: fleet::Upstream, pool: Arc<Pool>, ownership: UpstreamOwnership);
 
     /// Stops to serve an upstream: waiting requests end as not run, running ones finish.
     ///
--- a/lib/src/membership/hold.rs
+++ b/lib/src/membership/ownership.rs
@@ -14,13 +14,13 @@
 /// the clock again just before each order bounds the window to one system call;
 /// the fencing token closes it for upstreams that check tokens.
 #[derive(Debug, Clone)]
-pub struct Hold {
+pub struct UpstreamOwnership {
     token: u64,
     until: Arc<AtomicU64>,
     clock: Arc<dyn Clock>,
 }
 
-impl Hold {
+impl UpstreamOwnership {
     /// Makes a hold whose bound the node's lease keeper moves through `until`.
     #[must_use]
     pub fn new(token: u64, until: Arc<AtomicU64>, clock: Arc<dyn Clock>) -> Self {
@@ -48,7 +48,7 @@
     /// # Errors
     ///
     /// [`Code::NotOwner`] when the bound has passed.
-    pub fn check(&self) -> Result<Fence, Failure> {
+    pub fn fence(&self) -> Result<Fence, Failure> {
         if self.clock.now() < self.until() {
             return Ok(Fence { token: self.token });
         }
--- a/lib/src/owner/actor.rs
+++ b/lib/src/owner/actor.rs
@@ -20,7 +20,7 @@
 use crate::adapter::Adapter;
 use crate::declaration::{Kind, Pool};
 use crate::error::Failure;
-use crate::membership::{Hold, fleet};
+use crate::membership::{UpstreamOwnership, fleet};
 use crate::request::{Id, Ticket};
 use crate::runner::Share;
 
@@ -29,13 +29,13 @@
 pub(super) struct Args {
     pub(super) upstream: fleet::Upstream,
     pub(super) pool: Arc<Pool>,
-    pub(super) hold: Hold,
+    pub(super) ownership: UpstreamOwnership,
 }
 
 impl Args {
     /// Whether `next` is the same ownership of the same upstream.
     pub(super) fn continues(&self, next: &Self) -> bool {
-        self.hold.token() == next.hold.token()
+        self.ownership.token() == next.ownership.token()
             && self.upstream.vm.address == next.upstream.vm.address
             && base_model(&self.pool) == base_model(&next.pool)
     }
--- a/lib/src/owner/driver/load.rs
+++ b/lib/src/owner/driver/load.rs
@@ -67,7 +67,7 @@
             adapter,
             evict,
             engine,
-            hold: self.args.hold.clone(),
+            ownership: self.args.ownership.clone(),
             timeout: self.parts.limits.load_timeout,
             clock: self.parts.clock.clone(),
             metrics: self.parts.metrics.clone(),
--- a/lib/src/owner/driver/mod.rs
+++ b/lib/src/owner/driver/mod.rs
@@ -249,7 +249,7 @@
             let detail = "the upstream can't be reached";
             return Err(failure(Code::ConnectFailed, detail).retry_after(left));
         }
-        self.args.hold.check().map(|_| ())
+        self.args.ownership.fence().map(|_| ())
     }
 
     fn arrive(&mut self, early: Early) {
@@ -339,7 +339,7 @@
         let Some(reply) = entry.reply.take() else {
             return Vec::new();
         };
-        if let Err(failure) = self.args.hold.check() {
+        if let Err(failure) = self.args.ownership.fence() {
             let _ = reply.send(Err(failure));
             self.entries.remove(id);
             return self.machine.finished(id, self.parts.clock.now());
@@ -353,7 +353,7 @@
         self.parts.metrics.waited(entry.ticket.class, queued, load);
         let grant = Grant {
             target: self.target.clone(),
-            hold: self.args.hold.clone(),
+            ownership: self.args.ownership.clone(),
             waits: Waits { queued, load },
         };
         if reply.send(Ok(grant)).is_ok() {
@@ -414,8 +414,8 @@
         self.status.send_replace(Status {
             upstream: self.name().clone(),
             pool: self.args.pool.name.clone(),
-            token: self.args.hold.token(),
-            held: self.args.hold.check().is_ok(),
+            token: self.args.ownership.token(),
+            held: self.args.ownership.fence().is_ok(),
             failing: self.health.held(now).is_some(),
             leaving: self.releasing || self.args.upstream.state == State::Leaving,
             running: seen.running,
--- a/lib/src/owner/load.rs
+++ b/lib/src/owner/load.rs
@@ -10,7 +10,7 @@
 use crate::clock::{Clock, Millis};
 use crate::error::{Code, Failure};
 use crate::loads::{Ask, Permit, Permits};
-use crate::membership::Hold;
+use crate::membership::UpstreamOwnership;
 use crate::metrics::Metrics;
 use crate::ports::Engine;
 
@@ -77,7 +77,7 @@
     /// The engine.
     pub(super) engine: Arc<dyn Engine>,
     /// The right to give it orders.
-    pub(super) hold: Hold,
+    pub(super) ownership: UpstreamOwnership,
     /// Longest time of one order.
     pub(super) timeout: Millis,
     /// The clock that times the load.
@@ -107,11 +107,11 @@
 
     async fn run(&self) -> Result<(), Failure> {
         if let Some(evict) = &self.evict {
-            let fence = self.hold.check()?;
+            let fence = self.ownership.fence()?;
             self.timed(self.engine.unload(evict, fence)).await?;
             self.metrics.evictions.inc();
         }
-        let fence = self.hold.check()?;
+        let fence = self.ownership.fence()?;
         self.timed(self.engine.load(&self.adapter, fence)).await
     }
 
--- a/lib/src/owner/registry.rs
+++ b/lib/src/owner/registry.rs
@@ -22,7 +22,7 @@
 use crate::declaration::Pool;
 use crate::error::{Code, Failure};
 use crate::loads::{Permits, WEIGHTS};
-use crate::membership::{Adopter, Detector, Hold, fleet};
+use crate::membership::{Adopter, Detector, UpstreamOwnership, fleet};
 use crate::metrics::Metrics;
 use crate::name::Name;
 use crate::ports::{Answer, Connector};
@@ -243,7 +243,7 @@
 
 #[async_trait]
 impl Adopter for Registry {
-    async fn adopt(&self, upstream: fleet::Upstream, pool: Arc<Pool>, hold: Hold) {
+    async fn adopt(&self, upstream: fleet::Upstream, pool: Arc<Pool>, ownership: UpstreamOwnership) {
         let name = Arc::clone(&upstream.vm.name);
         // The weight store's queue is owned like an upstream, but nothing runs there.
         if &*name == WEIGHTS {
@@ -252,7 +252,7 @@
         let args = Args {
             upstream,
             pool,
-            hold,
+            ownership,
         };
         if let Some(handle) = self.find(&name) {
             if handle.args.continues(&args) {
@@ -267,7 +267,7 @@
             self.remove(&name);
             let _ = handle.actor.tell(Release { done: None }).send().await;
         }
-        log::info!("owner: took over {name} with token {}", args.hold.token());
+        log::info!("owner: took over {name} with token {}", args.ownership.token());
         self.insert(args);
     }
 
--- a/lib/src/owner/run.rs
+++ b/lib/src/owner/run.rs
@@ -18,7 +18,7 @@
 use crate::adapter::Adapter;
 use crate::clock::Millis;
 use crate::error::{Code, Failure};
-use crate::membership::Hold;
+use crate::membership::UpstreamOwnership;
 use crate::ports::{Answer, Call, Engine, Service};
 use crate::request::{Id, Ticket};
 use crate::runner::{Attempt, Work};
@@ -48,7 +48,7 @@
 #[derive(Debug)]
 pub(super) struct Grant {
     pub(super) target: Target,
-    pub(super) hold: Hold,
+    pub(super) ownership: UpstreamOwnership,
     pub(super) waits: Waits,
 }
 
@@ -112,12 +112,12 @@
                 },
                 Target::Engine(engine),
             ) => {
-                let call = completion(&*engine, *call, &grant.hold);
+                let call = completion(&*engine, *call, &grant.ownership);
                 running.completed(call, check, stream).await?
             }
             (Content::Call { head, body }, Target::Service(service)) => {
                 let bodiless = head.method == Method::HEAD;
-                let call = passed(&*service, *head, body, &grant.hold);
+                let call = passed(&*service, *head, body, &grant.ownership);
                 running.called(call, bodiless).await?
             }
             (_, _) => {
@@ -168,8 +168,8 @@
 }
 
 /// Checks the hold and sends a completion, with nothing between the two.
-async fn completion(engine: &dyn Engine, call: Call, hold: &Hold) -> Result<Answer, Failure> {
-    let fence = hold.check()?;
+async fn completion(engine: &dyn Engine, call: Call, ownership: &UpstreamOwnership) -> Result<Answer, Failure> {
+    let fence = ownership.fence()?;
     engine.run(call, fence).await
 }
 
@@ -178,9 +178,9 @@
     service: &dyn Service,
     head: http::request::Parts,
     body: Bytes,
-    hold: &Hold,
+    ownership: &UpstreamOwnership,
 ) -> Result<Answer, Failure> {
-    hold.check()?;
+    ownership.fence()?;
     service.call(head, body).await
 }
 
--- a/lib/tests/owner_fakes/mod.rs
+++ b/lib/tests/owner_fakes/mod.rs
@@ -14,7 +14,7 @@
 use chivevalve::error::{Code, Failure};
 use chivevalve::loads::{Ask, Permit, Permits};
 use chivevalve::membership::fleet::{State, Upstream};
-use chivevalve::membership::{Adopter, Detector, Hold};
+use chivevalve::membership::{Adopter, Detector, UpstreamOwnership};
 use chivevalve::metrics::Metrics;
 use chivevalve::owner::{Decisions, Limits, Parts, Registry};
 use chivevalve::ports::{Answer, Call, Connector, Engine, Fence, Report, Service, Vm};
@@ -442,7 +442,7 @@
             batch,
             checks_fencing: false,
         };
-        let hold = Hold::new(token, Arc::clone(&self.until), Arc::clone(&self.clock));
+        let ownership = UpstreamOwnership::new(token, Arc::clone(&self.until), Arc::clone(&self.clock));
         let upstream = Upstream {
             vm: Vm {
                 name: "engine-1".into(),
@@ -454,7 +454,7 @@
             },
             state: State::Usable,
         };
-        self.registry.adopt(upstream, Arc::new(pool), hold).await;
+        self.registry.adopt(upstream, Arc::new(pool), ownership).await;
     }
 
     /// Lets the hold lapse now.
