--- a/bench/src/fuzz_outcomes/harness/world.rs
+++ b/bench/src/fuzz_outcomes/harness/world.rs
@@ -13,7 +13,7 @@
 use chivevalve::clock::Millis;
 use chivevalve::error::Failure;
 use chivevalve::membership::guard::Guards;
-use chivevalve::membership::machine::{Answer, Call, Machine};
+use chivevalve::membership::machine::{CallResult, Call, Machine};
 use chivevalve::membership::node::{Claim, Identity};
 use chivevalve::membership::upstreams::Upstreams;
 use chivevalve::membership::witness;
@@ -45,7 +45,7 @@
 #[derive(Debug, Clone)]
 pub(super) enum Arrival {
     Tick,
-    Answer(u64, Answer),
+    Answer(u64, CallResult),
     Seen(Event),
     Asked {
         from: usize,
@@ -366,15 +366,15 @@
     format!("service {}: {} {what}", event.revision, event.key)
 }
 
-fn failed(call: &Call, error: Error) -> Answer {
+fn failed(call: &Call, error: Error) -> CallResult {
     match call {
-        Call::Grant(_) => Answer::Granted(Err(error)),
-        Call::Renew(_) => Answer::Renewed(Err(error)),
-        Call::Revoke(_) => Answer::Revoked,
-        Call::Commit(_) => Answer::Committed(Err(error)),
-        Call::Read(_) => Answer::Read(Err(error)),
-        Call::List => Answer::Listed(Err(error)),
-        Call::Ask(..) => Answer::Voted(None),
-        Call::Release(..) => Answer::Released,
+        Call::Grant(_) => CallResult::Granted(Err(error)),
+        Call::Renew(_) => CallResult::Renewed(Err(error)),
+        Call::Revoke(_) => CallResult::Revoked,
+        Call::Commit(_) => CallResult::Committed(Err(error)),
+        Call::Read(_) => CallResult::Read(Err(error)),
+        Call::List => CallResult::Listed(Err(error)),
+        Call::RequestVote(..) => CallResult::Vote(None),
+        Call::Release(..) => CallResult::Released,
     }
 }
--- a/bench/src/fuzz_outcomes/harness/world/calls.rs
+++ b/bench/src/fuzz_outcomes/harness/world/calls.rs
@@ -4,7 +4,7 @@
 
 use chivevalve::clock::Millis;
 use chivevalve::error::Code;
-use chivevalve::membership::machine::{Action, Answer, Call};
+use chivevalve::membership::machine::{Action, CallResult, Call};
 use chivevalve::membership::node::Claim;
 use chivevalve::membership::{Limits, witness};
 use chivevalve::name::Name;
@@ -18,7 +18,7 @@
 impl World {
     pub(super) fn carry_out(&mut self, index: usize, action: Action) {
         match action {
-            Action::Note(note) => {
+            Action::RecordEvent(note) => {
                 *self.notes.entry(note).or_default() += 1;
                 self.tell(|| format!("n{index} notes {note}"));
             }
@@ -41,7 +41,7 @@
             Action::Call(number, Call::Release(upstream, limit)) => {
                 self.release(index, number, upstream, limit);
             }
-            Action::Call(number, Call::Ask(address, ask)) => {
+            Action::Call(number, Call::RequestVote(address, ask)) => {
                 self.ask(index, number, address, ask);
             }
             Action::Call(number, call) => self.send(index, number, call),
@@ -71,7 +71,7 @@
             .nodes
             .iter()
             .position(|node| node.identity.peer == address);
-        self.time_out(from, start, number, Answer::Voted(None));
+        self.time_out(from, start, number, CallResult::Vote(None));
         let Some(to) = to else {
             return;
         };
@@ -88,7 +88,7 @@
         }
     }
 
-    pub(super) fn time_out(&mut self, node: usize, start: u64, number: u64, answer: Answer) {
+    pub(super) fn time_out(&mut self, node: usize, start: u64, number: u64, answer: CallResult) {
         let limit = Limits::default().call_timeout.0;
         self.later(
             limit,
@@ -142,11 +142,11 @@
             _ => None,
         };
         let answer = match call {
-            Call::Grant(span) => Answer::Granted(Ok(self.service.grant(now, *span))),
-            Call::Renew(lease) => Answer::Renewed(Ok(self.service.renew(now, *lease))),
+            Call::Grant(span) => CallResult::Granted(Ok(self.service.grant(now, *span))),
+            Call::Renew(lease) => CallResult::Renewed(Ok(self.service.renew(now, *lease))),
             Call::Revoke(lease) => {
                 self.service.revoke(*lease);
-                Answer::Revoked
+                CallResult::Revoked
             }
             Call::Commit(transaction) => {
                 let commit = self.service.commit(now, transaction);
@@ -155,11 +155,11 @@
                 {
                     self.check_handover(node, start, &upstream);
                 }
-                Answer::Committed(commit)
+                CallResult::Committed(commit)
             }
-            Call::Read(key) => Answer::Read(Ok(self.service.get(key))),
-            Call::List => Answer::Listed(Ok(self.list())),
-            Call::Ask(..) | Call::Release(..) => return,
+            Call::Read(key) => CallResult::Read(Ok(self.service.get(key))),
+            Call::List => CallResult::Listed(Ok(self.list())),
+            Call::RequestVote(..) | Call::Release(..) => return,
         };
         if answered && self.service_reachable(node) {
             let delay = self.slow_delay();
--- a/bench/src/fuzz_outcomes/harness/world/events.rs
+++ b/bench/src/fuzz_outcomes/harness/world/events.rs
@@ -1,7 +1,7 @@
 //! What arrives at nodes, and what they make of it.
 
 use chivevalve::clock::Millis;
-use chivevalve::membership::machine::{Answer, Machine};
+use chivevalve::membership::machine::{CallResult, Machine};
 use chivevalve::membership::witness;
 use chivevalve::name::Name;
 
@@ -107,7 +107,7 @@
                     served.remove(&upstream);
                 }
                 self.on_machine(index, |machine, now| {
-                    machine.answer(now, number, Answer::Released);
+                    machine.answer(now, number, CallResult::Released);
                 });
             }
         }
@@ -117,7 +117,7 @@
         match arrival {
             Arrival::Answer(
                 number,
-                answer @ (Answer::Voted(_) | Answer::Committed(_) | Answer::Renewed(_)),
+                answer @ (CallResult::Vote(_) | CallResult::Committed(_) | CallResult::Renewed(_)),
             ) => {
                 self.tell(|| format!("n{index} call {number}: {answer:?}"));
             }
@@ -155,7 +155,7 @@
         }
         if self.connected(index, from) && !self.lost() {
             let delay = self.slow_delay();
-            let answer = Arrival::Answer(number, Answer::Voted(Some(vote)));
+            let answer = Arrival::Answer(number, CallResult::Vote(Some(vote)));
             self.later(delay, Due::Node(from, start, answer));
         }
     }
--- a/lib/src/membership/keeper/mod.rs
+++ b/lib/src/membership/keeper/mod.rs
@@ -23,7 +23,7 @@
 use crate::membership::guard::Guards;
 use crate::membership::last_seen::LastSeen;
 use crate::membership::limits::Limits;
-use crate::membership::machine::{Action, Answer, Call, Machine};
+use crate::membership::machine::{Action, CallResult, Call, Machine};
 use crate::membership::node::{Identity, Keys};
 use crate::membership::upstreams::{Upstreams, Verdict};
 use crate::membership::witness::{Ask, Vote};
@@ -209,7 +209,7 @@
 
     fn carry_out(self: &Arc<Self>, core: &mut Core, now: Millis, action: Action) {
         match action {
-            Action::Note(event) => self.note(event),
+            Action::RecordEvent(event) => self.note(event),
             Action::Adopt {
                 upstream,
                 token,
@@ -243,7 +243,7 @@
         info!("membership: {event}");
     }
 
-    async fn make(&self, call: Call) -> Answer {
+    async fn make(&self, call: Call) -> CallResult {
         let limit = self.parts.limits.call_timeout.duration();
         let lost = || Error::NoAnswer("no answer in time".to_owned());
         let Parts {
@@ -253,12 +253,12 @@
             ..
         } = &self.parts;
         match call {
-            Call::Grant(span) => Answer::Granted(
+            Call::Grant(span) => CallResult::Granted(
                 timeout(limit, lease.grant(span))
                     .await
                     .unwrap_or_else(|_| Err(lost())),
             ),
-            Call::Renew(id) => Answer::Renewed(
+            Call::Renew(id) => CallResult::Renewed(
                 timeout(limit, lease.renew(id))
                     .await
                     .unwrap_or_else(|_| Err(lost())),
@@ -267,28 +267,28 @@
                 if !matches!(timeout(limit, lease.revoke(id)).await, Ok(Ok(()))) {
                     warn!("membership: the lease ends by its time, as revoking it failed");
                 }
-                Answer::Revoked
+                CallResult::Revoked
             }
-            Call::Commit(transaction) => Answer::Committed(
+            Call::Commit(transaction) => CallResult::Committed(
                 timeout(limit, store.commit(transaction))
                     .await
                     .unwrap_or_else(|_| Err(lost())),
             ),
-            Call::Read(key) => Answer::Read(
+            Call::Read(key) => CallResult::Read(
                 timeout(limit, store.get(&key))
                     .await
                     .unwrap_or_else(|_| Err(lost())),
             ),
-            Call::List => Answer::Listed(
+            Call::List => CallResult::Listed(
                 timeout(limit, store.list(self.keys.prefix()))
                     .await
                     .unwrap_or_else(|_| Err(lost())),
             ),
-            Call::Ask(peer, ask) => {
+            Call::RequestVote(peer, ask) => {
                 let vote = timeout(limit, relay.renew(peer, ask)).await;
-                Answer::Voted(vote.ok().flatten())
+                CallResult::Vote(vote.ok().flatten())
             }
-            Call::Release(..) => Answer::Released,
+            Call::Release(..) => CallResult::Released,
         }
     }
 
@@ -322,7 +322,7 @@
     }
 
     fn released(self: &Arc<Self>, number: u64) {
-        self.step(|core, now| core.machine.answer(now, number, Answer::Released));
+        self.step(|core, now| core.machine.answer(now, number, CallResult::Released));
     }
 
     async fn read_directory(self: Arc<Self>) {
--- a/lib/src/membership/machine/call.rs
+++ b/lib/src/membership/machine/call.rs
@@ -25,14 +25,14 @@
     /// Reads all keys of membership.
     List,
     /// Asks a peer as a witness.
-    Ask(SocketAddr, Ask),
+    RequestVote(SocketAddr, Ask),
     /// Stops serving an upstream and waits for what runs.
     Release(Name, Millis),
 }
 
 /// What a call brought.
 #[derive(Debug, Clone)]
-pub enum Answer {
+pub enum CallResult {
     /// Of [`Call::Grant`].
     Granted(Result<LeaseId, Error>),
     /// Of [`Call::Renew`].
@@ -45,8 +45,8 @@
     Read(Result<Option<Entry>, Error>),
     /// Of [`Call::List`].
     Listed(Result<Listing, Error>),
-    /// Of [`Call::Ask`]; none when no answer came in time.
-    Voted(Option<Vote>),
+    /// Of [`Call::RequestVote`]; none when no answer came in time.
+    Vote(Option<Vote>),
     /// Of [`Call::Release`].
     Released,
 }
@@ -66,7 +66,7 @@
         until: Arc<AtomicU64>,
     },
     /// Something rare that operators should be able to count.
-    Note(&'static str),
+    RecordEvent(&'static str),
 }
 
 /// What a call was made for.
--- a/lib/src/membership/machine/mod.rs
+++ b/lib/src/membership/machine/mod.rs
@@ -31,7 +31,7 @@
 use crate::membership::witness::{Ask, Vote, Witness};
 use crate::name::Name;
 
-pub use call::{Action, Answer, Call};
+pub use call::{Action, CallResult, Call};
 use call::{Pending, Purpose};
 use claims::Busy;
 use lease::{Joining, Session};
@@ -174,28 +174,28 @@
     }
 
     /// Takes the answer of a call.
-    pub fn answer(&mut self, now: Millis, call: u64, answer: Answer) {
+    pub fn answer(&mut self, now: Millis, call: u64, answer: CallResult) {
         self.check_lapse(now);
         let Some(Pending { purpose, sent }) = self.pending.remove(&call) else {
             return;
         };
         self.note_service(now, &answer);
         match (purpose, answer) {
-            (Purpose::Grant, Answer::Granted(result)) => self.granted(now, sent, &result),
-            (Purpose::Register, Answer::Committed(result)) => self.registered(now, &result),
-            (Purpose::SettleRegister, Answer::Read(result)) => self.settled(now, result),
-            (Purpose::Renew(lease), Answer::Renewed(result)) => {
+            (Purpose::Grant, CallResult::Granted(result)) => self.granted(now, sent, &result),
+            (Purpose::Register, CallResult::Committed(result)) => self.registered(now, &result),
+            (Purpose::SettleRegister, CallResult::Read(result)) => self.settled(now, result),
+            (Purpose::Renew(lease), CallResult::Renewed(result)) => {
                 self.renewed(now, sent, lease, &result);
             }
-            (Purpose::List, Answer::Listed(result)) => self.listed(now, sent, result),
-            (Purpose::Claim(upstream), Answer::Committed(result)) => {
+            (Purpose::List, CallResult::Listed(result)) => self.listed(now, sent, result),
+            (Purpose::Claim(upstream), CallResult::Committed(result)) => {
                 self.claimed(now, &upstream, &result);
             }
-            (Purpose::SettleClaim(upstream), Answer::Read(result)) => {
+            (Purpose::SettleClaim(upstream), CallResult::Read(result)) => {
                 self.claim_read(now, &upstream, result);
             }
-            (Purpose::Release(upstream), Answer::Released) => self.released(now, &upstream),
-            (Purpose::Support { round, witness }, Answer::Voted(vote)) => {
+            (Purpose::Release(upstream), CallResult::Released) => self.released(now, &upstream),
+            (Purpose::Support { round, witness }, CallResult::Vote(vote)) => {
                 self.supported(now, round, witness, vote);
             }
             (
@@ -204,7 +204,7 @@
                     round,
                     witness,
                 },
-                Answer::Voted(vote),
+                CallResult::Vote(vote),
             ) => {
                 self.withdrawn(now, &start, round, witness, vote);
             }
@@ -343,7 +343,7 @@
     }
 
     fn note(&mut self, event: &'static str) {
-        self.actions.push(Action::Note(event));
+        self.actions.push(Action::RecordEvent(event));
     }
 
     // Spreads what many nodes would else do at the same time.
@@ -352,14 +352,14 @@
         Millis(span.0 - quarter + self.rng.random_range(0..=2 * quarter))
     }
 
-    fn note_service(&mut self, now: Millis, answer: &Answer) {
+    fn note_service(&mut self, now: Millis, answer: &CallResult) {
         let reached = match answer {
-            Answer::Granted(result) => result.is_ok(),
-            Answer::Renewed(result) => result.is_ok(),
-            Answer::Committed(result) => result.is_ok(),
-            Answer::Read(result) => result.is_ok(),
-            Answer::Listed(result) => result.is_ok(),
-            Answer::Revoked | Answer::Voted(_) | Answer::Released => false,
+            CallResult::Granted(result) => result.is_ok(),
+            CallResult::Renewed(result) => result.is_ok(),
+            CallResult::Committed(result) => result.is_ok(),
+            CallResult::Read(result) => result.is_ok(),
+            CallResult::Listed(result) => result.is_ok(),
+            CallResult::Revoked | CallResult::Vote(_) | CallResult::Released => false,
         };
         if reached {
             self.last_service = Some(now);
--- a/lib/src/membership/machine/support.rs
+++ b/lib/src/membership/machine/support.rs
@@ -92,7 +92,7 @@
             .record(witness)
             .map(|record| record.identity.peer);
         if let Some(address) = address {
-            self.call(now, purpose, Call::Ask(address, ask));
+            self.call(now, purpose, Call::RequestVote(address, ask));
         }
     }
 
