--- a/bench/src/fuzz_outcomes/harness/world/events.rs
+++ b/bench/src/fuzz_outcomes/harness/world/events.rs
@@ -69,10 +69,10 @@
                 self.later(TICK, Due::Node(index, start, Arrival::Tick));
             }
             Arrival::Answer(number, answer) => {
-                self.on_machine(index, |machine, now| machine.answer(now, number, answer));
+                self.on_machine(index, |machine, now| machine.handle_result(now, number, answer));
             }
             Arrival::Seen(event) => {
-                self.on_machine(index, |machine, now| machine.watched(now, &event));
+                self.on_machine(index, |machine, now| machine.apply_watch_event(now, &event));
             }
             Arrival::Asked {
                 from,
@@ -83,10 +83,10 @@
             Arrival::News(claims, records) => {
                 self.on_machine(index, |machine, now| {
                     for claim in claims {
-                        machine.learn(now, |table| table.learn_claim(claim));
+                        machine.merge_from_peer(now, |table| table.learn_claim(claim));
                     }
                     for record in records {
-                        machine.learn(now, |table| table.learn_record(record));
+                        machine.merge_from_peer(now, |table| table.learn_record(record));
                     }
                 });
             }
@@ -107,7 +107,7 @@
                     served.remove(&upstream);
                 }
                 self.on_machine(index, |machine, now| {
-                    machine.answer(now, number, CallResult::Released);
+                    machine.handle_result(now, number, CallResult::Released);
                 });
             }
         }
@@ -166,8 +166,8 @@
             return;
         };
         step(machine, now);
-        let actions = machine.actions();
-        let drained = machine.drained();
+        let actions = machine.take_actions();
+        let drained = machine.is_drained();
         for action in actions {
             self.carry_out(index, action);
         }
--- a/bench/src/fuzz_outcomes/harness/world/faults.rs
+++ b/bench/src/fuzz_outcomes/harness/world/faults.rs
@@ -177,7 +177,7 @@
             .into_iter()
             .map(|upstream| (upstream.vm.name, upstream.vm.region))
             .collect();
-        self.on_machine(index, |machine, now| machine.upstreams(now, regions));
+        self.on_machine(index, |machine, now| machine.set_upstreams(now, regions));
         if accepted {
             self.broken(Promise::Panic, format!("n{index} accepts a list cut short"));
         }
--- a/bench/src/fuzz_outcomes/harness/world/round.rs
+++ b/bench/src/fuzz_outcomes/harness/world/round.rs
@@ -43,7 +43,7 @@
             let watches = self.nodes[index]
                 .machine
                 .as_ref()
-                .is_some_and(|machine| machine.watcher() && machine.table().has_read());
+                .is_some_and(|machine| machine.is_watcher() && machine.table().has_read());
             if !watches || !self.service_reachable(index) {
                 continue;
             }
--- a/lib/src/membership/keeper/mod.rs
+++ b/lib/src/membership/keeper/mod.rs
@@ -197,11 +197,11 @@
         let result = step(&mut core, now);
         // The adopter must be told in the order of the machine's steps, so this
         // happens under the lock; nothing here waits.
-        for action in core.machine.actions() {
+        for action in core.machine.take_actions() {
             self.carry_out(&mut core, now, action);
         }
         self.publish(&mut core, now);
-        if core.machine.drained() {
+        if core.machine.is_drained() {
             self.drained.send_replace(true);
         }
         result
@@ -225,7 +225,7 @@
                 let keeper = Arc::clone(self);
                 self.spawn(async move {
                     let answer = keeper.make(call).await;
-                    keeper.step(|core, now| core.machine.answer(now, number, answer));
+                    keeper.step(|core, now| core.machine.handle_result(now, number, answer));
                 });
             }
         }
@@ -322,7 +322,7 @@
     }
 
     fn released(self: &Arc<Self>, number: u64) {
-        self.step(|core, now| core.machine.answer(now, number, CallResult::Released));
+        self.step(|core, now| core.machine.handle_result(now, number, CallResult::Released));
     }
 
     async fn read_directory(self: Arc<Self>) {
@@ -360,12 +360,12 @@
             let (watcher, from) = {
                 let core = self.lock();
                 let table = core.machine.table();
-                let watcher = core.machine.watcher() && table.has_read();
+                let watcher = core.machine.is_watcher() && table.has_read();
                 (watcher, table.read_up_to())
             };
             if watcher {
                 self.watch_from(from).await;
-                self.step(|core, _| core.machine.read_again());
+                self.step(|core, _| core.machine.request_full_read());
             }
             tokio::time::sleep(REWATCH.duration()).await;
         }
@@ -377,7 +377,7 @@
             return;
         };
         while let Some(Ok(event)) = events.next().await {
-            self.step(|core, now| core.machine.watched(now, &event));
+            self.step(|core, now| core.machine.apply_watch_event(now, &event));
         }
     }
 
--- a/lib/src/membership/keeper/publish.rs
+++ b/lib/src/membership/keeper/publish.rs
@@ -52,7 +52,7 @@
         core.next_release = core.upstreams.next_release(now);
         if renewed {
             let regions = self.regions(core, now);
-            core.machine.upstreams(now, regions);
+            core.machine.set_upstreams(now, regions);
         }
         let owners = core
             .machine
@@ -96,14 +96,14 @@
             let gauge = metrics.upstreams.with_label_values(&[name]);
             gauge.set(i64::try_from(count).unwrap_or(i64::MAX));
         }
-        let owned = core.machine.held().count();
+        let owned = core.machine.owned_tokens().count();
         metrics.owned.set(i64::try_from(owned).unwrap_or(i64::MAX));
     }
 
     fn readopt(&self, core: &mut Core, now: Millis) {
         let held: Vec<(Name, UpstreamOwnership)> = core
             .machine
-            .holds(&self.parts.clock)
+            .ownerships(&self.parts.clock)
             .map(|(name, ownership)| (name.clone(), ownership))
             .collect();
         for (upstream, ownership) in held {
--- a/lib/src/membership/machine/mod.rs
+++ b/lib/src/membership/machine/mod.rs
@@ -159,7 +159,7 @@
     }
 
     /// Takes the actions that became due.
-    pub fn actions(&mut self) -> Vec<Action> {
+    pub fn take_actions(&mut self) -> Vec<Action> {
         std::mem::take(&mut self.actions)
     }
 
@@ -174,7 +174,7 @@
     }
 
     /// Takes the answer of a call.
-    pub fn answer(&mut self, now: Millis, call: u64, answer: CallResult) {
+    pub fn handle_result(&mut self, now: Millis, call: u64, answer: CallResult) {
         self.check_lapse(now);
         let Some(Pending { purpose, sent }) = self.pending.remove(&call) else {
             return;
@@ -215,7 +215,7 @@
     }
 
     /// Takes a change of a key that a watch saw.
-    pub fn watched(&mut self, now: Millis, event: &crate::ports::Event) {
+    pub fn apply_watch_event(&mut self, now: Millis, event: &crate::ports::Event) {
         self.last_service = Some(now);
         if !self.table.see(event) {
             self.note("stale_read");
@@ -227,7 +227,7 @@
     }
 
     /// Takes the upstreams that should be owned, with the region of each.
-    pub fn upstreams(&mut self, now: Millis, regions: BTreeMap<Name, Name>) {
+    pub fn set_upstreams(&mut self, now: Millis, regions: BTreeMap<Name, Name>) {
         self.regions = regions;
         self.next_plan = now;
         self.reconcile(now);
@@ -253,7 +253,7 @@
 
     /// Whether the planned stop is done.
     #[must_use]
-    pub fn drained(&self) -> bool {
+    pub fn is_drained(&self) -> bool {
         self.stopping.is_some_and(|stopping| stopping.done)
     }
 
@@ -268,7 +268,7 @@
     }
 
     /// Lets news from a peer in; see [`Table::learn_claim`] and [`Table::learn_record`].
-    pub fn learn(&mut self, now: Millis, learn: impl FnOnce(&mut Table) -> bool) -> bool {
+    pub fn merge_from_peer(&mut self, now: Millis, learn: impl FnOnce(&mut Table) -> bool) -> bool {
         let news = learn(&mut self.table);
         if news {
             self.reconcile(now);
@@ -285,36 +285,36 @@
 
     /// Whether this node may own upstreams now.
     #[must_use]
-    pub fn eligible(&self) -> bool {
+    pub fn is_eligible(&self) -> bool {
         self.eligible
     }
 
     /// Returns when the node's ownership ends unless it is extended.
     #[must_use]
-    pub fn until(&self) -> Millis {
+    pub fn owned_until(&self) -> Millis {
         self.until
     }
 
     /// Whether ownership rests on witnesses since the service can't be reached.
     #[must_use]
-    pub fn outage(&self) -> bool {
+    pub fn relies_on_witnesses(&self) -> bool {
         let service = self.session.as_ref().map(|session| session.service_until);
         self.eligible && service.is_none_or(|until| until < self.until)
     }
 
     /// Returns the lease's span, if the node has one.
     #[must_use]
-    pub fn span(&self) -> Option<Millis> {
+    pub fn lease_ttl(&self) -> Option<Millis> {
         self.session.as_ref().map(|session| session.span)
     }
 
     /// Lists the upstreams that this node serves, with their fencing tokens.
-    pub fn held(&self) -> impl Iterator<Item = (&Name, u64)> {
+    pub fn owned_tokens(&self) -> impl Iterator<Item = (&Name, u64)> {
         self.holds.iter().map(|(name, held)| (name, held.token))
     }
 
     /// Lists the holds of the upstreams that this node serves.
-    pub fn holds<'a>(
+    pub fn ownerships<'a>(
         &'a self,
         clock: &'a Arc<dyn Clock>,
     ) -> impl Iterator<Item = (&'a Name, UpstreamOwnership)> + 'a {
@@ -326,12 +326,12 @@
 
     /// Whether this node should watch the service's keys instead of reading them now and then.
     #[must_use]
-    pub fn watcher(&self) -> bool {
+    pub fn is_watcher(&self) -> bool {
         placement::rank(&self.identity.name, self.table.live()) < self.limits.watchers
     }
 
     /// Reads all keys at the next chance, as when a watch broke.
-    pub fn read_again(&mut self) {
+    pub fn request_full_read(&mut self) {
         self.reading.wanted = true;
     }
 
--- a/lib/src/membership/machine/stop.rs
+++ b/lib/src/membership/machine/stop.rs
@@ -84,7 +84,7 @@
         // A second call would only wait for the first one's answer.
         self.stopping = Some(Stopping {
             ending: true,
-            done: self.drained(),
+            done: self.is_drained(),
             ..stopping
         });
     }
--- a/lib/src/membership/machine/support.rs
+++ b/lib/src/membership/machine/support.rs
@@ -133,7 +133,7 @@
             return;
         }
         let until = sent + SUPPORT_SPAN - drift(SUPPORT_SPAN);
-        if !self.outage() {
+        if !self.relies_on_witnesses() {
             self.note("outage_support");
         }
         self.support_until = self.support_until.max(until);
--- a/lib/src/membership/machine/tidy.rs
+++ b/lib/src/membership/machine/tidy.rs
@@ -10,7 +10,7 @@
 impl Machine {
     // Registrations of nodes that are gone and own nothing would pile up.
     pub(super) fn tidy(&mut self, now: Millis) {
-        if now < self.next_tidy || !self.watcher() {
+        if now < self.next_tidy || !self.is_watcher() {
             return;
         }
         self.next_tidy = now + self.jitter(TIDY);
