--- a/bench/src/fuzz_outcomes/harness/world/events.rs
+++ b/bench/src/fuzz_outcomes/harness/world/events.rs
@@ -83,10 +83,10 @@
             Arrival::News(claims, records) => {
                 self.on_machine(index, |machine, now| {
                     for claim in claims {
-                        machine.merge_from_peer(now, |table| table.learn_claim(claim));
+                        machine.merge_from_peer(now, |table| table.merge_claim(claim));
                     }
                     for record in records {
-                        machine.merge_from_peer(now, |table| table.learn_record(record));
+                        machine.merge_from_peer(now, |table| table.merge_record(record));
                     }
                 });
             }
--- a/lib/src/membership/keeper/mod.rs
+++ b/lib/src/membership/keeper/mod.rs
@@ -361,7 +361,7 @@
                 let core = self.lock();
                 let table = core.machine.table();
                 let watcher = core.machine.is_watcher() && table.has_read();
-                (watcher, table.read_up_to())
+                (watcher, table.read_revision())
             };
             if watcher {
                 self.watch_from(from).await;
--- a/lib/src/membership/machine/claims.rs
+++ b/lib/src/membership/machine/claims.rs
@@ -64,7 +64,7 @@
     }
 
     fn watch_nodes(&mut self, now: Millis) {
-        let names = self.table.live().map(|record| {
+        let names = self.table.live_records().map(|record| {
             let identity = &record.identity;
             xxhash_rust::xxh3::xxh3_64_with_seed(identity.name.as_bytes(), identity.incarnation)
         });
@@ -80,7 +80,7 @@
             .table
             .claims()
             .filter(|claim| self.regions.contains_key(&claim.upstream))
-            .filter(|claim| self.table.owner_stands(claim))
+            .filter(|claim| self.table.has_live_owner(claim))
             .map(|claim| &claim.node);
         Load::count(owners)
     }
@@ -94,7 +94,7 @@
                 let claim = self.table.claim(upstream).cloned();
                 let orphan = match &claim {
                     None => gathered,
-                    Some(claim) => !self.table.owner_stands(claim),
+                    Some(claim) => !self.table.has_live_owner(claim),
                 };
                 orphan.then(|| (upstream.clone(), region.clone(), claim))
             })
@@ -109,7 +109,7 @@
         }
         let mut load = self.load();
         let mut mine = Vec::new();
-        let live: Vec<&Record> = self.table.live().collect();
+        let live: Vec<&Record> = self.table.live_records().collect();
         for (upstream, region, claim) in orphans {
             let candidates = placement::candidates(&live, &region);
             let Some(successor) = placement::successor(&upstream, &candidates, &load) else {
@@ -233,7 +233,7 @@
                 if self.guards.on(Guard::SettleClaim) {
                     self.settle_claim(now, claim, over);
                 } else {
-                    let assumed = self.table.newest() + 1;
+                    let assumed = self.table.max_revision() + 1;
                     self.claim_stands(now, claim, assumed);
                 }
             }
@@ -241,7 +241,7 @@
     }
 
     fn claim_stands(&mut self, now: Millis, claim: Claim, token: u64) {
-        self.table.learn_claim(Claim { token, ..claim });
+        self.table.merge_claim(Claim { token, ..claim });
         self.reconcile(now);
     }
 
@@ -286,7 +286,7 @@
         let found = entry.and_then(|entry| Claim::from_value(&entry.value, entry.revision));
         match found {
             Some(found) if found.token != over => {
-                self.table.learn_claim(found);
+                self.table.merge_claim(found);
                 self.reconcile(now);
             }
             _ => self.unsettled(now, upstream, over),
--- a/lib/src/membership/machine/handover.rs
+++ b/lib/src/membership/machine/handover.rs
@@ -23,7 +23,7 @@
         self.next_rebalance = now + self.jitter(span);
         let load = self.load();
         let own = load.of(&self.identity.name);
-        let live: Vec<&Record> = self.table.live().collect();
+        let live: Vec<&Record> = self.table.live_records().collect();
         let moved = self.holds.keys().find(|upstream| {
             let Some(region) = self.regions.get(*upstream) else {
                 return false;
@@ -77,7 +77,7 @@
         let region = self.regions.get(upstream).cloned().unwrap_or_default();
         let live: Vec<&Record> = self
             .table
-            .live()
+            .live_records()
             .filter(|record| record.identity.name != self.identity.name)
             .collect();
         let candidates = placement::candidates(&live, &region);
--- a/lib/src/membership/machine/lease.rs
+++ b/lib/src/membership/machine/lease.rs
@@ -104,7 +104,7 @@
             .registrations()
             .map(|record| &*record.identity.name)
             .collect();
-        names.extend(self.table.live().map(|record| &*record.identity.name));
+        names.extend(self.table.live_records().map(|record| &*record.identity.name));
         names.sort_unstable();
         names.dedup();
         names.len().max(1)
@@ -135,7 +135,7 @@
     }
 
     fn wanted_witnesses(&self) -> Witnesses {
-        let live: SmallVec<[&Record; 16]> = self.table.live().collect();
+        let live: SmallVec<[&Record; 16]> = self.table.live_records().collect();
         let own = self.own_record(LeaseId(0), Witnesses::new());
         placement::witnesses(&own, &live)
     }
@@ -354,8 +354,8 @@
         });
         self.joining = Joining::Idle;
         self.next_join = now + RETRY;
-        self.table.learn_record(record.clone());
-        self.table.learn_registration(record);
+        self.table.merge_record(record.clone());
+        self.table.merge_registration(record);
         self.reading.wanted = true;
         self.note("registered");
     }
--- a/lib/src/membership/machine/mod.rs
+++ b/lib/src/membership/machine/mod.rs
@@ -27,7 +27,7 @@
 use crate::membership::limits::Limits;
 use crate::membership::node::{Identity, Keys};
 use crate::membership::placement;
-use crate::membership::table::Table;
+use crate::membership::table::MembershipTable;
 use crate::membership::witness::{Ask, Vote, Witness};
 use crate::name::Name;
 
@@ -58,7 +58,7 @@
     guards: Guards,
     keys: Keys,
     rng: Pcg64Mcg,
-    table: Table,
+    table: MembershipTable,
     witness: Witness,
     actions: Vec<Action>,
     pending: BTreeMap<u64, Pending>,
@@ -118,7 +118,7 @@
             identity,
             limits,
             guards,
-            table: Table::new(keys.clone(), guards),
+            table: MembershipTable::new(keys.clone(), guards),
             keys,
             rng: Pcg64Mcg::seed_from_u64(seed),
             witness,
@@ -217,7 +217,7 @@
     /// Takes a change of a key that a watch saw.
     pub fn apply_watch_event(&mut self, now: Millis, event: &crate::ports::Event) {
         self.last_service = Some(now);
-        if !self.table.see(event) {
+        if !self.table.apply_event(event) {
             self.note("stale_read");
             return;
         }
@@ -263,12 +263,12 @@
 
     /// Returns what is known of nodes and claims.
     #[must_use]
-    pub fn table(&self) -> &Table {
+    pub fn table(&self) -> &MembershipTable {
         &self.table
     }
 
-    /// Lets news from a peer in; see [`Table::learn_claim`] and [`Table::learn_record`].
-    pub fn merge_from_peer(&mut self, now: Millis, learn: impl FnOnce(&mut Table) -> bool) -> bool {
+    /// Lets news from a peer in; see [`MembershipTable::merge_claim`] and [`MembershipTable::merge_record`].
+    pub fn merge_from_peer(&mut self, now: Millis, learn: impl FnOnce(&mut MembershipTable) -> bool) -> bool {
         let news = learn(&mut self.table);
         if news {
             self.reconcile(now);
@@ -327,7 +327,7 @@
     /// Whether this node should watch the service's keys instead of reading them now and then.
     #[must_use]
     pub fn is_watcher(&self) -> bool {
-        placement::rank(&self.identity.name, self.table.live()) < self.limits.watchers
+        placement::rank(&self.identity.name, self.table.live_records()) < self.limits.watchers
     }
 
     /// Reads all keys at the next chance, as when a watch broke.
--- a/lib/src/membership/machine/reading.rs
+++ b/lib/src/membership/machine/reading.rs
@@ -49,7 +49,7 @@
             .sum();
         let period = self.list_period();
         self.reading.next = now + self.jitter(period);
-        if !self.table.read(&listing) {
+        if !self.table.apply_listing(&listing) {
             self.note("stale_read");
             self.reading.wanted = true;
             return;
@@ -64,14 +64,14 @@
     // Claims that were read after the registration are certainly this node's: no
     // successor can write over them while the record stands.
     fn check_claims(&mut self, now: Millis, sent: Millis) {
-        let read_up_to = self.table.read_up_to();
+        let read_revision = self.table.read_revision();
         let Some(session) = &mut self.session else {
             return;
         };
         if session.dead {
             return;
         }
-        if sent < session.checked_after || read_up_to < session.record.revision {
+        if sent < session.checked_after || read_revision < session.record.revision {
             self.reading.wanted = true;
             return;
         }
--- a/lib/src/membership/machine/stop.rs
+++ b/lib/src/membership/machine/stop.rs
@@ -33,7 +33,7 @@
         // would wait for the others until its limit.
         let successor = self
             .table
-            .live()
+            .live_records()
             .any(|record| record.identity.name != self.identity.name && !record.draining);
         let rest = successor && self.table.claims().any(|claim| claim.names(&self.identity));
         let clear = announced && self.holds.is_empty() && self.busy.is_empty() && !rest;
--- a/lib/src/membership/share.rs
+++ b/lib/src/membership/share.rs
@@ -41,7 +41,7 @@
         let core = self.lock();
         core.machine
             .table()
-            .live()
+            .live_records()
             .map(|record| Node {
                 record: record.clone(),
                 age: core
@@ -98,7 +98,7 @@
         digest.incarnation = own.incarnation;
         let table = core.machine.table();
         digest.claims_digest = Bytes::copy_from_slice(&table.digest().to_le_bytes());
-        digest.claims_token = table.newest();
+        digest.claims_token = table.max_revision();
         let age = core.machine.service_age(now);
         digest.service_age_ms = age.map_or(u64::MAX, |age| age.0);
         digest.full_claims = core.gossip.unequal >= UNEQUAL;
@@ -147,11 +147,11 @@
         let core = &mut *guard;
         let mut news = false;
         for claim in delta.claims.iter().filter_map(Claim::from_message) {
-            news |= core.machine.merge_from_peer(now, |table| table.learn_claim(claim));
+            news |= core.machine.merge_from_peer(now, |table| table.merge_claim(claim));
         }
         let records = delta.nodes.iter().filter(|node| node.revision > 0);
         for record in records.filter_map(Record::from_message) {
-            news |= core.machine.merge_from_peer(now, |table| table.learn_record(record));
+            news |= core.machine.merge_from_peer(now, |table| table.merge_record(record));
         }
         if let Some(digest) = &delta.digest {
             learn_digest(core, now, digest);
--- a/lib/src/membership/table.rs
+++ b/lib/src/membership/table.rs
@@ -14,18 +14,18 @@
 
 /// Nodes and claims; every entry carries the service's revision, the larger wins.
 #[derive(Debug)]
-pub struct Table {
+pub struct MembershipTable {
     keys: Keys,
     guards: Guards,
     claims: BTreeMap<Name, Claim>,
     nodes: BTreeMap<Name, Record>,
     registrations: BTreeMap<(Name, u64), Record>,
-    read_up_to: u64,
+    read_revision: u64,
     version: u64,
     read: bool,
 }
 
-impl Table {
+impl MembershipTable {
     /// Makes an empty table.
     #[must_use]
     pub fn new(keys: Keys, guards: Guards) -> Self {
@@ -35,7 +35,7 @@
             claims: BTreeMap::new(),
             nodes: BTreeMap::new(),
             registrations: BTreeMap::new(),
-            read_up_to: 0,
+            read_revision: 0,
             version: 0,
             read: false,
         }
@@ -43,8 +43,8 @@
 
     /// Returns the service's revision up to which this node has read for itself.
     #[must_use]
-    pub fn read_up_to(&self) -> u64 {
-        self.read_up_to
+    pub fn read_revision(&self) -> u64 {
+        self.read_revision
     }
 
     /// Returns a number that grows with every change.
@@ -76,7 +76,7 @@
     }
 
     /// Lists records that stand, as far as is known.
-    pub fn live(&self) -> impl Iterator<Item = &Record> {
+    pub fn live_records(&self) -> impl Iterator<Item = &Record> {
         self.nodes.values().filter(|record| !record.gone)
     }
 
@@ -105,7 +105,7 @@
 
     /// Whether the owner that a claim names has a record that stands.
     #[must_use]
-    pub fn owner_stands(&self, claim: &Claim) -> bool {
+    pub fn has_live_owner(&self, claim: &Claim) -> bool {
         self.live_record(&claim.node)
             .is_some_and(|record| record.identity.incarnation == claim.incarnation)
     }
@@ -114,11 +114,11 @@
     ///
     /// A replica of the service that lags, or an answer that was late, would
     /// otherwise bring back an owner that is none any more.
-    pub fn read(&mut self, listing: &Listing) -> bool {
-        if listing.revision < self.read_up_to && self.guards.on(Guard::StaleRead) {
+    pub fn apply_listing(&mut self, listing: &Listing) -> bool {
+        if listing.revision < self.read_revision && self.guards.on(Guard::StaleRead) {
             return false;
         }
-        self.read_up_to = listing.revision;
+        self.read_revision = listing.revision;
         self.read = true;
         self.version += 1;
         // This node may have written since the read was made; its answer must not
@@ -146,11 +146,11 @@
     }
 
     /// Takes over one change that a watch saw. Returns false if it is old.
-    pub fn see(&mut self, event: &Event) -> bool {
-        if event.revision < self.read_up_to && self.guards.on(Guard::StaleRead) {
+    pub fn apply_event(&mut self, event: &Event) -> bool {
+        if event.revision < self.read_revision && self.guards.on(Guard::StaleRead) {
             return false;
         }
-        self.read_up_to = event.revision;
+        self.read_revision = event.revision;
         self.version += 1;
         match &event.entry {
             Some(entry) => self.put(&entry.key, &entry.value, entry.revision),
@@ -163,10 +163,10 @@
     /// Takes over a claim that this node wrote itself, or that a peer knows of.
     ///
     /// Returns whether it was news. What this node read for itself is complete
-    /// up to [`Table::read_up_to`], so an older claim can only be one that ended.
-    pub fn learn_claim(&mut self, claim: Claim) -> bool {
+    /// up to [`MembershipTable::read_revision`], so an older claim can only be one that ended.
+    pub fn merge_claim(&mut self, claim: Claim) -> bool {
         let known = self.claims.get(&claim.upstream).map(|known| known.token);
-        if claim.token <= known.unwrap_or(self.read_up_to) {
+        if claim.token <= known.unwrap_or(self.read_revision) {
             return false;
         }
         self.claims.insert(claim.upstream.clone(), claim);
@@ -175,12 +175,12 @@
     }
 
     /// Takes over a record that this node wrote itself, or that a peer knows of.
-    pub fn learn_record(&mut self, record: Record) -> bool {
+    pub fn merge_record(&mut self, record: Record) -> bool {
         let known = self
             .nodes
             .get(&record.identity.name)
             .map_or(0, |r| r.revision);
-        if record.revision <= known.max(self.read_up_to) {
+        if record.revision <= known.max(self.read_revision) {
             return false;
         }
         self.nodes.insert(record.identity.name.clone(), record);
@@ -190,7 +190,7 @@
     }
 
     /// Takes over a registration, unless a newer one is known.
-    pub fn learn_registration(&mut self, record: Record) {
+    pub fn merge_registration(&mut self, record: Record) {
         let start = (record.identity.name.clone(), record.identity.incarnation);
         let known = self.registrations.get(&start).map_or(0, |r| r.revision);
         if record.revision > known {
@@ -200,7 +200,7 @@
 
     /// Returns the largest revision of any entry.
     #[must_use]
-    pub fn newest(&self) -> u64 {
+    pub fn max_revision(&self) -> u64 {
         let claims = self.claims.values().map(|claim| claim.token);
         let nodes = self.nodes.values().map(|record| record.revision);
         claims.chain(nodes).max().unwrap_or(0)
@@ -214,7 +214,7 @@
             hasher.update(claim.upstream.as_bytes());
             hasher.update(&claim.token.to_le_bytes());
         }
-        for record in self.live() {
+        for record in self.live_records() {
             hasher.update(record.identity.name.as_bytes());
             hasher.update(&record.revision.to_le_bytes());
         }
@@ -233,7 +233,7 @@
             }
             Some(Key::Registration(..)) => {
                 if let Some(record) = Record::from_value(value, revision) {
-                    self.learn_registration(record);
+                    self.merge_registration(record);
                 }
             }
             Some(Key::Claim(upstream)) => {
--- a/lib/tests/test_membership.rs
+++ b/lib/tests/test_membership.rs
@@ -8,7 +8,7 @@
 use chivevalve::membership::guard::{Guard, Guards};
 use chivevalve::membership::node::{Claim, Identity, Keys, Record, Witnesses};
 use chivevalve::membership::placement::{self, Load};
-use chivevalve::membership::table::Table;
+use chivevalve::membership::table::MembershipTable;
 use chivevalve::membership::upstreams::{Upstreams, Verdict};
 use chivevalve::membership::witness::{Ask, Witness};
 use chivevalve::name::Name;
@@ -64,10 +64,10 @@
 #[test]
 fn read_late_answer() {
     let keys = Keys::new("/p/");
-    let mut table = Table::new(keys.clone(), Guards::all());
-    assert!(table.read(&listing(&keys, 3, 5)));
-    assert!(table.learn_claim(claim(7)));
-    assert!(table.read(&listing(&keys, 3, 6)));
+    let mut table = MembershipTable::new(keys.clone(), Guards::all());
+    assert!(table.apply_listing(&listing(&keys, 3, 5)));
+    assert!(table.merge_claim(claim(7)));
+    assert!(table.apply_listing(&listing(&keys, 3, 6)));
     assert_eq!(table.claim("u").map(|claim| claim.token), Some(7));
 }
 
@@ -75,9 +75,9 @@
 #[test]
 fn read_stale_replica() {
     let keys = Keys::new("/p/");
-    let mut table = Table::new(keys.clone(), Guards::all());
-    assert!(table.read(&listing(&keys, 6, 9)));
-    assert!(!table.read(&listing(&keys, 3, 5)));
+    let mut table = MembershipTable::new(keys.clone(), Guards::all());
+    assert!(table.apply_listing(&listing(&keys, 6, 9)));
+    assert!(!table.apply_listing(&listing(&keys, 3, 5)));
     assert_eq!(table.claim("u").map(|claim| claim.token), Some(6));
 }
 
@@ -85,14 +85,14 @@
 #[test]
 fn learn_claim_removed() {
     let keys = Keys::new("/p/");
-    let mut table = Table::new(keys.clone(), Guards::all());
+    let mut table = MembershipTable::new(keys.clone(), Guards::all());
     let empty = Listing {
         entries: Vec::new(),
         revision: 9,
     };
-    assert!(table.read(&empty));
-    assert!(!table.learn_claim(claim(8)));
-    assert!(table.learn_claim(claim(10)));
+    assert!(table.apply_listing(&empty));
+    assert!(!table.merge_claim(claim(8)));
+    assert!(table.merge_claim(claim(10)));
 }
 
 fn ask(registration: u64, withdraw_before: Option<u64>) -> Ask {
@@ -373,7 +373,7 @@
 #[test]
 fn guards_of_reads() {
     let keys = Keys::new("/p/");
-    let mut table = Table::new(keys.clone(), Guards::without(Guard::StaleRead));
-    table.read(&listing(&keys, 6, 9));
-    assert!(table.read(&listing(&keys, 3, 5)));
+    let mut table = MembershipTable::new(keys.clone(), Guards::without(Guard::StaleRead));
+    table.apply_listing(&listing(&keys, 6, 9));
+    assert!(table.apply_listing(&listing(&keys, 3, 5)));
 }
