--- a/lib/src/membership/machine/claims.rs
+++ b/lib/src/membership/machine/claims.rs
@@ -7,7 +7,7 @@
 use crate::clock::Millis;
 use crate::membership::guard::Guard;
 use crate::membership::node::{Claim, Record};
-use crate::membership::placement::{self, Load};
+use crate::membership::placement::{self, OwnedCounts};
 use crate::name::Name;
 use crate::ports::{Commit, Condition, Entry, Error, Transaction, Write};
 
@@ -75,14 +75,14 @@
         }
     }
 
-    pub(super) fn load(&self) -> Load {
+    pub(super) fn load(&self) -> OwnedCounts {
         let owners = self
             .table
             .claims()
             .filter(|claim| self.regions.contains_key(&claim.upstream))
             .filter(|claim| self.table.has_live_owner(claim))
             .map(|claim| &claim.node);
-        Load::count(owners)
+        OwnedCounts::from_owners(owners)
     }
 
     // Upstreams that have no owner, or whose owner's record is gone.
@@ -116,7 +116,7 @@
                 continue;
             };
             let name = successor.identity.name.clone();
-            load.add(&name);
+            load.increment(&name);
             if name == self.identity.name {
                 mine.push((upstream, claim));
             }
--- a/lib/src/membership/machine/handover.rs
+++ b/lib/src/membership/machine/handover.rs
@@ -22,7 +22,7 @@
         let span = self.limits.rebalance;
         self.next_rebalance = now + self.jitter(span);
         let load = self.load();
-        let own = load.of(&self.identity.name);
+        let own = load.owned_by(&self.identity.name);
         let live: Vec<&Record> = self.table.live_records().collect();
         let moved = self.holds.keys().find(|upstream| {
             let Some(region) = self.regions.get(*upstream) else {
@@ -30,7 +30,7 @@
             };
             let candidates = placement::candidates(&live, region);
             placement::successor(upstream, &candidates, &load)
-                .is_some_and(|to| load.of(&to.identity.name) + 2 <= own)
+                .is_some_and(|to| load.owned_by(&to.identity.name) + 2 <= own)
         });
         if let Some(upstream) = moved.cloned() {
             self.note("rebalanced");
@@ -71,7 +71,7 @@
         let mut load = self.load();
         for busy in self.busy.values() {
             if let Busy::Claiming { claim, .. } = busy {
-                load.add(&claim.node);
+                load.increment(&claim.node);
             }
         }
         let region = self.regions.get(upstream).cloned().unwrap_or_default();
--- a/lib/src/membership/machine/lease.rs
+++ b/lib/src/membership/machine/lease.rs
@@ -137,7 +137,7 @@
     fn wanted_witnesses(&self) -> Witnesses {
         let live: SmallVec<[&Record; 16]> = self.table.live_records().collect();
         let own = self.own_record(LeaseId(0), Witnesses::new());
-        placement::witnesses(&own, &live)
+        placement::select_witnesses(&own, &live)
     }
 
     // Support that is counted on was given by the old witnesses; a successor
--- a/lib/src/membership/placement.rs
+++ b/lib/src/membership/placement.rs
@@ -25,13 +25,13 @@
 
 /// How many upstreams each node holds, and may hold.
 #[derive(Debug, Clone, Default)]
-pub struct Load {
+pub struct OwnedCounts {
     held: BTreeMap<Name, usize>,
 }
 
-impl Load {
+impl OwnedCounts {
     /// Counts the upstreams of each owner.
-    pub fn count<'a>(owners: impl Iterator<Item = &'a Name>) -> Self {
+    pub fn from_owners<'a>(owners: impl Iterator<Item = &'a Name>) -> Self {
         let mut held = BTreeMap::new();
         for owner in owners {
             *held.entry(owner.clone()).or_default() += 1;
@@ -41,12 +41,12 @@
 
     /// Returns how many a node holds.
     #[must_use]
-    pub fn of(&self, node: &str) -> usize {
+    pub fn owned_by(&self, node: &str) -> usize {
         self.held.get(node).copied().unwrap_or(0)
     }
 
     /// Counts one more for a node.
-    pub fn add(&mut self, node: &Name) {
+    pub fn increment(&mut self, node: &Name) {
         *self.held.entry(node.clone()).or_default() += 1;
     }
 }
@@ -74,21 +74,21 @@
 /// Taking only the least loaded keeps every node within one of the fair share,
 /// which hashing alone doesn't: with two upstreams a node, some would hold six.
 #[must_use]
-pub fn successor<'a>(upstream: &str, candidates: &[&'a Record], load: &Load) -> Option<&'a Record> {
+pub fn successor<'a>(upstream: &str, candidates: &[&'a Record], load: &OwnedCounts) -> Option<&'a Record> {
     let least = candidates
         .iter()
-        .map(|record| load.of(&record.identity.name))
+        .map(|record| load.owned_by(&record.identity.name))
         .min()?;
     candidates
         .iter()
-        .filter(|record| load.of(&record.identity.name) == least)
+        .filter(|record| load.owned_by(&record.identity.name) == least)
         .max_by_key(|record| score(OWNER_SEED, upstream, &record.identity.name))
         .copied()
 }
 
 /// Returns a node's rank among others by rendezvous; a small rank takes common duties.
 #[must_use]
-pub fn rank<'a>(node: &str, others: impl Iterator<Item = &'a Record>) -> usize {
+pub fn duty_rank<'a>(node: &str, others: impl Iterator<Item = &'a Record>) -> usize {
     let own = score(WITNESS_SEED, "duties", node);
     others
         .filter(|record| *record.identity.name != *node)
@@ -103,7 +103,7 @@
 /// losing either domain leaves a majority. With two nodes the other one is the
 /// only witness, so that either may go on without the other.
 #[must_use]
-pub fn witnesses(own: &Record, live: &[&Record]) -> Witnesses {
+pub fn select_witnesses(own: &Record, live: &[&Record]) -> Witnesses {
     let me = &own.identity;
     let others: Vec<&Record> = live
         .iter()
--- a/lib/tests/test_membership.rs
+++ b/lib/tests/test_membership.rs
@@ -7,7 +7,7 @@
 use chivevalve::membership::fleet::State;
 use chivevalve::membership::guard::{Guard, Guards};
 use chivevalve::membership::node::{Claim, Identity, Keys, Record, Witnesses};
-use chivevalve::membership::placement::{self, Load};
+use chivevalve::membership::placement::{self, OwnedCounts};
 use chivevalve::membership::table::MembershipTable;
 use chivevalve::membership::upstreams::{Upstreams, Verdict};
 use chivevalve::membership::witness::{Ask, Witness};
@@ -183,7 +183,7 @@
 #[test]
 fn witnesses_two_nodes() {
     let (a, b) = (record("a", "r", "x"), record("b", "r", "y"));
-    let chosen = placement::witnesses(&a, &[&a, &b]);
+    let chosen = placement::select_witnesses(&a, &[&a, &b]);
     assert_eq!(&chosen[..], &[Name::from("b")]);
 }
 
@@ -195,7 +195,7 @@
         .collect();
     nodes.push(record("far", "s", "z"));
     let live: Vec<&Record> = nodes.iter().collect();
-    let chosen = placement::witnesses(&nodes[0], &live);
+    let chosen = placement::select_witnesses(&nodes[0], &live);
     assert_eq!(chosen.len(), 9);
     let within = |domain: &str| {
         let of = |name: &&Name| {
@@ -213,13 +213,13 @@
         .map(|at| record(&format!("n{at}"), "r", "x"))
         .collect();
     let live: Vec<&Record> = nodes.iter().collect();
-    let mut load = Load::default();
+    let mut load = OwnedCounts::default();
     for upstream in 0..18 {
         let name = format!("u{upstream}");
         let to = placement::successor(&name, &live, &load).expect("there are nodes");
-        load.add(&to.identity.name.clone());
+        load.increment(&to.identity.name.clone());
     }
-    assert!(nodes.iter().all(|node| load.of(&node.identity.name) == 2));
+    assert!(nodes.iter().all(|node| load.owned_by(&node.identity.name) == 2));
 }
 
 fn vms(count: usize) -> Vec<Vm> {
