--- a/bench/src/fuzz_outcomes/harness/world/faults.rs
+++ b/bench/src/fuzz_outcomes/harness/world/faults.rs
@@ -231,10 +231,10 @@
         let now = node.clock(self.now);
         node.budget = RetryBudget::new(20, now);
         let limits = Limits {
-            watchers: 2,
-            settle: Millis(4000),
-            rebalance: Millis(2000),
-            release: Millis(4000),
+            max_watchers: 2,
+            stable_before_rebalance: Millis(4000),
+            rebalance_interval: Millis(2000),
+            release_timeout: Millis(4000),
             ..Limits::default()
         };
         let identity = node.identity.clone();
--- a/lib/src/membership/keeper/mod.rs
+++ b/lib/src/membership/keeper/mod.rs
@@ -326,7 +326,7 @@
     }
 
     async fn read_directory(self: Arc<Self>) {
-        let poll = self.parts.limits.directory_poll;
+        let poll = self.parts.limits.directory_poll_interval;
         let limit = self.parts.limits.call_timeout.duration();
         loop {
             match timeout(limit, self.parts.directory.vms()).await {
--- a/lib/src/membership/limits.rs
+++ b/lib/src/membership/limits.rs
@@ -3,58 +3,58 @@
 use crate::clock::Millis;
 
 /// Renewals in one lease span; two may be lost before the lease lapses.
-pub const RENEWALS: u64 = 3;
+pub const RENEWALS_PER_LEASE: u64 = 3;
 
 /// Part of a span that clocks may run apart in, and that answers may be rounded by.
-const DRIFT_PART: u64 = 16;
+const DRIFT_DIVISOR: u64 = 16;
 
 /// How long a witness's support lasts, counted from when it was asked for.
 ///
 /// It is a constant, since owner, witnesses and successors must count alike.
-pub const SUPPORT_SPAN: Millis = Millis(3000);
+pub const SUPPORT_TTL: Millis = Millis(3000);
 
 /// How long an owner goes on without the service at most, and a successor waits
 /// when the witnesses are gone for good. See docs/operators/failures.md.
-pub const OUTAGE_LIMIT: Millis = Millis::from_secs(2 * 3600);
+pub const MAX_OUTAGE: Millis = Millis::from_secs(2 * 3600);
 
 /// Times and budgets; the settings override some.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Limits {
     /// Shortest span of a node's lease.
-    pub lease: Millis,
+    pub min_lease_ttl: Millis,
     /// Renewals a second that the whole fleet may spend.
     pub lease_writes_per_second: u32,
     /// How long a call to the service or a peer may take.
     pub call_timeout: Millis,
     /// Time between reads of the list of VMs.
-    pub directory_poll: Millis,
+    pub directory_poll_interval: Millis,
     /// Shortest time between reads of all claims by a node that doesn't watch them.
-    pub store_poll: Millis,
+    pub min_full_read_interval: Millis,
     /// Bytes a second that a node may spend on reading all claims.
-    pub store_bytes_per_second: u64,
+    pub full_read_bytes_per_second: u64,
     /// Nodes that watch the claims; the others hear of changes from them.
-    pub watchers: usize,
+    pub max_watchers: usize,
     /// How long running requests may take before an upstream is handed over all the same.
-    pub release: Millis,
+    pub release_timeout: Millis,
     /// Shortest time between two upstreams handed over to balance the load.
-    pub rebalance: Millis,
+    pub rebalance_interval: Millis,
     /// How long the set of nodes must have been still before the load is balanced.
-    pub settle: Millis,
+    pub stable_before_rebalance: Millis,
 }
 
 impl Default for Limits {
     fn default() -> Self {
         Self {
-            lease: Millis(3000),
+            min_lease_ttl: Millis(3000),
             lease_writes_per_second: 100,
             call_timeout: Millis(800),
-            directory_poll: Millis(1000),
-            store_poll: Millis(5000),
-            store_bytes_per_second: 2000,
-            watchers: 16,
-            release: Millis::from_secs(60),
-            rebalance: Millis::from_secs(5),
-            settle: Millis::from_secs(10),
+            directory_poll_interval: Millis(1000),
+            min_full_read_interval: Millis(5000),
+            full_read_bytes_per_second: 2000,
+            max_watchers: 16,
+            release_timeout: Millis::from_secs(60),
+            rebalance_interval: Millis::from_secs(5),
+            stable_before_rebalance: Millis::from_secs(10),
         }
     }
 }
@@ -65,30 +65,30 @@
     /// Renewals go out three times a span, so that `3 * nodes / span` stays
     /// within the budget.
     #[must_use]
-    pub fn lease_span(&self, nodes: usize) -> Millis {
+    pub fn lease_ttl(&self, nodes: usize) -> Millis {
         let nodes = u64::try_from(nodes).unwrap_or(u64::MAX);
         let budget = u64::from(self.lease_writes_per_second.max(1));
-        let needed = nodes.saturating_mul(RENEWALS * 1000) / budget;
-        self.lease.max(Millis(needed))
+        let needed = nodes.saturating_mul(RENEWALS_PER_LEASE * 1000) / budget;
+        self.min_lease_ttl.max(Millis(needed))
     }
 
     /// Returns how long a restarted witness stays silent.
     ///
     /// Longer than a round of asking plus the support that may be counted on.
     #[must_use]
-    pub fn quiet(&self) -> Millis {
-        SUPPORT_SPAN + drift(SUPPORT_SPAN) + drift(SUPPORT_SPAN) + self.round() + self.round()
+    pub fn witness_silence(&self) -> Millis {
+        SUPPORT_TTL + drift_margin(SUPPORT_TTL) + drift_margin(SUPPORT_TTL) + self.vote_timeout() + self.vote_timeout()
     }
 
     /// Returns how long a round of asking witnesses may gather answers.
     #[must_use]
-    pub fn round(&self) -> Millis {
+    pub fn vote_timeout(&self) -> Millis {
         self.call_timeout
     }
 }
 
 /// Returns the part of a span that is not counted on because clocks run at different rates.
 #[must_use]
-pub const fn drift(span: Millis) -> Millis {
-    Millis(span.0.div_ceil(DRIFT_PART))
+pub const fn drift_margin(span: Millis) -> Millis {
+    Millis(span.0.div_ceil(DRIFT_DIVISOR))
 }
--- a/lib/src/membership/machine/claims.rs
+++ b/lib/src/membership/machine/claims.rs
@@ -247,7 +247,7 @@
 
     fn settle_claim(&mut self, now: Millis, claim: Claim, over: u64) {
         let upstream = claim.upstream.clone();
-        let retry = now + self.limits.lease;
+        let retry = now + self.limits.min_lease_ttl;
         let busy = Busy::Settling { claim, over, retry };
         self.busy.insert(upstream.clone(), busy);
         let key = self.keys.claim(&upstream);
@@ -354,7 +354,7 @@
             .collect();
         for upstream in retired {
             self.busy.insert(upstream.clone(), Busy::Releasing);
-            let call = Call::Release(upstream.clone(), self.limits.release);
+            let call = Call::Release(upstream.clone(), self.limits.release_timeout);
             self.call(now, Purpose::Release(upstream), call);
         }
     }
@@ -403,7 +403,7 @@
         // A node that stops must not end before what it runs has finished.
         let limit = if self.stopping.is_some() {
             self.busy.insert(upstream.clone(), Busy::Releasing);
-            self.limits.release
+            self.limits.release_timeout
         } else {
             Millis::ZERO
         };
--- a/lib/src/membership/machine/handover.rs
+++ b/lib/src/membership/machine/handover.rs
@@ -15,11 +15,11 @@
     // One upstream at a time goes from a node that holds two more than another, once
     // the set of nodes has been still: a moved upstream takes no requests meanwhile.
     pub(super) fn balance(&mut self, now: Millis) {
-        let still = now.since(self.nodes_since) >= self.limits.settle;
+        let still = now.since(self.nodes_since) >= self.limits.stable_before_rebalance;
         if !still || now < self.next_rebalance || !self.busy.is_empty() {
             return;
         }
-        let span = self.limits.rebalance;
+        let span = self.limits.rebalance_interval;
         self.next_rebalance = now + self.jitter(span);
         let load = self.load();
         let own = load.owned_by(&self.identity.name);
@@ -40,7 +40,7 @@
 
     pub(super) fn hand_over(&mut self, now: Millis, upstream: &Name) {
         self.busy.insert(upstream.clone(), Busy::Releasing);
-        let limit = self.limits.release;
+        let limit = self.limits.release_timeout;
         let call = Call::Release(upstream.clone(), limit);
         self.call(now, Purpose::Release(upstream.clone()), call);
         if !self.guards.on(Guard::ReleaseFirst) {
--- a/lib/src/membership/machine/lease.rs
+++ b/lib/src/membership/machine/lease.rs
@@ -5,7 +5,7 @@
 use super::{Call, Machine, Purpose};
 use crate::clock::Millis;
 use crate::membership::guard::Guard;
-use crate::membership::limits::{OUTAGE_LIMIT, RENEWALS, drift};
+use crate::membership::limits::{MAX_OUTAGE, RENEWALS_PER_LEASE, drift_margin};
 use crate::membership::node::{Record, Witnesses};
 use crate::membership::placement;
 use crate::ports::{Commit, Condition, Entry, Error, LeaseId, Transaction, Write};
@@ -78,7 +78,7 @@
         if !self.table.has_read() {
             return;
         }
-        let span = self.limits.lease_span(self.fleet_size());
+        let span = self.limits.lease_ttl(self.fleet_size());
         match &self.session {
             Some(session) if !session.dead => {
                 let outgrown = span.0 >= session.span.0 * OUTGROWN;
@@ -119,7 +119,7 @@
         }
         // A node that is replaced is back in a moment; chasing each change would
         // cost a write for every witness of every node.
-        now.since(self.nodes_since) >= self.limits.lease
+        now.since(self.nodes_since) >= self.limits.min_lease_ttl
             && self.may_change_witnesses(now)
             && self.witnesses_outdated(&session.record.witnesses)
     }
@@ -215,7 +215,7 @@
         match result {
             Ok(lease) => {
                 let lease = *lease;
-                let span = self.limits.lease_span(self.fleet_size());
+                let span = self.limits.lease_ttl(self.fleet_size());
                 self.register(now, lease, span, sent);
             }
             Err(_) => self.retry_join(now),
@@ -231,8 +231,8 @@
     // All nodes try at the same time when the service comes back. At a third of
     // the lease's span their calls stay as far apart as renewals do.
     pub(super) fn retry_span(&self) -> Millis {
-        let span = self.limits.lease_span(self.fleet_size());
-        RETRY.max(Millis(span.0 / RENEWALS))
+        let span = self.limits.lease_ttl(self.fleet_size());
+        RETRY.max(Millis(span.0 / RENEWALS_PER_LEASE))
     }
 
     pub(super) fn registered(&mut self, now: Millis, result: &Result<Commit, Error>) {
@@ -336,7 +336,7 @@
         let kept = self.session.take().filter(|session| session.lease == lease);
         let service_until = match &kept {
             Some(session) => session.service_until,
-            None if counted => granted + span - drift(span),
+            None if counted => granted + span - drift_margin(span),
             None => Millis::ZERO,
         };
         let checked = kept.as_ref().is_some_and(|session| session.checked);
@@ -378,7 +378,7 @@
         session.renewing = false;
         match result {
             Ok(span) if *span > Millis::ZERO => {
-                let third = Millis(session.span.0 / RENEWALS);
+                let third = Millis(session.span.0 / RENEWALS_PER_LEASE);
                 let wait = self.jitter(third);
                 self.renewal_counts(lease, from);
                 if let Some(session) = &mut self.session {
@@ -392,7 +392,7 @@
                 self.note("lease_lost");
             }
             Err(_) => {
-                let third = Millis(session.span.0 / RENEWALS);
+                let third = Millis(session.span.0 / RENEWALS_PER_LEASE);
                 let wait = self.jitter(Millis(third.0 / 2));
                 if let Some(session) = &mut self.session {
                     session.next_renewal = now + wait;
@@ -414,7 +414,7 @@
             return;
         };
         session.renewed = session.renewed.max(sent);
-        let until = sent + session.span - drift(session.span);
+        let until = sent + session.span - drift_margin(session.span);
         session.service_until = session.service_until.max(until);
         if session.checked {
             self.extend(until);
@@ -432,6 +432,6 @@
     pub(super) fn outage_over(&self, now: Millis) -> bool {
         self.session
             .as_ref()
-            .is_none_or(|session| now.since(session.renewed) >= OUTAGE_LIMIT)
+            .is_none_or(|session| now.since(session.renewed) >= MAX_OUTAGE)
     }
 }
--- a/lib/src/membership/machine/mod.rs
+++ b/lib/src/membership/machine/mod.rs
@@ -113,7 +113,7 @@
         guards: Guards,
     ) -> Self {
         let keys = Keys::new(prefix);
-        let witness = Witness::with_guards(now, limits.quiet(), guards);
+        let witness = Witness::with_guards(now, limits.witness_silence(), guards);
         Self {
             identity,
             limits,
@@ -327,7 +327,7 @@
     /// Whether this node should watch the service's keys instead of reading them now and then.
     #[must_use]
     pub fn is_watcher(&self) -> bool {
-        placement::duty_rank(&self.identity.name, self.table.live_records()) < self.limits.watchers
+        placement::duty_rank(&self.identity.name, self.table.live_records()) < self.limits.max_watchers
     }
 
     /// Reads all keys at the next chance, as when a watch broke.
--- a/lib/src/membership/machine/reading.rs
+++ b/lib/src/membership/machine/reading.rs
@@ -28,8 +28,8 @@
     }
 
     fn list_period(&self) -> Millis {
-        let by_bytes = self.reading.bytes * 1000 / self.limits.store_bytes_per_second.max(1);
-        self.limits.store_poll.max(Millis(by_bytes))
+        let by_bytes = self.reading.bytes * 1000 / self.limits.full_read_bytes_per_second.max(1);
+        self.limits.min_full_read_interval.max(Millis(by_bytes))
     }
 
     pub(super) fn listed(&mut self, now: Millis, sent: Millis, result: Result<Listing, Error>) {
--- a/lib/src/membership/machine/support.rs
+++ b/lib/src/membership/machine/support.rs
@@ -5,7 +5,7 @@
 use super::{Call, Machine, Purpose};
 use crate::clock::Millis;
 use crate::membership::guard::Guard;
-use crate::membership::limits::{SUPPORT_SPAN, drift};
+use crate::membership::limits::{SUPPORT_TTL, drift_margin};
 use crate::membership::placement::majority;
 use crate::membership::witness::{Ask, Vote};
 use crate::name::Name;
@@ -30,7 +30,7 @@
         if !needed || now < self.next_round || self.ending() {
             return;
         }
-        self.next_round = now + Millis(SUPPORT_SPAN.0 / ROUNDS);
+        self.next_round = now + Millis(SUPPORT_TTL.0 / ROUNDS);
         if self.witnesses_unsettled() && self.guards.on(Guard::WitnessesFixed) {
             return;
         }
@@ -106,7 +106,7 @@
         let Some(vote) = vote else {
             return;
         };
-        let limit = self.limits.round();
+        let limit = self.limits.vote_timeout();
         let one = !self.guards.on(Guard::SupportMajority);
         let from_send = self.guards.on(Guard::SupportFromSend);
         let Some(round) = &mut self.round else {
@@ -132,7 +132,7 @@
         if counted < round.wanted && !one {
             return;
         }
-        let until = sent + SUPPORT_SPAN - drift(SUPPORT_SPAN);
+        let until = sent + SUPPORT_TTL - drift_margin(SUPPORT_TTL);
         if !self.relies_on_witnesses() {
             self.note("outage_support");
         }
--- a/lib/src/membership/machine/takeover.rs
+++ b/lib/src/membership/machine/takeover.rs
@@ -5,7 +5,7 @@
 use super::{Machine, Purpose};
 use crate::clock::Millis;
 use crate::membership::guard::Guard;
-use crate::membership::limits::{OUTAGE_LIMIT, drift};
+use crate::membership::limits::{MAX_OUTAGE, drift_margin};
 use crate::membership::node::{Claim, Record};
 use crate::membership::placement::majority;
 use crate::membership::witness::{Ask, Vote};
@@ -50,7 +50,7 @@
         };
         // With most witnesses gone for good nobody can withdraw, but no owner goes
         // on for longer than this either.
-        let expired = now >= withdrawal.since + OUTAGE_LIMIT + drift(OUTAGE_LIMIT);
+        let expired = now >= withdrawal.since + MAX_OUTAGE + drift_margin(MAX_OUTAGE);
         if withdrawal.done || expired {
             return true;
         }
@@ -95,7 +95,7 @@
         witness: Name,
         vote: Option<Vote>,
     ) {
-        let limit = self.limits.round();
+        let limit = self.limits.vote_timeout();
         let Some(withdrawal) = self.withdrawals.get_mut(start) else {
             return;
         };
--- a/lib/src/membership/witness.rs
+++ b/lib/src/membership/witness.rs
@@ -14,7 +14,7 @@
 
 use crate::clock::Millis;
 use crate::membership::guard::{Guard, Guards};
-use crate::membership::limits::{SUPPORT_SPAN, drift};
+use crate::membership::limits::{SUPPORT_TTL, drift_margin};
 use crate::name::Name;
 use crate::ports::LeaseId;
 
@@ -104,10 +104,10 @@
     ///
     /// A registration with a higher revision is younger than this witness, so no previous
     /// start of it can have withdrawn it. Without this, nodes that started together would
-    /// vote for nobody in an outage that begins within [`Limits::quiet`] of the start: their
+    /// vote for nobody in an outage that begins within [`Limits::witness_silence`] of the start: their
     /// leases would lapse before the first vote, and callers be refused at every upstream.
     ///
-    /// [`Limits::quiet`]: crate::membership::limits::Limits::quiet
+    /// [`Limits::witness_silence`]: crate::membership::limits::Limits::witness_silence
     pub fn registered(&mut self, revision: u64) {
         if !self.overflowed {
             self.forgot_nothing_after.get_or_insert(revision);
@@ -177,7 +177,7 @@
         // this witness heard it. The drift allows for clocks of different rates.
         let counted_on = self
             .supported_at
-            .is_some_and(|at| now <= at + SUPPORT_SPAN + drift(SUPPORT_SPAN));
+            .is_some_and(|at| now <= at + SUPPORT_TTL + drift_margin(SUPPORT_TTL));
         let withdrawn = !counted_on || !guards.on(Guard::WitnessWaits);
         if withdrawn {
             self.withdrawn_before = self.withdrawn_before.max(revision);
--- a/lib/src/node/limits.rs
+++ b/lib/src/node/limits.rs
@@ -50,10 +50,10 @@
 pub fn membership(settings: &Settings) -> membership::Limits {
     let platform = &settings.platform;
     membership::Limits {
-        lease: platform.lease,
+        min_lease_ttl: platform.lease,
         lease_writes_per_second: platform.lease_writes_per_second,
-        directory_poll: platform.directory_poll,
-        release: settings.limits.drain_limit,
+        directory_poll_interval: platform.directory_poll,
+        release_timeout: settings.limits.drain_limit,
         ..membership::Limits::default()
     }
 }
--- a/lib/tests/test_membership.rs
+++ b/lib/tests/test_membership.rs
@@ -106,7 +106,7 @@
 }
 
 fn witness() -> (Witness, Millis) {
-    let quiet = Limits::default().quiet();
+    let quiet = Limits::default().witness_silence();
     (Witness::new(Millis::ZERO, quiet), quiet)
 }
 
@@ -176,8 +176,8 @@
 #[test]
 fn lease_span_budget() {
     let limits = Limits::default();
-    assert_eq!(limits.lease_span(9), Millis(3000));
-    assert_eq!(limits.lease_span(320), Millis(9600));
+    assert_eq!(limits.lease_ttl(9), Millis(3000));
+    assert_eq!(limits.lease_ttl(320), Millis(9600));
 }
 
 #[test]
@@ -322,7 +322,7 @@
 
 /// Whether a witness without a guard breaks what the tests above hold.
 fn witness_breaks(guard: Guard) -> bool {
-    let quiet = Limits::default().quiet();
+    let quiet = Limits::default().witness_silence();
     let mut witness = Witness::with_guards(Millis::ZERO, quiet, Guards::without(guard));
     match guard {
         Guard::WitnessQuiet => witness.vote(Millis(1), &ask(4, None)).supported,
