--- a/bench/src/fuzz_outcomes/harness/world.rs
+++ b/bench/src/fuzz_outcomes/harness/world.rs
@@ -13,7 +13,7 @@
 use chivevalve::clock::Millis;
 use chivevalve::error::Failure;
 use chivevalve::membership::guard::Guards;
-use chivevalve::membership::machine::{CallResult, Call, Machine};
+use chivevalve::membership::machine::{Call, CallResult, Machine};
 use chivevalve::membership::node::{Claim, Identity};
 use chivevalve::membership::upstreams::Upstreams;
 use chivevalve::membership::witness;
--- a/bench/src/fuzz_outcomes/harness/world/calls.rs
+++ b/bench/src/fuzz_outcomes/harness/world/calls.rs
@@ -4,7 +4,7 @@
 
 use chivevalve::clock::Millis;
 use chivevalve::error::Code;
-use chivevalve::membership::machine::{Action, CallResult, Call};
+use chivevalve::membership::machine::{Action, Call, CallResult};
 use chivevalve::membership::node::Claim;
 use chivevalve::membership::{Limits, witness};
 use chivevalve::name::Name;
--- a/bench/src/fuzz_outcomes/harness/world/events.rs
+++ b/bench/src/fuzz_outcomes/harness/world/events.rs
@@ -69,7 +69,9 @@
                 self.later(TICK, Due::Node(index, start, Arrival::Tick));
             }
             Arrival::Answer(number, answer) => {
-                self.on_machine(index, |machine, now| machine.handle_result(now, number, answer));
+                self.on_machine(index, |machine, now| {
+                    machine.handle_result(now, number, answer)
+                });
             }
             Arrival::Seen(event) => {
                 self.on_machine(index, |machine, now| machine.apply_watch_event(now, &event));
--- a/lib/src/membership/keeper/mod.rs
+++ b/lib/src/membership/keeper/mod.rs
@@ -23,11 +23,11 @@
 use crate::membership::guard::Guards;
 use crate::membership::last_seen::LastSeen;
 use crate::membership::limits::Limits;
-use crate::membership::machine::{Action, CallResult, Call, Machine};
+use crate::membership::machine::{Action, Call, CallResult, Machine};
 use crate::membership::node::{Identity, Keys};
 use crate::membership::upstreams::{Upstreams, Verdict};
 use crate::membership::witness::{Ask, Vote};
-use crate::membership::{Adopter, Detector, UpstreamOwnership, Relay, Renewal};
+use crate::membership::{Adopter, Detector, Relay, Renewal, UpstreamOwnership};
 use crate::metrics::Metrics;
 use crate::name::Name;
 use crate::ports::{Directory, Error, Lease, Store, Vm, Watch};
@@ -322,7 +322,10 @@
     }
 
     fn released(self: &Arc<Self>, number: u64) {
-        self.step(|core, now| core.machine.handle_result(now, number, CallResult::Released));
+        self.step(|core, now| {
+            core.machine
+                .handle_result(now, number, CallResult::Released)
+        });
     }
 
     async fn read_directory(self: Arc<Self>) {
--- a/lib/src/membership/keeper/publish.rs
+++ b/lib/src/membership/keeper/publish.rs
@@ -15,7 +15,13 @@
 use crate::ports::Vm;
 
 impl Keeper {
-    pub(super) fn adopt(&self, core: &mut Core, now: Millis, upstream: &Name, ownership: UpstreamOwnership) {
+    pub(super) fn adopt(
+        &self,
+        core: &mut Core,
+        now: Millis,
+        upstream: &Name,
+        ownership: UpstreamOwnership,
+    ) {
         let Some((found, pool)) = self.describe(core, now, upstream) else {
             core.adopted.remove(upstream);
             return;
@@ -110,7 +116,9 @@
             let state = core.upstreams.get(now, &upstream).map(|found| found.state);
             let told = core.adopted.get(&upstream).copied();
             let changed = match told {
-                Some((told, token)) => token != ownership.token() || state.is_some_and(|s| s != told),
+                Some((told, token)) => {
+                    token != ownership.token() || state.is_some_and(|s| s != told)
+                }
                 None => true,
             };
             if changed {
--- a/lib/src/membership/limits.rs
+++ b/lib/src/membership/limits.rs
@@ -77,7 +77,11 @@
     /// Longer than a round of asking plus the support that may be counted on.
     #[must_use]
     pub fn witness_silence(&self) -> Millis {
-        SUPPORT_TTL + drift_margin(SUPPORT_TTL) + drift_margin(SUPPORT_TTL) + self.vote_timeout() + self.vote_timeout()
+        SUPPORT_TTL
+            + drift_margin(SUPPORT_TTL)
+            + drift_margin(SUPPORT_TTL)
+            + self.vote_timeout()
+            + self.vote_timeout()
     }
 
     /// Returns how long a round of asking witnesses may gather answers.
--- a/lib/src/membership/machine/lease.rs
+++ b/lib/src/membership/machine/lease.rs
@@ -104,7 +104,11 @@
             .registrations()
             .map(|record| &*record.identity.name)
             .collect();
-        names.extend(self.table.live_records().map(|record| &*record.identity.name));
+        names.extend(
+            self.table
+                .live_records()
+                .map(|record| &*record.identity.name),
+        );
         names.sort_unstable();
         names.dedup();
         names.len().max(1)
--- a/lib/src/membership/machine/mod.rs
+++ b/lib/src/membership/machine/mod.rs
@@ -31,7 +31,7 @@
 use crate::membership::witness::{Ask, Vote, Witness};
 use crate::name::Name;
 
-pub use call::{Action, CallResult, Call};
+pub use call::{Action, Call, CallResult};
 use call::{Pending, Purpose};
 use claims::Busy;
 use lease::{Joining, Session};
@@ -268,7 +268,11 @@
     }
 
     /// Lets news from a peer in; see [`MembershipTable::merge_claim`] and [`MembershipTable::merge_record`].
-    pub fn merge_from_peer(&mut self, now: Millis, learn: impl FnOnce(&mut MembershipTable) -> bool) -> bool {
+    pub fn merge_from_peer(
+        &mut self,
+        now: Millis,
+        learn: impl FnOnce(&mut MembershipTable) -> bool,
+    ) -> bool {
         let news = learn(&mut self.table);
         if news {
             self.reconcile(now);
@@ -320,14 +324,18 @@
     ) -> impl Iterator<Item = (&'a Name, UpstreamOwnership)> + 'a {
         self.holds.iter().map(|(name, held)| {
             let until = Arc::clone(&held.until);
-            (name, UpstreamOwnership::new(held.token, until, Arc::clone(clock)))
+            (
+                name,
+                UpstreamOwnership::new(held.token, until, Arc::clone(clock)),
+            )
         })
     }
 
     /// Whether this node should watch the service's keys instead of reading them now and then.
     #[must_use]
     pub fn is_watcher(&self) -> bool {
-        placement::duty_rank(&self.identity.name, self.table.live_records()) < self.limits.max_watchers
+        placement::duty_rank(&self.identity.name, self.table.live_records())
+            < self.limits.max_watchers
     }
 
     /// Reads all keys at the next chance, as when a watch broke.
--- a/lib/src/membership/mod.rs
+++ b/lib/src/membership/mod.rs
@@ -2,12 +2,12 @@
 
 pub mod fleet;
 pub mod guard;
-pub mod ownership;
 pub mod keeper;
 pub mod last_seen;
 pub mod limits;
 pub mod machine;
 pub mod node;
+pub mod ownership;
 pub mod placement;
 pub mod share;
 pub mod table;
@@ -15,10 +15,10 @@
 pub mod witness;
 
 pub use fleet::Fleet;
-pub use ownership::UpstreamOwnership;
 pub use keeper::{Keeper, Parts};
 pub use limits::Limits;
 pub use node::Identity;
+pub use ownership::UpstreamOwnership;
 pub use share::Node;
 
 use std::fmt;
--- a/lib/src/membership/placement.rs
+++ b/lib/src/membership/placement.rs
@@ -74,7 +74,11 @@
 /// Taking only the least loaded keeps every node within one of the fair share,
 /// which hashing alone doesn't: with two upstreams a node, some would hold six.
 #[must_use]
-pub fn successor<'a>(upstream: &str, candidates: &[&'a Record], load: &OwnedCounts) -> Option<&'a Record> {
+pub fn successor<'a>(
+    upstream: &str,
+    candidates: &[&'a Record],
+    load: &OwnedCounts,
+) -> Option<&'a Record> {
     let least = candidates
         .iter()
         .map(|record| load.owned_by(&record.identity.name))
--- a/lib/src/membership/share.rs
+++ b/lib/src/membership/share.rs
@@ -147,11 +147,15 @@
         let core = &mut *guard;
         let mut news = false;
         for claim in delta.claims.iter().filter_map(Claim::from_message) {
-            news |= core.machine.merge_from_peer(now, |table| table.merge_claim(claim));
+            news |= core
+                .machine
+                .merge_from_peer(now, |table| table.merge_claim(claim));
         }
         let records = delta.nodes.iter().filter(|node| node.revision > 0);
         for record in records.filter_map(Record::from_message) {
-            news |= core.machine.merge_from_peer(now, |table| table.merge_record(record));
+            news |= core
+                .machine
+                .merge_from_peer(now, |table| table.merge_record(record));
         }
         if let Some(digest) = &delta.digest {
             learn_digest(core, now, digest);
--- a/lib/src/owner/registry.rs
+++ b/lib/src/owner/registry.rs
@@ -243,7 +243,12 @@
 
 #[async_trait]
 impl Adopter for Registry {
-    async fn adopt(&self, upstream: fleet::Upstream, pool: Arc<Pool>, ownership: UpstreamOwnership) {
+    async fn adopt(
+        &self,
+        upstream: fleet::Upstream,
+        pool: Arc<Pool>,
+        ownership: UpstreamOwnership,
+    ) {
         let name = Arc::clone(&upstream.vm.name);
         // The weight store's queue is owned like an upstream, but nothing runs there.
         if &*name == WEIGHTS {
@@ -267,7 +272,10 @@
             self.remove(&name);
             let _ = handle.actor.tell(Release { done: None }).send().await;
         }
-        log::info!("owner: took over {name} with token {}", args.ownership.token());
+        log::info!(
+            "owner: took over {name} with token {}",
+            args.ownership.token()
+        );
         self.insert(args);
     }
 
--- a/lib/src/owner/run.rs
+++ b/lib/src/owner/run.rs
@@ -168,7 +168,11 @@
 }
 
 /// Checks the hold and sends a completion, with nothing between the two.
-async fn completion(engine: &dyn Engine, call: Call, ownership: &UpstreamOwnership) -> Result<Answer, Failure> {
+async fn completion(
+    engine: &dyn Engine,
+    call: Call,
+    ownership: &UpstreamOwnership,
+) -> Result<Answer, Failure> {
     let fence = ownership.fence()?;
     engine.run(call, fence).await
 }
--- a/lib/tests/owner_fakes/mod.rs
+++ b/lib/tests/owner_fakes/mod.rs
@@ -442,7 +442,8 @@
             batch,
             checks_fencing: false,
         };
-        let ownership = UpstreamOwnership::new(token, Arc::clone(&self.until), Arc::clone(&self.clock));
+        let ownership =
+            UpstreamOwnership::new(token, Arc::clone(&self.until), Arc::clone(&self.clock));
         let upstream = Upstream {
             vm: Vm {
                 name: "engine-1".into(),
@@ -454,7 +455,9 @@
             },
             state: State::Usable,
         };
-        self.registry.adopt(upstream, Arc::new(pool), ownership).await;
+        self.registry
+            .adopt(upstream, Arc::new(pool), ownership)
+            .await;
     }
 
     /// Lets the hold lapse now.
--- a/lib/tests/test_membership.rs
+++ b/lib/tests/test_membership.rs
@@ -219,7 +219,11 @@
         let to = placement::successor(&name, &live, &load).expect("there are nodes");
         load.increment(&to.identity.name.clone());
     }
-    assert!(nodes.iter().all(|node| load.owned_by(&node.identity.name) == 2));
+    assert!(
+        nodes
+            .iter()
+            .all(|node| load.owned_by(&node.identity.name) == 2)
+    );
 }
 
 fn vms(count: usize) -> Vec<Vm> {
