--- a/lib/src/membership/keeper/mod.rs
+++ b/lib/src/membership/keeper/mod.rs
@@ -23,11 +23,11 @@
 use crate::membership::guard::Guards;
 use crate::membership::last_seen::LastSeen;
 use crate::membership::limits::Limits;
-use crate::membership::machine::{Action, Answer, Call, Machine};
+use crate::membership::machine::{Action, Call, CallResult, Machine};
 use crate::membership::node::{Identity, Keys};
 use crate::membership::upstreams::{Upstreams, Verdict};
 use crate::membership::witness::{Ask, Vote};
-use crate::membership::{Adopter, Detector, Hold, Relay, Renewal};
+use crate::membership::{Adopter, Detector, Relay, Renewal, UpstreamOwnership};
 use crate::metrics::Metrics;
 use crate::name::Name;
 use crate::ports::{Directory, Error, Lease, Store, Vm, Watch};
@@ -99,7 +99,7 @@
 /// What the adopter is told, in order.
 #[derive(Debug)]
 enum Adoption {
-    Adopt(fleet::Upstream, Arc<Pool>, Hold),
+    Adopt(fleet::Upstream, Arc<Pool>, UpstreamOwnership),
     Release(u64, Name, Millis),
 }
 
@@ -197,11 +197,11 @@
         let result = step(&mut core, now);
         // The adopter must be told in the order of the machine's steps, so this
         // happens under the lock; nothing here waits.
-        for action in core.machine.actions() {
+        for action in core.machine.take_actions() {
             self.carry_out(&mut core, now, action);
         }
         self.publish(&mut core, now);
-        if core.machine.drained() {
+        if core.machine.is_drained() {
             self.drained.send_replace(true);
         }
         result
@@ -209,14 +209,14 @@
 
     fn carry_out(self: &Arc<Self>, core: &mut Core, now: Millis, action: Action) {
         match action {
-            Action::Note(event) => self.note(event),
+            Action::RecordEvent(event) => self.note(event),
             Action::Adopt {
                 upstream,
                 token,
                 until,
             } => {
-                let hold = Hold::new(token, until, Arc::clone(&self.parts.clock));
-                self.adopt(core, now, &upstream, hold);
+                let ownership = UpstreamOwnership::new(token, until, Arc::clone(&self.parts.clock));
+                self.adopt(core, now, &upstream, ownership);
             }
             Action::Call(number, Call::Release(upstream, limit)) => {
                 self.send(Adoption::Release(number, upstream, limit));
@@ -225,7 +225,7 @@
                 let keeper = Arc::clone(self);
                 self.spawn(async move {
                     let answer = keeper.make(call).await;
-                    keeper.step(|core, now| core.machine.answer(now, number, answer));
+                    keeper.step(|core, now| core.machine.handle_result(now, number, answer));
                 });
             }
         }
@@ -243,7 +243,7 @@
         info!("membership: {event}");
     }
 
-    async fn make(&self, call: Call) -> Answer {
+    async fn make(&self, call: Call) -> CallResult {
         let limit = self.parts.limits.call_timeout.duration();
         let lost = || Error::NoAnswer("no answer in time".to_owned());
         let Parts {
@@ -253,12 +253,12 @@
             ..
         } = &self.parts;
         match call {
-            Call::Grant(span) => Answer::Granted(
+            Call::Grant(span) => CallResult::Granted(
                 timeout(limit, lease.grant(span))
                     .await
                     .unwrap_or_else(|_| Err(lost())),
             ),
-            Call::Renew(id) => Answer::Renewed(
+            Call::Renew(id) => CallResult::Renewed(
                 timeout(limit, lease.renew(id))
                     .await
                     .unwrap_or_else(|_| Err(lost())),
@@ -267,28 +267,28 @@
                 if !matches!(timeout(limit, lease.revoke(id)).await, Ok(Ok(()))) {
                     warn!("membership: the lease ends by its time, as revoking it failed");
                 }
-                Answer::Revoked
+                CallResult::Revoked
             }
-            Call::Commit(transaction) => Answer::Committed(
+            Call::Commit(transaction) => CallResult::Committed(
                 timeout(limit, store.commit(transaction))
                     .await
                     .unwrap_or_else(|_| Err(lost())),
             ),
-            Call::Read(key) => Answer::Read(
+            Call::Read(key) => CallResult::Read(
                 timeout(limit, store.get(&key))
                     .await
                     .unwrap_or_else(|_| Err(lost())),
             ),
-            Call::List => Answer::Listed(
+            Call::List => CallResult::Listed(
                 timeout(limit, store.list(self.keys.prefix()))
                     .await
                     .unwrap_or_else(|_| Err(lost())),
             ),
-            Call::Ask(peer, ask) => {
+            Call::RequestVote(peer, ask) => {
                 let vote = timeout(limit, relay.renew(peer, ask)).await;
-                Answer::Voted(vote.ok().flatten())
+                CallResult::Vote(vote.ok().flatten())
             }
-            Call::Release(..) => Answer::Released,
+            Call::Release(..) => CallResult::Released,
         }
     }
 
@@ -302,8 +302,8 @@
     async fn tell_adopter(self: Arc<Self>, mut queue: mpsc::UnboundedReceiver<Adoption>) {
         while let Some(adoption) = queue.recv().await {
             match adoption {
-                Adoption::Adopt(upstream, pool, hold) => {
-                    self.parts.adopter.adopt(upstream, pool, hold).await;
+                Adoption::Adopt(upstream, pool, ownership) => {
+                    self.parts.adopter.adopt(upstream, pool, ownership).await;
                 }
                 Adoption::Release(number, upstream, limit) if limit == Millis::ZERO => {
                     self.parts.adopter.release(&upstream, limit).await;
@@ -322,11 +322,14 @@
     }
 
     fn released(self: &Arc<Self>, number: u64) {
-        self.step(|core, now| core.machine.answer(now, number, Answer::Released));
+        self.step(|core, now| {
+            core.machine
+                .handle_result(now, number, CallResult::Released)
+        });
     }
 
     async fn read_directory(self: Arc<Self>) {
-        let poll = self.parts.limits.directory_poll;
+        let poll = self.parts.limits.directory_poll_interval;
         let limit = self.parts.limits.call_timeout.duration();
         loop {
             match timeout(limit, self.parts.directory.vms()).await {
@@ -360,12 +363,12 @@
             let (watcher, from) = {
                 let core = self.lock();
                 let table = core.machine.table();
-                let watcher = core.machine.watcher() && table.has_read();
-                (watcher, table.read_up_to())
+                let watcher = core.machine.is_watcher() && table.has_read();
+                (watcher, table.read_revision())
             };
             if watcher {
                 self.watch_from(from).await;
-                self.step(|core, _| core.machine.read_again());
+                self.step(|core, _| core.machine.request_full_read());
             }
             tokio::time::sleep(REWATCH.duration()).await;
         }
@@ -377,7 +380,7 @@
             return;
         };
         while let Some(Ok(event)) = events.next().await {
-            self.step(|core, now| core.machine.watched(now, &event));
+            self.step(|core, now| core.machine.apply_watch_event(now, &event));
         }
     }
 
--- a/lib/src/membership/keeper/publish.rs
+++ b/lib/src/membership/keeper/publish.rs
@@ -5,24 +5,30 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-use super::{Adoption, Core, Keeper};
 use crate::clock::Millis;
 use crate::declaration::{Kind, Pool};
 use crate::loads::WEIGHT_STORE;
-use crate::membership::Hold;
-use crate::membership::fleet::{self, Fleet, State};
+use crate::membership::UpstreamOwnership;
+use crate::membership::fleet::{Fleet, State, self};
 use crate::name::Name;
 use crate::ports::Vm;
+use super::{Adoption, Core, Keeper};
 
 impl Keeper {
-    pub(super) fn adopt(&self, core: &mut Core, now: Millis, upstream: &Name, hold: Hold) {
+    pub(super) fn adopt(
+        &self,
+        core: &mut Core,
+        now: Millis,
+        upstream: &Name,
+        ownership: UpstreamOwnership,
+    ) {
         let Some((found, pool)) = self.describe(core, now, upstream) else {
             core.adopted.remove(upstream);
             return;
         };
-        let mark = (found.state, hold.token());
+        let mark = (found.state, ownership.token());
         core.adopted.insert(upstream.clone(), mark);
-        self.send(Adoption::Adopt(found, pool, hold));
+        self.send(Adoption::Adopt(found, pool, ownership));
     }
 
     fn describe(
@@ -52,7 +58,7 @@
         core.next_release = core.upstreams.next_release(now);
         if renewed {
             let regions = self.regions(core, now);
-            core.machine.upstreams(now, regions);
+            core.machine.set_upstreams(now, regions);
         }
         let owners = core
             .machine
@@ -96,25 +102,27 @@
             let gauge = metrics.upstreams.with_label_values(&[name]);
             gauge.set(i64::try_from(count).unwrap_or(i64::MAX));
         }
-        let owned = core.machine.held().count();
+        let owned = core.machine.owned_tokens().count();
         metrics.owned.set(i64::try_from(owned).unwrap_or(i64::MAX));
     }
 
     fn readopt(&self, core: &mut Core, now: Millis) {
-        let held: Vec<(Name, Hold)> = core
+        let held: Vec<(Name, UpstreamOwnership)> = core
             .machine
-            .holds(&self.parts.clock)
-            .map(|(name, hold)| (name.clone(), hold))
+            .ownerships(&self.parts.clock)
+            .map(|(name, ownership)| (name.clone(), ownership))
             .collect();
-        for (upstream, hold) in held {
+        for (upstream, ownership) in held {
             let state = core.upstreams.get(now, &upstream).map(|found| found.state);
             let told = core.adopted.get(&upstream).copied();
             let changed = match told {
-                Some((told, token)) => token != hold.token() || state.is_some_and(|s| s != told),
+                Some((told, token)) => {
+                    token != ownership.token() || state.is_some_and(|s| s != told)
+                }
                 None => true,
             };
             if changed {
-                self.adopt(core, now, &upstream, hold);
+                self.adopt(core, now, &upstream, ownership);
             }
         }
     }
--- a/lib/src/membership/machine/claims.rs
+++ b/lib/src/membership/machine/claims.rs
@@ -7,7 +7,7 @@
 use crate::clock::Millis;
 use crate::membership::guard::Guard;
 use crate::membership::node::{Claim, Record};
-use crate::membership::placement::{self, Load};
+use crate::membership::placement::{self, OwnedCounts};
 use crate::name::Name;
 use crate::ports::{Commit, Condition, Entry, Error, Transaction, Write};
 
@@ -64,7 +64,7 @@
     }
 
     fn watch_nodes(&mut self, now: Millis) {
-        let names = self.table.live().map(|record| {
+        let names = self.table.live_records().map(|record| {
             let identity = &record.identity;
             xxhash_rust::xxh3::xxh3_64_with_seed(identity.name.as_bytes(), identity.incarnation)
         });
@@ -75,14 +75,14 @@
         }
     }
 
-    pub(super) fn load(&self) -> Load {
+    pub(super) fn load(&self) -> OwnedCounts {
         let owners = self
             .table
             .claims()
             .filter(|claim| self.regions.contains_key(&claim.upstream))
-            .filter(|claim| self.table.owner_stands(claim))
+            .filter(|claim| self.table.has_live_owner(claim))
             .map(|claim| &claim.node);
-        Load::count(owners)
+        OwnedCounts::from_owners(owners)
     }
 
     // Upstreams that have no owner, or whose owner's record is gone.
@@ -94,7 +94,7 @@
                 let claim = self.table.claim(upstream).cloned();
                 let orphan = match &claim {
                     None => gathered,
-                    Some(claim) => !self.table.owner_stands(claim),
+                    Some(claim) => !self.table.has_live_owner(claim),
                 };
                 orphan.then(|| (upstream.clone(), region.clone(), claim))
             })
@@ -109,14 +109,14 @@
         }
         let mut load = self.load();
         let mut mine = Vec::new();
-        let live: Vec<&Record> = self.table.live().collect();
+        let live: Vec<&Record> = self.table.live_records().collect();
         for (upstream, region, claim) in orphans {
             let candidates = placement::candidates(&live, &region);
             let Some(successor) = placement::successor(&upstream, &candidates, &load) else {
                 continue;
             };
             let name = successor.identity.name.clone();
-            load.add(&name);
+            load.increment(&name);
             if name == self.identity.name {
                 mine.push((upstream, claim));
             }
@@ -233,7 +233,7 @@
                 if self.guards.on(Guard::SettleClaim) {
                     self.settle_claim(now, claim, over);
                 } else {
-                    let assumed = self.table.newest() + 1;
+                    let assumed = self.table.max_revision() + 1;
                     self.claim_stands(now, claim, assumed);
                 }
             }
@@ -241,13 +241,13 @@
     }
 
     fn claim_stands(&mut self, now: Millis, claim: Claim, token: u64) {
-        self.table.learn_claim(Claim { token, ..claim });
+        self.table.merge_claim(Claim { token, ..claim });
         self.reconcile(now);
     }
 
     fn settle_claim(&mut self, now: Millis, claim: Claim, over: u64) {
         let upstream = claim.upstream.clone();
-        let retry = now + self.limits.lease;
+        let retry = now + self.limits.min_lease_ttl;
         let busy = Busy::Settling { claim, over, retry };
         self.busy.insert(upstream.clone(), busy);
         let key = self.keys.claim(&upstream);
@@ -286,7 +286,7 @@
         let found = entry.and_then(|entry| Claim::from_value(&entry.value, entry.revision));
         match found {
             Some(found) if found.token != over => {
-                self.table.learn_claim(found);
+                self.table.merge_claim(found);
                 self.reconcile(now);
             }
             _ => self.unsettled(now, upstream, over),
@@ -354,7 +354,7 @@
             .collect();
         for upstream in retired {
             self.busy.insert(upstream.clone(), Busy::Releasing);
-            let call = Call::Release(upstream.clone(), self.limits.release);
+            let call = Call::Release(upstream.clone(), self.limits.release_timeout);
             self.call(now, Purpose::Release(upstream), call);
         }
     }
@@ -403,7 +403,7 @@
         // A node that stops must not end before what it runs has finished.
         let limit = if self.stopping.is_some() {
             self.busy.insert(upstream.clone(), Busy::Releasing);
-            self.limits.release
+            self.limits.release_timeout
         } else {
             Millis::ZERO
         };
--- a/lib/src/membership/machine/handover.rs
+++ b/lib/src/membership/machine/handover.rs
@@ -15,22 +15,22 @@
     // One upstream at a time goes from a node that holds two more than another, once
     // the set of nodes has been still: a moved upstream takes no requests meanwhile.
     pub(super) fn balance(&mut self, now: Millis) {
-        let still = now.since(self.nodes_since) >= self.limits.settle;
+        let still = now.since(self.nodes_since) >= self.limits.stable_before_rebalance;
         if !still || now < self.next_rebalance || !self.busy.is_empty() {
             return;
         }
-        let span = self.limits.rebalance;
+        let span = self.limits.rebalance_interval;
         self.next_rebalance = now + self.jitter(span);
         let load = self.load();
-        let own = load.of(&self.identity.name);
-        let live: Vec<&Record> = self.table.live().collect();
+        let own = load.owned_by(&self.identity.name);
+        let live: Vec<&Record> = self.table.live_records().collect();
         let moved = self.holds.keys().find(|upstream| {
             let Some(region) = self.regions.get(*upstream) else {
                 return false;
             };
             let candidates = placement::candidates(&live, region);
             placement::successor(upstream, &candidates, &load)
-                .is_some_and(|to| load.of(&to.identity.name) + 2 <= own)
+                .is_some_and(|to| load.owned_by(&to.identity.name) + 2 <= own)
         });
         if let Some(upstream) = moved.cloned() {
             self.note("rebalanced");
@@ -40,7 +40,7 @@
 
     pub(super) fn hand_over(&mut self, now: Millis, upstream: &Name) {
         self.busy.insert(upstream.clone(), Busy::Releasing);
-        let limit = self.limits.release;
+        let limit = self.limits.release_timeout;
         let call = Call::Release(upstream.clone(), limit);
         self.call(now, Purpose::Release(upstream.clone()), call);
         if !self.guards.on(Guard::ReleaseFirst) {
@@ -71,13 +71,13 @@
         let mut load = self.load();
         for busy in self.busy.values() {
             if let Busy::Claiming { claim, .. } = busy {
-                load.add(&claim.node);
+                load.increment(&claim.node);
             }
         }
         let region = self.regions.get(upstream).cloned().unwrap_or_default();
         let live: Vec<&Record> = self
             .table
-            .live()
+            .live_records()
             .filter(|record| record.identity.name != self.identity.name)
             .collect();
         let candidates = placement::candidates(&live, &region);
--- a/lib/src/membership/machine/mod.rs
+++ b/lib/src/membership/machine/mod.rs
@@ -22,16 +22,16 @@
 use rand_pcg::Pcg64Mcg;
 
 use crate::clock::{Clock, Millis};
-use crate::membership::Hold;
+use crate::membership::UpstreamOwnership;
 use crate::membership::guard::{Guard, Guards};
 use crate::membership::limits::Limits;
 use crate::membership::node::{Identity, Keys};
 use crate::membership::placement;
-use crate::membership::table::Table;
+use crate::membership::table::MembershipTable;
 use crate::membership::witness::{Ask, Vote, Witness};
 use crate::name::Name;
 
-pub use call::{Action, Answer, Call};
+pub use call::{Action, Call, CallResult};
 use call::{Pending, Purpose};
 use claims::Busy;
 use lease::{Joining, Session};
@@ -58,7 +58,7 @@
     guards: Guards,
     keys: Keys,
     rng: Pcg64Mcg,
-    table: Table,
+    table: MembershipTable,
     witness: Witness,
     actions: Vec<Action>,
     pending: BTreeMap<u64, Pending>,
@@ -113,12 +113,12 @@
         guards: Guards,
     ) -> Self {
         let keys = Keys::new(prefix);
-        let witness = Witness::with_guards(now, limits.quiet(), guards);
+        let witness = Witness::with_guards(now, limits.witness_silence(), guards);
         Self {
             identity,
             limits,
             guards,
-            table: Table::new(keys.clone(), guards),
+            table: MembershipTable::new(keys.clone(), guards),
             keys,
             rng: Pcg64Mcg::seed_from_u64(seed),
             witness,
@@ -159,7 +159,7 @@
     }
 
     /// Takes the actions that became due.
-    pub fn actions(&mut self) -> Vec<Action> {
+    pub fn take_actions(&mut self) -> Vec<Action> {
         std::mem::take(&mut self.actions)
     }
 
@@ -174,28 +174,28 @@
     }
 
     /// Takes the answer of a call.
-    pub fn answer(&mut self, now: Millis, call: u64, answer: Answer) {
+    pub fn handle_result(&mut self, now: Millis, call: u64, answer: CallResult) {
         self.check_lapse(now);
         let Some(Pending { purpose, sent }) = self.pending.remove(&call) else {
             return;
         };
         self.note_service(now, &answer);
         match (purpose, answer) {
-            (Purpose::Grant, Answer::Granted(result)) => self.granted(now, sent, &result),
-            (Purpose::Register, Answer::Committed(result)) => self.registered(now, &result),
-            (Purpose::SettleRegister, Answer::Read(result)) => self.settled(now, result),
-            (Purpose::Renew(lease), Answer::Renewed(result)) => {
+            (Purpose::Grant, CallResult::Granted(result)) => self.granted(now, sent, &result),
+            (Purpose::Register, CallResult::Committed(result)) => self.registered(now, &result),
+            (Purpose::SettleRegister, CallResult::Read(result)) => self.settled(now, result),
+            (Purpose::Renew(lease), CallResult::Renewed(result)) => {
                 self.renewed(now, sent, lease, &result);
             }
-            (Purpose::List, Answer::Listed(result)) => self.listed(now, sent, result),
-            (Purpose::Claim(upstream), Answer::Committed(result)) => {
+            (Purpose::List, CallResult::Listed(result)) => self.listed(now, sent, result),
+            (Purpose::Claim(upstream), CallResult::Committed(result)) => {
                 self.claimed(now, &upstream, &result);
             }
-            (Purpose::SettleClaim(upstream), Answer::Read(result)) => {
+            (Purpose::SettleClaim(upstream), CallResult::Read(result)) => {
                 self.claim_read(now, &upstream, result);
             }
-            (Purpose::Release(upstream), Answer::Released) => self.released(now, &upstream),
-            (Purpose::Support { round, witness }, Answer::Voted(vote)) => {
+            (Purpose::Release(upstream), CallResult::Released) => self.released(now, &upstream),
+            (Purpose::Support { round, witness }, CallResult::Vote(vote)) => {
                 self.supported(now, round, witness, vote);
             }
             (
@@ -204,7 +204,7 @@
                     round,
                     witness,
                 },
-                Answer::Voted(vote),
+                CallResult::Vote(vote),
             ) => {
                 self.withdrawn(now, &start, round, witness, vote);
             }
@@ -215,9 +215,9 @@
     }
 
     /// Takes a change of a key that a watch saw.
-    pub fn watched(&mut self, now: Millis, event: &crate::ports::Event) {
+    pub fn apply_watch_event(&mut self, now: Millis, event: &crate::ports::Event) {
         self.last_service = Some(now);
-        if !self.table.see(event) {
+        if !self.table.apply_event(event) {
             self.note("stale_read");
             return;
         }
@@ -227,7 +227,7 @@
     }
 
     /// Takes the upstreams that should be owned, with the region of each.
-    pub fn upstreams(&mut self, now: Millis, regions: BTreeMap<Name, Name>) {
+    pub fn set_upstreams(&mut self, now: Millis, regions: BTreeMap<Name, Name>) {
         self.regions = regions;
         self.next_plan = now;
         self.reconcile(now);
@@ -253,7 +253,7 @@
 
     /// Whether the planned stop is done.
     #[must_use]
-    pub fn drained(&self) -> bool {
+    pub fn is_drained(&self) -> bool {
         self.stopping.is_some_and(|stopping| stopping.done)
     }
 
@@ -263,12 +263,16 @@
 
     /// Returns what is known of nodes and claims.
     #[must_use]
-    pub fn table(&self) -> &Table {
+    pub fn table(&self) -> &MembershipTable {
         &self.table
     }
 
-    /// Lets news from a peer in; see [`Table::learn_claim`] and [`Table::learn_record`].
-    pub fn learn(&mut self, now: Millis, learn: impl FnOnce(&mut Table) -> bool) -> bool {
+    /// Lets news from a peer in; see [`MembershipTable::merge_claim`] and [`MembershipTable::merge_record`].
+    pub fn merge_from_peer(
+        &mut self,
+        now: Millis,
+        learn: impl FnOnce(&mut MembershipTable) -> bool,
+    ) -> bool {
         let news = learn(&mut self.table);
         if news {
             self.reconcile(now);
@@ -285,53 +289,57 @@
 
     /// Whether this node may own upstreams now.
     #[must_use]
-    pub fn eligible(&self) -> bool {
+    pub fn is_eligible(&self) -> bool {
         self.eligible
     }
 
     /// Returns when the node's ownership ends unless it is extended.
     #[must_use]
-    pub fn until(&self) -> Millis {
+    pub fn owned_until(&self) -> Millis {
         self.until
     }
 
     /// Whether ownership rests on witnesses since the service can't be reached.
     #[must_use]
-    pub fn outage(&self) -> bool {
+    pub fn relies_on_witnesses(&self) -> bool {
         let service = self.session.as_ref().map(|session| session.service_until);
         self.eligible && service.is_none_or(|until| until < self.until)
     }
 
     /// Returns the lease's span, if the node has one.
     #[must_use]
-    pub fn span(&self) -> Option<Millis> {
+    pub fn lease_ttl(&self) -> Option<Millis> {
         self.session.as_ref().map(|session| session.span)
     }
 
     /// Lists the upstreams that this node serves, with their fencing tokens.
-    pub fn held(&self) -> impl Iterator<Item = (&Name, u64)> {
+    pub fn owned_tokens(&self) -> impl Iterator<Item = (&Name, u64)> {
         self.holds.iter().map(|(name, held)| (name, held.token))
     }
 
     /// Lists the holds of the upstreams that this node serves.
-    pub fn holds<'a>(
+    pub fn ownerships<'a>(
         &'a self,
         clock: &'a Arc<dyn Clock>,
-    ) -> impl Iterator<Item = (&'a Name, Hold)> + 'a {
+    ) -> impl Iterator<Item = (&'a Name, UpstreamOwnership)> + 'a {
         self.holds.iter().map(|(name, held)| {
             let until = Arc::clone(&held.until);
-            (name, Hold::new(held.token, until, Arc::clone(clock)))
+            (
+                name,
+                UpstreamOwnership::new(held.token, until, Arc::clone(clock)),
+            )
         })
     }
 
     /// Whether this node should watch the service's keys instead of reading them now and then.
     #[must_use]
-    pub fn watcher(&self) -> bool {
-        placement::rank(&self.identity.name, self.table.live()) < self.limits.watchers
+    pub fn is_watcher(&self) -> bool {
+        placement::duty_rank(&self.identity.name, self.table.live_records())
+            < self.limits.max_watchers
     }
 
     /// Reads all keys at the next chance, as when a watch broke.
-    pub fn read_again(&mut self) {
+    pub fn request_full_read(&mut self) {
         self.reading.wanted = true;
     }
 
@@ -343,7 +351,7 @@
     }
 
     fn note(&mut self, event: &'static str) {
-        self.actions.push(Action::Note(event));
+        self.actions.push(Action::RecordEvent(event));
     }
 
     // Spreads what many nodes would else do at the same time.
@@ -352,14 +360,14 @@
         Millis(span.0 - quarter + self.rng.random_range(0..=2 * quarter))
     }
 
-    fn note_service(&mut self, now: Millis, answer: &Answer) {
+    fn note_service(&mut self, now: Millis, answer: &CallResult) {
         let reached = match answer {
-            Answer::Granted(result) => result.is_ok(),
-            Answer::Renewed(result) => result.is_ok(),
-            Answer::Committed(result) => result.is_ok(),
-            Answer::Read(result) => result.is_ok(),
-            Answer::Listed(result) => result.is_ok(),
-            Answer::Revoked | Answer::Voted(_) | Answer::Released => false,
+            CallResult::Granted(result) => result.is_ok(),
+            CallResult::Renewed(result) => result.is_ok(),
+            CallResult::Committed(result) => result.is_ok(),
+            CallResult::Read(result) => result.is_ok(),
+            CallResult::Listed(result) => result.is_ok(),
+            CallResult::Revoked | CallResult::Vote(_) | CallResult::Released => false,
         };
         if reached {
             self.last_service = Some(now);
--- a/lib/src/owner/actor.rs
+++ b/lib/src/owner/actor.rs
@@ -12,30 +12,30 @@
 use kameo::message::{Context, Message};
 use tokio::sync::{mpsc, oneshot, watch};
 
-use super::driver::Driver;
-use super::event::Event;
-use super::registry::Dependencies;
-use super::run::Grant;
-use super::status::Status;
 use crate::adapter::Adapter;
 use crate::declaration::{Kind, Pool};
 use crate::error::Failure;
-use crate::membership::{Hold, fleet};
+use crate::membership::{UpstreamOwnership, fleet};
 use crate::request::{Id, Ticket};
 use crate::runner::Share;
+use super::driver::Driver;
+use super::event::Event;
+use super::registry::Dependencies;
+use super::run::Grant;
+use super::status::Status;
 
 /// What an upstream is owned under.
 #[derive(Debug, Clone)]
 pub(super) struct Args {
     pub(super) upstream: fleet::Upstream,
     pub(super) pool: Arc<Pool>,
-    pub(super) hold: Hold,
+    pub(super) ownership: UpstreamOwnership,
 }
 
 impl Args {
     /// Whether `next` is the same ownership of the same upstream.
     pub(super) fn continues(&self, next: &Self) -> bool {
-        self.hold.token() == next.hold.token()
+        self.ownership.token() == next.ownership.token()
             && self.upstream.vm.address == next.upstream.vm.address
             && base_model(&self.pool) == base_model(&next.pool)
     }
--- a/lib/src/owner/load.rs
+++ b/lib/src/owner/load.rs
@@ -5,14 +5,14 @@
 use tokio::sync::{mpsc, watch};
 use tokio_util::task::AbortOnDropHandle;
 
-use super::event::Event;
 use crate::adapter::Adapter;
 use crate::clock::{Clock, Millis};
 use crate::error::{Code, Failure};
 use crate::loads::{Permit, PermitRequest, PermitSource};
-use crate::membership::Hold;
+use crate::membership::UpstreamOwnership;
 use crate::metrics::Metrics;
 use crate::ports::Engine;
+use super::event::Event;
 
 /// Time before leave is asked for again after the queue couldn't be asked.
 const ASK_AGAIN: Millis = Millis(500);
@@ -80,7 +80,7 @@
     /// The engine.
     pub(super) engine: Arc<dyn Engine>,
     /// The right to give it orders.
-    pub(super) hold: Hold,
+    pub(super) ownership: UpstreamOwnership,
     /// Longest time of one order.
     pub(super) timeout: Millis,
     /// The clock that times the load.
@@ -110,11 +110,11 @@
 
     async fn run(&self) -> Result<(), Failure> {
         if let Some(evict) = &self.evict {
-            let fence = self.hold.check()?;
+            let fence = self.ownership.fence()?;
             self.timed(self.engine.unload(evict, fence)).await?;
             self.metrics.evictions.inc();
         }
-        let fence = self.hold.check()?;
+        let fence = self.ownership.fence()?;
         self.timed(self.engine.load(&self.adapter, fence)).await
     }
 
--- a/lib/src/owner/registry.rs
+++ b/lib/src/owner/registry.rs
@@ -12,22 +12,22 @@
 use tokio::sync::{mpsc, oneshot, watch};
 use tokio_util::task::TaskTracker;
 
-use super::actor::{Adopt, Args, Release, Replaced, Submit, Upstream};
-use super::event::Event;
-use super::place::Place;
-use super::run::{self, Grant};
-use super::{Limits, Status};
 use crate::clock::{Clock, Millis};
 use crate::config::prefetch::{Prefetch, Upcoming};
 use crate::declaration::Pool;
 use crate::error::{Code, Failure};
 use crate::loads::{PermitSource, WEIGHT_STORE};
-use crate::membership::{Adopter, Detector, Hold, fleet};
+use crate::membership::{Adopter, Detector, UpstreamOwnership, fleet};
 use crate::metrics::Metrics;
 use crate::name::Name;
 use crate::ports::{Answer, Connector};
 use crate::request::{Id, Ticket};
 use crate::runner::{Attempt, Runner};
+use super::{Limits, Status};
+use super::actor::{Adopt, Args, Release, Replaced, Submit, Upstream};
+use super::event::Event;
+use super::place::Place;
+use super::run::{Grant, self};
 
 /// When an attempt that met a full mailbox may succeed.
 const RETRY_AFTER: Millis = Millis::from_secs(1);
@@ -243,7 +243,12 @@
 
 #[async_trait]
 impl Adopter for Registry {
-    async fn adopt(&self, upstream: fleet::Upstream, pool: Arc<Pool>, hold: Hold) {
+    async fn adopt(
+        &self,
+        upstream: fleet::Upstream,
+        pool: Arc<Pool>,
+        ownership: UpstreamOwnership,
+    ) {
         let name = Arc::clone(&upstream.vm.name);
         // The weight store's queue is owned like an upstream, but nothing runs there.
         if &*name == WEIGHT_STORE {
@@ -252,7 +257,7 @@
         let args = Args {
             upstream,
             pool,
-            hold,
+            ownership,
         };
         if let Some(handle) = self.find(&name) {
             if handle.args.continues(&args) {
@@ -267,7 +272,10 @@
             self.remove(&name);
             let _ = handle.actor.tell(Release { done: None }).send().await;
         }
-        log::info!("owner: took over {name} with token {}", args.hold.token());
+        log::info!(
+            "owner: took over {name} with token {}",
+            args.ownership.token()
+        );
         self.insert(args);
     }
 
--- a/lib/tests/owner_fakes/mod.rs
+++ b/lib/tests/owner_fakes/mod.rs
@@ -13,7 +13,7 @@
 use chivevalve::declaration::{Kind, Pool};
 use chivevalve::error::{Code, Failure};
 use chivevalve::loads::{Permit, PermitRequest, PermitSource};
-use chivevalve::membership::{Adopter, Detector, Hold};
+use chivevalve::membership::{Adopter, Detector, UpstreamOwnership};
 use chivevalve::membership::fleet::{State, Upstream};
 use chivevalve::metrics::Metrics;
 use chivevalve::owner::{Dependencies, Limits, Registry, RoutingCheck};
@@ -442,7 +442,8 @@
             batch,
             checks_fencing: false,
         };
-        let hold = Hold::new(token, Arc::clone(&self.until), Arc::clone(&self.clock));
+        let ownership =
+            UpstreamOwnership::new(token, Arc::clone(&self.until), Arc::clone(&self.clock));
         let upstream = Upstream {
             vm: Vm {
                 name: "engine-1".into(),
@@ -454,7 +455,9 @@
             },
             state: State::Usable,
         };
-        self.registry.adopt(upstream, Arc::new(pool), hold).await;
+        self.registry
+            .adopt(upstream, Arc::new(pool), ownership)
+            .await;
     }
 
     /// Lets the hold lapse now.
--- a/lib/tests/test_membership.rs
+++ b/lib/tests/test_membership.rs
@@ -7,8 +7,8 @@
 use chivevalve::membership::fleet::State;
 use chivevalve::membership::guard::{Guard, Guards};
 use chivevalve::membership::node::{Claim, Identity, Keys, Record, Witnesses};
-use chivevalve::membership::placement::{self, Load};
-use chivevalve::membership::table::Table;
+use chivevalve::membership::placement::{self, OwnedCounts};
+use chivevalve::membership::table::MembershipTable;
 use chivevalve::membership::upstreams::{Upstreams, Verdict};
 use chivevalve::membership::witness::{Ask, Witness};
 use chivevalve::name::Name;
@@ -64,10 +64,10 @@
 #[test]
 fn read_late_answer() {
     let keys = Keys::new("/p/");
-    let mut table = Table::new(keys.clone(), Guards::all());
-    assert!(table.read(&listing(&keys, 3, 5)));
-    assert!(table.learn_claim(claim(7)));
-    assert!(table.read(&listing(&keys, 3, 6)));
+    let mut table = MembershipTable::new(keys.clone(), Guards::all());
+    assert!(table.apply_listing(&listing(&keys, 3, 5)));
+    assert!(table.merge_claim(claim(7)));
+    assert!(table.apply_listing(&listing(&keys, 3, 6)));
     assert_eq!(table.claim("u").map(|claim| claim.token), Some(7));
 }
 
@@ -75,9 +75,9 @@
 #[test]
 fn read_stale_replica() {
     let keys = Keys::new("/p/");
-    let mut table = Table::new(keys.clone(), Guards::all());
-    assert!(table.read(&listing(&keys, 6, 9)));
-    assert!(!table.read(&listing(&keys, 3, 5)));
+    let mut table = MembershipTable::new(keys.clone(), Guards::all());
+    assert!(table.apply_listing(&listing(&keys, 6, 9)));
+    assert!(!table.apply_listing(&listing(&keys, 3, 5)));
     assert_eq!(table.claim("u").map(|claim| claim.token), Some(6));
 }
 
@@ -85,14 +85,14 @@
 #[test]
 fn learn_claim_removed() {
     let keys = Keys::new("/p/");
-    let mut table = Table::new(keys.clone(), Guards::all());
+    let mut table = MembershipTable::new(keys.clone(), Guards::all());
     let empty = Listing {
         entries: Vec::new(),
         revision: 9,
     };
-    assert!(table.read(&empty));
-    assert!(!table.learn_claim(claim(8)));
-    assert!(table.learn_claim(claim(10)));
+    assert!(table.apply_listing(&empty));
+    assert!(!table.merge_claim(claim(8)));
+    assert!(table.merge_claim(claim(10)));
 }
 
 fn ask(registration: u64, withdraw_before: Option<u64>) -> Ask {
@@ -106,7 +106,7 @@
 }
 
 fn witness() -> (Witness, Millis) {
-    let quiet = Limits::default().quiet();
+    let quiet = Limits::default().witness_silence();
     (Witness::new(Millis::ZERO, quiet), quiet)
 }
 
@@ -176,14 +176,14 @@
 #[test]
 fn lease_span_budget() {
     let limits = Limits::default();
-    assert_eq!(limits.lease_span(9), Millis(3000));
-    assert_eq!(limits.lease_span(320), Millis(9600));
+    assert_eq!(limits.lease_ttl(9), Millis(3000));
+    assert_eq!(limits.lease_ttl(320), Millis(9600));
 }
 
 #[test]
 fn witnesses_two_nodes() {
     let (a, b) = (record("a", "r", "x"), record("b", "r", "y"));
-    let chosen = placement::witnesses(&a, &[&a, &b]);
+    let chosen = placement::select_witnesses(&a, &[&a, &b]);
     assert_eq!(&chosen[..], &[Name::from("b")]);
 }
 
@@ -195,7 +195,7 @@
         .collect();
     nodes.push(record("far", "s", "z"));
     let live: Vec<&Record> = nodes.iter().collect();
-    let chosen = placement::witnesses(&nodes[0], &live);
+    let chosen = placement::select_witnesses(&nodes[0], &live);
     assert_eq!(chosen.len(), 9);
     let within = |domain: &str| {
         let of = |name: &&Name| {
@@ -213,13 +213,17 @@
         .map(|at| record(&format!("n{at}"), "r", "x"))
         .collect();
     let live: Vec<&Record> = nodes.iter().collect();
-    let mut load = Load::default();
+    let mut load = OwnedCounts::default();
     for upstream in 0..18 {
         let name = format!("u{upstream}");
         let to = placement::successor(&name, &live, &load).expect("there are nodes");
-        load.add(&to.identity.name.clone());
+        load.increment(&to.identity.name.clone());
     }
-    assert!(nodes.iter().all(|node| load.of(&node.identity.name) == 2));
+    assert!(
+        nodes
+            .iter()
+            .all(|node| load.owned_by(&node.identity.name) == 2)
+    );
 }
 
 fn vms(count: usize) -> Vec<Vm> {
@@ -322,7 +326,7 @@
 
 /// Whether a witness without a guard breaks what the tests above hold.
 fn witness_breaks(guard: Guard) -> bool {
-    let quiet = Limits::default().quiet();
+    let quiet = Limits::default().witness_silence();
     let mut witness = Witness::with_guards(Millis::ZERO, quiet, Guards::without(guard));
     match guard {
         Guard::WitnessQuiet => witness.vote(Millis(1), &ask(4, None)).supported,
@@ -373,7 +377,7 @@
 #[test]
 fn guards_of_reads() {
     let keys = Keys::new("/p/");
-    let mut table = Table::new(keys.clone(), Guards::without(Guard::StaleRead));
-    table.read(&listing(&keys, 6, 9));
-    assert!(table.read(&listing(&keys, 3, 5)));
+    let mut table = MembershipTable::new(keys.clone(), Guards::without(Guard::StaleRead));
+    table.apply_listing(&listing(&keys, 6, 9));
+    assert!(table.apply_listing(&listing(&keys, 3, 5)));
 }
