--- a/lib/src/owner/load.rs
+++ b/lib/src/owner/load.rs
@@ -5,6 +5,7 @@
 use tokio::sync::{mpsc, watch};
 use tokio_util::task::AbortOnDropHandle;
 
+use super::event::Event;
 use crate::adapter::Adapter;
 use crate::clock::{Clock, Millis};
 use crate::error::{Code, Failure};
@@ -12,7 +13,6 @@
 use crate::membership::UpstreamOwnership;
 use crate::metrics::Metrics;
 use crate::ports::Engine;
-use super::event::Event;
 
 /// Time before leave is asked for again after the queue couldn't be asked.
 const ASK_AGAIN: Millis = Millis(500);
--- a/lib/src/owner/registry.rs
+++ b/lib/src/owner/registry.rs
@@ -12,6 +12,11 @@
 use tokio::sync::{mpsc, oneshot, watch};
 use tokio_util::task::TaskTracker;
 
+use super::actor::{Adopt, Args, Release, Replaced, Submit, Upstream};
+use super::event::Event;
+use super::place::Place;
+use super::run::{self, Grant};
+use super::{Limits, Status};
 use crate::clock::{Clock, Millis};
 use crate::config::prefetch::{Prefetch, Upcoming};
 use crate::declaration::Pool;
@@ -23,11 +28,6 @@
 use crate::ports::{Answer, Connector};
 use crate::request::{Id, Ticket};
 use crate::runner::{Attempt, Runner};
-use super::{Limits, Status};
-use super::actor::{Adopt, Args, Release, Replaced, Submit, Upstream};
-use super::event::Event;
-use super::place::Place;
-use super::run::{Grant, self};
 
 /// When an attempt that met a full mailbox may succeed.
 const RETRY_AFTER: Millis = Millis::from_secs(1);
--- a/lib/src/owner/run.rs
+++ b/lib/src/owner/run.rs
@@ -14,6 +14,7 @@
 use super::events::Events;
 use super::place::{Outcome, Place};
 
+use super::registry::Dependencies;
 use crate::adapter::Adapter;
 use crate::clock::Millis;
 use crate::error::{Code, Failure};
@@ -21,7 +22,6 @@
 use crate::ports::{Answer, Call, Engine, Service};
 use crate::request::{Id, Ticket};
 use crate::runner::{Attempt, Work};
-use super::registry::Dependencies;
 
 /// Largest error message of an engine that is read.
 const MAX_ERROR_BYTES: usize = 64 << 10;
