--- a/lib/src/poison/fingerprint.rs
+++ b/lib/src/poison/fingerprint.rs
@@ -1,4 +1,4 @@
-//! What makes two attempts the same request.
+//! Fingerprints that identify a request across its attempts.
 
 use std::fmt;
 
@@ -7,27 +7,29 @@
 use crate::claim;
 use crate::name::Name;
 
-/// Characters of a digest that are kept: 132 bits, so that nobody can make another caller's
-/// request look like a poison one.
+/// Length of a fingerprint in base64 characters.
+///
+/// That is 132 bits, so that nobody can craft a request that collides with another caller's and
+/// gets it quarantined.
 const LENGTH: usize = 22;
 
-/// Identifies a request over all its attempts.
+/// Digest that is the same for all attempts of a request.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Fingerprint(Name);
 
-/// What a request is made of that its caller repeats.
+/// The parts of a request that stay the same when its caller repeats it.
 ///
-/// An attempt's own identity, its deadline and the event after which a stream resumes differ
-/// from one attempt to the next, and are left out.
+/// The request ID, the deadline and the event after which a stream resumes differ between attempts
+/// and are not part of it.
 #[derive(Debug, Clone, Copy)]
 pub struct Identity<'a> {
-    /// The caller's key; empty where callers send none.
+    /// The caller's API key; empty where callers send none.
     pub caller: &'a str,
-    /// Base model and adapter, which stand for a client account; empty for plain services.
+    /// Base model and adapter, which identify a client account; empty for plain services.
     pub model: &'a str,
-    /// The method.
+    /// The HTTP method.
     pub method: &'a str,
-    /// The host that it was sent to.
+    /// The host that the request was addressed to.
     pub host: &'a str,
     /// Path and query.
     pub path: &'a str,
@@ -51,13 +53,13 @@
         Self(digest.into())
     }
 
-    /// Reads a fingerprint from the text that it is displayed as.
+    /// Parses a fingerprint from its [`Display`](fmt::Display) form.
     #[must_use]
     pub fn read(text: &str) -> Option<Self> {
         (text.len() == LENGTH).then(|| Self(text.into()))
     }
 
-    /// Returns it as text.
+    /// Returns the fingerprint as text.
     #[must_use]
     pub fn as_str(&self) -> &str {
         &self.0
--- a/lib/src/poison/harmless.rs
+++ b/lib/src/poison/harmless.rs
@@ -1,56 +1,58 @@
-//! Requests that engines ran lately without harm.
+//! Requests that engines recently ran without crashing.
 //!
-//! A proper request that its caller sends all the time stands in the batch of nearly each engine
-//! that ends. Where many engines lose power at once, it would look like the cause of all of it.
-//! But an engine that has run it lives, so it is no request that ends every engine.
+//! A harmless request that its caller sends all the time is in the batch of nearly every engine
+//! that crashes. When many engines lose power at once, it would look like the cause of all these
+//! crashes. An engine that ran it and stayed up shows that the request doesn't crash every engine.
 
 use std::collections::HashSet;
 
 use super::fingerprint::Fingerprint;
 use crate::clock::Millis;
 
-/// How long a generation is added to; what survived is remembered for one to two of these.
+/// Time for which requests are added to one generation; a request is remembered for one to two
+/// of these.
 ///
-/// Long enough for requests that come each few seconds at one of hundreds of nodes, short enough
-/// that a request which begins to do harm, as after an engine's release, is noticed soon.
+/// Long enough for requests that arrive every few seconds at one of hundreds of nodes, short
+/// enough to soon notice a request that starts to crash engines, such as after an engine release.
 const GENERATION: Millis = Millis::from_secs(30);
 
-/// Requests in a generation: 136 a second at one node, and half a megabyte.
-const MOST: usize = 4_096;
+/// Requests per generation: 136 a second at one node, which take half a megabyte.
+const MAX_PER_GENERATION: usize = 4_096;
 
-/// Remembers what survived, in two generations, so that memory is bounded whoever sends what.
+/// Set of harmless requests, kept in two generations so that its memory is bounded.
 #[derive(Debug, Default)]
 pub struct HarmlessRequests {
-    recent: HashSet<Fingerprint>,
-    former: HashSet<Fingerprint>,
-    turned: Millis,
+    current: HashSet<Fingerprint>,
+    previous: HashSet<Fingerprint>,
+    rotated_at: Millis,
 }
 
 impl HarmlessRequests {
-    /// Remembers a request that an engine ran without harm.
+    /// Adds a request that an engine ran without crashing.
     pub fn insert(&mut self, fingerprint: Fingerprint, now: Millis) {
-        self.turn(now);
-        if self.recent.len() >= MOST {
-            self.former = std::mem::take(&mut self.recent);
+        self.rotate(now);
+        if self.current.len() >= MAX_PER_GENERATION {
+            self.previous = std::mem::take(&mut self.current);
         }
-        self.recent.insert(fingerprint);
+        self.current.insert(fingerprint);
     }
 
-    /// Whether a request survived lately.
+    /// Whether a request recently ran without a crash.
     pub fn contains(&mut self, fingerprint: &Fingerprint, now: Millis) -> bool {
-        self.turn(now);
-        self.recent.contains(fingerprint) || self.former.contains(fingerprint)
+        self.rotate(now);
+        self.current.contains(fingerprint) || self.previous.contains(fingerprint)
     }
 
-    fn turn(&mut self, now: Millis) {
-        let passed = now.since(self.turned);
-        if passed < GENERATION {
+    /// Starts a new generation once the current one has lasted its time.
+    fn rotate(&mut self, now: Millis) {
+        let age = now.since(self.rotated_at);
+        if age < GENERATION {
             return;
         }
-        self.former = std::mem::take(&mut self.recent);
-        if passed >= GENERATION + GENERATION {
-            self.former.clear();
+        self.previous = std::mem::take(&mut self.current);
+        if age >= GENERATION + GENERATION {
+            self.previous.clear();
         }
-        self.turned = now;
+        self.rotated_at = now;
     }
 }
--- a/lib/src/poison/ledger.rs
+++ b/lib/src/poison/ledger.rs
@@ -1,10 +1,10 @@
-//! Which requests are to blame for upstreams that ended.
+//! Attributes upstream crashes to the requests that caused them.
 //!
-//! An upstream that ends takes a whole batch with it, and all of it looks guilty. Nodes report
-//! which of their own requests stood there; the ledger puts the reports of one upstream together
-//! and looks for a request that explains several ends. What it explains then speaks against
-//! nobody else: requests that were cut beside a poison one go on to the next engine together
-//! with it, and would look as guilty after three of them.
+//! A crash interrupts a whole batch, so every request in it is a suspect. Each node reports which
+//! of its own requests were at the upstream; the ledger merges the reports of one crash and looks
+//! for a request that explains several crashes. Crashes that a blamed request explains don't count
+//! against any other request: requests that were interrupted together with a poison request are
+//! retried on the next engine together with it, and after three crashes would look just as guilty.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -17,31 +17,36 @@
 
 /// How long a report counts.
 ///
-/// A caller that comes back later than this costs as many engines again; an engine's release
-/// that mends the cause is noticed after as long.
+/// A poison request that returns later than this crashes as many engines again. If an engine
+/// release fixes the cause, the request is sent again after this time.
 pub const REPORT_TTL: Millis = Millis::from_secs(600);
 
-/// Ends of upstreams from which on a request is to blame.
+/// Number of crashes from which on a request is blamed.
 ///
-/// Two can be chance where many engines end: a request that was cut goes on at another one.
-const ENDS: usize = 3;
+/// Two can be chance where many engines crash, since an interrupted request is retried on another
+/// engine.
+const MIN_CRASHES: usize = 3;
 
-/// Weight from which on a request is to blame: with less than certain signs it takes more ends.
-const WEIGHT: u32 = 4;
+/// Total weight of suspicion from which on a request is blamed.
+///
+/// A request that may not have begun at any of the upstreams needs more than [`MIN_CRASHES`].
+const MIN_WEIGHT: u32 = 4;
 
-/// Reports that are kept: those of a hundred engines by forty nodes; the oldest make room.
-const MOST_REPORTS: usize = 4_096;
+/// Number of reports that are kept: a hundred engines, each reported by forty nodes. The oldest
+/// are dropped first.
+const MAX_REPORTS: usize = 4_096;
 
-/// Requests of one node in a report: more than an engine's batch holds of one node's.
-const MOST_SUSPECTS: usize = 32;
+/// Number of suspects in one node's report: more requests than an engine's batch holds from one
+/// node.
+const MAX_SUSPECTS: usize = 32;
 
-/// How far a request that stood at an upstream is suspect.
+/// How strongly a request at a crashed upstream is suspected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Suspicion {
-    /// It may have waited in the queue still, or has just brought its first event.
+    /// It may still have been queued, or its first event had just arrived.
     Possible,
-    /// The upstream had begun it and ended before it brought anything.
+    /// The upstream had begun to run it and crashed before the first event arrived.
     Begun,
 }
 
@@ -63,93 +68,95 @@
     }
 }
 
-/// A request that stood at an upstream that ended.
+/// A request that was at an upstream when it crashed.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Suspect {
-    /// The request.
+    /// Fingerprint of the request.
     pub request: Fingerprint,
-    /// How far it is suspect.
+    /// How strongly it is suspected.
     #[serde(rename = "sign")]
     pub suspicion: Suspicion,
 }
 
-/// What one node says of one start of an upstream that ended.
+/// One node's report of an upstream that crashed.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CrashReport {
-    /// The start.
+    /// Identity of the upstream's start; a restarted upstream has another.
     pub upstream: Name,
-    /// The node's own requests there.
+    /// The node's own requests that were at the upstream.
     pub suspects: Vec<Suspect>,
 }
 
-/// How a request stands that upstreams ended under.
+/// What is known about a suspect request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct SuspectStatus {
-    /// The request.
+    /// Fingerprint of the request.
     pub request: Fingerprint,
-    /// Upstreams that ended while it stood there.
+    /// Upstreams that crashed while the request was there.
     pub upstreams: Vec<Name>,
-    /// Whether it is to blame, so that it is no longer sent.
+    /// Whether the request is blamed and therefore no longer sent.
     pub blamed: bool,
 }
 
 impl CrashReport {
-    /// Makes a report of requests, each with its strongest suspicion, the most suspect first.
+    /// Creates a report that lists each request once with its strongest suspicion, the most
+    /// suspect requests first.
     #[must_use]
     pub fn new(upstream: Name, suspects: impl IntoIterator<Item = Suspect>) -> Self {
-        let mut signs: BTreeMap<Fingerprint, Suspicion> = BTreeMap::new();
+        let mut suspicions: BTreeMap<Fingerprint, Suspicion> = BTreeMap::new();
         for Suspect { request, suspicion } in suspects {
-            let known = signs.entry(request).or_insert(suspicion);
+            let known = suspicions.entry(request).or_insert(suspicion);
             *known = suspicion.max(*known);
         }
-        let suspects = signs.into_iter();
+        let suspects = suspicions.into_iter();
         let mut suspects: Vec<Suspect> = suspects
             .map(|(request, suspicion)| Suspect { request, suspicion })
             .collect();
         suspects.sort_by_key(|suspect| Reverse(suspect.suspicion));
-        suspects.truncate(MOST_SUSPECTS);
+        suspects.truncate(MAX_SUSPECTS);
         Self { upstream, suspects }
     }
 }
 
-/// A report as this node knows it.
+/// A report together with where and when this node learned of it.
 #[derive(Debug)]
-struct Known {
+struct StoredReport {
     report: CrashReport,
-    /// Revision of the key-value service; none while it isn't written there.
+    /// Revision in the key-value service; `None` until the report is written there.
     revision: Option<u64>,
-    since: Millis,
+    received_at: Millis,
 }
 
-/// What nodes reported, and who is to blame by it.
+/// Crash reports of all nodes, and the requests that they blame.
 ///
-/// The same reports give the same verdict at every node; nothing is agreed.
+/// Nodes reach the same verdict from the same reports, so they don't need to agree on it.
 #[derive(Debug, Default)]
 pub struct CrashLedger {
-    reports: BTreeMap<Name, Known>,
-    /// Requests that survived, with the revision up to which reports of them don't count.
+    /// Reports by their name in the key-value service.
+    reports: BTreeMap<Name, StoredReport>,
+    /// Requests shown to be harmless, with the revision up to which reports of them don't count.
     cleared: HashMap<Fingerprint, u64>,
-    /// What the reports add up to; none after a change.
-    judgement: Option<Judgement>,
+    /// Result of the last evaluation; `None` after a change.
+    verdict: Option<Verdict>,
 }
 
-/// What the reports add up to.
+/// Result of evaluating all reports.
 #[derive(Debug, Default)]
-struct Judgement {
-    /// Requests to blame, with the upstreams that ended under each.
+struct Verdict {
+    /// Blamed requests, with the number of crashes that each explains.
     blamed: HashMap<Fingerprint, usize>,
-    /// All requests that reports name, with the upstreams that ended while each stood there.
-    ends: HashMap<Fingerprint, usize>,
+    /// All reported requests, with the number of upstreams that crashed while each was there.
+    crashes: HashMap<Fingerprint, usize>,
 }
 
 impl CrashLedger {
-    /// Whether nothing speaks against anybody.
+    /// Whether there are no reports.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.reports.is_empty()
     }
 
-    /// Takes a report in under its name in the key-value service.
+    /// Adds or replaces a report, by its name in the key-value service.
     pub fn add_report(
         &mut self,
         name: Name,
@@ -157,195 +164,208 @@
         revision: Option<u64>,
         now: Millis,
     ) {
-        self.lapse(now);
-        // Another node can tell of it after the key-value service has shown it.
+        self.expire(now);
+        // A node can send the report directly after the key-value service has shown it.
         let known = self.reports.get(&name);
         let revision = revision.or_else(|| known.and_then(|known| known.revision));
-        let since = known.map_or(now, |known| known.since);
+        let received_at = known.map_or(now, |known| known.received_at);
         let cleared = &self.cleared;
         report.suspects.retain(|suspect| {
-            let until = cleared.get(&suspect.request);
-            until.is_none_or(|until| revision.is_none_or(|revision| revision > *until))
+            let cleared_at = cleared.get(&suspect.request);
+            cleared_at
+                .is_none_or(|cleared_at| revision.is_none_or(|revision| revision > *cleared_at))
         });
-        report.suspects.truncate(MOST_SUSPECTS);
-        let known = Known {
+        report.suspects.truncate(MAX_SUSPECTS);
+        let stored = StoredReport {
             report,
             revision,
-            since,
+            received_at,
         };
-        self.reports.insert(name, known);
-        self.judgement = None;
+        self.reports.insert(name, stored);
+        self.verdict = None;
     }
 
-    /// Returns the requests that a report names.
+    /// Returns the suspects of a report.
     pub fn suspects_in(&self, name: &str) -> impl Iterator<Item = &Suspect> + use<'_> {
-        let known = self.reports.get(name);
-        known.into_iter().flat_map(|known| &known.report.suspects)
+        let stored = self.reports.get(name);
+        stored
+            .into_iter()
+            .flat_map(|stored| &stored.report.suspects)
     }
 
-    /// Takes in that a request survived: what was reported of it before counts no more.
+    /// Clears a request that ran without a crash: reports of it up to `revision` no longer count.
     ///
-    /// Without a `revision` it counts for all that this node knows.
+    /// Without a `revision`, none of the reports that this node has count any longer.
     pub fn clear(&mut self, request: &Fingerprint, revision: Option<u64>) {
         if let Some(revision) = revision {
-            let until = self.cleared.entry(request.clone()).or_default();
-            *until = revision.max(*until);
+            let cleared_at = self.cleared.entry(request.clone()).or_default();
+            *cleared_at = revision.max(*cleared_at);
         }
-        for known in self.reports.values_mut() {
-            let counts = match (known.revision, revision) {
+        for stored in self.reports.values_mut() {
+            let counts = match (stored.revision, revision) {
                 (Some(reported), Some(cleared)) => reported > cleared,
                 (None, Some(_)) => true,
                 (_, None) => false,
             };
             if !counts {
-                let suspects = &mut known.report.suspects;
+                let suspects = &mut stored.report.suspects;
                 suspects.retain(|suspect| suspect.request != *request);
             }
         }
-        self.judgement = None;
+        self.verdict = None;
     }
 
-    /// Takes in that the key-value service holds a report no more.
+    /// Removes a report that is gone from the key-value service.
     pub fn remove_report(&mut self, name: &str) {
         self.reports.remove(name);
-        self.judgement = None;
+        self.verdict = None;
     }
 
-    /// Takes in that the key-value service holds no survivor's record any more.
+    /// Removes the clearance of a request whose record is gone from the key-value service.
     pub fn remove_clearance(&mut self, request: &Fingerprint) {
         self.cleared.remove(request);
     }
 
-    /// Takes in a whole listing: what was written there and is missing has lapsed.
+    /// Removes written reports that are missing from a full listing of the key-value service;
+    /// they have expired.
     pub fn retain_reports(&mut self, is_present: impl Fn(&str) -> bool) {
-        let lapsed = |name: &Name, known: &Known| known.revision.is_some() && !is_present(name);
-        self.reports.retain(|name, known| !lapsed(name, known));
-        self.judgement = None;
+        let has_expired =
+            |name: &Name, stored: &StoredReport| stored.revision.is_some() && !is_present(name);
+        self.reports
+            .retain(|name, stored| !has_expired(name, stored));
+        self.verdict = None;
     }
 
-    /// Returns how many upstreams ended under a request that is to blame for it.
+    /// Returns the number of crashes that a request is blamed for, if it is blamed.
     pub fn blamed_crashes(&mut self, request: &Fingerprint, now: Millis) -> Option<usize> {
-        self.judgement(now).blamed.get(request).copied()
+        self.verdict(now).blamed.get(request).copied()
     }
 
-    /// Whether a request would be to blame if the upstreams of some more reports had ended.
+    /// Whether a request would be blamed if the upstreams of some more reports had crashed.
     #[must_use]
     pub fn would_blame(&self, request: &Fingerprint, more: &[&CrashReport]) -> bool {
-        let known = self.reports.values().map(|known| &known.report);
-        let judgement = judge(known.chain(more.iter().copied()));
-        judgement.blamed.contains_key(request)
+        let stored = self.reports.values().map(|stored| &stored.report);
+        let verdict = evaluate(stored.chain(more.iter().copied()));
+        verdict.blamed.contains_key(request)
     }
 
-    /// Returns how many upstreams ended while a request stood there.
+    /// Returns the number of upstreams that crashed while a request was there.
     pub fn crash_count(&mut self, request: &Fingerprint, now: Millis) -> usize {
-        let ends = self.judgement(now).ends.get(request);
-        ends.copied().unwrap_or_default()
+        let crashes = self.verdict(now).crashes.get(request);
+        crashes.copied().unwrap_or_default()
     }
 
-    /// Returns all requests that reports name, those to blame first.
+    /// Returns all reported requests, the blamed ones first.
     pub fn suspect_statuses(&mut self, now: Millis) -> Vec<SuspectStatus> {
         let mut upstreams: BTreeMap<Fingerprint, BTreeSet<Name>> = BTreeMap::new();
-        for known in self.reports.values() {
-            for suspect in &known.report.suspects {
-                let ended = upstreams.entry(suspect.request.clone()).or_default();
-                ended.insert(Name::clone(&known.report.upstream));
+        for stored in self.reports.values() {
+            for suspect in &stored.report.suspects {
+                let crashed = upstreams.entry(suspect.request.clone()).or_default();
+                crashed.insert(Name::clone(&stored.report.upstream));
             }
         }
-        let standings = upstreams
+        let statuses = upstreams
             .into_iter()
             .map(|(request, upstreams)| SuspectStatus {
                 blamed: self.blamed_crashes(&request, now).is_some(),
                 upstreams: upstreams.into_iter().collect(),
                 request,
             });
-        let mut standings: Vec<SuspectStatus> = standings.collect();
-        standings.sort_by_key(|one| (!one.blamed, Reverse(one.upstreams.len())));
-        standings
+        let mut statuses: Vec<SuspectStatus> = statuses.collect();
+        statuses.sort_by_key(|status| (!status.blamed, Reverse(status.upstreams.len())));
+        statuses
     }
 
-    /// Returns how many requests are to blame.
+    /// Returns the number of blamed requests.
     pub fn blamed_count(&mut self, now: Millis) -> usize {
-        self.judgement(now).blamed.len()
+        self.verdict(now).blamed.len()
     }
 
-    /// Judges anew only after a change: it is asked about each request that is sent.
-    fn judgement(&mut self, now: Millis) -> &Judgement {
-        self.lapse(now);
+    /// Returns the current verdict, which is evaluated again only after a change, since every
+    /// request that is sent asks for it.
+    fn verdict(&mut self, now: Millis) -> &Verdict {
+        self.expire(now);
         let reports = &self.reports;
-        self.judgement
-            .get_or_insert_with(|| judge(reports.values().map(|known| &known.report)))
+        self.verdict
+            .get_or_insert_with(|| evaluate(reports.values().map(|stored| &stored.report)))
     }
 
-    fn lapse(&mut self, now: Millis) {
+    /// Drops expired reports, and the oldest ones where there are too many.
+    fn expire(&mut self, now: Millis) {
         let before = self.reports.len();
         self.reports
-            .retain(|_, known| now.since(known.since) < REPORT_TTL);
-        while self.reports.len() >= MOST_REPORTS {
-            let oldest = self.reports.iter().min_by_key(|(_, known)| known.since);
+            .retain(|_, stored| now.since(stored.received_at) < REPORT_TTL);
+        while self.reports.len() >= MAX_REPORTS {
+            let oldest = self
+                .reports
+                .iter()
+                .min_by_key(|(_, stored)| stored.received_at);
             let Some(name) = oldest.map(|(name, _)| Name::clone(name)) else {
                 break;
             };
             self.reports.remove(&name);
         }
         if self.reports.len() != before {
-            self.judgement = None;
+            self.verdict = None;
         }
     }
 }
 
-/// Returns who is to blame by these reports.
+/// Determines which requests the reports blame.
 ///
-/// Whoever explains most goes first, and takes the ends that it explains out of the count.
-fn judge<'a>(reports: impl Iterator<Item = &'a CrashReport>) -> Judgement {
-    let mut ends: HashMap<&Name, HashMap<&Fingerprint, Suspicion>> = HashMap::new();
+/// The strongest suspect is blamed first, and the crashes that it explains are removed before the
+/// next one is determined.
+fn evaluate<'a>(reports: impl Iterator<Item = &'a CrashReport>) -> Verdict {
+    let mut crashes: HashMap<&Name, HashMap<&Fingerprint, Suspicion>> = HashMap::new();
     for report in reports {
-        let end = ends.entry(&report.upstream).or_default();
+        let suspects = crashes.entry(&report.upstream).or_default();
         for Suspect { request, suspicion } in &report.suspects {
-            let known = end.entry(request).or_insert(*suspicion);
+            let known = suspects.entry(request).or_insert(*suspicion);
             *known = (*known).max(*suspicion);
         }
     }
-    let counts = sums(&ends).into_iter();
-    let mut judgement = Judgement {
+    let counts = scores(&crashes).into_iter();
+    let mut verdict = Verdict {
         blamed: HashMap::new(),
-        ends: counts
-            .map(|(request, sum)| (request.clone(), sum.count))
+        crashes: counts
+            .map(|(request, score)| (request.clone(), score.crashes))
             .collect(),
     };
-    while let Some((request, count)) = heaviest(&ends) {
-        ends.retain(|_, suspects| !suspects.contains_key(request));
-        judgement.blamed.insert(request.clone(), count);
+    while let Some((request, count)) = strongest_suspect(&crashes) {
+        crashes.retain(|_, suspects| !suspects.contains_key(request));
+        verdict.blamed.insert(request.clone(), count);
     }
-    judgement
+    verdict
 }
 
-/// What speaks against one request.
+/// Total suspicion against one request.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord)]
-struct Sum {
+struct Score {
     weight: u32,
-    /// Upstreams that ended.
-    count: usize,
+    /// Number of upstreams that crashed.
+    crashes: usize,
 }
 
-fn sums<'a>(
-    ends: &HashMap<&Name, HashMap<&'a Fingerprint, Suspicion>>,
-) -> HashMap<&'a Fingerprint, Sum> {
-    let mut sums: HashMap<&Fingerprint, Sum> = HashMap::new();
-    for (request, suspicion) in ends.values().flatten() {
-        let sum = sums.entry(request).or_default();
-        sum.weight += suspicion.weight();
-        sum.count += 1;
+fn scores<'a>(
+    crashes: &HashMap<&Name, HashMap<&'a Fingerprint, Suspicion>>,
+) -> HashMap<&'a Fingerprint, Score> {
+    let mut scores: HashMap<&Fingerprint, Score> = HashMap::new();
+    for (request, suspicion) in crashes.values().flatten() {
+        let score = scores.entry(request).or_default();
+        score.weight += suspicion.weight();
+        score.crashes += 1;
     }
-    sums
+    scores
 }
 
-/// Returns the request against which most speaks, if it is enough.
-fn heaviest<'a>(
-    ends: &HashMap<&Name, HashMap<&'a Fingerprint, Suspicion>>,
+/// Returns the request with the highest score and its number of crashes, if that is enough to
+/// blame it.
+fn strongest_suspect<'a>(
+    crashes: &HashMap<&Name, HashMap<&'a Fingerprint, Suspicion>>,
 ) -> Option<(&'a Fingerprint, usize)> {
-    sums(ends)
+    scores(crashes)
         .into_iter()
-        .filter(|(_, sum)| sum.weight >= WEIGHT && sum.count >= ENDS)
-        .max_by_key(|(request, sum)| (*sum, Reverse(*request)))
-        .map(|(request, sum)| (request, sum.count))
+        .filter(|(_, score)| score.weight >= MIN_WEIGHT && score.crashes >= MIN_CRASHES)
+        .max_by_key(|(request, score)| (*score, Reverse(*request)))
+        .map(|(request, score)| (request, score.crashes))
 }
--- a/lib/src/poison/mod.rs
+++ b/lib/src/poison/mod.rs
@@ -1,10 +1,11 @@
-//! Requests that end every upstream that begins to run them.
+//! Detection of requests that crash every upstream that starts to run them.
 //!
-//! Such a request ("poison request", "query of death") takes an engine with all its other
-//! streams and adapters each time that it is sent. Its caller sends it again, at any node, as a
-//! new attempt; so without a memory of it, one caller ends a whole fleet. What is kept here is
-//! pure: [`ledger`] weighs what nodes reported of upstreams that ended, [`harmless`] remembers
-//! what has run without harm, [`fingerprint`] tells two attempts of one request from two requests.
+//! Each attempt of such a request ("poison request", "query of death") crashes an engine together
+//! with all its other streams and loaded adapters. Its caller repeats it as a new attempt, at any
+//! node, so without shared memory of it a single caller crashes a whole fleet. This module does no
+//! I/O: [`ledger`] attributes reported crashes to requests, [`unconfirmed`] holds crashes that are
+//! suspected but not confirmed, [`harmless`] remembers requests that recently ran without a crash,
+//! and [`fingerprint`] identifies a request across its attempts.
 //! See docs/design/0011-poison-requests.md.
 
 pub mod fingerprint;
--- a/lib/src/poison/unconfirmed.rs
+++ b/lib/src/poison/unconfirmed.rs
@@ -1,4 +1,7 @@
-//! Requests that stood where a connection broke, while nobody knows whether the upstream ended.
+//! Crashes that are suspected but not confirmed.
+//!
+//! A connection broke while an upstream was running a request, and it isn't known yet whether the
+//! upstream crashed.
 
 use std::collections::BTreeMap;
 
@@ -7,91 +10,98 @@
 use crate::clock::Millis;
 use crate::name::Name;
 
-/// How long an open case keeps a request from being sent.
+/// How long an unconfirmed crash can keep a request from being sent.
 ///
-/// Twice the time in which the list tells; while it is silent, proper requests go on behind it.
-const LASTS: Millis = Millis::from_secs(10);
+/// Twice the time within which the upstream list shows a crash; if the list stays silent for
+/// longer, harmless requests are sent again.
+const MAX_AGE: Millis = Millis::from_secs(10);
 
-/// Cases that are kept; the oldest make room.
-const MOST_OPEN: usize = 1_024;
+/// Unconfirmed crashes that are kept; the oldest are dropped first.
+const MAX_ENTRIES: usize = 1_024;
 
 #[derive(Debug)]
-struct Case {
+struct Unconfirmed {
     report: CrashReport,
     since: Millis,
 }
 
-/// Open cases, by the upstream's start and the node whose requests stood there.
+/// Unconfirmed crashes by record name, which holds the upstream's start and the node whose
+/// requests were there.
 #[derive(Debug, Default)]
 pub struct UnconfirmedCrashes {
-    cases: BTreeMap<Name, Case>,
-    /// Cases of other nodes that nobody looks into here yet.
-    told: Vec<(Name, CrashReport)>,
+    entries: BTreeMap<Name, Unconfirmed>,
+    /// Entries from other nodes that this node hasn't begun to check.
+    from_peers: Vec<(Name, CrashReport)>,
 }
 
 impl UnconfirmedCrashes {
-    /// Whether there is none.
+    /// Whether there are no unconfirmed crashes.
     #[must_use]
     pub fn is_empty(&self) -> bool {
-        self.cases.is_empty()
+        self.entries.is_empty()
     }
 
-    /// Opens a case of requests that had begun where a connection broke, or adds to it.
+    /// Adds requests that were running where a connection broke, to an existing entry if there is
+    /// one.
     pub fn add(&mut self, name: &Name, report: &CrashReport, now: Millis) {
-        self.cases.retain(|_, case| now.since(case.since) < LASTS);
-        let known = self.cases.get(name).map(|case| &case.report.suspects);
+        self.entries
+            .retain(|_, entry| now.since(entry.since) < MAX_AGE);
+        let known = self.entries.get(name).map(|entry| &entry.report.suspects);
         let all = known.into_iter().flatten().chain(&report.suspects).cloned();
         let report = CrashReport::new(Name::clone(&report.upstream), all);
-        let since = self.cases.get(name).map_or(now, |case| case.since);
-        self.cases.insert(Name::clone(name), Case { report, since });
-        while self.cases.len() > MOST_OPEN {
-            let oldest = self.cases.iter().min_by_key(|(_, case)| case.since);
+        let since = self.entries.get(name).map_or(now, |entry| entry.since);
+        self.entries
+            .insert(Name::clone(name), Unconfirmed { report, since });
+        while self.entries.len() > MAX_ENTRIES {
+            let oldest = self.entries.iter().min_by_key(|(_, entry)| entry.since);
             let Some(name) = oldest.map(|(name, _)| Name::clone(name)) else {
                 break;
             };
-            self.cases.remove(&name);
+            self.entries.remove(&name);
         }
     }
 
-    /// Takes in a case that another node tells of.
+    /// Adds an unconfirmed crash that another node reports.
     pub fn add_from_peer(&mut self, name: Name, report: CrashReport, now: Millis) {
-        if self.cases.contains_key(&name) || self.told.len() >= MOST_OPEN {
+        if self.entries.contains_key(&name) || self.from_peers.len() >= MAX_ENTRIES {
             return;
         }
         self.add(&name, &report, now);
-        self.told.push((name, report));
+        self.from_peers.push((name, report));
     }
 
-    /// Returns the cases that were told since the last call.
+    /// Returns the unconfirmed crashes that other nodes reported since the last call.
     pub fn take_from_peers(&mut self) -> Vec<(Name, CrashReport)> {
-        std::mem::take(&mut self.told)
+        std::mem::take(&mut self.from_peers)
     }
 
-    /// Returns the requests of a case.
+    /// Returns an unconfirmed crash with its suspect requests.
     #[must_use]
     pub fn get(&self, name: &str) -> Option<CrashReport> {
-        self.cases.get(name).map(|case| case.report.clone())
+        self.entries.get(name).map(|entry| entry.report.clone())
     }
 
-    /// Closes a case: its upstream is known to have ended, or not to.
+    /// Removes an entry once it is known whether its upstream crashed.
     pub fn remove(&mut self, name: &str) {
-        self.cases.remove(name);
+        self.entries.remove(name);
     }
 
-    /// Returns the reports of a request's open cases and of all beside them; none if it has none.
+    /// Returns all unconfirmed crashes if any of them involves the request, otherwise none.
+    ///
+    /// The other crashes matter too: they may be explained by other requests.
     #[must_use]
     pub fn involving(&self, request: &Fingerprint, now: Millis) -> Vec<&CrashReport> {
-        let cases = self.cases.values();
-        let open: Vec<&CrashReport> = cases
-            .filter(|case| now.since(case.since) < LASTS)
-            .map(|case| &case.report)
+        let entries = self.entries.values();
+        let reports: Vec<&CrashReport> = entries
+            .filter(|entry| now.since(entry.since) < MAX_AGE)
+            .map(|entry| &entry.report)
             .collect();
-        let names = |report: &&CrashReport| {
+        let involves_request = |report: &&CrashReport| {
             let mut suspects = report.suspects.iter();
             suspects.any(|suspect| suspect.request == *request)
         };
-        if open.iter().any(names) {
-            open
+        if reports.iter().any(involves_request) {
+            reports
         } else {
             Vec::new()
         }
