--- a/lib/src/direct/node.rs
+++ b/lib/src/direct/node.rs
@@ -1,4 +1,4 @@
-//! A node that serves directly: everything wired, started and stopped.
+//! Startup and shutdown of a node that serves directly.
 
 use std::convert::Infallible;
 use std::net::SocketAddr;
@@ -36,63 +36,63 @@
 use crate::ports::poll::Poll;
 use crate::ports::{Error, Lease, Store};
 
-/// Time for the balancer to notice that the node takes no more callers.
+/// Time for the load balancer to notice that the node no longer accepts callers.
 ///
-/// It asks each second and goes by two misses.
-const NOTICE: Millis = Millis(2_400);
+/// It checks readiness every second and removes a node after two failed checks.
+const BALANCER_NOTICE: Millis = Millis(2_400);
 
-/// Time before the node would be killed, at which it ends by itself.
-const END_MARGIN: Millis = Millis(400);
+/// How long before the platform would kill the node it exits by itself.
+const SHUTDOWN_MARGIN: Millis = Millis(400);
 
-/// Time for callers to get the failures of what was cut short.
-const ANSWERS: Millis = Millis(100);
+/// Time for callers to receive the failures of aborted requests.
+const ABORT_RESPONSE_TIME: Millis = Millis(100);
 
-/// Time for the system to send what it has taken in.
-const FLUSH: Millis = Millis(50);
+/// Time for the operating system to send what is in its socket buffers.
+const SOCKET_FLUSH: Millis = Millis(50);
 
-/// Pause after a connection couldn't be accepted, so that a lack of descriptors doesn't spin.
-const ACCEPT_PAUSE: Millis = Millis(20);
+/// Pause after a failed accept, so that the loop doesn't spin while file descriptors are exhausted.
+const ACCEPT_RETRY_PAUSE: Millis = Millis(20);
 
 /// Connections that may wait to be accepted.
-const BACKLOG: u32 = 1_024;
+const LISTEN_BACKLOG: u32 = 1_024;
 
 /// A node's settings.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Settings {
     /// The node's name.
     pub node: Name,
-    /// Its failure domain.
+    /// The node's failure domain.
     pub failure_domain: Name,
-    /// Where callers come in.
+    /// Address of the listener for callers.
     pub callers: SocketAddr,
-    /// Where the balancer asks whether the node is ready.
+    /// Address at which the load balancer checks readiness.
     pub readiness: SocketAddr,
-    /// Where other nodes ask.
+    /// Address of the listener for other nodes.
     pub peers: SocketAddr,
-    /// Where metrics are served.
+    /// Address at which metrics are served.
     pub metrics: SocketAddr,
-    /// The key-value service.
+    /// Address of the key-value service.
     pub store: SocketAddr,
     /// Whether the deployment starts for the first time.
     pub first_start: bool,
-    /// Bounds.
+    /// Limits that can also be changed while the node runs.
     pub limits: Limits,
 }
 
-/// What reaches the platform.
+/// Clients of the platform's services, and the formats that they use.
 #[derive(Debug, Clone)]
 pub struct PlatformClients {
-    /// Formats.
+    /// Translation of the platform's formats.
     pub dialect: Arc<dyn Dialect>,
-    /// The key-value service.
+    /// Reads and transactions of the key-value service.
     pub store: Arc<dyn Store>,
-    /// Its leases.
+    /// Leases of the key-value service.
     pub lease: Arc<dyn Lease>,
-    /// Its changes.
+    /// Long polls for changes in the key-value service.
     pub poll: Arc<dyn Poll>,
 }
 
-/// A node's sockets; port 0 in the settings has the system choose.
+/// A node's listening sockets; for port 0 in the settings the system chooses one.
 #[derive(Debug)]
 struct Listeners {
     callers: TcpListener,
@@ -122,7 +122,7 @@
     claimer: Arc<Claimer>,
     limits: Arc<Current>,
     closing: CancellationToken,
-    /// Ends once the port is closed and no caller's connection is left.
+    /// Completes once the listener is closed and all callers' connections are too.
     serving: JoinHandle<()>,
     tasks: JoinSet<()>,
 }
@@ -132,7 +132,7 @@
     ///
     /// # Errors
     ///
-    /// When one of its addresses can't be listened at.
+    /// If one of its addresses can't be bound.
     pub fn start(settings: &Settings, reach: PlatformClients) -> Result<Self> {
         let listeners = Listeners::bind(settings)?;
         let clock: Arc<dyn Clock> = Arc::new(Boot);
@@ -210,7 +210,7 @@
             serving: tokio::spawn(serving),
             tasks: JoinSet::new(),
         };
-        node.listen(
+        node.spawn_listeners(
             listeners.peers,
             listeners.readiness,
             listeners.metrics,
@@ -223,31 +223,31 @@
         Ok(node)
     }
 
-    /// Returns where callers come in.
+    /// Returns the address of the listener for callers.
     #[must_use]
     pub fn callers(&self) -> SocketAddr {
         self.callers
     }
 
-    /// Returns where the balancer asks whether the node is ready.
+    /// Returns the address at which the load balancer checks readiness.
     #[must_use]
     pub fn readiness(&self) -> SocketAddr {
         self.readiness
     }
 
-    /// Returns where metrics are served.
+    /// Returns the address at which metrics are served.
     #[must_use]
     pub fn metrics(&self) -> SocketAddr {
         self.metrics
     }
 
-    /// Returns the bounds in force, to put others in force while the node runs.
+    /// Returns the limits, which can be replaced while the node runs.
     #[must_use]
     pub fn limits(&self) -> Arc<Current> {
         Arc::clone(&self.limits)
     }
 
-    fn listen(
+    fn spawn_listeners(
         &mut self,
         peers: TcpListener,
         readiness: TcpListener,
@@ -256,43 +256,46 @@
     ) {
         self.tasks.spawn(async move {
             if let Err(error) = serve::serve(peers, controllers).await {
-                log::error!("node: other nodes aren't served: {error}");
+                log::error!("node: the listener for other nodes failed: {error}");
             }
         });
         let gate = Arc::clone(&self.gate);
-        self.tasks.spawn(serve_plain(metrics, gate, render));
+        self.tasks
+            .spawn(serve_sync(metrics, gate, metrics_response));
         let gate = Arc::clone(&self.gate);
-        self.tasks.spawn(serve_plain(readiness, gate, readiness_of));
+        self.tasks
+            .spawn(serve_sync(readiness, gate, readiness_response));
     }
 
-    /// Stops: no more callers, orders handed over, what is in progress ended.
+    /// Shuts the node down: stops accepting callers, releases its claims, and lets requests in
+    /// progress finish.
     ///
-    /// Returns whether every request was answered in its own time.
+    /// Returns whether all requests finished before the deadline.
     pub async fn drain(mut self) -> bool {
         let clock = Arc::clone(&self.gate.clock);
-        let end = clock.now() + self.limits.get().stop - END_MARGIN;
-        self.gate.stop.begin(end);
+        let deadline = clock.now() + self.limits.get().stop - SHUTDOWN_MARGIN;
+        self.gate.stop.begin(deadline);
         release_claims_before_close(self.claimer.leave()).await;
         self.closing.cancel();
-        self.finish(end).await;
-        self.report(end).await;
-        // The last bytes of an answer may still lie in the system's buffers.
-        tokio::time::sleep(FLUSH.duration()).await;
-        let (left, cut) = (self.gate.active(), self.gate.stop.cut());
-        log::info!("node: stops with {left} requests in progress, {cut} were cut short");
-        let whole = left + cut == 0;
+        self.finish_requests(deadline).await;
+        self.flush_crash_reports(deadline).await;
+        // The end of a response may still be in the operating system's socket buffers.
+        tokio::time::sleep(SOCKET_FLUSH.duration()).await;
+        let (left, aborted) = (self.gate.active(), self.gate.stop.cut());
+        log::info!("node: stopping with {left} requests in progress, {aborted} were aborted");
+        let all_finished = left + aborted == 0;
         self.serving.abort();
         self.tasks.abort_all();
-        whole
+        all_finished
     }
 
-    /// Waits until what is in progress has ended, and cuts it short at `end`.
+    /// Waits for requests in progress and aborts those that are left at the deadline.
     ///
-    /// Nothing in progress is not enough: the head of a request can have come in half, and the
-    /// last bytes of an answer can wait for a slow caller. Ended then, the process would cut
-    /// both off. Connections without either are closed at once.
-    async fn finish(&mut self, end: Millis) {
-        let left = end.since(self.gate.clock.now());
+    /// It waits for connections rather than requests: half of a request's head may have arrived,
+    /// or the last bytes of a response may wait for a slow caller, and exiting would cut off both.
+    /// Idle connections are closed at once.
+    async fn finish_requests(&mut self, deadline: Millis) {
+        let left = deadline.since(self.gate.clock.now());
         let serving = &mut self.serving;
         if tokio::time::timeout(left.duration(), &mut *serving)
             .await
@@ -300,40 +303,47 @@
         {
             return;
         }
-        log::info!("node: what is in progress is cut short at the end of its time");
+        log::info!("node: the shutdown deadline has passed, aborting requests in progress");
         self.gate.stop.end();
-        if tokio::time::timeout(ANSWERS.duration(), serving)
+        if tokio::time::timeout(ABORT_RESPONSE_TIME.duration(), serving)
             .await
             .is_err()
         {
-            log::info!("node: callers' connections are left");
+            log::info!("node: some callers' connections are still open");
         }
     }
 
-    /// Waits until all that this node saw of upstreams' ends is reported, until `end` at most.
-    async fn report(&self, end: Millis) {
-        let left = end.since(self.gate.clock.now());
+    /// Waits until this node has reported all crashes of upstreams that it saw, at most until the
+    /// deadline.
+    async fn flush_crash_reports(&self, deadline: Millis) {
+        let left = deadline.since(self.gate.clock.now());
         let reported = self.gate.quarantine.flush_reports();
         if tokio::time::timeout(left.duration(), reported)
             .await
             .is_err()
         {
-            log::info!("node: what it saw of upstreams' ends isn't all reported");
+            log::info!("node: not all crashes of upstreams could be reported");
         }
     }
 }
 
-/// Gives claims up while the balancer notices that the node stops.
+/// Releases the node's claims while the load balancer notices that the node is shutting down.
 ///
-/// The key-value service can be silent. Were it waited for first, the callers' port would be open
-/// for as much longer, and requests that come late would be cut off at the end of the stop.
+/// Both happen at the same time because the key-value service can be silent: waiting for it first
+/// would keep the callers' port open for longer, and requests that arrive late would be aborted at
+/// the shutdown deadline.
 pub async fn release_claims_before_close(leave: impl Future<Output = Result<(), Error>>) {
-    let noticed = tokio::time::sleep(NOTICE.duration());
-    let (left, ()) = tokio::join!(tokio::time::timeout(NOTICE.duration(), leave), noticed);
-    match left {
+    let noticed = tokio::time::sleep(BALANCER_NOTICE.duration());
+    let (released, ()) = tokio::join!(
+        tokio::time::timeout(BALANCER_NOTICE.duration(), leave),
+        noticed
+    );
+    match released {
         Ok(Ok(())) => {}
-        Ok(Err(error)) => log::warn!("node: claims end with the lease: {error}"),
-        Err(_) => log::warn!("node: claims end with the lease: no answer within {NOTICE}"),
+        Ok(Err(error)) => log::warn!("node: claims left to expire with the lease: {error}"),
+        Err(_) => log::warn!(
+            "node: claims left to expire with the lease: no response within {BALANCER_NOTICE}"
+        ),
     }
 }
 
@@ -343,22 +353,22 @@
     } else {
         TcpSocket::new_v6()
     }
-    .wrap_err("can't make a socket")?;
+    .wrap_err("cannot create a socket")?;
     socket
         .set_reuseaddr(true)
-        .wrap_err("can't set a socket's option")?;
+        .wrap_err("cannot set SO_REUSEADDR")?;
     socket
         .bind(address)
-        .wrap_err_with(|| format!("can't listen at {address}"))?;
+        .wrap_err_with(|| format!("cannot bind {address}"))?;
     socket
-        .listen(BACKLOG)
-        .wrap_err_with(|| format!("can't listen at {address}"))
+        .listen(LISTEN_BACKLOG)
+        .wrap_err_with(|| format!("cannot listen on {address}"))
 }
 
-type Plain = fn(&Gate, &Request<Incoming>) -> Response<Full<Bytes>>;
+type SyncHandler = fn(&Gate, &Request<Incoming>) -> Response<Full<Bytes>>;
 
-/// Serves short answers that need no waiting.
-async fn serve_plain(listener: TcpListener, gate: Arc<Gate>, answer: Plain) {
+/// Serves requests with a handler that responds at once.
+async fn serve_sync(listener: TcpListener, gate: Arc<Gate>, handler: SyncHandler) {
     loop {
         let Some(stream) = accept(&listener).await else {
             continue;
@@ -366,20 +376,20 @@
         let gate = Arc::clone(&gate);
         tokio::spawn(async move {
             let service = service_fn(move |request| {
-                let response = answer(&gate, &request);
+                let response = handler(&gate, &request);
                 async move { Ok::<_, Infallible>(response) }
             });
             let connection = http1::Builder::new()
                 .timer(TokioTimer::new())
                 .serve_connection(TokioIo::new(stream), service);
             if let Err(error) = connection.await {
-                log::debug!("node: a connection ended: {error}");
+                log::debug!("node: connection failed: {error}");
             }
         });
     }
 }
 
-fn readiness_of(gate: &Gate, request: &Request<Incoming>) -> Response<Full<Bytes>> {
+fn readiness_response(gate: &Gate, request: &Request<Incoming>) -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::default());
     if !gate.dialect.is_readiness_path(request.uri().path()) {
         *response.status_mut() = StatusCode::NOT_FOUND;
@@ -389,7 +399,7 @@
     response
 }
 
-fn render(gate: &Gate, _: &Request<Incoming>) -> Response<Full<Bytes>> {
+fn metrics_response(gate: &Gate, _: &Request<Incoming>) -> Response<Full<Bytes>> {
     Response::new(Full::from(gate.render()))
 }
 
@@ -405,9 +415,9 @@
         };
         serve_caller(stream, &gate, &graceful);
     }
-    // Connections that the system has accepted already are still served. Later ones must
-    // meet a closed port: with the listener open but nobody accepting, a caller would wait
-    // for as long as answers in progress keep the process alive, instead of going elsewhere.
+    // Connections in the listen queue are still served. The port must then be closed: if it were
+    // open without anything accepting, a new caller would wait for as long as responses in
+    // progress keep the process alive, instead of connecting to another node.
     while let Some(Some(stream)) = accept(&listener).now_or_never() {
         serve_caller(stream, &gate, &graceful);
     }
@@ -431,21 +441,21 @@
     let connection = graceful.watch(connection);
     tokio::spawn(async move {
         if let Err(error) = connection.await {
-            log::debug!("node: a caller's connection ended: {error}");
+            log::debug!("node: a caller's connection failed: {error}");
         }
     });
 }
 
 async fn accept(listener: &TcpListener) -> Option<TcpStream> {
     let accepted = listener.accept().await;
-    let told = match accepted {
+    let error = match accepted {
         Ok((stream, _)) => match guard(&stream) {
             Ok(()) => return Some(stream),
             Err(error) => error,
         },
         Err(error) => error,
     };
-    log::warn!("node: can't accept a connection: {told}");
-    tokio::time::sleep(ACCEPT_PAUSE.duration()).await;
+    log::warn!("node: cannot accept a connection: {error}");
+    tokio::time::sleep(ACCEPT_RETRY_PAUSE.duration()).await;
     None
 }
--- a/lib/src/direct/outbox.rs
+++ b/lib/src/direct/outbox.rs
@@ -1,7 +1,7 @@
-//! Records that this node writes to the key-value service without waiting for them.
+//! Queue of records that this node writes to the key-value service in the background.
 //!
-//! They outlive the node: whoever starts later reads them. So they don't live with the node's
-//! own lease but with one of their own, at whose end they are gone.
+//! The records must outlive the node, since nodes that start later read them. They are therefore
+//! bound to a lease of their own rather than to the node's, and are gone when it expires.
 
 use std::fmt;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -17,104 +17,104 @@
 use crate::poison::ledger::REPORT_TTL;
 use crate::ports::{Error, Lease, LeaseId, Store, Transaction, Write};
 
-/// Records that one transaction writes; the service takes 32 rows.
-const AT_ONCE: usize = 16;
+/// Records per transaction; the service accepts 32 rows.
+const BATCH_SIZE: usize = 16;
 
-/// First pause after a call that failed; it doubles.
-const PAUSE: Millis = Millis(250);
+/// Pause after the first failed call; it doubles with each further one.
+const MIN_RETRY_PAUSE: Millis = Millis(250);
 
-/// The longest pause: outages last for tens of seconds, and each call is priced.
-const LONGEST_PAUSE: Millis = Millis(4_000);
+/// Longest pause between retries: outages last for tens of seconds, and each call costs money.
+const MAX_RETRY_PAUSE: Millis = Millis(4_000);
 
-/// Records that wait while the service is away; the oldest make room.
-const MOST_WAITING: usize = 1_024;
+/// Records that are queued while the service is unavailable; the oldest are dropped first.
+const MAX_QUEUED: usize = 1_024;
 
-/// Tells other nodes of records while the key-value service is away.
+/// Sends records directly to other nodes while the key-value service is unavailable.
 ///
-/// Without it each node counts for itself then, and a request that ends three engines ends three
-/// for each node.
+/// Otherwise each node would count crashes on its own during an outage, and a poison request
+/// would crash three engines for every node.
 #[async_trait]
 pub trait PeerBroadcast: fmt::Debug + Send + Sync {
-    /// Tells all other nodes that are known; none of them has to answer.
+    /// Sends a record to all known nodes; none of them has to respond.
     async fn broadcast(&self, name: &Name, value: &Bytes);
 }
 
-/// A record that waits.
+/// A record that is to be written.
 #[derive(Debug, Clone)]
 struct Record {
     name: Name,
     value: Bytes,
-    /// Whether other nodes were told, as the service didn't take it.
-    is_told: bool,
+    /// Whether the record was sent to other nodes after the service failed to accept it.
+    is_broadcast: bool,
 }
 
 #[derive(Debug, Default)]
-struct Waiting {
+struct Queue {
     records: Vec<Record>,
-    /// Whether a task is at work on them.
+    /// Whether a task is writing the records.
     is_sending: bool,
 }
 
-/// Writes records one transaction after the other.
+/// Writes queued records, one transaction at a time.
 #[derive(Debug)]
 pub struct Outbox {
     store: Arc<dyn Store>,
     lease: Arc<dyn Lease>,
     dialect: Arc<dyn Dialect>,
     clock: Arc<dyn Clock>,
-    others: Arc<dyn PeerBroadcast>,
-    waiting: Mutex<Waiting>,
-    /// Wakes whoever waits until nothing waits.
+    peers: Arc<dyn PeerBroadcast>,
+    queue: Mutex<Queue>,
+    /// Notified when the queue has become empty.
     emptied: Notify,
     /// The lease of new records, and when it was granted.
     granted: Mutex<Option<(LeaseId, Millis)>>,
 }
 
 impl Outbox {
-    /// Makes an outbox in which nothing waits.
+    /// Creates an empty outbox.
     #[must_use]
     pub fn new(
         store: Arc<dyn Store>,
         lease: Arc<dyn Lease>,
         dialect: Arc<dyn Dialect>,
         clock: Arc<dyn Clock>,
-        others: Arc<dyn PeerBroadcast>,
+        peers: Arc<dyn PeerBroadcast>,
     ) -> Self {
         Self {
             store,
             lease,
             dialect,
             clock,
-            others,
-            waiting: Mutex::default(),
+            peers,
+            queue: Mutex::default(),
             emptied: Notify::new(),
             granted: Mutex::default(),
         }
     }
 
-    /// Writes a record soon, under its name among this system's own keys.
+    /// Queues a record to be written under its name among this system's own keys.
     pub fn enqueue(self: &Arc<Self>, name: &str, value: &impl Serialize) {
         let value = match serde_json::to_vec(value) {
             Ok(value) => value.into(),
             Err(error) => {
-                log::error!("outbox: {name} can't be written: {error}");
+                log::error!("outbox: cannot serialize {name}: {error}");
                 return;
             }
         };
         let is_idle = {
-            let mut waiting = self.waiting();
-            if waiting.records.len() >= MOST_WAITING {
-                log::warn!("outbox: the oldest record is dropped, as many wait");
-                waiting.records.remove(0);
+            let mut queue = self.queue();
+            if queue.records.len() >= MAX_QUEUED {
+                log::warn!("outbox: {MAX_QUEUED} records are queued, dropping the oldest");
+                queue.records.remove(0);
             }
-            // A newer value of the same record: a transaction may hold a key once.
-            waiting.records.retain(|record| &*record.name != name);
-            waiting.records.push(Record {
+            // The new value replaces a queued one: a transaction may contain a key only once.
+            queue.records.retain(|record| &*record.name != name);
+            queue.records.push(Record {
                 name: name.into(),
                 value,
-                is_told: false,
+                is_broadcast: false,
             });
-            !std::mem::replace(&mut waiting.is_sending, true)
+            !std::mem::replace(&mut queue.is_sending, true)
         };
         if is_idle {
             let outbox = Arc::clone(self);
@@ -122,21 +122,21 @@
         }
     }
 
-    /// Tells all other nodes of a record that isn't written.
+    /// Sends a record to all other nodes without writing it.
     pub async fn broadcast(&self, name: &Name, value: &impl Serialize) {
         match serde_json::to_vec(value) {
-            Ok(value) => self.others.broadcast(name, &value.into()).await,
-            Err(error) => log::error!("outbox: {name} can't be written: {error}"),
+            Ok(value) => self.peers.broadcast(name, &value.into()).await,
+            Err(error) => log::error!("outbox: cannot serialize {name}: {error}"),
         }
     }
 
-    /// Waits until all records are written.
+    /// Waits until all queued records are written.
     pub async fn flush(&self) {
         loop {
             let emptied = self.emptied.notified();
             let mut emptied = std::pin::pin!(emptied);
             emptied.as_mut().enable();
-            if !self.waiting().is_sending {
+            if !self.queue().is_sending {
                 return;
             }
             emptied.await;
@@ -144,50 +144,54 @@
     }
 
     async fn send_all(&self) {
-        let mut pause = PAUSE;
-        while let Some(mut records) = self.next() {
-            match self.send(&records).await {
-                Ok(()) => pause = PAUSE,
+        let mut pause = MIN_RETRY_PAUSE;
+        while let Some(mut records) = self.next_batch() {
+            match self.write(&records).await {
+                Ok(()) => pause = MIN_RETRY_PAUSE,
                 Err(error) => {
-                    log::info!("outbox: {} records wait on: {error}", records.len());
+                    log::info!(
+                        "outbox: cannot write {} records, retrying: {error}",
+                        records.len()
+                    );
                     *self.granted() = None;
-                    self.tell_others(&mut records).await;
-                    self.put_back(records);
+                    self.broadcast_unwritten(&mut records).await;
+                    self.requeue(records);
                     tokio::time::sleep(pause.duration()).await;
-                    pause = Millis(pause.0 * 2).min(LONGEST_PAUSE);
+                    pause = Millis(pause.0 * 2).min(MAX_RETRY_PAUSE);
                 }
             }
         }
     }
 
-    /// Has records wait on, but those of which a newer value waits.
-    fn put_back(&self, mut records: Vec<Record>) {
-        let mut waiting = self.waiting();
-        let is_newer = |record: &Record| waiting.records.iter().any(|one| one.name == record.name);
-        records.retain(|record| !is_newer(record));
-        waiting.records.splice(0..0, records);
+    /// Puts records back at the head of the queue, except those with a newer value queued.
+    fn requeue(&self, mut records: Vec<Record>) {
+        let mut queue = self.queue();
+        let has_newer = |record: &Record| queue.records.iter().any(|one| one.name == record.name);
+        records.retain(|record| !has_newer(record));
+        queue.records.splice(0..0, records);
     }
 
-    /// Tells other nodes once of records that the service doesn't take.
-    async fn tell_others(&self, records: &mut [Record]) {
-        for record in records.iter_mut().filter(|record| !record.is_told) {
-            record.is_told = true;
-            self.others.broadcast(&record.name, &record.value).await;
+    /// Sends records that the service doesn't accept to other nodes, each record once.
+    async fn broadcast_unwritten(&self, records: &mut [Record]) {
+        for record in records.iter_mut().filter(|record| !record.is_broadcast) {
+            record.is_broadcast = true;
+            self.peers.broadcast(&record.name, &record.value).await;
         }
     }
 
-    fn next(&self) -> Option<Vec<Record>> {
-        let mut waiting = self.waiting();
-        if waiting.records.is_empty() {
-            waiting.is_sending = false;
+    /// Takes the next batch from the queue; `None` if the queue is empty.
+    fn next_batch(&self) -> Option<Vec<Record>> {
+        let mut queue = self.queue();
+        if queue.records.is_empty() {
+            queue.is_sending = false;
             self.emptied.notify_waiters();
             return None;
         }
-        let count = waiting.records.len().min(AT_ONCE);
-        Some(waiting.records.drain(..count).collect())
+        let count = queue.records.len().min(BATCH_SIZE);
+        Some(queue.records.drain(..count).collect())
     }
 
-    async fn send(&self, records: &[Record]) -> Result<(), Error> {
+    async fn write(&self, records: &[Record]) -> Result<(), Error> {
         let lease = self.lease().await?;
         let writes = records.iter().map(|record| {
             let key = self.dialect.own_key(&record.name);
@@ -200,7 +204,7 @@
         self.store.commit(transaction).await.map(|_| ())
     }
 
-    /// Returns a lease that lasts for half of the records' time at least.
+    /// Returns a lease with at least half of [`REPORT_TTL`] left, granting a new one if needed.
     async fn lease(&self) -> Result<LeaseId, Error> {
         let now = self.clock.now();
         let granted = *self.granted();
@@ -214,8 +218,8 @@
         Ok(lease)
     }
 
-    fn waiting(&self) -> MutexGuard<'_, Waiting> {
-        self.waiting.lock().unwrap_or_else(PoisonError::into_inner)
+    fn queue(&self) -> MutexGuard<'_, Queue> {
+        self.queue.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     fn granted(&self) -> MutexGuard<'_, Option<(LeaseId, Millis)>> {
--- a/lib/src/direct/quarantine.rs
+++ b/lib/src/direct/quarantine.rs
@@ -1,12 +1,12 @@
-//! Whether a request may be sent to an upstream, and what speaks against it.
+//! Quarantine of requests that crash upstreams.
 //!
-//! A request that ends every upstream that begins to run it comes again, at any node. Each node
-//! reports which of its own requests stood at an upstream that ended; reports are records in the
-//! key-value service, which every node follows, also one that has just started. What they add up
-//! to is [`ledger`](crate::poison::ledger)'s. On a day on which no upstream ends, nothing is
-//! written. See docs/design/0011-poison-requests.md.
+//! A request that crashes every upstream that starts to run it is repeated by its caller, at any
+//! node. When an upstream crashes, each node reports which of its own requests were there. Reports
+//! are records in the key-value service, which every node follows, including one that has just
+//! started; [`ledger`](crate::poison::ledger) determines from them which requests are blamed. As
+//! long as no upstream crashes, nothing is written. See docs/design/0011-poison-requests.md.
 
-mod cases;
+mod unconfirmed;
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -25,48 +25,48 @@
 use crate::poison::ledger::{CrashReport, REPORT_TTL, Suspect, Suspicion};
 use crate::ports::link::Listening;
 
-/// Prefix of reports of upstreams that ended; the upstream's start and the node stand behind it.
+/// Key prefix of crash reports; the upstream's start and the reporting node follow it.
 pub const CRASH_REPORT_PREFIX: &str = "end/";
 
-/// Prefix of open cases, which nodes tell each other; start and node stand behind it.
+/// Name prefix of unconfirmed crashes, which nodes send each other; start and node follow it.
 pub const UNCONFIRMED_CRASH_PREFIX: &str = "broke/";
 
-/// Prefix of requests that survived, with the fingerprint behind it.
+/// Key prefix of requests that ran without a crash; the fingerprint follows it.
 pub const HARMLESS_PREFIX: &str = "survived/";
 
-/// Time in which all connections to an upstream that ended are seen to break.
+/// Time within which this node sees all its connections to a crashed upstream break.
 ///
-/// They break within milliseconds of each other; on a slow VM it takes some more to read them.
-const GATHER: Millis = Millis(30);
+/// They break within milliseconds of each other; a slow VM takes a little longer to read them.
+const CONNECTION_BREAK_WINDOW: Millis = Millis(30);
 
-/// How long an upstream whose connections broke is watched for a sign that it ended.
+/// How long the upstream list is watched when the upstream refuses no connections.
 ///
-/// One that accepts connections may be a new start at the same address. The list tells within
-/// three heartbeats.
-const WATCHED: Millis = Millis(5_000);
+/// What accepts them may be a new start at the same address. The list shows a crash within three
+/// heartbeats.
+const LIST_WATCH_TIME: Millis = Millis(5_000);
 
-/// Pause between looks at the list meanwhile.
-const LOOK: Millis = Millis(250);
+/// Interval at which the upstream list is checked during that time.
+const LIST_POLL_INTERVAL: Millis = Millis(250);
 
-/// The longest that an attempt waits to learn whether its upstream ended.
+/// Maximum time for which an attempt waits to learn whether its upstream crashed.
 ///
-/// A refused connection tells within milliseconds. An attempt that goes on sooner would reach one
-/// more upstream with a request that others report already.
-const EXAMINED: Millis = Millis(150);
+/// A refused connection shows a crash within milliseconds. An attempt that doesn't wait could send
+/// a request that other nodes already report to one more upstream.
+const MAX_CRASH_CHECK_WAIT: Millis = Millis(150);
 
-/// Requests at one upstream that are remembered while it is examined: several batches.
-const MOST_EXAMINED: usize = 256;
+/// Number of suspects that are kept for one upstream while it is checked: several batches.
+const MAX_SUSPECTS_UNDER_CHECK: usize = 256;
 
-/// Ends that speak against a request from which on its survival is told to all nodes.
-const CLEARED_FROM: usize = 2;
+/// Number of crashes from which on all nodes are told that a suspect request ran without a crash.
+const MIN_CRASHES_TO_CLEAR: usize = 2;
 
-/// How long a run has to go on behind its first event until it counts as survived.
+/// How long a run has to go on after its first event until it counts as harmless.
 ///
-/// Engines that end under a request do so within some steps of its first token, and an event can
-/// hold just one token.
+/// Engines that a request crashes do so within some steps of its first token, and an event can
+/// hold a single token.
 pub const HARMLESS_AFTER: Millis = Millis(300);
 
-/// What is known of requests that end upstreams.
+/// Decides which requests may be sent, and reports this node's requests at crashed upstreams.
 #[derive(Debug)]
 pub struct Quarantine {
     view: Arc<View>,
@@ -75,14 +75,14 @@
     node: Name,
     outbox: Arc<Outbox>,
     harmless: Mutex<HarmlessRequests>,
-    /// This node's requests at upstreams that may have ended, by the upstream's start.
-    examined: Mutex<HashMap<Name, Vec<Suspect>>>,
-    /// Wakes whoever waits for the end of an examination.
-    concluded: Notify,
+    /// This node's requests at upstreams that may have crashed, by the upstream's start.
+    under_check: Mutex<HashMap<Name, Vec<Suspect>>>,
+    /// Notified when the check of an upstream has finished.
+    check_finished: Notify,
 }
 
 impl Quarantine {
-    /// Makes a quarantine in which nothing is known.
+    /// Creates a quarantine without any suspects.
     #[must_use]
     pub fn new(
         view: Arc<View>,
@@ -98,77 +98,79 @@
             node,
             outbox,
             harmless: Mutex::default(),
-            examined: Mutex::default(),
-            concluded: Notify::new(),
+            under_check: Mutex::default(),
+            check_finished: Notify::new(),
         }
     }
 
-    /// Whether anything is known against any request, so that fingerprints are worth making.
+    /// Whether no request is suspected, so that fingerprints needn't be computed.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         let state = self.view.state();
         state.ledger.is_empty() && state.unconfirmed_crashes.is_empty()
     }
 
-    /// Whether a request may stay where it was sent.
+    /// Checks that a request may stay where it was sent.
     ///
     /// # Errors
     ///
-    /// [`Code::Quarantined`] when upstreams ended under it.
+    /// [`Code::Quarantined`] if the request is blamed for crashes of upstreams.
     pub fn check(&self, request: &Fingerprint) -> Result<(), Failure> {
         let now = self.clock.now();
-        let ends = self.view.state().ledger.blamed_crashes(request, now);
-        let Some(ends) = ends else {
+        let crash_count = self.view.state().ledger.blamed_crashes(request, now);
+        let Some(crash_count) = crash_count else {
             return Ok(());
         };
         if self.harmless().contains(request, now) {
             self.clear(request);
             return Ok(());
         }
-        let detail = format!("{ends} upstreams ended as they began to run this request");
+        let detail = format!("{crash_count} upstreams ended as they began to run this request");
         Err(Failure::new(Code::Quarantined, detail).retry_after(REPORT_TTL))
     }
 
-    /// Waits until it is known whether a request that others report ended one more upstream.
+    /// Waits until it is known whether a request that is already reported crashed one more
+    /// upstream.
     pub async fn wait_for_crash_check(&self, request: &Fingerprint) {
         let waiting = async {
             loop {
-                let concluded = self.concluded.notified();
-                let mut concluded = std::pin::pin!(concluded);
-                concluded.as_mut().enable();
-                if !self.is_examined(request) || self.ends(request) == 0 {
+                let check_finished = self.check_finished.notified();
+                let mut check_finished = std::pin::pin!(check_finished);
+                check_finished.as_mut().enable();
+                if !self.is_under_check(request) || self.crash_count(request) == 0 {
                     return;
                 }
-                concluded.await;
+                check_finished.await;
             }
         };
-        let _ = tokio::time::timeout(EXAMINED.duration(), waiting).await;
+        let _ = tokio::time::timeout(MAX_CRASH_CHECK_WAIT.duration(), waiting).await;
     }
 
-    /// Takes in that a request's connection to an upstream broke while it stood there.
+    /// Records that a request's connection to an upstream broke.
     ///
-    /// A broken connection alone says little: it can be cut, or the answer lost. What counts is
-    /// the end of the upstream, which is looked for without keeping the request waiting.
+    /// A broken connection alone proves little: the network can cut it, or the response can get
+    /// lost. Only a crash of the upstream counts, which a background task checks, so that the
+    /// request doesn't wait for it.
     pub fn record_broken_connection(
         self: &Arc<Self>,
         upstream: &Arc<Upstream>,
         request: Fingerprint,
         suspicion: Suspicion,
     ) {
-        // One that leaves in order ends with whatever still runs there.
+        // An upstream that shuts down as planned cuts off whatever still runs there.
         if !upstream.is_ready() || self.harmless().contains(&request, self.clock.now()) {
             return;
         }
         let suspect = Suspect { request, suspicion };
         let start = upstream.start();
         if suspicion == Suspicion::Begun {
-            self.open_case(&start, suspect.clone());
+            self.add_unconfirmed(&start, suspect.clone());
         }
         let is_first = {
-            let mut examined = self.examining();
-            let suspects = examined.entry(start).or_default();
+            let mut under_check = self.under_check();
+            let suspects = under_check.entry(start).or_default();
             let is_first = suspects.is_empty();
-            if suspects.len() < MOST_EXAMINED {
+            if suspects.len() < MAX_SUSPECTS_UNDER_CHECK {
                 suspects.push(suspect);
             }
             is_first
@@ -176,88 +178,91 @@
         if is_first {
             let quarantine = Arc::clone(self);
             let upstream = Arc::clone(upstream);
-            tokio::spawn(async move { quarantine.examine(&upstream).await });
+            tokio::spawn(async move { quarantine.check_upstream(&upstream).await });
         }
     }
 
-    /// Waits until nothing is examined any more and all reports are written.
+    /// Waits until all checks have finished and all reports are written.
     ///
-    /// A node that ends before takes what it saw of an upstream's end with it.
+    /// What a node saw of a crash is lost if it exits before that.
     pub async fn flush_reports(&self) {
         loop {
-            let concluded = self.concluded.notified();
-            let mut concluded = std::pin::pin!(concluded);
-            concluded.as_mut().enable();
-            if self.examining().is_empty() {
+            let check_finished = self.check_finished.notified();
+            let mut check_finished = std::pin::pin!(check_finished);
+            check_finished.as_mut().enable();
+            if self.under_check().is_empty() {
                 break;
             }
-            concluded.await;
+            check_finished.await;
         }
         self.outbox.flush().await;
     }
 
-    /// Takes in that an upstream ran a request without harm.
+    /// Records that an upstream ran a request without crashing.
     pub fn record_harmless_run(&self, request: &Fingerprint) {
         self.harmless().insert(request.clone(), self.clock.now());
-        // One more end alone blames nobody, and each record is a write.
-        if self.ends(request) >= CLEARED_FROM {
+        // With fewer crashes, one more wouldn't blame the request, and each record is a write.
+        if self.crash_count(request) >= MIN_CRASHES_TO_CLEAR {
             self.clear(request);
         }
     }
 
-    /// Reports this node's requests at an upstream if it has ended.
-    async fn examine(self: &Arc<Self>, upstream: &Arc<Upstream>) {
-        tokio::time::sleep(GATHER.duration()).await;
-        let has_ended = self.has_ended(upstream).await;
-        let suspects = self.examining().remove(&upstream.start());
-        if let (true, Some(suspects)) = (has_ended, suspects) {
-            self.report(upstream, &self.node, suspects);
+    /// Checks whether an upstream crashed, and reports this node's requests there if it did.
+    async fn check_upstream(self: &Arc<Self>, upstream: &Arc<Upstream>) {
+        tokio::time::sleep(CONNECTION_BREAK_WINDOW.duration()).await;
+        let has_crashed = self.has_crashed(upstream).await;
+        let suspects = self.under_check().remove(&upstream.start());
+        if let (true, Some(suspects)) = (has_crashed, suspects) {
+            self.report_crash(upstream, &self.node, suspects);
         }
-        self.close_case(&upstream.start(), &self.node);
-        self.concluded.notify_waiters();
+        self.remove_unconfirmed(&upstream.start(), &self.node);
+        self.check_finished.notify_waiters();
     }
 
-    /// Looks whether an upstream has ended: nobody listens there, or the list says so.
+    /// Whether an upstream crashed: it refuses connections, or the upstream list shows it.
     ///
-    /// A VM that lost power or is cut off refuses nothing, and where a new start listens at the
-    /// address already a connection is accepted. The list tells then. While the key-value service
-    /// is silent, or this node suspended, it tells nothing: only time of which it is known counts.
-    async fn has_ended(self: &Arc<Self>, upstream: &Upstream) -> bool {
+    /// A VM that lost power or its network refuses no connection, and a new start that already
+    /// listens at the address accepts it; only the list shows the crash then. Time in which the
+    /// key-value service is silent or this node is suspended doesn't count, since the list can't
+    /// show a crash in it.
+    async fn has_crashed(self: &Arc<Self>, upstream: &Upstream) -> bool {
         if upstream.link.probe().await == Listening::Refused {
             return true;
         }
-        self.tell_case(&upstream.start());
-        self.list_shows_end(upstream).await
+        self.broadcast_unconfirmed(&upstream.start());
+        self.list_shows_crash(upstream).await
     }
 
-    async fn list_shows_end(&self, upstream: &Upstream) -> bool {
-        let began = self.clock.now();
-        let until = began + WATCHED;
+    /// Watches the upstream list for [`LIST_WATCH_TIME`], and returns whether it shows a crash.
+    async fn list_shows_crash(&self, upstream: &Upstream) -> bool {
+        let started_at = self.clock.now();
+        let until = started_at + LIST_WATCH_TIME;
         let mut served = None;
         while upstream.is_ready() && (self.view.as_of() < until || upstream.is_missing()) {
-            tokio::time::sleep(LOOK.duration()).await;
+            tokio::time::sleep(LIST_POLL_INTERVAL.duration()).await;
             let now = self.clock.now();
             if now < until {
                 continue;
             }
-            // What answers so much later had not ended, and what ends it then is something else.
+            // An upstream that serves a request this late hadn't crashed; a later crash has another
+            // cause.
             let is_alive = upstream.served() != *served.get_or_insert_with(|| upstream.served());
-            if is_alive || now.since(began) >= REPORT_TTL {
+            if is_alive || now.since(started_at) >= REPORT_TTL {
                 return false;
             }
         }
         upstream.was_lost()
     }
 
-    /// Reports requests of a node at an upstream that ended, whoever saw that.
-    fn report(&self, upstream: &Upstream, node: &str, suspects: Vec<Suspect>) {
+    /// Reports a node's requests at a crashed upstream, in place of that node if it isn't this one.
+    fn report_crash(&self, upstream: &Upstream, node: &str, suspects: Vec<Suspect>) {
         self.metrics.upstream_ends.inc();
         for Suspect { request, suspicion } in &suspects {
             log::info!(
                 suspect = request.as_str(),
                 upstream = &*upstream.incarnation,
                 sign = suspicion.name();
-                "quarantine: an upstream ended"
+                "quarantine: upstream crashed"
             );
         }
         let start = upstream.start();
@@ -265,41 +270,48 @@
         let now = self.clock.now();
         let mut state = self.view.state();
         let ledger = &mut state.ledger;
-        // Some connections are seen to break only after others were reported. In the place of the
-        // first report, a second one would clear whom that one names.
+        // Some connections break only after others were reported. Replacing the first report would
+        // drop the suspects that it names, so the new one includes them.
         let known: Vec<Suspect> = ledger.suspects_in(&name).cloned().collect();
         let report = CrashReport::new(start, known.into_iter().chain(suspects));
         self.outbox.enqueue(&name, &report);
         ledger.add_report(name, report.clone(), None, now);
         for Suspect { request, .. } in &report.suspects {
-            if let Some(ends) = ledger.blamed_crashes(request, now) {
-                log::warn!(suspect = request.as_str(), ends = ends; "quarantine: no longer sent");
+            if let Some(crash_count) = ledger.blamed_crashes(request, now) {
+                log::warn!(
+                    suspect = request.as_str(),
+                    ends = crash_count;
+                    "quarantine: request no longer sent"
+                );
             }
         }
         drop(state);
         self.view.changed.notify_waiters();
     }
 
+    /// Clears a request and tells all other nodes.
     fn clear(&self, request: &Fingerprint) {
-        log::info!(suspect = request.as_str(); "quarantine: survived");
+        log::info!(suspect = request.as_str(); "quarantine: request ran without a crash");
         self.view.state().ledger.clear(request, None);
         self.outbox
             .enqueue(&format!("{HARMLESS_PREFIX}{request}"), request);
     }
 
-    fn ends(&self, request: &Fingerprint) -> usize {
+    fn crash_count(&self, request: &Fingerprint) -> usize {
         let now = self.clock.now();
         self.view.state().ledger.crash_count(request, now)
     }
 
-    fn is_examined(&self, request: &Fingerprint) -> bool {
-        let examined = self.examining();
-        let mut suspects = examined.values().flatten();
+    fn is_under_check(&self, request: &Fingerprint) -> bool {
+        let under_check = self.under_check();
+        let mut suspects = under_check.values().flatten();
         suspects.any(|suspect| suspect.request == *request)
     }
 
-    fn examining(&self) -> MutexGuard<'_, HashMap<Name, Vec<Suspect>>> {
-        self.examined.lock().unwrap_or_else(PoisonError::into_inner)
+    fn under_check(&self) -> MutexGuard<'_, HashMap<Name, Vec<Suspect>>> {
+        self.under_check
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 
     fn harmless(&self) -> MutexGuard<'_, HarmlessRequests> {
