--- a/lib/src/retry/backoff.rs
+++ b/lib/src/retry/backoff.rs
@@ -1,16 +1,16 @@
-//! Pauses between the tries of one request.
+//! Backoff between the tries of one request.
 
 use crate::clock::Millis;
 
-/// Exponential backoff with full jitter.
+/// Exponential backoff with jitter.
 ///
-/// Requests that failed together would otherwise come back together; drawing
-/// each pause from the whole range spreads them.
+/// Requests that failed together would otherwise be retried together. Drawing
+/// each pause at random from the upper half of its range spreads them.
 #[derive(Debug, Clone, Copy)]
 pub struct Backoff {
-    /// Longest pause after the first try.
+    /// Maximum pause after the first try; it doubles with each further one.
     pub base: Millis,
-    /// Longest pause of all.
+    /// Maximum pause after any try.
     pub cap: Millis,
 }
 
@@ -24,14 +24,14 @@
 }
 
 impl Backoff {
-    /// Returns the pause after this many tries, drawn with a random number.
+    /// Returns the pause after `tries` tries, drawn by the number `random`.
     #[must_use]
     pub fn pause(&self, tries: u32, random: u64) -> Millis {
         let doublings = tries.saturating_sub(1).min(16);
-        let longest = self.base.0.saturating_mul(1 << doublings).min(self.cap.0);
-        // At least half, so that a pause is one.
-        let half = longest / 2;
-        Millis(half + random % (longest - half + 1))
+        let max = self.base.0.saturating_mul(1 << doublings).min(self.cap.0);
+        // At least half of the maximum, so that no pause is close to zero.
+        let min = max / 2;
+        Millis(min + random % (max - min + 1))
     }
 }
 
--- a/lib/src/retry/budget.rs
+++ b/lib/src/retry/budget.rs
@@ -1,54 +1,58 @@
-//! How many retries a node may make.
+//! Limit on the retries of a node.
 
 use crate::clock::Millis;
 
-/// What one retry costs; a first try earns a percent of it for each percent of the rule.
-const RETRY: u64 = 100;
+/// Tokens that one retry costs; a first try earns as many tokens as the budget's percentage.
+const RETRY_COST: u64 = 100;
 
-/// Retries that a node may save up.
-const SAVED: u64 = 100 * RETRY;
+/// Tokens that a node may accumulate: 100 retries.
+const MAX_TOKENS: u64 = 100 * RETRY_COST;
 
-/// Retries a second that are allowed however few first tries there are.
+/// Retries per second that are allowed regardless of the number of first tries.
 ///
-/// Without them the first failure on a quiet node could never be retried.
-const TRICKLE: u64 = 5;
+/// Without them the first failure on a node with little traffic could never be retried.
+const MIN_RETRIES_PER_SECOND: u64 = 5;
 
-/// A token bucket that bounds retries to a percentage of first tries.
+/// A token bucket that limits retries to a percentage of first tries.
 ///
-/// Under an outage each retry adds load exactly when there is least room for
-/// it; bounding their share keeps an outage from growing into a retry storm.
+/// During an outage each retry adds load when capacity is lowest. Limiting
+/// their share keeps the outage from growing into a retry storm.
 #[derive(Debug)]
 pub struct RetryBudget {
     percent: u64,
     tokens: u64,
-    filled: Millis,
+    refilled_at: Millis,
 }
 
 impl RetryBudget {
-    /// Starts a budget with this many retries for each hundred first tries.
+    /// Creates a budget with `percent` retries for each hundred first tries.
     #[must_use]
     pub fn new(percent: u32, now: Millis) -> Self {
         Self {
             percent: u64::from(percent),
-            tokens: TRICKLE * RETRY,
-            filled: now,
+            tokens: MIN_RETRIES_PER_SECOND * RETRY_COST,
+            refilled_at: now,
         }
     }
 
-    /// Notes a first try.
+    /// Records a first try, which adds tokens to the budget.
     pub fn record_first_try(&mut self, now: Millis) {
-        let trickle = now.since(self.filled).0.saturating_mul(TRICKLE * RETRY) / 1_000;
-        if trickle > 0 {
-            self.filled = now;
+        let refill = now
+            .since(self.refilled_at)
+            .0
+            .saturating_mul(MIN_RETRIES_PER_SECOND * RETRY_COST)
+            / 1_000;
+        if refill > 0 {
+            self.refilled_at = now;
         }
         self.tokens = (self.tokens + self.percent)
-            .saturating_add(trickle)
-            .min(SAVED);
+            .saturating_add(refill)
+            .min(MAX_TOKENS);
     }
 
-    /// Takes one retry, if there is one.
+    /// Takes the tokens for one retry; returns whether there were enough.
     pub fn try_spend(&mut self) -> bool {
-        match self.tokens.checked_sub(RETRY) {
+        match self.tokens.checked_sub(RETRY_COST) {
             Some(left) => {
                 self.tokens = left;
                 true
@@ -62,22 +66,21 @@
 mod tests {
     use super::*;
 
-    /// Symptom: a short fault of one upstream becomes an overload of all.
-    /// Sequence: every request fails and is tried again, three times.
-    /// Cause: each request knew only its own bound on tries.
+    /// A short failure of one upstream must not overload all others: with only a limit per
+    /// request, every request would be retried three times.
     #[test]
-    fn spend_all_fail() {
+    fn try_spend_bounds_retries() {
         let mut budget = RetryBudget::new(20, Millis::ZERO);
         let mut retries = 0;
         for _ in 0..10_000 {
             budget.record_first_try(Millis::ZERO);
             retries += u64::from(budget.try_spend());
         }
-        assert_eq!(retries, 10_000 / 5 + TRICKLE);
+        assert_eq!(retries, 10_000 / 5 + MIN_RETRIES_PER_SECOND);
     }
 
     #[test]
-    fn earn_quiet_node() {
+    fn first_try_refills_quiet_node() {
         let mut budget = RetryBudget::new(0, Millis::ZERO);
         while budget.try_spend() {}
         budget.record_first_try(Millis::from_secs(1));
--- a/lib/src/retry/mod.rs
+++ b/lib/src/retry/mod.rs
@@ -1,8 +1,9 @@
-//! What has become of a request, and the one place that decides every retry.
+//! The state of a request and the decision whether to retry it.
 //!
-//! A request is not sent, maybe run, running or answered; see
-//! docs/design/0003-outcomes.md. The machine knows no I/O: the dispatcher tells
-//! it what it did and what came back, and does what the verdict says.
+//! A request is not sent, may have run, is running or is answered; see
+//! docs/design/0003-outcomes.md. The state machine does no I/O: the dispatcher
+//! records what it sent and received, and carries out the decision. No other
+//! code decides about retries.
 
 mod backoff;
 mod budget;
@@ -15,17 +16,17 @@
 use crate::error::{Code, Failure, Fate};
 use reaction::{Reaction, reaction};
 
-/// How often and how long one request may be tried.
+/// Limits on the tries of one request.
 #[derive(Debug, Clone, Copy)]
 pub struct RetryPolicy {
-    /// Most tries of one request at upstreams, the first included.
+    /// Tries at upstreams, including the first.
     pub max_attempts: u32,
-    /// Most tries that cost no upstream anything, such as at a node that no longer owns it.
+    /// Tries that cost no upstream anything, such as at a node that no longer owns the upstream.
     pub max_redirects: u32,
-    /// Most tries of one request whose fate is unknown.
+    /// Tries whose fate is unknown.
     ///
-    /// A request that crashes whatever runs it would otherwise take down one
-    /// upstream after another; each crash shows as an unknown fate.
+    /// A request that crashes every upstream that runs it would otherwise take down one after
+    /// another; each crash shows as an unknown fate.
     pub max_unknowns: u32,
     /// Pauses between tries.
     pub backoff: Backoff,
@@ -42,40 +43,40 @@
     }
 }
 
-/// Where a request stands.
+/// State of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RequestState {
-    /// No upstream can have it.
+    /// No upstream can have received it.
     NotSent,
-    /// A runner has it; an upstream may have started it.
+    /// It was sent, and an upstream may have started to run it.
     MaybeRun,
-    /// An upstream has begun to answer it.
+    /// An upstream has started to respond.
     Running,
-    /// The caller has its whole answer.
+    /// The caller has received the whole response.
     Answered,
-    /// It ended without a whole answer.
+    /// It ended without a complete response.
     Ended,
 }
 
-/// What forbade a retry that the failure alone would have allowed.
+/// Why a retry was denied that the failure itself would have allowed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RetryDenial {
-    /// It may have run, and running it twice would do harm.
+    /// The request may have run and isn't idempotent.
     NotIdempotent,
-    /// The caller has a part of the answer, and two runs are never spliced.
+    /// The caller has a part of the response, and responses of two runs are never spliced.
     AnswerBegun,
-    /// The request had all its tries.
+    /// The request has used all its attempts or redirects.
     Attempts,
     /// Too many tries of the request ended with an unknown fate.
     Unknowns,
-    /// The node has spent its retries.
+    /// The retry budget of the node is exhausted.
     RetryBudget,
     /// The deadline leaves no time for another try.
     Deadline,
 }
 
 impl RetryDenial {
-    /// Returns the name that metrics use.
+    /// Returns the name used in metrics.
     #[must_use]
     pub const fn name(self) -> &'static str {
         match self {
@@ -89,65 +90,65 @@
     }
 }
 
-/// What to do after a failed try.
+/// Decision after a failed try.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum RetryDecision {
     /// Try again after a pause.
     Retry(Millis),
-    /// Tell the caller; the failure's fate covers all tries of the request.
+    /// Report the failure to the caller; its fate covers all tries of the request.
     End {
-        /// What the caller is told.
+        /// The failure to report.
         failure: Failure,
-        /// What forbade a retry, if the failure alone would have allowed one.
+        /// Why a retry was denied, if the failure itself would have allowed one.
         denial: Option<RetryDenial>,
     },
 }
 
-/// The circumstances of a failed try.
+/// Circumstances of a failed try that affect the decision.
 #[derive(Debug, Clone, Copy)]
 pub struct FailureContext {
-    /// The time.
+    /// Time of the failure.
     pub now: Millis,
     /// Whether there is an upstream that the request hasn't been tried on.
     pub has_untried_upstream: bool,
-    /// A random number, for the pause.
+    /// Random number for the jitter of the pause.
     pub random: u64,
 }
 
-/// One request's way from arrival to its end.
+/// State machine of one request, from its arrival to its end.
 #[derive(Debug)]
 pub struct RetryStateMachine {
-    rules: RetryPolicy,
+    policy: RetryPolicy,
     idempotent: bool,
     deadline: Millis,
     state: RequestState,
     attempts: u32,
     redirects: u32,
     unknowns: u32,
-    /// The first failure after which the request may have run. It outlasts every
-    /// later failure: a refused second try says nothing about the first one.
-    unsettled: Option<Failure>,
-    passed: bool,
+    /// The first failure with an unknown fate. It takes precedence over later failures that
+    /// report "not run", since a rejected second try says nothing about the first one.
+    first_unknown: Option<Failure>,
+    has_forwarded: bool,
 }
 
 impl RetryStateMachine {
-    /// Starts a request that nobody has seen yet.
+    /// Creates the state of a request that hasn't been sent.
     #[must_use]
-    pub fn new(rules: RetryPolicy, idempotent: bool, deadline: Millis) -> Self {
+    pub fn new(policy: RetryPolicy, idempotent: bool, deadline: Millis) -> Self {
         Self {
-            rules,
+            policy,
             idempotent,
             deadline,
             state: RequestState::NotSent,
             attempts: 0,
             redirects: 0,
             unknowns: 0,
-            unsettled: None,
-            passed: false,
+            first_unknown: None,
+            has_forwarded: false,
         }
     }
 
-    /// Returns where the request stands.
+    /// Returns the state of the request.
     #[must_use]
     pub fn state(&self) -> RequestState {
         self.state
@@ -159,41 +160,42 @@
         self.attempts + self.redirects
     }
 
-    /// Returns whether it is certain that no try has run or will.
+    /// Returns whether it is certain that no try has run or will run.
     #[must_use]
     pub fn certainly_not_run(&self) -> bool {
-        self.state == RequestState::NotSent && self.unsettled.is_none()
+        self.state == RequestState::NotSent && self.first_unknown.is_none()
     }
 
-    /// Returns whether the try that comes next is the last one allowed.
+    /// Returns whether the next try is the last one allowed.
     #[must_use]
     pub fn is_last_try(&self) -> bool {
-        self.attempts + 1 >= self.rules.max_attempts
-            || self.redirects + 1 >= self.rules.max_redirects
+        self.attempts + 1 >= self.policy.max_attempts
+            || self.redirects + 1 >= self.policy.max_redirects
     }
 
-    /// Notes that a runner gets the request now.
+    /// Records that the request is about to be sent.
     pub fn record_send(&mut self) {
         self.state = RequestState::MaybeRun;
         self.attempts += 1;
     }
 
-    /// Notes that an upstream has begun to answer.
+    /// Records that an upstream has started to respond.
     pub fn record_response_start(&mut self) {
         self.state = RequestState::Running;
     }
 
-    /// Notes that a part of the answer goes to the caller.
+    /// Records that a part of the response is forwarded to the caller.
     pub fn record_forwarded(&mut self) {
-        self.passed = true;
+        self.has_forwarded = true;
     }
 
-    /// Notes that the caller has the whole answer.
+    /// Records that the caller has received the whole response.
     pub fn record_complete(&mut self) {
         self.state = RequestState::Answered;
     }
 
-    /// Ends a request whose caller went away, with the truth about it.
+    /// Ends a request whose caller disconnected, and returns the code that tells whether it may
+    /// have run.
     pub fn abandon(&mut self) -> Code {
         let code = if self.certainly_not_run() {
             Code::CallerGoneWaiting
@@ -206,22 +208,22 @@
 
     /// Ends a request for a reason outside its tries, such as a lost idempotency claim.
     ///
-    /// The failure that is returned covers all tries made before.
+    /// The returned failure covers all earlier tries.
     pub fn end(&mut self, failure: Failure) -> Failure {
-        let failure = self.truth(failure);
+        let failure = self.overall_failure(failure);
         self.state = RequestState::Ended;
         failure
     }
 
-    /// Decides what follows a failed try.
+    /// Decides what to do after a failed try.
     pub fn handle_failure(
         &mut self,
         failure: Failure,
         context: FailureContext,
         budget: &mut RetryBudget,
     ) -> RetryDecision {
-        let failure = self.corrected(failure);
-        self.note(&failure);
+        let failure = self.correct_fate(failure);
+        self.record_failure(&failure);
         let reaction = reaction(failure.code);
         if reaction.is_free() {
             self.attempts -= 1;
@@ -237,11 +239,11 @@
         }
     }
 
-    /// Returns the failure with a code that can be true in this state.
-    fn corrected(&self, failure: Failure) -> Failure {
-        // A code that says "not run" after the upstream has begun to answer is a
-        // fault of whoever made it. Passing it on would invite the caller to
-        // repeat what ran, so it is read as a cut answer.
+    /// Returns the failure with a code that is consistent with the current state.
+    fn correct_fate(&self, failure: Failure) -> Failure {
+        // A code that means "not run" is wrong once the upstream has started to
+        // respond. Reporting it would invite the caller to repeat a request that
+        // ran, so the failure is treated as a truncated response.
         if self.state == RequestState::Running && failure.fate() == Fate::NotRun {
             return Failure {
                 code: Code::AnswerCut,
@@ -251,64 +253,66 @@
         failure
     }
 
-    fn note(&mut self, failure: &Failure) {
+    fn record_failure(&mut self, failure: &Failure) {
         match failure.fate() {
             Fate::NotRun => self.state = RequestState::NotSent,
             Fate::Unknown => {
                 self.unknowns += 1;
                 self.state = RequestState::MaybeRun;
-                self.unsettled.get_or_insert_with(|| failure.clone());
+                self.first_unknown.get_or_insert_with(|| failure.clone());
             }
             Fate::Ran => {}
         }
     }
 
-    /// Returns the failure whose fate covers all tries.
-    fn truth(&self, last: Failure) -> Failure {
-        match (&self.unsettled, last.fate()) {
+    /// Returns the failure whose fate holds for all tries together.
+    fn overall_failure(&self, last: Failure) -> Failure {
+        match (&self.first_unknown, last.fate()) {
             (Some(earlier), Fate::NotRun) => earlier.clone(),
             _ => last,
         }
     }
 
     fn pause(&self, reaction: Reaction, context: FailureContext) -> Millis {
-        let settled = self.unsettled.is_none();
-        let first = self.tries() <= 1;
-        // A refusal costs its upstream nothing, so the first one is followed at
-        // once by a try elsewhere; from then on callers must not move in step.
-        if settled && context.has_untried_upstream && (first || reaction == Reaction::PassOn) {
+        let no_unknowns = self.first_unknown.is_none();
+        let is_first = self.tries() <= 1;
+        // A rejection costs its upstream nothing, so the first one is followed at
+        // once by a try elsewhere. Later ones need jitter, so that requests that
+        // failed together aren't retried together.
+        if no_unknowns && context.has_untried_upstream && (is_first || reaction == Reaction::PassOn)
+        {
             return Millis::ZERO;
         }
-        self.rules.backoff.pause(self.tries(), context.random)
+        self.policy.backoff.pause(self.tries(), context.random)
     }
 
     fn denial(
         &self,
         reaction: Reaction,
         fate: Fate,
-        resume: Millis,
+        retry_at: Millis,
         budget: &mut RetryBudget,
     ) -> Option<RetryDenial> {
-        if self.passed {
+        if self.has_forwarded {
             return Some(RetryDenial::AnswerBegun);
         }
-        if !self.idempotent && (fate != Fate::NotRun || self.unsettled.is_some()) {
+        if !self.idempotent && (fate != Fate::NotRun || self.first_unknown.is_some()) {
             return Some(RetryDenial::NotIdempotent);
         }
-        if reaction == Reaction::Never || self.attempts >= self.rules.max_attempts {
+        if reaction == Reaction::Never || self.attempts >= self.policy.max_attempts {
             return Some(RetryDenial::Attempts);
         }
-        if self.redirects >= self.rules.max_redirects {
+        if self.redirects >= self.policy.max_redirects {
             return Some(RetryDenial::Attempts);
         }
-        if self.unknowns >= self.rules.max_unknowns {
+        if self.unknowns >= self.policy.max_unknowns {
             return Some(RetryDenial::Unknowns);
         }
-        if resume >= self.deadline {
+        if retry_at >= self.deadline {
             return Some(RetryDenial::Deadline);
         }
-        // All requests of a dead owner need a redirect at once; charging them
-        // would refuse most of them for nothing.
+        // When an owner fails, all its requests need a redirect at once. Charging
+        // them to the budget would deny most of them needlessly.
         if !reaction.is_free() && !budget.try_spend() {
             return Some(RetryDenial::RetryBudget);
         }
@@ -357,7 +361,8 @@
         assert!(machine.certainly_not_run());
     }
 
-    /// A request that is not idempotent isn't retried after a connection was lost behind its head.
+    /// A request that isn't idempotent must not be retried when the connection is lost after its
+    /// head was sent, since the upstream may have run it.
     #[test]
     fn fail_lost_not_idempotent() {
         let mut machine = machine(false);
@@ -366,7 +371,8 @@
         assert_eq!(end, (Code::UpstreamLost, Some(RetryDenial::NotIdempotent)));
     }
 
-    /// A request whose first try was lost isn't reported as not run because the second was refused.
+    /// A request whose first try was lost must not be reported as not run when the second one is
+    /// rejected.
     #[test]
     fn fail_refused_after_lost() {
         let mut machine = machine(true);
@@ -383,7 +389,7 @@
         assert!(!machine.certainly_not_run());
     }
 
-    /// A request that keeps ending engines isn't retried further after two unknown fates.
+    /// A request that crashes every engine must not be retried further after two unknown fates.
     #[test]
     fn fail_poisoned_request() {
         let mut machine = machine(true);
--- a/lib/src/retry/reaction.rs
+++ b/lib/src/retry/reaction.rs
@@ -1,28 +1,28 @@
-//! What each result code says about trying again.
+//! How each result code affects retries.
 
 use crate::error::Code;
 
-/// What a failure's code says about trying again.
+/// How a failure's code affects retries.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Reaction {
-    /// Another upstream may do.
+    /// Another upstream may succeed.
     Elsewhere,
-    /// No upstream was asked; the picture of who owns what was old.
+    /// The request reached no upstream, because the node's view of who owns what was out of date.
     Redirect,
-    /// The owner says that another upstream serves it better: a step of routing, not a fault.
+    /// The owner refers the request to a better upstream, which is routing rather than a failure.
     PassOn,
-    /// No try of the same request can do better.
+    /// No retry of the same request can succeed.
     Never,
 }
 
 impl Reaction {
-    /// Whether the failed try cost no upstream anything.
+    /// Whether the failed try cost no upstream anything, so that it counts as a redirect.
     pub const fn is_free(self) -> bool {
         matches!(self, Self::Redirect | Self::PassOn)
     }
 }
 
-/// Returns what a code says; every new code has to be sorted in here.
+/// Returns how a code affects retries; every new code has to be classified here.
 pub const fn reaction(code: Code) -> Reaction {
     match code {
         Code::NotOwner
@@ -44,7 +44,7 @@
         | Code::WrongAnswer
         | Code::Internal
         | Code::VersionReplaced => Reaction::Elsewhere,
-        // The request itself is at fault, or every upstream would say the same.
+        // The request itself is at fault, or every upstream would respond alike.
         Code::BadRequest
         | Code::UnknownKey
         | Code::UnknownTemplate
@@ -60,16 +60,16 @@
         | Code::ClaimUnavailable
         | Code::NoUpstream
         | Code::Quarantined
-        // Trying elsewhere would take what the limit keeps for others.
+        // A retry elsewhere would use capacity that the limit reserves for others.
         | Code::AccountLimit
         | Code::Brownout
-        // Nobody waits for the answer any more.
+        // Nobody waits for the response any more.
         | Code::ExpiredWaiting
         | Code::ExpiredRunning
         | Code::CallerGoneWaiting
         | Code::CallerGoneRunning
         | Code::ReaderTooSlow
-        // It ran, and the error is its answer.
+        // The request ran, and the error is its response.
         | Code::UpstreamError => Reaction::Never,
     }
 }
