--- a/lib/src/retry/mod.rs
+++ b/lib/src/retry/mod.rs
@@ -70,7 +70,7 @@
     /// Too many tries of the request ended with an unknown fate.
     Unknowns,
     /// The retry budget of the node is exhausted.
-    RetryBudget,
+    Budget,
     /// The deadline leaves no time for another try.
     Deadline,
 }
@@ -84,7 +84,7 @@
             Self::AnswerBegun => "answer_begun",
             Self::Attempts => "attempts",
             Self::Unknowns => "unknowns",
-            Self::RetryBudget => "budget",
+            Self::Budget => "budget",
             Self::Deadline => "deadline",
         }
     }
@@ -314,7 +314,7 @@
         // When an owner fails, all its requests need a redirect at once. Charging
         // them to the budget would deny most of them needlessly.
         if !reaction.is_free() && !budget.try_spend() {
-            return Some(RetryDenial::RetryBudget);
+            return Some(RetryDenial::Budget);
         }
         None
     }
@@ -445,7 +445,7 @@
             machine.handle_failure(Failure::new(Code::QueueFull, ""), context(0), &mut budget);
         assert_eq!(
             ended(verdict),
-            (Code::QueueFull, Some(RetryDenial::RetryBudget))
+            (Code::QueueFull, Some(RetryDenial::Budget))
         );
     }
 
