--- a/lib/src/direct/dialect.rs
+++ b/lib/src/direct/dialect.rs
@@ -1,6 +1,6 @@
-//! What a platform's way of speaking has to translate.
+//! Translation between a platform's wire formats and this crate's types.
 //!
-//! An implementation holds names and formats and decides nothing.
+//! An implementation knows names and formats and makes no decisions.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -15,90 +15,90 @@
 use crate::clock::Millis;
 use crate::name::Name;
 
-/// Why a value of the platform can't be read.
+/// A value of the platform that can't be decoded.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 #[error("{what} can't be read: {detail}")]
 pub struct DecodeError {
-    /// What was read.
+    /// The kind of value.
     pub what: &'static str,
-    /// Where it went wrong.
+    /// Where and why decoding failed.
     pub detail: String,
 }
 
-/// An upstream as it describes itself in the platform's list.
+/// An upstream's entry in the platform's list, as the upstream wrote it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct UpstreamEntry {
-    /// One start of the upstream; a restart has another.
+    /// Identity of this start of the upstream; a restart has another.
     pub incarnation: Name,
     /// The pool that it belongs to.
     pub pool: Name,
-    /// Where it serves.
+    /// Address at which it serves requests.
     pub address: SocketAddr,
     /// Its failure domain.
     pub failure_domain: Name,
-    /// Requests that it processes at once.
+    /// Number of requests that it processes concurrently.
     pub slots: u32,
-    /// Whether it takes new work.
+    /// Whether it accepts new work.
     pub ready: bool,
-    /// How long it still works slowly after its start.
+    /// Time left of its slow phase after the start.
     pub cold: Millis,
-    /// Time left before it vanishes, if it was given notice.
+    /// Time left until the platform removes it, if that was announced.
     pub remaining: Option<Millis>,
-    /// What it holds.
+    /// Base models and adapters that it has loaded.
     pub held: LoadedModels,
 }
 
-/// Base models and adapters that an engine holds.
+/// Base models and adapters that an engine has loaded.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct LoadedModels {
-    /// When this start of the engine began, in milliseconds since 1970; 0 where none tells.
+    /// Time of this start of the engine in milliseconds since 1970; 0 if it isn't known.
     pub started_at_ms: u64,
-    /// Number of orders that this start of the engine has accepted.
+    /// Number of orders that the engine has accepted since this start.
     pub sequence: u64,
-    /// Names of base models.
+    /// Names of the base models.
     pub models: Vec<Name>,
     /// Adapters (`BASE/NAME`) with their versions.
     pub adapters: Vec<(Name, u64)>,
-    /// Adapters on their way, with their versions.
+    /// Adapters that are being loaded, with their versions.
     pub incoming: Vec<(Name, u64)>,
 }
 
-/// What an engine says when it is asked.
+/// An engine's status report.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct EngineStatus {
-    /// What it holds.
+    /// Base models and adapters that it has loaded.
     pub held: LoadedModels,
-    /// Whether an order is being carried out that keeps others away.
+    /// Whether it is executing an order that blocks others.
     pub busy: bool,
-    /// Requests that wait.
+    /// Number of queued requests.
     pub queued: u32,
-    /// Requests that run.
+    /// Number of running requests.
     pub running: u32,
 }
 
-/// A change of what an engine holds.
+/// An order to an engine to load or unload a model.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Order {
-    /// Whether to load or to drop.
+    /// Whether to load or to unload.
     pub action: Action,
     /// `BASE` or `BASE/NAME`.
     pub model: Name,
     /// The version to load.
     pub version: Option<u64>,
-    /// The order counts only if this many were accepted before.
+    /// Number of orders that the engine must have accepted before, for this one to be valid.
     pub sequence: u64,
-    /// Who gives the order.
+    /// The node that gives the order.
     pub holder: Name,
-    /// Rises from one holder to the next.
+    /// Fencing token, which increases from one holder to the next.
     pub fencing_token: u64,
 }
 
-/// What an order does.
+/// What an order asks for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Action {
-    /// Make present.
+    /// Load the model.
     Load,
-    /// Drop.
+    /// Unload the model.
     Unload,
 }
 
@@ -113,20 +113,20 @@
     }
 }
 
-/// How an engine answered an order.
+/// An engine's response to an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OrderOutcome {
-    /// It is being carried out.
+    /// The engine is executing the order.
     Started,
-    /// What it asks for holds already.
+    /// The engine is already in the ordered state.
     Holds,
-    /// Another order is under way, or other orders were accepted meanwhile.
+    /// Another order is in progress, or other orders were accepted in the meantime.
     Conflict,
-    /// The fence is older than one that the engine has seen.
+    /// The fencing token is older than one that the engine has seen.
     Fenced,
     /// Another incarnation has the address.
     Elsewhere,
-    /// The engine can't take it now.
+    /// The engine can't accept the order now.
     Refused,
 }
 
@@ -145,42 +145,42 @@
     }
 }
 
-/// What an entry node adds to a request on its way to an upstream.
+/// What an entry node adds to the headers of a request that it sends to an upstream.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct DispatchHeaders {
-    /// The incarnation that may take it.
+    /// The incarnation that may accept the request.
     pub incarnation: Name,
-    /// How long the upstream may work on it.
+    /// Time that the upstream has for the request.
     pub deadline: Millis,
-    /// Rank; 0 goes first.
+    /// Priority; 0 is the highest.
     pub urgency: Option<u8>,
-    /// The version of the adapter that may run it.
+    /// The adapter version that may run the request.
     pub version: Option<u64>,
-    /// The event after which a stream continues.
+    /// The event after which a stream resumes.
     pub resume_after: Option<u64>,
-    /// Memory of this request that lies at an engine, to go on from.
+    /// KV cache of this request at an engine, from which the run continues.
     pub kv_cache: Option<KvCacheHandle>,
 }
 
-/// What an engine keeps of a run that was stopped, or copied to another engine.
+/// Handle of the KV cache of a stopped run, which an engine keeps or has copied to another engine.
 ///
-/// Whoever presents it continues that run without reading the prompt again; it can be used once.
+/// A request that presents it continues the run without prefill. A handle can be used once.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct KvCacheHandle {
     /// The engine that ran the request.
     pub source: SocketAddr,
-    /// The engine's name for it.
+    /// The engine's name for the KV cache.
     pub handle: Name,
 }
 
-/// How an engine answered the question to stop a run and copy its memory.
+/// An engine's response to the request to stop a run and transfer its KV cache.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum TransferOutcome {
-    /// The run has stopped and the other engine holds its memory under this handle.
+    /// The run has stopped, and the other engine has its KV cache under this handle.
     Copied(Name),
-    /// The run has stopped, but its memory lies only where it ran.
+    /// The run has stopped, but its KV cache is only at the engine that ran it.
     Kept(Name),
-    /// There is no such run, or it goes on.
+    /// There is no such run, or it continues.
     Unchanged,
 }
 
@@ -196,22 +196,22 @@
     }
 }
 
-/// What the head of an upstream's answer says beyond HTTP.
+/// What the head of an upstream's response says beyond HTTP.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct ResponseMetadata {
-    /// Identity of the request that it answers.
+    /// ID of the request that it responds to.
     pub id: Option<Name>,
     /// Whether the upstream has signed it.
     pub signed: bool,
-    /// Whether the upstream says that it did not run the request.
+    /// Whether the upstream states that it did not run the request.
     pub not_run: bool,
-    /// How long the upstream keeps the connection unused.
+    /// How long the upstream keeps the connection open while idle.
     pub keep: Option<Millis>,
-    /// Whether the upstream ends the connection after this answer.
+    /// Whether the upstream closes the connection after this response.
     pub closes: bool,
 }
 
-/// A key of the key-value service that this node reads.
+/// What a key in the key-value service is for.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Key {
     /// The operators' configuration.
@@ -220,76 +220,77 @@
     Upstream(Name),
     /// The newest version of an adapter or base model.
     Version,
-    /// Something of ours, by its name.
+    /// A record of this system, by its name.
     Own(Name),
-    /// Not for us.
+    /// Anything else, which this system ignores.
     Other,
 }
 
-/// Translates between the platform's formats and ours.
+/// Translates between the platform's formats and this crate's types.
 pub trait Dialect: fmt::Debug + Send + Sync {
-    /// Reads what a caller's request says about itself.
+    /// Reads the metadata in the headers of a caller's request.
     fn request_metadata(&self, head: &request::Parts) -> Call;
 
-    /// Changes a caller's headers to those that an upstream gets.
+    /// Changes a caller's headers into those that are sent to an upstream.
     ///
-    /// Headers that only this system may set are removed if a caller sent them.
+    /// Headers that only this system may set are removed if the caller sent them.
     fn apply_dispatch_headers(&self, headers: &mut HeaderMap, dispatch: &DispatchHeaders);
 
-    /// Reads the head of an upstream's answer.
+    /// Reads the metadata in the head of an upstream's response.
     fn response_metadata(&self, head: &response::Parts) -> ResponseMetadata;
 
-    /// Tells what a key of the key-value service holds.
+    /// Returns what a key in the key-value service is for.
     fn parse_key(&self, key: &str) -> Key;
 
-    /// Prefixes under which everything lies that this node reads.
+    /// Returns the prefixes of all keys that a node reads.
     fn key_prefixes(&self) -> &'static [&'static str];
 
-    /// The whole key of something of ours.
+    /// Returns the key of a record of this system.
     fn own_key(&self, name: &str) -> String;
 
-    /// Reads the configuration.
+    /// Decodes the configuration.
     ///
     /// # Errors
     ///
-    /// When it isn't what the platform promises.
+    /// If the value doesn't have the platform's format.
     fn decode_config(&self, value: &[u8]) -> Result<Config, DecodeError>;
 
-    /// Reads an upstream's entry.
+    /// Decodes an upstream's entry.
     ///
     /// # Errors
     ///
-    /// When it isn't what the platform promises.
+    /// If the value doesn't have the platform's format.
     fn decode_upstream(
         &self,
         incarnation: &Name,
         value: &[u8],
     ) -> Result<UpstreamEntry, DecodeError>;
 
-    /// Reads the newest version of an adapter (`BASE/NAME`) or a base model (`BASE`).
+    /// Decodes the newest version of an adapter (`BASE/NAME`) or a base model (`BASE`).
     ///
     /// # Errors
     ///
-    /// When it isn't what the platform promises.
+    /// If the value doesn't have the platform's format.
     fn decode_version(&self, value: &[u8]) -> Result<(Name, u64), DecodeError>;
 
-    /// Writes an order for one incarnation of an engine.
+    /// Creates the HTTP request for an order to one incarnation of an engine.
     fn order_request(&self, incarnation: &str, order: &Order) -> Request<Full<Bytes>>;
 
-    /// Reads an engine's answer to an order.
+    /// Reads an engine's response to an order.
     fn order_outcome(&self, head: &response::Parts) -> OrderOutcome;
 
-    /// Asks an engine for its report.
+    /// Creates the HTTP request for an engine's status.
     fn status_request(&self, incarnation: &str) -> Request<Full<Bytes>>;
 
-    /// Reads an engine's report.
+    /// Decodes an engine's status.
     ///
     /// # Errors
     ///
-    /// When it isn't what the platform promises.
+    /// If the value doesn't have the platform's format.
     fn decode_status(&self, body: &[u8]) -> Result<EngineStatus, DecodeError>;
 
-    /// Asks an engine to stop a request's run and to copy its memory to the engine at `to`.
+    /// Creates the HTTP request that asks an engine to stop a run and copy its KV cache to the
+    /// engine at `to`.
     fn transfer_request(
         &self,
         incarnation: &str,
@@ -297,9 +298,9 @@
         to: SocketAddr,
     ) -> Request<Full<Bytes>>;
 
-    /// Reads an engine's answer to such a question.
+    /// Reads an engine's response to a transfer request.
     fn transfer_outcome(&self, head: &response::Parts, body: &[u8]) -> TransferOutcome;
 
-    /// Whether a readiness question has this path.
+    /// Whether `path` is that of the platform's readiness checks.
     fn is_readiness_path(&self, path: &str) -> bool;
 }
--- a/lib/src/direct/mod.rs
+++ b/lib/src/direct/mod.rs
@@ -1,12 +1,12 @@
-//! Serving with one hop: an entry node sends each request to its upstream itself.
+//! Direct serving: an entry node sends each request to an upstream itself, in one hop.
 //!
-//! It fits platforms whose engines protect an adapter in use by themselves, so
-//! that any number of nodes may send. What stays with one node for each
-//! upstream are the orders that load and unload adapters; a claim in the
-//! key-value service names that node. docs/design/0007-direct-serving.md weighs
-//! this against forwarding through an owner.
+//! This suits platforms whose engines protect adapters in use, so that any
+//! number of nodes may send requests to them. Only one node per upstream gives
+//! orders to load and unload adapters: the one that a claim in the key-value
+//! service names. docs/design/0007-direct-serving.md compares this with
+//! forwarding through an owner.
 //!
-//! The platform's names and formats stand behind [`dialect::Dialect`].
+//! [`dialect::Dialect`] translates the platform's names and formats.
 
 pub mod admission;
 pub mod admit;
--- a/lib/src/retry/mod.rs
+++ b/lib/src/retry/mod.rs
@@ -443,10 +443,7 @@
         machine.record_send();
         let verdict =
             machine.handle_failure(Failure::new(Code::QueueFull, ""), context(0), &mut budget);
-        assert_eq!(
-            ended(verdict),
-            (Code::QueueFull, Some(RetryDenial::Budget))
-        );
+        assert_eq!(ended(verdict), (Code::QueueFull, Some(RetryDenial::Budget)));
     }
 
     #[test]
