--- a/lib/tests/test_direct_quarantine.rs
+++ b/lib/tests/test_direct_quarantine.rs
@@ -1,4 +1,4 @@
-//! What a node reports of upstreams that ended, without a node around it.
+//! Tests of the quarantine's crash checks and reports, without a whole node.
 
 mod direct_support;
 
@@ -21,30 +21,30 @@
 use direct_support::memory::Memory;
 use direct_support::records::{listed, written};
 
-/// There are no other nodes.
+/// A deployment without other nodes.
 #[derive(Debug)]
-struct Nobody;
+struct NoPeers;
 
 #[async_trait]
-impl PeerBroadcast for Nobody {
+impl PeerBroadcast for NoPeers {
     async fn broadcast(&self, _: &Name, _: &Bytes) {}
 }
 
-/// One other node.
+/// A single other node, whose view receives all records.
 #[derive(Debug)]
-struct Other(Arc<View>);
+struct SinglePeer(Arc<View>);
 
 #[async_trait]
-impl PeerBroadcast for Other {
+impl PeerBroadcast for SinglePeer {
     async fn broadcast(&self, name: &Name, value: &Bytes) {
-        let taken = self.0.state().put_evidence(name, value, None, NOW);
+        let taken = self.0.state().put_evidence(name, value, None, RECEIVED_AT);
         assert_eq!(taken, Evidence::Taken);
         self.0.changed.notify_waiters();
     }
 }
 
-/// When nodes hear of one another's cases.
-const NOW: Millis = Millis(1);
+/// Time at which a node receives another node's records.
+const RECEIVED_AT: Millis = Millis(1);
 
 struct World {
     view: Arc<View>,
@@ -53,10 +53,10 @@
 }
 
 fn world() -> World {
-    node("node-1", Arc::new(Nobody))
+    node("node-1", Arc::new(NoPeers))
 }
 
-fn node(name: &str, others: Arc<dyn PeerBroadcast>) -> World {
+fn node(name: &str, peers: Arc<dyn PeerBroadcast>) -> World {
     let view = Arc::new(View::default());
     let store = Arc::new(Memory::default());
     let clock: Arc<dyn Clock> = Arc::new(Monotonic::start());
@@ -65,7 +65,7 @@
         Arc::<Memory>::clone(&store),
         Arc::new(PlatformDialect),
         Arc::clone(&clock),
-        others,
+        peers,
     ));
     let quarantine = Arc::new(Quarantine::new(
         Arc::clone(&view),
@@ -82,12 +82,12 @@
 }
 
 impl World {
-    fn ends(&self, request: &Fingerprint) -> usize {
+    fn crash_count(&self, request: &Fingerprint) -> usize {
         self.view.state().ledger.crash_count(request, Millis::ZERO)
     }
 
-    /// The only report in the key-value service.
-    fn written(&self) -> Option<CrashReport> {
+    /// Returns the only crash report in the key-value service.
+    fn written_report(&self) -> Option<CrashReport> {
         let state = self.store.state();
         let mut entries = state.entries.values();
         let entry = entries.find(|entry| entry.key.contains(CRASH_REPORT_PREFIX))?;
@@ -106,8 +106,8 @@
     })
 }
 
-/// An upstream at whose address nobody listens.
-fn ended() -> Arc<Upstream> {
+/// An upstream at whose address nothing listens.
+fn crashed_upstream() -> Arc<Upstream> {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address: SocketAddr = listener.local_addr().unwrap();
     drop(listener);
@@ -126,12 +126,12 @@
     panic!("{what} never came");
 }
 
-/// An upstream at whose address somebody accepts connections, as a proxy does.
-fn behind_a_proxy() -> (TcpListener, Arc<Upstream>) {
-    named_behind_a_proxy("i-1")
+/// An upstream at whose address a listener accepts connections, as a proxy would.
+fn proxied_upstream() -> (TcpListener, Arc<Upstream>) {
+    named_proxied_upstream("i-1")
 }
 
-fn named_behind_a_proxy(name: &str) -> (TcpListener, Arc<Upstream>) {
+fn named_proxied_upstream(name: &str) -> (TcpListener, Arc<Upstream>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let mut listed = listed(name, &[]);
     listed.address = listener.local_addr().unwrap();
@@ -139,101 +139,104 @@
     (listener, upstream)
 }
 
-async fn pass(span: Millis) {
+async fn sleep(span: Millis) {
     tokio::time::sleep(span.duration()).await;
 }
 
-/// An end that only the list shows is missed where the key-value service is silent meanwhile.
+/// A crash that only the upstream list shows must not be missed because the key-value service is
+/// silent in the meantime.
 #[tokio::test(start_paused = true)]
-async fn broke_is_looked_for_while_the_list_is_silent() {
+async fn broken_connection_is_checked_while_the_list_is_silent() {
     let world = world();
-    let (_listener, upstream) = behind_a_proxy();
+    let (_listener, upstream) = proxied_upstream();
     let suspect = request("/x");
     world
         .quarantine
         .record_broken_connection(&upstream, suspect.clone(), Suspicion::Begun);
-    pass(Millis(30_000)).await;
-    assert_eq!(world.ends(&suspect), 0);
+    sleep(Millis(30_000)).await;
+    assert_eq!(world.crash_count(&suspect), 0);
     upstream.retire();
-    until("the report", || world.ends(&suspect) == 1).await;
+    until("the report", || world.crash_count(&suspect) == 1).await;
 }
 
-/// An entry that is missing after an outage, and not yet taken for gone, is taken for alive.
+/// An upstream whose entry is missing after an outage, and that isn't considered gone yet, must
+/// not be considered alive.
 #[tokio::test(start_paused = true)]
-async fn broke_is_looked_for_while_the_entry_is_doubted() {
+async fn broken_connection_is_checked_while_the_entry_is_unconfirmed() {
     let world = world();
-    let (_listener, upstream) = behind_a_proxy();
+    let (_listener, upstream) = proxied_upstream();
     let suspect = request("/x");
     world
         .quarantine
         .record_broken_connection(&upstream, suspect.clone(), Suspicion::Begun);
     upstream.missing();
     world.view.renew(Millis(60_000));
-    pass(Millis(7_000)).await;
+    sleep(Millis(7_000)).await;
     upstream.retire();
-    until("the report", || world.ends(&suspect) == 1).await;
+    until("the report", || world.crash_count(&suspect) == 1).await;
 }
 
-/// A request is blamed for an end that came long after its connection broke.
+/// A request must not be blamed for a crash long after its connection broke.
 #[tokio::test(start_paused = true)]
-async fn broke_is_forgotten_once_the_upstream_serves() {
+async fn broken_connection_is_forgotten_once_the_upstream_serves() {
     let world = world();
-    let (_listener, upstream) = behind_a_proxy();
+    let (_listener, upstream) = proxied_upstream();
     let suspect = request("/x");
     world
         .quarantine
         .record_broken_connection(&upstream, suspect.clone(), Suspicion::Begun);
-    pass(Millis(10_000)).await;
+    sleep(Millis(10_000)).await;
     upstream.succeeded();
-    pass(Millis(1_000)).await;
+    sleep(Millis(1_000)).await;
     upstream.retire();
-    pass(Millis(1_000)).await;
-    assert_eq!(world.ends(&suspect), 0);
+    sleep(Millis(1_000)).await;
+    assert_eq!(world.crash_count(&suspect), 0);
 }
 
-/// A request is blamed for an end that came after the list had shown its upstream alive.
+/// A request must not be blamed for a crash after the upstream list showed its upstream alive.
 #[tokio::test(start_paused = true)]
-async fn broke_is_forgotten_once_the_list_is_known() {
+async fn broken_connection_is_forgotten_once_the_list_is_known() {
     let world = world();
-    let (_listener, upstream) = behind_a_proxy();
+    let (_listener, upstream) = proxied_upstream();
     let suspect = request("/x");
     world
         .quarantine
         .record_broken_connection(&upstream, suspect.clone(), Suspicion::Begun);
-    pass(Millis(2_000)).await;
+    sleep(Millis(2_000)).await;
     world.view.renew(Millis(60_000));
-    pass(Millis(1_000)).await;
+    sleep(Millis(1_000)).await;
     upstream.retire();
-    pass(Millis(1_000)).await;
-    assert_eq!(world.ends(&suspect), 0);
+    sleep(Millis(1_000)).await;
+    assert_eq!(world.crash_count(&suspect), 0);
 }
 
-/// What a node sees later of an upstream's end takes the place of what it reported before.
+/// A node must not replace what it reported of a crash when it sees further connections break.
 #[tokio::test]
-async fn broke_later_adds_to_what_was_reported() {
+async fn connections_broken_later_add_to_the_report() {
     let world = world();
-    let upstream = ended();
+    let upstream = crashed_upstream();
     let (first, later) = (request("/first"), request("/later"));
     let quarantine = &world.quarantine;
     quarantine.record_broken_connection(&upstream, first.clone(), Suspicion::Begun);
-    until("the first report", || world.ends(&first) == 1).await;
+    until("the first report", || world.crash_count(&first) == 1).await;
     quarantine.record_broken_connection(&upstream, later.clone(), Suspicion::Possible);
-    until("the second report", || world.ends(&later) == 1).await;
-    assert_eq!(world.ends(&first), 1);
+    until("the second report", || world.crash_count(&later) == 1).await;
+    assert_eq!(world.crash_count(&first), 1);
     let both = || {
-        let suspects = world.written().map(|report| report.suspects.len());
+        let suspects = world.written_report().map(|report| report.suspects.len());
         suspects == Some(2)
     };
     until("both in the key-value service", both).await;
 }
 
-/// What a node saw of an upstream's end is lost where it is killed before the list shows the end.
+/// What a node saw of a crash must not be lost if the node is killed before the list shows the
+/// crash.
 #[tokio::test(start_paused = true)]
-async fn broke_at_a_node_that_is_killed() {
-    let other = node("node-2", Arc::new(Nobody));
-    let killed = node("node-1", Arc::new(Other(Arc::clone(&other.view))));
+async fn broken_connection_at_a_node_that_is_killed() {
+    let other = node("node-2", Arc::new(NoPeers));
+    let killed = node("node-1", Arc::new(SinglePeer(Arc::clone(&other.view))));
     tokio::spawn(Arc::clone(&other.quarantine).run());
-    let (_listener, upstream) = behind_a_proxy();
+    let (_listener, upstream) = proxied_upstream();
     let broken = Arc::clone(&upstream);
     let listed_upstream = Arc::new(Upstream::new(
         &listed("i-1", &[]),
@@ -248,20 +251,21 @@
     killed
         .quarantine
         .record_broken_connection(&broken, suspect.clone(), Suspicion::Begun);
-    pass(Millis(3_000)).await;
-    // The list is never read there again.
+    sleep(Millis(3_000)).await;
+    // The killed node never reads the list again.
     listed_upstream.retire();
-    until("the report", || other.ends(&suspect) == 1).await;
-    until("the record", || other.written().is_some()).await;
-    assert!(killed.written().is_none());
+    until("the report", || other.crash_count(&suspect) == 1).await;
+    until("the record", || other.written_report().is_some()).await;
+    assert!(killed.written_report().is_none());
 }
 
-/// A request is sent on, to one upstream after the other, while nobody knows of the ones before.
+/// A request must not be sent to one upstream after another while the crashes of the earlier ones
+/// are still unconfirmed.
 #[tokio::test(start_paused = true)]
-async fn check_send_while_cases_are_open() {
+async fn check_send_while_crashes_are_unconfirmed() {
     let world = world();
     let suspect = request("/x");
-    let upstreams = ["i-1", "i-2", "i-3"].map(named_behind_a_proxy);
+    let upstreams = ["i-1", "i-2", "i-3"].map(named_proxied_upstream);
     for (number, (_, upstream)) in upstreams.iter().enumerate() {
         assert!(world.quarantine.check_send(&suspect).is_ok(), "{number}");
         world
@@ -269,41 +273,41 @@
             .record_broken_connection(upstream, suspect.clone(), Suspicion::Begun);
     }
     assert!(world.quarantine.check_send(&suspect).is_err());
-    // What was sent already stays: nothing is known against it.
+    // An attempt that is already sent stays, since no crash is confirmed.
     assert!(world.quarantine.check(&suspect).is_ok());
     assert!(world.quarantine.check_send(&request("/other")).is_ok());
-    // The list shows all of them alive.
+    // The list shows all upstreams alive.
     world.view.renew(Millis(60_000));
-    pass(Millis(7_000)).await;
+    sleep(Millis(7_000)).await;
     assert!(world.quarantine.check_send(&suspect).is_ok());
-    assert_eq!(world.ends(&suspect), 0);
+    assert_eq!(world.crash_count(&suspect), 0);
 }
 
-/// Requests that may not have begun where connections broke are sent on.
+/// A request that may not have begun where connections broke must still be sent.
 #[tokio::test(start_paused = true)]
-async fn check_send_of_a_request_that_waited() {
+async fn check_send_of_a_request_that_was_queued() {
     let world = world();
-    let proper = request("/x");
+    let queued = request("/x");
     for name in ["i-1", "i-2", "i-3", "i-4"] {
-        let (_listener, upstream) = named_behind_a_proxy(name);
+        let (_listener, upstream) = named_proxied_upstream(name);
         world
             .quarantine
-            .record_broken_connection(&upstream, proper.clone(), Suspicion::Possible);
+            .record_broken_connection(&upstream, queued.clone(), Suspicion::Possible);
     }
-    assert!(world.quarantine.check_send(&proper).is_ok());
+    assert!(world.quarantine.check_send(&queued).is_ok());
 }
 
-/// Other nodes count a case from when it is told.
+/// Other nodes must count an unconfirmed crash as soon as they are told of it.
 #[tokio::test(start_paused = true)]
-async fn check_send_counts_cases_of_others() {
-    let other = node("node-2", Arc::new(Nobody));
-    let one = node("node-1", Arc::new(Other(Arc::clone(&other.view))));
+async fn check_send_counts_crashes_of_other_nodes() {
+    let other = node("node-2", Arc::new(NoPeers));
+    let one = node("node-1", Arc::new(SinglePeer(Arc::clone(&other.view))));
     let suspect = request("/x");
-    let upstreams = ["i-1", "i-2", "i-3"].map(named_behind_a_proxy);
+    let upstreams = ["i-1", "i-2", "i-3"].map(named_proxied_upstream);
     for (_, upstream) in &upstreams {
         one.quarantine
             .record_broken_connection(upstream, suspect.clone(), Suspicion::Begun);
     }
-    let is_held = || other.quarantine.check_send(&suspect).is_err();
-    until("the cases", is_held).await;
+    let is_quarantined = || other.quarantine.check_send(&suspect).is_err();
+    until("the unconfirmed crashes", is_quarantined).await;
 }
--- a/lib/tests/test_fate.rs
+++ b/lib/tests/test_fate.rs
@@ -1,4 +1,4 @@
-//! The request's fate against a simple oracle that knows what really ran.
+//! Compares the retry state machine with a simple oracle that knows which tries really ran.
 
 #![allow(
     clippy::needless_pass_by_value,
@@ -12,62 +12,62 @@
 };
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 
-/// Fixed, so that CI tries the same stories each time.
+/// Fixed seed, so that CI runs the same scenarios each time.
 const SEED: u64 = 0x0fa7_e5ee;
 
-const STORIES: u64 = 20_000;
+const SCENARIOS: u64 = 20_000;
 
 const DEADLINE: u64 = 1_000;
 
-/// More tries than any rules allow.
-const ENDLESS: u32 = 1_000;
+/// More tries than any policy allows.
+const MAX_TRIES: u32 = 1_000;
 
-/// How far the answer came before the failure.
+/// How much of the response arrived before the failure.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Progress {
     None,
-    /// It began.
-    Begun,
-    /// The caller has a part of it.
-    Passed,
+    /// The response has started.
+    Started,
+    /// A part of it was forwarded to the caller.
+    Forwarded,
 }
 
-/// One try as the world has it; what the machine gets told may lag behind it.
+/// One try as it really happened; what the state machine learns may lag behind it.
 #[derive(Debug, Clone)]
 struct Try {
     code: Code,
-    /// Whether the upstream ran it, where the code leaves that open.
+    /// Whether the upstream ran it, if the code leaves that open.
     ran: bool,
-    answer: Progress,
-    untried: bool,
-    took: u64,
+    response: Progress,
+    has_untried_upstream: bool,
+    duration_ms: u64,
     random: u64,
 }
 
 impl Arbitrary for Try {
     fn arbitrary(g: &mut Gen) -> Self {
-        let answers = [
+        let progress = [
             Progress::None,
             Progress::None,
-            Progress::Begun,
-            Progress::Passed,
+            Progress::Started,
+            Progress::Forwarded,
         ];
         Self {
             code: *g.choose(Code::ALL).unwrap(),
             ran: bool::arbitrary(g),
-            answer: *g.choose(&answers).unwrap(),
-            untried: bool::arbitrary(g),
-            took: u64::arbitrary(g) % 800,
+            response: *g.choose(&progress).unwrap(),
+            has_untried_upstream: bool::arbitrary(g),
+            duration_ms: u64::arbitrary(g) % 800,
             random: u64::arbitrary(g),
         }
     }
 }
 
 impl Try {
-    /// Whether the upstream ran it: an answer that began proves it, whatever the code says.
+    /// Whether the upstream ran it: a response that started proves it, whatever the code says.
     fn really_ran(&self) -> bool {
         match self.code.fate() {
-            _ if self.answer >= Progress::Begun => true,
+            _ if self.response >= Progress::Started => true,
             Fate::NotRun => false,
             Fate::Unknown => self.ran,
             Fate::Ran => true,
@@ -75,143 +75,150 @@
     }
 }
 
+/// A policy and the tries of one request.
 #[derive(Debug, Clone)]
-struct Story {
+struct Scenario {
     idempotent: bool,
-    attempts: u32,
-    redirects: u32,
-    unknowns: u32,
-    percent: u32,
+    max_attempts: u32,
+    max_redirects: u32,
+    max_unknowns: u32,
+    retry_percent: u32,
     tries: Vec<Try>,
 }
 
-impl Arbitrary for Story {
+impl Arbitrary for Scenario {
     fn arbitrary(g: &mut Gen) -> Self {
         Self {
             idempotent: bool::arbitrary(g),
-            attempts: u32::arbitrary(g) % 6 + 1,
-            redirects: u32::arbitrary(g) % 6 + 1,
-            unknowns: u32::arbitrary(g) % 4 + 1,
-            percent: u32::arbitrary(g) % 101,
+            max_attempts: u32::arbitrary(g) % 6 + 1,
+            max_redirects: u32::arbitrary(g) % 6 + 1,
+            max_unknowns: u32::arbitrary(g) % 4 + 1,
+            retry_percent: u32::arbitrary(g) % 101,
             tries: Vec::arbitrary(g),
         }
     }
 
     fn shrink(&self) -> Box<dyn Iterator<Item = Self>> {
-        let story = self.clone();
+        let scenario = self.clone();
         let shorter = self.tries.shrink();
         Box::new(shorter.map(move |tries| Self {
             tries,
-            ..story.clone()
+            ..scenario.clone()
         }))
     }
 }
 
 /// What the oracle knows of a request.
 #[derive(Debug, Default)]
-struct Truth {
+struct Oracle {
     runs: u32,
     unknowns: u32,
-    passed: bool,
+    has_forwarded: bool,
     tries: u32,
 }
 
-impl Truth {
-    fn see(&mut self, attempt: &Try) {
+impl Oracle {
+    fn record(&mut self, attempt: &Try) {
         self.tries += 1;
         self.runs += u32::from(attempt.really_ran());
-        self.passed |= attempt.answer == Progress::Passed;
-        let lied = attempt.answer >= Progress::Begun && attempt.code.fate() == Fate::NotRun;
-        self.unknowns += u32::from(lied || attempt.code.fate() == Fate::Unknown);
+        self.has_forwarded |= attempt.response == Progress::Forwarded;
+        let is_wrong_code =
+            attempt.response >= Progress::Started && attempt.code.fate() == Fate::NotRun;
+        self.unknowns += u32::from(is_wrong_code || attempt.code.fate() == Fate::Unknown);
     }
 }
 
-/// Plays a story; returns what is wrong with how the machine dealt with it.
-fn play(story: &Story) -> Result<(), String> {
-    let rules = RetryPolicy {
-        max_attempts: story.attempts,
-        max_redirects: story.redirects,
-        max_unknowns: story.unknowns,
+/// Runs a scenario; returns an error if the state machine breaks a promise.
+fn run(scenario: &Scenario) -> Result<(), String> {
+    let policy = RetryPolicy {
+        max_attempts: scenario.max_attempts,
+        max_redirects: scenario.max_redirects,
+        max_unknowns: scenario.max_unknowns,
         ..RetryPolicy::default()
     };
-    let mut machine = RetryStateMachine::new(rules, story.idempotent, Millis(DEADLINE));
-    let mut budget = RetryBudget::new(story.percent, Millis::ZERO);
-    let mut truth = Truth::default();
+    let mut machine = RetryStateMachine::new(policy, scenario.idempotent, Millis(DEADLINE));
+    let mut budget = RetryBudget::new(scenario.retry_percent, Millis::ZERO);
+    let mut oracle = Oracle::default();
     let mut now = Millis::ZERO;
-    for attempt in &story.tries {
+    for attempt in &scenario.tries {
         if now.0 >= DEADLINE {
             return Err("tried after the deadline".into());
         }
         machine.record_send();
-        if attempt.answer >= Progress::Begun {
+        if attempt.response >= Progress::Started {
             machine.record_response_start();
         }
-        if attempt.answer == Progress::Passed {
+        if attempt.response == Progress::Forwarded {
             machine.record_forwarded();
         }
-        truth.see(attempt);
-        now += Millis(attempt.took);
+        oracle.record(attempt);
+        now += Millis(attempt.duration_ms);
         let context = FailureContext {
             now,
-            has_untried_upstream: attempt.untried,
+            has_untried_upstream: attempt.has_untried_upstream,
             random: attempt.random,
         };
         let failure = Failure::new(attempt.code, "");
         match machine.handle_failure(failure, context, &mut budget) {
             RetryDecision::Retry(pause) => {
-                retried(story, &truth)?;
+                check_retry(scenario, &oracle)?;
                 now += pause;
             }
-            RetryDecision::End { failure, .. } => return ended(&failure, &truth),
+            RetryDecision::End { failure, .. } => return check_end(&failure, &oracle),
         }
-        if machine.certainly_not_run() && truth.unknowns > 0 {
-            return Err("called certainly not run".into());
+        if machine.certainly_not_run() && oracle.unknowns > 0 {
+            return Err("reported as certainly not run after an unknown fate".into());
         }
     }
     match machine.abandon() {
-        Code::CallerGoneWaiting if truth.unknowns > 0 => Err("abandoned as not run".into()),
+        Code::CallerGoneWaiting if oracle.unknowns > 0 => {
+            Err("abandoned as not run after an unknown fate".into())
+        }
         _ => Ok(()),
     }
 }
 
-fn retried(story: &Story, truth: &Truth) -> Result<(), String> {
-    if truth.passed {
-        return Err("two runs spliced".into());
+fn check_retry(scenario: &Scenario, oracle: &Oracle) -> Result<(), String> {
+    if oracle.has_forwarded {
+        return Err("retried after a part of the response was forwarded".into());
     }
-    if !story.idempotent && truth.unknowns + truth.runs > 0 {
-        return Err("doubled what isn't idempotent".into());
+    if !scenario.idempotent && oracle.unknowns + oracle.runs > 0 {
+        return Err("retried a request that isn't idempotent and may have run".into());
     }
-    if truth.unknowns >= story.unknowns {
-        return Err("a poisoned request goes on".into());
+    if oracle.unknowns >= scenario.max_unknowns {
+        return Err("retried after too many unknown fates".into());
     }
-    if truth.tries >= story.attempts + story.redirects {
+    if oracle.tries >= scenario.max_attempts + scenario.max_redirects {
         return Err("too many tries".into());
     }
     Ok(())
 }
 
-fn ended(failure: &Failure, truth: &Truth) -> Result<(), String> {
+fn check_end(failure: &Failure, oracle: &Oracle) -> Result<(), String> {
     match failure.fate() {
-        Fate::NotRun if truth.runs + truth.unknowns > 0 => {
-            Err(format!("{} for what may have run", failure.code))
+        Fate::NotRun if oracle.runs + oracle.unknowns > 0 => {
+            Err(format!("{} for a request that may have run", failure.code))
+        }
+        Fate::Ran if oracle.runs == 0 => {
+            Err(format!("{} for a request that did not run", failure.code))
         }
-        Fate::Ran if truth.runs == 0 => Err(format!("{} for what didn't run", failure.code)),
         _ => Ok(()),
     }
 }
 
 #[test]
 fn machine_keeps_promises() {
-    fn holds(story: Story) -> Result<(), String> {
-        play(&story)
+    fn holds(scenario: Scenario) -> Result<(), String> {
+        run(&scenario)
     }
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(12, SEED))
-        .tests(STORIES)
-        .quickcheck(holds as fn(Story) -> Result<(), String>);
+        .tests(SCENARIOS)
+        .quickcheck(holds as fn(Scenario) -> Result<(), String>);
 }
 
-/// Retries of all requests together are bounded, however many fail and in whatever way.
+/// The retries of all requests together must stay within the budget, however many requests fail
+/// and in whatever way.
 #[test]
 fn budget_bounds_all_requests() {
     fn holds(codes: Vec<u16>, percent: u32) -> bool {
@@ -221,10 +228,10 @@
         for code in &codes {
             budget.record_first_try(Millis::ZERO);
             let code = Code::ALL[usize::from(*code) % Code::ALL.len()];
-            retries += retries_of(code, &mut budget);
+            retries += count_charged_retries(code, &mut budget);
         }
         let allowed = codes.len() as u64 * u64::from(percent) / 100;
-        // A quiet node's few, which it starts with.
+        // The budget starts with five retries, so that a node with little traffic can retry.
         retries <= allowed + 5
     }
     QuickCheck::new()
@@ -233,8 +240,9 @@
         .quickcheck(holds as fn(Vec<u16>, u32) -> bool);
 }
 
-/// Counts the charged retries of an idempotent request that always fails in one way.
-fn retries_of(code: Code, budget: &mut RetryBudget) -> u64 {
+/// Counts the retries charged to the budget for an idempotent request that always fails with the
+/// same code.
+fn count_charged_retries(code: Code, budget: &mut RetryBudget) -> u64 {
     let free = [
         Code::NotOwner,
         Code::PeerUnreachable,
@@ -246,7 +254,7 @@
     ];
     let mut machine = RetryStateMachine::new(RetryPolicy::default(), true, Millis::MAX);
     let mut retries = 0;
-    for _ in 0..ENDLESS {
+    for _ in 0..MAX_TRIES {
         machine.record_send();
         let context = FailureContext {
             now: Millis::ZERO,
@@ -258,5 +266,5 @@
             RetryDecision::End { .. } => return retries,
         }
     }
-    panic!("tried without end after {code}")
+    panic!("still retried {code} after {MAX_TRIES} tries")
 }
--- a/lib/tests/test_poison.rs
+++ b/lib/tests/test_poison.rs
@@ -1,4 +1,4 @@
-//! Who is to blame for upstreams that ended.
+//! Attribution of upstream crashes to requests.
 
 use std::collections::HashSet;
 
@@ -26,7 +26,7 @@
     })
 }
 
-/// A ledger to which nodes have told of upstreams that ended.
+/// A crash ledger and the revision of the last report in it.
 #[derive(Debug, Default)]
 struct World {
     ledger: CrashLedger,
@@ -34,8 +34,8 @@
 }
 
 impl World {
-    /// Node `node` tells which of its requests stood at an upstream that ended.
-    fn ended(&mut self, upstream: u64, node: u64, suspects: &[(u64, Suspicion)]) -> Name {
+    /// Adds a node's report of its requests that were at a crashed upstream.
+    fn report_crash(&mut self, upstream: u64, node: u64, suspects: &[(u64, Suspicion)]) -> Name {
         let name: Name = format!("end/u-{upstream}/n-{node}").into();
         let suspects = suspects.iter().map(|(request, suspicion)| Suspect {
             request: fingerprint(*request),
@@ -52,14 +52,14 @@
         name
     }
 
-    fn blames(&mut self, request: u64) -> Option<usize> {
+    fn blamed_crashes(&mut self, request: u64) -> Option<usize> {
         self.ledger
             .blamed_crashes(&fingerprint(request), Millis::ZERO)
     }
 }
 
 #[test]
-fn fingerprint_tells_requests_apart() {
+fn fingerprint_distinguishes_requests() {
     let same = Fingerprint::of(&IDENTITY);
     assert_eq!(same, Fingerprint::of(&IDENTITY.clone()));
     let others = [
@@ -87,142 +87,144 @@
     assert_eq!(Fingerprint::read("short"), None);
 }
 
-/// Symptom: a proper request is rejected after one engine ended.
-/// Cause: a single end taken for proof against whatever stood there.
+/// A harmless request must not be rejected after one or two crashes: a single crash proves nothing
+/// against the requests that were there.
 #[test]
-fn blames_from_three_ends_on() {
+fn blame_starts_at_three_crashes() {
     let mut world = World::default();
     for upstream in 0..2 {
-        world.ended(upstream, 0, &[(1, Suspicion::Begun)]);
-        assert_eq!(world.blames(1), None);
+        world.report_crash(upstream, 0, &[(1, Suspicion::Begun)]);
+        assert_eq!(world.blamed_crashes(1), None);
     }
-    world.ended(2, 0, &[(1, Suspicion::Begun)]);
-    assert_eq!(world.blames(1), Some(3));
+    world.report_crash(2, 0, &[(1, Suspicion::Begun)]);
+    assert_eq!(world.blamed_crashes(1), Some(3));
 }
 
-/// Symptom: two engines count as four, as two nodes tell of each.
+/// The reports of several nodes about one crashed engine must count as one crash.
 #[test]
-fn blames_count_an_upstream_once() {
+fn blame_counts_each_upstream_once() {
     let mut world = World::default();
     for upstream in 0..2 {
         for node in 0..3 {
-            world.ended(upstream, node, &[(1, Suspicion::Begun)]);
+            world.report_crash(upstream, node, &[(1, Suspicion::Begun)]);
         }
     }
-    assert_eq!(world.blames(1), None);
+    assert_eq!(world.blamed_crashes(1), None);
 }
 
-/// Symptom: a node that sees only some of the ends goes on sending the request.
-/// Cause: ends that other nodes saw don't add up with its own.
+/// A node that sees only some of the crashes must not keep sending the request: crashes that other
+/// nodes report add up with its own.
 #[test]
-fn blames_add_up_over_nodes() {
+fn blame_adds_up_across_nodes() {
     let mut world = World::default();
-    world.ended(0, 0, &[(1, Suspicion::Begun)]);
-    world.ended(1, 1, &[(1, Suspicion::Possible)]);
-    world.ended(2, 2, &[(1, Suspicion::Possible)]);
-    assert_eq!(world.blames(1), Some(3));
+    world.report_crash(0, 0, &[(1, Suspicion::Begun)]);
+    world.report_crash(1, 1, &[(1, Suspicion::Possible)]);
+    world.report_crash(2, 2, &[(1, Suspicion::Possible)]);
+    assert_eq!(world.blamed_crashes(1), Some(3));
 }
 
-/// Symptom: callers whose requests only waited at engines that ended are rejected.
+/// Requests that were only queued at crashed engines must not be rejected as soon as those that
+/// had begun.
 #[test]
-fn blames_take_more_where_nothing_began() {
+fn blame_takes_more_crashes_for_queued_requests() {
     let mut world = World::default();
     for upstream in 0..3 {
-        world.ended(upstream, 0, &[(1, Suspicion::Possible)]);
+        world.report_crash(upstream, 0, &[(1, Suspicion::Possible)]);
     }
-    assert_eq!(world.blames(1), None);
-    world.ended(3, 0, &[(1, Suspicion::Possible)]);
-    assert_eq!(world.blames(1), Some(4));
+    assert_eq!(world.blamed_crashes(1), None);
+    world.report_crash(3, 0, &[(1, Suspicion::Possible)]);
+    assert_eq!(world.blamed_crashes(1), Some(4));
 }
 
-/// Symptom: requests that stood beside a poison one are rejected too.
-/// Sequence: cut with it at one engine, they go on with it at the next, three times.
-/// Cause: an end that is explained speaks against all who were there.
+/// Requests that run beside a poison request must not be rejected like it. They are interrupted
+/// together with it and retried on the next engine together with it, three times, so a crash that
+/// a blamed request explains must not count against them.
 #[test]
-fn blames_spare_who_was_beside_it() {
+fn blame_spares_requests_beside_a_poison_one() {
     let mut world = World::default();
     for upstream in 0..3 {
         let beside = (2, Suspicion::Possible);
-        world.ended(upstream, 0, &[(1, Suspicion::Begun), beside]);
-        world.ended(upstream, 1, &[(3, Suspicion::Possible)]);
+        world.report_crash(upstream, 0, &[(1, Suspicion::Begun), beside]);
+        world.report_crash(upstream, 1, &[(3, Suspicion::Possible)]);
     }
-    world.ended(3, 0, &[(1, Suspicion::Begun), (2, Suspicion::Begun)]);
-    assert_eq!(world.blames(1), Some(4));
-    assert_eq!(world.blames(2), None);
-    assert_eq!(world.blames(3), None);
+    world.report_crash(3, 0, &[(1, Suspicion::Begun), (2, Suspicion::Begun)]);
+    assert_eq!(world.blamed_crashes(1), Some(4));
+    assert_eq!(world.blamed_crashes(2), None);
+    assert_eq!(world.blamed_crashes(3), None);
 }
 
-/// Symptom: of two requests that were at the same engines the proper one is rejected, for good.
-/// Sequence: three ends under both, of which the proper one is blamed first; then further ends
-/// under the other one alone.
+/// Of two requests that were at the same engines, the harmless one must not stay rejected. It may
+/// be blamed first, after three crashes under both; a further crash under the other request alone
+/// must move the blame.
 #[test]
-fn blames_pass_on_once_more_is_known() {
+fn blame_moves_once_more_is_known() {
     let mut world = World::default();
     for upstream in 0..3 {
-        world.ended(upstream, 0, &[(1, Suspicion::Begun), (2, Suspicion::Begun)]);
+        world.report_crash(upstream, 0, &[(1, Suspicion::Begun), (2, Suspicion::Begun)]);
     }
-    let (first, other) = if world.blames(1).is_some() {
+    let (first, other) = if world.blamed_crashes(1).is_some() {
         (1, 2)
     } else {
         (2, 1)
     };
-    assert_eq!(world.blames(other), None);
-    world.ended(3, 0, &[(other, Suspicion::Begun)]);
-    assert_eq!(world.blames(other), Some(4));
-    assert_eq!(world.blames(first), None);
+    assert_eq!(world.blamed_crashes(other), None);
+    world.report_crash(3, 0, &[(other, Suspicion::Begun)]);
+    assert_eq!(world.blamed_crashes(other), Some(4));
+    assert_eq!(world.blamed_crashes(first), None);
 }
 
 #[test]
-fn blames_several_at_once() {
+fn blame_several_requests_at_once() {
     let mut world = World::default();
     for upstream in 0..9 {
-        world.ended(upstream, 0, &[(upstream % 3, Suspicion::Begun)]);
+        world.report_crash(upstream, 0, &[(upstream % 3, Suspicion::Begun)]);
     }
     for request in 0..3 {
-        assert_eq!(world.blames(request), Some(3));
+        assert_eq!(world.blamed_crashes(request), Some(3));
     }
 }
 
-/// Symptom: a request that is often repeated is rejected though engines run it all the time.
+/// A request that is sent often must not be rejected although engines keep running it: once it is
+/// cleared, earlier reports no longer count.
 #[test]
-fn cleared_counts_for_what_was_before() {
+fn clear_applies_to_earlier_reports() {
     let mut world = World::default();
     for upstream in 0..3 {
-        world.ended(upstream, 0, &[(1, Suspicion::Begun)]);
+        world.report_crash(upstream, 0, &[(1, Suspicion::Begun)]);
     }
     world.revision += 1;
     world.ledger.clear(&fingerprint(1), Some(world.revision));
-    assert_eq!(world.blames(1), None);
+    assert_eq!(world.blamed_crashes(1), None);
     for upstream in 3..6 {
-        assert_eq!(world.blames(1), None);
-        world.ended(upstream, 0, &[(1, Suspicion::Begun)]);
+        assert_eq!(world.blamed_crashes(1), None);
+        world.report_crash(upstream, 0, &[(1, Suspicion::Begun)]);
     }
-    assert_eq!(world.blames(1), Some(3));
+    assert_eq!(world.blamed_crashes(1), Some(3));
 }
 
-/// Symptom: a node that has just started rejects what others serve.
-/// Sequence: it reads the record of a survivor before the older reports, in the order of keys.
+/// A node that has just started must not reject requests that other nodes serve. It reads records
+/// in key order, so it can read that a request is harmless before the older reports of it.
 #[test]
-fn cleared_in_any_order() {
+fn clear_in_any_order() {
     let mut world = World::default();
     world.ledger.clear(&fingerprint(1), Some(9));
     for upstream in 0..3 {
-        world.ended(upstream, 0, &[(1, Suspicion::Begun)]);
+        world.report_crash(upstream, 0, &[(1, Suspicion::Begun)]);
     }
-    assert_eq!(world.blames(1), None);
+    assert_eq!(world.blamed_crashes(1), None);
 }
 
 #[test]
-fn report_lapses() {
+fn reports_expire() {
     let mut world = World::default();
     let mut last = Name::from("");
     for upstream in 0..3 {
-        last = world.ended(upstream, 0, &[(1, Suspicion::Begun)]);
+        last = world.report_crash(upstream, 0, &[(1, Suspicion::Begun)]);
     }
     world.ledger.remove_report(&last);
-    assert_eq!(world.blames(1), None);
-    world.ended(2, 0, &[(1, Suspicion::Begun)]);
-    assert!(world.blames(1).is_some());
+    assert_eq!(world.blamed_crashes(1), None);
+    world.report_crash(2, 0, &[(1, Suspicion::Begun)]);
+    assert!(world.blamed_crashes(1).is_some());
     assert_eq!(
         world.ledger.blamed_crashes(&fingerprint(1), REPORT_TTL),
         None
@@ -230,8 +232,7 @@
     assert!(world.ledger.is_empty());
 }
 
-/// Symptom: a node grows without bound while somebody sends ever new requests under which
-/// engines end.
+/// A node's memory must stay bounded while a caller keeps sending new requests that crash engines.
 #[test]
 fn report_memory_is_bounded() {
     let mut world = World::default();
@@ -239,7 +240,7 @@
         let suspects: Vec<_> = (0..2)
             .map(|at| (upstream * 2 + at, Suspicion::Begun))
             .collect();
-        world.ended(upstream, 0, &suspects);
+        world.report_crash(upstream, 0, &suspects);
     }
     assert_eq!(world.ledger.crash_count(&fingerprint(0), Millis::ZERO), 0);
     assert_eq!(
@@ -249,7 +250,7 @@
 }
 
 #[test]
-fn survivors_are_forgotten() {
+fn harmless_requests_expire() {
     let mut harmless = HarmlessRequests::default();
     let now = Millis::from_secs(100);
     harmless.insert(fingerprint(1), now);
@@ -258,32 +259,35 @@
     assert!(!harmless.contains(&fingerprint(1), now + Millis::from_secs(90)));
 }
 
-/// A node's report: the upstream, the node, and its requests there with whether they had begun.
-type Told = (u8, u8, Vec<(u8, bool)>);
+/// A generated report: the upstream, the node, and the node's requests there with whether they had
+/// begun.
+type GeneratedReport = (u8, u8, Vec<(u8, bool)>);
 
-fn verdict<'a>(told: impl Iterator<Item = &'a Told>) -> Vec<Option<usize>> {
+fn verdict<'a>(reports: impl Iterator<Item = &'a GeneratedReport>) -> Vec<Option<usize>> {
     let mut world = World::default();
-    for (upstream, node, suspects) in told {
-        let signs = [Suspicion::Possible, Suspicion::Begun];
+    for (upstream, node, suspects) in reports {
+        let suspicions = [Suspicion::Possible, Suspicion::Begun];
         let suspects: Vec<_> = suspects
             .iter()
-            .map(|(request, begun)| (u64::from(request % 6), signs[usize::from(*begun)]))
+            .map(|(request, begun)| (u64::from(request % 6), suspicions[usize::from(*begun)]))
             .collect();
-        world.ended(u64::from(upstream % 8), u64::from(node % 3), &suspects);
+        world.report_crash(u64::from(upstream % 8), u64::from(node % 3), &suspects);
     }
-    (0..6).map(|request| world.blames(request)).collect()
+    (0..6)
+        .map(|request| world.blamed_crashes(request))
+        .collect()
 }
 
-/// The same reports lead to the same verdict in whatever order a node hears of them.
+/// The same reports must lead to the same verdict in whatever order a node receives them.
 #[test]
-fn judged_alike_in_any_order() {
-    fn holds(mut told: Vec<Told>) -> bool {
+fn verdict_does_not_depend_on_order() {
+    fn holds(mut reports: Vec<GeneratedReport>) -> bool {
         let mut seen = HashSet::new();
-        told.retain(|(upstream, node, _)| seen.insert((upstream % 8, node % 3)));
-        verdict(told.iter()) == verdict(told.iter().rev())
+        reports.retain(|(upstream, node, _)| seen.insert((upstream % 8, node % 3)));
+        verdict(reports.iter()) == verdict(reports.iter().rev())
     }
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(24, 7))
         .tests(300)
-        .quickcheck(holds as fn(Vec<Told>) -> bool);
+        .quickcheck(holds as fn(Vec<GeneratedReport>) -> bool);
 }
