--- a/lib/tests/direct_support/listen.rs
+++ b/lib/tests/direct_support/listen.rs
@@ -14,7 +14,7 @@
 type Stream = Pin<Box<dyn futures::Stream<Item = Result<Sent, Status>> + Send>>;
 
 /// Listens to another node without a socket, so that time can be virtual.
-pub struct Direct {
+pub struct InProcessSource {
     /// Whom to listen to; a node without is listened to.
     hub: Option<Arc<Hub>>,
     stream: Option<Stream>,
@@ -23,7 +23,7 @@
     older: Millis,
 }
 
-impl Direct {
+impl InProcessSource {
     /// Listens to a node, or to nobody.
     pub fn new(hub: Option<Arc<Hub>>, clock: Arc<dyn Clock>, older: Millis) -> Self {
         Self {
@@ -35,14 +35,16 @@
     }
 }
 
-impl std::fmt::Debug for Direct {
+impl std::fmt::Debug for InProcessSource {
     fn fmt(&self, formatter: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        formatter.debug_struct("Direct").finish_non_exhaustive()
+        formatter
+            .debug_struct("InProcessSource")
+            .finish_non_exhaustive()
     }
 }
 
 #[async_trait]
-impl Source for Direct {
+impl Source for InProcessSource {
     fn is_shared(&self) -> bool {
         true
     }
--- a/lib/tests/direct_support/memory.rs
+++ b/lib/tests/direct_support/memory.rs
@@ -26,22 +26,22 @@
     pub events: Vec<Event>,
     pub leases: Vec<LeaseId>,
     /// Calls fail while this is set.
-    pub away: bool,
+    pub is_unavailable: bool,
     /// Reads that begin while this is set never end.
-    pub silent: bool,
+    pub reads_hang: bool,
     /// Listing what stands under this prefix takes so long.
-    pub slow: Option<(String, Millis)>,
+    pub slow_listing: Option<(String, Millis)>,
     /// Most changes in one answer.
-    pub longest: Option<usize>,
+    pub max_changes: Option<usize>,
     /// History up to here is gone.
-    pub compacted: u64,
+    pub compacted_revision: u64,
     /// Spans for which calls for changes offered to wait.
-    pub waits: Vec<Millis>,
+    pub poll_waits: Vec<Millis>,
 }
 
 /// The service.
 #[derive(Debug, Default)]
-pub struct Memory {
+pub struct MemoryStore {
     state: Mutex<State>,
     changed: Notify,
 }
@@ -82,12 +82,12 @@
 
     /// Drops all history, so that who asks for changes has to read everything anew.
     pub fn drop_history(&mut self) {
-        self.compacted = self.revision;
+        self.compacted_revision = self.revision;
         self.events.clear();
     }
 
     /// Ends a lease with its keys.
-    pub fn end(&mut self, lease: LeaseId) {
+    pub fn end_lease(&mut self, lease: LeaseId) {
         self.leases.retain(|held| *held != lease);
         let keys: Vec<String> = self
             .entries
@@ -105,7 +105,7 @@
     }
 
     /// Returns what stands under the keys of conditions.
-    pub fn under(&self, conditions: &[Condition]) -> Vec<Entry> {
+    pub fn entries_of(&self, conditions: &[Condition]) -> Vec<Entry> {
         let keys = conditions.iter().map(Condition::key);
         keys.filter_map(|key| self.entries.get(key))
             .cloned()
@@ -144,7 +144,7 @@
     }
 
     /// Returns changes under a prefix after a revision.
-    pub fn since(&self, prefix: &str, revision: u64) -> Vec<Event> {
+    pub fn changes_after(&self, prefix: &str, revision: u64) -> Vec<Event> {
         self.events
             .iter()
             .filter(|event| event.revision > revision && event.key.starts_with(prefix))
@@ -161,14 +161,14 @@
     entry.revision = revision;
 }
 
-impl Memory {
+impl MemoryStore {
     /// Locks what the service holds.
     pub fn state(&self) -> MutexGuard<'_, State> {
         self.state.lock().unwrap()
     }
 
     async fn silence(&self) {
-        if self.state().silent {
+        if self.state().reads_hang {
             std::future::pending::<()>().await;
         }
     }
@@ -185,7 +185,7 @@
         let end = tokio::time::Instant::now() + span.duration();
         loop {
             let changed = self.changed.notified();
-            let events = self.state().since(prefix, revision);
+            let events = self.state().changes_after(prefix, revision);
             if !events.is_empty() {
                 return events;
             }
@@ -197,7 +197,7 @@
 
     fn reach(&self) -> Result<MutexGuard<'_, State>, Error> {
         let state = self.state();
-        if state.away {
+        if state.is_unavailable {
             return Err(Error::NoAnswer("the test took it away".to_owned()));
         }
         Ok(state)
@@ -205,7 +205,7 @@
 }
 
 #[async_trait]
-impl Store for Memory {
+impl Store for MemoryStore {
     async fn get(&self, key: &str) -> Result<Option<Entry>, Error> {
         self.silence().await;
         Ok(self.reach()?.entries.get(key).cloned())
@@ -213,7 +213,7 @@
 
     async fn list(&self, prefix: &str) -> Result<Listing, Error> {
         self.silence().await;
-        let slow = self.state().slow.clone();
+        let slow = self.state().slow_listing.clone();
         if let Some((_, span)) = slow.filter(|(slow, _)| prefix.starts_with(slow.as_str())) {
             tokio::time::sleep(span.duration()).await;
         }
@@ -235,7 +235,7 @@
             let revision = state.commit(&transaction);
             let found = match revision {
                 Some(_) => Vec::new(),
-                None => state.under(&transaction.conditions),
+                None => state.entries_of(&transaction.conditions),
             };
             (revision, found)
         };
@@ -249,7 +249,7 @@
 }
 
 #[async_trait]
-impl Lease for Memory {
+impl Lease for MemoryStore {
     async fn grant(&self, _: Millis) -> Result<LeaseId, Error> {
         let mut state = self.reach()?;
         state.revision += 1;
@@ -259,7 +259,7 @@
     }
 
     async fn renew(&self, lease: LeaseId) -> Result<Millis, Error> {
-        if self.state().away {
+        if self.state().is_unavailable {
             // A service that is away takes the caller's whole patience.
             tokio::time::sleep(PATIENCE.duration()).await;
         }
@@ -269,14 +269,14 @@
     }
 
     async fn revoke(&self, lease: LeaseId) -> Result<(), Error> {
-        self.reach()?.end(lease);
+        self.reach()?.end_lease(lease);
         self.changed.notify_waiters();
         Ok(())
     }
 }
 
 #[async_trait]
-impl Poll for Memory {
+impl Poll for MemoryStore {
     async fn changes(
         &self,
         prefix: &str,
@@ -285,8 +285,8 @@
     ) -> Result<Changes, poll::Error> {
         let (away, compacted) = {
             let mut state = self.state();
-            state.waits.push(wait);
-            (state.away, state.compacted)
+            state.poll_waits.push(wait);
+            (state.is_unavailable, state.compacted_revision)
         };
         if away {
             // A service that is away takes the caller's whole patience.
@@ -297,16 +297,16 @@
             return Err(poll::Error::Compacted);
         }
         let mut events = self.wait(prefix, revision, wait).await;
-        if self.state().away {
+        if self.state().is_unavailable {
             // Nor does it answer what has waited since before.
             tokio::time::sleep(SLACK.duration()).await;
             return Err(Error::NoAnswer("the test took it away".to_owned()).into());
         }
         let state = self.state();
-        if revision < state.compacted {
+        if revision < state.compacted_revision {
             return Err(poll::Error::Compacted);
         }
-        let longest = state.longest.unwrap_or(usize::MAX);
+        let longest = state.max_changes.unwrap_or(usize::MAX);
         let more = events.len() >= longest;
         events.truncate(longest);
         let last = events.last().filter(|_| more);
--- a/lib/tests/test_direct_claims.rs
+++ b/lib/tests/test_direct_claims.rs
@@ -21,7 +21,7 @@
 use chivevalve::ports::{Lease, Store};
 use chivevalve_platform::PlatformDialect;
 use direct_support::SERVER;
-use direct_support::memory::Memory;
+use direct_support::memory::MemoryStore;
 use direct_support::records::written;
 use tokio::task::JoinHandle;
 
@@ -76,11 +76,11 @@
     "127.0.0.1:9".parse().unwrap()
 }
 
-fn node(name: &str, memory: &Arc<Memory>, first_start: bool) -> Node {
+fn node(name: &str, memory: &Arc<MemoryStore>, first_start: bool) -> Node {
     start(name, 1, memory, first_start)
 }
 
-fn start(name: &str, start: u64, memory: &Arc<Memory>, first_start: bool) -> Node {
+fn start(name: &str, start: u64, memory: &Arc<MemoryStore>, first_start: bool) -> Node {
     let view = Arc::new(View::default());
     know_engine(&view);
     start_with(view, name, start, memory, first_start)
@@ -90,7 +90,7 @@
     view: Arc<View>,
     name: &str,
     start: u64,
-    memory: &Arc<Memory>,
+    memory: &Arc<MemoryStore>,
     first_start: bool,
 ) -> Node {
     // All starts on one VM count from its boot.
@@ -103,7 +103,7 @@
     view: Arc<View>,
     name: &str,
     start: u64,
-    memory: &Arc<Memory>,
+    memory: &Arc<MemoryStore>,
     first_start: bool,
 ) -> Node {
     let clock = Arc::new(Manual::default());
@@ -113,8 +113,8 @@
     let dialect: Arc<dyn Dialect> = Arc::new(PlatformDialect);
     let limits = Arc::new(Current::default());
     let follower = Follower::new(
-        Arc::<Memory>::clone(memory),
-        Arc::<Memory>::clone(memory),
+        Arc::<MemoryStore>::clone(memory),
+        Arc::<MemoryStore>::clone(memory),
         Arc::clone(&dialect),
         Arc::clone(&shared),
         Arc::clone(&view),
@@ -122,8 +122,8 @@
     );
     let others = Arc::new(Others::default());
     let claimer = Arc::new(Claimer {
-        store: Arc::<Memory>::clone(memory) as Arc<dyn Store>,
-        lease: Arc::<Memory>::clone(memory) as Arc<dyn Lease>,
+        store: Arc::<MemoryStore>::clone(memory) as Arc<dyn Store>,
+        lease: Arc::<MemoryStore>::clone(memory) as Arc<dyn Lease>,
         voters: Arc::<Others>::clone(&others),
         dialect,
         clock: shared,
@@ -186,7 +186,7 @@
 }
 
 /// The engine's entry, so that reading everything does not drop it.
-fn list_engine(memory: &Memory) {
+fn list_engine(memory: &MemoryStore) {
     let entry = SERVER;
     memory.change(|state| state.put("servers/i-1", entry, None));
 }
@@ -203,15 +203,15 @@
 }
 
 /// A service that lists the engine, and the node that owns it.
-async fn owner() -> (Arc<Memory>, Node) {
-    let memory = Arc::new(Memory::default());
+async fn owner() -> (Arc<MemoryStore>, Node) {
+    let memory = Arc::new(MemoryStore::default());
     list_engine(&memory);
     let one = node("one", &memory, true);
     pass(&[&one], Millis(3_000)).await;
     (memory, one)
 }
 
-fn claim_key(memory: &Memory) -> Option<String> {
+fn claim_key(memory: &MemoryStore) -> Option<String> {
     memory
         .state()
         .entries
@@ -237,7 +237,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn claim_one_of_two() {
-    let memory = Arc::new(Memory::default());
+    let memory = Arc::new(MemoryStore::default());
     list_engine(&memory);
     let (one, two) = (node("one", &memory, true), node("two", &memory, true));
     pass(&[&one, &two], Millis(5_000)).await;
@@ -248,7 +248,7 @@
 /// A node that finds no claim waits out an owner that may still give orders.
 #[tokio::test(start_paused = true)]
 async fn claim_later_start_waits_first() {
-    let memory = Arc::new(Memory::default());
+    let memory = Arc::new(MemoryStore::default());
     list_engine(&memory);
     let one = node("one", &memory, false);
     pass(&[&one], Millis(4_900)).await;
@@ -264,12 +264,12 @@
     let (memory, one) = owner().await;
     let former = one.right.check(address()).unwrap();
     let key = claim_key(&memory).unwrap();
-    memory.change(|state| state.away = true);
+    memory.change(|state| state.is_unavailable = true);
     pass(&[&one], Millis(4_000)).await;
     assert_eq!(one.right.check(address()), None);
     let other = r#"{"node":"two","start":1,"left":null}"#;
     memory.change(|state| {
-        state.away = false;
+        state.is_unavailable = false;
         state.remove(&key);
         state.put(&key, other, None);
     });
@@ -297,7 +297,7 @@
     pass(&[&two], Millis(1_500)).await;
     drop(one);
     let leases = memory.state().leases.clone();
-    memory.change(|state| state.end(leases[0]));
+    memory.change(|state| state.end_lease(leases[0]));
     let waited = RIGHT + Limits::default().turns;
     pass(&[&two], waited).await;
     assert_eq!(two.right.check(address()), None);
@@ -330,7 +330,7 @@
 }
 
 /// An owner that has given an order leaves, and another node claims its engine.
-async fn claimed_behind_an_order() -> (Arc<Memory>, Node) {
+async fn claimed_behind_an_order() -> (Arc<MemoryStore>, Node) {
     let (memory, one) = owner().await;
     let two = node("two", &memory, false);
     pass(&[&one, &two], Millis(1_500)).await;
@@ -401,7 +401,7 @@
 async fn right_lasts_through_an_outage_that_all_have() {
     let (memory, one) = owner().await;
     one.others.vote.store(true, Ordering::SeqCst);
-    memory.change(|state| state.away = true);
+    memory.change(|state| state.is_unavailable = true);
     for _ in 0..20 {
         pass(&[&one], Millis(500)).await;
         assert!(one.right.check(address()).is_some());
@@ -419,7 +419,7 @@
 /// A claim that lapsed in an outage goes back to its living owner, whom nobody has to wait out.
 #[tokio::test(start_paused = true)]
 async fn claim_lapsed_in_an_outage_goes_back_to_its_owner() {
-    let memory = Arc::new(Memory::default());
+    let memory = Arc::new(MemoryStore::default());
     list_engine(&memory);
     let names = ["one", "two", "three"];
     let nodes: Vec<Node> = names.iter().map(|name| node(name, &memory, true)).collect();
@@ -435,7 +435,7 @@
     let leases = memory.state().leases.clone();
     memory.change(|state| {
         for lease in leases {
-            state.end(lease);
+            state.end_lease(lease);
         }
     });
     pass(&all, Millis(2_500)).await;
@@ -452,7 +452,7 @@
     let leases = memory.state().leases.clone();
     let other = r#"{"node":"two","start":1,"left":null}"#;
     memory.change(|state| {
-        state.end(leases[0]);
+        state.end_lease(leases[0]);
         state.put(&key, other, None);
         state.remove(&key);
         state.drop_history();
@@ -473,7 +473,7 @@
     let (memory, one) = owner().await;
     one.others.vote.store(true, Ordering::SeqCst);
     one.others.unheard.store(2, Ordering::SeqCst);
-    memory.change(|state| state.away = true);
+    memory.change(|state| state.is_unavailable = true);
     for _ in 0..20 {
         pass(&[&one], Millis(500)).await;
         assert!(one.right.check(address()).is_some());
@@ -483,12 +483,12 @@
 /// A node that starts in an outage waits for previous owners from the outage's end, not its start.
 #[tokio::test(start_paused = true)]
 async fn claim_after_a_start_in_an_outage_waits_from_its_end() {
-    let memory = Arc::new(Memory::default());
+    let memory = Arc::new(MemoryStore::default());
     list_engine(&memory);
-    memory.change(|state| state.away = true);
+    memory.change(|state| state.is_unavailable = true);
     let one = node("one", &memory, false);
     pass(&[&one], Millis(10_000)).await;
-    memory.change(|state| state.away = false);
+    memory.change(|state| state.is_unavailable = false);
     pass(&[&one], Millis(3_000)).await;
     assert!(one.right.owns(address()));
     assert_eq!(one.right.check(address()), None);
@@ -499,14 +499,14 @@
 /// A node that has not begun, or has left, can't succeed an owner and votes for it.
 #[tokio::test(start_paused = true)]
 async fn votes_for_before_it_begins_and_after_it_left() {
-    let memory = Arc::new(Memory::default());
+    let memory = Arc::new(MemoryStore::default());
     list_engine(&memory);
-    memory.change(|state| state.away = true);
+    memory.change(|state| state.is_unavailable = true);
     let one = node("one", &memory, false);
     let owned = [(address(), 7)];
     pass(&[&one], Millis(3_000)).await;
     assert!(one.right.votes_for("two", &owned));
-    memory.change(|state| state.away = false);
+    memory.change(|state| state.is_unavailable = false);
     pass(&[&one], Millis(1_500)).await;
     assert!(!one.right.votes_for("two", &owned));
     one.claimer.leave().await.unwrap();
@@ -599,7 +599,7 @@
 /// A node hands over engines beyond its share, and two nodes never give orders to one.
 #[tokio::test(start_paused = true)]
 async fn claims_beyond_a_share_are_handed_over() {
-    let memory = Arc::new(Memory::default());
+    let memory = Arc::new(MemoryStore::default());
     let engines = 8;
     list_engines(&memory, engines);
     let one = node("one", &memory, true);
@@ -632,7 +632,7 @@
 }
 
 /// Lists so many engines, at ports of their own.
-fn list_engines(memory: &Memory, engines: usize) {
+fn list_engines(memory: &MemoryStore, engines: usize) {
     for number in 0..engines {
         let entry = SERVER.replace("127.0.0.1:9", &format!("127.0.0.1:{}", 9 + number));
         memory.change(|state| state.put(&format!("servers/i-{}", number + 1), entry, None));
@@ -643,7 +643,7 @@
 #[tokio::test(start_paused = true)]
 async fn claims_taken_though_news_is_late() {
     let engines: u16 = 320;
-    let memory = Arc::new(Memory::default());
+    let memory = Arc::new(MemoryStore::default());
     list_engines(&memory, engines.into());
     let names = ["a", "b", "c", "d", "e", "f", "g", "h"];
     let nodes: Vec<Node> = names.iter().map(|name| node(name, &memory, true)).collect();
@@ -670,7 +670,7 @@
 }
 
 /// A later start of a node that knows nothing but what the service tells.
-fn start_again(name: &str, memory: &Arc<Memory>) -> Node {
+fn start_again(name: &str, memory: &Arc<MemoryStore>) -> Node {
     let config = r#"{"version":1,"routes":[],"services":[{"name":"engines","maxConns":10,
         "engine":{"slots":8,"kvCapacity":100,"adapterSlots":4,"models":[]}}]}"#;
     memory.change(|state| state.put("op/config", config, None));
@@ -678,8 +678,8 @@
 }
 
 /// Lists under a prefix take so long from now on.
-fn slow(memory: &Memory, prefix: &str, span: Millis) {
-    memory.change(|state| state.slow = Some((prefix.to_owned(), span)));
+fn slow(memory: &MemoryStore, prefix: &str, span: Millis) {
+    memory.change(|state| state.slow_listing = Some((prefix.to_owned(), span)));
 }
 
 /// A node takes its previous start's claims back before they end, though engines are still read.
@@ -691,7 +691,7 @@
     slow(&memory, "servers/", Millis::from_secs(5));
     let again = start_again("one", &memory);
     pass(&[&again], Millis(1_500)).await;
-    memory.change(|state| state.end(former));
+    memory.change(|state| state.end_lease(former));
     assert!(claim_key(&memory).is_some(), "the claim ended");
     pass(&[&again], Millis(4_000)).await;
     assert!(again.right.check(address()).is_some());
@@ -700,7 +700,7 @@
 /// A node's record is written before its lease ends, though reading the claims takes longer.
 #[tokio::test(start_paused = true)]
 async fn record_does_not_wait_for_claims() {
-    let memory = Arc::new(Memory::default());
+    let memory = Arc::new(MemoryStore::default());
     list_engine(&memory);
     slow(&memory, "chivevalve/", Millis::from_secs(4));
     let one = start_again("one", &memory);
@@ -712,7 +712,7 @@
 /// A claim that vanished while claims were read is waited out from when they were read.
 #[tokio::test(start_paused = true)]
 async fn claim_unknown_waits_from_when_claims_were_read() {
-    let memory = Arc::new(Memory::default());
+    let memory = Arc::new(MemoryStore::default());
     list_engine(&memory);
     slow(&memory, "chivevalve/", Millis::from_secs(4));
     let one = start_again("one", &memory);
--- a/lib/tests/test_direct_fanout.rs
+++ b/lib/tests/test_direct_fanout.rs
@@ -28,8 +28,8 @@
 };
 use chivevalve_platform::PlatformDialect;
 use direct_support::SERVER;
-use direct_support::listen::Direct;
-use direct_support::memory::Memory;
+use direct_support::listen::InProcessSource;
+use direct_support::memory::MemoryStore;
 use direct_support::records::peer;
 use futures::StreamExt;
 use futures::stream::BoxStream;
@@ -217,7 +217,7 @@
 /// The service as one node asks it.
 #[derive(Debug)]
 struct Asked {
-    memory: Arc<Memory>,
+    memory: Arc<MemoryStore>,
     calls: AtomicUsize,
     /// Whether the service turns this node away.
     cut: AtomicBool,
@@ -264,7 +264,7 @@
 }
 
 /// Starts a node that listens to another one, or is listened to.
-fn start(memory: &Arc<Memory>, listens_to: Option<&Node>, older: Millis) -> Node {
+fn start(memory: &Arc<MemoryStore>, listens_to: Option<&Node>, older: Millis) -> Node {
     let clock: Arc<dyn Clock> = Arc::new(Monotonic::start());
     let view = Arc::new(View::default());
     let hub = Arc::new(Hub::new(Arc::clone(&clock), Arc::default()));
@@ -275,9 +275,9 @@
         disordered: AtomicBool::new(false),
     });
     let hears = listens_to.map(|node| Arc::clone(&node.hub));
-    let source = Direct::new(hears, Arc::clone(&clock), older);
+    let source = InProcessSource::new(hears, Arc::clone(&clock), older);
     let follower = Follower::new(
-        Arc::<Memory>::clone(memory),
+        Arc::<MemoryStore>::clone(memory),
         Arc::<Asked>::clone(&asked),
         Arc::new(PlatformDialect),
         clock,
@@ -293,7 +293,7 @@
     }
 }
 
-fn configure(memory: &Memory, version: u64) {
+fn configure(memory: &MemoryStore, version: u64) {
     let config = format!(r#"{{"version":{version},"routes":[],"services":[]}}"#);
     memory.change(|state| state.put("op/config", config, None));
 }
@@ -306,8 +306,8 @@
 const IN_FORCE: Millis = Millis(2_000);
 
 /// A leader and a node that listens to it, which know version 1.
-async fn two_nodes(older: Millis) -> (Arc<Memory>, Node, Node) {
-    let memory = Arc::new(Memory::default());
+async fn two_nodes(older: Millis) -> (Arc<MemoryStore>, Node, Node) {
+    let memory = Arc::new(MemoryStore::default());
     configure(&memory, 1);
     let leader = start(&memory, None, Millis::ZERO);
     let node = start(&memory, Some(&leader), older);
@@ -393,7 +393,7 @@
 /// An update that is older than what a node knows doesn't make a draining server ready again.
 #[tokio::test(start_paused = true)]
 async fn follow_older_updates_change_nothing() {
-    let memory = Arc::new(Memory::default());
+    let memory = Arc::new(MemoryStore::default());
     let leader = start(&memory, None, Millis::ZERO);
     memory.change(|state| state.put("servers/i-1", SERVER, None));
     pass(Millis(1_500)).await;
--- a/lib/tests/test_direct_fanout_fuzz.rs
+++ b/lib/tests/test_direct_fanout_fuzz.rs
@@ -22,8 +22,8 @@
 use chivevalve::ports::{Entry, Event};
 use chivevalve_platform::PlatformDialect;
 use direct_support::SERVER;
-use direct_support::listen::Direct;
-use direct_support::memory::Memory;
+use direct_support::listen::InProcessSource;
+use direct_support::memory::MemoryStore;
 use quickcheck::{Arbitrary, Gen, QuickCheck, TestResult};
 use tokio::runtime::Runtime;
 use tokio::sync::Notify;
@@ -289,7 +289,7 @@
 
 fn start(
     name: &'static str,
-    memory: &Arc<Memory>,
+    memory: &Arc<MemoryStore>,
     source: impl FnOnce(Arc<dyn Clock>) -> Box<dyn Source>,
 ) -> Node {
     let clock: Arc<dyn Clock> = Arc::new(Monotonic::start());
@@ -297,8 +297,8 @@
     let metrics = Arc::new(Metrics::default());
     let hub = Arc::new(Hub::new(Arc::clone(&clock), Arc::clone(&metrics)));
     let follower = Follower::new(
-        Arc::<Memory>::clone(memory),
-        Arc::<Memory>::clone(memory),
+        Arc::<MemoryStore>::clone(memory),
+        Arc::<MemoryStore>::clone(memory),
         Arc::new(PlatformDialect),
         Arc::clone(&clock),
         Arc::clone(&view),
@@ -344,7 +344,7 @@
 
 /// One sequence as it is played.
 struct Play {
-    memory: Arc<Memory>,
+    memory: Arc<MemoryStore>,
     feed: Arc<Feed>,
     clock: Arc<dyn Clock>,
     nodes: [Node; 2],
@@ -354,7 +354,7 @@
 
 impl Play {
     fn new() -> Self {
-        let memory = Arc::new(Memory::default());
+        let memory = Arc::new(MemoryStore::default());
         let feed = Arc::new(Feed::default());
         let source = Fed {
             feed: Arc::clone(&feed),
@@ -363,7 +363,7 @@
         let first = start("first", &memory, |_| Box::new(source));
         let hub = Arc::clone(&first.hub);
         let second = start("second", &memory, |clock| {
-            Box::new(Direct::new(Some(hub), clock, Millis::ZERO))
+            Box::new(InProcessSource::new(Some(hub), clock, Millis::ZERO))
         });
         Self {
             memory,
@@ -382,7 +382,7 @@
             } else {
                 state.put(&key, value, None);
             }
-            let events = state.since("", self.history.len() as u64 - 1);
+            let events = state.changes_after("", self.history.len() as u64 - 1);
             for event in events {
                 let mut known = self.history.last().expect("it has revision 0").clone();
                 replay(&mut known, &event);
@@ -396,7 +396,7 @@
         let state = self.memory.state();
         let after = state.revision.saturating_sub(u64::from(back.max(until)));
         let revision = state.revision.saturating_sub(u64::from(until));
-        let mut events = state.since("", after);
+        let mut events = state.changes_after("", after);
         events.retain(|event| event.revision <= revision);
         Update {
             after,
--- a/lib/tests/test_direct_follow.rs
+++ b/lib/tests/test_direct_follow.rs
@@ -12,10 +12,10 @@
 use chivevalve::direct::view::View;
 use chivevalve_platform::PlatformDialect;
 use direct_support::SERVER;
-use direct_support::memory::{Memory, State};
+use direct_support::memory::{MemoryStore, State};
 
 struct Followed {
-    memory: Arc<Memory>,
+    memory: Arc<MemoryStore>,
     view: Arc<View>,
 }
 
@@ -25,13 +25,13 @@
 
 fn start_with(
     clock: Arc<dyn Clock>,
-    extend: impl FnOnce(Follower, &Arc<Memory>) -> Follower,
+    extend: impl FnOnce(Follower, &Arc<MemoryStore>) -> Follower,
 ) -> Followed {
-    let memory = Arc::new(Memory::default());
+    let memory = Arc::new(MemoryStore::default());
     let view = Arc::new(View::default());
     let follower = Follower::new(
-        Arc::<Memory>::clone(&memory),
-        Arc::<Memory>::clone(&memory),
+        Arc::<MemoryStore>::clone(&memory),
+        Arc::<MemoryStore>::clone(&memory),
         Arc::new(PlatformDialect),
         clock,
         Arc::clone(&view),
@@ -93,11 +93,11 @@
     let followed = start();
     followed.configure(1);
     pass(Millis(3_000)).await;
-    followed.memory.change(|state| state.away = true);
+    followed.memory.change(|state| state.is_unavailable = true);
     pass(Millis(6_000)).await;
-    let waits = followed.memory.state().waits.clone();
+    let waits = followed.memory.state().poll_waits.clone();
     assert!(*waits.last().unwrap() < Millis(100), "{waits:?}");
-    followed.memory.change(|state| state.away = false);
+    followed.memory.change(|state| state.is_unavailable = false);
     followed.configure(2);
     pass(Millis(1_300)).await;
     assert_eq!(followed.version(), 2);
@@ -107,11 +107,11 @@
 #[tokio::test(start_paused = true)]
 async fn config_known_soon_after_a_silent_start() {
     let followed = start();
-    followed.memory.change(|state| state.silent = true);
+    followed.memory.change(|state| state.reads_hang = true);
     followed.configure(1);
     pass(Millis(600)).await;
     assert_eq!(followed.version(), 0);
-    followed.memory.change(|state| state.silent = false);
+    followed.memory.change(|state| state.reads_hang = false);
     pass(Millis(450)).await;
     assert_eq!(followed.version(), 1);
 }
@@ -134,10 +134,10 @@
     followed.list("i-1");
     followed.list("i-2");
     pass(Millis(2_000)).await;
-    followed.memory.change(|state| state.away = true);
+    followed.memory.change(|state| state.is_unavailable = true);
     pass(Millis(6_000)).await;
     followed.memory.change(|state| {
-        state.away = false;
+        state.is_unavailable = false;
         state.remove("servers/i-1");
         state.remove("servers/i-2");
     });
@@ -246,7 +246,7 @@
     followed.configure(1);
     pass(Millis(2_000)).await;
     followed.memory.change(|state| {
-        state.longest = Some(10);
+        state.max_changes = Some(10);
         for number in 0..200 {
             state.put(&format!("chivevalve/any/{number}"), "", None);
         }
@@ -268,7 +268,7 @@
     let named = clock.now();
     let entry = r#"{"model":"base","adapter":"a1","version":2}"#;
     followed.memory.change(|state| {
-        state.longest = Some(10);
+        state.max_changes = Some(10);
         for number in 0..95 {
             state.put(&format!("chivevalve/any/{number}"), "", None);
         }
@@ -291,12 +291,12 @@
     pass(Millis(3_000)).await;
     let before = followed.view.as_of();
     assert!(before > Millis::ZERO);
-    followed.memory.change(|state| state.away = true);
+    followed.memory.change(|state| state.is_unavailable = true);
     pass(Millis(3_000)).await;
     let lost = followed.view.as_of();
     pass(Millis(20_000)).await;
     assert_eq!(followed.view.as_of(), lost);
-    followed.memory.change(|state| state.away = false);
+    followed.memory.change(|state| state.is_unavailable = false);
     pass(Millis(4_000)).await;
     assert!(followed.view.as_of() > lost + Millis(20_000));
 }
@@ -326,14 +326,14 @@
         followed.list(incarnation);
     }
     pass(Millis(2_000)).await;
-    followed.memory.change(|state| state.away = true);
+    followed.memory.change(|state| state.is_unavailable = true);
     pass(span).await;
     followed.memory.change(|state| {
         state.remove("servers/i-1");
         if is_history_dropped {
             state.drop_history();
         }
-        state.away = false;
+        state.is_unavailable = false;
     });
     followed
 }
@@ -370,11 +370,11 @@
         .memory
         .change(|state| state.put("servers/i-2", other, None));
     pass(Millis(2_000)).await;
-    followed.memory.change(|state| state.away = true);
+    followed.memory.change(|state| state.is_unavailable = true);
     pass(Millis(9_000)).await;
     followed.memory.change(|state| {
         state.remove("servers/i-1");
-        state.away = false;
+        state.is_unavailable = false;
     });
     pass(Millis(1_500)).await;
     assert!(followed.takes_work("i-1") && followed.takes_work("i-2"));
@@ -389,17 +389,17 @@
         let followed = start();
         followed.list("i-1");
         pass(Millis(2_000)).await;
-        followed.memory.change(|state| state.away = true);
+        followed.memory.change(|state| state.is_unavailable = true);
         pass(Millis(6_000)).await;
         followed.memory.change(|state| {
             state.remove("servers/i-1");
-            state.away = false;
+            state.is_unavailable = false;
         });
         pass(moment).await;
-        followed.memory.change(|state| state.away = true);
+        followed.memory.change(|state| state.is_unavailable = true);
         pass(Millis(6_000)).await;
         assert!(followed.takes_work("i-1"), "{moment}");
-        followed.memory.change(|state| state.away = false);
+        followed.memory.change(|state| state.is_unavailable = false);
         pass(Millis(1_900)).await;
         followed.list("i-1");
         pass(IN_TOUCH).await;
@@ -416,7 +416,7 @@
     let known = || Arc::clone(&followed.view.state().upstreams["i-1"]);
     let before = known();
     followed.memory.change(|state| {
-        state.slow = Some(("servers/".to_owned(), Millis(500)));
+        state.slow_listing = Some(("servers/".to_owned(), Millis(500)));
         state.put("chivevalve/any", "", None);
         state.drop_history();
         state.put("chivevalve/any", "", None);
@@ -435,9 +435,9 @@
         let followed = away_while_one_leaves(span, is_history_dropped).await;
         for _ in 0..3 {
             pass(Millis(1_300)).await;
-            followed.memory.change(|state| state.away = true);
+            followed.memory.change(|state| state.is_unavailable = true);
             pass(Millis(3_300)).await;
-            followed.memory.change(|state| state.away = false);
+            followed.memory.change(|state| state.is_unavailable = false);
         }
         pass(IN_TOUCH).await;
         assert!(!followed.takes_work("i-1"), "{span} {is_history_dropped}");
@@ -469,7 +469,7 @@
 /// Another node that passes changes on each second, and nothing while the service is away.
 #[derive(Debug)]
 struct Passing {
-    memory: Arc<Memory>,
+    memory: Arc<MemoryStore>,
     clock: Arc<dyn Clock>,
     due: Millis,
 }
@@ -489,14 +489,14 @@
         }
         self.due = now + Millis(1_000);
         let state = self.memory.state();
-        if state.away {
+        if state.is_unavailable {
             return Heard::Nothing;
         }
         Heard::Update(Update {
             after,
             revision: after.max(state.revision),
             as_of: now,
-            events: state.since("", after),
+            events: state.changes_after("", after),
         })
     }
 
@@ -508,7 +508,7 @@
 async fn upstream_left_while_away_is_gone_in_time_for_a_listener() {
     for moment in (0..1_000).step_by(100).map(Millis) {
         let clock: Arc<dyn Clock> = Arc::new(Monotonic::start());
-        let passing = |memory: &Arc<Memory>| Passing {
+        let passing = |memory: &Arc<MemoryStore>| Passing {
             memory: Arc::clone(memory),
             clock: Arc::clone(&clock),
             due: moment,
@@ -520,11 +520,11 @@
         followed.list("i-1");
         followed.list("i-2");
         pass(Millis(2_000)).await;
-        followed.memory.change(|state| state.away = true);
+        followed.memory.change(|state| state.is_unavailable = true);
         pass(Millis(4_000)).await;
         followed.memory.change(|state| {
             state.remove("servers/i-1");
-            state.away = false;
+            state.is_unavailable = false;
         });
         pass(IN_TOUCH).await;
         assert!(!followed.takes_work("i-1"), "{moment}");
--- a/lib/tests/test_direct_presence.rs
+++ b/lib/tests/test_direct_presence.rs
@@ -13,7 +13,7 @@
 use chivevalve::direct::view::View;
 use chivevalve_platform::PlatformDialect;
 use direct_support::SERVER;
-use direct_support::memory::Memory;
+use direct_support::memory::MemoryStore;
 use direct_support::records::written;
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 use rand::{RngExt, SeedableRng};
@@ -249,7 +249,7 @@
 
 /// A deployment of one node whose upstreams' lives are known.
 struct World {
-    memory: Arc<Memory>,
+    memory: Arc<MemoryStore>,
     view: Arc<View>,
     clock: Arc<dyn Clock>,
     truth: BTreeMap<u8, Truth>,
@@ -277,12 +277,12 @@
 
 impl World {
     fn new(seed: u64) -> Self {
-        let memory = Arc::new(Memory::default());
+        let memory = Arc::new(MemoryStore::default());
         let view = Arc::new(View::default());
         let clock: Arc<dyn Clock> = Arc::new(Monotonic::start());
         let follower = Follower::new(
-            Arc::<Memory>::clone(&memory),
-            Arc::<Memory>::clone(&memory),
+            Arc::<MemoryStore>::clone(&memory),
+            Arc::<MemoryStore>::clone(&memory),
             Arc::new(PlatformDialect),
             Arc::clone(&clock),
             Arc::clone(&view),
@@ -325,7 +325,7 @@
             }
             Step::Away(units, leaves, is_dropped) => {
                 let span = Millis(u64::from(*units) * 100);
-                self.memory.change(|state| state.away = true);
+                self.memory.change(|state| state.is_unavailable = true);
                 self.pass(Millis(span.0 / 2)).await?;
                 if let Some(upstream) = leaves {
                     self.leave(*upstream, *is_dropped);
@@ -336,7 +336,7 @@
                         .change(direct_support::memory::State::drop_history);
                 }
                 self.pass(Millis(span.0 / 2)).await?;
-                self.memory.change(|state| state.away = false);
+                self.memory.change(|state| state.is_unavailable = false);
             }
             Step::Outage(units, is_lapsing) => {
                 self.outage(Millis(u64::from(*units) * 100), *is_lapsing)
@@ -365,7 +365,7 @@
     }
 
     async fn outage(&mut self, span: Millis, is_lapsing: bool) -> Result<(), String> {
-        self.memory.change(|state| state.away = true);
+        self.memory.change(|state| state.is_unavailable = true);
         self.pass(span).await?;
         let now = self.clock.now();
         if is_lapsing && span >= Limits::default().lapse {
@@ -376,7 +376,7 @@
                 truth.says = None;
             }
         }
-        self.memory.change(|state| state.away = false);
+        self.memory.change(|state| state.is_unavailable = false);
         Ok(())
     }
 
@@ -386,10 +386,10 @@
         while self.clock.now() < end {
             tokio::time::sleep(LOOK.duration()).await;
             let now = self.clock.now();
-            if self.memory.state().away {
+            if self.memory.state().is_unavailable {
                 self.disrupted = now;
             }
-            if !self.memory.state().away {
+            if !self.memory.state().is_unavailable {
                 self.write(now);
             }
             self.look(now)?;
--- a/lib/tests/test_direct_quarantine.rs
+++ b/lib/tests/test_direct_quarantine.rs
@@ -18,7 +18,7 @@
 use chivevalve::poison::fingerprint::{Fingerprint, Identity};
 use chivevalve::poison::ledger::{CrashReport, Suspicion};
 use chivevalve_platform::PlatformDialect;
-use direct_support::memory::Memory;
+use direct_support::memory::MemoryStore;
 use direct_support::records::{listed, written};
 
 /// A deployment without other nodes.
@@ -48,7 +48,7 @@
 
 struct World {
     view: Arc<View>,
-    store: Arc<Memory>,
+    store: Arc<MemoryStore>,
     quarantine: Arc<Quarantine>,
 }
 
@@ -58,11 +58,11 @@
 
 fn node(name: &str, peers: Arc<dyn PeerBroadcast>) -> World {
     let view = Arc::new(View::default());
-    let store = Arc::new(Memory::default());
+    let store = Arc::new(MemoryStore::default());
     let clock: Arc<dyn Clock> = Arc::new(Monotonic::start());
     let outbox = Arc::new(Outbox::new(
-        Arc::<Memory>::clone(&store),
-        Arc::<Memory>::clone(&store),
+        Arc::<MemoryStore>::clone(&store),
+        Arc::<MemoryStore>::clone(&store),
         Arc::new(PlatformDialect),
         Arc::clone(&clock),
         peers,
--- a/lib/tests/test_direct_versions.rs
+++ b/lib/tests/test_direct_versions.rs
@@ -18,7 +18,7 @@
 use chivevalve::metrics::Metrics;
 use chivevalve::ports::metered::Metered;
 use chivevalve_platform::PlatformDialect;
-use direct_support::memory::Memory;
+use direct_support::memory::MemoryStore;
 use direct_support::records::{listed, written};
 use http::{HeaderMap, Method, Uri};
 use quickcheck::{Gen, QuickCheck};
@@ -114,10 +114,10 @@
     let view = Arc::new(View::default());
     let dialect: Arc<dyn Dialect> = Arc::new(PlatformDialect);
     let metrics = Arc::new(Metrics::new());
-    let memory = Arc::new(Memory::default());
+    let memory = Arc::new(MemoryStore::default());
     let service = Arc::new(Metered::new(
-        Arc::<Memory>::clone(&memory),
-        Arc::<Memory>::clone(&memory),
+        Arc::<MemoryStore>::clone(&memory),
+        Arc::<MemoryStore>::clone(&memory),
         memory,
         Arc::clone(&metrics),
         Arc::clone(&clock),
