--- a/lib/tests/direct_support/listen.rs
+++ b/lib/tests/direct_support/listen.rs
@@ -1,4 +1,4 @@
-//! Listening to another node without a socket.
+//! Subscription to another node without a socket.
 
 use std::pin::Pin;
 use std::sync::Arc;
@@ -13,24 +13,24 @@
 
 type Stream = Pin<Box<dyn futures::Stream<Item = Result<Sent, Status>> + Send>>;
 
-/// Listens to another node without a socket, so that time can be virtual.
+/// Subscribes to another node's updates without a socket, so that tests can use virtual time.
 pub struct InProcessSource {
-    /// Whom to listen to; a node without is listened to.
+    /// The node that publishes updates; `None` for a node without a source.
     hub: Option<Arc<Hub>>,
     stream: Option<Stream>,
     clock: Arc<dyn Clock>,
-    /// How much longer updates are on their way than they say.
-    older: Millis,
+    /// Delay of updates that their age doesn't include.
+    extra_age: Millis,
 }
 
 impl InProcessSource {
-    /// Listens to a node, or to nobody.
-    pub fn new(hub: Option<Arc<Hub>>, clock: Arc<dyn Clock>, older: Millis) -> Self {
+    /// Creates a source of a node's updates, or one without a node.
+    pub fn new(hub: Option<Arc<Hub>>, clock: Arc<dyn Clock>, extra_age: Millis) -> Self {
         Self {
             hub,
             stream: None,
             clock,
-            older,
+            extra_age,
         }
     }
 }
@@ -74,7 +74,7 @@
                 self.clock
                     .now()
                     .0
-                    .saturating_sub(sent.age_ms + self.older.0),
+                    .saturating_sub(sent.age_ms + self.extra_age.0),
             ),
             events: sent
                 .changes
--- a/lib/tests/direct_support/memory.rs
+++ b/lib/tests/direct_support/memory.rs
@@ -1,4 +1,4 @@
-//! The key-value service in memory, with the faults that tests need.
+//! An in-memory key-value service with the faults that tests need.
 
 use std::collections::BTreeMap;
 use std::sync::{Mutex, MutexGuard};
@@ -12,34 +12,34 @@
 };
 use tokio::sync::Notify;
 
-/// Longer than any caller waits.
-const PATIENCE: Millis = Millis::from_secs(10);
+/// Longer than any caller's timeout.
+const UNAVAILABLE_DELAY: Millis = Millis::from_secs(10);
 
-/// How long a caller waits for changes beyond the time that it offers to wait.
-const SLACK: Millis = Millis(700);
+/// How long a caller waits for changes beyond the poll's own wait.
+const POLL_SLACK: Millis = Millis(700);
 
-/// What the service holds.
+/// Contents of the service, and the faults that it simulates.
 #[derive(Debug, Default)]
 pub struct State {
     pub revision: u64,
     pub entries: BTreeMap<String, Entry>,
     pub events: Vec<Event>,
     pub leases: Vec<LeaseId>,
-    /// Calls fail while this is set.
+    /// While set, calls fail.
     pub is_unavailable: bool,
-    /// Reads that begin while this is set never end.
+    /// While set, reads that start never return.
     pub reads_hang: bool,
-    /// Listing what stands under this prefix takes so long.
+    /// Makes listings under this prefix take this long.
     pub slow_listing: Option<(String, Millis)>,
-    /// Most changes in one answer.
+    /// Maximum number of changes in one response.
     pub max_changes: Option<usize>,
-    /// History up to here is gone.
+    /// Revision up to which the history is compacted.
     pub compacted_revision: u64,
-    /// Spans for which calls for changes offered to wait.
+    /// Wait times of all polls for changes.
     pub poll_waits: Vec<Millis>,
 }
 
-/// The service.
+/// The key-value service.
 #[derive(Debug, Default)]
 pub struct MemoryStore {
     state: Mutex<State>,
@@ -80,13 +80,13 @@
         });
     }
 
-    /// Drops all history, so that who asks for changes has to read everything anew.
+    /// Drops the history, so that callers that poll for changes have to list everything again.
     pub fn drop_history(&mut self) {
         self.compacted_revision = self.revision;
         self.events.clear();
     }
 
-    /// Ends a lease with its keys.
+    /// Ends a lease and removes its keys.
     pub fn end_lease(&mut self, lease: LeaseId) {
         self.leases.retain(|held| *held != lease);
         let keys: Vec<String> = self
@@ -104,7 +104,7 @@
         condition.holds(self.entries.get(condition.key()))
     }
 
-    /// Returns what stands under the keys of conditions.
+    /// Returns the entries at the conditions' keys.
     pub fn entries_of(&self, conditions: &[Condition]) -> Vec<Entry> {
         let keys = conditions.iter().map(Condition::key);
         keys.filter_map(|key| self.entries.get(key))
@@ -112,7 +112,7 @@
             .collect()
     }
 
-    /// Makes a transaction; none means that a condition did not hold.
+    /// Commits a transaction and returns its revision; `None` if a condition did not hold.
     pub fn commit(&mut self, transaction: &Transaction) -> Option<u64> {
         if !transaction.conditions.iter().all(|one| self.holds(one)) {
             return None;
@@ -126,18 +126,18 @@
                 Write::Delete(key) => self.remove(key),
             }
         }
-        // One transaction has one revision, in its events too.
+        // All writes and events of a transaction have the same revision.
         for event in &mut self.events[before..] {
             event.revision = self.revision;
             if let Some(entry) = &mut event.entry {
-                stamp(entry, self.revision);
+                set_revision(entry, self.revision);
             }
         }
         for write in &transaction.writes {
             if let Write::Put(key, ..) = write
                 && let Some(entry) = self.entries.get_mut(key)
             {
-                stamp(entry, self.revision);
+                set_revision(entry, self.revision);
             }
         }
         Some(self.revision)
@@ -153,8 +153,8 @@
     }
 }
 
-/// Gives an entry the revision of the transaction that wrote it.
-fn stamp(entry: &mut Entry, revision: u64) {
+/// Sets an entry's revision to that of the transaction that wrote it.
+fn set_revision(entry: &mut Entry, revision: u64) {
     if entry.created == entry.revision {
         entry.created = revision;
     }
@@ -162,25 +162,25 @@
 }
 
 impl MemoryStore {
-    /// Locks what the service holds.
+    /// Locks the contents.
     pub fn state(&self) -> MutexGuard<'_, State> {
         self.state.lock().unwrap()
     }
 
-    async fn silence(&self) {
+    async fn hang_if_set(&self) {
         if self.state().reads_hang {
             std::future::pending::<()>().await;
         }
     }
 
-    /// Changes what the service holds and wakes whoever waits for changes.
+    /// Changes the contents and wakes all polls.
     pub fn change<T>(&self, change: impl FnOnce(&mut State) -> T) -> T {
         let result = change(&mut self.state());
         self.changed.notify_waiters();
         result
     }
 
-    /// Waits until there are changes after a revision, or the time is over.
+    /// Waits until there are changes after a revision, for `span` at most.
     pub async fn wait(&self, prefix: &str, revision: u64, span: Millis) -> Vec<Event> {
         let end = tokio::time::Instant::now() + span.duration();
         loop {
@@ -195,10 +195,10 @@
         }
     }
 
-    fn reach(&self) -> Result<MutexGuard<'_, State>, Error> {
+    fn available_state(&self) -> Result<MutexGuard<'_, State>, Error> {
         let state = self.state();
         if state.is_unavailable {
-            return Err(Error::NoAnswer("the test took it away".to_owned()));
+            return Err(Error::NoAnswer("unavailable in this test".to_owned()));
         }
         Ok(state)
     }
@@ -207,17 +207,17 @@
 #[async_trait]
 impl Store for MemoryStore {
     async fn get(&self, key: &str) -> Result<Option<Entry>, Error> {
-        self.silence().await;
-        Ok(self.reach()?.entries.get(key).cloned())
+        self.hang_if_set().await;
+        Ok(self.available_state()?.entries.get(key).cloned())
     }
 
     async fn list(&self, prefix: &str) -> Result<Listing, Error> {
-        self.silence().await;
+        self.hang_if_set().await;
         let slow = self.state().slow_listing.clone();
         if let Some((_, span)) = slow.filter(|(slow, _)| prefix.starts_with(slow.as_str())) {
             tokio::time::sleep(span.duration()).await;
         }
-        let state = self.reach()?;
+        let state = self.available_state()?;
         Ok(Listing {
             entries: state
                 .entries
@@ -231,7 +231,7 @@
 
     async fn commit(&self, transaction: Transaction) -> Result<Commit, Error> {
         let (revision, found) = {
-            let mut state = self.reach()?;
+            let mut state = self.available_state()?;
             let revision = state.commit(&transaction);
             let found = match revision {
                 Some(_) => Vec::new(),
@@ -251,7 +251,7 @@
 #[async_trait]
 impl Lease for MemoryStore {
     async fn grant(&self, _: Millis) -> Result<LeaseId, Error> {
-        let mut state = self.reach()?;
+        let mut state = self.available_state()?;
         state.revision += 1;
         let lease = LeaseId(i64::try_from(state.revision).unwrap());
         state.leases.push(lease);
@@ -260,16 +260,16 @@
 
     async fn renew(&self, lease: LeaseId) -> Result<Millis, Error> {
         if self.state().is_unavailable {
-            // A service that is away takes the caller's whole patience.
-            tokio::time::sleep(PATIENCE.duration()).await;
+            // Calls to a service that is unavailable run into the caller's timeout.
+            tokio::time::sleep(UNAVAILABLE_DELAY.duration()).await;
         }
-        let state = self.reach()?;
+        let state = self.available_state()?;
         let held = state.leases.contains(&lease);
         Ok(if held { Millis(3_000) } else { Millis::ZERO })
     }
 
     async fn revoke(&self, lease: LeaseId) -> Result<(), Error> {
-        self.reach()?.end_lease(lease);
+        self.available_state()?.end_lease(lease);
         self.changed.notify_waiters();
         Ok(())
     }
@@ -283,32 +283,32 @@
         revision: u64,
         wait: Millis,
     ) -> Result<Changes, poll::Error> {
-        let (away, compacted) = {
+        let (is_unavailable, compacted_revision) = {
             let mut state = self.state();
             state.poll_waits.push(wait);
             (state.is_unavailable, state.compacted_revision)
         };
-        if away {
-            // A service that is away takes the caller's whole patience.
-            tokio::time::sleep((wait + SLACK).duration()).await;
-            return Err(Error::NoAnswer("the test took it away".to_owned()).into());
+        if is_unavailable {
+            // Calls to a service that is unavailable run into the caller's timeout.
+            tokio::time::sleep((wait + POLL_SLACK).duration()).await;
+            return Err(Error::NoAnswer("unavailable in this test".to_owned()).into());
         }
-        if revision < compacted {
+        if revision < compacted_revision {
             return Err(poll::Error::Compacted);
         }
         let mut events = self.wait(prefix, revision, wait).await;
         if self.state().is_unavailable {
-            // Nor does it answer what has waited since before.
-            tokio::time::sleep(SLACK.duration()).await;
-            return Err(Error::NoAnswer("the test took it away".to_owned()).into());
+            // Polls that started before the outage get no response either.
+            tokio::time::sleep(POLL_SLACK.duration()).await;
+            return Err(Error::NoAnswer("unavailable in this test".to_owned()).into());
         }
         let state = self.state();
         if revision < state.compacted_revision {
             return Err(poll::Error::Compacted);
         }
-        let longest = state.max_changes.unwrap_or(usize::MAX);
-        let more = events.len() >= longest;
-        events.truncate(longest);
+        let max_changes = state.max_changes.unwrap_or(usize::MAX);
+        let more = events.len() >= max_changes;
+        events.truncate(max_changes);
         let last = events.last().filter(|_| more);
         Ok(Changes {
             revision: last.map_or(state.revision, |event| event.revision),
--- a/lib/tests/direct_support/mod.rs
+++ b/lib/tests/direct_support/mod.rs
@@ -1,4 +1,4 @@
-//! Doubles at the borders of direct serving.
+//! Test doubles for what direct serving depends on.
 
 #![allow(dead_code, reason = "each test file uses a part")]
 
--- a/lib/tests/direct_support/records.rs
+++ b/lib/tests/direct_support/records.rs
@@ -1,4 +1,4 @@
-//! What nodes and engines say of themselves at the key-value service.
+//! Records of nodes and engines in the key-value service.
 
 use std::net::SocketAddr;
 
@@ -8,7 +8,8 @@
 use chivevalve::direct::view::Peer;
 use chivevalve::name::Name;
 
-/// An engine of failure domain `hall-a` that is ready and holds the base model and some adapters.
+/// The entry of a ready engine in failure domain `hall-a` that has loaded the base model and some
+/// adapters.
 pub fn listed(incarnation: &str, adapters: &[(&str, u64)]) -> UpstreamEntry {
     UpstreamEntry {
         incarnation: incarnation.into(),
@@ -32,7 +33,7 @@
     }
 }
 
-/// Where an entry stands that was written once.
+/// The revisions of an entry that was written once.
 pub fn written(revision: u64) -> Written {
     Written {
         revision,
@@ -40,7 +41,7 @@
     }
 }
 
-/// A node of failure domain `hall-a` that answers others at an address.
+/// The record of a node in failure domain `hall-a` that listens for other nodes at an address.
 pub fn peer(address: SocketAddr) -> Peer {
     Peer {
         address,
