--- a/lib/src/direct/config.rs
+++ b/lib/src/direct/config.rs
@@ -6,7 +6,7 @@
 
 use smallvec::SmallVec;
 
-use super::call::Kind;
+use super::metadata::RequestKind;
 use crate::clock::Millis;
 use crate::name::Name;
 
@@ -20,7 +20,7 @@
     /// Pools by name.
     pub pools: HashMap<Name, Pool>,
     /// What callers may send.
-    pub limits: Limits,
+    pub limits: RequestLimits,
     index: HashMap<Name, Vec<usize>>,
 }
 
@@ -34,26 +34,26 @@
     /// Path prefix with a slash at both ends.
     pub prefix: Name,
     /// What may be repeated.
-    pub kind: Kind,
+    pub kind: RequestKind,
     /// The longest that a caller is kept waiting.
     pub timeout: Option<Millis>,
     /// The time within which an answer is worth most.
-    pub objective: Millis,
+    pub latency_objective: Millis,
     /// Rank among kinds of requests; 0 goes first.
     pub urgency: u8,
     /// Pools and their weights.
-    pub split: SmallVec<[(Name, u32); 2]>,
+    pub pool_weights: SmallVec<[(Name, u32); 2]>,
     /// Most upstreams that one request may be sent to.
-    pub attempts: u32,
+    pub max_attempts: u32,
     /// The longest pause between events with which an answer still counts as in time.
-    pub pause: Option<Millis>,
+    pub max_event_gap: Option<Millis>,
 }
 
 /// Upstreams that serve the same.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct Pool {
     /// Most connections that one upstream takes from all callers together.
-    pub connections: usize,
+    pub max_connections: usize,
     /// Set when the upstreams are model engines.
     pub engine: Option<Engine>,
 }
@@ -62,36 +62,36 @@
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct Engine {
     /// Requests in one batch.
-    pub batch: u32,
+    pub max_batch: u32,
     /// Places for adapters, those on their way included.
     pub adapter_slots: usize,
     /// Memory for prompts and answers, in tokens.
-    pub tokens: u64,
+    pub kv_capacity_tokens: u64,
     /// Base models with the time that one takes to load.
-    pub models: Vec<(Name, Millis)>,
+    pub model_load_times: Vec<(Name, Millis)>,
 }
 
 /// Bounds on what callers send.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Limits {
+pub struct RequestLimits {
     /// Longest head in bytes.
-    pub head: usize,
+    pub head_bytes: usize,
     /// Longest body in bytes.
-    pub body: usize,
+    pub body_bytes: usize,
     /// Longest time for a head to arrive.
     pub head_timeout: Millis,
     /// Longest time that a connection may be unused.
-    pub idle: Millis,
+    pub idle_timeout: Millis,
 }
 
-impl Default for Limits {
+impl Default for RequestLimits {
     /// In force until a configuration is known; generous, since no caller is served before.
     fn default() -> Self {
         Self {
-            head: 16 * 1024,
-            body: 4 << 20,
+            head_bytes: 16 * 1024,
+            body_bytes: 4 << 20,
             head_timeout: Millis::from_secs(10),
-            idle: Millis::from_secs(60),
+            idle_timeout: Millis::from_secs(60),
         }
     }
 }
@@ -103,7 +103,7 @@
         version: u64,
         routes: Vec<Route>,
         pools: HashMap<Name, Pool>,
-        limits: Limits,
+        limits: RequestLimits,
     ) -> Self {
         let mut index: HashMap<Name, Vec<usize>> = HashMap::new();
         for (place, route) in routes.iter().enumerate() {
--- a/lib/src/direct/dialect.rs
+++ b/lib/src/direct/dialect.rs
@@ -10,8 +10,8 @@
 use http_body_util::Full;
 use thiserror::Error;
 
-use super::call::Call;
 use super::config::Config;
+use super::metadata::RequestMetadata;
 use crate::clock::Millis;
 use crate::name::Name;
 
@@ -229,7 +229,7 @@
 /// Translates between the platform's formats and this crate's types.
 pub trait Dialect: fmt::Debug + Send + Sync {
     /// Reads the metadata in the headers of a caller's request.
-    fn request_metadata(&self, head: &request::Parts) -> Call;
+    fn request_metadata(&self, head: &request::Parts) -> RequestMetadata;
 
     /// Changes a caller's headers into those that are sent to an upstream.
     ///
--- a/lib/src/direct/entry/mod.rs
+++ b/lib/src/direct/entry/mod.rs
@@ -1,8 +1,8 @@
 //! The entry: callers' requests, from the first byte to the answer.
 
 mod accept;
-mod answer;
 mod gauges;
+mod handle;
 mod response;
 
 use std::collections::HashMap;
@@ -13,17 +13,17 @@
 use bytes::Bytes;
 use http_body_util::combinators::UnsyncBoxBody;
 
-use super::ask::Controllers;
-use super::budget::Budget;
+use super::budget::RetryBudget;
+use super::controllers::Controllers;
 use super::dialect::Dialect;
-use super::limits::Current;
+use super::drain::Drain;
+use super::limits::SharedLimits;
 use super::outbox::Outbox;
 use super::quarantine::Quarantine;
-use super::relay::Cut;
-use super::roles::{Mix, Roles};
-use super::stop::Stop;
+use super::relay::ResponseAborted;
+use super::roles::{PrefillScaler, Roles};
 use super::upstream::Upstream;
-use super::versions::Replacements;
+use super::versions::PendingReplacements;
 use super::view::View;
 use crate::clock::{Clock, Millis};
 use crate::error::Code;
@@ -32,7 +32,7 @@
 use crate::ports::metered::Metered;
 
 /// Body of an answer to a caller.
-pub type Body = UnsyncBoxBody<Bytes, Cut>;
+pub type Body = UnsyncBoxBody<Bytes, ResponseAborted>;
 
 /// Pause after which an adapter may be asked for at a further engine.
 const SPREAD_PAUSE: Millis = Millis(700);
@@ -43,11 +43,11 @@
 const ROLES_PAUSE: Millis = Millis(250);
 
 /// Label of the class in metrics: here routes and not classes rank requests.
-pub const CLASS: &str = "direct";
+pub const CLASS_LABEL: &str = "direct";
 
 /// What all requests of a node share.
 #[derive(Debug)]
-pub struct Gate {
+pub struct Frontend {
     /// What this node believes.
     pub view: Arc<View>,
     /// Orders to engines.
@@ -61,30 +61,30 @@
     /// Where the node is.
     pub failure_domain: Name,
     /// Bounds in force.
-    pub limits: Arc<Current>,
+    pub limits: Arc<SharedLimits>,
     /// What may not be sent any more.
     pub quarantine: Arc<Quarantine>,
     /// Versions that engines were asked to replace lately.
-    pub(super) replacements: Replacements,
+    pub(super) replacements: PendingReplacements,
     /// The key-value service.
     service: Arc<Metered>,
-    budget: Mutex<Budget>,
+    budget: Mutex<RetryBudget>,
     spreading: Mutex<HashMap<Name, Millis>>,
     shares: Mutex<HashMap<Name, Share>>,
     /// The node's planned stop.
-    pub stop: Stop,
+    pub drain: Drain,
     active: AtomicUsize,
 }
 
 /// How the engines of a pool share their work at this moment.
 #[derive(Debug, Default)]
 struct Share {
-    mix: Mix,
+    mix: PrefillScaler,
     roles: Arc<Roles>,
     made: Millis,
 }
 
-impl Gate {
+impl Frontend {
     /// Makes a gate.
     #[must_use]
     pub fn new(
@@ -93,7 +93,7 @@
         dialect: Arc<dyn Dialect>,
         clock: Arc<dyn Clock>,
         failure_domain: Name,
-        limits: Arc<Current>,
+        limits: Arc<SharedLimits>,
         service: Arc<Metered>,
     ) -> Self {
         let outbox = Arc::new(Outbox::new(
@@ -118,13 +118,13 @@
             dialect,
             clock,
             failure_domain,
-            budget: Mutex::new(Budget::new(Arc::clone(&limits))),
+            budget: Mutex::new(RetryBudget::new(Arc::clone(&limits))),
             limits,
-            replacements: Replacements::default(),
+            replacements: PendingReplacements::default(),
             service,
             spreading: Mutex::default(),
             shares: Mutex::default(),
-            stop: Stop::default(),
+            drain: Drain::default(),
             active: AtomicUsize::new(0),
         }
     }
@@ -132,7 +132,7 @@
     /// Whether callers may be sent here.
     #[must_use]
     pub fn is_ready(&self) -> bool {
-        if self.stop.is_begun() {
+        if self.drain.is_draining() {
             return false;
         }
         let state = self.view.state();
@@ -141,7 +141,7 @@
 
     /// Requests in progress.
     #[must_use]
-    pub fn active(&self) -> usize {
+    pub fn active_requests(&self) -> usize {
         self.active.load(Ordering::Relaxed)
     }
 
@@ -155,7 +155,7 @@
         let number = code.to_string();
         self.metrics
             .requests
-            .with_label_values(&[number.as_str(), CLASS])
+            .with_label_values(&[number.as_str(), CLASS_LABEL])
             .inc();
         if let Some(code) = Code::from_number(code) {
             self.metrics
@@ -166,24 +166,24 @@
     }
 
     /// Takes what sending a request to a pool once more costs from the budget; false if it's spent.
-    pub fn take_repeat(&self, pool: &Name) -> bool {
-        let nodes = self.view.state().most_nodes;
-        self.budget().repeat(pool, self.clock.now(), nodes)
+    pub fn take_retry(&self, pool: &Name) -> bool {
+        let nodes = self.view.state().max_nodes_seen;
+        self.budget().try_retry(pool, self.clock.now(), nodes)
     }
 
     /// Counts a send to a pool that turned out to be a further one.
-    pub fn spend_repeat(&self, pool: &Name) {
+    pub fn charge_retry(&self, pool: &Name) {
         let now = self.clock.now();
-        self.budget().spend(pool, now);
+        self.budget().record_retry(pool, now);
     }
 
     /// Whether the budget of a pool has room for a further send.
-    pub fn has_repeat(&self, pool: &Name) -> bool {
-        let nodes = self.view.state().most_nodes;
+    pub fn has_retry_budget(&self, pool: &Name) -> bool {
+        let nodes = self.view.state().max_nodes_seen;
         self.budget().has_room(pool, self.clock.now(), nodes)
     }
 
-    fn budget(&self) -> MutexGuard<'_, Budget> {
+    fn budget(&self) -> MutexGuard<'_, RetryBudget> {
         self.budget.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -198,14 +198,14 @@
             let upstreams = self.view.pool(pool);
             let ready = upstreams.iter().filter(|upstream| upstream.is_ready());
             let engines: Vec<SocketAddr> = ready.map(|upstream| upstream.address).collect();
-            let readers = share.mix.readers(engines.len(), now);
+            let readers = share.mix.prefill_count(engines.len(), now);
             share.roles = Arc::new(Roles::split(engines, readers));
         }
         Arc::clone(&share.roles)
     }
 
     /// Takes in something about the mix of requests for a pool.
-    pub fn observe(&self, pool: &Name, seen: impl FnOnce(&mut Mix)) {
+    pub fn observe(&self, pool: &Name, seen: impl FnOnce(&mut PrefillScaler)) {
         seen(&mut self.shares().entry(Name::clone(pool)).or_default().mix);
     }
 
@@ -215,13 +215,18 @@
 
     /// Returns until when a request may begin on a version of an adapter; none is without end.
     #[must_use]
-    pub fn begin_by(&self, adapter: &str, version: u64) -> Option<Millis> {
-        let limit = self.limits.get().version;
-        self.view.begin_by(adapter, version, limit)
+    pub fn begin_deadline(&self, adapter: &str, version: u64) -> Option<Millis> {
+        let limit = self.limits.get().version_rollout;
+        self.view.begin_deadline(adapter, version, limit)
     }
 
     /// Has an adapter made present at the first of some engines, without waiting.
-    pub fn load_soon(self: &Arc<Self>, homes: Vec<Arc<Upstream>>, adapter: &Name, version: u64) {
+    pub fn load_in_background(
+        self: &Arc<Self>,
+        homes: Vec<Arc<Upstream>>,
+        adapter: &Name,
+        version: u64,
+    ) {
         let now = self.clock.now();
         let Some(upstream) = homes.into_iter().next() else {
             return;
@@ -237,10 +242,13 @@
             }
             spreading.insert(Name::clone(adapter), now);
         }
-        let gate = Arc::clone(self);
+        let frontend = Arc::clone(self);
         let adapter = Name::clone(adapter);
         tokio::spawn(async move {
-            let loaded = gate.controllers.load(&upstream, &adapter, version).await;
+            let loaded = frontend
+                .controllers
+                .load(&upstream, &adapter, version)
+                .await;
             log::debug!(
                 "entry: {adapter} at {} too: {loaded:?}",
                 upstream.incarnation
--- a/lib/src/direct/limits.rs
+++ b/lib/src/direct/limits.rs
@@ -8,26 +8,26 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Limits {
     /// Time from the request to stop until the process is killed.
-    pub stop: Millis,
+    pub shutdown: Millis,
     /// Least time between orders of two nodes to one engine.
-    pub turns: Millis,
+    pub order_gap: Millis,
     /// Time within which a new version of an adapter has to be the only one begun on.
-    pub version: Millis,
+    pub version_rollout: Millis,
     /// Time within which a leaving upstream must get no new work.
-    pub leaving: Millis,
+    pub leave_notice: Millis,
     /// Time within which a configuration has to be in force.
-    pub apply: Millis,
+    pub config_apply: Millis,
     /// Time from a node's return within which it has to know what changed while it was away.
     pub rejoin: Millis,
     /// Silence of an upstream after which its entry vanishes.
-    pub lapse: Millis,
+    pub entry_expiry: Millis,
     /// The budget for sending requests again, of all nodes together.
-    pub retries: Retries,
+    pub retries: RetryLimits,
 }
 
 /// How many requests may be sent a further time.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Retries {
+pub struct RetryLimits {
     /// Further sends for each request in a window.
     pub ratio: f64,
     /// The window's length.
@@ -39,14 +39,14 @@
 impl Default for Limits {
     fn default() -> Self {
         Self {
-            stop: Millis::from_secs(8),
-            turns: Millis(3_000),
-            version: Millis(5_000),
-            leaving: Millis(2_000),
-            apply: Millis(2_000),
+            shutdown: Millis::from_secs(8),
+            order_gap: Millis(3_000),
+            version_rollout: Millis(5_000),
+            leave_notice: Millis(2_000),
+            config_apply: Millis(2_000),
             rejoin: Millis(3_000),
-            lapse: Millis(3_600),
-            retries: Retries {
+            entry_expiry: Millis(3_600),
+            retries: RetryLimits {
                 ratio: 0.2,
                 window: Millis::from_secs(10),
                 extra: 50,
@@ -60,9 +60,9 @@
 /// A deployment may change them while its nodes run; a part that kept its own copy
 /// would go by the old ones until the next start.
 #[derive(Debug, Default)]
-pub struct Current(Mutex<Limits>);
+pub struct SharedLimits(Mutex<Limits>);
 
-impl Current {
+impl SharedLimits {
     /// Puts bounds in force.
     #[must_use]
     pub fn new(limits: Limits) -> Self {
@@ -83,26 +83,26 @@
 
 /// Lifetime of a node's lease at the key-value service.
 ///
-/// A dead node's engines get no orders for this long and [`RIGHT`] and the
+/// A dead node's engines get no orders for this long and [`OWNERSHIP_TERM`] and the
 /// turn's length more, so it is short; renewals are priced, so it isn't shorter.
-pub const LEASE: Millis = Millis(3_000);
+pub const LEASE_TTL: Millis = Millis(3_000);
 
 /// How long after sending a renewal a node may give orders.
 ///
-/// Less than [`LEASE`], so that a node whose keys lapse has stopped before.
-pub const RIGHT: Millis = Millis(2_000);
+/// Less than [`LEASE_TTL`], so that a node whose keys lapse has stopped before.
+pub const OWNERSHIP_TERM: Millis = Millis(2_000);
 
 /// Pause between renewals: two may fail before the right ends.
-pub const RENEWAL: Millis = Millis(650);
+pub const RENEWAL_INTERVAL: Millis = Millis(650);
 
 /// The longest that a renewal may take to answer: twice the slowest service's 240 ms.
-pub const RENEWAL_ANSWER: Millis = Millis(500);
+pub const RENEWAL_TIMEOUT: Millis = Millis(500);
 
 /// The longest that a call for changes waits.
 ///
 /// A connection can go silent for good, and only this bound shows it; a leaving
-/// upstream has to be known within [`Limits::leaving`].
-pub const POLL_WAIT: Millis = Millis(2_000);
+/// upstream has to be known within [`Limits::leave_notice`].
+pub const POLL_TIMEOUT: Millis = Millis(2_000);
 
 /// Part of the time within which changes have to be known that passes between calls for changes.
 ///
@@ -139,7 +139,7 @@
 /// Between a load and the request's arrival lie some milliseconds, or a second where its node
 /// is slow. An engine protects what runs by itself, but an eviction that waits for runs keeps
 /// all other orders of its engine waiting.
-pub const IN_USE: Millis = Millis(1_200);
+pub const IN_USE_GRACE: Millis = Millis(1_200);
 
 /// Shortest pause between exchanges with another node.
 const EXCHANGE: Millis = Millis(500);
@@ -149,7 +149,7 @@
 
 /// Returns the pause between exchanges in a deployment of this many nodes.
 #[must_use]
-pub fn exchange_pause(nodes: usize) -> Millis {
+pub fn exchange_interval(nodes: usize) -> Millis {
     let nodes = u64::try_from(nodes).unwrap_or(u64::MAX);
     EXCHANGE.max(Millis(EXCHANGE_PER_NODE.0.saturating_mul(nodes)))
 }
@@ -158,38 +158,38 @@
 ///
 /// Such a node tells of its requests with each exchange, and one may be lost.
 #[must_use]
-pub fn in_use(nodes: usize) -> Millis {
-    IN_USE.max(Millis(exchange_pause(nodes).0 * 2 + 200))
+pub fn in_use_grace(nodes: usize) -> Millis {
+    IN_USE_GRACE.max(Millis(exchange_interval(nodes).0 * 2 + 200))
 }
 
 impl Limits {
     /// Returns the pause between two calls for changes.
     #[must_use]
-    pub fn poll_pause(&self) -> Millis {
+    pub fn poll_interval(&self) -> Millis {
         self.change_part(POLL_SHARE)
     }
 
     /// Returns how long a call for changes waits at a node that others listen to.
     #[must_use]
-    pub fn leader_wait(&self) -> Millis {
+    pub fn leader_poll_timeout(&self) -> Millis {
         self.change_part(LEADER_WAIT_SHARE)
     }
 
     /// Returns the age of the newest change that was passed on, from which on a node asks itself.
     #[must_use]
-    pub fn oldest_update(&self) -> Millis {
+    pub fn max_update_age(&self) -> Millis {
         self.change_part(OLDEST_SHARE)
     }
 
     /// Returns the time for other nodes to appear before engines are shared out.
     #[must_use]
-    pub fn gather(&self) -> Millis {
+    pub fn discovery_window(&self) -> Millis {
         self.change_part(GATHER_SHARE)
     }
 
     /// Returns how long a claim waits for each node that comes before the one that makes it.
     #[must_use]
-    pub fn claim_rank(&self) -> Millis {
+    pub fn claim_delay_per_rank(&self) -> Millis {
         self.change_part(CLAIM_RANK_SHARE).max(Millis(1))
     }
 
@@ -201,13 +201,13 @@
         reason = "some seconds"
     )]
     fn change_part(&self, part: f64) -> Millis {
-        let shortest = self.apply.min(self.leaving);
+        let shortest = self.config_apply.min(self.leave_notice);
         Millis((shortest.0 as f64 * part) as u64)
     }
 }
 
 /// Pause after a failed call to the key-value service.
-pub const STORE_PAUSE: Millis = Millis(200);
+pub const STORE_RETRY_PAUSE: Millis = Millis(200);
 
 /// Margin for clocks' rates and for orders on their way, when waiting out another node's right.
-pub const TURN_MARGIN: Millis = Millis(300);
+pub const ORDER_GAP_MARGIN: Millis = Millis(300);
--- a/lib/src/direct/node.rs
+++ b/lib/src/direct/node.rs
@@ -18,15 +18,15 @@
 use tokio::task::{JoinHandle, JoinSet};
 use tokio_util::sync::CancellationToken;
 
-use super::ask::Controllers;
 use super::claim::Claimer;
+use super::controllers::Controllers;
 use super::dialect::Dialect;
-use super::entry::Gate;
+use super::entry::Frontend;
 use super::fanout::Subscription;
 use super::follow::Follower;
-use super::limits::{Current, Limits};
-use super::right::Right;
-use super::serve;
+use super::limits::{Limits, SharedLimits};
+use super::ownership::Ownership;
+use super::peer_server;
 use super::view::{Peer, View};
 use crate::clock::{Boot, Clock, Millis};
 use crate::metrics::Metrics;
@@ -118,9 +118,9 @@
     callers: SocketAddr,
     readiness: SocketAddr,
     metrics: SocketAddr,
-    gate: Arc<Gate>,
+    frontend: Arc<Frontend>,
     claimer: Arc<Claimer>,
-    limits: Arc<Current>,
+    limits: Arc<SharedLimits>,
     closing: CancellationToken,
     /// Completes once the listener is closed and all callers' connections are too.
     serving: JoinHandle<()>,
@@ -137,7 +137,7 @@
         let listeners = Listeners::bind(settings)?;
         let clock: Arc<dyn Clock> = Arc::new(Boot);
         let view = Arc::new(View::default());
-        let limits = Arc::new(Current::new(settings.limits));
+        let limits = Arc::new(SharedLimits::new(settings.limits));
         let metrics = Arc::new(Metrics::new());
         let service = Arc::new(Metered::new(
             reach.store,
@@ -146,16 +146,16 @@
             Arc::clone(&metrics),
             Arc::clone(&clock),
         ));
-        let right = Arc::new(Right::new(Arc::clone(&clock), Arc::clone(&view)));
+        let ownership = Arc::new(Ownership::new(Arc::clone(&clock), Arc::clone(&view)));
         let controllers = Arc::new(Controllers::new(
             Arc::clone(&view),
-            Arc::clone(&right),
+            Arc::clone(&ownership),
             Arc::clone(&reach.dialect),
             Arc::clone(&clock),
             Name::clone(&settings.node),
             Arc::clone(&metrics),
         ));
-        let gate = Arc::new(Gate::new(
+        let frontend = Arc::new(Frontend::new(
             Arc::clone(&view),
             Arc::clone(&controllers),
             Arc::clone(&reach.dialect),
@@ -171,7 +171,7 @@
             dialect: Arc::clone(&reach.dialect),
             clock: Arc::clone(&clock),
             view: Arc::clone(&view),
-            right,
+            ownership,
             metrics,
             limits: Arc::clone(&limits),
             node: Name::clone(&settings.node),
@@ -195,15 +195,15 @@
             view,
             Arc::clone(&limits),
         )
-        .within_domain(Arc::clone(&controllers.hub), Box::new(subscription));
+        .with_fanout(Arc::clone(&controllers.hub), Box::new(subscription));
         let closing = CancellationToken::new();
         let callers = listeners.callers.local_addr()?;
-        let serving = serve_callers(listeners.callers, Arc::clone(&gate), closing.clone());
+        let serving = serve_callers(listeners.callers, Arc::clone(&frontend), closing.clone());
         let mut node = Self {
             callers,
             readiness: listeners.readiness.local_addr()?,
             metrics: listeners.metrics.local_addr()?,
-            gate,
+            frontend,
             claimer,
             limits,
             closing,
@@ -219,7 +219,8 @@
         node.tasks.spawn(follower.run());
         node.tasks.spawn(Arc::clone(&node.claimer).run());
         node.tasks.spawn(controllers.run());
-        node.tasks.spawn(Arc::clone(&node.gate.quarantine).run());
+        node.tasks
+            .spawn(Arc::clone(&node.frontend.quarantine).run());
         Ok(node)
     }
 
@@ -243,7 +244,7 @@
 
     /// Returns the limits, which can be replaced while the node runs.
     #[must_use]
-    pub fn limits(&self) -> Arc<Current> {
+    pub fn limits(&self) -> Arc<SharedLimits> {
         Arc::clone(&self.limits)
     }
 
@@ -255,16 +256,16 @@
         controllers: Arc<Controllers>,
     ) {
         self.tasks.spawn(async move {
-            if let Err(error) = serve::serve(peers, controllers).await {
+            if let Err(error) = peer_server::serve(peers, controllers).await {
                 log::error!("node: the listener for other nodes failed: {error}");
             }
         });
-        let gate = Arc::clone(&self.gate);
+        let frontend = Arc::clone(&self.frontend);
         self.tasks
-            .spawn(serve_sync(metrics, gate, metrics_response));
-        let gate = Arc::clone(&self.gate);
+            .spawn(serve_sync(metrics, frontend, metrics_response));
+        let frontend = Arc::clone(&self.frontend);
         self.tasks
-            .spawn(serve_sync(readiness, gate, readiness_response));
+            .spawn(serve_sync(readiness, frontend, readiness_response));
     }
 
     /// Shuts the node down: stops accepting callers, releases its claims, and lets requests in
@@ -272,16 +273,19 @@
     ///
     /// Returns whether all requests finished before the deadline.
     pub async fn drain(mut self) -> bool {
-        let clock = Arc::clone(&self.gate.clock);
-        let deadline = clock.now() + self.limits.get().stop - SHUTDOWN_MARGIN;
-        self.gate.stop.begin(deadline);
+        let clock = Arc::clone(&self.frontend.clock);
+        let deadline = clock.now() + self.limits.get().shutdown - SHUTDOWN_MARGIN;
+        self.frontend.drain.begin(deadline);
         release_claims_before_close(self.claimer.leave()).await;
         self.closing.cancel();
         self.finish_requests(deadline).await;
         self.flush_crash_reports(deadline).await;
         // The end of a response may still be in the operating system's socket buffers.
         tokio::time::sleep(SOCKET_FLUSH.duration()).await;
-        let (left, aborted) = (self.gate.active(), self.gate.stop.cut());
+        let (left, aborted) = (
+            self.frontend.active_requests(),
+            self.frontend.drain.aborted_count(),
+        );
         log::info!("node: stopping with {left} requests in progress, {aborted} were aborted");
         let all_finished = left + aborted == 0;
         self.serving.abort();
@@ -295,7 +299,7 @@
     /// or the last bytes of a response may wait for a slow caller, and exiting would cut off both.
     /// Idle connections are closed at once.
     async fn finish_requests(&mut self, deadline: Millis) {
-        let left = deadline.since(self.gate.clock.now());
+        let left = deadline.since(self.frontend.clock.now());
         let serving = &mut self.serving;
         if tokio::time::timeout(left.duration(), &mut *serving)
             .await
@@ -304,7 +308,7 @@
             return;
         }
         log::info!("node: the shutdown deadline has passed, aborting requests in progress");
-        self.gate.stop.end();
+        self.frontend.drain.abort();
         if tokio::time::timeout(ABORT_RESPONSE_TIME.duration(), serving)
             .await
             .is_err()
@@ -316,8 +320,8 @@
     /// Waits until this node has reported all crashes of upstreams that it saw, at most until the
     /// deadline.
     async fn flush_crash_reports(&self, deadline: Millis) {
-        let left = deadline.since(self.gate.clock.now());
-        let reported = self.gate.quarantine.flush_reports();
+        let left = deadline.since(self.frontend.clock.now());
+        let reported = self.frontend.quarantine.flush_reports();
         if tokio::time::timeout(left.duration(), reported)
             .await
             .is_err()
@@ -365,18 +369,18 @@
         .wrap_err_with(|| format!("cannot listen on {address}"))
 }
 
-type SyncHandler = fn(&Gate, &Request<Incoming>) -> Response<Full<Bytes>>;
+type SyncHandler = fn(&Frontend, &Request<Incoming>) -> Response<Full<Bytes>>;
 
 /// Serves requests with a handler that responds at once.
-async fn serve_sync(listener: TcpListener, gate: Arc<Gate>, handler: SyncHandler) {
+async fn serve_sync(listener: TcpListener, frontend: Arc<Frontend>, handler: SyncHandler) {
     loop {
         let Some(stream) = accept(&listener).await else {
             continue;
         };
-        let gate = Arc::clone(&gate);
+        let frontend = Arc::clone(&frontend);
         tokio::spawn(async move {
             let service = service_fn(move |request| {
-                let response = handler(&gate, &request);
+                let response = handler(&frontend, &request);
                 async move { Ok::<_, Infallible>(response) }
             });
             let connection = http1::Builder::new()
@@ -389,21 +393,21 @@
     }
 }
 
-fn readiness_response(gate: &Gate, request: &Request<Incoming>) -> Response<Full<Bytes>> {
+fn readiness_response(frontend: &Frontend, request: &Request<Incoming>) -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::default());
-    if !gate.dialect.is_readiness_path(request.uri().path()) {
+    if !frontend.dialect.is_readiness_path(request.uri().path()) {
         *response.status_mut() = StatusCode::NOT_FOUND;
-    } else if !gate.is_ready() {
+    } else if !frontend.is_ready() {
         *response.status_mut() = StatusCode::SERVICE_UNAVAILABLE;
     }
     response
 }
 
-fn metrics_response(gate: &Gate, _: &Request<Incoming>) -> Response<Full<Bytes>> {
-    Response::new(Full::from(gate.render()))
+fn metrics_response(frontend: &Frontend, _: &Request<Incoming>) -> Response<Full<Bytes>> {
+    Response::new(Full::from(frontend.render_metrics()))
 }
 
-async fn serve_callers(listener: TcpListener, gate: Arc<Gate>, closing: CancellationToken) {
+async fn serve_callers(listener: TcpListener, frontend: Arc<Frontend>, closing: CancellationToken) {
     let graceful = GracefulShutdown::new();
     loop {
         let stream = tokio::select! {
@@ -413,30 +417,30 @@
         let Some(stream) = stream else {
             continue;
         };
-        serve_caller(stream, &gate, &graceful);
+        serve_caller(stream, &frontend, &graceful);
     }
     // Connections in the listen queue are still served. The port must then be closed: if it were
     // open without anything accepting, a new caller would wait for as long as responses in
     // progress keep the process alive, instead of connecting to another node.
     while let Some(Some(stream)) = accept(&listener).now_or_never() {
-        serve_caller(stream, &gate, &graceful);
+        serve_caller(stream, &frontend, &graceful);
     }
     drop(listener);
     graceful.shutdown().await;
 }
 
-fn serve_caller(stream: TcpStream, gate: &Arc<Gate>, graceful: &GracefulShutdown) {
-    let limits = gate
+fn serve_caller(stream: TcpStream, frontend: &Arc<Frontend>, graceful: &GracefulShutdown) {
+    let limits = frontend
         .view
         .config()
         .map(|config| config.limits)
         .unwrap_or_default();
-    let gate = Arc::clone(gate);
-    let service = service_fn(move |request| Arc::clone(&gate).answer(request));
+    let frontend = Arc::clone(frontend);
+    let service = service_fn(move |request| Arc::clone(&frontend).handle(request));
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
-        .header_read_timeout(limits.idle.duration())
-        .max_buf_size(limits.head.max(8 * 1024))
+        .header_read_timeout(limits.idle_timeout.duration())
+        .max_buf_size(limits.head_bytes.max(8 * 1024))
         .serve_connection(TokioIo::new(stream), service);
     let connection = graceful.watch(connection);
     tokio::spawn(async move {
--- a/lib/src/direct/orders/change.rs
+++ b/lib/src/direct/orders/change.rs
@@ -1,6 +1,6 @@
 //! Orders as they are given, and the count of those that the engine accepted.
 
-use super::Controller;
+use super::EngineController;
 use super::slots::Slots;
 use crate::clock::Millis;
 use crate::direct::dialect::{Action, Order, OrderOutcome};
@@ -13,7 +13,7 @@
 /// How long an order without an answer may still be carried out.
 const LATE: Millis = Millis(12_500);
 
-impl Controller {
+impl EngineController {
     /// Counts places that orders without an answer may still take.
     ///
     /// All that wait under one count can only be carried out once.
@@ -146,7 +146,7 @@
     /// Lets this node's requests and exchanges see what the engine holds.
     pub(super) fn publish(&self) {
         if let Some(slots) = &self.slots {
-            self.parts.upstream.hold(&slots.held());
+            self.parts.upstream.update_held(&slots.held());
         }
     }
 }
--- a/lib/src/direct/orders/engine.rs
+++ b/lib/src/direct/orders/engine.rs
@@ -5,11 +5,11 @@
 use http_body_util::{BodyExt, Limited};
 
 use crate::clock::{Clock, Millis};
-use crate::direct::admission::Table;
 use crate::direct::config::Engine;
+use crate::direct::control_call;
 use crate::direct::dialect::{Dialect, EngineStatus, Order, OrderOutcome};
-use crate::direct::question;
-use crate::direct::right::Right;
+use crate::direct::occupancy::OccupancyTable;
+use crate::direct::ownership::Ownership;
 use crate::direct::upstream::Upstream;
 use crate::direct::view::View;
 use crate::metrics::Metrics;
@@ -30,13 +30,13 @@
 
 /// What a controller is made of.
 #[derive(Debug, Clone)]
-pub struct Parts {
+pub struct EngineClient {
     /// The engine.
     pub upstream: Arc<Upstream>,
     /// What it can hold.
     pub engine: Engine,
     /// This node's right to give orders.
-    pub right: Arc<Right>,
+    pub ownership: Arc<Ownership>,
     /// Formats.
     pub dialect: Arc<dyn Dialect>,
     /// The node's clock.
@@ -48,23 +48,23 @@
     /// The node's metrics.
     pub metrics: Arc<Metrics>,
     /// Requests of all nodes at this node's engines.
-    pub table: Arc<Table>,
+    pub table: Arc<OccupancyTable>,
 }
 
-impl Parts {
+impl EngineClient {
     /// Sends an order if this node may give it at this moment.
     pub(super) async fn give(&self, mut order: Order) -> Result<OrderOutcome, Lost> {
         let upstream = &self.upstream;
         let mut connection = upstream.link.take(FRESH).await?;
         // A VM can be suspended between any two lines; the right is looked at
         // last, on a clock that ran meanwhile.
-        let Some(token) = self.right.check(upstream.address) else {
+        let Some(token) = self.ownership.fencing_token(upstream.address) else {
             upstream.link.keep(connection, None);
             return Err(Lost::Unsent("no right to give orders".to_owned()));
         };
         order.fencing_token = token;
         let request = self.dialect.order_request(&upstream.incarnation, &order);
-        self.right.ordered(upstream.address);
+        self.ownership.record_order(upstream.address);
         let sent = tokio::time::timeout(ANSWER.duration(), connection.send(request)).await;
         let (head, body) = sent
             .map_err(|_| Lost::Sent(format!("nothing within {ANSWER}")))??
@@ -88,7 +88,7 @@
 
     async fn ask_report(&self) -> Result<EngineStatus, String> {
         let request = self.dialect.status_request(&self.upstream.incarnation);
-        let (head, body) = question::ask(&*self.dialect, &self.upstream, request).await?;
+        let (head, body) = control_call::send(&*self.dialect, &self.upstream, request).await?;
         if !head.status.is_success() {
             return Err(format!("status {}", head.status));
         }
--- a/lib/src/direct/orders/slots/mod.rs
+++ b/lib/src/direct/orders/slots/mod.rs
@@ -14,7 +14,7 @@
 
 use smallvec::SmallVec;
 
-use super::message::{Load, Loaded};
+use super::message::{LoadCommand, LoadOutcome};
 use crate::clock::Millis;
 use crate::direct::dialect::{EngineStatus, LoadedModels, OrderOutcome};
 use crate::name::Name;
@@ -24,10 +24,10 @@
 pub(super) use slot::answer;
 
 /// The longest that a load may take before whoever waits is told that it failed.
-pub const LONGEST_LOAD: Millis = Millis(4_000);
+pub const MAX_LOAD_TIME: Millis = Millis(4_000);
 
 /// How old what a report says may be.
-pub const REPORT_AGE: Millis = Millis(1_000);
+pub const MAX_REPORT_AGE: Millis = Millis(1_000);
 
 /// First look whether a load is complete; one from the engine's own memory takes a tenth.
 const FIRST_LOOK: Millis = Millis(45);
@@ -35,12 +35,12 @@
 /// Time after which a look that nothing was heard of is repeated: a connection and an answer.
 const LOST_LOOK: Millis = Millis(600);
 
-/// Pause between reports while a load outlasts [`LONGEST_LOAD`].
+/// Pause between reports while a load outlasts [`MAX_LOAD_TIME`].
 const SLOW_REPORT: Millis = Millis(1_000);
 
 /// A question whether a load is complete: the same order again.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Look {
+pub struct LoadProbe {
     /// `BASE/NAME`.
     pub adapter: Name,
     /// The version that was ordered; 0 is whatever was the newest.
@@ -80,7 +80,7 @@
     pub fn report(&mut self, report: &EngineStatus, asked: Millis) -> bool {
         let held = &report.held;
         if held.started_at_ms > self.started_at_ms {
-            self.answer_all(Loaded::Failed);
+            self.answer_all(LoadOutcome::Failed);
             *self = Self {
                 used: std::mem::take(&mut self.used),
                 ..Self::new(report, asked)
@@ -90,7 +90,7 @@
         let is_older = held.started_at_ms < self.started_at_ms || held.sequence < self.sequence;
         // A count that stays behind was counted wrongly here.
         let is_settled =
-            held.started_at_ms == self.started_at_ms && asked >= self.advanced + REPORT_AGE;
+            held.started_at_ms == self.started_at_ms && asked >= self.advanced + MAX_REPORT_AGE;
         if is_older && !is_settled {
             return false;
         }
@@ -122,10 +122,10 @@
     /// Answers who asks for an adapter that is held, or lets it wait for a load on its way.
     ///
     /// Returns the question if an order is needed.
-    pub fn wait(&mut self, load: Load, now: Millis) -> Option<Load> {
+    pub fn wait(&mut self, load: LoadCommand, now: Millis) -> Option<LoadCommand> {
         match self.by_adapter.get_mut(&load.adapter) {
             Some(Slot::Present { version, .. }) if *version >= load.version => {
-                answer(load.reply, Loaded::Ready(*version));
+                answer(load.reply, LoadOutcome::Ready(*version));
                 None
             }
             Some(Slot::Loading(loading)) if loading.version >= load.version => {
@@ -158,7 +158,7 @@
     /// Takes in that the engine began the load that was ordered.
     ///
     /// Whoever waits for an older version of the adapter is served by this one.
-    pub fn began(&mut self, load: Load, now: Millis) {
+    pub fn began(&mut self, load: LoadCommand, now: Millis) {
         let mut waiters = match self.by_adapter.remove(&load.adapter) {
             Some(Slot::Loading(former)) => former.waiters,
             Some(Slot::Present { .. }) | None => Vec::new(),
@@ -174,9 +174,9 @@
     }
 
     /// Takes in that the engine holds what was ordered already.
-    pub fn holds(&mut self, load: Load, now: Millis) {
+    pub fn holds(&mut self, load: LoadCommand, now: Millis) {
         self.complete(&load.adapter, load.version, now);
-        answer(load.reply, Loaded::Ready(load.version));
+        answer(load.reply, LoadOutcome::Ready(load.version));
     }
 
     /// Takes in that an adapter was dropped.
@@ -185,7 +185,7 @@
     }
 
     /// Returns the looks that are due, each repeated later unless an answer comes before.
-    pub fn due(&mut self, now: Millis) -> SmallVec<[Look; 4]> {
+    pub fn due(&mut self, now: Millis) -> SmallVec<[LoadProbe; 4]> {
         let sequence = self.sequence;
         let mut looks = SmallVec::new();
         for (adapter, slot) in &mut self.by_adapter {
@@ -196,7 +196,7 @@
                 continue;
             }
             loading.next_look = now + LOST_LOOK;
-            looks.push(Look {
+            looks.push(LoadProbe {
                 adapter: Name::clone(adapter),
                 version: loading.version,
                 sequence,
@@ -213,7 +213,7 @@
     }
 
     /// Takes in how the engine answered a look; false if a report has to tell what is wrong.
-    pub fn looked(&mut self, look: &Look, outcome: Option<OrderOutcome>, now: Millis) -> bool {
+    pub fn looked(&mut self, look: &LoadProbe, outcome: Option<OrderOutcome>, now: Millis) -> bool {
         let is_current = look.sequence == self.sequence;
         let Some(Slot::Loading(loading)) = self.by_adapter.get_mut(&look.adapter) else {
             return true;
@@ -229,7 +229,7 @@
             }
             Some(OrderOutcome::Fenced | OrderOutcome::Elsewhere) => {
                 if let Some(Slot::Loading(loading)) = self.by_adapter.remove(&look.adapter) {
-                    loading.answer(Loaded::Failed);
+                    loading.answer(LoadOutcome::Failed);
                 }
                 false
             }
@@ -261,7 +261,7 @@
     }
 
     /// Tells all that wait, as nobody looks at loads any more.
-    pub fn give_up(mut self, loaded: Loaded) {
+    pub fn give_up(mut self, loaded: LoadOutcome) {
         self.answer_all(loaded);
     }
 
@@ -358,11 +358,11 @@
         if let Some(Slot::Loading(loading)) = former {
             let took = now.since(loading.since);
             log::debug!("orders: {adapter} is loaded after {took}");
-            loading.answer(Loaded::Ready(version));
+            loading.answer(LoadOutcome::Ready(version));
         }
     }
 
-    fn answer_all(&mut self, loaded: Loaded) {
+    fn answer_all(&mut self, loaded: LoadOutcome) {
         for slot in std::mem::take(&mut self.by_adapter).into_values() {
             if let Slot::Loading(loading) = slot {
                 loading.answer(loaded);
--- a/lib/src/direct/outage.rs
+++ b/lib/src/direct/outage.rs
@@ -7,7 +7,7 @@
 //! docs/design/0014-presence-of-upstreams.md.
 
 use crate::clock::Millis;
-use crate::direct::limits::{Limits, POLL_WAIT};
+use crate::direct::limits::{Limits, POLL_TIMEOUT};
 
 /// How long calls fail, or nothing comes beyond a call's usual wait, before that is an outage.
 const SILENCE: Millis = Millis(1_000);
@@ -86,8 +86,9 @@
         self.answered = self.answered.max(now);
         // A call that waited since before the outage can be answered in its midst.
         let failing = failures.map_or(Millis::ZERO, |failures| now.since(failures.since));
-        let is_outage =
-            silent > POLL_WAIT + SILENCE || failing > SILENCE || (doubting && failures.is_some());
+        let is_outage = silent > POLL_TIMEOUT + SILENCE
+            || failing > SILENCE
+            || (doubting && failures.is_some());
         is_outage.then_some(Return {
             at: now,
             silent,
@@ -138,6 +139,6 @@
             return false;
         };
         let is_known = (1..=self.known).contains(&created);
-        is_known && as_of >= to && to.since(from) >= limits.lapse
+        is_known && as_of >= to && to.since(from) >= limits.entry_expiry
     }
 }
--- a/lib/src/direct/serve.rs
+++ b/lib/src/direct/peer_server.rs
@@ -10,12 +10,12 @@
 use tonic::transport::Server;
 use tonic::{Request, Response, Status, Streaming};
 
-use super::admit::{Answer, Question, Replies};
-use super::ask::Controllers;
-use super::limits::in_use;
-use super::orders::Loaded;
+use super::admit::{AdmitDecision, AdmitQuery, AdmitReplies};
+use super::controllers::Controllers;
+use super::limits::in_use_grace;
+use super::orders::LoadOutcome;
 use super::upstream::Upstream;
-use super::view::Evidence;
+use super::view::PutOutcome;
 use crate::clock::Millis;
 use crate::name::Name;
 use crate::schema::direct::orders_server::{Orders, OrdersServer};
@@ -48,7 +48,7 @@
 
 #[async_trait]
 impl Orders for Service {
-    type AdmitStream = Replies;
+    type AdmitStream = AdmitReplies;
     type FollowStream = BoxStream<'static, Result<Update, Status>>;
 
     async fn follow(
@@ -56,50 +56,50 @@
         request: Request<FollowRequest>,
     ) -> Result<Response<Self::FollowStream>, Status> {
         let after = request.into_inner().after;
-        Ok(Response::new(self.0.hub.listen(after)?.boxed()))
+        Ok(Response::new(self.0.hub.subscribe(after)?.boxed()))
     }
 
     async fn admit(
         &self,
         request: Request<Streaming<AdmitRequest>>,
-    ) -> Result<Response<Replies>, Status> {
+    ) -> Result<Response<AdmitReplies>, Status> {
         let mut questions = request.into_inner();
         let Some(request) = questions.message().await? else {
             return Err(Status::invalid_argument("there is no question"));
         };
         let adapter = (!request.adapter.is_empty()).then(|| Name::from(request.adapter));
-        let question = Question {
+        let question = AdmitQuery {
             adapter: adapter.as_ref(),
             version: request.version,
-            limit: request.limit,
+            max_running: request.limit,
             loaded: request.loaded,
             tokens: request.tokens,
-            patience: Millis(request.patience_ms),
+            max_wait: Millis(request.patience_ms),
         };
         let answer = match self.upstream(&request.incarnation) {
             Some(upstream) => self.0.admit_here(&upstream, question),
-            None => Answer::Unknown,
+            None => AdmitDecision::Unknown,
         };
-        Ok(Response::new(Replies::new(answer, questions)))
+        Ok(Response::new(AdmitReplies::new(answer, questions)))
     }
 
     async fn load(&self, request: Request<LoadRequest>) -> Result<Response<LoadReply>, Status> {
         let request = request.into_inner();
         let controllers = &self.0;
         let loaded = match self.upstream(&request.incarnation) {
-            Some(upstream) if controllers.right.owns(upstream.address) => {
+            Some(upstream) if controllers.ownership.owns(upstream.address) => {
                 let adapter = Name::from(request.adapter);
                 controllers
-                    .load_here(&upstream, &adapter, request.version)
+                    .load_locally(&upstream, &adapter, request.version)
                     .await
             }
-            _ => Loaded::NotOwner,
+            _ => LoadOutcome::NotOwner,
         };
         let (outcome, version) = match loaded {
-            Loaded::Ready(version) => (Outcome::Ready, version),
-            Loaded::Full => (Outcome::Full, 0),
-            Loaded::NotOwner => (Outcome::NotOwner, 0),
-            Loaded::Failed => (Outcome::Failed, 0),
+            LoadOutcome::Ready(version) => (Outcome::Ready, version),
+            LoadOutcome::Full => (Outcome::Full, 0),
+            LoadOutcome::NotOwner => (Outcome::NotOwner, 0),
+            LoadOutcome::Failed => (Outcome::Failed, 0),
         };
         Ok(Response::new(LoadReply {
             outcome: outcome.into(),
@@ -120,7 +120,7 @@
                 .map_err(|_| Status::invalid_argument("an owned engine has no address"))?;
             owned.push((address, one.token));
         }
-        let supported = self.0.right.votes_for(&request.node, &owned);
+        let supported = self.0.ownership.votes_for(&request.node, &owned);
         Ok(Response::new(SupportReply { supported }))
     }
 
@@ -130,8 +130,8 @@
         let view = &self.0.view;
         let taken = view
             .state()
-            .put_evidence(&request.name, &request.value, None, now);
-        if taken != Evidence::Taken {
+            .put_quarantine_record(&request.name, &request.value, None, now);
+        if taken != PutOutcome::Applied {
             return Err(Status::invalid_argument("the record is none that is told"));
         }
         view.changed.notify_waiters();
@@ -147,9 +147,9 @@
         for one in &request.uses {
             if let Some(standing) = self.0.standing(one) {
                 let adapters = one.adapters.iter().map(|name| name.as_str().into());
-                let nodes = self.0.view.state().most_nodes;
+                let nodes = self.0.view.state().max_nodes_seen;
                 self.0
-                    .note_uses(&one.incarnation, adapters.collect(), in_use(nodes));
+                    .record_uses(&one.incarnation, adapters.collect(), in_use_grace(nodes));
                 standings.push(standing);
             }
         }
--- a/lib/src/direct/quarantine.rs
+++ b/lib/src/direct/quarantine.rs
@@ -162,7 +162,7 @@
             return;
         }
         let suspect = Suspect { request, suspicion };
-        let start = upstream.start();
+        let start = upstream.start_id();
         if suspicion == Suspicion::Begun {
             self.add_unconfirmed(&start, suspect.clone());
         }
@@ -211,11 +211,11 @@
     async fn check_upstream(self: &Arc<Self>, upstream: &Arc<Upstream>) {
         tokio::time::sleep(CONNECTION_BREAK_WINDOW.duration()).await;
         let has_crashed = self.has_crashed(upstream).await;
-        let suspects = self.under_check().remove(&upstream.start());
+        let suspects = self.under_check().remove(&upstream.start_id());
         if let (true, Some(suspects)) = (has_crashed, suspects) {
             self.report_crash(upstream, &self.node, suspects);
         }
-        self.remove_unconfirmed(&upstream.start(), &self.node);
+        self.remove_unconfirmed(&upstream.start_id(), &self.node);
         self.check_finished.notify_waiters();
     }
 
@@ -229,7 +229,7 @@
         if upstream.link.probe().await == Listening::Refused {
             return true;
         }
-        self.broadcast_unconfirmed(&upstream.start());
+        self.broadcast_unconfirmed(&upstream.start_id());
         self.list_shows_crash(upstream).await
     }
 
@@ -246,12 +246,13 @@
             }
             // An upstream that serves a request this late hadn't crashed; a later crash has another
             // cause.
-            let is_alive = upstream.served() != *served.get_or_insert_with(|| upstream.served());
+            let is_alive =
+                upstream.successes() != *served.get_or_insert_with(|| upstream.successes());
             if is_alive || now.since(started_at) >= REPORT_TTL {
                 return false;
             }
         }
-        upstream.was_lost()
+        upstream.left_unannounced()
     }
 
     /// Reports a node's requests at a crashed upstream, in place of that node if it isn't this one.
@@ -265,7 +266,7 @@
                 "quarantine: upstream crashed"
             );
         }
-        let start = upstream.start();
+        let start = upstream.start_id();
         let name = Name::from(format!("{CRASH_REPORT_PREFIX}{start}/{node}"));
         let now = self.clock.now();
         let mut state = self.view.state();
--- a/lib/src/direct/resume.rs
+++ b/lib/src/direct/resume.rs
@@ -8,12 +8,12 @@
 
 use http_body_util::BodyExt;
 
-use super::attempt::{Answer, Miss};
-use super::handover::{Moved, Reply};
-use super::record;
-use super::relay::{Cut, Relay, USUAL_PAUSE};
-use super::request::LOOK;
-use super::sequence::{Sequence, Step};
+use super::attempt::{SendError, UpstreamResponse};
+use super::event_sequence::{EventSequence, StreamStep};
+use super::handover::{HandoverReply, StoppedRun};
+use super::relay::{Relay, ResponseAborted, USUAL_PAUSE};
+use super::request::SELECTION_RETRY_PAUSE;
+use super::request_log;
 use super::versions;
 use crate::clock::Millis;
 use crate::error::Failure;
@@ -27,9 +27,9 @@
 /// What came first.
 enum Found {
     /// What the silent engine brought.
-    Here(Step),
+    Here(StreamStep),
     /// The search's result, and how the silent engine's answer ended meanwhile, if it did.
-    Elsewhere(Result<Box<Answer>, Failure>, Option<Step>),
+    Elsewhere(Result<Box<UpstreamResponse>, Failure>, Option<StreamStep>),
 }
 
 impl Relay {
@@ -37,17 +37,17 @@
     ///
     /// An engine can pause for longer than callers bear and go on. It is left only for another
     /// one that has begun to go on with the stream.
-    pub(super) async fn stalled(&mut self, span: Millis) -> Step {
+    pub(super) async fn stalled(&mut self, span: Millis) -> StreamStep {
         let told = format!("nothing for {span}");
-        if self.stopped.is_some() || self.request.now() >= self.request.until {
-            return Step::Broken(told);
+        if self.stopped.is_some() || self.request.now() >= self.request.deadline {
+            return StreamStep::Broken(told);
         }
         let Some(former) = self.answer.take() else {
-            return Step::Broken(told);
+            return StreamStep::Broken(told);
         };
         if !self.request.reserve_elsewhere(&former.upstream) {
             self.answer = Some(former);
-            return Step::More;
+            return StreamStep::More;
         }
         self.look_elsewhere(former, told).await
     }
@@ -57,7 +57,7 @@
     /// A free place elsewhere is only believed, and the engine there can reject the request. So
     /// the silent one is read meanwhile, and closed once another one's head has come. Where its
     /// answer ends meanwhile, the other one's is waited for all the same.
-    async fn look_elsewhere(&mut self, former: Answer, told: String) -> Step {
+    async fn look_elsewhere(&mut self, former: UpstreamResponse, told: String) -> StreamStep {
         let upstream = Arc::clone(&former.upstream);
         if !std::mem::replace(&mut self.silent, true) {
             self.request.blame(&upstream);
@@ -72,26 +72,28 @@
                 step
             }
             Found::Elsewhere(Ok(answer), _) if answer.head.status.is_success() => {
-                self.request.gate.count_retry("resumed");
-                record::resumed(&self.request, self.events.last(), &told);
+                self.request.frontend.count_retry("resumed");
+                request_log::resumed(&self.request, self.events.last(), &told);
                 drop(former);
                 // What was asked of the former engine is of no use any more.
                 self.handover = None;
                 self.begin(*answer);
-                Step::More
+                StreamStep::More
+            }
+            Found::Elsewhere(_, Some(StreamStep::Withdrawn)) => {
+                StreamStep::Broken(REPLACED.to_owned())
             }
-            Found::Elsewhere(_, Some(Step::Withdrawn)) => Step::Broken(REPLACED.to_owned()),
             Found::Elsewhere(_, Some(ended)) => {
                 self.broke(&upstream);
                 match ended {
-                    Step::Broken(told) => Step::Broken(told),
-                    _ => Step::Broken("the run may have been stopped".to_owned()),
+                    StreamStep::Broken(told) => StreamStep::Broken(told),
+                    _ => StreamStep::Broken("the run may have been stopped".to_owned()),
                 }
             }
             Found::Elsewhere(_, None) => {
-                record::stays(&self.request, &upstream);
+                request_log::stays(&self.request, &upstream);
                 self.answer = former;
-                Step::More
+                StreamStep::More
             }
         }
     }
@@ -99,7 +101,7 @@
     /// Reads a silent engine's answer while another engine is looked for.
     ///
     /// The answer is dropped when it ends, or when its run may no longer begin.
-    async fn first_of(&mut self, former: &mut Option<Answer>) -> Found {
+    async fn first_of(&mut self, former: &mut Option<UpstreamResponse>) -> Found {
         // A run that may have been stopped to be moved ends its stream early.
         let ends_whole = self.handover.is_none();
         let Self {
@@ -113,9 +115,9 @@
                 biased;
                 answer = &mut search => return Found::Elsewhere(answer.map(Box::new), ended),
                 step = next_step(former, events) => match step {
-                    Step::More => {}
-                    Step::End if ends_whole => return Found::Here(Step::End),
-                    step @ Step::Events(_) => return Found::Here(step),
+                    StreamStep::More => {}
+                    StreamStep::End if ends_whole => return Found::Here(StreamStep::End),
+                    step @ StreamStep::Events(_) => return Found::Here(step),
                     step => {
                         *former = None;
                         ended = Some(step);
@@ -126,13 +128,13 @@
     }
 
     /// Goes on elsewhere with a stream whose run may no longer begin where it is.
-    pub(super) async fn withdraw(&mut self) -> Result<(), Cut> {
+    pub(super) async fn withdraw(&mut self) -> Result<(), ResponseAborted> {
         if let Some(former) = self.answer.take() {
             let upstream = Arc::clone(&former.upstream);
             drop(former);
-            let miss = Miss::Withdrawn { sent: true };
+            let miss = SendError::Withdrawn { sent: true };
             let missed = self.request.missed(&upstream, miss, true);
-            missed.map_err(|failure| Cut(failure.to_string()))?;
+            missed.map_err(|failure| ResponseAborted(failure.to_string()))?;
         }
         self.read_anew(REPLACED).await
     }
@@ -143,16 +145,16 @@
     ///
     /// # Errors
     ///
-    /// [`Cut`] when it isn't and can't go on.
-    pub(super) async fn is_whole(&mut self) -> Result<bool, Cut> {
+    /// [`ResponseAborted`] when it isn't and can't go on.
+    pub(super) async fn is_whole(&mut self) -> Result<bool, ResponseAborted> {
         if self.handover.is_none() && self.stopped.is_none() {
             return Ok(true);
         }
         let span = self.patience(self.request.now());
         match self.moved(span).await {
-            Reply::Unchanged => Ok(true),
-            Reply::Stopped(moved) => self.continue_moved(&moved).await.map(|()| false),
-            Reply::Unanswered => {
+            HandoverReply::Unchanged => Ok(true),
+            HandoverReply::Stopped(moved) => self.continue_moved(&moved).await.map(|()| false),
+            HandoverReply::Unanswered => {
                 let told = "the run may have been stopped";
                 self.go_on_elsewhere(told).await.map(|()| false)
             }
@@ -163,17 +165,17 @@
     ///
     /// # Errors
     ///
-    /// [`Cut`] when it can't go on.
-    pub(super) async fn go_on(&mut self, told: &str) -> Result<(), Cut> {
+    /// [`ResponseAborted`] when it can't go on.
+    pub(super) async fn go_on(&mut self, told: &str) -> Result<(), ResponseAborted> {
         let span = self.patience(self.request.now());
-        if let Reply::Stopped(moved) = self.moved(span).await {
+        if let HandoverReply::Stopped(moved) = self.moved(span).await {
             return self.continue_moved(&moved).await;
         }
         self.go_on_elsewhere(told).await
     }
 
     /// Goes on anew elsewhere, or where the run's memory lies if the engine tells that after all.
-    async fn go_on_elsewhere(&mut self, told: &str) -> Result<(), Cut> {
+    async fn go_on_elsewhere(&mut self, told: &str) -> Result<(), ResponseAborted> {
         // Dropping the answer closes its connection, so that the former
         // upstream stops before another begins.
         if let Some(former) = self.answer.take() {
@@ -187,42 +189,45 @@
             return Ok(());
         };
         // The memory of a run that was stopped may still be named.
-        let left = self.request.until.since(self.request.now());
+        let left = self.request.deadline.since(self.request.now());
         match self.moved(left).await {
-            Reply::Stopped(moved) => self.continue_moved(&moved).await,
-            Reply::Unchanged | Reply::Unanswered => Err(cut),
+            HandoverReply::Stopped(moved) => self.continue_moved(&moved).await,
+            HandoverReply::Unchanged | HandoverReply::Unanswered => Err(cut),
         }
     }
 
     /// Returns what the engine said to the question to move the run.
-    async fn moved(&mut self, span: Millis) -> Reply {
+    async fn moved(&mut self, span: Millis) -> HandoverReply {
         if let Some(moved) = self.stopped.take() {
-            return Reply::Stopped(moved);
+            return HandoverReply::Stopped(moved);
         }
         let Some(mut handover) = self.handover.take() else {
-            return Reply::Unchanged;
+            return HandoverReply::Unchanged;
         };
         let reply = handover.reply(span).await;
-        if matches!(reply, Reply::Unanswered) {
+        if matches!(reply, HandoverReply::Unanswered) {
             self.handover = Some(handover);
         }
         reply
     }
 
     /// Has another upstream read the prompt and go on behind the last event.
-    async fn read_anew(&mut self, told: &str) -> Result<(), Cut> {
+    async fn read_anew(&mut self, told: &str) -> Result<(), ResponseAborted> {
         if !self.request.may_go_on() {
-            return Err(Cut(told.to_owned()));
+            return Err(ResponseAborted(told.to_owned()));
         }
-        self.request.gate.count_retry("resumed");
-        record::resumed(&self.request, self.events.last(), told);
+        self.request.frontend.count_retry("resumed");
+        request_log::resumed(&self.request, self.events.last(), told);
         let answer = self
             .request
             .answer(self.events.last())
             .await
-            .map_err(|failure| Cut(format!("{told}; then {failure}")))?;
+            .map_err(|failure| ResponseAborted(format!("{told}; then {failure}")))?;
         if !answer.head.status.is_success() {
-            return Err(Cut(format!("{told}; then status {}", answer.head.status)));
+            return Err(ResponseAborted(format!(
+                "{told}; then status {}",
+                answer.head.status
+            )));
         }
         self.begin(answer);
         Ok(())
@@ -233,26 +238,31 @@
     /// Both engines can be full at that moment, and the memory stays where it is for seconds.
     /// Where the prompt can't be read anew either, they are asked again for as long as callers
     /// bear a pause: the memory is all that is left of the answer.
-    async fn continue_moved(&mut self, moved: &Moved) -> Result<(), Cut> {
+    async fn continue_moved(&mut self, moved: &StoppedRun) -> Result<(), ResponseAborted> {
         self.answer = None;
-        let pause = self.request.route.pause.unwrap_or(USUAL_PAUSE).max(LOOK);
+        let pause = self
+            .request
+            .route
+            .max_event_gap
+            .unwrap_or(USUAL_PAUSE)
+            .max(SELECTION_RETRY_PAUSE);
         let given_up = self.request.now() + Millis(pause.0 * BORNE_PAUSES);
-        let until = given_up.min(self.request.until);
+        let until = given_up.min(self.request.deadline);
         let mut asked = 0;
         for place in moved.places.iter().cycle() {
             let last = self.events.last();
             let sent = self.request.continue_run(place, moved.memory.clone(), last);
             match sent.await {
                 Ok(answer) => {
-                    record::moved(&self.request, &place.upstream, last, "goes on");
-                    self.request.pace.moved += 1;
+                    request_log::moved(&self.request, &place.upstream, last, "goes on");
+                    self.request.timing.moved += 1;
                     self.begin(answer);
                     return Ok(());
                 }
                 Err(miss) => {
-                    record::moved(&self.request, &place.upstream, last, miss.name());
-                    if matches!(miss, Miss::Rejected { .. }) {
-                        self.request.gate.spend_repeat(&self.request.pool);
+                    request_log::moved(&self.request, &place.upstream, last, miss.name());
+                    if matches!(miss, SendError::Rejected { .. }) {
+                        self.request.frontend.charge_retry(&self.request.pool);
                     }
                     // It may run there: nobody else may go on with the memory.
                     if miss.may_run() {
@@ -269,14 +279,14 @@
                 return Ok(());
             }
             if !self.request.wait_for_repeat(pause, until).await {
-                return Err(Cut(told.to_owned()));
+                return Err(ResponseAborted(told.to_owned()));
             }
         }
-        Err(Cut("the memory lies nowhere".to_owned()))
+        Err(ResponseAborted("the memory lies nowhere".to_owned()))
     }
 
     /// Goes on with another answer, behind the last event.
-    fn begin(&mut self, answer: Answer) {
+    fn begin(&mut self, answer: UpstreamResponse) {
         self.events.restart();
         self.begin_run();
         self.silent = false;
@@ -286,7 +296,10 @@
 }
 
 /// Reads what an answer brings next; for ever if it was dropped.
-async fn next_step(answer: &mut Option<Answer>, events: &mut Sequence) -> Step {
+async fn next_step(
+    answer: &mut Option<UpstreamResponse>,
+    events: &mut EventSequence,
+) -> StreamStep {
     let Some(answer) = answer else {
         return std::future::pending().await;
     };
@@ -296,6 +309,6 @@
             answer.has_begun();
             events.receive(received)
         }
-        () = versions::expired(answer.watch.as_ref()) => Step::Withdrawn,
+        () = versions::expired(answer.watch.as_ref()) => StreamStep::Withdrawn,
     }
 }
--- a/lib/src/direct/target.rs
+++ b/lib/src/direct/target.rs
@@ -5,19 +5,19 @@
 use smallvec::SmallVec;
 use xxhash_rust::xxh3::xxh3_64;
 
-use super::admit::{self, Permit, Question};
-use super::attempt::Answer;
-use super::call::Call;
-use super::choice::{self, MOST_QUESTIONS};
-use super::entry::{CLASS, seconds};
-use super::orders::Loaded;
-use super::pick::{Field, usual_share};
-use super::place::Asked;
-use super::record::Asking;
-use super::request::{ActiveRequest, LOOK};
-use super::roles::{Manner, Roles, may_move};
+use super::acquire::Asked;
+use super::admission_policy::{self, MAX_ADMISSION_QUERIES};
+use super::admit::{self, AdmitQuery, Permit};
+use super::attempt::UpstreamResponse;
+use super::entry::{CLASS_LABEL, seconds};
+use super::metadata::RequestMetadata;
+use super::orders::LoadOutcome;
+use super::request::{ActiveRequest, SELECTION_RETRY_PAUSE};
+use super::request_log::LoadAttempt;
+use super::roles::{Roles, Workload, may_move};
+use super::selection::{Selector, mean_remote_utilization};
 use super::upstream::Upstream;
-use super::versions::{REPLACEMENT, WITHDRAWAL};
+use super::versions::{REPLACEMENT_LEAD, WITHDRAWAL_LEAD};
 use crate::clock::Millis;
 use crate::error::{Code, Failure};
 use crate::name::Name;
@@ -63,36 +63,36 @@
 
 impl ActiveRequest {
     /// Finds where to send, waiting a little if nothing fits.
-    pub(super) async fn target(&self) -> Result<Target, Failure> {
-        let patience = self.began + Millis(self.route.objective.0 / REFUSE_AFTER);
-        let quarantine = &self.gate.quarantine;
+    pub(super) async fn find_target(&self) -> Result<Target, Failure> {
+        let patience = self.arrived_at + Millis(self.route.latency_objective.0 / REFUSE_AFTER);
+        let quarantine = &self.frontend.quarantine;
         if !quarantine.is_empty() {
             quarantine
                 .wait_for_crash_check(self.message.fingerprint())
                 .await;
         }
         loop {
-            self.check()?;
-            let upstreams = self.gate.view.pool(&self.pool);
-            let roles = self.gate.roles(&self.pool);
+            self.check_quarantine()?;
+            let upstreams = self.frontend.view.pool(&self.pool);
+            let roles = self.frontend.roles(&self.pool);
             let field = self.field(&upstreams, &roles);
-            let found = match &self.message.call.model {
-                None => field.least(|_| true).map(anywhere),
-                Some(model) => match self.message.call.adapter() {
+            let found = match &self.message.metadata.model {
+                None => field.least_loaded(|_| true).map(anywhere),
+                Some(model) => match self.message.metadata.adapter() {
                     None => self.with_base(&field, model).await,
                     Some(adapter) => self.holder(&field, adapter).await?,
                 },
             };
             if let Some(target) = found {
                 // It can have waited for its adapter meanwhile.
-                self.check()?;
+                self.check_quarantine()?;
                 return Ok(target);
             }
             let now = self.now();
-            if now >= patience || now >= self.until {
+            if now >= patience || now >= self.deadline {
                 return Err(self.refusal(Code::NoUpstream, "no upstream can take it now"));
             }
-            tokio::time::sleep(LOOK.duration()).await;
+            tokio::time::sleep(SELECTION_RETRY_PAUSE.duration()).await;
         }
     }
 
@@ -100,64 +100,68 @@
     ///
     /// With `ask`, a writer is asked to hold the adapter where none does, so that a later
     /// event of this stream can move it.
-    pub(super) fn writer(&self, answer: &Answer, ask: bool) -> Option<Target> {
+    pub(super) fn decode_target(&self, answer: &UpstreamResponse, ask: bool) -> Option<Target> {
         let source = &answer.upstream;
-        let roles = self.gate.roles(&self.pool);
-        if !roles.reads(source.address) {
+        let roles = self.frontend.roles(&self.pool);
+        if !roles.is_prefill(source.address) {
             return None;
         }
-        let upstreams = self.gate.view.pool(&self.pool);
+        let upstreams = self.frontend.view.pool(&self.pool);
         let field = self.field(&upstreams, &roles);
         let takes = |upstream: &Upstream| {
-            !field.reads(upstream)
-                && !upstream.suspended(field.now)
-                && upstream.load() < upstream.slots
+            !field.is_prefill(upstream)
+                && !upstream.is_suspended(field.now)
+                && upstream.total_running() < upstream.slots
         };
-        let Some(adapter) = self.message.call.adapter() else {
-            let model = self.message.call.model.as_ref()?;
+        let Some(adapter) = self.message.metadata.adapter() else {
+            let model = self.message.metadata.model.as_ref()?;
             return field
-                .least(|upstream| takes(upstream) && upstream.has_base(model))
+                .least_loaded(|upstream| takes(upstream) && upstream.has_base_model(model))
                 .map(anywhere);
         };
-        let newest = self.gate.view.newest(adapter).map(|newest| newest.version);
+        let newest = self
+            .frontend
+            .view
+            .newest(adapter)
+            .map(|newest| newest.version);
         let fits = |upstream: &Upstream| {
             let held = upstream.version(adapter);
             held.is_some_and(|held| may_move(answer.version, held, newest))
         };
-        let found = field.least(|upstream| takes(upstream) && fits(upstream));
+        let found = field.least_loaded(|upstream| takes(upstream) && fits(upstream));
         if found.is_none() && ask {
             let mut homes = self.homes(&field, adapter);
-            homes.retain(|upstream| !field.reads(upstream));
-            self.gate
-                .load_soon(homes, adapter, newest.unwrap_or_default());
+            homes.retain(|upstream| !field.is_prefill(upstream));
+            self.frontend
+                .load_in_background(homes, adapter, newest.unwrap_or_default());
         }
         found.map(|upstream| Self::at(upstream, adapter))
     }
 
-    pub(super) fn manner(&self) -> Manner {
-        Manner::of(self.message.call.tokens)
+    pub(super) fn manner(&self) -> Workload {
+        Workload::of(self.message.metadata.tokens)
     }
 
     pub(super) fn field<'a>(
         &'a self,
         upstreams: &'a [Arc<Upstream>],
         roles: &'a Roles,
-    ) -> Field<'a> {
-        Field {
+    ) -> Selector<'a> {
+        Selector {
             upstreams,
             tried: &self.tried,
-            home: &self.gate.failure_domain,
+            home: &self.frontend.failure_domain,
             now: self.now(),
-            salt: salt(&self.message.call),
-            pause: self.route.pause,
+            salt: salt(&self.message.metadata),
+            pause: self.route.max_event_gap,
             roles,
             id: xxh3_64(self.id().as_bytes()),
             usual: self
                 .message
-                .call
+                .metadata
                 .model
                 .is_some()
-                .then(|| usual_share(upstreams)),
+                .then(|| mean_remote_utilization(upstreams)),
         }
     }
 
@@ -166,8 +170,12 @@
     /// # Errors
     ///
     /// A refusal when the request would begin too late wherever it is sent.
-    async fn holder(&self, field: &Field<'_>, adapter: &Name) -> Result<Option<Target>, Failure> {
-        let newest = self.gate.view.newest(adapter);
+    async fn holder(
+        &self,
+        field: &Selector<'_>,
+        adapter: &Name,
+    ) -> Result<Option<Target>, Failure> {
+        let newest = self.frontend.view.newest(adapter);
         let wanted = newest.map_or(0, |newest| newest.version);
         let waiting = match self.ask_holders(field, adapter, wanted).await {
             Asked::Place(target) => return Ok(Some(target)),
@@ -181,8 +189,8 @@
             Asked::Load(waiting) => waiting,
         };
         if let Some(target) = self.older(field, adapter, wanted).await {
-            self.gate
-                .load_soon(self.homes(field, adapter), adapter, wanted);
+            self.frontend
+                .load_in_background(self.homes(field, adapter), adapter, wanted);
             return Ok(Some(target));
         }
         let homes = self.homes(field, adapter);
@@ -191,13 +199,13 @@
             .await;
         homes.extend(self.replacing(field, adapter));
         if let Some(upstream) = self.loaded(homes, adapter, wanted).await {
-            let question = Question {
+            let question = AdmitQuery {
                 loaded: true,
-                ..self.question(Some(adapter), wanted)
+                ..self.admit_query(Some(adapter), wanted)
             };
             return Ok(self.counted(upstream, adapter, question).await);
         }
-        let question = self.question(Some(adapter), wanted);
+        let question = self.admit_query(Some(adapter), wanted);
         if let Some(waiting) = waiting
             && let Some(target) = self.counted(waiting.upstream, adapter, question).await
         {
@@ -207,7 +215,7 @@
         // above, and is better than none now.
         let holds =
             |upstream: &Upstream| upstream.version(adapter).is_some_and(|held| held >= wanted);
-        match field.first(self.manner(), holds) {
+        match field.select(self.manner(), holds) {
             Some(upstream) => Ok(self.counted(upstream, adapter, question).await),
             None => Ok(None),
         }
@@ -219,35 +227,37 @@
     /// while the newest one is loaded elsewhere in less time than most queues take. A request
     /// that doesn't show when it begins waits for the newest. Where the newest one's engines have
     /// queues, a free place begins a request sooner than they or a further load would.
-    async fn older(&self, field: &Field<'_>, adapter: &Name, newest: u64) -> Option<Target> {
-        if !self.message.kind.streamed() {
+    async fn older(&self, field: &Selector<'_>, adapter: &Name, newest: u64) -> Option<Target> {
+        if !self.message.kind.is_streaming() {
             return None;
         }
-        let mut asked: SmallVec<[Name; MOST_QUESTIONS]> = SmallVec::new();
-        while asked.len() < MOST_QUESTIONS {
+        let mut asked: SmallVec<[Name; MAX_ADMISSION_QUERIES]> = SmallVec::new();
+        while asked.len() < MAX_ADMISSION_QUERIES {
             let fits = |upstream: &Upstream| {
                 upstream.version(adapter).is_some_and(|held| held < newest)
                     && !asked.contains(&upstream.incarnation)
                     && !upstream.is_unreachable(field.now)
                     && self.time_to_begin(upstream, adapter) > Millis::ZERO
             };
-            let upstream = field.first(self.manner(), fits)?;
+            let upstream = field.select(self.manner(), fits)?;
             asked.push(Name::clone(&upstream.incarnation));
-            let question = Question {
-                limit: upstream.slots,
-                patience: choice::calm_wait(self.route.objective)
+            let question = AdmitQuery {
+                max_running: upstream.slots,
+                max_wait: admission_policy::calm_wait(self.route.latency_objective)
                     .min(self.time_to_begin(&upstream, adapter)),
-                ..self.question(Some(adapter), 0)
+                ..self.admit_query(Some(adapter), 0)
             };
-            match self.gate.controllers.admit(&upstream, question).await {
-                admit::Answer::Admitted(permit, _) => {
+            match self.frontend.controllers.admit(&upstream, question).await {
+                admit::AdmitDecision::Admitted(permit, _) => {
                     return Some(Self::admitted(upstream, adapter, Some(permit)));
                 }
-                admit::Answer::Absent(_) => upstream.lost(adapter),
-                admit::Answer::Unknown if upstream.load() < choice::calm_limit(upstream.slots) => {
+                admit::AdmitDecision::Absent(_) => upstream.remove_adapter(adapter),
+                admit::AdmitDecision::Unknown
+                    if upstream.total_running() < admission_policy::calm_limit(upstream.slots) =>
+                {
                     return Some(Self::admitted(upstream, adapter, None));
                 }
-                admit::Answer::Busy(_) | admit::Answer::Unknown => {}
+                admit::AdmitDecision::Busy(_) | admit::AdmitDecision::Unknown => {}
             }
         }
         None
@@ -258,8 +268,10 @@
         let Some(version) = upstream.version(adapter) else {
             return Millis::ZERO;
         };
-        match self.gate.begin_by(adapter, version) {
-            Some(begin_by) => begin_by.since(self.now() + REPLACEMENT + WITHDRAWAL),
+        match self.frontend.begin_deadline(adapter, version) {
+            Some(begin_deadline) => {
+                begin_deadline.since(self.now() + REPLACEMENT_LEAD + WITHDRAWAL_LEAD)
+            }
             None => Millis::MAX,
         }
     }
@@ -276,23 +288,23 @@
             if asked == MOST_ASKED || unowned == MOST_UNOWNED {
                 break;
             }
-            let left = self.until.since(self.now());
-            let asking = Asking::new(self, &upstream, adapter);
-            let load = self.gate.controllers.load(&upstream, adapter, wanted);
+            let left = self.deadline.since(self.now());
+            let load_attempt = LoadAttempt::new(self, &upstream, adapter);
+            let load = self.frontend.controllers.load(&upstream, adapter, wanted);
             let Ok(loaded) = tokio::time::timeout(left.duration(), load).await else {
                 break;
             };
-            let took = asking.answered(loaded);
-            self.gate
+            let took = load_attempt.finish(loaded);
+            self.frontend
                 .metrics
                 .load_wait
-                .with_label_values(&[CLASS])
+                .with_label_values(&[CLASS_LABEL])
                 .observe(seconds(took));
             match loaded {
-                Loaded::Ready(held) if held >= wanted && upstream.is_ready() => {
+                LoadOutcome::Ready(held) if held >= wanted && upstream.is_ready() => {
                     return Some(upstream);
                 }
-                Loaded::NotOwner => unowned += 1,
+                LoadOutcome::NotOwner => unowned += 1,
                 _ => asked += 1,
             }
         }
@@ -305,16 +317,17 @@
     /// service is away there are many of them; asked one after the other, they used up the
     /// questions of a request that an engine further down could have served.
     fn can_load(&self, upstream: &Upstream, adapter: &Name) -> bool {
-        upstream.has_base(adapter) && self.gate.controllers.is_ordered(upstream)
+        upstream.has_base_model(adapter) && self.frontend.controllers.has_live_owner(upstream)
     }
 
     /// Engines that could load the adapter, those with no older version of it first.
-    fn homes(&self, field: &Field<'_>, adapter: &Name) -> Vec<Arc<Upstream>> {
-        let mut homes = field.homes(adapter, |upstream| self.can_load(upstream, adapter));
-        let reads = self.manner() == Manner::Reads;
-        homes.sort_by_key(|upstream| field.reads(upstream) != reads);
+    fn homes(&self, field: &Selector<'_>, adapter: &Name) -> Vec<Arc<Upstream>> {
+        let mut homes =
+            field.placement_candidates(adapter, |upstream| self.can_load(upstream, adapter));
+        let reads = self.manner() == Workload::PrefillHeavy;
+        homes.sort_by_key(|upstream| field.is_prefill(upstream) != reads);
         if let Some(rest) = homes.get_mut(FIRST_HOMES..) {
-            rest.sort_by_key(|upstream| upstream.held_count());
+            rest.sort_by_key(|upstream| upstream.adapter_count());
         }
         homes.sort_by_key(|upstream| upstream.version(adapter).is_some());
         homes
@@ -323,11 +336,11 @@
     /// Engines that rejected the request for the load of a newer version, which they go on with.
     fn replacing<'a>(
         &'a self,
-        field: &Field<'a>,
+        field: &Selector<'a>,
         adapter: &'a Name,
     ) -> impl Iterator<Item = Arc<Upstream>> + use<'a> {
         let rejected = |upstream: &&Arc<Upstream>| {
-            self.replaced_at.contains(&upstream.incarnation)
+            self.replacing_upstreams.contains(&upstream.incarnation)
                 && upstream.is_ready()
                 && self.can_load(upstream, adapter)
         };
@@ -338,15 +351,15 @@
     ///
     /// All nodes know the same order of engines; chance keeps those that notice the crowd
     /// together from asking the same one, so that replicas double with each load.
-    pub(super) fn spread(&self, field: &Field<'_>, adapter: &Name, wanted: u64, reads: bool) {
+    pub(super) fn spread(&self, field: &Selector<'_>, adapter: &Name, wanted: u64, reads: bool) {
         let holders = field.upstreams.iter();
         let replicas = holders
             .filter(|upstream| upstream.version(adapter).is_some())
             .count();
-        let mut homes = field.homes(adapter, |upstream| {
+        let mut homes = field.placement_candidates(adapter, |upstream| {
             upstream.version(adapter).is_none()
-                && field.reads(upstream) == reads
-                && upstream.load() < upstream.slots
+                && field.is_prefill(upstream) == reads
+                && upstream.total_running() < upstream.slots
                 && self.can_load(upstream, adapter)
         });
         let among = u64::try_from(replicas.clamp(1, homes.len().max(1))).unwrap_or(1);
@@ -354,19 +367,19 @@
         if chosen < homes.len() {
             homes.swap(0, chosen);
         }
-        self.gate.load_soon(homes, adapter, wanted);
+        self.frontend.load_in_background(homes, adapter, wanted);
     }
 
     /// Has a reader hold an adapter whose prompts are read at a writer, sooner the more there are.
-    pub(super) fn copy(&self, field: &Field<'_>, adapter: &Name, wanted: u64, found: &Upstream) {
+    pub(super) fn copy(&self, field: &Selector<'_>, adapter: &Name, wanted: u64, found: &Upstream) {
         let chosen = xxh3_64(self.id().as_bytes()).is_multiple_of(COPY_ONE_IN);
-        if !field.roles.is_split() || field.reads(found) || !chosen {
+        if !field.roles.is_disaggregated() || field.is_prefill(found) || !chosen {
             return;
         }
-        let homes = field.homes(adapter, |upstream| {
-            field.reads(upstream) && self.can_load(upstream, adapter)
+        let homes = field.placement_candidates(adapter, |upstream| {
+            field.is_prefill(upstream) && self.can_load(upstream, adapter)
         });
-        self.gate.load_soon(homes, adapter, wanted);
+        self.frontend.load_in_background(homes, adapter, wanted);
     }
 
     pub(super) fn at(upstream: Arc<Upstream>, adapter: &Name) -> Target {
@@ -390,9 +403,12 @@
 }
 
 /// The last part of the prompt that others share, or the request itself.
-fn salt(call: &Call) -> u64 {
-    let shared = call.parts.len().checked_sub(2);
-    match (shared.and_then(|at| call.parts.get(at)), &call.id) {
+fn salt(metadata: &RequestMetadata) -> u64 {
+    let shared = metadata.prompt_segments.len().checked_sub(2);
+    match (
+        shared.and_then(|at| metadata.prompt_segments.get(at)),
+        &metadata.id,
+    ) {
         (Some(part), _) => part.id,
         (None, Some(id)) => xxh3_64(id.as_bytes()),
         (None, None) => 0,
--- a/lib/src/direct/view.rs
+++ b/lib/src/direct/view.rs
@@ -13,7 +13,7 @@
 
 use super::config::Config;
 use super::dialect::{Dialect, Key, UpstreamEntry};
-use super::presence::Written;
+use super::presence::EntryRevision;
 use super::quarantine::{CRASH_REPORT_PREFIX, HARMLESS_PREFIX, UNCONFIRMED_CRASH_PREFIX};
 use super::upstream::Upstream;
 use super::versions::{Declaration, Declarations};
@@ -59,7 +59,7 @@
 
 /// A claim with where it stands in the key-value service.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Standing {
+pub struct ClaimEntry {
     /// Who.
     pub claim: Claim,
     /// Revision of the write: the fencing token.
@@ -85,13 +85,13 @@
     /// Nodes by name.
     pub nodes: HashMap<Name, Peer>,
     /// Claims by the engine's address.
-    pub claims: HashMap<SocketAddr, Standing>,
+    pub claims: HashMap<SocketAddr, ClaimEntry>,
     /// When this node first knew all claims.
-    pub claims_read: Option<Millis>,
+    pub claims_read_at: Option<Millis>,
     /// The claim that stood last, and when it vanished.
-    pub vanished: HashMap<SocketAddr, (Claim, Millis)>,
+    pub previous_claims: HashMap<SocketAddr, (Claim, Millis)>,
     /// Most nodes ever seen at once.
-    pub most_nodes: usize,
+    pub max_nodes_seen: usize,
     /// What speaks against requests under which upstreams ended.
     pub ledger: CrashLedger,
     /// Requests that stood where a connection broke, while nobody knows whether the upstream ended.
@@ -112,13 +112,13 @@
 
 /// What became of a record that may be about requests under which upstreams ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Evidence {
+pub enum PutOutcome {
     /// It was taken in.
-    Taken,
+    Applied,
     /// It is one, and can't be read.
     Unreadable,
     /// It is about something else.
-    Other,
+    Unrelated,
 }
 
 /// Returns the request that a survivor's record is for.
@@ -127,12 +127,12 @@
 }
 
 /// Name of a claim, with the engine's address behind it.
-pub const CLAIMS: &str = "claim/";
+pub const CLAIM_PREFIX: &str = "claim/";
 
 /// Returns the address that a claim is for.
 #[must_use]
-pub fn claimed(name: &str) -> Option<SocketAddr> {
-    name.strip_prefix(CLAIMS)?.parse().ok()
+pub fn claim_address(name: &str) -> Option<SocketAddr> {
+    name.strip_prefix(CLAIM_PREFIX)?.parse().ok()
 }
 
 /// Part of an upstream's connections that all nodes together use.
@@ -147,7 +147,7 @@
     }
 
     /// Notes up to when all changes are known.
-    pub fn renew(&self, as_of: Millis) {
+    pub fn advance_as_of(&self, as_of: Millis) {
         self.as_of.fetch_max(as_of.0, Ordering::Relaxed);
     }
 
@@ -158,7 +158,7 @@
     }
 
     /// Notes whether the key-value service answered the last call.
-    pub fn touched(&self, answered: bool) {
+    pub fn record_store_call(&self, answered: bool) {
         let lost = self.out_of_touch.swap(!answered, Ordering::Relaxed);
         if lost == answered {
             let says = if answered {
@@ -190,8 +190,11 @@
 
     /// Returns until when a request may begin on a version of an adapter; none is without end.
     #[must_use]
-    pub fn begin_by(&self, adapter: &str, version: u64, limit: Millis) -> Option<Millis> {
-        self.state().versions.get(adapter)?.begin_by(version, limit)
+    pub fn begin_deadline(&self, adapter: &str, version: u64, limit: Millis) -> Option<Millis> {
+        self.state()
+            .versions
+            .get(adapter)?
+            .begin_deadline(version, limit)
     }
 
     /// Returns the node that gives orders to the engine at an address.
@@ -217,7 +220,7 @@
     /// Takes in a configuration; an older one than is in force is left aside.
     ///
     /// Returns whether it is in force now.
-    pub fn configure(&mut self, config: Config) -> bool {
+    pub fn apply_config(&mut self, config: Config) -> bool {
         let newer = self
             .config
             .as_ref()
@@ -233,11 +236,11 @@
     ///
     /// An entry of an earlier start than is known is left aside: it was written late, or by
     /// somebody else. One of a later start is another upstream, which knows nothing of before.
-    pub fn list(&mut self, listed: &UpstreamEntry, written: Written, now: Millis) {
+    pub fn put_upstream(&mut self, listed: &UpstreamEntry, written: EntryRevision, now: Millis) {
         let known = self.upstreams.get(&listed.incarnation);
         if known.is_some_and(|upstream| listed.held.started_at_ms > upstream.started_at_ms) {
             log::info!("view: {} has started again", listed.incarnation);
-            self.unlist(&listed.incarnation);
+            self.remove_upstream(&listed.incarnation);
         }
         if let Some(upstream) = self.upstreams.get(&listed.incarnation) {
             if listed.held.started_at_ms == upstream.started_at_ms {
@@ -254,7 +257,7 @@
     }
 
     /// Removes an upstream that has left.
-    pub fn unlist(&mut self, incarnation: &str) {
+    pub fn remove_upstream(&mut self, incarnation: &str) {
         if let Some(upstream) = self.upstreams.remove(incarnation) {
             upstream.retire();
             self.pools = None;
@@ -262,13 +265,13 @@
     }
 
     /// Takes in a node's record.
-    pub fn join(&mut self, name: Name, peer: Peer) {
+    pub fn put_node(&mut self, name: Name, peer: Peer) {
         self.nodes.insert(name, peer);
-        if self.nodes.len() > self.most_nodes {
-            self.most_nodes = self.nodes.len();
+        if self.nodes.len() > self.max_nodes_seen {
+            self.max_nodes_seen = self.nodes.len();
             // Shared out anew for each of hundreds of nodes that appear at a start, this took a
             // second of a small VM; a twentieth is within what is left free.
-            if self.most_nodes >= self.shared_among + (self.shared_among / 20).max(1) {
+            if self.max_nodes_seen >= self.shared_among + (self.shared_among / 20).max(1) {
                 self.share_connections();
             }
         }
@@ -281,17 +284,17 @@
             let Key::Own(name) = dialect.parse_key(&entry.key) else {
                 continue;
             };
-            if let Some(address) = claimed(&name) {
+            if let Some(address) = claim_address(&name) {
                 present.insert(address);
                 self.put_claim(address, entry, now);
             }
         }
-        self.keep_claims(now, |address| present.contains(&address));
+        self.retain_claims(now, |address| present.contains(&address));
     }
 
     /// Takes in that all claims but some are gone.
-    pub fn keep_claims(&mut self, now: Millis, kept: impl Fn(SocketAddr) -> bool) {
-        self.claims_read.get_or_insert(now);
+    pub fn retain_claims(&mut self, now: Millis, kept: impl Fn(SocketAddr) -> bool) {
+        self.claims_read_at.get_or_insert(now);
         let gone: Vec<SocketAddr> = self
             .claims
             .keys()
@@ -299,7 +302,7 @@
             .copied()
             .collect();
         for address in gone {
-            self.unclaim(address, now);
+            self.remove_claim(address, now);
         }
     }
 
@@ -307,12 +310,12 @@
     pub fn put_claim(&mut self, address: SocketAddr, entry: &Entry, now: Millis) -> bool {
         match serde_json::from_slice::<Claim>(&entry.value) {
             Ok(claim) => {
-                let standing = Standing {
+                let standing = ClaimEntry {
                     claim,
                     revision: entry.revision,
                     seen: now,
                 };
-                self.claim(address, standing);
+                self.insert_claim(address, standing);
                 true
             }
             Err(error) => {
@@ -325,7 +328,7 @@
     /// Marks a claim of this node as given up, before the key-value service shows it.
     ///
     /// It keeps its revision, so that what the service said of it before is left aside.
-    pub fn give_up(&mut self, address: SocketAddr, now: Millis) {
+    pub fn release_claim(&mut self, address: SocketAddr, now: Millis) {
         if let Some(standing) = self.claims.get_mut(&address) {
             standing.claim.left = Some(Millis::ZERO);
             standing.seen = now;
@@ -333,7 +336,7 @@
     }
 
     /// Takes in a claim; one that is older than what is known is left aside.
-    pub fn claim(&mut self, address: SocketAddr, standing: Standing) {
+    pub fn insert_claim(&mut self, address: SocketAddr, standing: ClaimEntry) {
         if self
             .claims
             .get(&address)
@@ -345,15 +348,16 @@
             && former.claim.node != standing.claim.node
         {
             let former = former.claim.clone();
-            self.vanished.insert(address, (former, standing.seen));
+            self.previous_claims
+                .insert(address, (former, standing.seen));
         }
         self.claims.insert(address, standing);
     }
 
     /// Takes in that a claim is gone.
-    pub fn unclaim(&mut self, address: SocketAddr, now: Millis) {
+    pub fn remove_claim(&mut self, address: SocketAddr, now: Millis) {
         if let Some(former) = self.claims.remove(&address) {
-            self.vanished.insert(address, (former.claim, now));
+            self.previous_claims.insert(address, (former.claim, now));
         }
     }
 
@@ -361,8 +365,8 @@
     ///
     /// Another node may have owned an engine meanwhile and lost its claim too, and goes on by the
     /// votes of others.
-    pub fn disown(&mut self, node: &str) {
-        let claims = self.vanished.values_mut().map(|(claim, _)| claim);
+    pub fn anonymize_previous_claims(&mut self, node: &str) {
+        let claims = self.previous_claims.values_mut().map(|(claim, _)| claim);
         for claim in claims.filter(|claim| &*claim.node == node) {
             claim.node = Name::from("");
         }
@@ -371,40 +375,40 @@
     /// Takes in a record about requests under which upstreams ended, if it is one.
     ///
     /// It has no `revision` where another node told of it, as the service doesn't take it now.
-    pub fn put_evidence(
+    pub fn put_quarantine_record(
         &mut self,
         name: &str,
         value: &[u8],
         revision: Option<u64>,
         now: Millis,
-    ) -> Evidence {
+    ) -> PutOutcome {
         if let Some(request) = survivor(name) {
             self.ledger.clear(&request, revision);
-            return Evidence::Taken;
+            return PutOutcome::Applied;
         }
         let is_end = name.starts_with(CRASH_REPORT_PREFIX);
         if !is_end && !name.starts_with(UNCONFIRMED_CRASH_PREFIX) {
-            return Evidence::Other;
+            return PutOutcome::Unrelated;
         }
         match serde_json::from_slice::<CrashReport>(value) {
             Ok(report) if is_end => {
                 self.ledger.add_report(name.into(), report, revision, now);
-                Evidence::Taken
+                PutOutcome::Applied
             }
             Ok(report) => {
                 self.unconfirmed_crashes
                     .add_from_peer(name.into(), report, now);
-                Evidence::Taken
+                PutOutcome::Applied
             }
             Err(error) => {
                 log::error!("view: {name} can't be read: {error}");
-                Evidence::Unreadable
+                PutOutcome::Unreadable
             }
         }
     }
 
     /// Takes in that such a record is gone.
-    pub fn remove_evidence(&mut self, name: &str) {
+    pub fn remove_quarantine_record(&mut self, name: &str) {
         match survivor(name) {
             Some(request) => self.ledger.remove_clearance(&request),
             None => self.ledger.remove_report(name),
@@ -431,13 +435,13 @@
             .config
             .as_ref()
             .and_then(|config| config.pools.get(pool))
-            .map_or(64, |pool| pool.connections);
-        let share = whole as f64 * CONNECTION_SHARE / self.most_nodes.max(1) as f64;
+            .map_or(64, |pool| pool.max_connections);
+        let share = whole as f64 * CONNECTION_SHARE / self.max_nodes_seen.max(1) as f64;
         (share as usize).max(2)
     }
 
     fn share_connections(&mut self) {
-        self.shared_among = self.most_nodes;
+        self.shared_among = self.max_nodes_seen;
         for upstream in self.upstreams.values() {
             upstream.link.limit(self.connections(&upstream.pool));
         }
--- a/lib/tests/direct_support/records.rs
+++ b/lib/tests/direct_support/records.rs
@@ -4,7 +4,7 @@
 
 use chivevalve::clock::Millis;
 use chivevalve::direct::dialect::{LoadedModels, UpstreamEntry};
-use chivevalve::direct::presence::Written;
+use chivevalve::direct::presence::EntryRevision;
 use chivevalve::direct::view::Peer;
 use chivevalve::name::Name;
 
@@ -34,8 +34,8 @@
 }
 
 /// The revisions of an entry that was written once.
-pub fn written(revision: u64) -> Written {
-    Written {
+pub fn entry_revision(revision: u64) -> EntryRevision {
+    EntryRevision {
         revision,
         created: revision,
     }
--- a/lib/tests/test_direct_exchange.rs
+++ b/lib/tests/test_direct_exchange.rs
@@ -7,15 +7,15 @@
 use std::sync::Arc;
 
 use chivevalve::clock::{Clock, Millis, Monotonic};
-use chivevalve::direct::admit::Question;
-use chivevalve::direct::ask::Controllers;
+use chivevalve::direct::admit::AdmitQuery;
+use chivevalve::direct::controllers::Controllers;
 use chivevalve::direct::dialect::UpstreamEntry;
-use chivevalve::direct::right::Right;
-use chivevalve::direct::upstream::{Running, Upstream};
-use chivevalve::direct::view::{Claim, Standing, View};
+use chivevalve::direct::ownership::Ownership;
+use chivevalve::direct::upstream::{InFlightRequest, Upstream};
+use chivevalve::direct::view::{Claim, ClaimEntry, View};
 use chivevalve::name::Name;
 use chivevalve_platform::PlatformDialect;
-use direct_support::records::{listed, peer, written};
+use direct_support::records::{entry_revision, listed, peer};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64;
 
@@ -29,7 +29,7 @@
 fn node(random: &mut Pcg64, silent: SocketAddr) -> Arc<Controllers> {
     let clock: Arc<dyn Clock> = Arc::new(Monotonic::start());
     let view = Arc::new(View::default());
-    let right = Arc::new(Right::new(Arc::clone(&clock), Arc::clone(&view)));
+    let ownership = Arc::new(Ownership::new(Arc::clone(&clock), Arc::clone(&view)));
     {
         let mut state = view.state();
         for owner in 0..OWNERS {
@@ -37,14 +37,14 @@
                 0 => silent,
                 other => SocketAddr::from(([127, 0, 0, 1], 10 + other)),
             };
-            state.join(format!("node-{owner}").into(), peer(address));
+            state.put_node(format!("node-{owner}").into(), peer(address));
         }
         for number in 0..ENGINES {
             let engine = UpstreamEntry {
                 address: SocketAddr::from(([127, 0, 0, 2], number)),
                 ..listed(&format!("i-{number}"), &[("base/a1", 1)])
             };
-            state.list(&engine, written(1), Millis::ZERO);
+            state.put_upstream(&engine, entry_revision(1), Millis::ZERO);
             // Some owners aren't known, some have left, and some engines have none.
             let owner = random.random_range(0..OWNERS + 1);
             let claim = Claim {
@@ -54,15 +54,15 @@
                 from: Millis::ZERO,
                 boot: 0,
             };
-            let standing = Standing {
+            let standing = ClaimEntry {
                 claim,
                 revision: 7,
                 seen: Millis::ZERO,
             };
             if random.random_bool(0.9) {
-                state.claim(engine.address, standing);
+                state.insert_claim(engine.address, standing);
                 if owner == OWNERS - 1 {
-                    right.take(engine.address, 7, Millis::ZERO);
+                    ownership.acquire(engine.address, 7, Millis::ZERO);
                 }
             }
         }
@@ -71,7 +71,7 @@
     let speech = Arc::new(PlatformDialect);
     Arc::new(Controllers::new(
         view,
-        right,
+        ownership,
         speech,
         clock,
         me,
@@ -93,11 +93,11 @@
         let Some((_, owner)) = controllers.view.owner(engine.address) else {
             continue;
         };
-        let mut adapters = engine.in_use();
+        let mut adapters = engine.uncounted_adapters();
         let noted = noted.get(&engine.incarnation).cloned();
-        adapters.extend(noted.filter(|noted| !engine.in_use().contains(noted)));
+        adapters.extend(noted.filter(|noted| !engine.uncounted_adapters().contains(noted)));
         let is_idle = adapters.is_empty() && engine.running() == 0;
-        if controllers.right.owns(engine.address) || (is_idle && owner.address != silent) {
+        if controllers.ownership.owns(engine.address) || (is_idle && owner.address != silent) {
             continue;
         }
         let mut adapters: Vec<String> = adapters.iter().map(ToString::to_string).collect();
@@ -110,7 +110,7 @@
 
 fn told(controllers: &Controllers) -> Told {
     let mut told = Told::new();
-    for (address, request) in controllers.exchanges() {
+    for (address, request) in controllers.take_exchange_requests() {
         for mut one in request.uses {
             one.adapters.sort();
             let engine = (one.incarnation, one.running, one.adapters);
@@ -121,13 +121,13 @@
 }
 
 /// Has requests run at some engines; most of them use their adapter uncounted.
-fn run(random: &mut Pcg64, engines: &[Arc<Upstream>]) -> Vec<Running> {
+fn run(random: &mut Pcg64, engines: &[Arc<Upstream>]) -> Vec<InFlightRequest> {
     let chosen = engines.iter().filter(|_| random.random_bool(0.1));
     let chosen: Vec<_> = chosen.collect();
     let adapter = Name::from("base/a1");
     chosen
         .into_iter()
-        .map(|engine| engine.enter(random.random_bool(0.8).then_some(&adapter), None))
+        .map(|engine| engine.start_request(random.random_bool(0.8).then_some(&adapter), None))
         .collect()
 }
 
@@ -152,18 +152,18 @@
             let mut noted = BTreeMap::new();
             for engine in engines.iter().filter(|_| random.random_bool(0.05)) {
                 let adapter = Name::from("base/a2");
-                controllers.note_use(engine, &adapter);
+                controllers.record_use(engine, &adapter);
                 noted.insert(Name::clone(&engine.incarnation), adapter);
             }
             if round == 3 {
                 // A question without an answer shows that the owner is silent.
-                let question = Question {
+                let question = AdmitQuery {
                     adapter: None,
                     version: 0,
-                    limit: 0,
+                    max_running: 0,
                     loaded: false,
                     tokens: 0,
-                    patience: Millis::ZERO,
+                    max_wait: Millis::ZERO,
                 };
                 let engine = engines.iter().find(owned_by).unwrap();
                 drop(controllers.admit(engine, question).await);
--- a/lib/tests/test_direct_follow.rs
+++ b/lib/tests/test_direct_follow.rs
@@ -6,9 +6,9 @@
 
 use async_trait::async_trait;
 use chivevalve::clock::{Clock, Millis, Monotonic};
-use chivevalve::direct::fanout::{Heard, Hub, Source, Update};
+use chivevalve::direct::fanout::{Hub, Received, Source, Update};
 use chivevalve::direct::follow::Follower;
-use chivevalve::direct::limits::Current;
+use chivevalve::direct::limits::SharedLimits;
 use chivevalve::direct::view::View;
 use chivevalve_platform::PlatformDialect;
 use direct_support::SERVER;
@@ -35,7 +35,7 @@
         Arc::new(PlatformDialect),
         clock,
         Arc::clone(&view),
-        Arc::new(Current::default()),
+        Arc::new(SharedLimits::default()),
     );
     tokio::spawn(extend(follower, &memory).run());
     Followed { memory, view }
@@ -311,9 +311,9 @@
         .memory
         .change(|state| state.put("op/version/base.a1", entry, None));
     pass(Millis(1_000)).await;
-    let limit = Current::default().get().version;
-    let begin_by = followed.view.begin_by("base/a1", 1, limit).unwrap();
-    assert!(begin_by <= clock.now(), "{begin_by}");
+    let limit = SharedLimits::default().get().version_rollout;
+    let begin_deadline = followed.view.begin_deadline("base/a1", 1, limit).unwrap();
+    assert!(begin_deadline <= clock.now(), "{begin_deadline}");
 }
 
 /// A node that was away counts as in touch again so long after its return.
@@ -476,23 +476,23 @@
 
 #[async_trait]
 impl Source for Passing {
-    fn is_shared(&self) -> bool {
+    fn may_have_subscribers(&self) -> bool {
         false
     }
 
-    async fn next(&mut self, after: u64, within: Millis) -> Heard {
+    async fn next(&mut self, after: u64, within: Millis) -> Received {
         let left = self.due.since(self.clock.now());
         pass(left.min(within)).await;
         let now = self.clock.now();
         if now < self.due {
-            return Heard::Nothing;
+            return Received::Timeout;
         }
         self.due = now + Millis(1_000);
         let state = self.memory.state();
         if state.is_unavailable {
-            return Heard::Nothing;
+            return Received::Timeout;
         }
-        Heard::Update(Update {
+        Received::Update(Update {
             after,
             revision: after.max(state.revision),
             as_of: now,
@@ -515,7 +515,7 @@
         };
         let followed = start_with(Arc::clone(&clock), |follower, memory| {
             let hub = Arc::new(Hub::new(Arc::clone(&clock), Arc::default()));
-            follower.within_domain(hub, Box::new(passing(memory)))
+            follower.with_fanout(hub, Box::new(passing(memory)))
         });
         followed.list("i-1");
         followed.list("i-2");
--- a/lib/tests/test_direct_parts.rs
+++ b/lib/tests/test_direct_parts.rs
@@ -5,26 +5,28 @@
 use std::sync::{Arc, LazyLock};
 
 use chivevalve::clock::Millis;
-use chivevalve::direct::budget::Budget;
+use chivevalve::direct::budget::RetryBudget;
 use chivevalve::direct::dialect::LoadedModels;
-use chivevalve::direct::limits::{Current, Limits, Retries, exchange_pause, in_use};
-use chivevalve::direct::pick::{Field, MOST_HOMES};
+use chivevalve::direct::limits::{
+    Limits, RetryLimits, SharedLimits, exchange_interval, in_use_grace,
+};
 use chivevalve::direct::roles::Roles;
-use chivevalve::direct::sse::Splitter;
+use chivevalve::direct::selection::{MAX_PLACEMENT_CANDIDATES, Selector};
+use chivevalve::direct::sse::EventSplitter;
 use chivevalve::direct::upstream::Upstream;
 use chivevalve::direct::view::View;
 use chivevalve::name::Name;
-use direct_support::records::{listed, written};
+use direct_support::records::{entry_revision, listed};
 use quickcheck::{Gen, QuickCheck};
 
-const RETRIES: Retries = Retries {
+const RETRIES: RetryLimits = RetryLimits {
     ratio: 0.2,
     window: Millis(10_000),
     extra: 54,
 };
 
-fn retries() -> Arc<Current> {
-    Arc::new(Current::new(Limits {
+fn retries() -> Arc<SharedLimits> {
+    Arc::new(SharedLimits::new(Limits {
         retries: RETRIES,
         ..Limits::default()
     }))
@@ -33,14 +35,14 @@
 fn upstream(incarnation: &str, failure_domain: &str) -> Arc<Upstream> {
     let mut listed = listed(incarnation, &[("base/a1", 1)]);
     listed.failure_domain = failure_domain.into();
-    Arc::new(Upstream::new(&listed, written(1), 8, Millis::ZERO))
+    Arc::new(Upstream::new(&listed, entry_revision(1), 8, Millis::ZERO))
 }
 
 /// Each engine reads and writes.
 static WHOLE: LazyLock<Roles> = LazyLock::new(Roles::default);
 
-fn field<'a>(upstreams: &'a [Arc<Upstream>], tried: &'a [Name], salt: u64) -> Field<'a> {
-    Field {
+fn field<'a>(upstreams: &'a [Arc<Upstream>], tried: &'a [Name], salt: u64) -> Selector<'a> {
+    Selector {
         upstreams,
         tried,
         home: "hall-a",
@@ -57,7 +59,7 @@
 fn splitter_any_cuts_give_the_same_events() {
     fn holds(cuts: Vec<u8>) -> bool {
         let text = b"id: 1\ndata: a\n\nid: 2\r\ndata: b\r\n\r\ndata: no number\n\nid: 4\ndata: d";
-        let mut splitter = Splitter::default();
+        let mut splitter = EventSplitter::default();
         let mut ids = Vec::new();
         let mut at = 0;
         let mut cuts = cuts.into_iter();
@@ -70,7 +72,7 @@
                 ids.push(event.id);
             }
         }
-        ids == [Some(1), Some(2), None] && splitter.has_rest()
+        ids == [Some(1), Some(2), None] && splitter.has_partial_event()
     }
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(40, 7))
@@ -79,10 +81,10 @@
 
 #[test]
 fn splitter_too_long_event() {
-    let mut splitter = Splitter::default();
+    let mut splitter = EventSplitter::default();
     splitter.push(&vec![b'x'; 300_000]);
     assert!(splitter.event().is_none());
-    assert!(splitter.overflows());
+    assert!(splitter.is_oversized());
 }
 
 /// Symptom: servers get more further sends than the deployment allows.
@@ -93,12 +95,12 @@
     let pool = Name::from("engines");
     let mut total = 0;
     for _ in 0..7 {
-        let mut budget = Budget::new(retries());
+        let mut budget = RetryBudget::new(retries());
         for step in 0..200 {
             let now = Millis(step * 50);
-            budget.request(&pool, now);
+            budget.record_request(&pool, now);
             for _ in 0..5 {
-                total += u32::from(budget.repeat(&pool, now, 7));
+                total += u32::from(budget.try_retry(&pool, now, 7));
             }
         }
     }
@@ -110,19 +112,21 @@
 #[test]
 fn budget_window_slides() {
     let pool = Name::from("engines");
-    let mut budget = Budget::new(retries());
-    while budget.repeat(&pool, Millis(100), 1) {}
-    assert!(!budget.repeat(&pool, Millis(9_000), 1));
-    assert!(budget.repeat(&pool, Millis(11_000), 1));
+    let mut budget = RetryBudget::new(retries());
+    while budget.try_retry(&pool, Millis(100), 1) {}
+    assert!(!budget.try_retry(&pool, Millis(9_000), 1));
+    assert!(budget.try_retry(&pool, Millis(11_000), 1));
 }
 
 #[test]
 fn least_prefers_free_then_near() {
     let upstreams = [upstream("i-1", "hall-b"), upstream("i-2", "hall-a")];
-    let chosen = field(&upstreams, &[], 1).least(|_| true).unwrap();
+    let chosen = field(&upstreams, &[], 1).least_loaded(|_| true).unwrap();
     assert_eq!(&*chosen.incarnation, "i-2");
-    let _busy: Vec<_> = (0..5).map(|_| upstreams[1].enter(None, None)).collect();
-    let chosen = field(&upstreams, &[], 1).least(|_| true).unwrap();
+    let _busy: Vec<_> = (0..5)
+        .map(|_| upstreams[1].start_request(None, None))
+        .collect();
+    let chosen = field(&upstreams, &[], 1).least_loaded(|_| true).unwrap();
     assert_eq!(&*chosen.incarnation, "i-1");
 }
 
@@ -130,14 +134,16 @@
 #[test]
 fn least_doubted_only_if_others_are_crowded() {
     let upstreams = [upstream("i-1", "hall-a"), upstream("i-2", "hall-b")];
-    upstreams[0].missing();
-    let chosen = field(&upstreams, &[], 1).least(|_| true).unwrap();
+    upstreams[0].mark_missing();
+    let chosen = field(&upstreams, &[], 1).least_loaded(|_| true).unwrap();
     assert_eq!(&*chosen.incarnation, "i-2");
-    let _busy: Vec<_> = (0..7).map(|_| upstreams[1].enter(None, None)).collect();
-    let chosen = field(&upstreams, &[], 1).least(|_| true).unwrap();
+    let _busy: Vec<_> = (0..7)
+        .map(|_| upstreams[1].start_request(None, None))
+        .collect();
+    let chosen = field(&upstreams, &[], 1).least_loaded(|_| true).unwrap();
     assert_eq!(&*chosen.incarnation, "i-1");
     upstreams[1].retire();
-    assert!(field(&upstreams, &[], 1).least(|_| true).is_some());
+    assert!(field(&upstreams, &[], 1).least_loaded(|_| true).is_some());
 }
 
 /// An adapter is loaded at an engine that may have left though others take it.
@@ -146,9 +152,9 @@
     let upstreams: Vec<_> = (0..6)
         .map(|number| upstream(&format!("i-{number}"), "hall-a"))
         .collect();
-    let order = || field(&upstreams, &[], 1).homes("base/a1", |_| true);
+    let order = || field(&upstreams, &[], 1).placement_candidates("base/a1", |_| true);
     let first = Arc::clone(&order()[0]);
-    first.missing();
+    first.mark_missing();
     let homes = order();
     assert_eq!(homes.len(), 6);
     assert_eq!(homes[5].incarnation, first.incarnation);
@@ -158,13 +164,17 @@
 fn least_tried_only_if_none_else() {
     let upstreams = [upstream("i-1", "hall-a"), upstream("i-2", "hall-b")];
     let tried = [Name::from("i-1")];
-    let chosen = field(&upstreams, &tried, 1).least(|_| true).unwrap();
+    let chosen = field(&upstreams, &tried, 1).least_loaded(|_| true).unwrap();
     assert_eq!(&*chosen.incarnation, "i-2");
     upstreams[1].retire();
-    let chosen = field(&upstreams, &tried, 1).least(|_| true).unwrap();
+    let chosen = field(&upstreams, &tried, 1).least_loaded(|_| true).unwrap();
     assert_eq!(&*chosen.incarnation, "i-1");
     upstreams[0].retire();
-    assert!(field(&upstreams, &tried, 1).least(|_| true).is_none());
+    assert!(
+        field(&upstreams, &tried, 1)
+            .least_loaded(|_| true)
+            .is_none()
+    );
 }
 
 /// Symptom: one of several idle servers gets all requests.
@@ -175,7 +185,9 @@
     let upstreams = [upstream("i-1", "hall-a"), upstream("i-2", "hall-a")];
     let first = (0..100)
         .filter(|salt| {
-            let chosen = field(&upstreams, &[], *salt).least(|_| true).unwrap();
+            let chosen = field(&upstreams, &[], *salt)
+                .least_loaded(|_| true)
+                .unwrap();
             &*chosen.incarnation == "i-1"
         })
         .count();
@@ -185,11 +197,11 @@
 #[test]
 fn suspended_after_failures_until_it_ends() {
     let one = upstream("i-1", "hall-a");
-    one.failed(Millis(1_000));
-    assert!(!one.suspended(Millis(1_000)));
-    one.failed(Millis(1_000));
-    assert!(one.suspended(Millis(1_100)));
-    assert!(!one.suspended(Millis(1_400)));
+    one.record_failure(Millis(1_000));
+    assert!(!one.is_suspended(Millis(1_000)));
+    one.record_failure(Millis(1_000));
+    assert!(one.is_suspended(Millis(1_100)));
+    assert!(!one.is_suspended(Millis(1_400)));
 }
 
 /// Symptom: requests go to an engine that dropped their adapter.
@@ -198,11 +210,11 @@
 #[test]
 fn hold_older_news_left_aside() {
     let one = upstream("i-1", "hall-a");
-    one.hold(&listed("i-1", &[("base/a2", 5)]).held);
+    one.update_held(&listed("i-1", &[("base/a2", 5)]).held);
     assert_eq!(one.version("base/a2"), Some(5));
     let mut older = listed("i-1", &[]).held;
     older.sequence = 2;
-    one.hold(&older);
+    one.update_held(&older);
     assert_eq!(one.version("base/a2"), Some(5));
 }
 
@@ -210,12 +222,12 @@
 fn in_use_until_the_last_request_ends() {
     let one = upstream("i-1", "hall-a");
     let adapter = Name::from("base/a1");
-    let first = one.enter(Some(&adapter), None);
-    let second = one.enter(Some(&adapter), None);
+    let first = one.start_request(Some(&adapter), None);
+    let second = one.start_request(Some(&adapter), None);
     drop(first);
-    assert_eq!(one.in_use(), [Name::clone(&adapter)]);
+    assert_eq!(one.uncounted_adapters(), [Name::clone(&adapter)]);
     drop(second);
-    assert!(one.in_use().is_empty());
+    assert!(one.uncounted_adapters().is_empty());
     assert_eq!(one.running(), 0);
 }
 
@@ -224,18 +236,18 @@
 /// Cause: a node's exchanges grow with the nodes.
 #[test]
 fn exchange_pause_bounds_a_node() {
-    assert_eq!(exchange_pause(7), Millis(500));
+    assert_eq!(exchange_interval(7), Millis(500));
     for nodes in [79, 320] {
-        let a_second = nodes as u64 * 1000 / exchange_pause(nodes).0;
+        let a_second = nodes as u64 * 1000 / exchange_interval(nodes).0;
         assert!(a_second <= 84, "{a_second} at {nodes}");
-        assert!(in_use(nodes) > exchange_pause(nodes));
+        assert!(in_use_grace(nodes) > exchange_interval(nodes));
     }
 }
 
 #[test]
 fn poll_pause_leaves_time_for_the_call() {
     let limits = Limits::default();
-    assert_eq!(limits.poll_pause(), Millis(800));
+    assert_eq!(limits.poll_interval(), Millis(800));
 }
 
 /// Symptom: requests are turned away for adapters that an engine no longer holds.
@@ -251,11 +263,11 @@
         adapters: vec![(adapter.into(), 1)],
         incoming: Vec::new(),
     };
-    engine.hold(&held(1_000, 5, "base/a5"));
-    engine.hold(&held(2_000, 1, "base/a7"));
+    engine.update_held(&held(1_000, 5, "base/a5"));
+    engine.update_held(&held(2_000, 1, "base/a7"));
     assert_eq!(engine.version("base/a5"), None);
     assert_eq!(engine.version("base/a7"), Some(1));
-    engine.hold(&held(1_000, 6, "base/a5"));
+    engine.update_held(&held(1_000, 6, "base/a5"));
     assert_eq!(engine.version("base/a7"), Some(1));
 }
 
@@ -267,17 +279,17 @@
     let upstreams = [upstream("i-1", "hall-a"), upstream("i-2", "hall-a")];
     let now = Millis(1_000);
     for _ in 0..30 {
-        upstreams[0].paused(Millis(180), now);
-        upstreams[1].paused(Millis(40), now);
+        upstreams[0].record_pause(Millis(180), now);
+        upstreams[1].record_pause(Millis(40), now);
     }
     let first_at = |at: Millis, pause: Option<Millis>| {
         let chosen = |salt: &u64| {
-            let field = Field {
+            let field = Selector {
                 now: at,
                 pause,
                 ..field(&upstreams, &[], *salt)
             };
-            &*field.least(|_| true).unwrap().incarnation == "i-1"
+            &*field.least_loaded(|_| true).unwrap().incarnation == "i-1"
         };
         (0..100).filter(chosen).count()
     };
@@ -299,7 +311,8 @@
     for number in 0..500_u16 {
         let mut entry = listed(&format!("i-{number}"), &[]);
         entry.address = ([127, 0, 0, 1], 1_000 + number).into();
-        view.state().list(&entry, written(1), Millis::ZERO);
+        view.state()
+            .put_upstream(&entry, entry_revision(1), Millis::ZERO);
     }
     let first = view.pool("engines");
     assert_eq!(first.len(), 500);
@@ -307,9 +320,10 @@
     // A heartbeat of one that is known changes no group; one that leaves does.
     let mut entry = listed("i-7", &[("base/a1", 1)]);
     entry.address = ([127, 0, 0, 1], 1_007).into();
-    view.state().list(&entry, written(1), Millis::ZERO);
+    view.state()
+        .put_upstream(&entry, entry_revision(1), Millis::ZERO);
     assert!(Arc::ptr_eq(&first, &view.pool("engines")));
-    view.state().unlist("i-7");
+    view.state().remove_upstream("i-7");
     assert_eq!(view.pool("engines").len(), 499);
 }
 
@@ -319,14 +333,18 @@
         .map(|number| {
             let mut entry = listed(&format!("i-{number}"), &[]);
             entry.address = ([127, 0, 0, 1], 1_000 + number).into();
-            Arc::new(Upstream::new(&entry, written(1), 8, Millis::ZERO))
+            Arc::new(Upstream::new(&entry, entry_revision(1), 8, Millis::ZERO))
         })
         .collect();
-    let all = field(&upstreams, &[], 0).homes("base/a1", |_| true);
-    assert_eq!(all.len(), MOST_HOMES);
+    let all = field(&upstreams, &[], 0).placement_candidates("base/a1", |_| true);
+    assert_eq!(all.len(), MAX_PLACEMENT_CANDIDATES);
     let first = Arc::clone(&all[0]);
-    let others = field(&upstreams, &[], 0).homes("base/a1", |one| one.address != first.address);
-    assert_eq!(others.len(), MOST_HOMES);
+    let others = field(&upstreams, &[], 0)
+        .placement_candidates("base/a1", |one| one.address != first.address);
+    assert_eq!(others.len(), MAX_PLACEMENT_CANDIDATES);
     let places = |homes: &[Arc<Upstream>]| homes.iter().map(|one| one.address).collect::<Vec<_>>();
-    assert_eq!(places(&all[1..]), places(&others[..MOST_HOMES - 1]));
+    assert_eq!(
+        places(&all[1..]),
+        places(&others[..MAX_PLACEMENT_CANDIDATES - 1])
+    );
 }
--- a/lib/tests/test_direct_quarantine.rs
+++ b/lib/tests/test_direct_quarantine.rs
@@ -13,13 +13,13 @@
 use chivevalve::direct::outbox::{Outbox, PeerBroadcast};
 use chivevalve::direct::quarantine::{CRASH_REPORT_PREFIX, Quarantine};
 use chivevalve::direct::upstream::Upstream;
-use chivevalve::direct::view::{Evidence, View};
+use chivevalve::direct::view::{PutOutcome, View};
 use chivevalve::name::Name;
 use chivevalve::poison::fingerprint::{Fingerprint, Identity};
 use chivevalve::poison::ledger::{CrashReport, Suspicion};
 use chivevalve_platform::PlatformDialect;
 use direct_support::memory::MemoryStore;
-use direct_support::records::{listed, written};
+use direct_support::records::{entry_revision, listed};
 
 /// A deployment without other nodes.
 #[derive(Debug)]
@@ -37,8 +37,11 @@
 #[async_trait]
 impl PeerBroadcast for SinglePeer {
     async fn broadcast(&self, name: &Name, value: &Bytes) {
-        let taken = self.0.state().put_evidence(name, value, None, RECEIVED_AT);
-        assert_eq!(taken, Evidence::Taken);
+        let taken = self
+            .0
+            .state()
+            .put_quarantine_record(name, value, None, RECEIVED_AT);
+        assert_eq!(taken, PutOutcome::Applied);
         self.0.changed.notify_waiters();
     }
 }
@@ -113,7 +116,7 @@
     drop(listener);
     let mut listed = listed("i-1", &[("base/a1", 1)]);
     listed.address = address;
-    Arc::new(Upstream::new(&listed, written(1), 8, Millis::ZERO))
+    Arc::new(Upstream::new(&listed, entry_revision(1), 8, Millis::ZERO))
 }
 
 async fn until(what: &str, holds: impl Fn() -> bool) {
@@ -135,7 +138,7 @@
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let mut listed = listed(name, &[]);
     listed.address = listener.local_addr().unwrap();
-    let upstream = Arc::new(Upstream::new(&listed, written(1), 8, Millis::ZERO));
+    let upstream = Arc::new(Upstream::new(&listed, entry_revision(1), 8, Millis::ZERO));
     (listener, upstream)
 }
 
@@ -169,8 +172,8 @@
     world
         .quarantine
         .record_broken_connection(&upstream, suspect.clone(), Suspicion::Begun);
-    upstream.missing();
-    world.view.renew(Millis(60_000));
+    upstream.mark_missing();
+    world.view.advance_as_of(Millis(60_000));
     sleep(Millis(7_000)).await;
     upstream.retire();
     until("the report", || world.crash_count(&suspect) == 1).await;
@@ -186,7 +189,7 @@
         .quarantine
         .record_broken_connection(&upstream, suspect.clone(), Suspicion::Begun);
     sleep(Millis(10_000)).await;
-    upstream.succeeded();
+    upstream.record_success();
     sleep(Millis(1_000)).await;
     upstream.retire();
     sleep(Millis(1_000)).await;
@@ -203,7 +206,7 @@
         .quarantine
         .record_broken_connection(&upstream, suspect.clone(), Suspicion::Begun);
     sleep(Millis(2_000)).await;
-    world.view.renew(Millis(60_000));
+    world.view.advance_as_of(Millis(60_000));
     sleep(Millis(1_000)).await;
     upstream.retire();
     sleep(Millis(1_000)).await;
@@ -240,7 +243,7 @@
     let broken = Arc::clone(&upstream);
     let listed_upstream = Arc::new(Upstream::new(
         &listed("i-1", &[]),
-        written(1),
+        entry_revision(1),
         8,
         Millis::ZERO,
     ));
@@ -277,7 +280,7 @@
     assert!(world.quarantine.check(&suspect).is_ok());
     assert!(world.quarantine.check_send(&request("/other")).is_ok());
     // The list shows all upstreams alive.
-    world.view.renew(Millis(60_000));
+    world.view.advance_as_of(Millis(60_000));
     sleep(Millis(7_000)).await;
     assert!(world.quarantine.check_send(&suspect).is_ok());
     assert_eq!(world.crash_count(&suspect), 0);
--- a/lib/tests/test_direct_slots.rs
+++ b/lib/tests/test_direct_slots.rs
@@ -4,8 +4,8 @@
 
 use chivevalve::clock::Millis;
 use chivevalve::direct::dialect::{EngineStatus, LoadedModels, OrderOutcome};
-use chivevalve::direct::orders::slots::{LONGEST_LOAD, Look, REPORT_AGE, Slots};
-use chivevalve::direct::orders::{Load, Loaded};
+use chivevalve::direct::orders::slots::{LoadProbe, MAX_LOAD_TIME, MAX_REPORT_AGE, Slots};
+use chivevalve::direct::orders::{LoadCommand, LoadOutcome};
 use quickcheck::{Gen, QuickCheck};
 use slots_model::World;
 use tokio::sync::oneshot::{self, Receiver};
@@ -26,10 +26,10 @@
     }
 }
 
-fn asked(version: u64) -> (Load, Receiver<Loaded>) {
+fn asked(version: u64) -> (LoadCommand, Receiver<LoadOutcome>) {
     let (reply, answer) = oneshot::channel();
     let adapter = "base/a1".into();
-    let load = Load {
+    let load = LoadCommand {
         adapter,
         version,
         reply,
@@ -38,7 +38,7 @@
 }
 
 /// Slots of an empty engine that has accepted the order of a load.
-fn loading(version: u64) -> (Slots, Receiver<Loaded>) {
+fn loading(version: u64) -> (Slots, Receiver<LoadOutcome>) {
     let mut slots = Slots::new(&report(0, &[], &[]), NOW);
     let (load, answer) = asked(version);
     let load = slots.wait(load, NOW).unwrap();
@@ -47,7 +47,7 @@
     (slots, answer)
 }
 
-fn look_of(slots: &mut Slots, now: Millis) -> Look {
+fn look_of(slots: &mut Slots, now: Millis) -> LoadProbe {
     let looks = slots.due(now);
     assert_eq!(looks.len(), 1);
     looks[0].clone()
@@ -62,14 +62,14 @@
     let look = look_of(&mut slots, NOW + Millis(300));
     assert_eq!(look.sequence, 1);
     assert!(slots.looked(&look, Some(OrderOutcome::Holds), NOW + Millis(310)));
-    assert_eq!(answer.try_recv(), Ok(Loaded::Ready(2)));
+    assert_eq!(answer.try_recv(), Ok(LoadOutcome::Ready(2)));
 }
 
 /// A count that was counted wrongly is put right by a report asked for late enough.
 #[test]
 fn report_lower_count_long_after_the_order() {
     let (mut slots, _answer) = loading(2);
-    assert!(slots.report(&report(0, &[], &[]), NOW + REPORT_AGE));
+    assert!(slots.report(&report(0, &[], &[]), NOW + MAX_REPORT_AGE));
     assert_eq!(slots.sequence(), 0);
 }
 
@@ -96,7 +96,7 @@
 #[test]
 fn report_of_a_newer_count_with_a_load() {
     let mut slots = Slots::new(&report(3, &[("base/a1", 1)], &[]), NOW);
-    let late = NOW + LONGEST_LOAD + LONGEST_LOAD;
+    let late = NOW + MAX_LOAD_TIME + MAX_LOAD_TIME;
     slots.report(&report(4, &[("base/a1", 1)], &[("base/a1", 2)]), late);
     assert_eq!(slots.loading_in_time(late), 1);
     assert_eq!(look_of(&mut slots, late).version, 2);
@@ -116,17 +116,17 @@
     assert!(later.try_recv().is_err());
     let look = look_of(&mut slots, NOW + Millis(300));
     slots.looked(&look, Some(OrderOutcome::Holds), NOW + Millis(310));
-    assert_eq!(former.try_recv(), Ok(Loaded::Ready(3)));
-    assert_eq!(later.try_recv(), Ok(Loaded::Ready(3)));
+    assert_eq!(former.try_recv(), Ok(LoadOutcome::Ready(3)));
+    assert_eq!(later.try_recv(), Ok(LoadOutcome::Ready(3)));
 }
 
 /// A load that outlasts its time fails for who waited, and still serves who comes later.
 #[test]
 fn expire_behind_long_runs() {
     let (mut slots, mut early) = loading(2);
-    let late = NOW + LONGEST_LOAD + Millis(1);
+    let late = NOW + MAX_LOAD_TIME + Millis(1);
     slots.expire(late);
-    assert_eq!(early.try_recv(), Ok(Loaded::Failed));
+    assert_eq!(early.try_recv(), Ok(LoadOutcome::Failed));
     assert!(slots.wants_report(late));
     assert!(slots.report(&report(1, &[], &[("base/a1", 2)]), late));
     assert_eq!(slots.next_look(late), None);
@@ -134,7 +134,7 @@
     assert!(slots.wait(load, late).is_none());
     let look = look_of(&mut slots, late);
     slots.looked(&look, Some(OrderOutcome::Holds), late);
-    assert_eq!(later.try_recv(), Ok(Loaded::Ready(2)));
+    assert_eq!(later.try_recv(), Ok(LoadOutcome::Ready(2)));
 }
 
 /// Loads that outlast their time don't keep others from the engine.
@@ -142,7 +142,7 @@
 fn loading_in_time_without_overdue() {
     let (slots, _answer) = loading(2);
     assert_eq!(slots.loading_in_time(NOW), 1);
-    let late = NOW + LONGEST_LOAD + Millis(1);
+    let late = NOW + MAX_LOAD_TIME + Millis(1);
     assert_eq!((slots.loading_in_time(late), slots.loading()), (0, 1));
 }
 
@@ -150,7 +150,7 @@
 #[test]
 fn report_ends_an_overdue_load() {
     let (mut slots, _answer) = loading(2);
-    let late = NOW + LONGEST_LOAD + Millis(1);
+    let late = NOW + MAX_LOAD_TIME + Millis(1);
     slots.expire(late);
     slots.report(&report(1, &[], &[]), late);
     assert_eq!(slots.taken(), 0);
@@ -162,7 +162,7 @@
 fn report_of_the_order_without_its_load() {
     let (mut slots, mut answer) = loading(2);
     slots.report(&report(1, &[], &[]), NOW + Millis(300));
-    assert_eq!(answer.try_recv(), Ok(Loaded::Failed));
+    assert_eq!(answer.try_recv(), Ok(LoadOutcome::Failed));
     assert_eq!(slots.taken(), 0);
 }
 
@@ -174,7 +174,7 @@
     assert!(slots.wait(load, NOW).is_none());
     let look = look_of(&mut slots, NOW);
     slots.looked(&look, Some(OrderOutcome::Holds), NOW + Millis(10));
-    assert_eq!(answer.try_recv(), Ok(Loaded::Ready(2)));
+    assert_eq!(answer.try_recv(), Ok(LoadOutcome::Ready(2)));
 }
 
 /// A look that no answer came to is repeated.
@@ -183,7 +183,7 @@
     let (mut slots, _answer) = loading(2);
     look_of(&mut slots, NOW + Millis(45));
     let next = slots.next_look(NOW + Millis(45)).unwrap();
-    assert!(next < NOW + LONGEST_LOAD);
+    assert!(next < NOW + MAX_LOAD_TIME);
     assert_eq!(look_of(&mut slots, next).version, 2);
 }
 
@@ -204,7 +204,7 @@
     assert!(slots.is_unversioned("base/a1"));
     let look = look_of(&mut slots, NOW + Millis(300));
     slots.looked(&look, Some(OrderOutcome::Holds), NOW + Millis(310));
-    assert_eq!(answer.try_recv(), Ok(Loaded::Ready(0)));
+    assert_eq!(answer.try_recv(), Ok(LoadOutcome::Ready(0)));
     assert!(slots.is_unversioned("base/a1"));
     slots.report(&report(1, &[], &[("base/a1", 2)]), NOW + Millis(320));
     assert_eq!(slots.held().adapters, [("base/a1".into(), 2)]);
@@ -218,7 +218,7 @@
     let mut restarted = report(0, &[], &[]);
     restarted.held.started_at_ms = 7;
     assert!(slots.report(&restarted, NOW + Millis(10)));
-    assert_eq!(answer.try_recv(), Ok(Loaded::Failed));
+    assert_eq!(answer.try_recv(), Ok(LoadOutcome::Failed));
     assert_eq!((slots.taken(), slots.sequence()), (0, 0));
 }
 
