--- a/lib/src/direct/mod.rs
+++ b/lib/src/direct/mod.rs
@@ -47,7 +47,6 @@
 pub mod sends;
 pub mod sse;
 pub mod target;
-
 pub mod upstream;
 pub mod validate;
 pub mod versions;
--- a/lib/src/direct/quarantine.rs
+++ b/lib/src/direct/quarantine.rs
@@ -50,8 +50,8 @@
 
 /// Maximum time for which an attempt waits to learn whether its upstream crashed.
 ///
-/// A refused connection shows a crash within milliseconds. An attempt that doesn't wait could send
-/// a request that other nodes already report to one more upstream.
+/// A refused connection shows a crash within milliseconds. An attempt that doesn't wait could take
+/// an already reported request to one more upstream.
 const MAX_CRASH_CHECK_WAIT: Millis = Millis(150);
 
 /// Number of suspects that are kept for one upstream while it is checked: several batches.
--- a/lib/tests/test_direct_quarantine.rs
+++ b/lib/tests/test_direct_quarantine.rs
@@ -49,17 +49,17 @@
 /// Time at which a node receives another node's records.
 const RECEIVED_AT: Millis = Millis(1);
 
-struct World {
+struct TestNode {
     view: Arc<View>,
     store: Arc<MemoryStore>,
     quarantine: Arc<Quarantine>,
 }
 
-fn world() -> World {
-    node("node-1", Arc::new(NoPeers))
+fn single_node() -> TestNode {
+    test_node("node-1", Arc::new(NoPeers))
 }
 
-fn node(name: &str, peers: Arc<dyn PeerBroadcast>) -> World {
+fn test_node(name: &str, peers: Arc<dyn PeerBroadcast>) -> TestNode {
     let view = Arc::new(View::default());
     let store = Arc::new(MemoryStore::default());
     let clock: Arc<dyn Clock> = Arc::new(Monotonic::start());
@@ -77,14 +77,14 @@
         name.into(),
         outbox,
     ));
-    World {
+    TestNode {
         view,
         store,
         quarantine,
     }
 }
 
-impl World {
+impl TestNode {
     fn crash_count(&self, request: &Fingerprint) -> usize {
         self.view.state().ledger.crash_count(request, Millis::ZERO)
     }
@@ -150,83 +150,79 @@
 /// silent in the meantime.
 #[tokio::test(start_paused = true)]
 async fn broken_connection_is_checked_while_the_list_is_silent() {
-    let world = world();
+    let node = single_node();
     let (_listener, upstream) = proxied_upstream();
     let suspect = request("/x");
-    world
-        .quarantine
+    node.quarantine
         .record_broken_connection(&upstream, suspect.clone(), Suspicion::Begun);
     sleep(Millis(30_000)).await;
-    assert_eq!(world.crash_count(&suspect), 0);
+    assert_eq!(node.crash_count(&suspect), 0);
     upstream.retire();
-    until("the report", || world.crash_count(&suspect) == 1).await;
+    until("the report", || node.crash_count(&suspect) == 1).await;
 }
 
 /// An upstream whose entry is missing after an outage, and that isn't considered gone yet, must
 /// not be considered alive.
 #[tokio::test(start_paused = true)]
 async fn broken_connection_is_checked_while_the_entry_is_unconfirmed() {
-    let world = world();
+    let node = single_node();
     let (_listener, upstream) = proxied_upstream();
     let suspect = request("/x");
-    world
-        .quarantine
+    node.quarantine
         .record_broken_connection(&upstream, suspect.clone(), Suspicion::Begun);
     upstream.mark_missing();
-    world.view.advance_as_of(Millis(60_000));
+    node.view.advance_as_of(Millis(60_000));
     sleep(Millis(7_000)).await;
     upstream.retire();
-    until("the report", || world.crash_count(&suspect) == 1).await;
+    until("the report", || node.crash_count(&suspect) == 1).await;
 }
 
 /// A request must not be blamed for a crash long after its connection broke.
 #[tokio::test(start_paused = true)]
 async fn broken_connection_is_forgotten_once_the_upstream_serves() {
-    let world = world();
+    let node = single_node();
     let (_listener, upstream) = proxied_upstream();
     let suspect = request("/x");
-    world
-        .quarantine
+    node.quarantine
         .record_broken_connection(&upstream, suspect.clone(), Suspicion::Begun);
     sleep(Millis(10_000)).await;
     upstream.record_success();
     sleep(Millis(1_000)).await;
     upstream.retire();
     sleep(Millis(1_000)).await;
-    assert_eq!(world.crash_count(&suspect), 0);
+    assert_eq!(node.crash_count(&suspect), 0);
 }
 
 /// A request must not be blamed for a crash after the upstream list showed its upstream alive.
 #[tokio::test(start_paused = true)]
 async fn broken_connection_is_forgotten_once_the_list_is_known() {
-    let world = world();
+    let node = single_node();
     let (_listener, upstream) = proxied_upstream();
     let suspect = request("/x");
-    world
-        .quarantine
+    node.quarantine
         .record_broken_connection(&upstream, suspect.clone(), Suspicion::Begun);
     sleep(Millis(2_000)).await;
-    world.view.advance_as_of(Millis(60_000));
+    node.view.advance_as_of(Millis(60_000));
     sleep(Millis(1_000)).await;
     upstream.retire();
     sleep(Millis(1_000)).await;
-    assert_eq!(world.crash_count(&suspect), 0);
+    assert_eq!(node.crash_count(&suspect), 0);
 }
 
 /// A node must not replace what it reported of a crash when it sees further connections break.
 #[tokio::test]
 async fn connections_broken_later_add_to_the_report() {
-    let world = world();
+    let node = single_node();
     let upstream = crashed_upstream();
     let (first, later) = (request("/first"), request("/later"));
-    let quarantine = &world.quarantine;
+    let quarantine = &node.quarantine;
     quarantine.record_broken_connection(&upstream, first.clone(), Suspicion::Begun);
-    until("the first report", || world.crash_count(&first) == 1).await;
+    until("the first report", || node.crash_count(&first) == 1).await;
     quarantine.record_broken_connection(&upstream, later.clone(), Suspicion::Possible);
-    until("the second report", || world.crash_count(&later) == 1).await;
-    assert_eq!(world.crash_count(&first), 1);
+    until("the second report", || node.crash_count(&later) == 1).await;
+    assert_eq!(node.crash_count(&first), 1);
     let both = || {
-        let suspects = world.written_report().map(|report| report.suspects.len());
+        let suspects = node.written_report().map(|report| report.suspects.len());
         suspects == Some(2)
     };
     until("both in the key-value service", both).await;
@@ -236,8 +232,8 @@
 /// crash.
 #[tokio::test(start_paused = true)]
 async fn broken_connection_at_a_node_that_is_killed() {
-    let other = node("node-2", Arc::new(NoPeers));
-    let killed = node("node-1", Arc::new(SinglePeer(Arc::clone(&other.view))));
+    let other = test_node("node-2", Arc::new(NoPeers));
+    let killed = test_node("node-1", Arc::new(SinglePeer(Arc::clone(&other.view))));
     tokio::spawn(Arc::clone(&other.quarantine).run());
     let (_listener, upstream) = proxied_upstream();
     let broken = Arc::clone(&upstream);
@@ -266,45 +262,43 @@
 /// are still unconfirmed.
 #[tokio::test(start_paused = true)]
 async fn check_send_while_crashes_are_unconfirmed() {
-    let world = world();
+    let node = single_node();
     let suspect = request("/x");
     let upstreams = ["i-1", "i-2", "i-3"].map(named_proxied_upstream);
     for (number, (_, upstream)) in upstreams.iter().enumerate() {
-        assert!(world.quarantine.check_send(&suspect).is_ok(), "{number}");
-        world
-            .quarantine
+        assert!(node.quarantine.check_send(&suspect).is_ok(), "{number}");
+        node.quarantine
             .record_broken_connection(upstream, suspect.clone(), Suspicion::Begun);
     }
-    assert!(world.quarantine.check_send(&suspect).is_err());
+    assert!(node.quarantine.check_send(&suspect).is_err());
     // An attempt that is already sent stays, since no crash is confirmed.
-    assert!(world.quarantine.check(&suspect).is_ok());
-    assert!(world.quarantine.check_send(&request("/other")).is_ok());
+    assert!(node.quarantine.check(&suspect).is_ok());
+    assert!(node.quarantine.check_send(&request("/other")).is_ok());
     // The list shows all upstreams alive.
-    world.view.advance_as_of(Millis(60_000));
+    node.view.advance_as_of(Millis(60_000));
     sleep(Millis(7_000)).await;
-    assert!(world.quarantine.check_send(&suspect).is_ok());
-    assert_eq!(world.crash_count(&suspect), 0);
+    assert!(node.quarantine.check_send(&suspect).is_ok());
+    assert_eq!(node.crash_count(&suspect), 0);
 }
 
 /// A request that may not have begun where connections broke must still be sent.
 #[tokio::test(start_paused = true)]
 async fn check_send_of_a_request_that_was_queued() {
-    let world = world();
+    let node = single_node();
     let queued = request("/x");
     for name in ["i-1", "i-2", "i-3", "i-4"] {
         let (_listener, upstream) = named_proxied_upstream(name);
-        world
-            .quarantine
+        node.quarantine
             .record_broken_connection(&upstream, queued.clone(), Suspicion::Possible);
     }
-    assert!(world.quarantine.check_send(&queued).is_ok());
+    assert!(node.quarantine.check_send(&queued).is_ok());
 }
 
 /// Other nodes must count an unconfirmed crash as soon as they are told of it.
 #[tokio::test(start_paused = true)]
 async fn check_send_counts_crashes_of_other_nodes() {
-    let other = node("node-2", Arc::new(NoPeers));
-    let one = node("node-1", Arc::new(SinglePeer(Arc::clone(&other.view))));
+    let other = test_node("node-2", Arc::new(NoPeers));
+    let one = test_node("node-1", Arc::new(SinglePeer(Arc::clone(&other.view))));
     let suspect = request("/x");
     let upstreams = ["i-1", "i-2", "i-3"].map(named_proxied_upstream);
     for (_, upstream) in &upstreams {
--- a/lib/tests/test_poison.rs
+++ b/lib/tests/test_poison.rs
@@ -28,12 +28,12 @@
 
 /// A crash ledger and the revision of the last report in it.
 #[derive(Debug, Default)]
-struct World {
+struct TestLedger {
     ledger: CrashLedger,
     revision: u64,
 }
 
-impl World {
+impl TestLedger {
     /// Adds a node's report of its requests that were at a crashed upstream.
     fn report_crash(&mut self, upstream: u64, node: u64, suspects: &[(u64, Suspicion)]) -> Name {
         let name: Name = format!("end/u-{upstream}/n-{node}").into();
@@ -91,49 +91,49 @@
 /// against the requests that were there.
 #[test]
 fn blame_starts_at_three_crashes() {
-    let mut world = World::default();
+    let mut reports = TestLedger::default();
     for upstream in 0..2 {
-        world.report_crash(upstream, 0, &[(1, Suspicion::Begun)]);
-        assert_eq!(world.blamed_crashes(1), None);
+        reports.report_crash(upstream, 0, &[(1, Suspicion::Begun)]);
+        assert_eq!(reports.blamed_crashes(1), None);
     }
-    world.report_crash(2, 0, &[(1, Suspicion::Begun)]);
-    assert_eq!(world.blamed_crashes(1), Some(3));
+    reports.report_crash(2, 0, &[(1, Suspicion::Begun)]);
+    assert_eq!(reports.blamed_crashes(1), Some(3));
 }
 
 /// The reports of several nodes about one crashed engine must count as one crash.
 #[test]
 fn blame_counts_each_upstream_once() {
-    let mut world = World::default();
+    let mut reports = TestLedger::default();
     for upstream in 0..2 {
         for node in 0..3 {
-            world.report_crash(upstream, node, &[(1, Suspicion::Begun)]);
+            reports.report_crash(upstream, node, &[(1, Suspicion::Begun)]);
         }
     }
-    assert_eq!(world.blamed_crashes(1), None);
+    assert_eq!(reports.blamed_crashes(1), None);
 }
 
 /// A node that sees only some of the crashes must not keep sending the request: crashes that other
 /// nodes report add up with its own.
 #[test]
 fn blame_adds_up_across_nodes() {
-    let mut world = World::default();
-    world.report_crash(0, 0, &[(1, Suspicion::Begun)]);
-    world.report_crash(1, 1, &[(1, Suspicion::Possible)]);
-    world.report_crash(2, 2, &[(1, Suspicion::Possible)]);
-    assert_eq!(world.blamed_crashes(1), Some(3));
+    let mut reports = TestLedger::default();
+    reports.report_crash(0, 0, &[(1, Suspicion::Begun)]);
+    reports.report_crash(1, 1, &[(1, Suspicion::Possible)]);
+    reports.report_crash(2, 2, &[(1, Suspicion::Possible)]);
+    assert_eq!(reports.blamed_crashes(1), Some(3));
 }
 
 /// Requests that were only queued at crashed engines must not be rejected as soon as those that
 /// had begun.
 #[test]
 fn blame_takes_more_crashes_for_queued_requests() {
-    let mut world = World::default();
+    let mut reports = TestLedger::default();
     for upstream in 0..3 {
-        world.report_crash(upstream, 0, &[(1, Suspicion::Possible)]);
+        reports.report_crash(upstream, 0, &[(1, Suspicion::Possible)]);
     }
-    assert_eq!(world.blamed_crashes(1), None);
-    world.report_crash(3, 0, &[(1, Suspicion::Possible)]);
-    assert_eq!(world.blamed_crashes(1), Some(4));
+    assert_eq!(reports.blamed_crashes(1), None);
+    reports.report_crash(3, 0, &[(1, Suspicion::Possible)]);
+    assert_eq!(reports.blamed_crashes(1), Some(4));
 }
 
 /// Requests that run beside a poison request must not be rejected like it. They are interrupted
@@ -141,16 +141,16 @@
 /// a blamed request explains must not count against them.
 #[test]
 fn blame_spares_requests_beside_a_poison_one() {
-    let mut world = World::default();
+    let mut reports = TestLedger::default();
     for upstream in 0..3 {
         let beside = (2, Suspicion::Possible);
-        world.report_crash(upstream, 0, &[(1, Suspicion::Begun), beside]);
-        world.report_crash(upstream, 1, &[(3, Suspicion::Possible)]);
+        reports.report_crash(upstream, 0, &[(1, Suspicion::Begun), beside]);
+        reports.report_crash(upstream, 1, &[(3, Suspicion::Possible)]);
     }
-    world.report_crash(3, 0, &[(1, Suspicion::Begun), (2, Suspicion::Begun)]);
-    assert_eq!(world.blamed_crashes(1), Some(4));
-    assert_eq!(world.blamed_crashes(2), None);
-    assert_eq!(world.blamed_crashes(3), None);
+    reports.report_crash(3, 0, &[(1, Suspicion::Begun), (2, Suspicion::Begun)]);
+    assert_eq!(reports.blamed_crashes(1), Some(4));
+    assert_eq!(reports.blamed_crashes(2), None);
+    assert_eq!(reports.blamed_crashes(3), None);
 }
 
 /// Of two requests that were at the same engines, the harmless one must not stay rejected. It may
@@ -158,29 +158,29 @@
 /// must move the blame.
 #[test]
 fn blame_moves_once_more_is_known() {
-    let mut world = World::default();
+    let mut reports = TestLedger::default();
     for upstream in 0..3 {
-        world.report_crash(upstream, 0, &[(1, Suspicion::Begun), (2, Suspicion::Begun)]);
+        reports.report_crash(upstream, 0, &[(1, Suspicion::Begun), (2, Suspicion::Begun)]);
     }
-    let (first, other) = if world.blamed_crashes(1).is_some() {
+    let (first, other) = if reports.blamed_crashes(1).is_some() {
         (1, 2)
     } else {
         (2, 1)
     };
-    assert_eq!(world.blamed_crashes(other), None);
-    world.report_crash(3, 0, &[(other, Suspicion::Begun)]);
-    assert_eq!(world.blamed_crashes(other), Some(4));
-    assert_eq!(world.blamed_crashes(first), None);
+    assert_eq!(reports.blamed_crashes(other), None);
+    reports.report_crash(3, 0, &[(other, Suspicion::Begun)]);
+    assert_eq!(reports.blamed_crashes(other), Some(4));
+    assert_eq!(reports.blamed_crashes(first), None);
 }
 
 #[test]
 fn blame_several_requests_at_once() {
-    let mut world = World::default();
+    let mut reports = TestLedger::default();
     for upstream in 0..9 {
-        world.report_crash(upstream, 0, &[(upstream % 3, Suspicion::Begun)]);
+        reports.report_crash(upstream, 0, &[(upstream % 3, Suspicion::Begun)]);
     }
     for request in 0..3 {
-        assert_eq!(world.blamed_crashes(request), Some(3));
+        assert_eq!(reports.blamed_crashes(request), Some(3));
     }
 }
 
@@ -188,63 +188,67 @@
 /// cleared, earlier reports no longer count.
 #[test]
 fn clear_applies_to_earlier_reports() {
-    let mut world = World::default();
+    let mut reports = TestLedger::default();
     for upstream in 0..3 {
-        world.report_crash(upstream, 0, &[(1, Suspicion::Begun)]);
+        reports.report_crash(upstream, 0, &[(1, Suspicion::Begun)]);
     }
-    world.revision += 1;
-    world.ledger.clear(&fingerprint(1), Some(world.revision));
-    assert_eq!(world.blamed_crashes(1), None);
+    reports.revision += 1;
+    reports
+        .ledger
+        .clear(&fingerprint(1), Some(reports.revision));
+    assert_eq!(reports.blamed_crashes(1), None);
     for upstream in 3..6 {
-        assert_eq!(world.blamed_crashes(1), None);
-        world.report_crash(upstream, 0, &[(1, Suspicion::Begun)]);
+        assert_eq!(reports.blamed_crashes(1), None);
+        reports.report_crash(upstream, 0, &[(1, Suspicion::Begun)]);
     }
-    assert_eq!(world.blamed_crashes(1), Some(3));
+    assert_eq!(reports.blamed_crashes(1), Some(3));
 }
 
 /// A node that has just started must not reject requests that other nodes serve. It reads records
 /// in key order, so it can read that a request is harmless before the older reports of it.
 #[test]
 fn clear_in_any_order() {
-    let mut world = World::default();
-    world.ledger.clear(&fingerprint(1), Some(9));
+    let mut reports = TestLedger::default();
+    reports.ledger.clear(&fingerprint(1), Some(9));
     for upstream in 0..3 {
-        world.report_crash(upstream, 0, &[(1, Suspicion::Begun)]);
+        reports.report_crash(upstream, 0, &[(1, Suspicion::Begun)]);
     }
-    assert_eq!(world.blamed_crashes(1), None);
+    assert_eq!(reports.blamed_crashes(1), None);
 }
 
 #[test]
 fn reports_expire() {
-    let mut world = World::default();
+    let mut reports = TestLedger::default();
     let mut last = Name::from("");
     for upstream in 0..3 {
-        last = world.report_crash(upstream, 0, &[(1, Suspicion::Begun)]);
+        last = reports.report_crash(upstream, 0, &[(1, Suspicion::Begun)]);
     }
-    world.ledger.remove_report(&last);
-    assert_eq!(world.blamed_crashes(1), None);
-    world.report_crash(2, 0, &[(1, Suspicion::Begun)]);
-    assert!(world.blamed_crashes(1).is_some());
+    reports.ledger.remove_report(&last);
+    assert_eq!(reports.blamed_crashes(1), None);
+    reports.report_crash(2, 0, &[(1, Suspicion::Begun)]);
+    assert!(reports.blamed_crashes(1).is_some());
     assert_eq!(
-        world.ledger.blamed_crashes(&fingerprint(1), REPORT_TTL),
+        reports.ledger.blamed_crashes(&fingerprint(1), REPORT_TTL),
         None
     );
-    assert!(world.ledger.is_empty());
+    assert!(reports.ledger.is_empty());
 }
 
 /// A node's memory must stay bounded while a caller keeps sending new requests that crash engines.
 #[test]
 fn report_memory_is_bounded() {
-    let mut world = World::default();
+    let mut reports = TestLedger::default();
     for upstream in 0..5_000 {
         let suspects: Vec<_> = (0..2)
             .map(|at| (upstream * 2 + at, Suspicion::Begun))
             .collect();
-        world.report_crash(upstream, 0, &suspects);
+        reports.report_crash(upstream, 0, &suspects);
     }
-    assert_eq!(world.ledger.crash_count(&fingerprint(0), Millis::ZERO), 0);
+    assert_eq!(reports.ledger.crash_count(&fingerprint(0), Millis::ZERO), 0);
     assert_eq!(
-        world.ledger.crash_count(&fingerprint(9_999), Millis::ZERO),
+        reports
+            .ledger
+            .crash_count(&fingerprint(9_999), Millis::ZERO),
         1
     );
 }
@@ -263,18 +267,18 @@
 /// begun.
 type GeneratedReport = (u8, u8, Vec<(u8, bool)>);
 
-fn verdict<'a>(reports: impl Iterator<Item = &'a GeneratedReport>) -> Vec<Option<usize>> {
-    let mut world = World::default();
-    for (upstream, node, suspects) in reports {
+fn verdict<'a>(generated: impl Iterator<Item = &'a GeneratedReport>) -> Vec<Option<usize>> {
+    let mut reports = TestLedger::default();
+    for (upstream, node, suspects) in generated {
         let suspicions = [Suspicion::Possible, Suspicion::Begun];
         let suspects: Vec<_> = suspects
             .iter()
             .map(|(request, begun)| (u64::from(request % 6), suspicions[usize::from(*begun)]))
             .collect();
-        world.report_crash(u64::from(upstream % 8), u64::from(node % 3), &suspects);
+        reports.report_crash(u64::from(upstream % 8), u64::from(node % 3), &suspects);
     }
     (0..6)
-        .map(|request| world.blamed_crashes(request))
+        .map(|request| reports.blamed_crashes(request))
         .collect()
 }
 
