--- a/lib/tests/test_direct_claims.rs
+++ b/lib/tests/test_direct_claims.rs
@@ -21,7 +21,7 @@
 use chivevalve::ports::{Lease, Store};
 use chivevalve_platform::PlatformDialect;
 use direct_support::SERVER;
-use direct_support::memory::Memory;
+use direct_support::memory::MemoryStore;
 use direct_support::records::entry_revision;
 use tokio::task::JoinHandle;
 
@@ -76,11 +76,11 @@
     "127.0.0.1:9".parse().unwrap()
 }
 
-fn node(name: &str, memory: &Arc<Memory>, first_start: bool) -> Node {
+fn node(name: &str, memory: &Arc<MemoryStore>, first_start: bool) -> Node {
     start(name, 1, memory, first_start)
 }
 
-fn start(name: &str, start: u64, memory: &Arc<Memory>, first_start: bool) -> Node {
+fn start(name: &str, start: u64, memory: &Arc<MemoryStore>, first_start: bool) -> Node {
     let view = Arc::new(View::default());
     add_engine(&view);
     start_with(view, name, start, memory, first_start)
@@ -90,7 +90,7 @@
     view: Arc<View>,
     name: &str,
     start: u64,
-    memory: &Arc<Memory>,
+    memory: &Arc<MemoryStore>,
     first_start: bool,
 ) -> Node {
     // The clocks of all starts on one VM count from its boot.
@@ -103,7 +103,7 @@
     view: Arc<View>,
     name: &str,
     start: u64,
-    memory: &Arc<Memory>,
+    memory: &Arc<MemoryStore>,
     first_start: bool,
 ) -> Node {
     let clock = Arc::new(Manual::default());
@@ -113,8 +113,8 @@
     let dialect: Arc<dyn Dialect> = Arc::new(PlatformDialect);
     let limits = Arc::new(SharedLimits::default());
     let follower = Follower::new(
-        Arc::<Memory>::clone(memory),
-        Arc::<Memory>::clone(memory),
+        Arc::<MemoryStore>::clone(memory),
+        Arc::<MemoryStore>::clone(memory),
         Arc::clone(&dialect),
         Arc::clone(&shared),
         Arc::clone(&view),
@@ -122,8 +122,8 @@
     );
     let others = Arc::new(Others::default());
     let claimer = Arc::new(Claimer {
-        store: Arc::<Memory>::clone(memory) as Arc<dyn Store>,
-        lease: Arc::<Memory>::clone(memory) as Arc<dyn Lease>,
+        store: Arc::<MemoryStore>::clone(memory) as Arc<dyn Store>,
+        lease: Arc::<MemoryStore>::clone(memory) as Arc<dyn Lease>,
         voters: Arc::<Others>::clone(&others),
         dialect,
         clock: shared,
@@ -187,7 +187,7 @@
 }
 
 /// Stores the engine's entry, so that a full read doesn't drop the engine.
-fn store_engine(memory: &Memory) {
+fn store_engine(memory: &MemoryStore) {
     let entry = SERVER;
     memory.change(|state| state.put("servers/i-1", entry, None));
 }
@@ -204,15 +204,15 @@
 }
 
 /// Returns a service with the engine's entry, and the node that owns the engine.
-async fn owner() -> (Arc<Memory>, Node) {
-    let memory = Arc::new(Memory::default());
+async fn owner() -> (Arc<MemoryStore>, Node) {
+    let memory = Arc::new(MemoryStore::default());
     store_engine(&memory);
     let one = node("one", &memory, true);
     pass(&[&one], Millis(3_000)).await;
     (memory, one)
 }
 
-fn claim_key(memory: &Memory) -> Option<String> {
+fn claim_key(memory: &MemoryStore) -> Option<String> {
     memory
         .state()
         .entries
@@ -238,7 +238,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn claim_one_of_two() {
-    let memory = Arc::new(Memory::default());
+    let memory = Arc::new(MemoryStore::default());
     store_engine(&memory);
     let (one, two) = (node("one", &memory, true), node("two", &memory, true));
     pass(&[&one, &two], Millis(5_000)).await;
@@ -249,7 +249,7 @@
 /// A node that finds no claim waits in case an unknown owner may still send orders.
 #[tokio::test(start_paused = true)]
 async fn claim_later_start_waits_first() {
-    let memory = Arc::new(Memory::default());
+    let memory = Arc::new(MemoryStore::default());
     store_engine(&memory);
     let one = node("one", &memory, false);
     pass(&[&one], Millis(4_900)).await;
@@ -265,12 +265,12 @@
     let (memory, one) = owner().await;
     let previous = one.ownership.fencing_token(address()).unwrap();
     let key = claim_key(&memory).unwrap();
-    memory.change(|state| state.away = true);
+    memory.change(|state| state.is_unavailable = true);
     pass(&[&one], Millis(4_000)).await;
     assert_eq!(one.ownership.fencing_token(address()), None);
     let other = r#"{"node":"two","start":1,"left":null}"#;
     memory.change(|state| {
-        state.away = false;
+        state.is_unavailable = false;
         state.remove(&key);
         state.put(&key, other, None);
     });
@@ -299,7 +299,7 @@
     pass(&[&two], Millis(1_500)).await;
     drop(one);
     let leases = memory.state().leases.clone();
-    memory.change(|state| state.end(leases[0]));
+    memory.change(|state| state.end_lease(leases[0]));
     let waited = OWNERSHIP_TERM + Limits::default().order_gap;
     pass(&[&two], waited).await;
     assert_eq!(two.ownership.fencing_token(address()), None);
@@ -332,7 +332,7 @@
 }
 
 /// An owner sends an order and leaves, and another node claims its engine.
-async fn claimed_after_an_order() -> (Arc<Memory>, Node) {
+async fn claimed_after_an_order() -> (Arc<MemoryStore>, Node) {
     let (memory, one) = owner().await;
     let two = node("two", &memory, false);
     pass(&[&one, &two], Millis(1_500)).await;
@@ -404,7 +404,7 @@
 async fn ownership_extended_through_an_outage() {
     let (memory, one) = owner().await;
     one.others.vote.store(true, Ordering::SeqCst);
-    memory.change(|state| state.away = true);
+    memory.change(|state| state.is_unavailable = true);
     for _ in 0..20 {
         pass(&[&one], Millis(500)).await;
         assert!(one.ownership.fencing_token(address()).is_some());
@@ -422,7 +422,7 @@
 /// A claim that expired in an outage goes back to its owner if that is alive, as it needn't wait.
 #[tokio::test(start_paused = true)]
 async fn claim_expired_in_an_outage_goes_back_to_its_owner() {
-    let memory = Arc::new(Memory::default());
+    let memory = Arc::new(MemoryStore::default());
     store_engine(&memory);
     let names = ["one", "two", "three"];
     let nodes: Vec<Node> = names.iter().map(|name| node(name, &memory, true)).collect();
@@ -438,7 +438,7 @@
     let leases = memory.state().leases.clone();
     memory.change(|state| {
         for lease in leases {
-            state.end(lease);
+            state.end_lease(lease);
         }
     });
     pass(&all, Millis(2_500)).await;
@@ -455,7 +455,7 @@
     let leases = memory.state().leases.clone();
     let other = r#"{"node":"two","start":1,"left":null}"#;
     memory.change(|state| {
-        state.end(leases[0]);
+        state.end_lease(leases[0]);
         state.put(&key, other, None);
         state.remove(&key);
         state.drop_history();
@@ -476,7 +476,7 @@
     let (memory, one) = owner().await;
     one.others.vote.store(true, Ordering::SeqCst);
     one.others.lost_rounds.store(2, Ordering::SeqCst);
-    memory.change(|state| state.away = true);
+    memory.change(|state| state.is_unavailable = true);
     for _ in 0..20 {
         pass(&[&one], Millis(500)).await;
         assert!(one.ownership.fencing_token(address()).is_some());
@@ -487,12 +487,12 @@
 /// its own start.
 #[tokio::test(start_paused = true)]
 async fn claim_after_a_start_in_an_outage_waits_from_its_end() {
-    let memory = Arc::new(Memory::default());
+    let memory = Arc::new(MemoryStore::default());
     store_engine(&memory);
-    memory.change(|state| state.away = true);
+    memory.change(|state| state.is_unavailable = true);
     let one = node("one", &memory, false);
     pass(&[&one], Millis(10_000)).await;
-    memory.change(|state| state.away = false);
+    memory.change(|state| state.is_unavailable = false);
     pass(&[&one], Millis(3_000)).await;
     assert!(one.ownership.owns(address()));
     assert_eq!(one.ownership.fencing_token(address()), None);
@@ -503,14 +503,14 @@
 /// A node without a first lease, or that has left, can't take over and votes for the owner.
 #[tokio::test(start_paused = true)]
 async fn votes_for_without_a_lease_and_after_leaving() {
-    let memory = Arc::new(Memory::default());
+    let memory = Arc::new(MemoryStore::default());
     store_engine(&memory);
-    memory.change(|state| state.away = true);
+    memory.change(|state| state.is_unavailable = true);
     let one = node("one", &memory, false);
     let owned = [(address(), 7)];
     pass(&[&one], Millis(3_000)).await;
     assert!(one.ownership.votes_for("two", &owned));
-    memory.change(|state| state.away = false);
+    memory.change(|state| state.is_unavailable = false);
     pass(&[&one], Millis(1_500)).await;
     assert!(!one.ownership.votes_for("two", &owned));
     one.claimer.leave().await.unwrap();
@@ -603,7 +603,7 @@
 /// A node hands over engines beyond its share, and two nodes never send orders to one engine.
 #[tokio::test(start_paused = true)]
 async fn claims_beyond_a_share_are_handed_over() {
-    let memory = Arc::new(Memory::default());
+    let memory = Arc::new(MemoryStore::default());
     let engines = 8;
     store_engines(&memory, engines);
     let one = node("one", &memory, true);
@@ -636,7 +636,7 @@
 }
 
 /// Stores entries of engines, each at its own port.
-fn store_engines(memory: &Memory, engines: usize) {
+fn store_engines(memory: &MemoryStore, engines: usize) {
     for number in 0..engines {
         let entry = SERVER.replace("127.0.0.1:9", &format!("127.0.0.1:{}", 9 + number));
         memory.change(|state| state.put(&format!("servers/i-{}", number + 1), entry, None));
@@ -647,7 +647,7 @@
 #[tokio::test(start_paused = true)]
 async fn claims_made_with_a_late_view() {
     let engines: u16 = 320;
-    let memory = Arc::new(Memory::default());
+    let memory = Arc::new(MemoryStore::default());
     store_engines(&memory, engines.into());
     let names = ["a", "b", "c", "d", "e", "f", "g", "h"];
     let nodes: Vec<Node> = names.iter().map(|name| node(name, &memory, true)).collect();
@@ -677,7 +677,7 @@
 }
 
 /// Restarts a node with an empty view, and puts the configuration into the service.
-fn start_again(name: &str, memory: &Arc<Memory>) -> Node {
+fn start_again(name: &str, memory: &Arc<MemoryStore>) -> Node {
     let config = r#"{"version":1,"routes":[],"services":[{"name":"engines","maxConns":10,
         "engine":{"slots":8,"kvCapacity":100,"adapterSlots":4,"models":[]}}]}"#;
     memory.change(|state| state.put("op/config", config, None));
@@ -685,8 +685,8 @@
 }
 
 /// Makes listings under a prefix take `span`.
-fn slow(memory: &Memory, prefix: &str, span: Millis) {
-    memory.change(|state| state.slow = Some((prefix.to_owned(), span)));
+fn slow(memory: &MemoryStore, prefix: &str, span: Millis) {
+    memory.change(|state| state.slow_listing = Some((prefix.to_owned(), span)));
 }
 
 /// A node reclaims its previous start's engines before the claims expire, though the engines'
@@ -699,7 +699,7 @@
     slow(&memory, "servers/", Millis::from_secs(5));
     let again = start_again("one", &memory);
     pass(&[&again], Millis(1_500)).await;
-    memory.change(|state| state.end(previous));
+    memory.change(|state| state.end_lease(previous));
     assert!(claim_key(&memory).is_some(), "the claim ended");
     pass(&[&again], Millis(4_000)).await;
     assert!(again.ownership.fencing_token(address()).is_some());
@@ -708,7 +708,7 @@
 /// A node's record is written before its lease expires, though reading the claims takes longer.
 #[tokio::test(start_paused = true)]
 async fn record_does_not_wait_for_claims() {
-    let memory = Arc::new(Memory::default());
+    let memory = Arc::new(MemoryStore::default());
     store_engine(&memory);
     slow(&memory, "chivevalve/", Millis::from_secs(4));
     let one = start_again("one", &memory);
@@ -720,7 +720,7 @@
 /// A claim may have expired while claims were read: the node waits from when they were read.
 #[tokio::test(start_paused = true)]
 async fn claim_unknown_waits_from_when_claims_were_read() {
-    let memory = Arc::new(Memory::default());
+    let memory = Arc::new(MemoryStore::default());
     store_engine(&memory);
     slow(&memory, "chivevalve/", Millis::from_secs(4));
     let one = start_again("one", &memory);
--- a/lib/tests/test_direct_fanout.rs
+++ b/lib/tests/test_direct_fanout.rs
@@ -18,26 +18,23 @@
 use chivevalve::direct::peer_server::serve;
 use chivevalve::direct::view::View;
 use chivevalve::name::Name;
-use chivevalve::ports::poll::{self, Changes, Poll};
 use chivevalve::ports::{Entry, Error, Event};
+use chivevalve::ports::poll::{Changes, Poll, self};
+use chivevalve::schema::direct::{AdmitReply, AdmitRequest, Change, ExchangeReply, ExchangeRequest, FollowRequest, LoadReply, LoadRequest, SupportReply, SupportRequest, TellReply, TellRequest, Update as ProtoUpdate};
 use chivevalve::schema::direct::orders_client::OrdersClient;
 use chivevalve::schema::direct::orders_server::{Orders, OrdersServer};
-use chivevalve::schema::direct::{
-    AdmitReply, AdmitRequest, Change, ExchangeReply, ExchangeRequest, FollowRequest, LoadReply,
-    LoadRequest, SupportReply, SupportRequest, TellReply, TellRequest, Update as ProtoUpdate,
-};
 use chivevalve_platform::PlatformDialect;
 use direct_support::SERVER;
-use direct_support::listen::Direct;
-use direct_support::memory::Memory;
+use direct_support::listen::InProcessSource;
+use direct_support::memory::MemoryStore;
 use direct_support::records::peer;
 use futures::StreamExt;
 use futures::stream::BoxStream;
 use tokio::net::TcpListener;
 use tokio::task::JoinHandle;
 use tokio_stream::wrappers::TcpListenerStream;
-use tonic::transport::Server;
 use tonic::{Request, Response, Status, Streaming};
+use tonic::transport::Server;
 
 fn put(revision: u64) -> Event {
     let key = format!("servers/i-{revision}");
@@ -224,7 +221,7 @@
 /// The polls of one node, counted and with faults.
 #[derive(Debug)]
 struct CountingPoll {
-    memory: Arc<Memory>,
+    memory: Arc<MemoryStore>,
     calls: AtomicUsize,
     /// Whether calls of this node fail.
     rejects_calls: AtomicBool,
@@ -271,7 +268,7 @@
 }
 
 /// Starts a node that subscribes to another one, or has no publisher.
-fn start(memory: &Arc<Memory>, publisher: Option<&Node>, extra_age: Millis) -> Node {
+fn start(memory: &Arc<MemoryStore>, publisher: Option<&Node>, extra_age: Millis) -> Node {
     let clock: Arc<dyn Clock> = Arc::new(Monotonic::start());
     let view = Arc::new(View::default());
     let hub = Arc::new(Hub::new(Arc::clone(&clock), Arc::default()));
@@ -282,9 +279,9 @@
         unordered: AtomicBool::new(false),
     });
     let hub_of_publisher = publisher.map(|node| Arc::clone(&node.hub));
-    let source = Direct::new(hub_of_publisher, Arc::clone(&clock), extra_age);
+    let source = InProcessSource::new(hub_of_publisher, Arc::clone(&clock), extra_age);
     let follower = Follower::new(
-        Arc::<Memory>::clone(memory),
+        Arc::<MemoryStore>::clone(memory),
         Arc::<CountingPoll>::clone(&poll),
         Arc::new(PlatformDialect),
         clock,
@@ -300,7 +297,7 @@
     }
 }
 
-fn configure(memory: &Memory, version: u64) {
+fn configure(memory: &MemoryStore, version: u64) {
     let config = format!(r#"{{"version":{version},"routes":[],"services":[]}}"#);
     memory.change(|state| state.put("op/config", config, None));
 }
@@ -313,8 +310,8 @@
 const CONFIG_APPLY_TIME: Millis = Millis(2_000);
 
 /// Returns a leader and a node subscribed to it, which both know version 1.
-async fn two_nodes(extra_age: Millis) -> (Arc<Memory>, Node, Node) {
-    let memory = Arc::new(Memory::default());
+async fn two_nodes(extra_age: Millis) -> (Arc<MemoryStore>, Node, Node) {
+    let memory = Arc::new(MemoryStore::default());
     configure(&memory, 1);
     let leader = start(&memory, None, Millis::ZERO);
     let node = start(&memory, Some(&leader), extra_age);
@@ -401,7 +398,7 @@
 /// An update older than the known revision doesn't make a draining server ready again.
 #[tokio::test(start_paused = true)]
 async fn follow_older_updates_are_ignored() {
-    let memory = Arc::new(Memory::default());
+    let memory = Arc::new(MemoryStore::default());
     let leader = start(&memory, None, Millis::ZERO);
     memory.change(|state| state.put("servers/i-1", SERVER, None));
     sleep(Millis(1_500)).await;
--- a/lib/tests/test_direct_fanout_fuzz.rs
+++ b/lib/tests/test_direct_fanout_fuzz.rs
@@ -22,8 +22,8 @@
 use chivevalve::ports::{Entry, Event};
 use chivevalve_platform::PlatformDialect;
 use direct_support::SERVER;
-use direct_support::listen::Direct;
-use direct_support::memory::Memory;
+use direct_support::listen::InProcessSource;
+use direct_support::memory::MemoryStore;
 use quickcheck::{Arbitrary, Gen, QuickCheck, TestResult};
 use tokio::runtime::Runtime;
 use tokio::sync::Notify;
@@ -297,7 +297,7 @@
 
 fn start(
     name: &'static str,
-    memory: &Arc<Memory>,
+    memory: &Arc<MemoryStore>,
     source: impl FnOnce(Arc<dyn Clock>) -> Box<dyn Source>,
 ) -> Node {
     let clock: Arc<dyn Clock> = Arc::new(Monotonic::start());
@@ -305,8 +305,8 @@
     let metrics = Arc::new(Metrics::default());
     let hub = Arc::new(Hub::new(Arc::clone(&clock), Arc::clone(&metrics)));
     let follower = Follower::new(
-        Arc::<Memory>::clone(memory),
-        Arc::<Memory>::clone(memory),
+        Arc::<MemoryStore>::clone(memory),
+        Arc::<MemoryStore>::clone(memory),
         Arc::new(PlatformDialect),
         Arc::clone(&clock),
         Arc::clone(&view),
@@ -354,7 +354,7 @@
 
 /// A simulated deployment in which a sequence runs.
 struct Simulation {
-    memory: Arc<Memory>,
+    memory: Arc<MemoryStore>,
     queue: Arc<UpdateQueue>,
     clock: Arc<dyn Clock>,
     nodes: [Node; 2],
@@ -364,7 +364,7 @@
 
 impl Simulation {
     fn new() -> Self {
-        let memory = Arc::new(Memory::default());
+        let memory = Arc::new(MemoryStore::default());
         let queue = Arc::new(UpdateQueue::default());
         let source = QueueSource {
             queue: Arc::clone(&queue),
@@ -373,7 +373,7 @@
         let first = start("first", &memory, |_| Box::new(source));
         let hub = Arc::clone(&first.hub);
         let second = start("second", &memory, |clock| {
-            Box::new(Direct::new(Some(hub), clock, Millis::ZERO))
+            Box::new(InProcessSource::new(Some(hub), clock, Millis::ZERO))
         });
         Self {
             memory,
@@ -392,7 +392,7 @@
             } else {
                 state.put(&key, value, None);
             }
-            let events = state.since("", self.history.len() as u64 - 1);
+            let events = state.changes_after("", self.history.len() as u64 - 1);
             for event in events {
                 let mut contents = self.history.last().expect("it has revision 0").clone();
                 replay(&mut contents, &event);
@@ -406,7 +406,7 @@
         let state = self.memory.state();
         let after = state.revision.saturating_sub(u64::from(back.max(until)));
         let revision = state.revision.saturating_sub(u64::from(until));
-        let mut events = state.since("", after);
+        let mut events = state.changes_after("", after);
         events.retain(|event| event.revision <= revision);
         Update {
             after,
--- a/lib/tests/test_direct_follow.rs
+++ b/lib/tests/test_direct_follow.rs
@@ -12,10 +12,10 @@
 use chivevalve::direct::view::View;
 use chivevalve_platform::PlatformDialect;
 use direct_support::SERVER;
-use direct_support::memory::{Memory, State};
+use direct_support::memory::{MemoryStore, State};
 
 struct TestNode {
-    memory: Arc<Memory>,
+    memory: Arc<MemoryStore>,
     view: Arc<View>,
 }
 
@@ -25,13 +25,13 @@
 
 fn start_with(
     clock: Arc<dyn Clock>,
-    extend: impl FnOnce(Follower, &Arc<Memory>) -> Follower,
+    extend: impl FnOnce(Follower, &Arc<MemoryStore>) -> Follower,
 ) -> TestNode {
-    let memory = Arc::new(Memory::default());
+    let memory = Arc::new(MemoryStore::default());
     let view = Arc::new(View::default());
     let follower = Follower::new(
-        Arc::<Memory>::clone(&memory),
-        Arc::<Memory>::clone(&memory),
+        Arc::<MemoryStore>::clone(&memory),
+        Arc::<MemoryStore>::clone(&memory),
         Arc::new(PlatformDialect),
         clock,
         Arc::clone(&view),
@@ -94,11 +94,11 @@
     let node = start();
     node.configure(1);
     sleep(Millis(3_000)).await;
-    node.memory.change(|state| state.away = true);
+    node.memory.change(|state| state.is_unavailable = true);
     sleep(Millis(6_000)).await;
-    let waits = node.memory.state().waits.clone();
+    let waits = node.memory.state().poll_waits.clone();
     assert!(*waits.last().unwrap() < Millis(100), "{waits:?}");
-    node.memory.change(|state| state.away = false);
+    node.memory.change(|state| state.is_unavailable = false);
     node.configure(2);
     sleep(Millis(1_300)).await;
     assert_eq!(node.version(), 2);
@@ -108,11 +108,11 @@
 #[tokio::test(start_paused = true)]
 async fn config_known_soon_after_a_silent_start() {
     let node = start();
-    node.memory.change(|state| state.silent = true);
+    node.memory.change(|state| state.reads_hang = true);
     node.configure(1);
     sleep(Millis(600)).await;
     assert_eq!(node.version(), 0);
-    node.memory.change(|state| state.silent = false);
+    node.memory.change(|state| state.reads_hang = false);
     sleep(Millis(450)).await;
     assert_eq!(node.version(), 1);
 }
@@ -135,10 +135,10 @@
     node.list("i-1");
     node.list("i-2");
     sleep(Millis(2_000)).await;
-    node.memory.change(|state| state.away = true);
+    node.memory.change(|state| state.is_unavailable = true);
     sleep(Millis(6_000)).await;
     node.memory.change(|state| {
-        state.away = false;
+        state.is_unavailable = false;
         state.remove("servers/i-1");
         state.remove("servers/i-2");
     });
@@ -247,7 +247,7 @@
     node.configure(1);
     sleep(Millis(2_000)).await;
     node.memory.change(|state| {
-        state.longest = Some(10);
+        state.max_changes = Some(10);
         for number in 0..200 {
             state.put(&format!("chivevalve/any/{number}"), "", None);
         }
@@ -269,7 +269,7 @@
     let declared_at = clock.now();
     let entry = r#"{"model":"base","adapter":"a1","version":2}"#;
     node.memory.change(|state| {
-        state.longest = Some(10);
+        state.max_changes = Some(10);
         for number in 0..95 {
             state.put(&format!("chivevalve/any/{number}"), "", None);
         }
@@ -292,12 +292,12 @@
     sleep(Millis(3_000)).await;
     let before = node.view.as_of();
     assert!(before > Millis::ZERO);
-    node.memory.change(|state| state.away = true);
+    node.memory.change(|state| state.is_unavailable = true);
     sleep(Millis(3_000)).await;
     let lost = node.view.as_of();
     sleep(Millis(20_000)).await;
     assert_eq!(node.view.as_of(), lost);
-    node.memory.change(|state| state.away = false);
+    node.memory.change(|state| state.is_unavailable = false);
     sleep(Millis(4_000)).await;
     assert!(node.view.as_of() > lost + Millis(20_000));
 }
@@ -326,14 +326,14 @@
         node.list(incarnation);
     }
     sleep(Millis(2_000)).await;
-    node.memory.change(|state| state.away = true);
+    node.memory.change(|state| state.is_unavailable = true);
     sleep(span).await;
     node.memory.change(|state| {
         state.remove("servers/i-1");
         if is_history_dropped {
             state.drop_history();
         }
-        state.away = false;
+        state.is_unavailable = false;
     });
     node
 }
@@ -370,11 +370,11 @@
     node.memory
         .change(|state| state.put("servers/i-2", other, None));
     sleep(Millis(2_000)).await;
-    node.memory.change(|state| state.away = true);
+    node.memory.change(|state| state.is_unavailable = true);
     sleep(Millis(9_000)).await;
     node.memory.change(|state| {
         state.remove("servers/i-1");
-        state.away = false;
+        state.is_unavailable = false;
     });
     sleep(Millis(1_500)).await;
     assert!(node.takes_work("i-1") && node.takes_work("i-2"));
@@ -390,17 +390,17 @@
         let node = start();
         node.list("i-1");
         sleep(Millis(2_000)).await;
-        node.memory.change(|state| state.away = true);
+        node.memory.change(|state| state.is_unavailable = true);
         sleep(Millis(6_000)).await;
         node.memory.change(|state| {
             state.remove("servers/i-1");
-            state.away = false;
+            state.is_unavailable = false;
         });
         sleep(offset).await;
-        node.memory.change(|state| state.away = true);
+        node.memory.change(|state| state.is_unavailable = true);
         sleep(Millis(6_000)).await;
         assert!(node.takes_work("i-1"), "{offset}");
-        node.memory.change(|state| state.away = false);
+        node.memory.change(|state| state.is_unavailable = false);
         sleep(Millis(1_900)).await;
         node.list("i-1");
         sleep(RECONNECT_TIME).await;
@@ -417,7 +417,7 @@
     let known = || Arc::clone(&node.view.state().upstreams["i-1"]);
     let before = known();
     node.memory.change(|state| {
-        state.slow = Some(("servers/".to_owned(), Millis(500)));
+        state.slow_listing = Some(("servers/".to_owned(), Millis(500)));
         state.put("chivevalve/any", "", None);
         state.drop_history();
         state.put("chivevalve/any", "", None);
@@ -437,9 +437,9 @@
         let node = disconnected_while_one_leaves(span, is_history_dropped).await;
         for _ in 0..3 {
             sleep(Millis(1_300)).await;
-            node.memory.change(|state| state.away = true);
+            node.memory.change(|state| state.is_unavailable = true);
             sleep(Millis(3_300)).await;
-            node.memory.change(|state| state.away = false);
+            node.memory.change(|state| state.is_unavailable = false);
         }
         sleep(RECONNECT_TIME).await;
         assert!(!node.takes_work("i-1"), "{span} {is_history_dropped}");
@@ -471,7 +471,7 @@
 /// A source that passes changes on every second, except while the service is unavailable.
 #[derive(Debug)]
 struct PeriodicSource {
-    memory: Arc<Memory>,
+    memory: Arc<MemoryStore>,
     clock: Arc<dyn Clock>,
     due: Millis,
 }
@@ -491,14 +491,14 @@
         }
         self.due = now + Millis(1_000);
         let state = self.memory.state();
-        if state.away {
+        if state.is_unavailable {
             return Received::Timeout;
         }
         Received::Update(Update {
             after,
             revision: after.max(state.revision),
             as_of: now,
-            events: state.since("", after),
+            events: state.changes_after("", after),
         })
     }
 
@@ -510,7 +510,7 @@
 async fn upstream_left_while_disconnected_is_gone_in_time_for_a_subscriber() {
     for offset in (0..1_000).step_by(100).map(Millis) {
         let clock: Arc<dyn Clock> = Arc::new(Monotonic::start());
-        let source = |memory: &Arc<Memory>| PeriodicSource {
+        let source = |memory: &Arc<MemoryStore>| PeriodicSource {
             memory: Arc::clone(memory),
             clock: Arc::clone(&clock),
             due: offset,
@@ -522,11 +522,11 @@
         node.list("i-1");
         node.list("i-2");
         sleep(Millis(2_000)).await;
-        node.memory.change(|state| state.away = true);
+        node.memory.change(|state| state.is_unavailable = true);
         sleep(Millis(4_000)).await;
         node.memory.change(|state| {
             state.remove("servers/i-1");
-            state.away = false;
+            state.is_unavailable = false;
         });
         sleep(RECONNECT_TIME).await;
         assert!(!node.takes_work("i-1"), "{offset}");
--- a/lib/tests/test_direct_presence.rs
+++ b/lib/tests/test_direct_presence.rs
@@ -13,7 +13,7 @@
 use chivevalve::direct::view::View;
 use chivevalve_platform::PlatformDialect;
 use direct_support::SERVER;
-use direct_support::memory::Memory;
+use direct_support::memory::MemoryStore;
 use direct_support::records::entry_revision;
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 use rand::{RngExt, SeedableRng};
@@ -251,7 +251,7 @@
 
 /// A simulated deployment of one node and some upstreams.
 struct Simulation {
-    memory: Arc<Memory>,
+    memory: Arc<MemoryStore>,
     view: Arc<View>,
     clock: Arc<dyn Clock>,
     actual: BTreeMap<u8, ActualState>,
@@ -279,12 +279,12 @@
 
 impl Simulation {
     fn new(seed: u64) -> Self {
-        let memory = Arc::new(Memory::default());
+        let memory = Arc::new(MemoryStore::default());
         let view = Arc::new(View::default());
         let clock: Arc<dyn Clock> = Arc::new(Monotonic::start());
         let follower = Follower::new(
-            Arc::<Memory>::clone(&memory),
-            Arc::<Memory>::clone(&memory),
+            Arc::<MemoryStore>::clone(&memory),
+            Arc::<MemoryStore>::clone(&memory),
             Arc::new(PlatformDialect),
             Arc::clone(&clock),
             Arc::clone(&view),
@@ -328,7 +328,7 @@
             }
             Step::Disconnect(tenths, leaving, is_compacted) => {
                 let span = Millis(u64::from(*tenths) * 100);
-                self.memory.change(|state| state.away = true);
+                self.memory.change(|state| state.is_unavailable = true);
                 self.advance(Millis(span.0 / 2)).await?;
                 if let Some(upstream) = leaving {
                     self.leave(*upstream, *is_compacted);
@@ -339,7 +339,7 @@
                         .change(direct_support::memory::State::drop_history);
                 }
                 self.advance(Millis(span.0 / 2)).await?;
-                self.memory.change(|state| state.away = false);
+                self.memory.change(|state| state.is_unavailable = false);
             }
             Step::Outage(tenths, expires_entries) => {
                 self.outage(Millis(u64::from(*tenths) * 100), *expires_entries)
@@ -368,7 +368,7 @@
     }
 
     async fn outage(&mut self, span: Millis, expires_entries: bool) -> Result<(), String> {
-        self.memory.change(|state| state.away = true);
+        self.memory.change(|state| state.is_unavailable = true);
         self.advance(span).await?;
         let now = self.clock.now();
         if expires_entries && span >= Limits::default().entry_expiry {
@@ -379,7 +379,7 @@
                 actual.announces_again_at = None;
             }
         }
-        self.memory.change(|state| state.away = false);
+        self.memory.change(|state| state.is_unavailable = false);
         Ok(())
     }
 
@@ -389,10 +389,10 @@
         while self.clock.now() < end {
             tokio::time::sleep(CHECK_INTERVAL.duration()).await;
             let now = self.clock.now();
-            if self.memory.state().away {
+            if self.memory.state().is_unavailable {
                 self.disrupted_until = now;
             }
-            if !self.memory.state().away {
+            if !self.memory.state().is_unavailable {
                 self.write_due(now);
             }
             self.check(now)?;
