--- a/lib/tests/test_direct_fanout.rs
+++ b/lib/tests/test_direct_fanout.rs
@@ -18,11 +18,14 @@
 use chivevalve::direct::peer_server::serve;
 use chivevalve::direct::view::View;
 use chivevalve::name::Name;
+use chivevalve::ports::poll::{self, Changes, Poll};
 use chivevalve::ports::{Entry, Error, Event};
-use chivevalve::ports::poll::{Changes, Poll, self};
-use chivevalve::schema::direct::{AdmitReply, AdmitRequest, Change, ExchangeReply, ExchangeRequest, FollowRequest, LoadReply, LoadRequest, SupportReply, SupportRequest, TellReply, TellRequest, Update as ProtoUpdate};
 use chivevalve::schema::direct::orders_client::OrdersClient;
 use chivevalve::schema::direct::orders_server::{Orders, OrdersServer};
+use chivevalve::schema::direct::{
+    AdmitReply, AdmitRequest, Change, ExchangeReply, ExchangeRequest, FollowRequest, LoadReply,
+    LoadRequest, SupportReply, SupportRequest, TellReply, TellRequest, Update as ProtoUpdate,
+};
 use chivevalve_platform::PlatformDialect;
 use direct_support::SERVER;
 use direct_support::listen::InProcessSource;
@@ -33,8 +36,8 @@
 use tokio::net::TcpListener;
 use tokio::task::JoinHandle;
 use tokio_stream::wrappers::TcpListenerStream;
-use tonic::{Request, Response, Status, Streaming};
 use tonic::transport::Server;
+use tonic::{Request, Response, Status, Streaming};
 
 fn put(revision: u64) -> Event {
     let key = format!("servers/i-{revision}");
