--- a/lib/src/direct/follow/entries.rs
+++ b/lib/src/direct/follow/entries.rs
@@ -117,7 +117,7 @@
         };
         if let Err(error) = result {
             self.count_rejected(RejectReason::Unreadable);
-            log::error!("follow: ignored {}: {error}", entry.key);
+            log::error!("follow: {} is left as it was: {error}", entry.key);
         }
     }
 
--- a/lib/src/direct/quarantine.rs
+++ b/lib/src/direct/quarantine.rs
@@ -263,7 +263,7 @@
                 suspect = request.as_str(),
                 upstream = &*upstream.incarnation,
                 sign = suspicion.name();
-                "quarantine: upstream crashed"
+                "quarantine: an upstream ended"
             );
         }
         let start = upstream.start_id();
@@ -282,7 +282,7 @@
                 log::warn!(
                     suspect = request.as_str(),
                     ends = crash_count;
-                    "quarantine: request no longer sent"
+                    "quarantine: no longer sent"
                 );
             }
         }
