--- a/bench/src/policy/contender.rs
+++ b/bench/src/policy/contender.rs
@@ -218,7 +218,7 @@
             upstream::Action::RequestPermit { adapter, demand } => {
                 let key = self.key(engine, &adapter);
                 let ask = ask(&self.names[engine], adapter, demand);
-                self.loads.ask(key, ask, world.now());
+                self.loads.enqueue(key, ask, world.now());
             }
             upstream::Action::CancelPermit { adapter } => {
                 let key = self.key(engine, &adapter);
--- a/lib/src/loads/queue.rs
+++ b/lib/src/loads/queue.rs
@@ -230,7 +230,7 @@
     async fn handle(&mut self, asked: Asked, _: &mut Context<Self, ()>) {
         // An ask that changes after it was granted or taken back stays so.
         let known = asked.reply.is_some() || self.waiting.contains_key(&asked.key);
-        if !known || !self.order.ask(asked.key, asked.ask, self.clock.now()) {
+        if !known || !self.order.enqueue(asked.key, asked.ask, self.clock.now()) {
             return;
         }
         if let Some(reply) = asked.reply {
--- a/lib/src/loads/shared.rs
+++ b/lib/src/loads/shared.rs
@@ -72,7 +72,7 @@
 
     /// Returns the queue that this node's service gives its peers.
     #[must_use]
-    pub fn served(self: &Arc<Self>) -> Arc<dyn PermitSource> {
+    pub fn for_peers(self: &Arc<Self>) -> Arc<dyn PermitSource> {
         Arc::new(Served(Arc::clone(self)))
     }
 
--- a/lib/src/node/assembly.rs
+++ b/lib/src/node/assembly.rs
@@ -147,7 +147,7 @@
             exchange: Arc::clone(&self.gossip) as _,
             renewal: Arc::clone(&self.membership) as _,
             snapshot: Arc::clone(&self.config) as _,
-            permits: self.loads.served(),
+            permits: self.loads.for_peers(),
             clock: Arc::clone(&base.clock),
             metrics: Arc::clone(&base.metrics),
             limits: limits::peer(&base.settings),
--- a/lib/src/policy/loads.rs
+++ b/lib/src/policy/loads.rs
@@ -118,7 +118,7 @@
     /// Puts an ask in, or replaces an earlier one of the same key without losing its age.
     ///
     /// Returns whether there was room.
-    pub fn ask(&mut self, key: RequestKey, ask: PermitRequest, now: Millis) -> bool {
+    pub fn enqueue(&mut self, key: RequestKey, ask: PermitRequest, now: Millis) -> bool {
         let earlier = self.waiting.get(&key).map(|waiting| waiting.first);
         if earlier.is_none() && self.waiting.len() >= self.limits.max_waiting {
             return false;
--- a/lib/tests/test_policy_parts.rs
+++ b/lib/tests/test_policy_parts.rs
@@ -585,10 +585,10 @@
 fn loads_order_by_urgency_then_waiters_then_prefetch() {
     let mut queue = loads::LoadQueue::new(loads::Limits::default());
     let now = Millis::ZERO;
-    queue.ask((0, 1), ask(None, 0, 1_000_000), now);
-    queue.ask((0, 2), ask(Some(Class::Normal), 1, 60_000), now);
-    queue.ask((0, 3), ask(Some(Class::Normal), 5, 300_000), now);
-    queue.ask((0, 4), ask(Some(Class::Urgent), 1, 20_000), now);
+    queue.enqueue((0, 1), ask(None, 0, 1_000_000), now);
+    queue.enqueue((0, 2), ask(Some(Class::Normal), 1, 60_000), now);
+    queue.enqueue((0, 3), ask(Some(Class::Normal), 5, 300_000), now);
+    queue.enqueue((0, 4), ask(Some(Class::Urgent), 1, 20_000), now);
     let mut order = Vec::new();
     while let Some((key, _)) = queue.next(now) {
         assert!(queue.next(now).is_none(), "one at a time");
@@ -603,10 +603,10 @@
 #[test]
 fn loads_each_class_has_its_turn() {
     let mut queue = loads::LoadQueue::new(loads::Limits::default());
-    queue.ask((0, 0), ask(Some(Class::Bulk), 1, 600_000), Millis::ZERO);
+    queue.enqueue((0, 0), ask(Some(Class::Bulk), 1, 600_000), Millis::ZERO);
     for number in 1..40 {
         let now = Millis(number * 300);
-        queue.ask((1, number), ask(Some(Class::Urgent), 1, 20_000), now);
+        queue.enqueue((1, number), ask(Some(Class::Urgent), 1, 20_000), now);
         let (key, _) = queue.next(now).unwrap();
         queue.done(key);
         if key == (0, 0) {
@@ -620,8 +620,8 @@
 #[test]
 fn loads_lost_leave_ends() {
     let mut queue = loads::LoadQueue::new(loads::Limits::default());
-    queue.ask((0, 1), ask(Some(Class::Normal), 1, 1), Millis::ZERO);
-    queue.ask((0, 2), ask(Some(Class::Normal), 1, 1), Millis::ZERO);
+    queue.enqueue((0, 1), ask(Some(Class::Normal), 1, 1), Millis::ZERO);
+    queue.enqueue((0, 2), ask(Some(Class::Normal), 1, 1), Millis::ZERO);
     assert!(queue.next(Millis::ZERO).is_some());
     let until = queue.next_wakeup().unwrap();
     assert!(queue.next(until).is_some());
@@ -638,7 +638,7 @@
     };
     let mut queue = loads::LoadQueue::new(limits);
     for number in 0..10 {
-        queue.ask(
+        queue.enqueue(
             (0, number),
             ask(Some(Class::Normal), 1, 120_000),
             Millis::ZERO,
@@ -649,7 +649,7 @@
         queue.done(key);
     }
     let now = Millis(50_000);
-    queue.ask((1, 0), ask(Some(Class::Normal), 1, 120_000), now);
+    queue.enqueue((1, 0), ask(Some(Class::Normal), 1, 120_000), now);
     assert_eq!(queue.next(now).unwrap().0, (1, 0));
 }
 
