--- a/lib/src/policy/slots.rs
+++ b/lib/src/policy/slots.rs
@@ -13,13 +13,13 @@
 use crate::clock::Millis;
 
 /// First wait after a failed load; it doubles with each failure in a row.
-const BACKOFF: Millis = Millis(500);
+const INITIAL_BACKOFF: Millis = Millis(500);
 /// Longest wait after failed loads.
 const MAX_BACKOFF: Millis = Millis::from_secs(30);
 /// How long an eviction is remembered, against reports from before it.
-const REPORT_LAG: Millis = Millis::from_secs(60);
+const MAX_REPORT_LAG: Millis = Millis::from_secs(60);
 /// Most failed adapters and evictions that are remembered.
-const REMEMBERED: usize = 1_024;
+const MAX_REMEMBERED_ADAPTERS: usize = 1_024;
 
 /// What a slot is doing.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -43,8 +43,8 @@
 struct Slot {
     state: SlotState,
     pins: u32,
-    filling: u64,
-    changed: Millis,
+    generation: u64,
+    changed_at: Millis,
 }
 
 #[derive(Debug, Clone, Copy)]
@@ -59,8 +59,8 @@
     capacity: usize,
     slots: BTreeMap<Adapter, Slot>,
     backoffs: BTreeMap<Adapter, Backoff>,
-    evicted: BTreeMap<Adapter, Millis>,
-    fillings: u64,
+    evicted_at: BTreeMap<Adapter, Millis>,
+    last_generation: u64,
 }
 
 impl SlotTable {
@@ -71,8 +71,8 @@
             capacity: capacity as usize,
             slots: BTreeMap::new(),
             backoffs: BTreeMap::new(),
-            evicted: BTreeMap::new(),
-            fillings: 0,
+            evicted_at: BTreeMap::new(),
+            last_generation: 0,
         }
     }
 
@@ -95,7 +95,7 @@
 
     /// Returns whether a slot is empty.
     #[must_use]
-    pub fn has_empty(&self) -> bool {
+    pub fn has_empty_slot(&self) -> bool {
         self.slots.len() < self.capacity
     }
 
@@ -126,7 +126,7 @@
             return None;
         }
         slot.pins += 1;
-        Some(Pin(slot.filling))
+        Some(Pin(slot.generation))
     }
 
     /// Pins an adapter for a request that runs on it already; nothing may start, but it may finish.
@@ -137,14 +137,14 @@
             return None;
         }
         slot.pins += 1;
-        Some(Pin(slot.filling))
+        Some(Pin(slot.generation))
     }
 
     /// Whether a pin still holds its adapter in the slot that it was given for.
     #[must_use]
-    pub fn holds(&self, adapter: &Adapter, pin: &Pin) -> bool {
+    pub fn is_pin_valid(&self, adapter: &Adapter, pin: &Pin) -> bool {
         let slot = self.slots.get(adapter);
-        slot.is_some_and(|slot| slot.filling == pin.0)
+        slot.is_some_and(|slot| slot.generation == pin.0)
     }
 
     /// Gives a pin back. Returns whether the adapter is now free of pins.
@@ -152,7 +152,7 @@
         let Some(slot) = self.slots.get_mut(adapter) else {
             return false;
         };
-        if slot.filling != pin.0 {
+        if slot.generation != pin.0 {
             return false;
         }
         slot.pins = slot.pins.saturating_sub(1);
@@ -177,7 +177,7 @@
     ///
     /// Returns false, and changes nothing, when that would break a rule: the
     /// victim is in use, no slot is free, or the adapter has a slot already.
-    pub fn begin(&mut self, adapter: &Adapter, evict: Option<&Adapter>, now: Millis) -> bool {
+    pub fn begin_load(&mut self, adapter: &Adapter, evict: Option<&Adapter>, now: Millis) -> bool {
         if self.slots.contains_key(adapter) {
             return false;
         }
@@ -191,7 +191,7 @@
             }
             self.slots.remove(victim);
             self.remember_eviction(victim, now);
-        } else if !self.has_empty() {
+        } else if !self.has_empty_slot() {
             return false;
         }
         self.insert(adapter, SlotState::Loading, now);
@@ -199,7 +199,7 @@
     }
 
     /// Ends a load. After a failure the slot is empty and the adapter backs off.
-    pub fn end(&mut self, adapter: &Adapter, ok: bool, now: Millis) -> bool {
+    pub fn end_load(&mut self, adapter: &Adapter, ok: bool, now: Millis) -> bool {
         let Some(slot) = self.slots.get_mut(adapter) else {
             return false;
         };
@@ -208,7 +208,7 @@
         }
         if ok {
             slot.state = SlotState::Resident;
-            slot.changed = now;
+            slot.changed_at = now;
             self.backoffs.remove(adapter);
             return true;
         }
@@ -248,7 +248,7 @@
 
     /// Returns when the adapter may be loaded again after failures.
     #[must_use]
-    pub fn backoff(&self, adapter: &Adapter) -> Option<Millis> {
+    pub fn retry_at(&self, adapter: &Adapter) -> Option<Millis> {
         self.backoffs.get(adapter).map(|backoff| backoff.until)
     }
 
@@ -265,7 +265,7 @@
     /// Only slots that nobody changed since then are touched: an old report
     /// must neither bring back what was evicted after it nor remove what was
     /// loaded after it. Returns what was found to be gone and what was found.
-    pub fn correct(
+    pub fn reconcile(
         &mut self,
         resident: &[Adapter],
         as_of: Millis,
@@ -275,7 +275,7 @@
             .slots
             .iter()
             .filter(|(_, slot)| slot.state != SlotState::Loading && slot.pins == 0)
-            .filter(|(adapter, slot)| slot.changed < as_of && !resident.contains(adapter))
+            .filter(|(adapter, slot)| slot.changed_at < as_of && !resident.contains(adapter))
             .map(|(adapter, _)| adapter.clone())
             .collect();
         for adapter in &gone {
@@ -284,8 +284,8 @@
         let mut found = SmallVec::new();
         for adapter in resident {
             let known = self.slots.contains_key(adapter);
-            let evicted = self.evicted.get(adapter).is_some_and(|at| *at >= as_of);
-            if !known && !evicted && self.has_empty() {
+            let evicted = self.evicted_at.get(adapter).is_some_and(|at| *at >= as_of);
+            if !known && !evicted && self.has_empty_slot() {
                 self.insert(adapter, SlotState::Resident, now);
                 found.push(adapter.clone());
             }
@@ -294,29 +294,29 @@
     }
 
     fn insert(&mut self, adapter: &Adapter, state: SlotState, now: Millis) {
-        self.fillings += 1;
+        self.last_generation += 1;
         let slot = Slot {
             state,
             pins: 0,
-            filling: self.fillings,
-            changed: now,
+            generation: self.last_generation,
+            changed_at: now,
         };
         self.slots.insert(adapter.clone(), slot);
     }
 
     fn remember_eviction(&mut self, adapter: &Adapter, now: Millis) {
-        if self.evicted.len() >= REMEMBERED {
-            self.evicted.retain(|_, at| now.since(*at) < REPORT_LAG);
+        if self.evicted_at.len() >= MAX_REMEMBERED_ADAPTERS {
+            self.evicted_at.retain(|_, at| now.since(*at) < MAX_REPORT_LAG);
         }
-        self.evicted.insert(adapter.clone(), now);
+        self.evicted_at.insert(adapter.clone(), now);
     }
 
     fn back_off(&mut self, adapter: &Adapter, now: Millis) {
-        if self.backoffs.len() >= REMEMBERED {
+        if self.backoffs.len() >= MAX_REMEMBERED_ADAPTERS {
             self.backoffs.retain(|_, backoff| now < backoff.until);
         }
         let failures = self.failures(adapter).saturating_add(1);
-        let wait = Millis(BACKOFF.0 << failures.saturating_sub(1).min(16)).min(MAX_BACKOFF);
+        let wait = Millis(INITIAL_BACKOFF.0 << failures.saturating_sub(1).min(16)).min(MAX_BACKOFF);
         let backoff = Backoff {
             failures,
             until: now + wait,
--- a/lib/src/policy/upstream/load.rs
+++ b/lib/src/policy/upstream/load.rs
@@ -53,7 +53,7 @@
         if self.unasked.is_empty() {
             return;
         }
-        if !self.slots.has_empty() && self.victim(now).is_none() {
+        if !self.slots.has_empty_slot() && self.victim(now).is_none() {
             self.drain_one(now);
             return;
         }
@@ -61,7 +61,7 @@
             .unasked
             .iter()
             .filter(|adapter| self.slots.state(adapter).is_none())
-            .filter(|adapter| self.slots.backoff(adapter).is_none_or(|until| until <= now))
+            .filter(|adapter| self.slots.retry_at(adapter).is_none_or(|until| until <= now))
             .cloned()
             .collect();
         for adapter in free {
@@ -78,13 +78,13 @@
 
     /// After a cold start, asks for what was resident, the worthiest first, one at a time.
     fn ask_for_refill(&mut self, now: Millis, actions: &mut Vec<Action>) {
-        if self.refill.is_empty() || !self.asked.is_empty() || !self.slots.has_empty() {
+        if self.refill.is_empty() || !self.asked.is_empty() || !self.slots.has_empty_slot() {
             return;
         }
         let ready = self
             .refill
             .iter()
-            .filter(|adapter| self.slots.backoff(adapter).is_none_or(|until| until <= now))
+            .filter(|adapter| self.slots.retry_at(adapter).is_none_or(|until| until <= now))
             .map(|adapter| (self.forecast.rate(adapter, now), adapter))
             .max_by(|a, b| a.0.total_cmp(&b.0).then_with(|| b.1.cmp(a.1)));
         let Some((rate, adapter)) = ready.map(|(rate, adapter)| (rate, adapter.clone())) else {
@@ -176,7 +176,7 @@
         now: Millis,
         actions: &mut Vec<Action>,
     ) -> bool {
-        let evict = if self.slots.has_empty() {
+        let evict = if self.slots.has_empty_slot() {
             None
         } else if prefetch && !self.queue.is_blocked(adapter) {
             match self.spared_for(adapter, now) {
@@ -189,7 +189,7 @@
                 None => return false,
             }
         };
-        if !self.slots.begin(adapter, evict.as_ref(), now) {
+        if !self.slots.begin_load(adapter, evict.as_ref(), now) {
             return false;
         }
         self.unasked.remove(adapter);
@@ -251,7 +251,7 @@
             .blocked_on(adapter)
             .map(|entry| entry.ticket.id.clone())
             .collect();
-        let backoff = self.slots.backoff(adapter).map(|until| until.since(now));
+        let backoff = self.slots.retry_at(adapter).map(|until| until.since(now));
         for id in waiting {
             if let Some(entry) = self.queue.remove(&id) {
                 let mut failure = self.refusal(
--- a/lib/src/policy/upstream/mod.rs
+++ b/lib/src/policy/upstream/mod.rs
@@ -240,7 +240,7 @@
     #[must_use]
     pub fn loaded(&mut self, adapter: &Adapter, ok: bool, now: Millis) -> Vec<Action> {
         let mut actions = Vec::new();
-        if self.slots.end(adapter, ok, now) {
+        if self.slots.end_load(adapter, ok, now) {
             self.settle(adapter, ok, now, &mut actions);
         }
         self.expire(now, &mut actions);
@@ -309,7 +309,7 @@
     ) -> Vec<Action> {
         let mut actions = Vec::new();
         self.expire(now, &mut actions);
-        let (gone, found) = self.slots.correct(resident, as_of, now);
+        let (gone, found) = self.slots.reconcile(resident, as_of, now);
         for adapter in &gone {
             self.queue.block(adapter);
             self.want(adapter);
@@ -360,7 +360,7 @@
             .iter()
             .chain(&self.upcoming)
             .chain(&self.refill)
-            .filter_map(|adapter| self.slots.backoff(adapter))
+            .filter_map(|adapter| self.slots.retry_at(adapter))
             .filter(later)
             .min();
         let held = self.held_until().filter(later);
--- a/lib/src/policy/upstream/replace.rs
+++ b/lib/src/policy/upstream/replace.rs
@@ -35,7 +35,7 @@
             .iter()
             .filter(|adapter| self.slots.state(adapter).is_none())
             .filter(|adapter| !self.asked.contains_key(adapter))
-            .filter(|adapter| self.slots.backoff(adapter).is_none_or(|until| until <= now))
+            .filter(|adapter| self.slots.retry_at(adapter).is_none_or(|until| until <= now))
             .cloned()
             .collect();
         for adapter in free {
--- a/lib/src/policy/upstream/start.rs
+++ b/lib/src/policy/upstream/start.rs
@@ -27,7 +27,7 @@
             let pinned = running
                 .pin
                 .as_ref()
-                .is_some_and(|(adapter, pin)| self.slots.holds(adapter, pin));
+                .is_some_and(|(adapter, pin)| self.slots.is_pin_valid(adapter, pin));
             if !pinned {
                 let pin = self.slots.pin_running(adapter);
                 running.pin = pin.map(|pin| (adapter.clone(), pin));
--- a/lib/tests/test_policy_parts.rs
+++ b/lib/tests/test_policy_parts.rs
@@ -545,13 +545,13 @@
 fn slots_old_pin_frees_no_new_filling() {
     let mut table = SlotTable::new(1);
     let (used, other) = (adapter(1), adapter(2));
-    assert!(table.begin(&used, None, Millis::ZERO) && table.end(&used, true, Millis(1)));
+    assert!(table.begin_load(&used, None, Millis::ZERO) && table.end_load(&used, true, Millis(1)));
     let old = table.pin(&used).unwrap();
     table.clear();
-    assert!(table.begin(&used, None, Millis(2)) && table.end(&used, true, Millis(3)));
+    assert!(table.begin_load(&used, None, Millis(2)) && table.end_load(&used, true, Millis(3)));
     let _new = table.pin(&used).unwrap();
     table.unpin(&used, old);
-    assert!(!table.begin(&other, Some(&used), Millis(4)), "it is in use");
+    assert!(!table.begin_load(&other, Some(&used), Millis(4)), "it is in use");
 }
 
 /// A report from before an eviction or a load doesn't override what happened since.
@@ -559,13 +559,13 @@
 fn slots_stale_report_brings_nothing_back() {
     let mut table = SlotTable::new(2);
     let (first, second) = (adapter(1), adapter(2));
-    table.begin(&first, None, Millis(1));
-    table.end(&first, true, Millis(2));
-    assert!(table.begin(&second, Some(&first), Millis(10)));
-    let (gone, found) = table.correct(std::slice::from_ref(&first), Millis(5), Millis(11));
+    table.begin_load(&first, None, Millis(1));
+    table.end_load(&first, true, Millis(2));
+    assert!(table.begin_load(&second, Some(&first), Millis(10)));
+    let (gone, found) = table.reconcile(std::slice::from_ref(&first), Millis(5), Millis(11));
     assert!(gone.is_empty() && found.is_empty());
-    table.end(&second, true, Millis(12));
-    table.correct(&[], Millis(11), Millis(13));
+    table.end_load(&second, true, Millis(12));
+    table.reconcile(&[], Millis(11), Millis(13));
     assert!(table.is_resident(&second), "loaded after the report");
 }
 
