--- a/lib/src/policy/demand.rs
+++ b/lib/src/policy/demand.rs
@@ -12,17 +12,17 @@
 use crate::request::Class;
 
 /// Half-life of the window that knows steady adapters.
-const LONG: Millis = Millis::from_secs(600);
+const LONG_HALF_LIFE: Millis = Millis::from_secs(600);
 /// Half-life of the window that notices a newly popular adapter.
-const SHORT: Millis = Millis::from_secs(20);
+const SHORT_HALF_LIFE: Millis = Millis::from_secs(20);
 /// An adapter without a request for a span `t` has, with 95 % confidence, a rate below `3 / t`.
-const SILENCE: f64 = 3.0;
+const RULE_OF_THREE: f64 = 3.0;
 /// Below this many requests in the long window an adapter is forgotten when room is needed.
-const FAINT: f64 = 0.05;
+const MIN_RETAINED_COUNT: f64 = 0.05;
 
 /// Returns how much a stall of this class weighs against one of bulk.
 #[must_use]
-pub const fn factor(class: Class) -> u32 {
+pub const fn class_weight(class: Class) -> u32 {
     match class {
         Class::Urgent => 4,
         Class::Normal => 2,
@@ -32,7 +32,7 @@
 
 /// Converts a span for estimates, where the last bits don't matter.
 #[expect(clippy::cast_precision_loss, reason = "an estimate")]
-pub(super) const fn float(span: Millis) -> f64 {
+pub(super) const fn to_f64(span: Millis) -> f64 {
     span.0 as f64
 }
 
@@ -42,20 +42,20 @@
     clippy::cast_sign_loss,
     reason = "the conversion saturates"
 )]
-pub(super) const fn millis(span: f64) -> Millis {
+pub(super) const fn to_millis(span: f64) -> Millis {
     Millis(span as u64)
 }
 
 /// A count whose old parts fade.
 #[derive(Debug, Clone, Copy, Default)]
-struct Count {
+struct DecayingCount {
     value: f64,
     at: Millis,
 }
 
-impl Count {
+impl DecayingCount {
     fn value(self, half_life: Millis, now: Millis) -> f64 {
-        self.value * (-float(now.since(self.at)) / float(half_life)).exp2()
+        self.value * (-to_f64(now.since(self.at)) / to_f64(half_life)).exp2()
     }
 
     fn add(&mut self, amount: f64, half_life: Millis, now: Millis) {
@@ -65,31 +65,31 @@
 }
 
 #[derive(Debug, Clone, Copy, Default)]
-struct Record {
-    long: Count,
-    short: Count,
-    last: Millis,
-    last_factor: f64,
-    passed_until: Millis,
+struct AdapterDemand {
+    long_window: DecayingCount,
+    short_window: DecayingCount,
+    last_request_at: Millis,
+    last_weight: f64,
+    passed_on_until: Millis,
 }
 
-impl Record {
+impl AdapterDemand {
     /// Requests a millisecond, each times its class's factor.
     fn rate(&self, now: Millis) -> f64 {
-        let long = self.long.value(LONG, now) / float(LONG);
+        let long_window = self.long_window.value(LONG_HALF_LIFE, now) / to_f64(LONG_HALF_LIFE);
         // A single request says nothing about its popularity, so it is left out:
         // else each adapter of a scan would look hot for the length of the window.
-        let repeated = (self.short.value(SHORT, now) - self.last_factor).max(0.0);
-        let rate = long.max(repeated / float(SHORT)) * std::f64::consts::LN_2;
-        let silence = float(now.since(self.last)).max(1.0);
-        rate.min(SILENCE * self.last_factor / silence)
+        let repeated = (self.short_window.value(SHORT_HALF_LIFE, now) - self.last_weight).max(0.0);
+        let rate = long_window.max(repeated / to_f64(SHORT_HALF_LIFE)) * std::f64::consts::LN_2;
+        let idle = to_f64(now.since(self.last_request_at)).max(1.0);
+        rate.min(RULE_OF_THREE * self.last_weight / idle)
     }
 }
 
 /// Demand for the adapters that one upstream was asked for of late.
 #[derive(Debug)]
 pub struct DemandForecast {
-    records: HashMap<Adapter, Record>,
+    records: HashMap<Adapter, AdapterDemand>,
     capacity: usize,
 }
 
@@ -107,14 +107,14 @@
     pub fn record(&mut self, adapter: &Adapter, class: Class, now: Millis) {
         if !self.records.contains_key(adapter) {
             self.make_room(now);
-            self.records.insert(adapter.clone(), Record::default());
+            self.records.insert(adapter.clone(), AdapterDemand::default());
         }
         if let Some(record) = self.records.get_mut(adapter) {
-            let amount = f64::from(factor(class));
-            record.long.add(amount, LONG, now);
-            record.short.add(amount, SHORT, now);
-            record.last = now;
-            record.last_factor = amount;
+            let amount = f64::from(class_weight(class));
+            record.long_window.add(amount, LONG_HALF_LIFE, now);
+            record.short_window.add(amount, SHORT_HALF_LIFE, now);
+            record.last_request_at = now;
+            record.last_weight = amount;
         }
     }
 
@@ -138,18 +138,18 @@
     }
 
     /// Notes that the adapter's requests are passed on until then.
-    pub fn pass(&mut self, adapter: &Adapter, until: Millis) {
+    pub fn mark_passed_on(&mut self, adapter: &Adapter, until: Millis) {
         if let Some(record) = self.records.get_mut(adapter) {
-            record.passed_until = until;
+            record.passed_on_until = until;
         }
     }
 
     /// Returns whether the adapter's requests were passed on a short while ago.
     #[must_use]
-    pub fn is_passed(&self, adapter: &Adapter, now: Millis) -> bool {
+    pub fn is_passed_on(&self, adapter: &Adapter, now: Millis) -> bool {
         self.records
             .get(adapter)
-            .is_some_and(|record| now < record.passed_until)
+            .is_some_and(|record| now < record.passed_on_until)
     }
 
     /// Returns how many adapters are remembered.
@@ -172,18 +172,18 @@
             return;
         }
         self.records
-            .retain(|_, record| record.long.value(LONG, now) >= FAINT);
+            .retain(|_, record| record.long_window.value(LONG_HALF_LIFE, now) >= MIN_RETAINED_COUNT);
         if self.records.len() <= self.capacity / 2 {
             return;
         }
         let mut rates: Vec<f64> = self
             .records
             .values()
-            .map(|record| record.long.value(LONG, now))
+            .map(|record| record.long_window.value(LONG_HALF_LIFE, now))
             .collect();
         rates.sort_by(f64::total_cmp);
         let middle = rates[rates.len() / 2];
         self.records
-            .retain(|_, record| record.long.value(LONG, now) > middle);
+            .retain(|_, record| record.long_window.value(LONG_HALF_LIFE, now) > middle);
     }
 }
--- a/lib/src/policy/loads.rs
+++ b/lib/src/policy/loads.rs
@@ -8,7 +8,7 @@
 
 use crate::clock::Millis;
 use crate::loads::PermitRequest;
-use crate::policy::demand::{factor, float, millis};
+use crate::policy::demand::{class_weight, to_f64, to_millis};
 use crate::policy::service_time::MovingAverage;
 use crate::request::Class;
 
@@ -56,11 +56,11 @@
     /// Each waiter's time runs out while it waits, so of two asks that are alike
     /// the later one saves more.
     fn stall_savings(&self, now: Millis) -> u64 {
-        let factor = self.ask.class.map_or(0, factor);
+        let class_weight = self.ask.class.map_or(0, class_weight);
         let spent = now.since(self.told).0;
         let lost = spent
             .saturating_mul(u64::from(self.ask.waiters))
-            .saturating_mul(u64::from(factor));
+            .saturating_mul(u64::from(class_weight));
         self.ask.stall_savings.0.saturating_sub(lost)
     }
 
@@ -79,7 +79,7 @@
         if congested {
             return (rank, Reverse(self.stall_savings(now)), self.first);
         }
-        let ended = u64::from(self.ask.waiters) * u64::from(factor(class));
+        let ended = u64::from(self.ask.waiters) * u64::from(class_weight(class));
         (rank, Reverse(ended), self.first)
     }
 }
@@ -197,14 +197,14 @@
             self.served[class as usize] = self.grants;
         }
         if let Some(before) = self.granted {
-            self.interval.add(float(now.since(before)));
+            self.interval.add(to_f64(now.since(before)));
         }
         self.granted = (!self.waiting.is_empty()).then_some(now);
     }
 
     /// Returns whether the asks that wait take longer than is good to get through.
     fn is_congested(&self) -> bool {
-        let interval = millis(self.interval.or(0.0)).0;
+        let interval = to_millis(self.interval.or(0.0)).0;
         interval.saturating_mul(self.waiting.len() as u64) > self.limits.congestion_threshold.0
     }
 
--- a/lib/src/policy/service_time.rs
+++ b/lib/src/policy/service_time.rs
@@ -4,7 +4,7 @@
 //! docs/design/0002-decisions.md.
 
 use crate::clock::Millis;
-use crate::policy::demand::{float, millis};
+use crate::policy::demand::{to_f64, to_millis};
 use crate::request::Class;
 
 /// Weight of the newest sample in a running mean.
@@ -52,7 +52,7 @@
     /// Takes in a request that ran whole.
     #[expect(clippy::cast_precision_loss, reason = "an estimate")]
     pub fn ran(&mut self, cost: u64, took: Millis) {
-        self.per_cost.add(float(took) / (cost.max(1) as f64));
+        self.per_cost.add(to_f64(took) / (cost.max(1) as f64));
         self.cost.add(cost as f64);
     }
 
@@ -81,14 +81,14 @@
 
     /// Takes in how long a request waited for its adapter.
     pub fn waited_for_load(&mut self, wait: Millis) {
-        self.load_wait.add(float(wait));
+        self.load_wait.add(to_f64(wait));
     }
 
     /// Returns how long a request of this cost runs; zero before the first has run.
     #[must_use]
     #[expect(clippy::cast_precision_loss, reason = "an estimate")]
     pub fn service(&self, cost: u64) -> Millis {
-        millis(self.per_cost.or(0.0) * cost as f64)
+        to_millis(self.per_cost.or(0.0) * cost as f64)
     }
 
     /// Returns how long it takes to get through work of this cost with a full batch.
@@ -96,13 +96,13 @@
     #[expect(clippy::cast_precision_loss, reason = "an estimate")]
     pub fn backlog(&self, cost: u64, batch: u32) -> Millis {
         let ahead = cost as f64 + self.cost.or(0.0);
-        millis(self.per_cost.or(0.0) * ahead / f64::from(batch.max(1)))
+        to_millis(self.per_cost.or(0.0) * ahead / f64::from(batch.max(1)))
     }
 
     /// Returns how long requests have lately waited for a load.
     #[must_use]
     pub fn load_wait(&self, load_time: Millis) -> Millis {
-        millis(self.load_wait.or(float(load_time))).max(load_time)
+        to_millis(self.load_wait.or(to_f64(load_time))).max(load_time)
     }
 }
 
--- a/lib/src/policy/upstream/admit.rs
+++ b/lib/src/policy/upstream/admit.rs
@@ -4,7 +4,7 @@
 use crate::adapter::Adapter;
 use crate::clock::Millis;
 use crate::error::{Code, Failure};
-use crate::policy::demand::{float, millis};
+use crate::policy::demand::{to_f64, to_millis};
 use crate::policy::queue::{self, QueuedRequest};
 use crate::request::{Class, Ticket};
 use crate::runner::Share;
@@ -127,13 +127,13 @@
         if self.queue.is_blocked(adapter) {
             return Ok(());
         }
-        let passed = self.forecast.is_passed(adapter, now);
+        let passed = self.forecast.is_passed_on(adapter, now);
         let ratio = if passed { BACK_RATIO } else { PASS_RATIO };
         if self.has_cheap_slot(adapter, ratio, now) {
             return Ok(());
         }
         if !passed {
-            self.forecast.pass(adapter, now + PASS_FOR);
+            self.forecast.mark_passed_on(adapter, now + PASS_FOR);
         }
         Err(self.refusal(
             Code::PassedOn,
@@ -187,8 +187,8 @@
     /// long as a load takes. Weight on batches keeps bulk work together longer.
     fn spill_wait(&self, class: Class, rate: f64) -> Millis {
         let load = self.service.load_wait(self.limits.load_time);
-        let comes = rate * float(load);
-        let shared = millis(float(load) / (1.0 + comes)).max(self.limits.load_time);
+        let comes = rate * to_f64(load);
+        let shared = to_millis(to_f64(load) / (1.0 + comes)).max(self.limits.load_time);
         let held = 100 + u64::from(self.limits.batch_weight);
         match class {
             Class::Bulk => Millis(shared.0 * held / 100),
--- a/lib/src/policy/upstream/load.rs
+++ b/lib/src/policy/upstream/load.rs
@@ -4,7 +4,7 @@
 use crate::adapter::Adapter;
 use crate::clock::Millis;
 use crate::error::Code;
-use crate::policy::demand::{factor, float, millis};
+use crate::policy::demand::{class_weight, to_f64, to_millis};
 use crate::policy::queue;
 use crate::policy::slots::SlotState;
 use crate::request::Class;
@@ -144,7 +144,7 @@
             demand.weight = demand.weight.saturating_add(ticket.weight);
             demand.waited = demand.waited.max(now.since(entry.arrived));
             let left = ticket.deadline.since(now + self.limits.load_time);
-            demand.stall_savings += Millis(left.0.saturating_mul(u64::from(factor(ticket.class))));
+            demand.stall_savings += Millis(left.0.saturating_mul(u64::from(class_weight(ticket.class))));
         }
         demand.class?;
         demand.stall_savings += future(self.forecast.rate(adapter, now));
@@ -371,5 +371,5 @@
 
 /// Returns the stall that keeping an adapter of this demand saves for a while.
 pub(super) fn future(rate: f64) -> Millis {
-    millis(rate * float(HORIZON) * float(FUTURE_STALL))
+    to_millis(rate * to_f64(HORIZON) * to_f64(FUTURE_STALL))
 }
