--- a/lib/src/policy/upstream/admit.rs
+++ b/lib/src/policy/upstream/admit.rs
@@ -87,7 +87,7 @@
     /// perhaps a load, from a request that can.
     fn check_deadline(&self, ticket: &Ticket, last: bool, now: Millis) -> Result<(), Failure> {
         let left = ticket.deadline.since(now);
-        let service = self.service.service(queue::cost(ticket));
+        let service = self.service.service_time(queue::cost(ticket));
         let load = match &ticket.adapter {
             Some(adapter) if !self.slots.is_resident(adapter) => self.limits.load_time,
             _ => Millis::ZERO,
@@ -167,7 +167,7 @@
             return Millis::ZERO;
         }
         self.service
-            .backlog(self.queue.ready_cost(class), self.limits.max_batch)
+            .backlog_time(self.queue.ready_cost(class), self.limits.max_batch)
     }
 
     /// Returns whether a fuller batch than needed makes the answer end after its deadline.
@@ -176,7 +176,7 @@
     /// fewer may still answer in time.
     fn is_too_slow(&self, ticket: &Ticket, now: Millis) -> bool {
         let batch = self.limits.max_batch as usize;
-        let service = self.service.service(queue::cost(ticket));
+        let service = self.service.service_time(queue::cost(ticket));
         self.running.len() * SLOWING > batch && now + service > ticket.deadline
     }
 
--- a/lib/src/policy/upstream/load.rs
+++ b/lib/src/policy/upstream/load.rs
@@ -210,7 +210,7 @@
             .queue
             .blocked_on(adapter)
             .filter(|entry| {
-                let service = self.service.service(queue::cost(&entry.ticket));
+                let service = self.service.service_time(queue::cost(&entry.ticket));
                 entry.ticket.deadline <= loaded + service
             })
             .map(|entry| entry.ticket.id.clone())
--- a/lib/src/policy/upstream/start.rs
+++ b/lib/src/policy/upstream/start.rs
@@ -51,7 +51,7 @@
     /// Starts what can be started.
     pub(super) fn start(&mut self, now: Millis, actions: &mut Vec<Action>) {
         while let Some(entry) = self.next(now) {
-            let service = self.service.service(entry.cost());
+            let service = self.service.service_time(entry.cost());
             if now + service > entry.ticket.deadline && entry.arrived < now {
                 // It would run for nothing: its answer would end after the
                 // deadline, and the place is one that another can use in time.
@@ -70,7 +70,7 @@
 
     /// Returns how many requests may run before this class must wait.
     pub(super) fn places(&self, class: Class) -> u32 {
-        self.service.places(self.limits.max_batch, class)
+        self.service.max_running(self.limits.max_batch, class)
     }
 
     /// Takes the next request to start from the queue.
@@ -130,9 +130,9 @@
             }
         };
         if entry.load_wait > Millis::ZERO {
-            self.service.waited_for_load(entry.load_wait);
+            self.service.record_load_wait(entry.load_wait);
         }
-        self.service.started(ticket.class);
+        self.service.record_started(ticket.class);
         *self.in_flight.entry(ticket.account.clone()).or_default() += 1;
         let running = Running {
             account: ticket.account,
@@ -175,11 +175,11 @@
         {
             return None;
         }
-        let full = service_time::full(self.limits.max_batch, self.limits.batch_weight) as usize;
+        let full = service_time::full_batch_size(self.limits.max_batch, self.limits.batch_weight) as usize;
         if ready >= full {
             return None;
         }
         let (arrived, deadline) = self.queue.oldest_ready(Class::Bulk)?;
-        Some(arrived + service_time::hold(self.limits.batch_weight, deadline.since(arrived)))
+        Some(arrived + service_time::max_batch_delay(self.limits.batch_weight, deadline.since(arrived)))
     }
 }
