--- a/lib/src/policy/placement.rs
+++ b/lib/src/policy/placement.rs
@@ -21,7 +21,7 @@
 /// than a refusal and a later try.
 pub const MAX_CANDIDATES: usize = 16;
 /// Best upstreams among which replicas are spread over failure domains.
-const SHORTLIST: usize = 32;
+const SHORTLIST_LEN: usize = 32;
 
 /// Indices into the pool's upstreams, the first to try first.
 pub type CandidateOrder = SmallVec<[usize; MAX_CANDIDATES]>;
@@ -91,14 +91,14 @@
     /// doesn't take all replicas.
     #[must_use]
     pub fn rendezvous(&self, key: u64, count: usize) -> CandidateOrder {
-        let mut best: SmallVec<[(u64, usize); SHORTLIST]> = SmallVec::new();
+        let mut best: SmallVec<[(u64, usize); SHORTLIST_LEN]> = SmallVec::new();
         for (index, member) in self.members.iter().enumerate() {
             if !member.usable {
                 continue;
             }
             let score = mix(key ^ member.hash);
-            if best.len() == SHORTLIST {
-                if score <= best[SHORTLIST - 1].0 {
+            if best.len() == SHORTLIST_LEN {
+                if score <= best[SHORTLIST_LEN - 1].0 {
                     continue;
                 }
                 best.pop();
@@ -106,7 +106,7 @@
             let place = best.partition_point(|(other, _)| *other > score);
             best.insert(place, (score, index));
         }
-        self.spread(best.iter().map(|(_, index)| *index).collect(), count)
+        self.spread_over_domains(best.iter().map(|(_, index)| *index).collect(), count)
     }
 
     /// Returns the first `count` usable upstreams of a key; there may be many.
@@ -114,7 +114,7 @@
     /// It begins with [`Pool::rendezvous`], so that a wider list holds the
     /// narrower one, and goes on by score alone: among many, failure domains mix anyway.
     #[must_use]
-    fn nearest(&self, key: u64, count: usize) -> Vec<usize> {
+    fn top_ranked(&self, key: u64, count: usize) -> Vec<usize> {
         let mut first = self
             .rendezvous(key, (MAX_CANDIDATES - 1).min(count))
             .to_vec();
@@ -141,11 +141,11 @@
     }
 
     /// Takes `count` of a shortlist, at each step from the failure domain used least so far.
-    fn spread(&self, mut shortlist: SmallVec<[usize; SHORTLIST]>, count: usize) -> CandidateOrder {
+    fn spread_over_domains(&self, mut shortlist: SmallVec<[usize; SHORTLIST_LEN]>, count: usize) -> CandidateOrder {
         let domains = shortlist
             .iter()
             .map(|index| self.members[*index].domain + 1);
-        let mut used: SmallVec<[usize; SHORTLIST]> = smallvec![0; domains.max().unwrap_or(0)];
+        let mut used: SmallVec<[usize; SHORTLIST_LEN]> = smallvec![0; domains.max().unwrap_or(0)];
         let mut order = CandidateOrder::new();
         while order.len() < count && !shortlist.is_empty() {
             let next = (0..shortlist.len())
@@ -192,17 +192,17 @@
 }
 
 /// Stands for all adapters in a hint on an upstream as a whole.
-const ANY: u64 = 0;
+const ALL_ADAPTERS: u64 = 0;
 /// From this many replicas on requests are spread evenly. Below it the home goes first
 /// and a replica takes only what the home can't, which costs fewer loads.
-const EVEN: u32 = 32;
+const EVEN_SPREAD_REPLICAS: u32 = 32;
 
 /// What an upstream answered of late.
 #[derive(Debug, Clone, Copy)]
 struct Hint {
     until: Millis,
     /// Whether it holds the adapter and was only busy.
-    holds: bool,
+    has_adapter: bool,
 }
 
 /// An entry node's memory of what owners answered.
@@ -211,7 +211,7 @@
     limits: Limits,
     hints: HashMap<(u64, u64), Hint>,
     replicas: replicas::ReplicaTable,
-    draws: u64,
+    random_state: u64,
 }
 
 impl Router {
@@ -224,7 +224,7 @@
             limits,
             hints: HashMap::new(),
             replicas,
-            draws: mix(seed),
+            random_state: mix(seed),
         }
     }
 
@@ -245,20 +245,20 @@
     ) -> CandidateOrder {
         let Some(key) = adapter.map(Adapter::hash) else {
             // A plain service needs no home: each call draws an order of its own.
-            let order = pool.rendezvous(self.draw(), MAX_CANDIDATES - 1);
-            return self.ending_at_home(pool, ANY, order, now);
+            let order = pool.rendezvous(self.next_random(), MAX_CANDIDATES - 1);
+            return self.with_home_last(pool, ALL_ADAPTERS, order, now);
         };
         let replicas = self.replicas.replicas(key, now);
-        if replicas >= EVEN {
-            return self.evenly(pool, key, replicas as usize, now);
+        if replicas >= EVEN_SPREAD_REPLICAS {
+            return self.evenly_spread(pool, key, replicas as usize, now);
         }
         let most = self.limits.max_replicas as usize;
         let order = pool.rendezvous(key, most.clamp(1, MAX_CANDIDATES - 1));
-        self.ending_at_home(pool, key, order, now)
+        self.with_home_last(pool, key, order, now)
     }
 
     /// Leaves out what refused lately, and adds the home as the place to wait.
-    fn ending_at_home(
+    fn with_home_last(
         &self,
         pool: &Pool,
         key: u64,
@@ -268,7 +268,7 @@
         let Some(home) = self.home(pool, &order, now) else {
             return order;
         };
-        order.retain(|index| !self.is_hinted(key, pool.members[*index].hash, now));
+        order.retain(|index| !self.is_excluded(key, pool.members[*index].hash, now));
         if order.as_slice() != [home] {
             order.push(home);
         }
@@ -279,18 +279,18 @@
     ///
     /// A fixed order would fill its first upstreams, whose other adapters then
     /// suffer, and pass them all by before it finds a free one.
-    fn evenly(&mut self, pool: &Pool, key: u64, replicas: usize, now: Millis) -> CandidateOrder {
+    fn evenly_spread(&mut self, pool: &Pool, key: u64, replicas: usize, now: Millis) -> CandidateOrder {
         let count = (2 * replicas).min(self.limits.max_replicas as usize);
-        let mut near = pool.nearest(key, count);
+        let mut near = pool.top_ranked(key, count);
         let Some(home) = self.home(pool, &near, now) else {
             return CandidateOrder::new();
         };
-        let wait = self.holder(pool, key, &near, now).unwrap_or(home);
+        let wait = self.random_holder(pool, key, &near, now).unwrap_or(home);
         let mut far = near.split_off(replicas.min(near.len()));
         self.shuffle(&mut near);
         self.shuffle(&mut far);
         let both = near.into_iter().chain(far);
-        let open = both.filter(|index| !self.is_hinted(key, pool.members[*index].hash, now));
+        let open = both.filter(|index| !self.is_excluded(key, pool.members[*index].hash, now));
         let mut order: CandidateOrder = open.take(MAX_CANDIDATES - 1).collect();
         order.push(wait);
         order
@@ -298,28 +298,28 @@
 
     /// Returns the first that isn't left out for all adapters, or the first of all.
     fn home(&self, pool: &Pool, order: &[usize], now: Millis) -> Option<usize> {
-        let usable = |index: &&usize| !self.is_hinted(ANY, pool.members[**index].hash, now);
+        let usable = |index: &&usize| !self.is_excluded(ALL_ADAPTERS, pool.members[**index].hash, now);
         order.iter().find(usable).or(order.first()).copied()
     }
 
     /// Draws one of those that were only busy: they hold the adapter, so waiting there costs no load.
-    fn holder(&mut self, pool: &Pool, key: u64, order: &[usize], now: Millis) -> Option<usize> {
-        let holds = |index: &usize| {
+    fn random_holder(&mut self, pool: &Pool, key: u64, order: &[usize], now: Millis) -> Option<usize> {
+        let has_adapter = |index: &usize| {
             let hash = pool.members[*index].hash;
             let hint = self.hints.get(&(key, hash));
-            hint.is_some_and(|hint| hint.holds && now < hint.until)
-                && !self.is_hinted(ANY, hash, now)
+            hint.is_some_and(|hint| hint.has_adapter && now < hint.until)
+                && !self.is_excluded(ALL_ADAPTERS, hash, now)
         };
         let holders: SmallVec<[usize; MAX_CANDIDATES]> =
-            order.iter().copied().filter(holds).collect();
-        let place = below(self.draw(), holders.len())?;
+            order.iter().copied().filter(has_adapter).collect();
+        let place = scale_to_range(self.next_random(), holders.len())?;
         Some(holders[place])
     }
 
     fn shuffle(&mut self, list: &mut [usize]) {
         // Only the first ones are ever used.
         for place in 0..list.len().min(MAX_CANDIDATES) {
-            if let Some(other) = below(self.draw(), list.len() - place) {
+            if let Some(other) = scale_to_range(self.next_random(), list.len() - place) {
                 list.swap(place, place + other);
             }
         }
@@ -337,7 +337,7 @@
         let Some(member) = pool.members.get(index) else {
             return;
         };
-        let own = adapter.map_or(ANY, Adapter::hash);
+        let own = adapter.map_or(ALL_ADAPTERS, Adapter::hash);
         let (key, span) = match code {
             Code::LoadFailed | Code::UnknownAdapter => (own, self.limits.load_failure_ttl),
             Code::PassedOn
@@ -346,14 +346,14 @@
             | Code::Brownout
             | Code::DeadlineTooShort => (own, self.limits.passed_on_ttl),
             Code::AccountLimit | Code::ExpiredWaiting | Code::CallerGoneWaiting => return,
-            _ => (ANY, self.limits.unusable_ttl),
+            _ => (ALL_ADAPTERS, self.limits.unusable_ttl),
         };
-        let holds = code == Code::Busy;
-        if holds && own != ANY {
+        let has_adapter = code == Code::Busy;
+        if has_adapter && own != ALL_ADAPTERS {
             self.replicas.grow(own, pool.len(), now);
         }
         let until = now + span;
-        self.remember((key, member.hash), Hint { until, holds }, now);
+        self.remember((key, member.hash), Hint { until, has_adapter }, now);
     }
 
     /// Returns how many hints and replica counts are remembered.
@@ -368,8 +368,8 @@
         self.hints.is_empty() && self.replicas.is_empty()
     }
 
-    fn is_hinted(&self, adapter: u64, upstream: u64, now: Millis) -> bool {
-        [adapter, ANY].into_iter().any(|key| {
+    fn is_excluded(&self, adapter: u64, upstream: u64, now: Millis) -> bool {
+        [adapter, ALL_ADAPTERS].into_iter().any(|key| {
             self.hints
                 .get(&(key, upstream))
                 .is_some_and(|hint| now < hint.until)
@@ -385,9 +385,9 @@
         }
     }
 
-    fn draw(&mut self) -> u64 {
-        self.draws = self.draws.wrapping_add(0x9e37_79b9_7f4a_7c15);
-        mix(self.draws)
+    fn next_random(&mut self) -> u64 {
+        self.random_state = self.random_state.wrapping_add(0x9e37_79b9_7f4a_7c15);
+        mix(self.random_state)
     }
 }
 
@@ -399,7 +399,7 @@
 }
 
 /// Maps a random number evenly to `0..count`; none when that is empty.
-fn below(random: u64, count: usize) -> Option<usize> {
+fn scale_to_range(random: u64, count: usize) -> Option<usize> {
     let scaled = (u128::from(random) * count as u128) >> 64;
     usize::try_from(scaled).ok().filter(|place| *place < count)
 }
--- a/lib/src/policy/replicas.rs
+++ b/lib/src/policy/replicas.rs
@@ -12,29 +12,29 @@
 
 /// A replica count and when it halves, unless it is confirmed before.
 #[derive(Debug, Clone, Copy)]
-struct Count {
+struct ReplicaCount {
     replicas: u32,
-    until: Millis,
+    halves_at: Millis,
 }
 
 /// Replica counts of the adapters that were busy of late.
 #[derive(Debug)]
 pub struct ReplicaTable {
-    counts: HashMap<u64, Count>,
-    most: u32,
+    counts: HashMap<u64, ReplicaCount>,
+    max_replicas: u32,
     halve_after: Millis,
-    remembered: usize,
+    max_adapters: usize,
 }
 
 impl ReplicaTable {
-    /// Starts with no memory; a replica count never exceeds `most`.
+    /// Starts with no memory; a replica count never exceeds `max_replicas`.
     #[must_use]
-    pub fn new(most: u32, halve_after: Millis, remembered: usize) -> Self {
+    pub fn new(max_replicas: u32, halve_after: Millis, max_adapters: usize) -> Self {
         Self {
             counts: HashMap::new(),
-            most: most.max(1),
+            max_replicas: max_replicas.max(1),
             halve_after: halve_after.max(Millis(1)),
-            remembered,
+            max_adapters,
         }
     }
 
@@ -44,19 +44,19 @@
         let Some(count) = self.counts.get(&adapter) else {
             return 1;
         };
-        self.faded(*count, now)
+        self.decayed(*count, now)
     }
 
     /// One of `pool` upstreams that serves the adapter was busy: its requests need more replicas.
     pub fn grow(&mut self, adapter: u64, pool: usize, now: Millis) {
         // A count beyond the pool would only take longer to halve.
-        let most = u32::try_from(pool).unwrap_or(u32::MAX).min(self.most);
-        let replicas = self.replicas(adapter, now).saturating_mul(2).min(most);
+        let max_replicas = u32::try_from(pool).unwrap_or(u32::MAX).min(self.max_replicas);
+        let replicas = self.replicas(adapter, now).saturating_mul(2).min(max_replicas);
         if replicas < 2 || !self.has_room(adapter, now) {
             return;
         }
-        let until = now + self.halve_after;
-        self.counts.insert(adapter, Count { replicas, until });
+        let halves_at = now + self.halve_after;
+        self.counts.insert(adapter, ReplicaCount { replicas, halves_at });
     }
 
     /// Returns how many adapters are remembered.
@@ -73,21 +73,21 @@
 
     /// Makes room by forgetting adapters whose count is back at 1.
     fn has_room(&mut self, adapter: u64, now: Millis) -> bool {
-        if self.counts.len() < self.remembered || self.counts.contains_key(&adapter) {
+        if self.counts.len() < self.max_adapters || self.counts.contains_key(&adapter) {
             return true;
         }
         let mut counts = std::mem::take(&mut self.counts);
-        counts.retain(|_, count| self.faded(*count, now) > 1);
+        counts.retain(|_, count| self.decayed(*count, now) > 1);
         self.counts = counts;
-        self.counts.len() < self.remembered
+        self.counts.len() < self.max_adapters
     }
 
     /// Returns what is left of a count after halvings in quiet.
-    fn faded(&self, count: Count, now: Millis) -> u32 {
-        if now < count.until {
+    fn decayed(&self, count: ReplicaCount, now: Millis) -> u32 {
+        if now < count.halves_at {
             return count.replicas;
         }
-        let halvings = 1 + now.since(count.until).0 / self.halve_after.0;
+        let halvings = 1 + now.since(count.halves_at).0 / self.halve_after.0;
         let halvings = u32::try_from(halvings).unwrap_or(u32::MAX);
         count.replicas.checked_shr(halvings).unwrap_or(0).max(1)
     }
