--- a/lib/src/policy/loads.rs
+++ b/lib/src/policy/loads.rs
@@ -42,26 +42,26 @@
 }
 
 #[derive(Debug)]
-struct Waiting {
-    ask: PermitRequest,
+struct QueuedLoad {
+    request: PermitRequest,
     /// When it first came; a replaced ask keeps its age.
-    first: Millis,
+    first_requested_at: Millis,
     /// When the demand was last told.
-    told: Millis,
+    updated_at: Millis,
 }
 
-impl Waiting {
+impl QueuedLoad {
     /// Returns the stall that the load still saves if it begins now.
     ///
     /// Each waiter's time runs out while it waits, so of two asks that are alike
     /// the later one saves more.
-    fn stall_savings(&self, now: Millis) -> u64 {
-        let class_weight = self.ask.class.map_or(0, class_weight);
-        let spent = now.since(self.told).0;
+    fn remaining_savings(&self, now: Millis) -> u64 {
+        let class_weight = self.request.class.map_or(0, class_weight);
+        let spent = now.since(self.updated_at).0;
         let lost = spent
-            .saturating_mul(u64::from(self.ask.waiters))
+            .saturating_mul(u64::from(self.request.waiters))
             .saturating_mul(u64::from(class_weight));
-        self.ask.stall_savings.0.saturating_sub(lost)
+        self.request.stall_savings.0.saturating_sub(lost)
     }
 
     /// Returns the place in the order; the smallest goes next.
@@ -71,16 +71,16 @@
     /// the oldest. When they can't, the one that still saves most goes next:
     /// first come, first served would then serve each just before its deadline,
     /// and all would have waited in vain.
-    fn place(&self, congested: bool, now: Millis) -> (u8, Reverse<u64>, Millis) {
-        let Some(class) = self.ask.class else {
-            return (2, Reverse(self.ask.stall_savings.0), self.first);
+    fn priority(&self, congested: bool, now: Millis) -> (u8, Reverse<u64>, Millis) {
+        let Some(class) = self.request.class else {
+            return (2, Reverse(self.request.stall_savings.0), self.first_requested_at);
         };
         let rank = u8::from(class != Class::Urgent);
         if congested {
-            return (rank, Reverse(self.stall_savings(now)), self.first);
+            return (rank, Reverse(self.remaining_savings(now)), self.first_requested_at);
         }
-        let ended = u64::from(self.ask.waiters) * u64::from(class_weight(class));
-        (rank, Reverse(ended), self.first)
+        let ended = u64::from(self.request.waiters) * u64::from(class_weight(class));
+        (rank, Reverse(ended), self.first_requested_at)
     }
 }
 
@@ -88,15 +88,15 @@
 #[derive(Debug)]
 pub struct LoadQueue {
     limits: Limits,
-    waiting: BTreeMap<RequestKey, Waiting>,
-    current: Option<(RequestKey, Millis)>,
+    waiting: BTreeMap<RequestKey, QueuedLoad>,
+    granted_load: Option<(RequestKey, Millis)>,
     grants: u32,
     /// Number of the grant that last served each class.
-    served: [u32; 3],
+    last_served: [u32; 3],
     /// When the last load was granted, if others waited then.
-    granted: Option<Millis>,
-    interval: MovingAverage,
-    lost: u64,
+    last_grant_at: Option<Millis>,
+    grant_interval: MovingAverage,
+    lost_count: u64,
 }
 
 impl LoadQueue {
@@ -106,27 +106,27 @@
         Self {
             limits,
             waiting: BTreeMap::new(),
-            current: None,
+            granted_load: None,
             grants: 0,
-            served: [0; 3],
-            granted: None,
-            interval: MovingAverage::default(),
-            lost: 0,
+            last_served: [0; 3],
+            last_grant_at: None,
+            grant_interval: MovingAverage::default(),
+            lost_count: 0,
         }
     }
 
     /// Puts an ask in, or replaces an earlier one of the same key without losing its age.
     ///
     /// Returns whether there was room.
-    pub fn enqueue(&mut self, key: RequestKey, ask: PermitRequest, now: Millis) -> bool {
-        let earlier = self.waiting.get(&key).map(|waiting| waiting.first);
+    pub fn enqueue(&mut self, key: RequestKey, request: PermitRequest, now: Millis) -> bool {
+        let earlier = self.waiting.get(&key).map(|waiting| waiting.first_requested_at);
         if earlier.is_none() && self.waiting.len() >= self.limits.max_waiting {
             return false;
         }
-        let waiting = Waiting {
-            ask,
-            first: earlier.unwrap_or(now),
-            told: now,
+        let waiting = QueuedLoad {
+            request,
+            first_requested_at: earlier.unwrap_or(now),
+            updated_at: now,
         };
         self.waiting.insert(key, waiting);
         true
@@ -135,27 +135,27 @@
     /// Takes an ask back, granted or not.
     pub fn withdraw(&mut self, key: RequestKey) {
         self.waiting.remove(&key);
-        if self.current.is_some_and(|(current, _)| current == key) {
-            self.current = None;
+        if self.granted_load.is_some_and(|(granted, _)| granted == key) {
+            self.granted_load = None;
         }
     }
 
     /// Grants the next load, if none is under way.
     pub fn next(&mut self, now: Millis) -> Option<(RequestKey, PermitRequest)> {
-        if let Some((_, until)) = self.current {
+        if let Some((_, until)) = self.granted_load {
             if now < until {
                 return None;
             }
             // The node that was granted this load has ended or hangs. Without
             // this bound no adapter would be loaded anywhere any more.
-            self.lost += 1;
-            self.current = None;
+            self.lost_count += 1;
+            self.granted_load = None;
         }
-        let key = self.pick(now)?;
+        let key = self.select(now)?;
         let granted = self.waiting.remove(&key)?;
-        self.count(&granted.ask, now);
-        self.current = Some((key, now + self.limits.timeout));
-        Some((key, granted.ask))
+        self.record_grant(&granted.request, now);
+        self.granted_load = Some((key, now + self.limits.timeout));
+        Some((key, granted.request))
     }
 
     /// Tells that a granted load has ended, or that its permit came back unused.
@@ -169,7 +169,7 @@
         if self.waiting.is_empty() {
             return None;
         }
-        self.current.map(|(_, until)| until)
+        self.granted_load.map(|(_, until)| until)
     }
 
     /// Returns how many asks wait.
@@ -187,29 +187,29 @@
     /// Returns how many granted loads never told their end.
     #[must_use]
     pub fn lost(&self) -> u64 {
-        self.lost
+        self.lost_count
     }
 
     /// Counts a grant, and learns how long a load takes while others wait.
-    fn count(&mut self, ask: &PermitRequest, now: Millis) {
+    fn record_grant(&mut self, request: &PermitRequest, now: Millis) {
         self.grants = self.grants.wrapping_add(1);
-        if let Some(class) = ask.class {
-            self.served[class as usize] = self.grants;
+        if let Some(class) = request.class {
+            self.last_served[class as usize] = self.grants;
         }
-        if let Some(before) = self.granted {
-            self.interval.add(to_f64(now.since(before)));
+        if let Some(before) = self.last_grant_at {
+            self.grant_interval.add(to_f64(now.since(before)));
         }
-        self.granted = (!self.waiting.is_empty()).then_some(now);
+        self.last_grant_at = (!self.waiting.is_empty()).then_some(now);
     }
 
     /// Returns whether the asks that wait take longer than is good to get through.
     fn is_congested(&self) -> bool {
-        let interval = to_millis(self.interval.or(0.0)).0;
-        interval.saturating_mul(self.waiting.len() as u64) > self.limits.congestion_threshold.0
+        let grant_interval = to_millis(self.grant_interval.or(0.0)).0;
+        grant_interval.saturating_mul(self.waiting.len() as u64) > self.limits.congestion_threshold.0
     }
 
     /// Returns the class whose turn it is, whatever the order says.
-    fn turn(&self) -> Option<Class> {
+    fn due_class(&self) -> Option<Class> {
         let due = self.limits.fair_turn_interval > 0
             && self.grants.is_multiple_of(self.limits.fair_turn_interval);
         if !due {
@@ -217,18 +217,18 @@
         }
         self.waiting
             .values()
-            .filter_map(|waiting| waiting.ask.class)
-            .min_by_key(|class| (self.served[*class as usize], *class))
+            .filter_map(|waiting| waiting.request.class)
+            .min_by_key(|class| (self.last_served[*class as usize], *class))
     }
 
     /// Picks the load that goes next.
-    fn pick(&self, now: Millis) -> Option<RequestKey> {
+    fn select(&self, now: Millis) -> Option<RequestKey> {
         let congested = self.is_congested();
-        let turn = self.turn();
+        let due_class = self.due_class();
         self.waiting
             .iter()
-            .filter(|(_, waiting)| turn.is_none() || waiting.ask.class == turn)
-            .min_by_key(|(key, waiting)| (waiting.place(congested, now), **key))
+            .filter(|(_, waiting)| due_class.is_none() || waiting.request.class == due_class)
+            .min_by_key(|(key, waiting)| (waiting.priority(congested, now), **key))
             .map(|(key, _)| *key)
     }
 }
