--- a/lib/src/loads/mod.rs
+++ b/lib/src/loads/mod.rs
@@ -61,6 +61,6 @@
     /// urgent one goes away.
     async fn acquire(
         &self,
-        ask: watch::Receiver<PermitRequest>,
+        request: watch::Receiver<PermitRequest>,
     ) -> Result<Box<dyn Permit>, Failure>;
 }
--- a/lib/src/loads/queue.rs
+++ b/lib/src/loads/queue.rs
@@ -34,9 +34,9 @@
 /// The queue, as those see it that want to load.
 #[derive(Clone)]
 pub struct PermitQueue {
-    actor: ActorRef<Limiter>,
-    ends: mpsc::UnboundedSender<RequestKey>,
-    serial: Arc<AtomicU64>,
+    actor: ActorRef<PermitActor>,
+    released_sender: mpsc::UnboundedSender<RequestKey>,
+    next_id: Arc<AtomicU64>,
 }
 
 impl fmt::Debug for PermitQueue {
@@ -49,28 +49,28 @@
     /// Starts with nobody waiting.
     #[must_use]
     pub fn start(limits: Limits, clock: Arc<dyn Clock>) -> Self {
-        let (ends, ended) = mpsc::unbounded_channel();
-        let actor = Limiter::spawn_with_mailbox((limits, clock, ended), mailbox::bounded(MAILBOX));
+        let (released_sender, released_receiver) = mpsc::unbounded_channel();
+        let actor = PermitActor::spawn_with_mailbox((limits, clock, released_receiver), mailbox::bounded(MAILBOX));
         Self {
             actor,
-            ends,
-            serial: Arc::new(AtomicU64::new(0)),
+            released_sender,
+            next_id: Arc::new(AtomicU64::new(0)),
         }
     }
 
     /// Changes the shortest time between the starts of two loads.
-    pub(super) async fn space(&self, min_start_interval: Millis) {
-        let _ = self.actor.tell(Space(min_start_interval)).send().await;
+    pub(super) async fn set_min_start_interval(&self, min_start_interval: Millis) {
+        let _ = self.actor.tell(SetMinStartInterval(min_start_interval)).send().await;
     }
 
-    async fn ask(
+    async fn send_request(
         &self,
         key: RequestKey,
-        ask: PermitRequest,
+        request: PermitRequest,
         reply: Option<oneshot::Sender<()>>,
     ) -> Result<(), Failure> {
-        let asked = self.actor.tell(Asked { key, ask, reply }).send().await;
-        asked.map_err(|_| Failure::new(Code::LoadFailed, "the load queue has stopped"))
+        let sent = self.actor.tell(UpsertRequest { key, request, reply }).send().await;
+        sent.map_err(|_| Failure::new(Code::LoadFailed, "the load queue has stopped"))
     }
 }
 
@@ -78,26 +78,26 @@
 impl PermitSource for PermitQueue {
     async fn acquire(
         &self,
-        mut ask: watch::Receiver<PermitRequest>,
+        mut request: watch::Receiver<PermitRequest>,
     ) -> Result<Box<dyn Permit>, Failure> {
-        let key = (0, self.serial.fetch_add(1, Ordering::Relaxed));
-        let grant = Grant {
+        let key = (0, self.next_id.fetch_add(1, Ordering::Relaxed));
+        let guard = PermitGuard {
             key,
-            ends: self.ends.clone(),
+            released_sender: self.released_sender.clone(),
         };
         let (reply, mut granted) = oneshot::channel();
-        let first = ask.borrow_and_update().clone();
-        self.ask(key, first, Some(reply)).await?;
+        let first = request.borrow_and_update().clone();
+        self.send_request(key, first, Some(reply)).await?;
         loop {
             tokio::select! {
                 biased;
                 granted = &mut granted => {
                     let full = |_| Failure::new(Code::LoadFailed, "too many loads wait");
-                    return granted.map(|()| Box::new(grant) as _).map_err(full);
+                    return granted.map(|()| Box::new(guard) as _).map_err(full);
                 }
-                Ok(()) = ask.changed() => {
-                    let changed = ask.borrow_and_update().clone();
-                    self.ask(key, changed, None).await?;
+                Ok(()) = request.changed() => {
+                    let changed = request.borrow_and_update().clone();
+                    self.send_request(key, changed, None).await?;
                 }
             }
         }
@@ -108,95 +108,95 @@
 ///
 /// A holder that ends with its permit would block every load of the deployment.
 #[derive(Debug)]
-struct Grant {
+struct PermitGuard {
     key: RequestKey,
-    ends: mpsc::UnboundedSender<RequestKey>,
+    released_sender: mpsc::UnboundedSender<RequestKey>,
 }
 
-impl Drop for Grant {
+impl Drop for PermitGuard {
     fn drop(&mut self) {
-        let _ = self.ends.send(self.key);
+        let _ = self.released_sender.send(self.key);
     }
 }
 
 #[async_trait]
-impl Permit for Grant {
+impl Permit for PermitGuard {
     async fn done(self: Box<Self>, _: bool, _: Millis) {}
 }
 
 /// An ask comes or changes.
 #[derive(Debug)]
-struct Asked {
+struct UpsertRequest {
     key: RequestKey,
-    ask: PermitRequest,
+    request: PermitRequest,
     reply: Option<oneshot::Sender<()>>,
 }
 
 /// The shortest time between two loads changes.
 #[derive(Debug)]
-struct Space(Millis);
+struct SetMinStartInterval(Millis);
 
 /// The actor: it grants one permit at a time, no faster than the weight store serves loads.
 #[derive(Debug)]
-struct Limiter {
-    order: policy::loads::LoadQueue,
+struct PermitActor {
+    queue: policy::loads::LoadQueue,
     min_start_interval: Millis,
-    next_start: Millis,
+    next_start_at: Millis,
     waiting: HashMap<RequestKey, oneshot::Sender<()>>,
     clock: Arc<dyn Clock>,
-    ended: mpsc::UnboundedReceiver<RequestKey>,
+    released_receiver: mpsc::UnboundedReceiver<RequestKey>,
 }
 
-impl Limiter {
-    fn grant(&mut self) {
+impl PermitActor {
+    fn grant_ready(&mut self) {
         let now = self.clock.now();
-        while now >= self.next_start {
-            let Some((key, _)) = self.order.next(now) else {
+        while now >= self.next_start_at {
+            let Some((key, _)) = self.queue.next(now) else {
                 return;
             };
-            let told = self
+            let delivered = self
                 .waiting
                 .remove(&key)
                 .is_some_and(|reply| reply.send(()).is_ok());
-            if told {
-                self.next_start = now + self.min_start_interval;
+            if delivered {
+                self.next_start_at = now + self.min_start_interval;
             } else {
-                self.order.withdraw(key);
+                self.queue.withdraw(key);
             }
         }
     }
 
-    fn wakeup(&self) -> Option<Millis> {
-        if self.order.is_empty() {
+    fn next_wakeup(&self) -> Option<Millis> {
+        if self.queue.is_empty() {
             return None;
         }
         let now = self.clock.now();
-        let spaced = (now < self.next_start).then_some(self.next_start);
-        let next = self.order.next_wakeup();
+        let spaced = (now < self.next_start_at).then_some(self.next_start_at);
+        let next = self.queue.next_wakeup();
         // Neither can grant before the later of the two.
         spaced.max(next).map(|at| at.since(now))
     }
 
-    fn end(&mut self, key: RequestKey) {
+    fn release(&mut self, key: RequestKey) {
         self.waiting.remove(&key);
-        self.order.withdraw(key);
-        self.grant();
+        self.queue.withdraw(key);
+        self.grant_ready();
     }
 }
 
-impl Actor for Limiter {
+impl Actor for PermitActor {
     type Args = (Limits, Arc<dyn Clock>, mpsc::UnboundedReceiver<RequestKey>);
     type Error = Infallible;
 
     async fn on_start(args: Self::Args, _: ActorRef<Self>) -> Result<Self, Infallible> {
-        let (limits, clock, ended) = args;
+        let (limits, clock, released_receiver) = args;
         Ok(Self {
-            order: policy::loads::LoadQueue::new(limits.queue),
+            queue: policy::loads::LoadQueue::new(limits.queue),
             min_start_interval: limits.min_start_interval,
-            next_start: Millis::ZERO,
+            next_start_at: Millis::ZERO,
             waiting: HashMap::new(),
             clock,
-            ended,
+            released_receiver,
         })
     }
 
@@ -206,12 +206,12 @@
         mailbox: &mut MailboxReceiver<Self>,
     ) -> Result<Option<Signal<Self>>, Infallible> {
         loop {
-            let wakeup = self.wakeup();
+            let wakeup = self.next_wakeup();
             tokio::select! {
                 biased;
-                Some(key) = self.ended.recv() => self.end(key),
+                Some(key) = self.released_receiver.recv() => self.release(key),
                 signal = mailbox.recv() => return Ok(signal),
-                () = sleep(wakeup) => self.grant(),
+                () = sleep(wakeup) => self.grant_ready(),
             }
         }
     }
@@ -224,26 +224,26 @@
     }
 }
 
-impl Message<Asked> for Limiter {
+impl Message<UpsertRequest> for PermitActor {
     type Reply = ();
 
-    async fn handle(&mut self, asked: Asked, _: &mut Context<Self, ()>) {
+    async fn handle(&mut self, message: UpsertRequest, _: &mut Context<Self, ()>) {
         // An ask that changes after it was granted or taken back stays so.
-        let known = asked.reply.is_some() || self.waiting.contains_key(&asked.key);
-        if !known || !self.order.enqueue(asked.key, asked.ask, self.clock.now()) {
+        let known = message.reply.is_some() || self.waiting.contains_key(&message.key);
+        if !known || !self.queue.enqueue(message.key, message.request, self.clock.now()) {
             return;
         }
-        if let Some(reply) = asked.reply {
-            self.waiting.insert(asked.key, reply);
+        if let Some(reply) = message.reply {
+            self.waiting.insert(message.key, reply);
         }
-        self.grant();
+        self.grant_ready();
     }
 }
 
-impl Message<Space> for Limiter {
+impl Message<SetMinStartInterval> for PermitActor {
     type Reply = ();
 
-    async fn handle(&mut self, space: Space, _: &mut Context<Self, ()>) {
-        self.min_start_interval = space.0;
+    async fn handle(&mut self, message: SetMinStartInterval, _: &mut Context<Self, ()>) {
+        self.min_start_interval = message.0;
     }
 }
--- a/lib/src/loads/shared.rs
+++ b/lib/src/loads/shared.rs
@@ -23,10 +23,10 @@
 use crate::policy;
 
 /// Loads that a lost holder of a permit may hold up, in loads at the store's rate.
-const TIMEOUT_LOADS: u64 = 10;
+const PERMIT_TIMEOUT_LOADS: u64 = 10;
 
 /// Time between two tries of an owner that gives no permit.
-const OWNER_AGAIN: Millis = Millis::from_secs(2);
+const OWNER_RETRY_PAUSE: Millis = Millis::from_secs(2);
 
 /// What the shared queue works with.
 #[derive(Debug, Clone)]
@@ -46,88 +46,88 @@
 /// Permits to load, wherever the queue is.
 #[derive(Debug)]
 pub struct SharedPermitQueue {
-    parts: Dependencies,
+    deps: Dependencies,
     queue: PermitQueue,
-    share: PermitQueue,
+    fallback: PermitQueue,
 }
 
 impl SharedPermitQueue {
     /// Starts this node's part.
     #[must_use]
-    pub fn start(parts: Dependencies) -> Arc<Self> {
-        let load = load_time(parts.loads_per_kilosecond);
+    pub fn start(deps: Dependencies) -> Arc<Self> {
+        let load = load_time(deps.loads_per_kilosecond);
         let limits = |min_start_interval| Limits {
             queue: policy::loads::Limits {
-                timeout: Millis(load.0.saturating_mul(TIMEOUT_LOADS)),
+                timeout: Millis(load.0.saturating_mul(PERMIT_TIMEOUT_LOADS)),
                 ..policy::loads::Limits::default()
             },
             min_start_interval,
         };
         Arc::new(Self {
-            queue: PermitQueue::start(limits(Millis::ZERO), Arc::clone(&parts.clock)),
-            share: PermitQueue::start(limits(load), Arc::clone(&parts.clock)),
-            parts,
+            queue: PermitQueue::start(limits(Millis::ZERO), Arc::clone(&deps.clock)),
+            fallback: PermitQueue::start(limits(load), Arc::clone(&deps.clock)),
+            deps,
         })
     }
 
     /// Returns the queue that this node's service gives its peers.
     #[must_use]
     pub fn for_peers(self: &Arc<Self>) -> Arc<dyn PermitSource> {
-        Arc::new(Served(Arc::clone(self)))
+        Arc::new(OwnedQueue(Arc::clone(self)))
     }
 
     fn owner(&self) -> Option<Arc<Owner>> {
-        self.parts.fleet.borrow().owner(WEIGHT_STORE).cloned()
+        self.deps.fleet.borrow().owner(WEIGHT_STORE).cloned()
     }
 
-    fn is_here(&self) -> bool {
+    fn is_owned_locally(&self) -> bool {
         self.owner()
-            .is_some_and(|owner| owner.node == self.parts.node)
+            .is_some_and(|owner| owner.node == self.deps.node)
     }
 
     /// Waits for a permit at the queue's owner.
     async fn owner_permit(
         &self,
-        ask: watch::Receiver<PermitRequest>,
+        request: watch::Receiver<PermitRequest>,
     ) -> Result<Box<dyn Permit>, Failure> {
         match self.owner() {
-            Some(owner) if owner.node == self.parts.node => self.queue.acquire(ask).await,
+            Some(owner) if owner.node == self.deps.node => self.queue.acquire(request).await,
             Some(owner) => {
                 let remote = Remote {
-                    clients: Arc::clone(&self.parts.clients),
+                    clients: Arc::clone(&self.deps.clients),
                     address: owner.peer,
                 };
-                remote.acquire(ask).await
+                remote.acquire(request).await
             }
-            None => Err(no_owner()),
+            None => Err(not_owner()),
         }
     }
 
     /// Waits for a permit from this node's share.
-    async fn share_permit(
+    async fn fallback_permit(
         &self,
-        ask: watch::Receiver<PermitRequest>,
+        request: watch::Receiver<PermitRequest>,
     ) -> Result<Box<dyn Permit>, Failure> {
-        let nodes = nodes(&self.parts.fleet.borrow());
-        let load = load_time(self.parts.loads_per_kilosecond);
-        self.share.space(Millis(load.0.saturating_mul(nodes))).await;
-        self.share.acquire(ask).await
+        let nodes = owner_node_count(&self.deps.fleet.borrow());
+        let load = load_time(self.deps.loads_per_kilosecond);
+        self.fallback.set_min_start_interval(Millis(load.0.saturating_mul(nodes))).await;
+        self.fallback.acquire(request).await
     }
 
     /// Tries the queue's owner again and again.
-    async fn owner_again(&self, ask: &watch::Receiver<PermitRequest>) -> Box<dyn Permit> {
+    async fn retry_owner(&self, request: &watch::Receiver<PermitRequest>) -> Box<dyn Permit> {
         loop {
-            tokio::time::sleep(OWNER_AGAIN.duration()).await;
-            if let Ok(permit) = self.owner_permit(ask.clone()).await {
+            tokio::time::sleep(OWNER_RETRY_PAUSE.duration()).await;
+            if let Ok(permit) = self.owner_permit(request.clone()).await {
                 return permit;
             }
         }
     }
 
     /// Returns when the queue has another owner.
-    async fn moved(&self) {
+    async fn owner_changed(&self) {
         let before = self.owner();
-        let mut fleet = self.parts.fleet.clone();
+        let mut fleet = self.deps.fleet.clone();
         let changed = fleet.wait_for(|fleet| fleet.owner(WEIGHT_STORE) != before.as_ref());
         if changed.await.is_err() {
             std::future::pending::<()>().await;
@@ -139,21 +139,21 @@
 impl PermitSource for SharedPermitQueue {
     async fn acquire(
         &self,
-        ask: watch::Receiver<PermitRequest>,
+        request: watch::Receiver<PermitRequest>,
     ) -> Result<Box<dyn Permit>, Failure> {
         loop {
             let failure = tokio::select! {
-                permit = self.owner_permit(ask.clone()) => match permit {
+                permit = self.owner_permit(request.clone()) => match permit {
                     Ok(permit) => return Ok(permit),
                     Err(failure) => failure,
                 },
-                () = self.moved() => continue,
+                () = self.owner_changed() => continue,
             };
             log::debug!("loads: the queue's owner gives no permit: {failure}");
             tokio::select! {
-                permit = self.share_permit(ask.clone()) => return permit,
-                permit = self.owner_again(&ask) => return Ok(permit),
-                () = self.moved() => {}
+                permit = self.fallback_permit(request.clone()) => return permit,
+                permit = self.retry_owner(&request) => return Ok(permit),
+                () = self.owner_changed() => {}
             }
         }
     }
@@ -161,25 +161,25 @@
 
 /// The queue as peers see it: only while this node owns it.
 #[derive(Debug)]
-struct Served(Arc<SharedPermitQueue>);
+struct OwnedQueue(Arc<SharedPermitQueue>);
 
 #[async_trait]
-impl PermitSource for Served {
+impl PermitSource for OwnedQueue {
     async fn acquire(
         &self,
-        ask: watch::Receiver<PermitRequest>,
+        request: watch::Receiver<PermitRequest>,
     ) -> Result<Box<dyn Permit>, Failure> {
-        if !self.0.is_here() {
-            return Err(no_owner());
+        if !self.0.is_owned_locally() {
+            return Err(not_owner());
         }
         tokio::select! {
-            permit = self.0.queue.acquire(ask) => permit,
-            () = self.0.moved() => Err(no_owner()),
+            permit = self.0.queue.acquire(request) => permit,
+            () = self.0.owner_changed() => Err(not_owner()),
         }
     }
 }
 
-fn no_owner() -> Failure {
+fn not_owner() -> Failure {
     Failure::new(Code::NotOwner, "this node doesn't own the load queue")
 }
 
@@ -189,7 +189,7 @@
 }
 
 /// Returns how many nodes own upstreams, and so may load; at least this one.
-fn nodes(fleet: &Fleet) -> u64 {
+fn owner_node_count(fleet: &Fleet) -> u64 {
     let owners: HashSet<&str> = fleet
         .upstreams()
         .filter_map(|upstream| fleet.owner(&upstream.vm.name))
