--- a/lib/src/loads/queue.rs
+++ b/lib/src/loads/queue.rs
@@ -50,7 +50,10 @@
     #[must_use]
     pub fn start(limits: Limits, clock: Arc<dyn Clock>) -> Self {
         let (released_sender, released_receiver) = mpsc::unbounded_channel();
-        let actor = PermitActor::spawn_with_mailbox((limits, clock, released_receiver), mailbox::bounded(MAILBOX));
+        let actor = PermitActor::spawn_with_mailbox(
+            (limits, clock, released_receiver),
+            mailbox::bounded(MAILBOX),
+        );
         Self {
             actor,
             released_sender,
@@ -60,7 +63,11 @@
 
     /// Changes the shortest time between the starts of two loads.
     pub(super) async fn set_min_start_interval(&self, min_start_interval: Millis) {
-        let _ = self.actor.tell(SetMinStartInterval(min_start_interval)).send().await;
+        let _ = self
+            .actor
+            .tell(SetMinStartInterval(min_start_interval))
+            .send()
+            .await;
     }
 
     async fn send_request(
@@ -69,7 +76,15 @@
         request: PermitRequest,
         reply: Option<oneshot::Sender<()>>,
     ) -> Result<(), Failure> {
-        let sent = self.actor.tell(UpsertRequest { key, request, reply }).send().await;
+        let sent = self
+            .actor
+            .tell(UpsertRequest {
+                key,
+                request,
+                reply,
+            })
+            .send()
+            .await;
         sent.map_err(|_| Failure::new(Code::LoadFailed, "the load queue has stopped"))
     }
 }
@@ -230,7 +245,11 @@
     async fn handle(&mut self, message: UpsertRequest, _: &mut Context<Self, ()>) {
         // An ask that changes after it was granted or taken back stays so.
         let known = message.reply.is_some() || self.waiting.contains_key(&message.key);
-        if !known || !self.queue.enqueue(message.key, message.request, self.clock.now()) {
+        if !known
+            || !self
+                .queue
+                .enqueue(message.key, message.request, self.clock.now())
+        {
             return;
         }
         if let Some(reply) = message.reply {
--- a/lib/src/loads/shared.rs
+++ b/lib/src/loads/shared.rs
@@ -110,7 +110,9 @@
     ) -> Result<Box<dyn Permit>, Failure> {
         let nodes = owner_node_count(&self.deps.fleet.borrow());
         let load = load_time(self.deps.loads_per_kilosecond);
-        self.fallback.set_min_start_interval(Millis(load.0.saturating_mul(nodes))).await;
+        self.fallback
+            .set_min_start_interval(Millis(load.0.saturating_mul(nodes)))
+            .await;
         self.fallback.acquire(request).await
     }
 
--- a/lib/src/policy/demand.rs
+++ b/lib/src/policy/demand.rs
@@ -107,7 +107,8 @@
     pub fn record(&mut self, adapter: &Adapter, class: Class, now: Millis) {
         if !self.records.contains_key(adapter) {
             self.make_room(now);
-            self.records.insert(adapter.clone(), AdapterDemand::default());
+            self.records
+                .insert(adapter.clone(), AdapterDemand::default());
         }
         if let Some(record) = self.records.get_mut(adapter) {
             let amount = f64::from(class_weight(class));
@@ -171,8 +172,9 @@
         if self.records.len() < self.capacity {
             return;
         }
-        self.records
-            .retain(|_, record| record.long_window.value(LONG_HALF_LIFE, now) >= MIN_RETAINED_COUNT);
+        self.records.retain(|_, record| {
+            record.long_window.value(LONG_HALF_LIFE, now) >= MIN_RETAINED_COUNT
+        });
         if self.records.len() <= self.capacity / 2 {
             return;
         }
--- a/lib/src/policy/loads.rs
+++ b/lib/src/policy/loads.rs
@@ -73,11 +73,19 @@
     /// and all would have waited in vain.
     fn priority(&self, congested: bool, now: Millis) -> (u8, Reverse<u64>, Millis) {
         let Some(class) = self.request.class else {
-            return (2, Reverse(self.request.stall_savings.0), self.first_requested_at);
+            return (
+                2,
+                Reverse(self.request.stall_savings.0),
+                self.first_requested_at,
+            );
         };
         let rank = u8::from(class != Class::Urgent);
         if congested {
-            return (rank, Reverse(self.remaining_savings(now)), self.first_requested_at);
+            return (
+                rank,
+                Reverse(self.remaining_savings(now)),
+                self.first_requested_at,
+            );
         }
         let ended = u64::from(self.request.waiters) * u64::from(class_weight(class));
         (rank, Reverse(ended), self.first_requested_at)
@@ -119,7 +127,10 @@
     ///
     /// Returns whether there was room.
     pub fn enqueue(&mut self, key: RequestKey, request: PermitRequest, now: Millis) -> bool {
-        let earlier = self.waiting.get(&key).map(|waiting| waiting.first_requested_at);
+        let earlier = self
+            .waiting
+            .get(&key)
+            .map(|waiting| waiting.first_requested_at);
         if earlier.is_none() && self.waiting.len() >= self.limits.max_waiting {
             return false;
         }
@@ -205,7 +216,8 @@
     /// Returns whether the asks that wait take longer than is good to get through.
     fn is_congested(&self) -> bool {
         let grant_interval = to_millis(self.grant_interval.or(0.0)).0;
-        grant_interval.saturating_mul(self.waiting.len() as u64) > self.limits.congestion_threshold.0
+        grant_interval.saturating_mul(self.waiting.len() as u64)
+            > self.limits.congestion_threshold.0
     }
 
     /// Returns the class whose turn it is, whatever the order says.
--- a/lib/src/policy/placement.rs
+++ b/lib/src/policy/placement.rs
@@ -141,7 +141,11 @@
     }
 
     /// Takes `count` of a shortlist, at each step from the failure domain used least so far.
-    fn spread_over_domains(&self, mut shortlist: SmallVec<[usize; SHORTLIST_LEN]>, count: usize) -> CandidateOrder {
+    fn spread_over_domains(
+        &self,
+        mut shortlist: SmallVec<[usize; SHORTLIST_LEN]>,
+        count: usize,
+    ) -> CandidateOrder {
         let domains = shortlist
             .iter()
             .map(|index| self.members[*index].domain + 1);
@@ -279,7 +283,13 @@
     ///
     /// A fixed order would fill its first upstreams, whose other adapters then
     /// suffer, and pass them all by before it finds a free one.
-    fn evenly_spread(&mut self, pool: &Pool, key: u64, replicas: usize, now: Millis) -> CandidateOrder {
+    fn evenly_spread(
+        &mut self,
+        pool: &Pool,
+        key: u64,
+        replicas: usize,
+        now: Millis,
+    ) -> CandidateOrder {
         let count = (2 * replicas).min(self.limits.max_replicas as usize);
         let mut near = pool.top_ranked(key, count);
         let Some(home) = self.home(pool, &near, now) else {
@@ -298,12 +308,19 @@
 
     /// Returns the first that isn't left out for all adapters, or the first of all.
     fn home(&self, pool: &Pool, order: &[usize], now: Millis) -> Option<usize> {
-        let usable = |index: &&usize| !self.is_excluded(ALL_ADAPTERS, pool.members[**index].hash, now);
+        let usable =
+            |index: &&usize| !self.is_excluded(ALL_ADAPTERS, pool.members[**index].hash, now);
         order.iter().find(usable).or(order.first()).copied()
     }
 
     /// Draws one of those that were only busy: they hold the adapter, so waiting there costs no load.
-    fn random_holder(&mut self, pool: &Pool, key: u64, order: &[usize], now: Millis) -> Option<usize> {
+    fn random_holder(
+        &mut self,
+        pool: &Pool,
+        key: u64,
+        order: &[usize],
+        now: Millis,
+    ) -> Option<usize> {
         let has_adapter = |index: &usize| {
             let hash = pool.members[*index].hash;
             let hint = self.hints.get(&(key, hash));
--- a/lib/src/policy/queue.rs
+++ b/lib/src/policy/queue.rs
@@ -273,7 +273,11 @@
                 let (Reverse(weight), number) = flow.ready.first()?;
                 let entry = self.entries.get(number)?;
                 allowed(account, &entry.share).then_some(())?;
-                Some((flow.finish_tag.max(fair.virtual_time), Reverse(*weight), *number))
+                Some((
+                    flow.finish_tag.max(fair.virtual_time),
+                    Reverse(*weight),
+                    *number,
+                ))
             })
             .min()
             .map(|(start, _, number)| (start, number))?;
--- a/lib/src/policy/replicas.rs
+++ b/lib/src/policy/replicas.rs
@@ -50,13 +50,24 @@
     /// One of `pool` upstreams that serves the adapter was busy: its requests need more replicas.
     pub fn grow(&mut self, adapter: u64, pool: usize, now: Millis) {
         // A count beyond the pool would only take longer to halve.
-        let max_replicas = u32::try_from(pool).unwrap_or(u32::MAX).min(self.max_replicas);
-        let replicas = self.replicas(adapter, now).saturating_mul(2).min(max_replicas);
+        let max_replicas = u32::try_from(pool)
+            .unwrap_or(u32::MAX)
+            .min(self.max_replicas);
+        let replicas = self
+            .replicas(adapter, now)
+            .saturating_mul(2)
+            .min(max_replicas);
         if replicas < 2 || !self.has_room(adapter, now) {
             return;
         }
         let halves_at = now + self.halve_after;
-        self.counts.insert(adapter, ReplicaCount { replicas, halves_at });
+        self.counts.insert(
+            adapter,
+            ReplicaCount {
+                replicas,
+                halves_at,
+            },
+        );
     }
 
     /// Returns how many adapters are remembered.
--- a/lib/src/policy/slots.rs
+++ b/lib/src/policy/slots.rs
@@ -306,7 +306,8 @@
 
     fn remember_eviction(&mut self, adapter: &Adapter, now: Millis) {
         if self.evicted_at.len() >= MAX_REMEMBERED_ADAPTERS {
-            self.evicted_at.retain(|_, at| now.since(*at) < MAX_REPORT_LAG);
+            self.evicted_at
+                .retain(|_, at| now.since(*at) < MAX_REPORT_LAG);
         }
         self.evicted_at.insert(adapter.clone(), now);
     }
--- a/lib/src/policy/upstream/admit.rs
+++ b/lib/src/policy/upstream/admit.rs
@@ -128,12 +128,17 @@
             return Ok(());
         }
         let passed = self.forecast.is_passed_on(adapter, now);
-        let ratio = if passed { RECLAIM_DEMAND_RATIO } else { PASS_ON_DEMAND_RATIO };
+        let ratio = if passed {
+            RECLAIM_DEMAND_RATIO
+        } else {
+            PASS_ON_DEMAND_RATIO
+        };
         if self.has_cheap_slot(adapter, ratio, now) {
             return Ok(());
         }
         if !passed {
-            self.forecast.mark_passed_on(adapter, now + PASS_ON_DURATION);
+            self.forecast
+                .mark_passed_on(adapter, now + PASS_ON_DURATION);
         }
         Err(self.refusal(
             Code::PassedOn,
--- a/lib/src/policy/upstream/load.rs
+++ b/lib/src/policy/upstream/load.rs
@@ -1,6 +1,6 @@
 //! What is loaded and what is evicted for it.
 
-use super::{Action, PendingPermit, Demand, Machine};
+use super::{Action, Demand, Machine, PendingPermit};
 use crate::adapter::Adapter;
 use crate::clock::Millis;
 use crate::error::Code;
@@ -61,7 +61,11 @@
             .deferred_loads
             .iter()
             .filter(|adapter| self.slots.state(adapter).is_none())
-            .filter(|adapter| self.slots.retry_at(adapter).is_none_or(|until| until <= now))
+            .filter(|adapter| {
+                self.slots
+                    .retry_at(adapter)
+                    .is_none_or(|until| until <= now)
+            })
             .cloned()
             .collect();
         for adapter in free {
@@ -78,13 +82,20 @@
 
     /// After a cold start, asks for what was resident, the worthiest first, one at a time.
     fn request_refill(&mut self, now: Millis, actions: &mut Vec<Action>) {
-        if self.refills.is_empty() || !self.pending_permits.is_empty() || !self.slots.has_empty_slot() {
+        if self.refills.is_empty()
+            || !self.pending_permits.is_empty()
+            || !self.slots.has_empty_slot()
+        {
             return;
         }
         let ready = self
             .refills
             .iter()
-            .filter(|adapter| self.slots.retry_at(adapter).is_none_or(|until| until <= now))
+            .filter(|adapter| {
+                self.slots
+                    .retry_at(adapter)
+                    .is_none_or(|until| until <= now)
+            })
             .map(|adapter| (self.forecast.rate(adapter, now), adapter))
             .max_by(|a, b| a.0.total_cmp(&b.0).then_with(|| b.1.cmp(a.1)));
         let Some((rate, adapter)) = ready.map(|(rate, adapter)| (rate, adapter.clone())) else {
@@ -108,7 +119,12 @@
     }
 
     /// Tells the store's queue when an ask has become clearly more or less urgent.
-    pub(super) fn update_permit_request(&mut self, adapter: &Adapter, now: Millis, actions: &mut Vec<Action>) {
+    pub(super) fn update_permit_request(
+        &mut self,
+        adapter: &Adapter,
+        now: Millis,
+        actions: &mut Vec<Action>,
+    ) {
         let Some(pending) = self.pending_permits.get(adapter).copied() else {
             return;
         };
@@ -119,7 +135,8 @@
         let fewer = demand.waiters < pending.demand.waiters;
         if grown || fewer || demand.class != pending.demand.class {
             let at = pending.at;
-            self.pending_permits.insert(adapter.clone(), PendingPermit { at, demand });
+            self.pending_permits
+                .insert(adapter.clone(), PendingPermit { at, demand });
             actions.push(Action::RequestPermit {
                 adapter: adapter.clone(),
                 demand,
@@ -144,7 +161,8 @@
             demand.weight = demand.weight.saturating_add(ticket.weight);
             demand.waited = demand.waited.max(now.since(entry.arrived_at));
             let left = ticket.deadline.since(now + self.limits.load_time);
-            demand.stall_savings += Millis(left.0.saturating_mul(u64::from(class_weight(ticket.class))));
+            demand.stall_savings +=
+                Millis(left.0.saturating_mul(u64::from(class_weight(ticket.class))));
         }
         demand.class?;
         demand.stall_savings += expected_stall_savings(self.forecast.rate(adapter, now));
--- a/lib/src/policy/upstream/mod.rs
+++ b/lib/src/policy/upstream/mod.rs
@@ -265,7 +265,8 @@
         }
         // When a request of another owner began isn't known, so it tells nothing of the pace.
         if running.cost > 0 {
-            self.service.record_completed(running.cost, now.since(running.started));
+            self.service
+                .record_completed(running.cost, now.since(running.started));
         }
         if let Some((adapter, pin)) = running.pin {
             self.slots.unpin(&adapter, pin);
--- a/lib/src/policy/upstream/prefetch.rs
+++ b/lib/src/policy/upstream/prefetch.rs
@@ -1,7 +1,7 @@
 //! Loads ahead of a change of templates, so that the switch brings no stall.
 
 use super::load::{PREFETCH_DEMAND, expected_stall_savings};
-use super::{Action, PendingPermit, Demand, Machine};
+use super::{Action, Demand, Machine, PendingPermit};
 use crate::adapter::Adapter;
 use crate::clock::Millis;
 
@@ -35,7 +35,11 @@
             .iter()
             .filter(|adapter| self.slots.state(adapter).is_none())
             .filter(|adapter| !self.pending_permits.contains_key(adapter))
-            .filter(|adapter| self.slots.retry_at(adapter).is_none_or(|until| until <= now))
+            .filter(|adapter| {
+                self.slots
+                    .retry_at(adapter)
+                    .is_none_or(|until| until <= now)
+            })
             .cloned()
             .collect();
         for adapter in free {
--- a/lib/src/policy/upstream/start.rs
+++ b/lib/src/policy/upstream/start.rs
@@ -171,15 +171,22 @@
     /// anything runs, bulk work joins it at once.
     pub(super) fn held_until(&self) -> Option<Millis> {
         let ready = self.queue.ready_count(Class::Bulk);
-        if self.limits.batch_weight == 0 || self.batch_released || ready == 0 || !self.running.is_empty()
+        if self.limits.batch_weight == 0
+            || self.batch_released
+            || ready == 0
+            || !self.running.is_empty()
         {
             return None;
         }
-        let full = service_time::full_batch_size(self.limits.max_batch, self.limits.batch_weight) as usize;
+        let full =
+            service_time::full_batch_size(self.limits.max_batch, self.limits.batch_weight) as usize;
         if ready >= full {
             return None;
         }
         let (arrived, deadline) = self.queue.oldest_ready(Class::Bulk)?;
-        Some(arrived + service_time::max_batch_delay(self.limits.batch_weight, deadline.since(arrived)))
+        Some(
+            arrived
+                + service_time::max_batch_delay(self.limits.batch_weight, deadline.since(arrived)),
+        )
     }
 }
--- a/lib/tests/test_policy_parts.rs
+++ b/lib/tests/test_policy_parts.rs
@@ -551,7 +551,10 @@
     assert!(table.begin_load(&used, None, Millis(2)) && table.end_load(&used, true, Millis(3)));
     let _new = table.pin(&used).unwrap();
     table.unpin(&used, old);
-    assert!(!table.begin_load(&other, Some(&used), Millis(4)), "it is in use");
+    assert!(
+        !table.begin_load(&other, Some(&used), Millis(4)),
+        "it is in use"
+    );
 }
 
 /// A report from before an eviction or a load doesn't override what happened since.
