--- a/lib/src/loads/mod.rs
+++ b/lib/src/loads/mod.rs
@@ -1,8 +1,8 @@
 //! Permits to load an adapter from the weight store.
 //!
-//! The store gives a few loads a second to the whole deployment, and two loads
-//! at once slow each other down. One node, the owner of the pseudo-upstream
-//! [`WEIGHT_STORE`], orders all loads by who waits and how urgently.
+//! The weight store serves a few loads per second for the whole deployment, and concurrent
+//! loads slow each other down. One node, the owner of the pseudo-upstream [`WEIGHT_STORE`],
+//! orders all loads by the number and urgency of the requests that wait for them.
 
 mod queue;
 mod shared;
@@ -24,41 +24,44 @@
 /// Name under which the weight store's queue is owned, like an upstream.
 pub const WEIGHT_STORE: &str = "weights";
 
-/// What the queue needs to know to order a load.
+/// A request for a permit to load an adapter, with the demand that decides its priority.
 #[derive(Debug, Clone)]
 pub struct PermitRequest {
-    /// The upstream that would load it.
+    /// The upstream that would load the adapter.
     pub upstream: Name,
-    /// What would be loaded.
+    /// The adapter to load.
     pub adapter: Adapter,
-    /// Class of the most urgent waiter; none is a prefetch, which gets only what is left.
+    /// Class of the most urgent waiting request; `None` for a prefetch, which only gets
+    /// spare capacity.
     pub class: Option<Class>,
-    /// How many requests wait for it.
+    /// Number of waiting requests.
     pub waiters: u32,
-    /// Sum of the waiters' weights.
+    /// Sum of the weights of the waiting requests.
     pub weight: u32,
-    /// How long the oldest waiter has waited.
+    /// How long the oldest request has waited.
     pub waited: Millis,
-    /// Time that the waiters have left before their deadlines, summed, each times its class's factor.
+    /// Sum of the waiting requests' time to their deadlines, weighted by class.
     ///
-    /// It is the stall that the load can still save; see docs/design/0002-decisions.md.
+    /// This is the stall time that the load can still save; see
+    /// docs/design/0002-decisions.md.
     pub stall_savings: Millis,
 }
 
-/// A permit for one load; the queue goes on when it is dropped or told of the outcome.
+/// A permit for one load; the queue continues when it is dropped or the outcome is
+/// reported.
 #[async_trait]
 pub trait Permit: fmt::Debug + Send {
-    /// Tells how the load ended.
+    /// Reports the outcome of the load.
     async fn done(self: Box<Self>, loaded: bool, took: Millis);
 }
 
-/// The queue of the weight store, in this process or behind a peer connection.
+/// The weight store's queue, in this process or behind a peer connection.
 #[async_trait]
 pub trait PermitSource: fmt::Debug + Send + Sync {
-    /// Waits for a permit to load; dropping the future takes the ask back.
+    /// Waits for a permit to load; dropping the future cancels the request.
     ///
-    /// The ask may change while it waits: more requests come, or the most
-    /// urgent one goes away.
+    /// The request may change while it waits, as more requests arrive or the most urgent
+    /// one goes away.
     async fn acquire(
         &self,
         request: watch::Receiver<PermitRequest>,
--- a/lib/src/loads/queue.rs
+++ b/lib/src/loads/queue.rs
@@ -1,4 +1,5 @@
-//! The actor that orders loads: one at a time, as [`crate::policy::loads`] decides.
+//! An actor that grants permits one at a time, in the order given by
+//! [`crate::policy::loads`].
 
 use std::collections::HashMap;
 use std::convert::Infallible;
@@ -19,19 +20,20 @@
 use crate::policy;
 use crate::policy::loads::RequestKey;
 
-/// Messages that wait for the actor.
+/// Capacity of the actor's mailbox, in messages.
 const MAILBOX: usize = 1024;
 
-/// How the queue behaves.
+/// Limits of the permit queue.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Limits {
-    /// Bounds of the decisions.
+    /// Limits of the load queue that decides the order.
     pub queue: policy::loads::Limits,
-    /// Shortest time between the starts of two loads; zero is one load right after another.
+    /// Minimum time between the starts of two loads; zero starts each load right after the
+    /// previous one.
     pub min_start_interval: Millis,
 }
 
-/// The queue, as those see it that want to load.
+/// A handle to the actor that grants permits.
 #[derive(Clone)]
 pub struct PermitQueue {
     actor: ActorRef<PermitActor>,
@@ -46,7 +48,7 @@
 }
 
 impl PermitQueue {
-    /// Starts with nobody waiting.
+    /// Starts an actor with an empty queue.
     #[must_use]
     pub fn start(limits: Limits, clock: Arc<dyn Clock>) -> Self {
         let (released_sender, released_receiver) = mpsc::unbounded_channel();
@@ -61,7 +63,7 @@
         }
     }
 
-    /// Changes the shortest time between the starts of two loads.
+    /// Changes the minimum time between the starts of two loads.
     pub(super) async fn set_min_start_interval(&self, min_start_interval: Millis) {
         let _ = self
             .actor
@@ -119,9 +121,10 @@
     }
 }
 
-/// An ask, waiting or granted; dropping it takes the ask or the permit back.
+/// Cancels a request or releases its permit on drop.
 ///
-/// A holder that ends with its permit would block every load of the deployment.
+/// A holder that ended without releasing its permit would block all loads of the
+/// deployment.
 #[derive(Debug)]
 struct PermitGuard {
     key: RequestKey,
@@ -139,7 +142,7 @@
     async fn done(self: Box<Self>, _: bool, _: Millis) {}
 }
 
-/// An ask comes or changes.
+/// Adds or updates a request.
 #[derive(Debug)]
 struct UpsertRequest {
     key: RequestKey,
@@ -147,11 +150,12 @@
     reply: Option<oneshot::Sender<()>>,
 }
 
-/// The shortest time between two loads changes.
+/// Changes the minimum time between the starts of two loads.
 #[derive(Debug)]
 struct SetMinStartInterval(Millis);
 
-/// The actor: it grants one permit at a time, no faster than the weight store serves loads.
+/// The actor, which grants one permit at a time, no faster than the weight store serves
+/// loads.
 #[derive(Debug)]
 struct PermitActor {
     queue: policy::loads::LoadQueue,
@@ -188,7 +192,7 @@
         let now = self.clock.now();
         let spaced = (now < self.next_start_at).then_some(self.next_start_at);
         let next = self.queue.next_wakeup();
-        // Neither can grant before the later of the two.
+        // Nothing can be granted before the later of the two.
         spaced.max(next).map(|at| at.since(now))
     }
 
@@ -243,7 +247,7 @@
     type Reply = ();
 
     async fn handle(&mut self, message: UpsertRequest, _: &mut Context<Self, ()>) {
-        // An ask that changes after it was granted or taken back stays so.
+        // An update of a request that was already granted or cancelled is ignored.
         let known = message.reply.is_some() || self.waiting.contains_key(&message.key);
         if !known
             || !self
--- a/lib/src/loads/shared.rs
+++ b/lib/src/loads/shared.rs
@@ -1,10 +1,11 @@
-//! Permits to load from wherever it can be had: the queue's owner, this node or a
-//! peer, and while it can't be reached a small share of the rate.
+//! Permits from the queue's owner, whether this node or a peer, or from a local fallback
+//! queue at a fraction of the rate while the owner can't be reached.
 //!
-//! The queue's owner can be dead or cut off for seconds. All loads would stop
-//! then, and every cold adapter with them. A node that can't reach it goes on at
-//! the store's rate divided by the number of nodes, so that all of them together
-//! don't ask the store for more than it gives. See docs/design/0001-one-owner-per-upstream.md.
+//! The queue's owner can be down or unreachable for seconds. Without a fallback, all loads
+//! would stop, and with them all requests for adapters that aren't resident. A node that
+//! can't reach the owner continues at the store's rate divided by the number of nodes, so
+//! that all nodes together don't exceed the store's capacity. See
+//! docs/design/0001-one-owner-per-upstream.md.
 
 use std::collections::HashSet;
 use std::sync::Arc;
@@ -22,28 +23,28 @@
 use crate::peer::{Clients, Remote};
 use crate::policy;
 
-/// Loads that a lost holder of a permit may hold up, in loads at the store's rate.
+/// Timeout of a permit whose holder is lost, in loads at the store's rate.
 const PERMIT_TIMEOUT_LOADS: u64 = 10;
 
-/// Time between two tries of an owner that gives no permit.
+/// Pause between attempts to get a permit from the owner after a failure.
 const OWNER_RETRY_PAUSE: Millis = Millis::from_secs(2);
 
-/// What the shared queue works with.
+/// Dependencies of the shared queue.
 #[derive(Debug, Clone)]
 pub struct Dependencies {
-    /// This node's name.
+    /// The name of this node.
     pub node: Name,
-    /// Who owns what.
+    /// The fleet, with the owner of each upstream.
     pub fleet: watch::Receiver<Arc<Fleet>>,
-    /// The ways to peers.
+    /// Clients for peer connections.
     pub clients: Arc<Clients>,
     /// The node's clock.
     pub clock: Arc<dyn Clock>,
-    /// The store's rate: loads a second, in thousandths.
+    /// The store's rate in loads per 1000 seconds.
     pub loads_per_kilosecond: u32,
 }
 
-/// Permits to load, wherever the queue is.
+/// Permits to load from the queue's current owner, with a local fallback.
 #[derive(Debug)]
 pub struct SharedPermitQueue {
     deps: Dependencies,
@@ -52,7 +53,7 @@
 }
 
 impl SharedPermitQueue {
-    /// Starts this node's part.
+    /// Starts this node's queues.
     #[must_use]
     pub fn start(deps: Dependencies) -> Arc<Self> {
         let load = load_time(deps.loads_per_kilosecond);
@@ -70,7 +71,7 @@
         })
     }
 
-    /// Returns the queue that this node's service gives its peers.
+    /// Returns the queue as offered to peers.
     #[must_use]
     pub fn for_peers(self: &Arc<Self>) -> Arc<dyn PermitSource> {
         Arc::new(OwnedQueue(Arc::clone(self)))
@@ -85,7 +86,7 @@
             .is_some_and(|owner| owner.node == self.deps.node)
     }
 
-    /// Waits for a permit at the queue's owner.
+    /// Waits for a permit from the queue's owner.
     async fn owner_permit(
         &self,
         request: watch::Receiver<PermitRequest>,
@@ -103,7 +104,7 @@
         }
     }
 
-    /// Waits for a permit from this node's share.
+    /// Waits for a permit from the local fallback queue.
     async fn fallback_permit(
         &self,
         request: watch::Receiver<PermitRequest>,
@@ -116,7 +117,7 @@
         self.fallback.acquire(request).await
     }
 
-    /// Tries the queue's owner again and again.
+    /// Retries the queue's owner until it grants a permit.
     async fn retry_owner(&self, request: &watch::Receiver<PermitRequest>) -> Box<dyn Permit> {
         loop {
             tokio::time::sleep(OWNER_RETRY_PAUSE.duration()).await;
@@ -126,7 +127,7 @@
         }
     }
 
-    /// Returns when the queue has another owner.
+    /// Completes when the queue's owner changes.
     async fn owner_changed(&self) {
         let before = self.owner();
         let mut fleet = self.deps.fleet.clone();
@@ -151,7 +152,7 @@
                 },
                 () = self.owner_changed() => continue,
             };
-            log::debug!("loads: the queue's owner gives no permit: {failure}");
+            log::debug!("loads: no permit from the owner of the load queue: {failure}");
             tokio::select! {
                 permit = self.fallback_permit(request.clone()) => return permit,
                 permit = self.retry_owner(&request) => return Ok(permit),
@@ -161,7 +162,7 @@
     }
 }
 
-/// The queue as peers see it: only while this node owns it.
+/// The queue as offered to peers: only while this node owns it.
 #[derive(Debug)]
 struct OwnedQueue(Arc<SharedPermitQueue>);
 
@@ -185,12 +186,12 @@
     Failure::new(Code::NotOwner, "this node doesn't own the load queue")
 }
 
-/// Returns how long one load takes at the store's rate.
+/// Returns the duration of a load at the store's rate.
 fn load_time(loads_per_kilosecond: u32) -> Millis {
     Millis(1_000_000 / u64::from(loads_per_kilosecond.max(1)))
 }
 
-/// Returns how many nodes own upstreams, and so may load; at least this one.
+/// Returns the number of nodes that own upstreams and may load adapters, at least 1.
 fn owner_node_count(fleet: &Fleet) -> u64 {
     let owners: HashSet<&str> = fleet
         .upstreams()
--- a/lib/src/policy/demand.rs
+++ b/lib/src/policy/demand.rs
@@ -1,9 +1,10 @@
-//! Demand for each adapter: how often it is requested, of late and over a longer time.
+//! Estimates the demand for each adapter from the rate of its requests.
 //!
-//! Popularity is skewed and shifts. A long window tells a steady adapter from a
-//! rare one; a short window notices a newly popular one within seconds; the time
-//! since the last request lowers one whose requests have ended. Memory is bounded and
-//! an adapter that falls idle is forgotten. See docs/design/0002-decisions.md.
+//! Adapter popularity is skewed and shifts over time. A window with a long half-life
+//! separates adapters in steady use from rare ones, a window with a short half-life detects
+//! a newly popular adapter within seconds, and the time since the last request lowers the
+//! estimate of an adapter whose requests have stopped. Memory is bounded, and idle adapters
+//! are dropped. See docs/design/0002-decisions.md.
 
 use std::collections::HashMap;
 
@@ -11,16 +12,17 @@
 use crate::clock::Millis;
 use crate::request::Class;
 
-/// Half-life of the window that knows steady adapters.
+/// Half-life of the window that identifies adapters in steady use.
 const LONG_HALF_LIFE: Millis = Millis::from_secs(600);
-/// Half-life of the window that notices a newly popular adapter.
+/// Half-life of the window that detects newly popular adapters.
 const SHORT_HALF_LIFE: Millis = Millis::from_secs(20);
-/// An adapter without a request for a span `t` has, with 95 % confidence, a rate below `3 / t`.
+/// Numerator of the rule of three: an adapter without a request for a time `t` has, with 95
+/// % confidence, a request rate below `3 / t`.
 const RULE_OF_THREE: f64 = 3.0;
-/// Below this many requests in the long window an adapter is forgotten when room is needed.
+/// Adapters with a lower count in the long window are dropped first when the table is full.
 const MIN_RETAINED_COUNT: f64 = 0.05;
 
-/// Returns how much a stall of this class weighs against one of bulk.
+/// Returns the weight of a stall of this class relative to a stall of bulk work.
 #[must_use]
 pub const fn class_weight(class: Class) -> u32 {
     match class {
@@ -30,13 +32,13 @@
     }
 }
 
-/// Converts a span for estimates, where the last bits don't matter.
+/// Converts a time span to a float; the loss of precision doesn't matter for estimates.
 #[expect(clippy::cast_precision_loss, reason = "an estimate")]
 pub(super) const fn to_f64(span: Millis) -> f64 {
     span.0 as f64
 }
 
-/// Converts an estimate back; what can't be represented saturates.
+/// Converts an estimated span back; values out of range saturate.
 #[expect(
     clippy::cast_possible_truncation,
     clippy::cast_sign_loss,
@@ -46,7 +48,7 @@
     Millis(span as u64)
 }
 
-/// A count whose old parts fade.
+/// An exponentially decaying count.
 #[derive(Debug, Clone, Copy, Default)]
 struct DecayingCount {
     value: f64,
@@ -74,11 +76,12 @@
 }
 
 impl AdapterDemand {
-    /// Requests a millisecond, each times its class's factor.
+    /// Returns the request rate per millisecond, weighted by class.
     fn rate(&self, now: Millis) -> f64 {
         let long_window = self.long_window.value(LONG_HALF_LIFE, now) / to_f64(LONG_HALF_LIFE);
-        // A single request says nothing about its popularity, so it is left out:
-        // else each adapter of a scan would look hot for the length of the window.
+        // The last request is left out of the short window: one request says nothing about
+        // popularity, and otherwise a scan over many adapters would make each of them look
+        // popular for the length of the window.
         let repeated = (self.short_window.value(SHORT_HALF_LIFE, now) - self.last_weight).max(0.0);
         let rate = long_window.max(repeated / to_f64(SHORT_HALF_LIFE)) * std::f64::consts::LN_2;
         let idle = to_f64(now.since(self.last_request_at)).max(1.0);
@@ -86,7 +89,7 @@
     }
 }
 
-/// Demand for the adapters that one upstream was asked for of late.
+/// Demand for the adapters that were recently requested at one upstream.
 #[derive(Debug)]
 pub struct DemandForecast {
     records: HashMap<Adapter, AdapterDemand>,
@@ -94,7 +97,7 @@
 }
 
 impl DemandForecast {
-    /// Starts with no memory of more than `capacity` adapters.
+    /// Creates an empty forecast that tracks at most `capacity` adapters.
     #[must_use]
     pub fn new(capacity: usize) -> Self {
         Self {
@@ -103,7 +106,7 @@
         }
     }
 
-    /// Counts a request, also one that is then refused or passed on.
+    /// Counts a request, including one that is refused or passed on afterwards.
     pub fn record(&mut self, adapter: &Adapter, class: Class, now: Millis) {
         if !self.records.contains_key(adapter) {
             self.make_room(now);
@@ -111,15 +114,15 @@
                 .insert(adapter.clone(), AdapterDemand::default());
         }
         if let Some(record) = self.records.get_mut(adapter) {
-            let amount = f64::from(class_weight(class));
-            record.long_window.add(amount, LONG_HALF_LIFE, now);
-            record.short_window.add(amount, SHORT_HALF_LIFE, now);
+            let weight = f64::from(class_weight(class));
+            record.long_window.add(weight, LONG_HALF_LIFE, now);
+            record.short_window.add(weight, SHORT_HALF_LIFE, now);
             record.last_request_at = now;
-            record.last_weight = amount;
+            record.last_weight = weight;
         }
     }
 
-    /// Takes the demand for one adapter to be the demand for another, which takes its place.
+    /// Copies the demand for `old` to `new`, an adapter that is about to replace it.
     pub fn inherit(&mut self, old: &Adapter, new: &Adapter, now: Millis) {
         if self.records.contains_key(new) {
             return;
@@ -130,7 +133,7 @@
         }
     }
 
-    /// Returns the demand: requests a millisecond, each times its class's factor.
+    /// Returns the demand for an adapter in requests per millisecond, weighted by class.
     #[must_use]
     pub fn rate(&self, adapter: &Adapter, now: Millis) -> f64 {
         self.records
@@ -138,14 +141,15 @@
             .map_or(0.0, |record| record.rate(now))
     }
 
-    /// Notes that the adapter's requests are passed on until then.
+    /// Records that requests for the adapter are passed on to other upstreams until this
+    /// time.
     pub fn mark_passed_on(&mut self, adapter: &Adapter, until: Millis) {
         if let Some(record) = self.records.get_mut(adapter) {
             record.passed_on_until = until;
         }
     }
 
-    /// Returns whether the adapter's requests were passed on a short while ago.
+    /// Returns whether requests for the adapter are currently passed on.
     #[must_use]
     pub fn is_passed_on(&self, adapter: &Adapter, now: Millis) -> bool {
         self.records
@@ -153,21 +157,22 @@
             .is_some_and(|record| now < record.passed_on_until)
     }
 
-    /// Returns how many adapters are remembered.
+    /// Returns the number of tracked adapters.
     #[must_use]
     pub fn len(&self) -> usize {
         self.records.len()
     }
 
-    /// Returns whether none is remembered.
+    /// Returns whether no adapter is tracked.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.records.is_empty()
     }
 
-    /// Forgets faint records, and if that isn't enough the fainter half.
+    /// Drops adapters with a low count, and the lower half if that doesn't free enough
+    /// room.
     ///
-    /// Forgetting many at once makes the cost of one request constant on average.
+    /// Dropping many adapters at once keeps the amortized cost of a request constant.
     fn make_room(&mut self, now: Millis) {
         if self.records.len() < self.capacity {
             return;
@@ -184,8 +189,8 @@
             .map(|record| record.long_window.value(LONG_HALF_LIFE, now))
             .collect();
         rates.sort_by(f64::total_cmp);
-        let middle = rates[rates.len() / 2];
+        let median = rates[rates.len() / 2];
         self.records
-            .retain(|_, record| record.long_window.value(LONG_HALF_LIFE, now) > middle);
+            .retain(|_, record| record.long_window.value(LONG_HALF_LIFE, now) > median);
     }
 }
--- a/lib/src/policy/loads.rs
+++ b/lib/src/policy/loads.rs
@@ -1,7 +1,7 @@
-//! The order of loads from the weight store, for the whole deployment.
+//! Orders adapter loads from the weight store for the whole deployment.
 //!
-//! The store gives few loads a second, and two at once slow each other down,
-//! so loads run one at a time. See docs/design/0002-decisions.md.
+//! The weight store serves a few loads per second, and concurrent loads slow each other
+//! down, so loads run one at a time. See docs/design/0002-decisions.md.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -12,21 +12,24 @@
 use crate::policy::service_time::MovingAverage;
 use crate::request::Class;
 
-/// Names an ask; the driver chooses it, such as a connection's number and the load's.
+/// Identifies a request; chosen by the caller, for example from a connection number and a
+/// load number.
 pub type RequestKey = (u64, u64);
 
-/// How the queue behaves.
+/// Limits of the load queue.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Limits {
-    /// After this span a load that hasn't told its end is taken for lost, and the queue goes on.
+    /// A load whose end isn't reported within this time counts as lost, and the next one is
+    /// granted.
     pub timeout: Millis,
-    /// Every so many grants the class that was served longest ago goes first, so
-    /// that none waits for as long as others ask.
+    /// At every n-th grant, the class that was served least recently goes first, which
+    /// prevents starvation by a steady stream from the other classes. 0 turns this off.
     pub fair_turn_interval: u32,
-    /// Above this time to clear all asks the store is congested: some can't be
-    /// served in time, and the order changes to what saves most.
+    /// The store is congested while the estimated time to serve all waiting requests is
+    /// longer than this. Some loads then come too late, and the queue orders by the stall
+    /// time saved.
     pub congestion_threshold: Millis,
-    /// Most asks that wait.
+    /// Maximum number of waiting requests.
     pub max_waiting: usize,
 }
 
@@ -44,33 +47,33 @@
 #[derive(Debug)]
 struct QueuedLoad {
     request: PermitRequest,
-    /// When it first came; a replaced ask keeps its age.
+    /// When the request first arrived; kept when the request is replaced.
     first_requested_at: Millis,
-    /// When the demand was last told.
+    /// When the request was last replaced.
     updated_at: Millis,
 }
 
 impl QueuedLoad {
-    /// Returns the stall that the load still saves if it begins now.
+    /// Returns the stall time that the load saves if it starts now.
     ///
-    /// Each waiter's time runs out while it waits, so of two asks that are alike
-    /// the later one saves more.
+    /// The time left to the waiters' deadlines shrinks while the request waits, so of two
+    /// equal requests the one updated later saves more.
     fn remaining_savings(&self, now: Millis) -> u64 {
         let class_weight = self.request.class.map_or(0, class_weight);
-        let spent = now.since(self.updated_at).0;
-        let lost = spent
+        let elapsed = now.since(self.updated_at).0;
+        let lost = elapsed
             .saturating_mul(u64::from(self.request.waiters))
             .saturating_mul(u64::from(class_weight));
         self.request.stall_savings.0.saturating_sub(lost)
     }
 
-    /// Returns the place in the order; the smallest goes next.
+    /// Returns the sort key of the request; the smallest goes next.
     ///
-    /// Urgent asks go first and prefetches last. While all can be served in
-    /// time, the load that ends most waiting goes next, weighed by class, then
-    /// the oldest. When they can't, the one that still saves most goes next:
-    /// first come, first served would then serve each just before its deadline,
-    /// and all would have waited in vain.
+    /// Urgent requests go first and prefetches last. While the store isn't congested, the
+    /// load with the most waiters, weighted by class, goes next, then the oldest. Under
+    /// congestion, the load that still saves the most stall time goes next: in order of
+    /// arrival, each load would complete shortly before its waiters' deadlines, and all of
+    /// them would have waited in vain.
     fn priority(&self, congested: bool, now: Millis) -> (u8, Reverse<u64>, Millis) {
         let Some(class) = self.request.class else {
             return (
@@ -87,28 +90,28 @@
                 self.first_requested_at,
             );
         }
-        let ended = u64::from(self.request.waiters) * u64::from(class_weight(class));
-        (rank, Reverse(ended), self.first_requested_at)
+        let weighted_waiters = u64::from(self.request.waiters) * u64::from(class_weight(class));
+        (rank, Reverse(weighted_waiters), self.first_requested_at)
     }
 }
 
-/// Asks for loads, one granted at a time.
+/// Queue of load requests that grants one load at a time.
 #[derive(Debug)]
 pub struct LoadQueue {
     limits: Limits,
     waiting: BTreeMap<RequestKey, QueuedLoad>,
     granted_load: Option<(RequestKey, Millis)>,
     grants: u32,
-    /// Number of the grant that last served each class.
+    /// Grant number at which each class was last served.
     last_served: [u32; 3],
-    /// When the last load was granted, if others waited then.
+    /// Time of the last grant, if other requests were waiting then.
     last_grant_at: Option<Millis>,
     grant_interval: MovingAverage,
     lost_count: u64,
 }
 
 impl LoadQueue {
-    /// Starts empty.
+    /// Creates an empty queue.
     #[must_use]
     pub fn new(limits: Limits) -> Self {
         Self {
@@ -123,9 +126,9 @@
         }
     }
 
-    /// Puts an ask in, or replaces an earlier one of the same key without losing its age.
+    /// Adds a request, or replaces the one with the same key, which keeps its age.
     ///
-    /// Returns whether there was room.
+    /// Returns false if the queue is full.
     pub fn enqueue(&mut self, key: RequestKey, request: PermitRequest, now: Millis) -> bool {
         let earlier = self
             .waiting
@@ -143,7 +146,7 @@
         true
     }
 
-    /// Takes an ask back, granted or not.
+    /// Removes a request, whether waiting or granted.
     pub fn withdraw(&mut self, key: RequestKey) {
         self.waiting.remove(&key);
         if self.granted_load.is_some_and(|(granted, _)| granted == key) {
@@ -151,14 +154,14 @@
         }
     }
 
-    /// Grants the next load, if none is under way.
+    /// Grants the next load unless one is in progress.
     pub fn next(&mut self, now: Millis) -> Option<(RequestKey, PermitRequest)> {
         if let Some((_, until)) = self.granted_load {
             if now < until {
                 return None;
             }
-            // The node that was granted this load has ended or hangs. Without
-            // this bound no adapter would be loaded anywhere any more.
+            // The node that holds the permit has crashed or hangs. Without this timeout, no
+            // adapter could be loaded anywhere in the deployment.
             self.lost_count += 1;
             self.granted_load = None;
         }
@@ -169,12 +172,12 @@
         Some((key, granted.request))
     }
 
-    /// Tells that a granted load has ended, or that its permit came back unused.
+    /// Records that a granted load has ended or that its permit was returned unused.
     pub fn done(&mut self, key: RequestKey) {
         self.withdraw(key);
     }
 
-    /// Returns when [`LoadQueue::next`] should be tried again if nothing else happens.
+    /// Returns when [`LoadQueue::next`] should be called again if nothing else happens.
     #[must_use]
     pub fn next_wakeup(&self) -> Option<Millis> {
         if self.waiting.is_empty() {
@@ -183,25 +186,25 @@
         self.granted_load.map(|(_, until)| until)
     }
 
-    /// Returns how many asks wait.
+    /// Returns the number of waiting requests.
     #[must_use]
     pub fn len(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Returns whether no ask waits.
+    /// Returns whether no request is waiting.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.waiting.is_empty()
     }
 
-    /// Returns how many granted loads never told their end.
+    /// Returns how many granted loads timed out.
     #[must_use]
     pub fn lost(&self) -> u64 {
         self.lost_count
     }
 
-    /// Counts a grant, and learns how long a load takes while others wait.
+    /// Records a grant and updates the average time between grants while requests wait.
     fn record_grant(&mut self, request: &PermitRequest, now: Millis) {
         self.grants = self.grants.wrapping_add(1);
         if let Some(class) = request.class {
@@ -213,14 +216,15 @@
         self.last_grant_at = (!self.waiting.is_empty()).then_some(now);
     }
 
-    /// Returns whether the asks that wait take longer than is good to get through.
+    /// Returns whether the estimated time to serve all waiting requests exceeds the
+    /// threshold.
     fn is_congested(&self) -> bool {
         let grant_interval = to_millis(self.grant_interval.or(0.0)).0;
         grant_interval.saturating_mul(self.waiting.len() as u64)
             > self.limits.congestion_threshold.0
     }
 
-    /// Returns the class whose turn it is, whatever the order says.
+    /// Returns the class that is due for a fair turn, which overrides the priorities.
     fn due_class(&self) -> Option<Class> {
         let due = self.limits.fair_turn_interval > 0
             && self.grants.is_multiple_of(self.limits.fair_turn_interval);
@@ -233,7 +237,7 @@
             .min_by_key(|class| (self.last_served[*class as usize], *class))
     }
 
-    /// Picks the load that goes next.
+    /// Selects the request to grant next.
     fn select(&self, now: Millis) -> Option<RequestKey> {
         let congested = self.is_congested();
         let due_class = self.due_class();
--- a/lib/src/policy/placement.rs
+++ b/lib/src/policy/placement.rs
@@ -1,10 +1,9 @@
-//! Which upstreams an entry node tries for a request, in which order.
+//! Selects the upstreams that an entry node tries for a request, and their order.
 //!
-//! Every node computes the same rendezvous order of a pool's upstreams for an
-//! adapter, without talking: the first is its home, the next ones its replicas
-//! under load. What owners answer ("not run, try the next") is remembered for a
-//! short while. Memory follows active adapters only. See
-//! docs/design/0002-decisions.md.
+//! Every node computes the same rendezvous order of a pool's upstreams for an adapter,
+//! without coordination: the first upstream is the adapter's home, the next ones are its
+//! replicas under load. Refusals by owners ("not run, try the next") are remembered for a
+//! short time. Only active adapters take memory. See docs/design/0002-decisions.md.
 
 use std::collections::HashMap;
 
@@ -17,16 +16,17 @@
 use crate::membership::fleet::{State, Upstream};
 use crate::policy::replicas;
 
-/// Most upstreams that one request is tried at; further ones would cost its caller more time
-/// than a refusal and a later try.
+/// Maximum number of upstreams tried for one request; more tries would cost the caller more
+/// time than a refusal and a later retry.
 pub const MAX_CANDIDATES: usize = 16;
-/// Best upstreams among which replicas are spread over failure domains.
+/// Number of top-ranked upstreams from which replicas in different failure domains are
+/// chosen.
 const SHORTLIST_LEN: usize = 32;
 
-/// Indices into the pool's upstreams, the first to try first.
+/// Indices into the pool's upstreams, in the order in which they are tried.
 pub type CandidateOrder = SmallVec<[usize; MAX_CANDIDATES]>;
 
-/// One upstream, with what its place in every order needs worked out beforehand.
+/// An upstream with the precomputed inputs of its rendezvous scores.
 #[derive(Debug, Clone)]
 struct Member {
     hash: u64,
@@ -34,14 +34,14 @@
     usable: bool,
 }
 
-/// A pool's upstreams, prepared for [`Router::candidates`]; made anew when the fleet changes.
+/// A pool's upstreams, prepared for [`Router::candidates`]; rebuilt when the fleet changes.
 #[derive(Debug, Clone, Default)]
 pub struct Pool {
     members: Vec<Member>,
 }
 
 impl Pool {
-    /// Prepares upstreams; indices of an [`CandidateOrder`] are positions in this list.
+    /// Prepares a list of upstreams; a [`CandidateOrder`] holds indices into this list.
     pub fn new<'a>(upstreams: impl IntoIterator<Item = &'a Upstream>) -> Self {
         Self::from_entries(upstreams.into_iter().map(|upstream| {
             (
@@ -52,7 +52,7 @@
         }))
     }
 
-    /// Prepares upstreams given by name, failure domain, and whether they may get new work.
+    /// Prepares upstreams given by name, failure domain, and whether they accept new work.
     pub fn from_entries<'a>(upstreams: impl IntoIterator<Item = (&'a str, &'a str, bool)>) -> Self {
         let mut domains: Vec<&str> = Vec::new();
         let mut members = Vec::new();
@@ -71,24 +71,23 @@
         Self { members }
     }
 
-    /// Returns how many upstreams there are, usable or not.
+    /// Returns the number of upstreams, whether usable or not.
     #[must_use]
     pub fn len(&self) -> usize {
         self.members.len()
     }
 
-    /// Returns whether there are none.
+    /// Returns whether the pool has no upstreams.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.members.is_empty()
     }
 
-    /// Returns the first `count` usable upstreams of a key's rendezvous order.
+    /// Returns the first `count` usable upstreams in a key's rendezvous order.
     ///
-    /// The first one is the plain rendezvous choice, so that an upstream that
-    /// comes or goes moves only its fair share of keys. After it, failure
-    /// domains that have no replica yet go first, so that the loss of one
-    /// doesn't take all replicas.
+    /// The first one has the highest rendezvous score, so that an upstream that joins or
+    /// leaves moves only its fair share of keys. For the others, failure domains without a
+    /// replica come first, so that the loss of one domain doesn't take all replicas.
     #[must_use]
     pub fn rendezvous(&self, key: u64, count: usize) -> CandidateOrder {
         let mut best: SmallVec<[(u64, usize); SHORTLIST_LEN]> = SmallVec::new();
@@ -103,16 +102,18 @@
                 }
                 best.pop();
             }
-            let place = best.partition_point(|(other, _)| *other > score);
-            best.insert(place, (score, index));
+            let position = best.partition_point(|(other, _)| *other > score);
+            best.insert(position, (score, index));
         }
         self.spread_over_domains(best.iter().map(|(_, index)| *index).collect(), count)
     }
 
-    /// Returns the first `count` usable upstreams of a key; there may be many.
+    /// Returns the first `count` usable upstreams for a key, where `count` may exceed
+    /// [`MAX_CANDIDATES`].
     ///
-    /// It begins with [`Pool::rendezvous`], so that a wider list holds the
-    /// narrower one, and goes on by score alone: among many, failure domains mix anyway.
+    /// The list starts with [`Pool::rendezvous`], so that a longer list contains the
+    /// shorter one, and continues by score alone: a long list covers the failure domains
+    /// anyway.
     #[must_use]
     fn top_ranked(&self, key: u64, count: usize) -> Vec<usize> {
         let mut first = self
@@ -140,7 +141,8 @@
         first
     }
 
-    /// Takes `count` of a shortlist, at each step from the failure domain used least so far.
+    /// Takes `count` upstreams from a shortlist, each from the failure domain used least so
+    /// far.
     fn spread_over_domains(
         &self,
         mut shortlist: SmallVec<[usize; SHORTLIST_LEN]>,
@@ -153,7 +155,7 @@
         let mut order = CandidateOrder::new();
         while order.len() < count && !shortlist.is_empty() {
             let next = (0..shortlist.len())
-                .min_by_key(|place| (used[self.members[shortlist[*place]].domain], *place))
+                .min_by_key(|position| (used[self.members[shortlist[*position]].domain], *position))
                 .unwrap_or(0);
             let index = shortlist.remove(next);
             used[self.members[index].domain] += 1;
@@ -163,22 +165,23 @@
     }
 }
 
-/// How an entry node routes: bounds, and times for which answers are remembered.
+/// Limits of an entry node's routing, and for how long it remembers refusals.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Limits {
-    /// Most upstreams that share one adapter's requests.
+    /// Maximum number of upstreams that share the requests for one adapter.
     pub max_replicas: u32,
-    /// How long an upstream that takes no work at all is left out.
+    /// How long an upstream that takes no work at all is excluded.
     pub unusable_ttl: Millis,
-    /// How long an upstream that failed to load an adapter is left out for it.
+    /// How long an upstream that failed to load an adapter is excluded for that adapter.
     pub load_failure_ttl: Millis,
-    /// How long an upstream that passed an adapter's request on is left out for it.
+    /// How long an upstream that passed on a request for an adapter is excluded for that
+    /// adapter.
     ///
-    /// It is short, so that a replica takes only what the home can't.
+    /// This is short, so that a replica only takes what the home can't serve.
     pub passed_on_ttl: Millis,
-    /// After how long without a busy answer an adapter's requests go to half as many upstreams.
+    /// Time without a busy response after which an adapter's replica count halves.
     pub halve_after: Millis,
-    /// Most hints remembered at a time, and most busy adapters.
+    /// Maximum number of remembered refusals, and of adapters with a replica count.
     pub max_hints: usize,
 }
 
@@ -195,21 +198,21 @@
     }
 }
 
-/// Stands for all adapters in a hint on an upstream as a whole.
+/// Key of a hint that applies to an upstream as a whole, for all adapters.
 const ALL_ADAPTERS: u64 = 0;
-/// From this many replicas on requests are spread evenly. Below it the home goes first
-/// and a replica takes only what the home can't, which costs fewer loads.
+/// From this number of replicas on, requests are spread evenly. Below it, the home is tried
+/// first and a replica only takes what the home can't serve, which needs fewer loads.
 const EVEN_SPREAD_REPLICAS: u32 = 32;
 
-/// What an upstream answered of late.
+/// A recent refusal by an upstream.
 #[derive(Debug, Clone, Copy)]
 struct Hint {
     until: Millis,
-    /// Whether it holds the adapter and was only busy.
+    /// Whether the upstream has the adapter in a slot and was only busy.
     has_adapter: bool,
 }
 
-/// An entry node's memory of what owners answered.
+/// Routes requests of an entry node and remembers refusals by owners.
 #[derive(Debug)]
 pub struct Router {
     limits: Limits,
@@ -219,7 +222,8 @@
 }
 
 impl Router {
-    /// Starts with no memory. The seed spreads calls to plain services, so that nodes differ.
+    /// Creates a router without hints. The seed distributes calls to plain services, and
+    /// must differ between nodes.
     #[must_use]
     pub fn new(limits: Limits, seed: u64) -> Self {
         let replicas =
@@ -232,15 +236,14 @@
         }
     }
 
-    /// Orders a pool's upstreams for one request.
+    /// Returns the upstreams to try for one request, in order.
     ///
-    /// The last entry is where the request waits if no other takes it: the try
-    /// there is [`crate::runner::Attempt::last`]. It is the home, which may come
-    /// first as well, because the home's slots and queue are made for the
-    /// adapter: under overload every replica is busy, and a request that came to
-    /// rest at any of them would cost a load and a slot there. Upstreams that
-    /// refused lately are left out. The list is empty only when no upstream is
-    /// usable.
+    /// The last entry is where the request waits if no other upstream takes it: the attempt
+    /// there is [`crate::runner::Attempt::last`]. It is usually the home, which may be the
+    /// first entry as well, because the home's slots and queue are meant for the adapter:
+    /// under overload every replica is busy, and a request that waited at any of them would
+    /// cost a load and a slot there. Upstreams that refused recently are left out. The list
+    /// is empty only if no upstream is usable.
     pub fn candidates(
         &mut self,
         pool: &Pool,
@@ -248,7 +251,7 @@
         now: Millis,
     ) -> CandidateOrder {
         let Some(key) = adapter.map(Adapter::hash) else {
-            // A plain service needs no home: each call draws an order of its own.
+            // Plain services have no home: each call gets a random order.
             let order = pool.rendezvous(self.next_random(), MAX_CANDIDATES - 1);
             return self.with_home_last(pool, ALL_ADAPTERS, order, now);
         };
@@ -261,7 +264,7 @@
         self.with_home_last(pool, key, order, now)
     }
 
-    /// Leaves out what refused lately, and adds the home as the place to wait.
+    /// Removes upstreams that refused recently and appends the home as the place to wait.
     fn with_home_last(
         &self,
         pool: &Pool,
@@ -279,10 +282,11 @@
         order
     }
 
-    /// Draws an order of a busy adapter's first `replicas` upstreams, and then of as many more.
+    /// Returns a random order of a busy adapter's first `replicas` upstreams, followed by a
+    /// random order of as many more.
     ///
-    /// A fixed order would fill its first upstreams, whose other adapters then
-    /// suffer, and pass them all by before it finds a free one.
+    /// A fixed order would overload its first upstreams, to the detriment of their other
+    /// adapters, and would try all of them before it finds a free one.
     fn evenly_spread(
         &mut self,
         pool: &Pool,
@@ -291,29 +295,31 @@
         now: Millis,
     ) -> CandidateOrder {
         let count = (2 * replicas).min(self.limits.max_replicas as usize);
-        let mut near = pool.top_ranked(key, count);
-        let Some(home) = self.home(pool, &near, now) else {
+        let mut primary = pool.top_ranked(key, count);
+        let Some(home) = self.home(pool, &primary, now) else {
             return CandidateOrder::new();
         };
-        let wait = self.random_holder(pool, key, &near, now).unwrap_or(home);
-        let mut far = near.split_off(replicas.min(near.len()));
-        self.shuffle(&mut near);
-        self.shuffle(&mut far);
-        let both = near.into_iter().chain(far);
-        let open = both.filter(|index| !self.is_excluded(key, pool.members[*index].hash, now));
-        let mut order: CandidateOrder = open.take(MAX_CANDIDATES - 1).collect();
-        order.push(wait);
+        let wait_at = self.random_holder(pool, key, &primary, now).unwrap_or(home);
+        let mut secondary = primary.split_off(replicas.min(primary.len()));
+        self.shuffle(&mut primary);
+        self.shuffle(&mut secondary);
+        let all = primary.into_iter().chain(secondary);
+        let available = all.filter(|index| !self.is_excluded(key, pool.members[*index].hash, now));
+        let mut order: CandidateOrder = available.take(MAX_CANDIDATES - 1).collect();
+        order.push(wait_at);
         order
     }
 
-    /// Returns the first that isn't left out for all adapters, or the first of all.
+    /// Returns the first upstream that isn't excluded for all adapters, or else the first
+    /// one.
     fn home(&self, pool: &Pool, order: &[usize], now: Millis) -> Option<usize> {
         let usable =
             |index: &&usize| !self.is_excluded(ALL_ADAPTERS, pool.members[**index].hash, now);
         order.iter().find(usable).or(order.first()).copied()
     }
 
-    /// Draws one of those that were only busy: they hold the adapter, so waiting there costs no load.
+    /// Returns a random upstream that was only busy: it has the adapter, so waiting there
+    /// needs no load.
     fn random_holder(
         &mut self,
         pool: &Pool,
@@ -329,20 +335,21 @@
         };
         let holders: SmallVec<[usize; MAX_CANDIDATES]> =
             order.iter().copied().filter(has_adapter).collect();
-        let place = scale_to_range(self.next_random(), holders.len())?;
-        Some(holders[place])
+        let position = scale_to_range(self.next_random(), holders.len())?;
+        Some(holders[position])
     }
 
     fn shuffle(&mut self, list: &mut [usize]) {
-        // Only the first ones are ever used.
-        for place in 0..list.len().min(MAX_CANDIDATES) {
-            if let Some(other) = scale_to_range(self.next_random(), list.len() - place) {
-                list.swap(place, place + other);
+        // Only the first entries are used.
+        for position in 0..list.len().min(MAX_CANDIDATES) {
+            if let Some(other) = scale_to_range(self.next_random(), list.len() - position) {
+                list.swap(position, position + other);
             }
         }
     }
 
-    /// A try at the pool's upstream `index` was refused with a code whose fate is not run.
+    /// Records that the upstream at `index` refused a request with a code whose fate is
+    /// "not run".
     pub fn record_refusal(
         &mut self,
         pool: &Pool,
@@ -355,7 +362,7 @@
             return;
         };
         let own = adapter.map_or(ALL_ADAPTERS, Adapter::hash);
-        let (key, span) = match code {
+        let (key, ttl) = match code {
             Code::LoadFailed | Code::UnknownAdapter => (own, self.limits.load_failure_ttl),
             Code::PassedOn
             | Code::Busy
@@ -369,17 +376,17 @@
         if has_adapter && own != ALL_ADAPTERS {
             self.replicas.grow(own, pool.len(), now);
         }
-        let until = now + span;
+        let until = now + ttl;
         self.remember((key, member.hash), Hint { until, has_adapter }, now);
     }
 
-    /// Returns how many hints and replica counts are remembered.
+    /// Returns the number of hints and replica counts.
     #[must_use]
     pub fn len(&self) -> usize {
         self.hints.len() + self.replicas.len()
     }
 
-    /// Returns whether nothing is remembered.
+    /// Returns whether there are no hints and no replica counts.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.hints.is_empty() && self.replicas.is_empty()
@@ -408,15 +415,17 @@
     }
 }
 
-/// Mixes 64 bits so that each input bit changes each output bit with even odds.
+/// Mixes 64 bits so that each input bit flips each output bit with probability 1/2.
 const fn mix(value: u64) -> u64 {
     let value = (value ^ (value >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     let value = (value ^ (value >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
     value ^ (value >> 31)
 }
 
-/// Maps a random number evenly to `0..count`; none when that is empty.
+/// Maps a random number uniformly to `0..count`; returns `None` if the range is empty.
 fn scale_to_range(random: u64, count: usize) -> Option<usize> {
     let scaled = (u128::from(random) * count as u128) >> 64;
-    usize::try_from(scaled).ok().filter(|place| *place < count)
+    usize::try_from(scaled)
+        .ok()
+        .filter(|position| *position < count)
 }
--- a/lib/src/policy/queue.rs
+++ b/lib/src/policy/queue.rs
@@ -1,10 +1,10 @@
-//! Requests that wait at one upstream.
+//! The queue of requests that wait at one upstream.
 //!
-//! A request is blocked while its adapter isn't resident, and ready after that.
-//! Ready requests go by class; within a class client accounts share by weighted
-//! fair queueing (start-time fair queueing), so that one account's burst delays
-//! its own requests and not another's; within an account the template's weight
-//! decides, then age. See docs/design/0002-decisions.md.
+//! A request is blocked until its adapter is resident, and ready afterwards. Ready requests
+//! are served by class. Within a class, client accounts share capacity by weighted fair
+//! queueing (start-time fair queueing), so that a burst from one account delays only its
+//! own requests. Within an account, requests are ordered by template weight, then by age.
+//! See docs/design/0002-decisions.md.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -15,31 +15,33 @@
 use crate::request::{Class, Id, Ticket};
 use crate::runner::Share;
 
-/// Cost of a request beside its tokens, so that empty ones aren't free.
+/// Fixed cost of a request on top of its tokens, so that a request without tokens has a
+/// cost.
 const FIXED_COST: u64 = 16;
-/// A prompt token costs an engine about an eighth of an output token.
+/// Prompt tokens that cost an engine about as much as one output token.
 const PROMPT_TOKENS_PER_OUTPUT_TOKEN: u64 = 8;
-/// Virtual time of one unit of cost for weight 1.
+/// Virtual time per unit of cost at weight 1.
 const VIRTUAL_TIME_SCALE: u64 = 1 << 16;
-/// Flows without requests that are kept for their tags before they are swept.
+/// Maximum number of flows without requests, beyond the number of ready requests, that are
+/// kept for their finish tags.
 const MAX_IDLE_FLOWS: usize = 128;
 
-/// A request that waits.
+/// A waiting request.
 #[derive(Debug, Clone)]
 pub struct QueuedRequest {
-    /// What is known of it.
+    /// The request's metadata.
     pub ticket: Ticket,
-    /// Its account's limits.
+    /// Weight and limits of its account.
     pub share: Share,
-    /// When it arrived here.
+    /// Arrival time at this upstream.
     pub arrived_at: Millis,
-    /// How long it waited for its adapter's load.
+    /// How long the request waited for its adapter to load.
     pub load_wait: Millis,
     ready: bool,
 }
 
 impl QueuedRequest {
-    /// Makes the entry of a request that arrives now.
+    /// Creates the entry of a request that arrives now.
     #[must_use]
     pub fn new(ticket: Ticket, share: Share, now: Millis) -> Self {
         Self {
@@ -51,14 +53,14 @@
         }
     }
 
-    /// Returns what the request costs an engine, in output tokens.
+    /// Returns the cost of the request for an engine, in output tokens.
     #[must_use]
     pub fn cost(&self) -> u64 {
         cost(&self.ticket)
     }
 }
 
-/// Returns what a request costs an engine, in output tokens.
+/// Returns the cost of a request for an engine, in output tokens.
 #[must_use]
 pub fn cost(ticket: &Ticket) -> u64 {
     FIXED_COST
@@ -66,14 +68,14 @@
         + u64::from(ticket.prompt_tokens) / PROMPT_TOKENS_PER_OUTPUT_TOKEN
 }
 
-/// Ready requests of one account in one class, a flow of start-time fair queueing.
+/// The ready requests of one account in one class: a flow of start-time fair queueing.
 #[derive(Debug, Default)]
 struct Flow {
     ready: BTreeSet<(Reverse<u32>, u64)>,
     finish_tag: u64,
 }
 
-/// Ready requests of one class, shared out among accounts.
+/// The ready requests of one class, shared fairly among accounts.
 #[derive(Debug, Default)]
 struct FairQueue {
     accounts: BTreeMap<Name, Flow>,
@@ -89,7 +91,7 @@
     ids: HashMap<Id, u64>,
     deadlines: BTreeSet<(Millis, u64)>,
     blocked: HashMap<Adapter, BTreeSet<u64>>,
-    /// How many ready requests each adapter has.
+    /// Number of ready requests by adapter.
     ready_of: HashMap<Adapter, u32>,
     classes: [FairQueue; 3],
     accounts: HashMap<Name, u32>,
@@ -98,49 +100,49 @@
 }
 
 impl RequestQueue {
-    /// Starts empty.
+    /// Creates an empty queue.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Returns how many requests wait.
+    /// Returns the number of waiting requests.
     #[must_use]
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Returns whether none waits.
+    /// Returns whether no request is waiting.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// Returns whether a request with this id waits.
+    /// Returns whether the request with this id is waiting.
     #[must_use]
     pub fn contains(&self, id: &Id) -> bool {
         self.ids.contains_key(id)
     }
 
-    /// Returns how many requests of each class wait.
+    /// Returns the number of waiting requests by class.
     #[must_use]
     pub fn by_class(&self) -> [u32; 3] {
         self.by_class
     }
 
-    /// Returns how many of an account's requests wait.
+    /// Returns the number of waiting requests of an account.
     #[must_use]
     pub fn waiting_of_account(&self, account: &str) -> u32 {
         self.accounts.get(account).copied().unwrap_or(0)
     }
 
-    /// Returns how many requests of a class are ready.
+    /// Returns the number of ready requests of a class.
     #[must_use]
     pub fn ready_count(&self, class: Class) -> usize {
         self.classes[class as usize].len
     }
 
-    /// Returns what the ready requests of this class and all more urgent ones cost.
+    /// Returns the total cost of the ready requests of this and all more urgent classes.
     #[must_use]
     pub fn ready_cost(&self, class: Class) -> u64 {
         self.classes[..=class as usize]
@@ -149,7 +151,7 @@
             .sum()
     }
 
-    /// Puts a request in: ready, or blocked until its adapter is resident.
+    /// Adds a request as ready, or as blocked until its adapter is resident.
     pub fn push(&mut self, entry: QueuedRequest, ready: bool) {
         let number = self.next_number;
         self.next_number += 1;
@@ -175,13 +177,13 @@
         }
     }
 
-    /// Takes a request out by id.
+    /// Removes a request by id.
     pub fn remove(&mut self, id: &Id) -> Option<QueuedRequest> {
         let number = *self.ids.get(id)?;
         self.remove_entry(number)
     }
 
-    /// Takes out one request whose deadline is `now` or earlier.
+    /// Removes one request whose deadline is `now` or earlier.
     pub fn pop_expired(&mut self, now: Millis) -> Option<QueuedRequest> {
         let (deadline, number) = *self.deadlines.first()?;
         if now < deadline {
@@ -190,13 +192,13 @@
         self.remove_entry(number)
     }
 
-    /// Returns the earliest deadline.
+    /// Returns the earliest deadline of all waiting requests.
     #[must_use]
     pub fn next_deadline(&self) -> Option<Millis> {
         self.deadlines.first().map(|(deadline, _)| *deadline)
     }
 
-    /// Makes all requests of an adapter ready: it is resident.
+    /// Marks all requests for an adapter that became resident as ready.
     pub fn unblock(&mut self, adapter: &Adapter, now: Millis) {
         for number in self.blocked.remove(adapter).unwrap_or_default() {
             if let Some(entry) = self.entries.get_mut(&number) {
@@ -206,7 +208,8 @@
         }
     }
 
-    /// Blocks all ready requests of an adapter: it is to go, or is gone.
+    /// Blocks all ready requests for an adapter that is about to be evicted or is no longer
+    /// resident.
     pub fn block(&mut self, adapter: &Adapter) {
         let numbers: Vec<u64> = self
             .entries
@@ -223,7 +226,7 @@
         }
     }
 
-    /// Lists the blocked requests of an adapter, the oldest first.
+    /// Iterates over the requests blocked on an adapter, oldest first.
     pub fn blocked_on(&self, adapter: &Adapter) -> impl Iterator<Item = &QueuedRequest> {
         self.blocked
             .get(adapter)
@@ -232,7 +235,7 @@
             .filter_map(|number| self.entries.get(number))
     }
 
-    /// Returns whether requests are blocked on an adapter.
+    /// Returns whether any request is blocked on the adapter.
     #[must_use]
     pub fn is_blocked(&self, adapter: &Adapter) -> bool {
         self.blocked.contains_key(adapter)
@@ -244,7 +247,7 @@
         self.ready_of.contains_key(adapter)
     }
 
-    /// Returns arrival and deadline of the longest-waiting ready request of a class.
+    /// Returns arrival time and deadline of the oldest ready request of a class.
     #[must_use]
     pub fn oldest_ready(&self, class: Class) -> Option<(Millis, Millis)> {
         self.classes[class as usize]
@@ -257,9 +260,9 @@
             .map(|entry| (entry.arrived_at, entry.ticket.deadline))
     }
 
-    /// Takes out the request of a class that fair queueing has next.
+    /// Removes the next request of a class in fair-queueing order.
     ///
-    /// `allowed` says whether an account may start one more.
+    /// `allowed` tells whether an account may start another request.
     pub fn pop(
         &mut self,
         class: Class,
@@ -292,12 +295,13 @@
         Some(entry)
     }
 
-    /// Finds who gives way to a request of this class when the queue is full.
+    /// Selects the request to shed in favor of a request of this class when the queue is
+    /// full.
     ///
-    /// The least urgent class gives way first (brownout: bulk, then normal), in
-    /// it the account with most waiting, of it the newest of least weight.
-    /// Within the arriving request's own class only an account that holds at
-    /// least two more than the arriving account gives way.
+    /// The least urgent class is shed first (bulk, then normal); within it, the account
+    /// with the most waiting requests; of that account, the newest request of the lowest
+    /// weight. In the class of the arriving request, only accounts with at least two more
+    /// waiting requests than the arriving account are considered.
     #[must_use]
     pub fn shed_candidate(&self, class: Class, account: &str) -> Option<Id> {
         let own = self.waiting_of_account(account);
@@ -329,7 +333,7 @@
         None
     }
 
-    /// Takes out everything.
+    /// Removes and returns all requests.
     pub fn drain(&mut self) -> Vec<QueuedRequest> {
         let queue = std::mem::take(self);
         self.next_number = queue.next_number;
@@ -402,10 +406,12 @@
 }
 
 impl FairQueue {
-    /// Forgets accounts that owe nothing, so that memory follows those that wait.
+    /// Removes flows that are idle and not ahead of virtual time, so that memory is bounded
+    /// by the number of waiting requests.
     fn remove_idle_flows(&mut self) {
         if self.len == 0 {
-            // Nobody waits: whatever an account was ahead of others is settled.
+            // Without waiting requests, no account is owed anything: start over with no
+            // tags.
             self.accounts.clear();
             self.virtual_time = 0;
         } else if self.accounts.len() > MAX_IDLE_FLOWS + self.len {
--- a/lib/src/policy/replicas.rs
+++ b/lib/src/policy/replicas.rs
@@ -1,23 +1,24 @@
-//! How many replicas an entry node counts on for a busy adapter.
+//! Tracks how many replicas an entry node uses for a busy adapter.
 //!
-//! The hottest adapters need tens of upstreams, and trying one after the
-//! other from the home finds them too slowly. What owners answer doubles an adapter's replica count, so that the
-//! needed one is found in a few tries; quiet halves it, so that replicas are
-//! given back. Memory follows busy adapters only. See
-//! docs/design/0002-decisions.md.
+//! The most popular adapters need tens of upstreams, and trying upstreams one by one in
+//! placement order takes too long to find a free one. A busy response from an owner doubles
+//! the adapter's replica count, so that the required count is reached within a few tries;
+//! the count halves in the absence of busy responses, so that replicas are released. Only
+//! busy adapters take memory. See docs/design/0002-decisions.md.
 
 use std::collections::HashMap;
 
 use crate::clock::Millis;
 
-/// A replica count and when it halves, unless it is confirmed before.
+/// A replica count and the time at which it halves unless another busy response comes
+/// first.
 #[derive(Debug, Clone, Copy)]
 struct ReplicaCount {
     replicas: u32,
     halves_at: Millis,
 }
 
-/// Replica counts of the adapters that were busy of late.
+/// Replica counts of the adapters that were recently busy.
 #[derive(Debug)]
 pub struct ReplicaTable {
     counts: HashMap<u64, ReplicaCount>,
@@ -27,7 +28,7 @@
 }
 
 impl ReplicaTable {
-    /// Starts with no memory; a replica count never exceeds `max_replicas`.
+    /// Creates an empty table whose replica counts never exceed `max_replicas`.
     #[must_use]
     pub fn new(max_replicas: u32, halve_after: Millis, max_adapters: usize) -> Self {
         Self {
@@ -38,7 +39,8 @@
         }
     }
 
-    /// Returns over how many upstreams the adapter's requests go; 1 is its home alone.
+    /// Returns the number of upstreams among which the adapter's requests are distributed;
+    /// 1 means its home only.
     #[must_use]
     pub fn replicas(&self, adapter: u64, now: Millis) -> u32 {
         let Some(count) = self.counts.get(&adapter) else {
@@ -47,9 +49,9 @@
         self.decayed(*count, now)
     }
 
-    /// One of `pool` upstreams that serves the adapter was busy: its requests need more replicas.
+    /// Doubles the adapter's replica count after a busy response, up to the `pool` size.
     pub fn grow(&mut self, adapter: u64, pool: usize, now: Millis) {
-        // A count beyond the pool would only take longer to halve.
+        // A count above the pool size would have no effect but take longer to decay.
         let max_replicas = u32::try_from(pool)
             .unwrap_or(u32::MAX)
             .min(self.max_replicas);
@@ -57,7 +59,7 @@
             .replicas(adapter, now)
             .saturating_mul(2)
             .min(max_replicas);
-        if replicas < 2 || !self.has_room(adapter, now) {
+        if replicas < 2 || !self.make_room(adapter, now) {
             return;
         }
         let halves_at = now + self.halve_after;
@@ -70,20 +72,21 @@
         );
     }
 
-    /// Returns how many adapters are remembered.
+    /// Returns the number of adapters with a replica count above 1 that may not have
+    /// decayed yet.
     #[must_use]
     pub fn len(&self) -> usize {
         self.counts.len()
     }
 
-    /// Returns whether no adapter is remembered.
+    /// Returns whether the table is empty.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.counts.is_empty()
     }
 
-    /// Makes room by forgetting adapters whose count is back at 1.
-    fn has_room(&mut self, adapter: u64, now: Millis) -> bool {
+    /// Makes room by removing adapters whose count has decayed to 1.
+    fn make_room(&mut self, adapter: u64, now: Millis) -> bool {
         if self.counts.len() < self.max_adapters || self.counts.contains_key(&adapter) {
             return true;
         }
@@ -93,7 +96,7 @@
         self.counts.len() < self.max_adapters
     }
 
-    /// Returns what is left of a count after halvings in quiet.
+    /// Returns a count after the halvings that are due by now.
     fn decayed(&self, count: ReplicaCount, now: Millis) -> u32 {
         if now < count.halves_at {
             return count.replicas;
--- a/lib/src/policy/slots.rs
+++ b/lib/src/policy/slots.rs
@@ -1,9 +1,9 @@
-//! An engine's adapter slots, with exact pins.
+//! The adapter slots of an engine, with exact pin counts.
 //!
-//! A slot whose adapter a running request uses is never given away: the engine
-//! would answer with another adapter's words or break the stream off. Pins are
-//! counted here, by the one owner that starts requests, and not read from the
-//! engine, whose reports lag. See docs/design/0002-decisions.md.
+//! A slot is never reassigned while a running request uses its adapter: the engine would
+//! answer with the output of a different adapter or cut the stream. The upstream's owner
+//! counts the pins itself, since it alone starts requests; the engine's reports lag behind.
+//! See docs/design/0002-decisions.md.
 
 use std::collections::BTreeMap;
 
@@ -12,30 +12,30 @@
 use crate::adapter::Adapter;
 use crate::clock::Millis;
 
-/// First wait after a failed load; it doubles with each failure in a row.
+/// Delay after the first failed load; doubles with each consecutive failure.
 const INITIAL_BACKOFF: Millis = Millis(500);
-/// Longest wait after failed loads.
+/// Longest delay after failed loads.
 const MAX_BACKOFF: Millis = Millis::from_secs(30);
-/// How long an eviction is remembered, against reports from before it.
+/// How long evictions are remembered, in order to recognize reports that predate them.
 const MAX_REPORT_LAG: Millis = Millis::from_secs(60);
-/// Most failed adapters and evictions that are remembered.
+/// Maximum number of remembered failed adapters, and of remembered evictions.
 const MAX_REMEMBERED_ADAPTERS: usize = 1_024;
 
-/// What a slot is doing.
+/// The state of a slot.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SlotState {
-    /// The engine loads the adapter; nothing may start on it.
+    /// The engine is loading the adapter; no request may start.
     Loading,
-    /// Requests may start on it.
+    /// Requests may start.
     Resident,
-    /// Running requests finish, nothing starts, then it is evicted.
+    /// Running requests finish and no new ones start, so that the adapter can be evicted.
     Draining,
 }
 
-/// A use of a slot by one running request.
+/// A reference to a slot, held by one running request.
 ///
-/// It names the filling of the slot that it belongs to: a request that outlived
-/// an engine's restart must not give back a pin of the adapter's next load.
+/// It holds the slot's generation: a request that outlives a restart of its engine must not
+/// release a pin on a later load of the same adapter.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Pin(u64);
 
@@ -64,7 +64,7 @@
 }
 
 impl SlotTable {
-    /// Starts with all slots empty.
+    /// Creates a table of empty slots.
     #[must_use]
     pub fn new(capacity: u32) -> Self {
         Self {
@@ -76,12 +76,12 @@
         }
     }
 
-    /// Changes how many slots there are; what is loaded stays until it is evicted.
+    /// Changes the number of slots; loaded adapters stay until they are evicted.
     pub fn resize(&mut self, capacity: u32) {
         self.capacity = capacity as usize;
     }
 
-    /// Returns what the slot of an adapter is doing.
+    /// Returns the state of an adapter's slot.
     #[must_use]
     pub fn state(&self, adapter: &Adapter) -> Option<SlotState> {
         self.slots.get(adapter).map(|slot| slot.state)
@@ -93,13 +93,13 @@
         self.state(adapter) == Some(SlotState::Resident)
     }
 
-    /// Returns whether a slot is empty.
+    /// Returns whether there is an empty slot.
     #[must_use]
     pub fn has_empty_slot(&self) -> bool {
         self.slots.len() < self.capacity
     }
 
-    /// Returns how many slots are in use.
+    /// Returns the number of slots in use.
     #[must_use]
     pub fn len(&self) -> usize {
         self.slots.len()
@@ -111,7 +111,7 @@
         self.slots.is_empty()
     }
 
-    /// Lists the adapters in slots, in order, with state and pins.
+    /// Iterates over the adapters in slots, in key order, with state and number of pins.
     pub fn iter(&self) -> impl Iterator<Item = (&Adapter, SlotState, u32)> {
         self.slots
             .iter()
@@ -129,7 +129,8 @@
         Some(Pin(slot.generation))
     }
 
-    /// Pins an adapter for a request that runs on it already; nothing may start, but it may finish.
+    /// Pins an adapter for a request that is already running; unlike [`SlotTable::pin`],
+    /// this works on a draining slot too.
     #[must_use]
     pub fn pin_running(&mut self, adapter: &Adapter) -> Option<Pin> {
         let slot = self.slots.get_mut(adapter)?;
@@ -140,14 +141,14 @@
         Some(Pin(slot.generation))
     }
 
-    /// Whether a pin still holds its adapter in the slot that it was given for.
+    /// Returns whether a pin refers to the slot's current generation.
     #[must_use]
     pub fn is_pin_valid(&self, adapter: &Adapter, pin: &Pin) -> bool {
         let slot = self.slots.get(adapter);
         slot.is_some_and(|slot| slot.generation == pin.0)
     }
 
-    /// Gives a pin back. Returns whether the adapter is now free of pins.
+    /// Releases a pin. Returns whether the adapter has no pins left.
     pub fn unpin(&mut self, adapter: &Adapter, pin: Pin) -> bool {
         let Some(slot) = self.slots.get_mut(adapter) else {
             return false;
@@ -159,9 +160,10 @@
         slot.pins == 0
     }
 
-    /// Picks what to evict: of the adapters that nobody uses, the one in least demand.
+    /// Selects the unpinned adapter with the least demand for eviction.
     ///
-    /// `demand` returns none for an adapter that must stay. A draining adapter goes first.
+    /// `demand` returns `None` for an adapter that must stay. A draining adapter is evicted
+    /// first.
     pub fn victim(&self, demand: impl Fn(&Adapter) -> Option<f64>) -> Option<(&Adapter, f64)> {
         self.slots
             .iter()
@@ -173,10 +175,10 @@
             .min_by(|a, b| a.1.total_cmp(&b.1))
     }
 
-    /// Begins to load an adapter, in an empty slot or in the place of `evict`.
+    /// Starts the load of an adapter into an empty slot or in place of `evict`.
     ///
-    /// Returns false, and changes nothing, when that would break a rule: the
-    /// victim is in use, no slot is free, or the adapter has a slot already.
+    /// Returns false without any change if the victim is in use, no slot is free, or the
+    /// adapter already has a slot.
     pub fn begin_load(&mut self, adapter: &Adapter, evict: Option<&Adapter>, now: Millis) -> bool {
         if self.slots.contains_key(adapter) {
             return false;
@@ -198,7 +200,7 @@
         true
     }
 
-    /// Ends a load. After a failure the slot is empty and the adapter backs off.
+    /// Ends a load. On failure, the slot becomes empty and the adapter gets a backoff.
     pub fn end_load(&mut self, adapter: &Adapter, ok: bool, now: Millis) -> bool {
         let Some(slot) = self.slots.get_mut(adapter) else {
             return false;
@@ -217,7 +219,7 @@
         true
     }
 
-    /// Stops new starts on a resident adapter, so that its pins run out.
+    /// Stops new requests on a resident adapter, so that its pins are released over time.
     pub fn drain(&mut self, adapter: &Adapter) {
         if let Some(slot) = self.slots.get_mut(adapter)
             && slot.state == SlotState::Resident
@@ -226,7 +228,7 @@
         }
     }
 
-    /// Lets requests start on a draining adapter again.
+    /// Allows new requests on a draining adapter again.
     pub fn undrain(&mut self, adapter: &Adapter) {
         if let Some(slot) = self.slots.get_mut(adapter)
             && slot.state == SlotState::Draining
@@ -235,9 +237,9 @@
         }
     }
 
-    /// Empties all slots after the engine has started anew.
+    /// Empties all slots after a restart of the engine.
     ///
-    /// Returns what was resident. Pins of the former fillings become void.
+    /// Returns the adapters that were resident. Pins of earlier generations become invalid.
     pub fn clear(&mut self) -> SmallVec<[Adapter; 8]> {
         std::mem::take(&mut self.slots)
             .into_iter()
@@ -246,13 +248,13 @@
             .collect()
     }
 
-    /// Returns when the adapter may be loaded again after failures.
+    /// Returns when the adapter may be loaded again after failed loads.
     #[must_use]
     pub fn retry_at(&self, adapter: &Adapter) -> Option<Millis> {
         self.backoffs.get(adapter).map(|backoff| backoff.until)
     }
 
-    /// Returns how many loads of the adapter failed in a row.
+    /// Returns the number of consecutive failed loads of the adapter.
     #[must_use]
     pub fn failures(&self, adapter: &Adapter) -> u32 {
         self.backoffs
@@ -260,11 +262,11 @@
             .map_or(0, |backoff| backoff.failures)
     }
 
-    /// Corrects drift by what the engine said at `as_of`.
+    /// Reconciles the slots with the engine's report as of `as_of`.
     ///
-    /// Only slots that nobody changed since then are touched: an old report
-    /// must neither bring back what was evicted after it nor remove what was
-    /// loaded after it. Returns what was found to be gone and what was found.
+    /// Only slots that haven't changed since then are touched: an outdated report must
+    /// neither restore an adapter that was evicted after it nor remove one that was loaded
+    /// after it. Returns the adapters that were removed and those that were added.
     pub fn reconcile(
         &mut self,
         resident: &[Adapter],
--- a/lib/src/policy/upstream/admit.rs
+++ b/lib/src/policy/upstream/admit.rs
@@ -1,4 +1,4 @@
-//! Who is let in to wait: admission, passing on, giving way.
+//! Admission of requests to an upstream's queue: admitting, passing on and shedding.
 
 use super::{Action, Machine};
 use crate::adapter::Adapter;
@@ -9,22 +9,25 @@
 use crate::request::{Class, Ticket};
 use crate::runner::Share;
 
-/// How long an adapter that was passed on stays passed on, so that all its
-/// requests meet at one upstream and share its load there.
+/// How long an adapter stays passed on, so that all its requests arrive at one other
+/// upstream and share a load there.
 const PASS_ON_DURATION: Millis = Millis::from_secs(300);
-/// A slot's adapter must be in this many times the newcomer's demand for the newcomer to be
-/// passed on: its own callers would stall for longer than the newcomer's go on waiting.
+/// A request is passed on if the adapter of every slot has more than this many times the
+/// demand of the requested one: the callers of the evicted adapter would then stall for
+/// longer than those of the requested one wait elsewhere.
 const PASS_ON_DEMAND_RATIO: f64 = 2.0;
-/// An adapter that was passed on is taken back when a slot's is in less than this share of its demand.
+/// An adapter that was passed on is accepted again if a slot's adapter has less than this
+/// share of its demand.
 ///
-/// Between the two ratios it stays where it is, or it would go to and fro, at a load each time.
+/// The gap between the two ratios is a hysteresis: without it, an adapter would move back
+/// and forth between upstreams, with a load for each move.
 const RECLAIM_DEMAND_RATIO: f64 = 0.25;
 
-/// From this part of a full batch on another upstream may be clearly faster.
+/// Above this fraction of a full batch (one n-th), another upstream may be clearly faster.
 const SLOWDOWN_BATCH_DIVISOR: usize = 4;
 
 impl Machine {
-    /// Takes a request in, passes it on, or refuses it.
+    /// Admits a request to the queue, passes it on, or refuses it.
     pub(super) fn admit(
         &mut self,
         ticket: Ticket,
@@ -58,7 +61,7 @@
         }
     }
 
-    /// Says whether a request may wait here.
+    /// Checks whether a request may wait here.
     fn check_admission(
         &mut self,
         ticket: &Ticket,
@@ -83,8 +86,8 @@
         self.check_pass_on(ticket, now)
     }
 
-    /// Refuses what can't be answered in time: it would take a place, and
-    /// perhaps a load, from a request that can.
+    /// Refuses a request that can't be answered before its deadline: it would take
+    /// capacity, and perhaps a load, from one that can.
     fn check_deadline(&self, ticket: &Ticket, last: bool, now: Millis) -> Result<(), Failure> {
         let left = ticket.deadline.since(now);
         let service = self.service.service_time(queue::cost(ticket));
@@ -93,9 +96,9 @@
             _ => Millis::ZERO,
         };
         let wait = self.expected_wait(ticket.class).max(load);
-        // The estimate of the service is a mean; half of it is what a short
-        // request may need. One that is refused here would miss its deadline, and take a
-        // place from one that can keep its own.
+        // The service time is an average, and a short request may need only half of it. A
+        // request refused here would miss its deadline and take capacity from one that can
+        // meet its own.
         if wait + Millis(service.0 / 2) < left {
             return Ok(());
         }
@@ -107,7 +110,7 @@
         Err(self.refusal(code, "the wait exceeds the deadline", ticket))
     }
 
-    /// Passes on what another upstream serves cheaper.
+    /// Passes on a request that another upstream can serve at a lower cost.
     fn check_pass_on(&mut self, ticket: &Ticket, now: Millis) -> Result<(), Failure> {
         let wait = self.expected_wait(ticket.class);
         let Some(adapter) = &ticket.adapter else {
@@ -127,8 +130,8 @@
         if self.queue.is_blocked(adapter) {
             return Ok(());
         }
-        let passed = self.forecast.is_passed_on(adapter, now);
-        let ratio = if passed {
+        let is_passed_on = self.forecast.is_passed_on(adapter, now);
+        let ratio = if is_passed_on {
             RECLAIM_DEMAND_RATIO
         } else {
             PASS_ON_DEMAND_RATIO
@@ -136,7 +139,7 @@
         if self.has_cheap_slot(adapter, ratio, now) {
             return Ok(());
         }
-        if !passed {
+        if !is_passed_on {
             self.forecast
                 .mark_passed_on(adapter, now + PASS_ON_DURATION);
         }
@@ -147,61 +150,62 @@
         ))
     }
 
-    /// Returns whether loading the adapter here costs little: an empty slot, or
-    /// one whose adapter isn't in much higher demand, in a batch with room.
+    /// Returns whether loading the adapter here is cheap: there is an empty slot, or one
+    /// whose adapter isn't in much higher demand, and the batch has room.
     fn has_cheap_slot(&self, adapter: &Adapter, ratio: f64, now: Millis) -> bool {
         if self.running.len() >= self.max_running(Class::Bulk) as usize {
             return false;
         }
-        // Asks under way will take slots of their own.
-        let promised = self.pending_permits.len();
-        if self.slots.len() + promised < self.limits.slots.unwrap_or(0) as usize
+        // Pending permits will take slots too.
+        let pending = self.pending_permits.len();
+        if self.slots.len() + pending < self.limits.slots.unwrap_or(0) as usize
             && ratio >= PASS_ON_DEMAND_RATIO
         {
             return true;
         }
         let own = self.forecast.rate(adapter, now);
-        let price = self.victim(now).map(|(_, demand)| demand);
-        price.is_some_and(|price| price <= own * ratio)
+        let victim_demand = self.victim(now).map(|(_, demand)| demand);
+        victim_demand.is_some_and(|victim_demand| victim_demand <= own * ratio)
     }
 
     /// Returns the expected wait of a ready request of this class.
     pub(super) fn expected_wait(&self, class: Class) -> Millis {
-        let room = self.max_running(class);
-        if self.running.len() < room as usize && self.queue.ready_count(class) == 0 {
+        let limit = self.max_running(class);
+        if self.running.len() < limit as usize && self.queue.ready_count(class) == 0 {
             return Millis::ZERO;
         }
         self.service
             .backlog_time(self.queue.ready_cost(class), self.limits.max_batch)
     }
 
-    /// Returns whether a fuller batch than needed makes the answer end after its deadline.
+    /// Returns whether the batch is so full that the response would end after the deadline.
     ///
-    /// Each request in the batch slows its steps, so an upstream that serves
-    /// fewer may still answer in time.
+    /// Each request in a batch slows down its steps, so an upstream with a smaller batch
+    /// may still meet the deadline.
     fn is_too_slow(&self, ticket: &Ticket, now: Millis) -> bool {
         let batch = self.limits.max_batch as usize;
         let service = self.service.service_time(queue::cost(ticket));
         self.running.len() * SLOWDOWN_BATCH_DIVISOR > batch && now + service > ticket.deadline
     }
 
-    /// Returns the wait above which a request had better go to a replica.
+    /// Returns the expected wait above which a request is better served by a replica.
     ///
-    /// A replica may have to load the adapter first. Demand that comes often
-    /// makes up for that load at once, so it spills early; rare demand waits as
-    /// long as a load takes. Weight on batches keeps bulk work together longer.
+    /// A replica may have to load the adapter first. Frequent requests amortize that load
+    /// quickly, so the threshold decreases with demand; for rare ones it is the wait for a
+    /// load. A higher batch weight keeps bulk work together for longer.
     fn spill_threshold(&self, class: Class, rate: f64) -> Millis {
         let load = self.service.load_wait(self.limits.load_time);
-        let comes = rate * to_f64(load);
-        let shared = to_millis(to_f64(load) / (1.0 + comes)).max(self.limits.load_time);
-        let held = 100 + u64::from(self.limits.batch_weight);
+        let requests_per_load = rate * to_f64(load);
+        let threshold =
+            to_millis(to_f64(load) / (1.0 + requests_per_load)).max(self.limits.load_time);
+        let batch_percent = 100 + u64::from(self.limits.batch_weight);
         match class {
-            Class::Bulk => Millis(shared.0 * held / 100),
-            _ => shared,
+            Class::Bulk => Millis(threshold.0 * batch_percent / 100),
+            _ => threshold,
         }
     }
 
-    /// Makes room in a full queue, by brownout order, or says why there is none.
+    /// Makes room in a full queue by shedding a request, or returns why there is no room.
     fn make_room(
         &mut self,
         ticket: &Ticket,
@@ -222,7 +226,7 @@
         Ok(())
     }
 
-    /// Makes a refusal that says when a later try may succeed.
+    /// Creates a refusal with an estimate of when a retry may succeed.
     pub(super) fn refusal(&self, code: Code, detail: &str, ticket: &Ticket) -> Failure {
         let wait = self.expected_wait(ticket.class).max(self.limits.load_time);
         Failure::new(code, detail).retry_after(wait)
--- a/lib/src/policy/upstream/load.rs
+++ b/lib/src/policy/upstream/load.rs
@@ -1,4 +1,4 @@
-//! What is loaded and what is evicted for it.
+//! Which adapters are loaded, and which are evicted for them.
 
 use super::{Action, Demand, Machine, PendingPermit};
 use crate::adapter::Adapter;
@@ -9,19 +9,21 @@
 use crate::policy::slots::SlotState;
 use crate::request::Class;
 
-/// How far ahead a load's future use counts for its place in the store's queue.
+/// How far ahead the future use of an adapter counts toward the priority of its load.
 const PREDICTION_HORIZON: Millis = Millis::from_secs(60);
-/// Stall that a load is taken to save for each request that is expected within the horizon.
+/// Stall time saved for each request expected within the horizon.
 const STALL_PER_FUTURE_REQUEST: Millis = Millis::from_secs(1);
-/// After this many failures in a row the waiting requests are refused.
+/// Number of consecutive failed loads after which waiting requests are refused.
 const MAX_LOAD_FAILURES: u32 = 2;
-/// An adapter with a lower demand (requests a millisecond) isn't loaded unless somebody waits.
+/// Adapters with a lower demand, in requests per millisecond, are only loaded if a request
+/// waits for them.
 pub(super) const PREFETCH_DEMAND: f64 = 1.0 / 300_000.0;
-/// A pinned slot is drained for a request that has waited this long for one.
+/// How long a request waits before a slot in use is drained for it.
 const DRAIN_AFTER: Millis = Millis::from_secs(2);
 
 impl Machine {
-    /// Notes that an adapter with waiting requests isn't resident.
+    /// Marks an adapter that requests wait for as to be loaded, unless its load is already
+    /// requested or in progress.
     pub(super) fn mark_wanted(&mut self, adapter: &Adapter) {
         if self.queue.is_blocked(adapter)
             && !self.pending_permits.contains_key(adapter)
@@ -31,18 +33,18 @@
         }
     }
 
-    /// Returns what would be evicted next, and the demand for it.
+    /// Returns the adapter that would be evicted next, and its demand.
     pub(super) fn victim(&self, now: Millis) -> Option<(Adapter, f64)> {
         let demand = |adapter: &Adapter| {
-            let kept = self.queue.has_ready(adapter);
-            (!kept).then(|| self.forecast.rate(adapter, now))
+            let in_use = self.queue.has_ready(adapter);
+            (!in_use).then(|| self.forecast.rate(adapter, now))
         };
         self.slots
             .victim(demand)
             .map(|(adapter, demand)| (adapter.clone(), demand))
     }
 
-    /// Asks for loads that can be had and that somebody waits for.
+    /// Requests permits for all loads that are useful now.
     pub(super) fn request_permits(&mut self, now: Millis, actions: &mut Vec<Action>) {
         self.request_for_waiting(now, actions);
         self.request_prefetches(now, actions);
@@ -57,7 +59,7 @@
             self.drain_one_slot(now);
             return;
         }
-        let free: Vec<Adapter> = self
+        let loadable: Vec<Adapter> = self
             .deferred_loads
             .iter()
             .filter(|adapter| self.slots.state(adapter).is_none())
@@ -68,9 +70,9 @@
             })
             .cloned()
             .collect();
-        for adapter in free {
+        for adapter in loadable {
             self.deferred_loads.remove(&adapter);
-            // A waiting request turns a prefetch into a live ask.
+            // A waiting request turns a refill into a regular load.
             self.refills.remove(&adapter);
             if let Some(demand) = self.demand_for(&adapter, now) {
                 self.pending_permits
@@ -80,7 +82,8 @@
         }
     }
 
-    /// After a cold start, asks for what was resident, the worthiest first, one at a time.
+    /// Requests loads after a restart of the engine for the adapters that were resident, in
+    /// order of demand, one at a time.
     fn request_refill(&mut self, now: Millis, actions: &mut Vec<Action>) {
         if self.refills.is_empty()
             || !self.pending_permits.is_empty()
@@ -118,7 +121,7 @@
         actions.push(Action::RequestPermit { adapter, demand });
     }
 
-    /// Tells the store's queue when an ask has become clearly more or less urgent.
+    /// Updates a permit request whose urgency has changed clearly.
     pub(super) fn update_permit_request(
         &mut self,
         adapter: &Adapter,
@@ -144,7 +147,8 @@
         }
     }
 
-    /// Sums up who waits for an adapter, or returns none when nobody does.
+    /// Sums up the demand of the requests that wait for an adapter; `None` if there are
+    /// none.
     fn demand_for(&self, adapter: &Adapter, now: Millis) -> Option<Demand> {
         let mut demand = Demand {
             class: None,
@@ -169,16 +173,16 @@
         Some(demand)
     }
 
-    /// Uses a permit to load, or gives it back.
+    /// Starts the load that a permit was granted for, or returns the permit.
     pub(super) fn use_permit(&mut self, adapter: &Adapter, now: Millis, actions: &mut Vec<Action>) {
         let pending = self.pending_permits.remove(adapter);
         self.refuse_unservable(adapter, now, actions);
         let prefetch = pending.is_some_and(|pending| pending.demand.class.is_none());
         let wanted = self.queue.is_blocked(adapter) || prefetch;
-        let begun = wanted && !self.closed && self.begin_load(adapter, prefetch, now, actions);
-        // One try: whatever became of it, requests will ask for themselves.
+        let started = wanted && !self.closed && self.begin_load(adapter, prefetch, now, actions);
+        // A prefetch is tried once; later requests ask for the load themselves.
         self.prefetches.remove(adapter);
-        if !begun {
+        if !started {
             actions.push(Action::CancelPermit {
                 adapter: adapter.clone(),
             });
@@ -186,7 +190,8 @@
         }
     }
 
-    /// Begins a load if a slot can be had. A prefetch evicts next to nothing.
+    /// Starts a load if a slot is available. A prefetch may only evict what
+    /// [`Machine::prefetch_victim`] allows.
     fn begin_load(
         &mut self,
         adapter: &Adapter,
@@ -219,9 +224,10 @@
         true
     }
 
-    /// Refuses waiting requests that a load begun now could no longer serve in time.
+    /// Refuses waiting requests that would miss their deadline even if the load started
+    /// now.
     ///
-    /// A load for them would be wasted, and each load is one that others wait for.
+    /// A load for them would be wasted and would delay the loads of others.
     fn refuse_unservable(&mut self, adapter: &Adapter, now: Millis, actions: &mut Vec<Action>) {
         let loaded = now + self.limits.load_time;
         let unservable: Vec<_> = self
@@ -248,7 +254,7 @@
         }
     }
 
-    /// Follows the end of a load.
+    /// Handles the end of a load.
     pub(super) fn handle_load_end(
         &mut self,
         adapter: &Adapter,
@@ -284,7 +290,7 @@
         self.deferred_loads.remove(adapter);
     }
 
-    /// Follows an adapter's becoming resident.
+    /// Handles an adapter that became resident.
     pub(super) fn handle_resident(
         &mut self,
         adapter: &Adapter,
@@ -302,7 +308,8 @@
         }
     }
 
-    /// Follows the loss of all slots: what was resident is to be refilled.
+    /// Handles the loss of all slots: the adapters that were resident are to be loaded
+    /// again.
     pub(super) fn handle_slot_loss(&mut self) {
         let loading: Vec<Adapter> = self
             .slots
@@ -320,7 +327,7 @@
         }
     }
 
-    /// Takes a draining slot back into use when nobody else needs it any more.
+    /// Returns a draining slot to use when no other adapter needs it any more.
     pub(super) fn undrain(&mut self, now: Millis) {
         let draining = self
             .slots
@@ -342,27 +349,27 @@
         }
     }
 
-    /// Returns when somebody will have waited long enough for a slot to be drained for it.
+    /// Returns when a request will have waited long enough for a slot to be drained for it.
     pub(super) fn drain_at(&self) -> Option<Millis> {
         self.deferred_loads
             .iter()
             .flat_map(|adapter| self.queue.blocked_on(adapter))
             .map(|entry| {
-                let whole = entry.ticket.deadline.since(entry.arrived_at);
+                let total = entry.ticket.deadline.since(entry.arrived_at);
                 match entry.ticket.class {
                     Class::Urgent => entry.arrived_at,
-                    _ => entry.arrived_at + Millis(whole.0 / 4).min(DRAIN_AFTER),
+                    _ => entry.arrived_at + Millis(total.0 / 4).min(DRAIN_AFTER),
                 }
             })
             .min()
     }
 
-    /// Lets the pins of one slot run out when all are in use and somebody has waited long.
+    /// Drains one slot if all slots are in use and a request has waited for long enough.
     ///
-    /// Without it an adapter that is never idle would keep its slot for ever,
-    /// however long others wait.
+    /// Otherwise an adapter that is never idle would keep its slot forever, however long
+    /// others wait.
     fn drain_one_slot(&mut self, now: Millis) {
-        // One at a time: a load that ends, or a slot that drains, may be all that is needed.
+        // Only one at a time: a load in progress or a draining slot may be enough.
         let settled = self
             .slots
             .iter()
@@ -373,13 +380,13 @@
         if self.drain_at().is_none_or(|at| at > now) {
             return;
         }
-        let least = self
+        let least_demanded = self
             .slots
             .iter()
             .map(|(adapter, _, _)| (self.forecast.rate(adapter, now), adapter))
             .min_by(|a, b| a.0.total_cmp(&b.0))
             .map(|(_, adapter)| adapter.clone());
-        if let Some(adapter) = least {
+        if let Some(adapter) = least_demanded {
             self.slots.drain(&adapter);
             self.queue.block(&adapter);
             self.mark_wanted(&adapter);
@@ -387,7 +394,8 @@
     }
 }
 
-/// Returns the stall that keeping an adapter of this demand saves for a while.
+/// Returns the stall time saved within the prediction horizon by keeping an adapter with
+/// this demand.
 pub(super) fn expected_stall_savings(rate: f64) -> Millis {
     to_millis(rate * to_f64(PREDICTION_HORIZON) * to_f64(STALL_PER_FUTURE_REQUEST))
 }
--- a/lib/src/policy/upstream/mod.rs
+++ b/lib/src/policy/upstream/mod.rs
@@ -1,8 +1,9 @@
-//! The decisions of one owned upstream: what starts, loads, is evicted, refused.
+//! The state machine of one owned upstream: which requests start or are refused, and which
+//! adapters are loaded and evicted.
 //!
-//! The owner feeds events in and carries the returned [`Action`]s out. The
-//! machine counts its own running requests and pins exactly; an upstream's
-//! reports lag and only correct drift. See docs/design/0002-decisions.md.
+//! The owner passes events in and carries out the returned [`Action`]s. The machine counts
+//! its own running requests and pins exactly; reports from the upstream lag behind and only
+//! correct drift. See docs/design/0002-decisions.md.
 
 mod admit;
 mod load;
@@ -22,21 +23,22 @@
 use crate::request::{Class, Id, Ticket};
 use crate::runner::Share;
 
-/// Adapters whose demand one upstream's owner remembers.
+/// Maximum number of adapters whose demand is tracked for an upstream.
 const MAX_TRACKED_ADAPTERS: usize = 2_048;
 
-/// What an upstream can hold, and what its callers were promised.
+/// Capacity and objectives of an upstream.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Limits {
-    /// Adapters that fit at a time; none for a plain service.
+    /// Number of adapter slots; `None` for a plain service.
     pub slots: Option<u32>,
-    /// Most requests running at a time, at least 1.
+    /// Maximum number of running requests, at least 1.
     pub max_batch: u32,
-    /// Most requests waiting, all classes together.
+    /// Maximum number of waiting requests of all classes together.
     pub max_queued: u32,
-    /// 0 spends nothing for fuller batches, 100 spends nothing against load stalls.
+    /// Priority of full batches over short load stalls, from 0 to 100; 0 never delays work
+    /// to fill a batch.
     pub batch_weight: u32,
-    /// How long one load takes when the weight store is free.
+    /// Duration of a load when the weight store is idle.
     pub load_time: Millis,
     /// Target for the time to the first token.
     pub first_token_target: Millis,
@@ -58,82 +60,85 @@
     }
 }
 
-/// What the weight store's queue needs to know to order a load.
+/// The demand by which the weight store's queue orders a load.
 ///
-/// The same fields as [`crate::loads::PermitRequest`], but for the names.
+/// These are the fields of [`crate::loads::PermitRequest`] without the names.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Demand {
-    /// Class of the most urgent waiter; none is a prefetch.
+    /// Class of the most urgent waiting request; `None` for a prefetch.
     pub class: Option<Class>,
-    /// How many requests wait for it.
+    /// Number of waiting requests.
     pub waiters: u32,
-    /// Sum of the waiters' weights.
+    /// Sum of the weights of the waiting requests.
     pub weight: u32,
-    /// How long the oldest waiter has waited.
+    /// How long the oldest request has waited.
     pub waited: Millis,
-    /// Time that the waiters have left before their deadlines, summed, each times its class's factor.
+    /// Sum of the waiting requests' time to their deadlines, weighted by class.
     pub stall_savings: Millis,
 }
 
-/// An order to the owner of the upstream.
+/// A command to the owner of the upstream.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Action {
-    /// Run this waiting request now; its adapter is resident and stays pinned
-    /// until [`Machine::finished`].
+    /// Run this waiting request now; its adapter is resident and stays pinned until
+    /// [`Machine::finished`].
     Start {
-        /// Which request.
+        /// The request to run.
         id: Id,
-        /// How long it waited here, the load included.
+        /// How long the request waited here, including for a load.
         queued: Millis,
-        /// How long it waited for its adapter to be loaded: its stall.
+        /// How long the request was stalled by the load of its adapter.
         load_wait: Millis,
     },
-    /// End this waiting request; it was not run.
+    /// Refuse this waiting request, which wasn't run.
     Refuse {
-        /// Which request.
+        /// The request to refuse.
         id: Id,
-        /// Why, with a code whose fate is not run.
+        /// The reason, with a code whose fate is "not run".
         failure: Failure,
     },
-    /// Ask the weight store's queue for a permit to load, or replace an earlier ask's demand.
+    /// Request a permit for a load from the weight store's queue, or update an earlier
+    /// request.
     RequestPermit {
-        /// What would be loaded.
+        /// The adapter to load.
         adapter: Adapter,
-        /// How the queue should order it.
+        /// The demand that decides its priority.
         demand: Demand,
     },
-    /// Take an ask back; if a permit has been granted meanwhile, give it back unused.
+    /// Cancel a permit request, or return the permit unused if it has been granted
+    /// meanwhile.
     CancelPermit {
-        /// What is no longer needed.
+        /// The adapter that is no longer needed.
         adapter: Adapter,
     },
-    /// Load an adapter under the permit just granted, after unloading another.
+    /// Load an adapter under the permit just granted, after unloading another one.
     ///
-    /// The owner answers with [`Machine::loaded`].
+    /// The owner reports the result by [`Machine::loaded`].
     Load {
-        /// What to load.
+        /// The adapter to load.
         adapter: Adapter,
-        /// What to unload first; no running request uses it, and none will start on it.
+        /// The adapter to unload first; no running request uses it, and none will start on
+        /// it.
         evict: Option<Adapter>,
     },
 }
 
-/// What an owner shows to operators of one upstream.
+/// The state of an upstream as shown to operators.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Status {
-    /// Requests running.
+    /// Number of running requests.
     pub running: u32,
-    /// Requests waiting, by class.
+    /// Number of waiting requests by class.
     pub waiting: [u32; 3],
-    /// Adapters in slots with their pins.
+    /// Adapters in slots, with their number of pins.
     pub resident: Vec<(Adapter, u32)>,
     /// Adapters being loaded.
     pub loading: Vec<Adapter>,
-    /// Adapters that are asked for.
+    /// Adapters whose load has been requested but not granted.
     pub asked: Vec<Adapter>,
 }
 
-/// A request that runs.
+/// A running request.
 #[derive(Debug)]
 struct RunningRequest {
     account: Name,
@@ -142,7 +147,7 @@
     pin: Option<(Adapter, Pin)>,
 }
 
-/// An ask that the weight store's queue knows of.
+/// A permit request in the weight store's queue.
 #[derive(Debug, Clone, Copy)]
 struct PendingPermit {
     at: Millis,
@@ -151,7 +156,7 @@
 
 /// The state machine of one upstream.
 ///
-/// Every input returns the orders that follow from it, to be carried out in order.
+/// Every input returns the resulting actions, to be carried out in order.
 #[derive(Debug)]
 pub struct Machine {
     limits: Limits,
@@ -162,23 +167,24 @@
     running: HashMap<Id, RunningRequest>,
     in_flight: HashMap<Name, u32>,
     pending_permits: BTreeMap<Adapter, PendingPermit>,
-    /// Adapters with waiting requests that aren't asked for yet: no slot can be
-    /// had for them, or they back off after a failure.
+    /// Adapters with waiting requests whose load hasn't been requested: no slot is
+    /// available for them, or they are in backoff after a failed load.
     deferred_loads: BTreeSet<Adapter>,
-    /// What templates will name soon, in the place of something resident.
+    /// Adapters that templates will switch to soon, each in place of a resident one.
     prefetches: BTreeSet<Adapter>,
-    /// What was resident before a cold start and isn't again.
+    /// Adapters that were resident before a restart of the engine and aren't loaded again
+    /// yet.
     refills: BTreeSet<Adapter>,
     passed_over: [u32; 3],
-    /// Whether the bulk work that was held may start.
+    /// Whether delayed bulk work may start.
     batch_released: bool,
-    /// When the last event came.
+    /// Time of the last event.
     last_event_at: Millis,
     closed: bool,
 }
 
 impl Machine {
-    /// Starts with nothing resident, nothing waiting and nothing running.
+    /// Creates a machine with no resident adapters and no requests.
     #[must_use]
     pub fn new(limits: Limits) -> Self {
         Self {
@@ -200,7 +206,7 @@
         }
     }
 
-    /// Takes over changed limits; what runs and what is resident stays.
+    /// Changes the limits; running requests and resident adapters stay.
     #[must_use]
     pub fn set_limits(&mut self, limits: Limits, now: Millis) -> Vec<Action> {
         self.slots.resize(limits.slots.unwrap_or(0));
@@ -208,10 +214,10 @@
         self.tick(now)
     }
 
-    /// A request arrives. It is started, kept waiting, or refused.
+    /// Handles a new request, which is started, queued or refused.
     ///
-    /// `last` is [`crate::runner::Attempt::last`]. A request whose id is here
-    /// already is ignored, as an answer couldn't tell the two apart.
+    /// `last` is [`crate::runner::Attempt::last`]. A request whose id is already present is
+    /// ignored, since a response couldn't be attributed to one of the two.
     #[must_use]
     pub fn arrive(&mut self, ticket: Ticket, share: Share, last: bool, now: Millis) -> Vec<Action> {
         let mut actions = Vec::new();
@@ -224,9 +230,10 @@
         actions
     }
 
-    /// The weight store's queue grants the ask for this adapter.
+    /// Handles a permit granted for the load of this adapter.
     ///
-    /// The answer holds [`Action::Load`], or [`Action::CancelPermit`] when the load is no longer wanted.
+    /// The result contains [`Action::Load`], or [`Action::CancelPermit`] if the load is no
+    /// longer wanted.
     #[must_use]
     pub fn granted(&mut self, adapter: &Adapter, now: Millis) -> Vec<Action> {
         let mut actions = Vec::new();
@@ -236,7 +243,7 @@
         actions
     }
 
-    /// A load that [`Action::Load`] ordered has ended.
+    /// Handles the end of a load started by [`Action::Load`].
     #[must_use]
     pub fn loaded(&mut self, adapter: &Adapter, ok: bool, now: Millis) -> Vec<Action> {
         let mut actions = Vec::new();
@@ -248,9 +255,9 @@
         actions
     }
 
-    /// A running request has ended, however it ended; its pin is given back.
+    /// Handles the end of a running request, whatever its outcome, and releases its pin.
     ///
-    /// An unknown id changes nothing, so that telling it twice does no harm.
+    /// An unknown id has no effect, so a repeated call does no harm.
     #[must_use]
     pub fn finished(&mut self, id: &Id, now: Millis) -> Vec<Action> {
         let mut actions = Vec::new();
@@ -263,7 +270,8 @@
                 self.in_flight.remove(&running.account);
             }
         }
-        // When a request of another owner began isn't known, so it tells nothing of the pace.
+        // The start time of a request of another owner is unknown, so it gives no sample of
+        // the service time.
         if running.cost > 0 {
             self.service
                 .record_completed(running.cost, now.since(running.started));
@@ -276,7 +284,7 @@
         actions
     }
 
-    /// The caller of a request that still waits has gone away. It gets no answer.
+    /// Removes a waiting request whose caller has gone away. It gets no response.
     #[must_use]
     pub fn cancelled(&mut self, id: &Id, now: Millis) -> Vec<Action> {
         let mut actions = Vec::new();
@@ -287,9 +295,9 @@
         actions
     }
 
-    /// The engine process has started anew: no slot holds anything.
+    /// Handles a restart of the engine process: all slots are empty.
     ///
-    /// The owner still tells of each running request's end by [`Machine::finished`].
+    /// The owner still reports the end of each running request by [`Machine::finished`].
     #[must_use]
     pub fn engine_restarted(&mut self, now: Millis) -> Vec<Action> {
         let mut actions = Vec::new();
@@ -299,8 +307,8 @@
         actions
     }
 
-    /// The engine says what its slots held at `as_of`; it lags, so only what the
-    /// machine hasn't touched since then is corrected.
+    /// Reconciles the slots with what the engine reported as of `as_of`. The report lags
+    /// behind, so only slots that haven't changed since then are corrected.
     #[must_use]
     pub fn engine_reported(
         &mut self,
@@ -322,8 +330,8 @@
         actions
     }
 
-    /// The upstream leaves, or is another node's now: what waits is refused
-    /// with `code`, as is all that arrives later; what runs goes on.
+    /// Stops accepting work because the upstream leaves or has a new owner: waiting
+    /// requests, and all that arrive later, are refused with `code`; running ones continue.
     #[must_use]
     pub fn close(&mut self, code: Code) -> Vec<Action> {
         self.closed = true;
@@ -335,13 +343,14 @@
             failure: Failure::new(code, "the upstream takes no new work"),
         });
         let pending = std::mem::take(&mut self.pending_permits);
-        let withdrawn = pending
+        let cancelled = pending
             .into_keys()
             .map(|adapter| Action::CancelPermit { adapter });
-        refused.chain(withdrawn).collect()
+        refused.chain(cancelled).collect()
     }
 
-    /// Time has passed. The owner calls it at [`Machine::next_wakeup`] at the latest.
+    /// Handles the passing of time. The owner calls this at [`Machine::next_wakeup`] at the
+    /// latest.
     #[must_use]
     pub fn tick(&mut self, now: Millis) -> Vec<Action> {
         let mut actions = Vec::new();
@@ -350,11 +359,11 @@
         actions
     }
 
-    /// Returns when [`Machine::tick`] has something to do next, if nothing else happens.
+    /// Returns when [`Machine::tick`] has to be called next if nothing else happens.
     #[must_use]
     pub fn next_wakeup(&self) -> Option<Millis> {
-        // Times that have been acted on are left out: a backoff that has passed
-        // waits for a slot, and waking for it again would spin.
+        // Times already handled are left out: an elapsed backoff may still be waiting for a
+        // slot, and waking for it again would spin.
         let later = |at: &Millis| *at > self.last_event_at;
         let backoffs = self
             .deferred_loads
@@ -364,21 +373,21 @@
             .filter_map(|adapter| self.slots.retry_at(adapter))
             .filter(later)
             .min();
-        let held = self.held_until().filter(later);
+        let batch_start = self.held_until().filter(later);
         let drain = self.drain_at().filter(later);
-        [self.queue.next_deadline(), backoffs, held, drain]
+        [self.queue.next_deadline(), backoffs, batch_start, drain]
             .into_iter()
             .flatten()
             .min()
     }
 
-    /// Returns whether nothing waits and nothing runs.
+    /// Returns whether no request is waiting or running.
     #[must_use]
     pub fn is_idle(&self) -> bool {
         self.queue.is_empty() && self.running.is_empty()
     }
 
-    /// Returns what operators see.
+    /// Returns the state shown to operators.
     #[must_use]
     pub fn status(&self) -> Status {
         let adapters_in_state = |wanted: fn(SlotState) -> bool| {
@@ -398,7 +407,7 @@
         }
     }
 
-    /// Does whatever can be done now.
+    /// Takes all actions that are possible now.
     fn advance(&mut self, now: Millis, actions: &mut Vec<Action>) {
         self.last_event_at = now;
         if self.closed {
@@ -409,7 +418,8 @@
         self.request_permits(now, actions);
     }
 
-    /// Refuses what has waited up to its deadline: nobody waits past its bound without an answer.
+    /// Refuses requests whose deadline has passed, so that no caller waits past its
+    /// deadline without a response.
     fn expire(&mut self, now: Millis, actions: &mut Vec<Action>) {
         while let Some(entry) = self.queue.pop_expired(now) {
             self.handle_departure(&entry, now, actions);
@@ -422,7 +432,8 @@
         }
     }
 
-    /// Follows a waiting request that went away: a load that nobody waits for is not asked for.
+    /// Handles a request that left the queue: loads that no request waits for are
+    /// cancelled.
     fn handle_departure(&mut self, entry: &QueuedRequest, now: Millis, actions: &mut Vec<Action>) {
         let Some(adapter) = &entry.ticket.adapter else {
             return;
--- a/lib/src/policy/upstream/prefetch.rs
+++ b/lib/src/policy/upstream/prefetch.rs
@@ -1,4 +1,4 @@
-//! Loads ahead of a change of templates, so that the switch brings no stall.
+//! Prefetches adapters before a change of templates, so that the switch causes no stall.
 
 use super::load::{PREFETCH_DEMAND, expected_stall_savings};
 use super::{Action, Demand, Machine, PendingPermit};
@@ -6,11 +6,11 @@
 use crate::clock::Millis;
 
 impl Machine {
-    /// Templates are about to move from one adapter to another.
+    /// Handles the announcement that templates will switch from one adapter to another.
     ///
-    /// If the old one is resident and in demand here, the new one is asked for
-    /// with what the weight store has to spare. Its permit may evict only what is
-    /// in less demand than the old one, which itself stays until the switch.
+    /// If the old adapter is resident and in demand here, the new one is requested with the
+    /// weight store's spare capacity. Its load may only evict an adapter in less demand
+    /// than the old one, which itself stays until the switch.
     #[must_use]
     pub fn prefetch_replacement(
         &mut self,
@@ -28,9 +28,9 @@
         actions
     }
 
-    /// Asks for what templates will name soon.
+    /// Requests the loads of adapters that templates will switch to soon.
     pub(super) fn request_prefetches(&mut self, now: Millis, actions: &mut Vec<Action>) {
-        let free: Vec<Adapter> = self
+        let loadable: Vec<Adapter> = self
             .prefetches
             .iter()
             .filter(|adapter| self.slots.state(adapter).is_none())
@@ -42,7 +42,7 @@
             })
             .cloned()
             .collect();
-        for adapter in free {
+        for adapter in loadable {
             let demand = Demand {
                 class: None,
                 waiters: 0,
@@ -56,10 +56,13 @@
         }
     }
 
-    /// Returns what may be evicted for a prefetch: only for what comes soon, and only what is in less demand.
+    /// Returns the adapter that may be evicted for a prefetch: only for an announced
+    /// switch, and only one in less demand.
     pub(super) fn prefetch_victim(&self, adapter: &Adapter, now: Millis) -> Option<Adapter> {
         let demand = self.forecast.rate(adapter, now);
-        let victim = self.victim(now).filter(|(_, price)| *price < demand);
+        let victim = self
+            .victim(now)
+            .filter(|(_, victim_demand)| *victim_demand < demand);
         victim
             .filter(|_| self.prefetches.contains(adapter))
             .map(|(victim, _)| victim)
--- a/lib/src/policy/upstream/start.rs
+++ b/lib/src/policy/upstream/start.rs
@@ -9,21 +9,23 @@
 use crate::policy::service_time;
 use crate::request::{Class, Id};
 
-/// Account of requests that another owner started; no declared name is empty.
+/// Account of requests that another owner started; declared account names are never empty.
 const FOREIGN_ACCOUNT: &str = "";
-/// After so many starts of more urgent classes a waiting class gets one, by class.
+/// Number of starts of more urgent classes after which a waiting class goes first, by
+/// class.
 const MAX_PASSED_OVER: [u32; 3] = [u32::MAX, 8, 16];
 
 impl Machine {
-    /// Enters a request that runs here already, started by another owner.
+    /// Adds a request that is already running here and was started by another owner.
     ///
-    /// It takes a place in the batch and pins its adapter until
-    /// [`Machine::finished`], as this owner's own do. Without it a new owner
-    /// would evict what the former one's requests still use.
+    /// It counts toward the batch and pins its adapter until [`Machine::finished`], like
+    /// the requests started by this owner. Otherwise a new owner would evict adapters that
+    /// requests of the previous owner still use.
     pub fn adopt_running(&mut self, id: Id, adapter: &Adapter, now: Millis) {
         if let Some(running) = self.running.get_mut(&id) {
-            // A cold start takes all pins. What was started after it, before this
-            // owner heard of it, runs in the new slots and must be pinned there.
+            // A restart of the engine releases all pins. A request that started after it,
+            // but before this owner learned of it, uses the new slots and must be pinned
+            // there.
             let pinned = running
                 .pin
                 .as_ref()
@@ -48,13 +50,13 @@
         self.running.insert(id, running);
     }
 
-    /// Starts what can be started.
+    /// Starts all requests that can start.
     pub(super) fn start_ready(&mut self, now: Millis, actions: &mut Vec<Action>) {
         while let Some(entry) = self.next_to_start(now) {
             let service = self.service.service_time(entry.cost());
             if now + service > entry.ticket.deadline && entry.arrived_at < now {
-                // It would run for nothing: its answer would end after the
-                // deadline, and the place is one that another can use in time.
+                // The response would end after the deadline, so running the request would
+                // waste a slot that another one can use in time.
                 let failure = self.refusal(
                     Code::ExpiredWaiting,
                     "the answer would end too late",
@@ -68,12 +70,12 @@
         }
     }
 
-    /// Returns how many requests may run before this class must wait.
+    /// Returns how many requests may run before requests of this class have to wait.
     pub(super) fn max_running(&self, class: Class) -> u32 {
         self.service.max_running(self.limits.max_batch, class)
     }
 
-    /// Takes the next request to start from the queue.
+    /// Removes the next request to start from the queue.
     fn next_to_start(&mut self, now: Millis) -> Option<QueuedRequest> {
         let running = self.running.len();
         if self.queue.ready_count(Class::Bulk) == 0 {
@@ -82,8 +84,9 @@
         if running >= self.limits.max_batch as usize {
             return None;
         }
-        // A class that was passed over often enough goes first, past the places
-        // kept free: strict precedence would starve it while urgent work lasts.
+        // A class that was passed over often enough goes first, even into the slots
+        // reserved for urgent requests: strict priorities would starve it for as long as
+        // urgent work keeps coming.
         for class in Class::ALL {
             let aged = self.passed_over[class as usize] >= MAX_PASSED_OVER[class as usize];
             if aged && let Some(entry) = self.pop_class(class) {
@@ -148,7 +151,7 @@
         });
     }
 
-    /// Returns whether a class is held back so that more of it starts together.
+    /// Returns whether requests of a class are delayed to form a batch.
     fn is_held(&mut self, class: Class, now: Millis) -> bool {
         if class != Class::Bulk {
             return false;
@@ -156,7 +159,7 @@
         match self.held_until() {
             Some(until) if now < until => true,
             Some(_) => {
-                // What gathered behind the oldest one starts with it.
+                // All bulk requests that are ready start together with the oldest one.
                 self.batch_released = true;
                 false
             }
@@ -164,11 +167,11 @@
         }
     }
 
-    /// Returns until when bulk work is held, if it is.
+    /// Returns until when bulk work is delayed, if it is.
     ///
-    /// A step costs an engine nearly the same for one request as for many, so an
-    /// idle engine is better left idle until there is a batch to run. Once
-    /// anything runs, bulk work joins it at once.
+    /// A step takes an engine nearly the same time for one request as for many, so an idle
+    /// engine waits until there is a batch to run. Once any request runs, bulk work joins
+    /// it immediately.
     pub(super) fn held_until(&self) -> Option<Millis> {
         let ready = self.queue.ready_count(Class::Bulk);
         if self.limits.batch_weight == 0
