--- a/lib/tests/test_policy_parts.rs
+++ b/lib/tests/test_policy_parts.rs
@@ -1,4 +1,4 @@
-//! Placement, the fair queue, slots and the order of loads, each against its promise.
+//! Tests of placement, demand, the fair queue, slots, the state machine and the load queue.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -90,7 +90,7 @@
     let after = homes(&pool(600, Some(17)));
     let moved = before.iter().zip(&after).filter(|(a, b)| a != b).count();
     let held = before.iter().filter(|home| **home == 17).count();
-    assert_eq!(moved, held, "only what it held moves");
+    assert_eq!(moved, held, "only its own adapters move");
     let fair = ADAPTERS as usize / 600;
     assert!(held < fair * 2, "{held} of a fair share of {fair}");
 }
@@ -111,7 +111,8 @@
     }
 }
 
-/// An adapter's first replicas lie in different failure domains, so that no loss takes them all.
+/// The first replicas of an adapter are in different failure domains, so that the loss of
+/// one domain doesn't take them all.
 #[test]
 fn rendezvous_replicas_spread_over_domains() {
     let pool = pool(60, None);
@@ -122,13 +123,13 @@
     }
 }
 
-/// An upstream that refused is avoided for a while, and not for good.
+/// An upstream that refused is avoided for a limited time.
 #[test]
 fn order_hint_expires() {
     let (pool, mut router, wanted) = (pool(12, None), router(), adapter(1));
     let order = router.candidates(&pool, Some(&wanted), Millis::ZERO);
     let home = order[0];
-    assert_eq!(order.last(), Some(&home), "it waits at home");
+    assert_eq!(order.last(), Some(&home), "the request waits at its home");
     router.record_refusal(&pool, home, Some(&wanted), Code::PassedOn, Millis::ZERO);
     let hinted = router.candidates(&pool, Some(&wanted), Millis(1));
     assert_ne!(hinted[0], home);
@@ -171,12 +172,17 @@
         let wanted = adapter(number);
         router.record_refusal(&pool, 0, Some(&wanted), Code::Busy, Millis::ZERO);
     }
-    // A busy answer leaves a hint and a replica count; each table is bounded by itself.
+    // A busy response creates a hint and a replica count; each table has its own bound.
     assert!(router.len() <= 2 * most, "hints and replica counts");
 }
 
-/// Tries one request until none of its first `busy` upstreams answers that it is busy.
-fn walk(router: &mut Router, pool: &Pool, wanted: &Adapter, busy: &BTreeSet<usize>) -> Vec<usize> {
+/// Tries upstreams for one request, up to ten, until one isn't in `busy`.
+fn try_upstreams(
+    router: &mut Router,
+    pool: &Pool,
+    wanted: &Adapter,
+    busy: &BTreeSet<usize>,
+) -> Vec<usize> {
     let mut tried = Vec::new();
     for _ in 0..10 {
         let order = router.candidates(pool, Some(wanted), Millis(1));
@@ -191,7 +197,8 @@
     tried
 }
 
-/// A request for a very hot adapter finds an upstream with room within its tries.
+/// Guards against a popular adapter whose first 15 upstreams are all busy using up its
+/// tries before it reaches one with room.
 #[test]
 fn order_busy_adapter_finds_wide_spread_within_its_tries() {
     let pool = pool(200, None);
@@ -199,12 +206,13 @@
         let wanted = adapter(number);
         let busy = pool.rendezvous(wanted.hash(), 15).into_iter().collect();
         let mut router = router();
-        let tried = walk(&mut router, &pool, &wanted, &busy);
+        let tried = try_upstreams(&mut router, &pool, &wanted, &busy);
         assert!(!busy.contains(tried.last().unwrap()), "{tried:?}");
     }
 }
 
-/// Requests for a spread adapter begin evenly at its replicas, and not all at the first.
+/// Requests for an adapter with many replicas start evenly at all of them, not only at the
+/// first.
 #[test]
 fn order_spread_adapter_begins_evenly() {
     let (pool, mut router, wanted) = (pool(200, None), router(), adapter(1));
@@ -219,7 +227,7 @@
         assert_eq!(
             order.last(),
             Some(&home),
-            "no holder is known, so it waits at home"
+            "no upstream is known to have it, so it waits at home"
         );
     }
     assert_eq!(begun.len(), 32);
@@ -231,7 +239,7 @@
 
 /// An adapter that is no longer busy loses its replicas again.
 #[test]
-fn order_spread_falls_back_to_the_home() {
+fn order_spread_decays_to_the_home() {
     let (pool, mut router, wanted) = (pool(200, None), router(), adapter(1));
     let before = router.candidates(&pool, Some(&wanted), Millis::ZERO);
     for _ in 0..20 {
@@ -241,11 +249,12 @@
     assert_eq!(before, after);
 }
 
-/// A cold adapter that is passed on isn't spread: all nodes try the same upstreams in order.
+/// Requests for a cold adapter that is passed on aren't spread: all nodes try the same
+/// upstreams in the same order.
 #[test]
-fn order_cold_walk_is_the_same_at_every_node() {
+fn order_cold_adapter_is_the_same_at_every_node() {
     let (pool, wanted) = (pool(200, None), adapter(1));
-    let walked = |seed| {
+    let tried_by = |seed| {
         let mut router = Router::new(placement::Limits::default(), seed);
         let mut tried = Vec::new();
         for _ in 0..9 {
@@ -255,7 +264,7 @@
         }
         tried
     };
-    assert_eq!(walked(1), walked(2));
+    assert_eq!(tried_by(1), tried_by(2));
 }
 
 #[test]
@@ -281,7 +290,7 @@
 }
 
 #[test]
-fn forecast_memory_is_bounded_and_keeps_the_hot() {
+fn forecast_memory_is_bounded_and_keeps_popular() {
     let mut forecast = DemandForecast::new(100);
     for number in 0..ADAPTERS {
         let now = Millis(u64::from(number) * 10);
@@ -293,9 +302,9 @@
     assert!(forecast.rate(&adapter(0), now) > forecast.rate(&adapter(ADAPTERS - 1), now));
 }
 
-/// A scan of adapters asked for once doesn't displace one that is asked for steadily.
+/// A scan over many adapters, each requested once, doesn't displace one in steady use.
 #[test]
-fn forecast_scan_is_worth_less_than_the_steady() {
+fn forecast_scan_ranks_below_steady_use() {
     let mut forecast = DemandForecast::new(1_000);
     for round in 0..10 {
         forecast.record(&adapter(0), Class::Normal, Millis(round * 30_000));
@@ -307,9 +316,9 @@
     }
 }
 
-/// An adapter that is no longer asked for loses its rank to the one that is hot now.
+/// An adapter that is no longer requested ranks below one that is popular now.
 #[test]
-fn forecast_silence_ends_a_favourite() {
+fn forecast_idle_adapter_loses_rank() {
     let mut forecast = DemandForecast::new(1_000);
     for second in 0..3_600 {
         forecast.record(&adapter(0), Class::Normal, Millis(second * 1_000));
@@ -321,7 +330,7 @@
     assert!(forecast.rate(&adapter(1), now) > forecast.rate(&adapter(0), now));
 }
 
-/// A burst of one client account doesn't delay another account's request.
+/// A burst from one client account doesn't delay another account's request.
 #[test]
 fn queue_burst_delays_only_its_own_account() {
     let mut queue = RequestQueue::new();
@@ -368,9 +377,9 @@
     }
 }
 
-/// A full queue refuses its newest bulk request, not the urgent one that arrives.
+/// A full queue sheds its newest bulk request in favor of an arriving urgent one.
 #[test]
-fn machine_bulk_gives_way_first() {
+fn machine_bulk_is_shed_first() {
     let limits = Limits {
         slots: None,
         max_batch: 1,
@@ -385,14 +394,14 @@
     let urgent = ticket(9, "b", Class::Urgent, None);
     let actions = machine.arrive(urgent, share(1), true, Millis(2));
     let Some(Action::Refuse { id, failure }) = actions.first() else {
-        panic!("somebody gives way: {actions:?}");
+        panic!("expected a shed request: {actions:?}");
     };
     assert_eq!(failure.code, Code::Brownout);
     assert_eq!(&*id.0, "r4", "the newest of bulk");
     assert_eq!(machine.status().waiting, [1, 1, 2]);
 }
 
-/// A bulk request runs though urgent ones keep coming.
+/// A bulk request isn't starved by a steady stream of urgent ones.
 #[test]
 fn machine_bulk_is_not_starved() {
     let limits = Limits {
@@ -422,23 +431,24 @@
     panic!("bulk didn't run among 38 urgent requests");
 }
 
-/// A request whose deadline is shorter than a load is refused at once, without a load.
+/// A request whose deadline is shorter than a load is refused immediately and causes no
+/// load.
 #[test]
-fn machine_hopeless_deadline_refused_at_once() {
+fn machine_short_deadline_refused_at_once() {
     let mut machine = Machine::new(Limits::default());
     let mut short = ticket(1, "a", Class::Normal, Some(adapter(1)));
     short.deadline = Millis(1_100);
     let actions = machine.arrive(short, share(1), true, Millis(1_000));
     let [Action::Refuse { failure, .. }] = actions.as_slice() else {
-        panic!("refused at once: {actions:?}");
+        panic!("expected a refusal: {actions:?}");
     };
     assert_eq!(failure.code, Code::DeadlineTooShort);
     assert!(failure.retry_after.is_some());
 }
 
-/// A permit for a load that nobody waits for any more is given back.
+/// A permit for a load that no request waits for any more is returned.
 #[test]
-fn machine_unwanted_leave_is_given_back() {
+fn machine_unwanted_permit_is_returned() {
     let mut machine = Machine::new(Limits::default());
     let wanted = adapter(1);
     let waiting = ticket(1, "a", Class::Normal, Some(wanted.clone()));
@@ -452,7 +462,7 @@
     assert_eq!(machine.granted(&wanted, Millis(2)), [back]);
 }
 
-/// An attempt that arrives twice is queued or run once.
+/// An attempt that arrives twice is queued or run only once.
 #[test]
 fn machine_same_id_is_taken_once() {
     let limits = Limits {
@@ -474,21 +484,22 @@
 fn machine_waiters_share_one_load() {
     let mut machine = Machine::new(Limits::default());
     let wanted = adapter(1);
-    let mut asks = 0;
+    let mut requests = 0;
     for id in 0..3 {
         let ticket = ticket(id, "a", Class::Normal, Some(wanted.clone()));
         let actions = machine.arrive(ticket, share(1), true, Millis(u64::from(id)));
-        asks += actions.len();
+        requests += actions.len();
     }
-    assert!(asks <= 3, "replaced asks, not more loads");
+    assert!(requests <= 3, "updated requests, not more loads");
     assert_eq!(machine.granted(&wanted, Millis(5)).len(), 1);
     let actions = machine.loaded(&wanted, true, Millis(300));
     assert_eq!(starts(&actions).len(), 3);
 }
 
-/// A slot whose adapter is never idle is drained for a request that waits for another adapter.
+/// A slot whose adapter is never idle is drained for a request that waits for another
+/// adapter.
 #[test]
-fn machine_busy_slot_drains_for_who_waits() {
+fn machine_busy_slot_drains_for_waiting_request() {
     let limits = Limits {
         slots: Some(1),
         ..Limits::default()
@@ -501,7 +512,7 @@
     let _ = machine.loaded(&busy, true, Millis::ZERO);
     let waiting = ticket(1, "a", Class::Normal, Some(other.clone()));
     let _ = machine.arrive(waiting, share(1), true, Millis(1));
-    // Each request of the busy adapter overlaps the next one.
+    // Each request for the busy adapter overlaps the next one.
     for id in 2..20 {
         let now = Millis(u64::from(id) * 500);
         let next = ticket(id, "a", Class::Normal, Some(busy.clone()));
@@ -509,15 +520,16 @@
         let ended = if id == 2 { 0 } else { id - 1 };
         let ended = Id(Arc::from(format!("r{ended}")));
         actions.extend(machine.finished(&ended, now + Millis(100)));
-        let asks = |action: &Action| matches!(action, Action::RequestPermit { adapter, .. } if *adapter == other);
-        if actions.iter().any(asks) {
+        let requests = |action: &Action| matches!(action, Action::RequestPermit { adapter, .. } if *adapter == other);
+        if actions.iter().any(requests) {
             return;
         }
     }
-    panic!("the slot was never given up");
+    panic!("the slot was never drained");
 }
 
-/// A failed load is tried again only after a backoff, and its waiters aren't kept for ever.
+/// A failed load is retried only after a backoff, and its waiting requests aren't kept
+/// forever.
 #[test]
 fn machine_failed_load_backs_off() {
     let mut machine = Machine::new(Limits::default());
@@ -535,14 +547,15 @@
     let _ = machine.granted(&wanted, again);
     let actions = machine.loaded(&wanted, false, again + Millis(100));
     let [Action::Refuse { failure, .. }] = actions.as_slice() else {
-        panic!("after two failures the waiters try elsewhere: {actions:?}");
+        panic!("expected a refusal after two failed loads: {actions:?}");
     };
     assert_eq!(failure.code, Code::LoadFailed);
 }
 
-/// A pin from before a restart doesn't unpin the adapter that was loaded anew and is in use.
+/// A pin from before a restart doesn't release the adapter after it was loaded again and is
+/// in use.
 #[test]
-fn slots_old_pin_frees_no_new_filling() {
+fn slots_old_pin_keeps_new_generation() {
     let mut table = SlotTable::new(1);
     let (used, other) = (adapter(1), adapter(2));
     assert!(table.begin_load(&used, None, Millis::ZERO) && table.end_load(&used, true, Millis(1)));
@@ -553,13 +566,13 @@
     table.unpin(&used, old);
     assert!(
         !table.begin_load(&other, Some(&used), Millis(4)),
-        "it is in use"
+        "the adapter is in use"
     );
 }
 
-/// A report from before an eviction or a load doesn't override what happened since.
+/// A report that predates an eviction or a load doesn't revert it.
 #[test]
-fn slots_stale_report_brings_nothing_back() {
+fn slots_stale_report_reverts_nothing() {
     let mut table = SlotTable::new(2);
     let (first, second) = (adapter(1), adapter(2));
     table.begin_load(&first, None, Millis(1));
@@ -572,7 +585,7 @@
     assert!(table.is_resident(&second), "loaded after the report");
 }
 
-fn ask(class: Option<Class>, waiters: u32, stall_savings: u64) -> PermitRequest {
+fn permit_request(class: Option<Class>, waiters: u32, stall_savings: u64) -> PermitRequest {
     PermitRequest {
         upstream: Arc::from("e"),
         adapter: adapter(1),
@@ -588,28 +601,37 @@
 fn loads_order_by_urgency_then_waiters_then_prefetch() {
     let mut queue = loads::LoadQueue::new(loads::Limits::default());
     let now = Millis::ZERO;
-    queue.enqueue((0, 1), ask(None, 0, 1_000_000), now);
-    queue.enqueue((0, 2), ask(Some(Class::Normal), 1, 60_000), now);
-    queue.enqueue((0, 3), ask(Some(Class::Normal), 5, 300_000), now);
-    queue.enqueue((0, 4), ask(Some(Class::Urgent), 1, 20_000), now);
+    queue.enqueue((0, 1), permit_request(None, 0, 1_000_000), now);
+    queue.enqueue((0, 2), permit_request(Some(Class::Normal), 1, 60_000), now);
+    queue.enqueue((0, 3), permit_request(Some(Class::Normal), 5, 300_000), now);
+    queue.enqueue((0, 4), permit_request(Some(Class::Urgent), 1, 20_000), now);
     let mut order = Vec::new();
     while let Some((key, _)) = queue.next(now) {
         assert!(queue.next(now).is_none(), "one at a time");
         queue.done(key);
         order.push(key.1);
     }
-    // The first grant is a class's turn; all turns are equal at the start.
+    // The first grant is a fair turn; all classes are equal at that point, so the urgent
+    // one goes first.
     assert_eq!(order, [4, 3, 2, 1]);
 }
 
-/// A bulk load gets its turn though urgent loads keep coming.
+/// A bulk load gets a fair turn despite a steady stream of urgent loads.
 #[test]
-fn loads_each_class_has_its_turn() {
+fn loads_each_class_gets_a_fair_turn() {
     let mut queue = loads::LoadQueue::new(loads::Limits::default());
-    queue.enqueue((0, 0), ask(Some(Class::Bulk), 1, 600_000), Millis::ZERO);
+    queue.enqueue(
+        (0, 0),
+        permit_request(Some(Class::Bulk), 1, 600_000),
+        Millis::ZERO,
+    );
     for number in 1..40 {
         let now = Millis(number * 300);
-        queue.enqueue((1, number), ask(Some(Class::Urgent), 1, 20_000), now);
+        queue.enqueue(
+            (1, number),
+            permit_request(Some(Class::Urgent), 1, 20_000),
+            now,
+        );
         let (key, _) = queue.next(now).unwrap();
         queue.done(key);
         if key == (0, 0) {
@@ -619,21 +641,29 @@
     panic!("bulk wasn't served in 39 grants");
 }
 
-/// A permit whose holder never reports ends by itself, so that others may load.
+/// A permit whose holder never reports the outcome times out, so that others can load.
 #[test]
-fn loads_lost_leave_ends() {
+fn loads_lost_permit_times_out() {
     let mut queue = loads::LoadQueue::new(loads::Limits::default());
-    queue.enqueue((0, 1), ask(Some(Class::Normal), 1, 1), Millis::ZERO);
-    queue.enqueue((0, 2), ask(Some(Class::Normal), 1, 1), Millis::ZERO);
+    queue.enqueue(
+        (0, 1),
+        permit_request(Some(Class::Normal), 1, 1),
+        Millis::ZERO,
+    );
+    queue.enqueue(
+        (0, 2),
+        permit_request(Some(Class::Normal), 1, 1),
+        Millis::ZERO,
+    );
     assert!(queue.next(Millis::ZERO).is_some());
     let until = queue.next_wakeup().unwrap();
     assert!(queue.next(until).is_some());
     assert_eq!(queue.lost(), 1);
 }
 
-/// Under congestion the load that still gains most goes first, not the oldest.
+/// Under congestion, the load that saves the most stall time goes first, not the oldest.
 #[test]
-fn loads_congested_serves_what_still_gains() {
+fn loads_congested_serves_largest_savings() {
     let limits = loads::Limits {
         congestion_threshold: Millis::ZERO,
         fair_turn_interval: 0,
@@ -643,7 +673,7 @@
     for number in 0..10 {
         queue.enqueue(
             (0, number),
-            ask(Some(Class::Normal), 1, 120_000),
+            permit_request(Some(Class::Normal), 1, 120_000),
             Millis::ZERO,
         );
     }
@@ -652,13 +682,14 @@
         queue.done(key);
     }
     let now = Millis(50_000);
-    queue.enqueue((1, 0), ask(Some(Class::Normal), 1, 120_000), now);
+    queue.enqueue((1, 0), permit_request(Some(Class::Normal), 1, 120_000), now);
     assert_eq!(queue.next(now).unwrap().0, (1, 0));
 }
 
-/// A batch too slow for a request's deadline counts as busy, so that another upstream is tried.
+/// If the batch is too full to meet a request's deadline, the upstream responds that it is
+/// busy, so that another one is tried.
 #[test]
-fn arrive_passes_on_what_a_large_batch_would_answer_late() {
+fn arrive_full_batch_past_deadline_is_busy() {
     let wanted = adapter(1);
     let mut machine = Machine::new(Limits {
         max_batch: 8,
@@ -672,7 +703,7 @@
     let _ = arrive(&mut machine, 0, Millis(600_000), true, Millis::ZERO);
     let _ = machine.granted(&wanted, Millis::ZERO);
     let _ = machine.loaded(&wanted, true, Millis::ZERO);
-    // Its answer of 100 tokens took 10 s.
+    // The response of 100 tokens took 10 s, which sets the estimated service time.
     let _ = machine.finished(&Id(Arc::from("r0")), Millis(10_000));
     let (now, soon) = (Millis(10_000), Millis(19_000));
     for id in 1..=2 {
@@ -690,5 +721,5 @@
         .collect();
     assert_eq!(codes, [Code::Busy]);
     let last = arrive(&mut machine, 5, soon, true, now);
-    assert_eq!(starts(&last).len(), 1, "nobody else will take it");
+    assert_eq!(starts(&last).len(), 1, "no other upstream will take it");
 }
--- a/lib/tests/test_policy_upstream.rs
+++ b/lib/tests/test_policy_upstream.rs
@@ -1,4 +1,4 @@
-//! The machine of one upstream against a simple oracle, under random events.
+//! Property tests of an upstream's state machine against an oracle, under random events.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -11,9 +11,9 @@
 use chivevalve::runner::Share;
 use quickcheck::{Arbitrary, Gen};
 
-/// Sequences that each property tries.
+/// Number of random sequences per property.
 const RUNS: u64 = 400;
-/// Events in a sequence.
+/// Number of events per sequence.
 const EVENTS: usize = 300;
 
 #[derive(Debug, Clone)]
@@ -23,7 +23,7 @@
         account: u8,
         class: u32,
         weight: u32,
-        patience: u64,
+        time_left: u64,
         last: bool,
     },
     Grant(u8),
@@ -45,7 +45,7 @@
                 account: u8::arbitrary(g) % 3,
                 class: u32::from(u8::arbitrary(g) % 3),
                 weight: 1 + u32::from(u8::arbitrary(g) % 3),
-                patience: 50 + u64::from(u16::arbitrary(g) % 8_000),
+                time_left: 50 + u64::from(u16::arbitrary(g) % 8_000),
                 last: bool::arbitrary(g),
             },
             9..=12 => Self::Grant(byte),
@@ -76,20 +76,20 @@
     }
 }
 
-/// Where each request stands, told only from events and orders.
+/// The expected state of each request and adapter, derived only from events and actions.
 #[derive(Debug)]
 struct Oracle {
     limits: Limits,
     machine: Machine,
     now: Millis,
-    serial: u32,
+    arrivals: u32,
     waiting: BTreeMap<Id, Ticket>,
-    /// With the engine's start that each runs in.
+    /// Adapter of each running request, and the engine start that it runs in.
     running: BTreeMap<Id, (Option<Adapter>, u32)>,
     resident: BTreeSet<Adapter>,
     loading: BTreeSet<Adapter>,
-    asked: BTreeSet<Adapter>,
-    boot: u32,
+    requested: BTreeSet<Adapter>,
+    engine_start: u32,
     started: u32,
     refused: u32,
     cancelled: u32,
@@ -101,13 +101,13 @@
             machine: Machine::new(limits.clone()),
             limits,
             now: Millis(1_000),
-            serial: 0,
+            arrivals: 0,
             waiting: BTreeMap::new(),
             running: BTreeMap::new(),
             resident: BTreeSet::new(),
             loading: BTreeSet::new(),
-            asked: BTreeSet::new(),
-            boot: 0,
+            requested: BTreeSet::new(),
+            engine_start: 0,
             started: 0,
             refused: 0,
             cancelled: 0,
@@ -120,15 +120,15 @@
             account,
             class,
             weight,
-            patience,
+            time_left,
             last,
         } = event
         else {
-            panic!("an arrival is wanted");
+            panic!("not an arrival: {event:?}");
         };
-        self.serial += 1;
+        self.arrivals += 1;
         let ticket = Ticket {
-            id: Id(Arc::from(format!("r{}", self.serial))),
+            id: Id(Arc::from(format!("r{}", self.arrivals))),
             account: Arc::from(format!("account{account}")),
             template: Arc::from("t"),
             pool: Arc::from("p"),
@@ -136,7 +136,7 @@
             class: Class::from_index(class),
             weight,
             idempotent: true,
-            deadline: self.now + Millis(patience),
+            deadline: self.now + Millis(time_left),
             prompt_tokens: 10,
             max_output_tokens: 20,
             revision: 1,
@@ -150,29 +150,29 @@
                 let (ticket, last) = self.ticket(event);
                 self.waiting.insert(ticket.id.clone(), ticket.clone());
                 let actions = self.machine.arrive(ticket, share(), last, self.now);
-                self.follow(actions);
+                self.apply_actions(actions);
             }
             Event::Grant(nth) => self.grant(*nth),
             Event::LoadEnd(nth, ok) => self.end_load(*nth, *ok),
             Event::Finish(nth) => self.finish(*nth, 1),
             Event::FinishTwice(nth) => self.finish(*nth, 2),
             Event::Cancel(nth) => {
-                if let Some(id) = nth_of(self.waiting.keys(), *nth) {
+                if let Some(id) = nth_item(self.waiting.keys(), *nth) {
                     self.waiting.remove(&id);
                     self.cancelled += 1;
                     let actions = self.machine.cancelled(&id, self.now);
-                    self.follow(actions);
+                    self.apply_actions(actions);
                 }
             }
             Event::Restart => {
-                self.boot += 1;
+                self.engine_start += 1;
                 self.resident.clear();
                 self.loading.clear();
                 let actions = self.machine.engine_restarted(self.now);
-                self.follow(actions);
+                self.apply_actions(actions);
             }
             Event::Report(stale) => {
-                // A stale report knows nothing of what came of late; it must change nothing.
+                // A stale report doesn't include recent changes; it must have no effect.
                 let listed: Vec<_> = self.resident.iter().cloned().collect();
                 let (listed, as_of) = if *stale {
                     (Vec::new(), Millis::ZERO)
@@ -180,7 +180,7 @@
                     (listed, self.now)
                 };
                 let actions = self.machine.engine_reported(&listed, as_of, self.now);
-                self.follow(actions);
+                self.apply_actions(actions);
             }
             Event::Wait(span) => {
                 let until = self.now + Millis(*span);
@@ -190,25 +190,25 @@
         self.check();
     }
 
-    /// Lets time pass, waking the machine only when it asks to be woken.
+    /// Advances time, waking the machine only when it asks for it.
     fn wait(&mut self, until: Millis) {
         while let Some(wakeup) = self.machine.next_wakeup().filter(|at| *at <= until) {
             self.now = self.now.max(wakeup);
             let actions = self.machine.tick(self.now);
-            self.follow(actions);
+            self.apply_actions(actions);
             assert!(
                 self.machine.next_wakeup().is_none_or(|at| at > self.now),
-                "the machine asks to be woken at once again"
+                "the next wakeup must be in the future"
             );
         }
         self.now = until;
         let actions = self.machine.tick(self.now);
-        self.follow(actions);
+        self.apply_actions(actions);
     }
 
     fn grant(&mut self, nth: u8) {
-        if let Some(adapter) = nth_of(self.asked.iter(), nth) {
-            self.asked.remove(&adapter);
+        if let Some(adapter) = nth_item(self.requested.iter(), nth) {
+            self.requested.remove(&adapter);
             let actions = self.machine.granted(&adapter, self.now);
             let used = actions.iter().any(|action| match action {
                 Action::Load { adapter: used, .. } | Action::CancelPermit { adapter: used } => {
@@ -216,33 +216,33 @@
                 }
                 _ => false,
             });
-            assert!(used, "leave is neither used nor given back");
-            self.follow(actions);
+            assert!(used, "the permit is neither used nor returned");
+            self.apply_actions(actions);
         }
     }
 
     fn end_load(&mut self, nth: u8, ok: bool) {
-        if let Some(adapter) = nth_of(self.loading.iter(), nth) {
+        if let Some(adapter) = nth_item(self.loading.iter(), nth) {
             self.loading.remove(&adapter);
             if ok {
                 self.resident.insert(adapter.clone());
             }
             let actions = self.machine.loaded(&adapter, ok, self.now);
-            self.follow(actions);
+            self.apply_actions(actions);
         }
     }
 
     fn finish(&mut self, nth: u8, times: u32) {
-        if let Some(id) = nth_of(self.running.keys(), nth) {
+        if let Some(id) = nth_item(self.running.keys(), nth) {
             self.running.remove(&id);
             for _ in 0..times {
                 let actions = self.machine.finished(&id, self.now);
-                self.follow(actions);
+                self.apply_actions(actions);
             }
         }
     }
 
-    fn follow(&mut self, actions: Vec<Action>) {
+    fn apply_actions(&mut self, actions: Vec<Action>) {
         for action in actions {
             match action {
                 Action::Start { id, .. } => self.start(&id),
@@ -254,10 +254,10 @@
                 Action::RequestPermit { adapter, .. } => {
                     assert!(!self.resident.contains(&adapter), "{adapter} is resident");
                     assert!(!self.loading.contains(&adapter), "{adapter} is loading");
-                    self.asked.insert(adapter);
+                    self.requested.insert(adapter);
                 }
                 Action::CancelPermit { adapter } => {
-                    self.asked.remove(&adapter);
+                    self.requested.remove(&adapter);
                 }
                 Action::Load { adapter, evict } => self.load(adapter, evict),
             }
@@ -270,17 +270,17 @@
             assert!(self.resident.contains(adapter), "{adapter} isn't resident");
         }
         assert!(self.now < ticket.deadline, "{id} starts after its deadline");
-        self.running.insert(id.clone(), (ticket.adapter, self.boot));
+        self.running
+            .insert(id.clone(), (ticket.adapter, self.engine_start));
         assert!(self.running.len() <= self.limits.max_batch as usize);
         self.started += 1;
     }
 
     fn load(&mut self, adapter: Adapter, evict: Option<Adapter>) {
         if let Some(victim) = evict {
-            let used = self
-                .running
-                .values()
-                .any(|(used, boot)| used.as_ref() == Some(&victim) && *boot == self.boot);
+            let used = self.running.values().any(|(used, engine_start)| {
+                used.as_ref() == Some(&victim) && *engine_start == self.engine_start
+            });
             assert!(!used, "{victim} is in use and evicted");
             assert!(self.resident.remove(&victim), "{victim} isn't resident");
         }
@@ -295,12 +295,12 @@
         assert_eq!(
             waiting as usize,
             self.waiting.len(),
-            "requests lost or doubled"
+            "requests lost or duplicated"
         );
         assert_eq!(status.running as usize, self.running.len());
         assert_eq!(
             status.asked.iter().collect::<BTreeSet<_>>(),
-            self.asked.iter().collect::<BTreeSet<_>>()
+            self.requested.iter().collect::<BTreeSet<_>>()
         );
         let resident: BTreeSet<_> = status.resident.into_iter().map(|(name, _)| name).collect();
         assert_eq!(resident, self.resident);
@@ -311,7 +311,7 @@
         }
     }
 
-    /// Runs on until nothing waits or runs; every request must have had its end.
+    /// Continues until no request waits or runs, and checks that every request has ended.
     fn settle(&mut self) {
         for _ in 0..2_000 {
             if self.machine.is_idle() {
@@ -324,11 +324,11 @@
             self.check();
         }
         assert!(self.waiting.is_empty() && self.running.is_empty());
-        assert_eq!(self.started + self.refused + self.cancelled, self.serial);
+        assert_eq!(self.started + self.refused + self.cancelled, self.arrivals);
     }
 }
 
-fn nth_of<'a, T: Clone + 'a>(items: impl Iterator<Item = &'a T>, nth: u8) -> Option<T> {
+fn nth_item<'a, T: Clone + 'a>(items: impl Iterator<Item = &'a T>, nth: u8) -> Option<T> {
     let items: Vec<_> = items.collect();
     let index = usize::from(nth) % items.len().max(1);
     items.get(index).map(|item| (*item).clone())
@@ -385,23 +385,23 @@
 }
 
 #[test]
-fn machine_leave_refuses_all() {
+fn machine_close_refuses_all() {
     let mut oracle = Oracle::new(limits());
     let mut g = Gen::from_size_and_seed(EVENTS, 7);
     for _ in 0..EVENTS {
         oracle.apply(&Event::arbitrary(&mut g));
     }
     let actions = oracle.machine.close(Code::UpstreamLeaving);
-    oracle.follow(actions);
+    oracle.apply_actions(actions);
     assert!(oracle.waiting.is_empty());
-    assert!(oracle.asked.is_empty());
+    assert!(oracle.requested.is_empty());
     let running = oracle.running.len();
     oracle.apply(&Event::Arrive {
         adapter: 0,
         account: 0,
         class: 0,
         weight: 1,
-        patience: 1_000,
+        time_left: 1_000,
         last: true,
     });
     assert_eq!(oracle.running.len(), running);
