--- a/lib/src/loads/queue.rs
+++ b/lib/src/loads/queue.rs
@@ -21,7 +21,7 @@
 use crate::policy::loads::RequestKey;
 
 /// Capacity of the actor's mailbox, in messages.
-const MAILBOX: usize = 1024;
+const MAILBOX_CAPACITY: usize = 1024;
 
 /// Limits of the permit queue.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -54,7 +54,7 @@
         let (released_sender, released_receiver) = mpsc::unbounded_channel();
         let actor = PermitActor::spawn_with_mailbox(
             (limits, clock, released_receiver),
-            mailbox::bounded(MAILBOX),
+            mailbox::bounded(MAILBOX_CAPACITY),
         );
         Self {
             actor,
@@ -190,10 +190,10 @@
             return None;
         }
         let now = self.clock.now();
-        let spaced = (now < self.next_start_at).then_some(self.next_start_at);
+        let earliest_start = (now < self.next_start_at).then_some(self.next_start_at);
         let next = self.queue.next_wakeup();
         // Nothing can be granted before the later of the two.
-        spaced.max(next).map(|at| at.since(now))
+        earliest_start.max(next).map(|at| at.since(now))
     }
 
     fn release(&mut self, key: RequestKey) {
--- a/lib/src/policy/placement.rs
+++ b/lib/src/policy/placement.rs
@@ -132,9 +132,9 @@
             scores.truncate(count);
         }
         scores.sort_unstable_by(|a, b| b.cmp(a));
-        let begun = first.len();
+        let ranked = first.len();
         for (_, index) in scores {
-            if !first[..begun].contains(&index) {
+            if !first[..ranked].contains(&index) {
                 first.push(index);
             }
         }
@@ -223,7 +223,7 @@
 
 impl Router {
     /// Creates a router without hints. The seed distributes calls to plain services, and
-    /// must differ between nodes.
+    /// should differ between nodes.
     #[must_use]
     pub fn new(limits: Limits, seed: u64) -> Self {
         let replicas =
@@ -259,8 +259,8 @@
         if replicas >= EVEN_SPREAD_REPLICAS {
             return self.evenly_spread(pool, key, replicas as usize, now);
         }
-        let most = self.limits.max_replicas as usize;
-        let order = pool.rendezvous(key, most.clamp(1, MAX_CANDIDATES - 1));
+        let max_replicas = self.limits.max_replicas as usize;
+        let order = pool.rendezvous(key, max_replicas.clamp(1, MAX_CANDIDATES - 1));
         self.with_home_last(pool, key, order, now)
     }
 
--- a/lib/src/policy/replicas.rs
+++ b/lib/src/policy/replicas.rs
@@ -72,8 +72,7 @@
         );
     }
 
-    /// Returns the number of adapters with a replica count above 1 that may not have
-    /// decayed yet.
+    /// Returns the number of adapters in the table.
     #[must_use]
     pub fn len(&self) -> usize {
         self.counts.len()
--- a/lib/src/policy/service_time.rs
+++ b/lib/src/policy/service_time.rs
@@ -58,8 +58,8 @@
 
     /// Records the start of a request of this class.
     pub fn record_started(&mut self, class: Class) {
-        let urgent_share = class == Class::Urgent;
-        self.urgent_share.add(f64::from(u8::from(urgent_share)));
+        let is_urgent = class == Class::Urgent;
+        self.urgent_share.add(f64::from(u8::from(is_urgent)));
     }
 
     /// Returns how many requests may run before requests of this class have to wait.
--- a/lib/src/policy/slots.rs
+++ b/lib/src/policy/slots.rs
@@ -50,7 +50,7 @@
 #[derive(Debug, Clone, Copy)]
 struct Backoff {
     failures: u32,
-    until: Millis,
+    retry_at: Millis,
 }
 
 /// The slots of one engine.
@@ -251,7 +251,7 @@
     /// Returns when the adapter may be loaded again after failed loads.
     #[must_use]
     pub fn retry_at(&self, adapter: &Adapter) -> Option<Millis> {
-        self.backoffs.get(adapter).map(|backoff| backoff.until)
+        self.backoffs.get(adapter).map(|backoff| backoff.retry_at)
     }
 
     /// Returns the number of consecutive failed loads of the adapter.
@@ -316,13 +316,13 @@
 
     fn back_off(&mut self, adapter: &Adapter, now: Millis) {
         if self.backoffs.len() >= MAX_REMEMBERED_ADAPTERS {
-            self.backoffs.retain(|_, backoff| now < backoff.until);
+            self.backoffs.retain(|_, backoff| now < backoff.retry_at);
         }
         let failures = self.failures(adapter).saturating_add(1);
         let wait = Millis(INITIAL_BACKOFF.0 << failures.saturating_sub(1).min(16)).min(MAX_BACKOFF);
         let backoff = Backoff {
             failures,
-            until: now + wait,
+            retry_at: now + wait,
         };
         self.backoffs.insert(adapter.clone(), backoff);
     }
--- a/lib/src/policy/upstream/admit.rs
+++ b/lib/src/policy/upstream/admit.rs
@@ -163,9 +163,9 @@
         {
             return true;
         }
-        let own = self.forecast.rate(adapter, now);
+        let demand = self.forecast.rate(adapter, now);
         let victim_demand = self.victim(now).map(|(_, demand)| demand);
-        victim_demand.is_some_and(|victim_demand| victim_demand <= own * ratio)
+        victim_demand.is_some_and(|victim_demand| victim_demand <= demand * ratio)
     }
 
     /// Returns the expected wait of a ready request of this class.
--- a/lib/src/policy/upstream/load.rs
+++ b/lib/src/policy/upstream/load.rs
@@ -17,7 +17,7 @@
 const MAX_LOAD_FAILURES: u32 = 2;
 /// Adapters with a lower demand, in requests per millisecond, are only loaded if a request
 /// waits for them.
-pub(super) const PREFETCH_DEMAND: f64 = 1.0 / 300_000.0;
+pub(super) const MIN_PREFETCH_DEMAND: f64 = 1.0 / 300_000.0;
 /// How long a request waits before a slot in use is drained for it.
 const DRAIN_AFTER: Millis = Millis::from_secs(2);
 
@@ -75,8 +75,13 @@
             // A waiting request turns a refill into a regular load.
             self.refills.remove(&adapter);
             if let Some(demand) = self.demand_for(&adapter, now) {
-                self.pending_permits
-                    .insert(adapter.clone(), PendingPermit { at: now, demand });
+                self.pending_permits.insert(
+                    adapter.clone(),
+                    PendingPermit {
+                        requested_at: now,
+                        demand,
+                    },
+                );
                 actions.push(Action::RequestPermit { adapter, demand });
             }
         }
@@ -105,7 +110,7 @@
             return;
         };
         self.refills.remove(&adapter);
-        if rate < PREFETCH_DEMAND {
+        if rate < MIN_PREFETCH_DEMAND {
             self.refills.clear();
             return;
         }
@@ -116,12 +121,18 @@
             waited: Millis::ZERO,
             stall_savings: expected_stall_savings(rate),
         };
-        self.pending_permits
-            .insert(adapter.clone(), PendingPermit { at: now, demand });
+        self.pending_permits.insert(
+            adapter.clone(),
+            PendingPermit {
+                requested_at: now,
+                demand,
+            },
+        );
         actions.push(Action::RequestPermit { adapter, demand });
     }
 
-    /// Updates a permit request whose urgency has changed clearly.
+    /// Updates a permit request if its stall savings have grown by more than a quarter, if
+    /// fewer requests wait, or if its class has changed.
     pub(super) fn update_permit_request(
         &mut self,
         adapter: &Adapter,
@@ -137,9 +148,14 @@
         let grown = demand.stall_savings.0 > pending.demand.stall_savings.0.saturating_mul(5) / 4;
         let fewer = demand.waiters < pending.demand.waiters;
         if grown || fewer || demand.class != pending.demand.class {
-            let at = pending.at;
-            self.pending_permits
-                .insert(adapter.clone(), PendingPermit { at, demand });
+            let requested_at = pending.requested_at;
+            self.pending_permits.insert(
+                adapter.clone(),
+                PendingPermit {
+                    requested_at,
+                    demand,
+                },
+            );
             actions.push(Action::RequestPermit {
                 adapter: adapter.clone(),
                 demand,
@@ -327,7 +343,7 @@
         }
     }
 
-    /// Returns a draining slot to use when no other adapter needs it any more.
+    /// Puts a draining slot back into use when no other adapter needs it any more.
     pub(super) fn undrain(&mut self, now: Millis) {
         let draining = self
             .slots
@@ -370,11 +386,11 @@
     /// others wait.
     fn drain_one_slot(&mut self, now: Millis) {
         // Only one at a time: a load in progress or a draining slot may be enough.
-        let settled = self
+        let all_resident = self
             .slots
             .iter()
             .all(|(_, state, _)| state == SlotState::Resident);
-        if !settled {
+        if !all_resident {
             return;
         }
         if self.drain_at().is_none_or(|at| at > now) {
--- a/lib/src/policy/upstream/mod.rs
+++ b/lib/src/policy/upstream/mod.rs
@@ -143,14 +143,14 @@
 struct RunningRequest {
     account: Name,
     cost: u64,
-    started: Millis,
+    started_at: Millis,
     pin: Option<(Adapter, Pin)>,
 }
 
 /// A permit request in the weight store's queue.
 #[derive(Debug, Clone, Copy)]
 struct PendingPermit {
-    at: Millis,
+    requested_at: Millis,
     demand: Demand,
 }
 
@@ -274,7 +274,7 @@
         // the service time.
         if running.cost > 0 {
             self.service
-                .record_completed(running.cost, now.since(running.started));
+                .record_completed(running.cost, now.since(running.started_at));
         }
         if let Some((adapter, pin)) = running.pin {
             self.slots.unpin(&adapter, pin);
@@ -373,7 +373,7 @@
             .filter_map(|adapter| self.slots.retry_at(adapter))
             .filter(later)
             .min();
-        let batch_start = self.held_until().filter(later);
+        let batch_start = self.delayed_until().filter(later);
         let drain = self.drain_at().filter(later);
         [self.queue.next_deadline(), backoffs, batch_start, drain]
             .into_iter()
--- a/lib/src/policy/upstream/prefetch.rs
+++ b/lib/src/policy/upstream/prefetch.rs
@@ -1,6 +1,6 @@
 //! Prefetches adapters before a change of templates, so that the switch causes no stall.
 
-use super::load::{PREFETCH_DEMAND, expected_stall_savings};
+use super::load::{MIN_PREFETCH_DEMAND, expected_stall_savings};
 use super::{Action, Demand, Machine, PendingPermit};
 use crate::adapter::Adapter;
 use crate::clock::Millis;
@@ -20,7 +20,7 @@
     ) -> Vec<Action> {
         let mut actions = Vec::new();
         let wanted = self.slots.is_resident(old) && self.slots.state(new).is_none();
-        if wanted && self.forecast.rate(old, now) >= PREFETCH_DEMAND {
+        if wanted && self.forecast.rate(old, now) >= MIN_PREFETCH_DEMAND {
             self.forecast.inherit(old, new, now);
             self.prefetches.insert(new.clone());
         }
@@ -50,8 +50,13 @@
                 waited: Millis::ZERO,
                 stall_savings: expected_stall_savings(self.forecast.rate(&adapter, now)),
             };
-            self.pending_permits
-                .insert(adapter.clone(), PendingPermit { at: now, demand });
+            self.pending_permits.insert(
+                adapter.clone(),
+                PendingPermit {
+                    requested_at: now,
+                    demand,
+                },
+            );
             actions.push(Action::RequestPermit { adapter, demand });
         }
     }
--- a/lib/src/policy/upstream/start.rs
+++ b/lib/src/policy/upstream/start.rs
@@ -41,7 +41,7 @@
         let running = RunningRequest {
             account,
             cost: 0,
-            started: now,
+            started_at: now,
             pin: self
                 .slots
                 .pin_running(adapter)
@@ -94,7 +94,7 @@
             }
         }
         for class in Class::ALL {
-            if running >= self.max_running(class) as usize || self.is_held(class, now) {
+            if running >= self.max_running(class) as usize || self.is_delayed(class, now) {
                 continue;
             }
             if let Some(entry) = self.pop_class(class) {
@@ -140,7 +140,7 @@
         let running = RunningRequest {
             account: ticket.account,
             cost,
-            started: now,
+            started_at: now,
             pin,
         };
         self.running.insert(ticket.id.clone(), running);
@@ -152,11 +152,11 @@
     }
 
     /// Returns whether requests of a class are delayed to form a batch.
-    fn is_held(&mut self, class: Class, now: Millis) -> bool {
+    fn is_delayed(&mut self, class: Class, now: Millis) -> bool {
         if class != Class::Bulk {
             return false;
         }
-        match self.held_until() {
+        match self.delayed_until() {
             Some(until) if now < until => true,
             Some(_) => {
                 // All bulk requests that are ready start together with the oldest one.
@@ -172,7 +172,7 @@
     /// A step takes an engine nearly the same time for one request as for many, so an idle
     /// engine waits until there is a batch to run. Once any request runs, bulk work joins
     /// it immediately.
-    pub(super) fn held_until(&self) -> Option<Millis> {
+    pub(super) fn delayed_until(&self) -> Option<Millis> {
         let ready = self.queue.ready_count(Class::Bulk);
         if self.limits.batch_weight == 0
             || self.batch_released
