--- a/lib/src/loads/shared.rs
+++ b/lib/src/loads/shared.rs
@@ -1,10 +1,11 @@
-//! Permits to load from wherever it can be had: the queue's owner, this node or a
-//! peer, and while it can't be reached a small share of the rate.
+//! Permits from the queue's owner, whether this node or a peer, or from a local fallback
+//! queue at a fraction of the rate while the owner can't be reached.
 //!
-//! The queue's owner can be dead or cut off for seconds. All loads would stop
-//! then, and every cold adapter with them. A node that can't reach it goes on at
-//! the store's rate divided by the number of nodes, so that all of them together
-//! don't ask the store for more than it gives. See docs/design/0001-one-owner-per-upstream.md.
+//! The queue's owner can be down or unreachable for seconds. Without a fallback, all loads
+//! would stop, and with them all requests for adapters that aren't resident. A node that
+//! can't reach the owner continues at the store's rate divided by the number of nodes, so
+//! that all nodes together don't exceed the store's capacity. See
+//! docs/design/0001-one-owner-per-upstream.md.
 
 use std::collections::HashSet;
 use std::sync::Arc;
@@ -22,112 +23,114 @@
 use crate::peer::{Clients, Remote};
 use crate::policy;
 
-/// Loads that a lost holder of a permit may hold up, in loads at the store's rate.
-const TIMEOUT_LOADS: u64 = 10;
+/// Timeout of a permit whose holder is lost, in loads at the store's rate.
+const PERMIT_TIMEOUT_LOADS: u64 = 10;
 
-/// Time between two tries of an owner that gives no permit.
-const OWNER_AGAIN: Millis = Millis::from_secs(2);
+/// Pause between attempts to get a permit from the owner after a failure.
+const OWNER_RETRY_PAUSE: Millis = Millis::from_secs(2);
 
-/// What the shared queue works with.
+/// Dependencies of the shared queue.
 #[derive(Debug, Clone)]
 pub struct Dependencies {
-    /// This node's name.
+    /// The name of this node.
     pub node: Name,
-    /// Who owns what.
+    /// The fleet, with the owner of each upstream.
     pub fleet: watch::Receiver<Arc<Fleet>>,
-    /// The ways to peers.
+    /// Clients for peer connections.
     pub clients: Arc<Clients>,
     /// The node's clock.
     pub clock: Arc<dyn Clock>,
-    /// The store's rate: loads a second, in thousandths.
+    /// The store's rate in loads per 1000 seconds.
     pub loads_per_kilosecond: u32,
 }
 
-/// Permits to load, wherever the queue is.
+/// Permits to load from the queue's current owner, with a local fallback.
 #[derive(Debug)]
 pub struct SharedPermitQueue {
-    parts: Dependencies,
+    deps: Dependencies,
     queue: PermitQueue,
-    share: PermitQueue,
+    fallback: PermitQueue,
 }
 
 impl SharedPermitQueue {
-    /// Starts this node's part.
+    /// Starts this node's queues.
     #[must_use]
-    pub fn start(parts: Dependencies) -> Arc<Self> {
-        let load = load_time(parts.loads_per_kilosecond);
+    pub fn start(deps: Dependencies) -> Arc<Self> {
+        let load = load_time(deps.loads_per_kilosecond);
         let limits = |min_start_interval| Limits {
             queue: policy::loads::Limits {
-                timeout: Millis(load.0.saturating_mul(TIMEOUT_LOADS)),
+                timeout: Millis(load.0.saturating_mul(PERMIT_TIMEOUT_LOADS)),
                 ..policy::loads::Limits::default()
             },
             min_start_interval,
         };
         Arc::new(Self {
-            queue: PermitQueue::start(limits(Millis::ZERO), Arc::clone(&parts.clock)),
-            share: PermitQueue::start(limits(load), Arc::clone(&parts.clock)),
-            parts,
+            queue: PermitQueue::start(limits(Millis::ZERO), Arc::clone(&deps.clock)),
+            fallback: PermitQueue::start(limits(load), Arc::clone(&deps.clock)),
+            deps,
         })
     }
 
-    /// Returns the queue that this node's service gives its peers.
+    /// Returns the queue as offered to peers.
     #[must_use]
-    pub fn served(self: &Arc<Self>) -> Arc<dyn PermitSource> {
-        Arc::new(Served(Arc::clone(self)))
+    pub fn for_peers(self: &Arc<Self>) -> Arc<dyn PermitSource> {
+        Arc::new(OwnedQueue(Arc::clone(self)))
     }
 
     fn owner(&self) -> Option<Arc<Owner>> {
-        self.parts.fleet.borrow().owner(WEIGHT_STORE).cloned()
+        self.deps.fleet.borrow().owner(WEIGHT_STORE).cloned()
     }
 
-    fn is_here(&self) -> bool {
+    fn is_owned_locally(&self) -> bool {
         self.owner()
-            .is_some_and(|owner| owner.node == self.parts.node)
+            .is_some_and(|owner| owner.node == self.deps.node)
     }
 
-    /// Waits for a permit at the queue's owner.
+    /// Waits for a permit from the queue's owner.
     async fn owner_permit(
         &self,
-        ask: watch::Receiver<PermitRequest>,
+        request: watch::Receiver<PermitRequest>,
     ) -> Result<Box<dyn Permit>, Failure> {
         match self.owner() {
-            Some(owner) if owner.node == self.parts.node => self.queue.acquire(ask).await,
+            Some(owner) if owner.node == self.deps.node => self.queue.acquire(request).await,
             Some(owner) => {
                 let remote = Remote {
-                    clients: Arc::clone(&self.parts.clients),
+                    clients: Arc::clone(&self.deps.clients),
                     address: owner.peer,
                 };
-                remote.acquire(ask).await
+                remote.acquire(request).await
             }
-            None => Err(no_owner()),
+            None => Err(not_owner()),
         }
     }
 
-    /// Waits for a permit from this node's share.
-    async fn share_permit(
+    /// Waits for a permit from the local fallback queue.
+    async fn fallback_permit(
         &self,
-        ask: watch::Receiver<PermitRequest>,
+        request: watch::Receiver<PermitRequest>,
     ) -> Result<Box<dyn Permit>, Failure> {
-        let nodes = nodes(&self.parts.fleet.borrow());
-        let load = load_time(self.parts.loads_per_kilosecond);
-        self.share.space(Millis(load.0.saturating_mul(nodes))).await;
-        self.share.acquire(ask).await
+        let nodes = owner_node_count(&self.deps.fleet.borrow());
+        let load = load_time(self.deps.loads_per_kilosecond);
+        self.fallback
+            .set_min_start_interval(Millis(load.0.saturating_mul(nodes)))
+            .await;
+        self.fallback.acquire(request).await
     }
 
-    /// Tries the queue's owner again and again.
-    async fn owner_again(&self, ask: &watch::Receiver<PermitRequest>) -> Box<dyn Permit> {
+    /// Retries the queue's owner until it grants a permit.
+    async fn retry_owner(&self, request: &watch::Receiver<PermitRequest>) -> Box<dyn Permit> {
         loop {
-            tokio::time::sleep(OWNER_AGAIN.duration()).await;
-            if let Ok(permit) = self.owner_permit(ask.clone()).await {
+            tokio::time::sleep(OWNER_RETRY_PAUSE.duration()).await;
+            if let Ok(permit) = self.owner_permit(request.clone()).await {
                 return permit;
             }
         }
     }
 
-    /// Returns when the queue has another owner.
-    async fn moved(&self) {
+    /// Completes when the queue's owner changes.
+    async fn owner_changed(&self) {
         let before = self.owner();
-        let mut fleet = self.parts.fleet.clone();
+        let mut fleet = self.deps.fleet.clone();
         let changed = fleet.wait_for(|fleet| fleet.owner(WEIGHT_STORE) != before.as_ref());
         if changed.await.is_err() {
             std::future::pending::<()>().await;
@@ -139,57 +142,57 @@
 impl PermitSource for SharedPermitQueue {
     async fn acquire(
         &self,
-        ask: watch::Receiver<PermitRequest>,
+        request: watch::Receiver<PermitRequest>,
     ) -> Result<Box<dyn Permit>, Failure> {
         loop {
             let failure = tokio::select! {
-                permit = self.owner_permit(ask.clone()) => match permit {
+                permit = self.owner_permit(request.clone()) => match permit {
                     Ok(permit) => return Ok(permit),
                     Err(failure) => failure,
                 },
-                () = self.moved() => continue,
+                () = self.owner_changed() => continue,
             };
-            log::debug!("loads: the queue's owner gives no permit: {failure}");
+            log::debug!("loads: no permit from the owner of the load queue: {failure}");
             tokio::select! {
-                permit = self.share_permit(ask.clone()) => return permit,
-                permit = self.owner_again(&ask) => return Ok(permit),
-                () = self.moved() => {}
+                permit = self.fallback_permit(request.clone()) => return permit,
+                permit = self.retry_owner(&request) => return Ok(permit),
+                () = self.owner_changed() => {}
             }
         }
     }
 }
 
-/// The queue as peers see it: only while this node owns it.
+/// The queue as offered to peers: only while this node owns it.
 #[derive(Debug)]
-struct Served(Arc<SharedPermitQueue>);
+struct OwnedQueue(Arc<SharedPermitQueue>);
 
 #[async_trait]
-impl PermitSource for Served {
+impl PermitSource for OwnedQueue {
     async fn acquire(
         &self,
-        ask: watch::Receiver<PermitRequest>,
+        request: watch::Receiver<PermitRequest>,
     ) -> Result<Box<dyn Permit>, Failure> {
-        if !self.0.is_here() {
-            return Err(no_owner());
+        if !self.0.is_owned_locally() {
+            return Err(not_owner());
         }
         tokio::select! {
-            permit = self.0.queue.acquire(ask) => permit,
-            () = self.0.moved() => Err(no_owner()),
+            permit = self.0.queue.acquire(request) => permit,
+            () = self.0.owner_changed() => Err(not_owner()),
         }
     }
 }
 
-fn no_owner() -> Failure {
+fn not_owner() -> Failure {
     Failure::new(Code::NotOwner, "this node doesn't own the load queue")
 }
 
-/// Returns how long one load takes at the store's rate.
+/// Returns the duration of a load at the store's rate.
 fn load_time(loads_per_kilosecond: u32) -> Millis {
     Millis(1_000_000 / u64::from(loads_per_kilosecond.max(1)))
 }
 
-/// Returns how many nodes own upstreams, and so may load; at least this one.
-fn nodes(fleet: &Fleet) -> u64 {
+/// Returns the number of nodes that own upstreams and may load adapters, at least 1.
+fn owner_node_count(fleet: &Fleet) -> u64 {
     let owners: HashSet<&str> = fleet
         .upstreams()
         .filter_map(|upstream| fleet.owner(&upstream.vm.name))
