--- a/lib/src/membership/limits.rs
+++ b/lib/src/membership/limits.rs
@@ -1,44 +1,45 @@
-//! Times and budgets of membership, with their defaults.
+//! Timeouts, intervals and budgets of membership, with their defaults.
 
 use crate::clock::Millis;
 
-/// Renewals in one lease span; two may be lost before the lease lapses.
+/// Renewals in one lease TTL; two may be lost before the lease expires.
 pub const RENEWALS_PER_LEASE: u64 = 3;
 
-/// Part of a span that clocks may run apart in, and that answers may be rounded by.
+/// A duration divided by this is how far clocks may drift apart during it, and how far
+/// responses may round it.
 const DRIFT_DIVISOR: u64 = 16;
 
-/// How long a witness's support lasts, counted from when it was asked for.
+/// How long a witness's support lasts, counted from the request for it.
 ///
-/// It is a constant, since owner, witnesses and successors must count alike.
+/// A constant, since owners, witnesses and successors must use the same value.
 pub const SUPPORT_TTL: Millis = Millis(3000);
 
-/// How long an owner goes on without the service at most, and a successor waits
-/// when the witnesses are gone for good. See docs/operators/failures.md.
+/// How long an owner may go on without the key-value service, and how long a successor
+/// waits if the witnesses are lost for good. See docs/operators/failures.md.
 pub const MAX_OUTAGE: Millis = Millis::from_secs(2 * 3600);
 
-/// Times and budgets; the settings override some.
+/// Timeouts, intervals and budgets, some of which the settings override.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Limits {
-    /// Shortest span of a node's lease.
+    /// Shortest TTL of a node's lease.
     pub min_lease_ttl: Millis,
-    /// Renewals a second that the whole fleet may spend.
+    /// Lease renewals per second of the whole fleet.
     pub lease_writes_per_second: u32,
-    /// How long a call to the service or a peer may take.
+    /// Timeout of a call to the key-value service or a peer.
     pub call_timeout: Millis,
-    /// Time between reads of the list of VMs.
+    /// Interval of reads of the list of VMs.
     pub directory_poll_interval: Millis,
-    /// Shortest time between reads of all claims by a node that doesn't watch them.
+    /// Shortest interval of full reads of the membership keys.
     pub min_full_read_interval: Millis,
-    /// Bytes a second that a node may spend on reading all claims.
+    /// Bytes per second that a node may spend on full reads.
     pub full_read_bytes_per_second: u64,
-    /// Nodes that watch the claims; the others hear of changes from them.
+    /// Number of nodes that watch the membership keys; the others learn of changes from them.
     pub max_watchers: usize,
-    /// How long running requests may take before an upstream is handed over all the same.
+    /// How long a handover waits for the upstream's running requests.
     pub release_timeout: Millis,
-    /// Shortest time between two upstreams handed over to balance the load.
+    /// Interval of handovers that balance the numbers of owned upstreams.
     pub rebalance_interval: Millis,
-    /// How long the set of nodes must have been still before the load is balanced.
+    /// How long the set of nodes must have been unchanged before such a handover.
     pub stable_before_rebalance: Millis,
 }
 
@@ -60,10 +61,10 @@
 }
 
 impl Limits {
-    /// Returns the span of a lease in a fleet of so many nodes.
+    /// Returns the TTL of a lease in a fleet of `nodes` nodes.
     ///
-    /// Renewals go out three times a span, so that `3 * nodes / span` stays
-    /// within the budget.
+    /// Each node renews three times per TTL, and `3 * nodes / ttl` stays within
+    /// [`Limits::lease_writes_per_second`].
     #[must_use]
     pub fn lease_ttl(&self, nodes: usize) -> Millis {
         let nodes = u64::try_from(nodes).unwrap_or(u64::MAX);
@@ -72,9 +73,9 @@
         self.min_lease_ttl.max(Millis(needed))
     }
 
-    /// Returns how long a restarted witness stays silent.
+    /// Returns how long a restarted witness doesn't vote.
     ///
-    /// Longer than a round of asking plus the support that may be counted on.
+    /// Longer than a round of votes plus the support that may be counted on.
     #[must_use]
     pub fn witness_silence(&self) -> Millis {
         SUPPORT_TTL
@@ -84,15 +85,15 @@
             + self.vote_timeout()
     }
 
-    /// Returns how long a round of asking witnesses may gather answers.
+    /// Returns how long after the start of a round votes of witnesses count.
     #[must_use]
     pub fn vote_timeout(&self) -> Millis {
         self.call_timeout
     }
 }
 
-/// Returns the part of a span that is not counted on because clocks run at different rates.
+/// Returns the part of a duration that is not relied on, as clocks run at different rates.
 #[must_use]
-pub const fn drift_margin(span: Millis) -> Millis {
-    Millis(span.0.div_ceil(DRIFT_DIVISOR))
+pub const fn drift_margin(duration: Millis) -> Millis {
+    Millis(duration.0.div_ceil(DRIFT_DIVISOR))
 }
--- a/lib/src/membership/machine/call.rs
+++ b/lib/src/membership/machine/call.rs
@@ -1,4 +1,4 @@
-//! What the machine wants done, and the answers that come back.
+//! The actions that the machine emits and the results that it receives.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -9,28 +9,28 @@
 use crate::name::Name;
 use crate::ports::{Commit, Entry, Error, LeaseId, Listing, Transaction};
 
-/// A call that the machine wants made; its answer comes back under the same number.
+/// A call to make for the machine; its result is passed back under the same number.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Call {
-    /// Grants a lease.
+    /// Grants a lease with this TTL.
     Grant(Millis),
     /// Renews a lease.
     Renew(LeaseId),
-    /// Ends a lease.
+    /// Revokes a lease.
     Revoke(LeaseId),
-    /// Makes a write under conditions.
+    /// Commits a conditional write.
     Commit(Transaction),
     /// Reads one key.
     Read(String),
-    /// Reads all keys of membership.
+    /// Reads all membership keys.
     List,
-    /// Asks a peer as a witness.
+    /// Requests a vote from the witness at this address.
     RequestVote(SocketAddr, Ask),
-    /// Stops serving an upstream and waits for what runs.
+    /// Stops serving an upstream and waits up to this long for its running requests.
     Release(Name, Millis),
 }
 
-/// What a call brought.
+/// The result of a call.
 #[derive(Debug, Clone)]
 pub enum CallResult {
     /// Of [`Call::Grant`].
@@ -45,57 +45,60 @@
     Read(Result<Option<Entry>, Error>),
     /// Of [`Call::List`].
     Listed(Result<Listing, Error>),
-    /// Of [`Call::RequestVote`]; none when no answer came in time.
+    /// Of [`Call::RequestVote`]; none if no response came in time.
     Vote(Option<Vote>),
     /// Of [`Call::Release`].
     Released,
 }
 
-/// What the machine wants done.
+/// An action for the driver of the machine.
 #[derive(Debug, Clone)]
 pub enum Action {
-    /// Make a call and return its answer.
+    /// Makes a call, whose result goes to [`Machine::handle_result`] under this number.
+    ///
+    /// [`Machine::handle_result`]: super::Machine::handle_result
     Call(u64, Call),
-    /// Serve an upstream under a claim; the bound moves while the lease lasts.
+    /// Starts to serve an upstream under a claim; `until` moves while ownership is extended.
     Adopt {
         /// The upstream.
         upstream: Name,
         /// The claim's fencing token.
         token: u64,
-        /// When ownership ends, on the node's clock.
+        /// When ownership ends, in milliseconds of the node's monotonic clock.
         until: Arc<AtomicU64>,
     },
-    /// Something rare that operators should be able to count.
+    /// Logs a rare event and counts it in the metrics.
     RecordEvent(&'static str),
 }
 
-/// What a call was made for.
+/// Why a call was made, which decides how its result is handled.
 #[derive(Debug, Clone)]
 pub(super) enum Purpose {
     Grant,
     Register,
-    SettleRegister,
+    VerifyRegistration,
     Renew(LeaseId),
     List,
     Claim(Name),
-    SettleClaim(Name),
+    VerifyClaim(Name),
     Release(Name),
     Support {
         round: u64,
         witness: Name,
     },
     Withdraw {
-        start: (Name, u64),
+        // Name and incarnation of the former owner.
+        owner: (Name, u64),
         round: u64,
         witness: Name,
     },
     Revoke,
-    Tidy,
+    Cleanup,
 }
 
-/// A call under way.
+/// A call whose result is outstanding.
 #[derive(Debug, Clone)]
-pub(super) struct Pending {
+pub(super) struct PendingCall {
     pub purpose: Purpose,
-    pub sent: Millis,
+    pub sent_at: Millis,
 }
--- a/lib/src/membership/machine/claims.rs
+++ b/lib/src/membership/machine/claims.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-use super::{Action, Call, Held, Machine, Purpose};
+use super::{Action, Call, Machine, OwnedUpstream, Purpose};
 use crate::clock::Millis;
 use crate::membership::guard::Guard;
 use crate::membership::node::{Claim, Record};
@@ -11,45 +11,45 @@
 use crate::name::Name;
 use crate::ports::{Commit, Condition, Entry, Error, Transaction, Write};
 
-/// Time between two looks at who should own what, unless news comes.
-const PLAN: Millis = Millis(1000);
-/// Wait before upstreams without an owner are claimed, so that nodes which start
-/// together share them.
-const GATHER: Millis = Millis(1500);
-/// Claims that may be under way at once.
-const AT_ONCE: usize = 16;
-/// Wait after a handover that couldn't be written.
-const AGAIN: Millis = Millis(400);
+/// Interval of checks for upstreams to claim or hand over; a change triggers one at once.
+const CLAIM_CHECK_INTERVAL: Millis = Millis(1000);
+/// Delay after becoming eligible before never-claimed upstreams are claimed, so that
+/// nodes that start together share them.
+const INITIAL_CLAIM_DELAY: Millis = Millis(1500);
+/// Number of pending operations from which no further claim is started.
+const MAX_CONCURRENT_CLAIMS: usize = 16;
+/// Delay of a drain's further handovers after a claim couldn't be written.
+const HANDOVER_RETRY_DELAY: Millis = Millis(400);
 
-/// What is under way for an upstream; meanwhile nothing else is begun for it.
+/// The pending operation on an upstream; an upstream has at most one.
 #[derive(Debug)]
-pub(super) enum Busy {
-    /// A claim for a node is being written over the one with this token.
-    Claiming { claim: Claim, over: u64 },
-    /// The answer was lost and the claim is being read.
-    Settling {
+pub(super) enum ClaimOperation {
+    /// A claim is being written in place of the one with this token.
+    Claiming { claim: Claim, replaced_token: u64 },
+    /// The outcome of the write is unknown, and the claim is being read back.
+    Verifying {
         claim: Claim,
-        over: u64,
-        retry: Millis,
+        replaced_token: u64,
+        retry_at: Millis,
     },
-    /// The upstream is being released before it goes to another node.
+    /// The upstream is being released, before a handover or because it was retired.
     Releasing,
 }
 
 impl Machine {
-    pub(super) fn tend_claims(&mut self, now: Millis) {
-        self.retry_settling(now);
-        if now < self.next_plan {
+    pub(super) fn maintain_claims(&mut self, now: Millis) {
+        self.retry_claim_verification(now);
+        if now < self.next_claim_check {
             return;
         }
-        self.next_plan = now + PLAN;
-        self.watch_nodes(now);
+        self.next_claim_check = now + CLAIM_CHECK_INTERVAL;
+        self.detect_node_changes(now);
         if !self.may_claim(now) {
             return;
         }
-        self.claim_orphans(now);
-        self.balance(now);
-        self.tidy(now);
+        self.claim_unowned(now);
+        self.rebalance(now);
+        self.remove_stale_key(now);
     }
 
     fn may_claim(&self, now: Millis) -> bool {
@@ -57,13 +57,13 @@
             return false;
         };
         self.eligible
-            && self.stopping.is_none()
-            && session.checked
-            && !session.dead
-            && now < session.service_until
+            && self.drain.is_none()
+            && session.claims_confirmed
+            && !session.expired
+            && now < session.lease_until
     }
 
-    fn watch_nodes(&mut self, now: Millis) {
+    fn detect_node_changes(&mut self, now: Millis) {
         let names = self.table.live_records().map(|record| {
             let identity = &record.identity;
             xxhash_rust::xxh3::xxh3_64_with_seed(identity.name.as_bytes(), identity.incarnation)
@@ -71,65 +71,65 @@
         let digest = names.fold(0, |sum: u64, hash| sum.wrapping_add(hash));
         if digest != self.nodes_digest {
             self.nodes_digest = digest;
-            self.nodes_since = now;
+            self.nodes_changed_at = now;
         }
     }
 
-    pub(super) fn load(&self) -> OwnedCounts {
+    pub(super) fn owned_counts(&self) -> OwnedCounts {
         let owners = self
             .table
             .claims()
-            .filter(|claim| self.regions.contains_key(&claim.upstream))
+            .filter(|claim| self.upstream_regions.contains_key(&claim.upstream))
             .filter(|claim| self.table.has_live_owner(claim))
             .map(|claim| &claim.node);
         OwnedCounts::from_owners(owners)
     }
 
-    // Upstreams that have no owner, or whose owner's record is gone.
-    fn orphans(&self, now: Millis) -> Vec<(Name, Name, Option<Claim>)> {
-        let gathered = now.since(self.eligible_since) >= GATHER;
-        self.regions
+    // Returns the upstreams without a claim or whose owner's record is gone.
+    fn unowned_upstreams(&self, now: Millis) -> Vec<(Name, Name, Option<Claim>)> {
+        let may_claim_new = now.since(self.eligible_since) >= INITIAL_CLAIM_DELAY;
+        self.upstream_regions
             .iter()
             .filter_map(|(upstream, region)| {
                 let claim = self.table.claim(upstream).cloned();
-                let orphan = match &claim {
-                    None => gathered,
+                let is_unowned = match &claim {
+                    None => may_claim_new,
                     Some(claim) => !self.table.has_live_owner(claim),
                 };
-                orphan.then(|| (upstream.clone(), region.clone(), claim))
+                is_unowned.then(|| (upstream.clone(), region.clone(), claim))
             })
             .collect()
     }
 
-    fn claim_orphans(&mut self, now: Millis) {
-        let orphans = self.orphans(now);
-        if orphans.is_empty() {
-            self.forget_withdrawals();
+    fn claim_unowned(&mut self, now: Millis) {
+        let unowned = self.unowned_upstreams(now);
+        if unowned.is_empty() {
+            self.drop_stale_withdrawals();
             return;
         }
-        let mut load = self.load();
+        let mut counts = self.owned_counts();
         let mut mine = Vec::new();
         let live: Vec<&Record> = self.table.live_records().collect();
-        for (upstream, region, claim) in orphans {
+        for (upstream, region, claim) in unowned {
             let candidates = placement::candidates(&live, &region);
-            let Some(successor) = placement::successor(&upstream, &candidates, &load) else {
+            let Some(successor) = placement::successor(&upstream, &candidates, &counts) else {
                 continue;
             };
             let name = successor.identity.name.clone();
-            load.increment(&name);
+            counts.increment(&name);
             if name == self.identity.name {
                 mine.push((upstream, claim));
             }
         }
         for (upstream, claim) in mine {
-            if self.busy.len() >= AT_ONCE {
+            if self.operations.len() >= MAX_CONCURRENT_CLAIMS {
                 break;
             }
-            if self.busy.contains_key(&upstream) {
+            if self.operations.contains_key(&upstream) {
                 continue;
             }
             match claim {
-                None => self.claim_free(now, &upstream),
+                None => self.claim_unclaimed(now, &upstream),
                 Some(claim) => self.take_over(now, &claim),
             }
         }
@@ -145,7 +145,7 @@
         }
     }
 
-    fn claim_free(&mut self, now: Millis, upstream: &Name) {
+    fn claim_unclaimed(&mut self, now: Millis, upstream: &Name) {
         let mut conditions = self.claimant_conditions();
         if self.guards.on(Guard::ClaimUnchanged) {
             conditions.push(Condition::Absent(self.keys.claim(upstream)));
@@ -154,9 +154,9 @@
         self.write_claim(now, claim, 0, conditions);
     }
 
-    // The owner's record is gone, so its lease has lapsed later than its own bound.
-    // That its record is still gone, and that it hasn't registered and lapsed again
-    // since its witnesses withdrew, is checked in the write itself.
+    // The owner's record is gone, so its lease expired, which is later than the owner's
+    // own deadline. The write itself checks that the record is still gone, and that the
+    // owner hasn't registered and expired again since its witnesses withdrew.
     fn take_over(&mut self, now: Millis, claim: &Claim) {
         if !self.witnesses_withdrew(now, claim) {
             return;
@@ -168,7 +168,7 @@
         }
         let key = self.keys.node(&claim.node);
         conditions.push(match self.table.live_record(&claim.node) {
-            Some(other_start) => Condition::Unchanged(key, other_start.revision),
+            Some(other_incarnation) => Condition::Unchanged(key, other_incarnation.revision),
             None => Condition::Absent(key),
         });
         if self.guards.on(Guard::OwnerUnregistered) {
@@ -179,13 +179,13 @@
                 None => Condition::Absent(key),
             });
         }
-        self.note("takeover");
+        self.record_event("takeover");
         let own = self.own_claim(&claim.upstream);
         self.write_claim(now, own, claim.token, conditions);
     }
 
-    // A claim written late, after this node's lease lapsed, would name an owner that
-    // knows nothing of it.
+    // A claim that is written after this node's lease expired would name an owner that
+    // doesn't know about it.
     fn claimant_conditions(&self) -> Vec<Condition> {
         match &self.session {
             Some(session) => {
@@ -200,7 +200,7 @@
         &mut self,
         now: Millis,
         claim: Claim,
-        over: u64,
+        replaced_token: u64,
         conditions: Vec<Condition>,
     ) {
         let upstream = claim.upstream.clone();
@@ -209,123 +209,148 @@
             conditions,
             writes: vec![put],
         };
-        self.busy
-            .insert(upstream.clone(), Busy::Claiming { claim, over });
-        self.call(now, Purpose::Claim(upstream), Call::Commit(transaction));
+        self.operations.insert(
+            upstream.clone(),
+            ClaimOperation::Claiming {
+                claim,
+                replaced_token,
+            },
+        );
+        self.start_call(now, Purpose::Claim(upstream), Call::Commit(transaction));
     }
 
-    pub(super) fn claimed(&mut self, now: Millis, upstream: &Name, result: &Result<Commit, Error>) {
-        let Some(Busy::Claiming { claim, over }) = self.busy.remove(upstream) else {
+    pub(super) fn handle_claim_result(
+        &mut self,
+        now: Millis,
+        upstream: &Name,
+        result: &Result<Commit, Error>,
+    ) {
+        let Some(ClaimOperation::Claiming {
+            claim,
+            replaced_token,
+        }) = self.operations.remove(upstream)
+        else {
             return;
         };
         match result {
-            Ok(commit) if commit.done => self.claim_stands(now, claim, commit.revision),
+            Ok(commit) if commit.done => self.accept_claim(now, claim, commit.revision),
             Ok(_) => {
-                self.next_handover = now + AGAIN;
-                self.reading.wanted = true;
+                self.next_handover = now + HANDOVER_RETRY_DELAY;
+                self.full_read.requested = true;
             }
             Err(Error::Unreachable(_) | Error::Refused(_)) => {
-                self.next_handover = now + AGAIN;
-                self.reading.wanted = true;
+                self.next_handover = now + HANDOVER_RETRY_DELAY;
+                self.full_read.requested = true;
                 self.reconcile(now);
             }
             Err(Error::NoAnswer(_) | Error::Malformed(_)) => {
                 if self.guards.on(Guard::SettleClaim) {
-                    self.settle_claim(now, claim, over);
+                    self.verify_claim(now, claim, replaced_token);
                 } else {
                     let assumed = self.table.max_revision() + 1;
-                    self.claim_stands(now, claim, assumed);
+                    self.accept_claim(now, claim, assumed);
                 }
             }
         }
     }
 
-    fn claim_stands(&mut self, now: Millis, claim: Claim, token: u64) {
+    fn accept_claim(&mut self, now: Millis, claim: Claim, token: u64) {
         self.table.merge_claim(Claim { token, ..claim });
         self.reconcile(now);
     }
 
-    fn settle_claim(&mut self, now: Millis, claim: Claim, over: u64) {
+    fn verify_claim(&mut self, now: Millis, claim: Claim, replaced_token: u64) {
         let upstream = claim.upstream.clone();
-        let retry = now + self.limits.min_lease_ttl;
-        let busy = Busy::Settling { claim, over, retry };
-        self.busy.insert(upstream.clone(), busy);
+        let retry_at = now + self.limits.min_lease_ttl;
+        let operation = ClaimOperation::Verifying {
+            claim,
+            replaced_token,
+            retry_at,
+        };
+        self.operations.insert(upstream.clone(), operation);
         let key = self.keys.claim(&upstream);
-        self.call(now, Purpose::SettleClaim(upstream), Call::Read(key));
+        self.start_call(now, Purpose::VerifyClaim(upstream), Call::Read(key));
     }
 
-    fn retry_settling(&mut self, now: Millis) {
+    fn retry_claim_verification(&mut self, now: Millis) {
         let due: Vec<(Claim, u64)> = self
-            .busy
+            .operations
             .values()
-            .filter_map(|busy| match busy {
-                Busy::Settling { claim, over, retry } if now >= *retry => {
-                    Some((claim.clone(), *over))
-                }
+            .filter_map(|operation| match operation {
+                ClaimOperation::Verifying {
+                    claim,
+                    replaced_token,
+                    retry_at,
+                } if now >= *retry_at => Some((claim.clone(), *replaced_token)),
                 _ => None,
             })
             .collect();
-        for (claim, over) in due {
-            self.settle_claim(now, claim, over);
+        for (claim, replaced_token) in due {
+            self.verify_claim(now, claim, replaced_token);
         }
     }
 
-    pub(super) fn claim_read(
+    pub(super) fn handle_claim_read(
         &mut self,
         now: Millis,
         upstream: &Name,
         result: Result<Option<Entry>, Error>,
     ) {
         let Ok(entry) = result else {
-            // Asked again after a while; until then the upstream stays busy.
+            // The read is retried later; until then the operation stays pending.
             return;
         };
-        let Some(Busy::Settling { over, .. }) = self.busy.remove(upstream) else {
+        let Some(ClaimOperation::Verifying { replaced_token, .. }) =
+            self.operations.remove(upstream)
+        else {
             return;
         };
         let found = entry.and_then(|entry| Claim::from_value(&entry.value, entry.revision));
         match found {
-            Some(found) if found.token != over => {
+            Some(found) if found.token != replaced_token => {
                 self.table.merge_claim(found);
                 self.reconcile(now);
             }
-            _ => self.unsettled(now, upstream, over),
+            _ => self.overwrite_pending_write(now, upstream, replaced_token),
         }
     }
 
-    // The write hasn't taken effect so far, yet it may still do so. If the claim
-    // over which it was made is this node's own, going on under it would leave two
-    // owners when the write arrives. Writing the claim anew makes the late write fail.
-    fn unsettled(&mut self, now: Millis, upstream: &Name, over: u64) {
-        self.reading.wanted = true;
+    // The write hasn't taken effect yet but still may. If it replaces this node's own
+    // claim, going on under that claim would leave two owners when the write takes effect.
+    // Writing the claim again changes its revision, so that the late write fails.
+    fn overwrite_pending_write(&mut self, now: Millis, upstream: &Name, replaced_token: u64) {
+        self.full_read.requested = true;
         let own = self
             .table
             .claim(upstream)
-            .filter(|claim| claim.token == over && claim.names(&self.identity))
+            .filter(|claim| claim.token == replaced_token && claim.names(&self.identity))
             .cloned();
         let Some(own) = own else {
             return;
         };
-        let conditions = vec![Condition::Unchanged(self.keys.claim(upstream), over)];
-        self.write_claim(now, own, over, conditions);
+        let conditions = vec![Condition::Unchanged(
+            self.keys.claim(upstream),
+            replaced_token,
+        )];
+        self.write_claim(now, own, replaced_token, conditions);
     }
 
-    /// Brings what is served in line with the claims that are known.
+    /// Adopts and relinquishes upstreams so that the owned ones match the known claims.
     pub(super) fn reconcile(&mut self, now: Millis) {
         let lost: Vec<Name> = self
-            .holds
+            .owned
             .iter()
-            .filter(|(upstream, held)| {
+            .filter(|(upstream, owned)| {
                 let claim = self.table.claim(upstream);
-                claim.is_none_or(|c| c.token != held.token || !c.names(&self.identity))
+                claim.is_none_or(|c| c.token != owned.token || !c.names(&self.identity))
             })
             .map(|(upstream, _)| upstream.clone())
             .collect();
         for upstream in lost {
-            self.note("claim_lost");
+            self.record_event("claim_lost");
             self.relinquish(now, &upstream);
         }
-        self.retire(now);
+        self.release_retired(now);
         if !self.may_adopt() {
             return;
         }
@@ -333,9 +358,9 @@
             .table
             .claims()
             .filter(|claim| claim.names(&self.identity))
-            .filter(|claim| self.regions.contains_key(&claim.upstream))
-            .filter(|claim| !self.holds.contains_key(&claim.upstream))
-            .filter(|claim| !self.busy.contains_key(&claim.upstream))
+            .filter(|claim| self.upstream_regions.contains_key(&claim.upstream))
+            .filter(|claim| !self.owned.contains_key(&claim.upstream))
+            .filter(|claim| !self.operations.contains_key(&claim.upstream))
             .map(|claim| (claim.upstream.clone(), claim.token))
             .collect();
         for (upstream, token) in gained {
@@ -343,47 +368,52 @@
         }
     }
 
-    // Upstreams that are on the list no more: what runs finishes, the claim goes.
-    fn retire(&mut self, now: Millis) {
+    // Releases upstreams that are no longer listed: running requests finish, then the claim
+    // is cleared.
+    fn release_retired(&mut self, now: Millis) {
         let retired: Vec<Name> = self
-            .holds
+            .owned
             .keys()
-            .filter(|upstream| !self.regions.contains_key(*upstream))
-            .filter(|upstream| !self.busy.contains_key(*upstream))
+            .filter(|upstream| !self.upstream_regions.contains_key(*upstream))
+            .filter(|upstream| !self.operations.contains_key(*upstream))
             .cloned()
             .collect();
         for upstream in retired {
-            self.busy.insert(upstream.clone(), Busy::Releasing);
+            self.operations
+                .insert(upstream.clone(), ClaimOperation::Releasing);
             let call = Call::Release(upstream.clone(), self.limits.release_timeout);
-            self.call(now, Purpose::Release(upstream), call);
+            self.start_call(now, Purpose::Release(upstream), call);
         }
     }
 
-    // The claim is written over instead of removed: a removed one could come back
-    // from a peer that still has it, and a late removal could take a newer one.
-    pub(super) fn free_claim(&mut self, now: Millis, upstream: &Name) {
+    // The claim is overwritten instead of deleted: a peer that still has a deleted claim
+    // could bring it back, and a late deletion could remove a newer claim.
+    pub(super) fn clear_claim(&mut self, now: Millis, upstream: &Name) {
         let own = self.table.claim(upstream).cloned();
         let Some(own) = own.filter(|claim| claim.names(&self.identity)) else {
             return;
         };
-        let over = own.token;
+        let replaced_token = own.token;
         let key = self.keys.claim(upstream);
-        let conditions = vec![Condition::Unchanged(key, over)];
-        self.write_claim(now, own.freed(), over, conditions);
+        let conditions = vec![Condition::Unchanged(key, replaced_token)];
+        self.write_claim(now, own.freed(), replaced_token, conditions);
     }
 
     fn may_adopt(&self) -> bool {
-        let checked = self.session.as_ref().is_some_and(|session| session.checked);
-        self.eligible && checked && self.stopping.is_none()
+        let claims_confirmed = self
+            .session
+            .as_ref()
+            .is_some_and(|session| session.claims_confirmed);
+        self.eligible && claims_confirmed && self.drain.is_none()
     }
 
     fn adopt(&mut self, upstream: Name, token: u64) {
-        let until = Arc::new(AtomicU64::new(self.until.0));
-        let held = Held {
+        let until = Arc::new(AtomicU64::new(self.owned_until.0));
+        let owned = OwnedUpstream {
             token,
             until: Arc::clone(&until),
         };
-        self.holds.insert(upstream.clone(), held);
+        self.owned.insert(upstream.clone(), owned);
         self.actions.push(Action::Adopt {
             upstream,
             token,
@@ -391,23 +421,27 @@
         });
     }
 
-    /// Relinquishes an upstream at once; running requests go on to their end.
+    /// Relinquishes an upstream at once; running requests may finish.
     pub(super) fn relinquish(&mut self, now: Millis, upstream: &Name) {
-        let Some(held) = self.holds.remove(upstream) else {
+        let Some(owned) = self.owned.remove(upstream) else {
             return;
         };
-        held.until.store(0, Ordering::Release);
-        if matches!(self.busy.get(upstream), Some(Busy::Releasing)) {
+        owned.until.store(0, Ordering::Release);
+        if matches!(
+            self.operations.get(upstream),
+            Some(ClaimOperation::Releasing)
+        ) {
             return;
         }
-        // A node that stops must not end before what it runs has finished.
-        let limit = if self.stopping.is_some() {
-            self.busy.insert(upstream.clone(), Busy::Releasing);
+        // A draining node must not exit before its running requests have finished.
+        let limit = if self.drain.is_some() {
+            self.operations
+                .insert(upstream.clone(), ClaimOperation::Releasing);
             self.limits.release_timeout
         } else {
             Millis::ZERO
         };
         let call = Call::Release(upstream.clone(), limit);
-        self.call(now, Purpose::Release(upstream.clone()), call);
+        self.start_call(now, Purpose::Release(upstream.clone()), call);
     }
 }
--- a/lib/src/membership/machine/handover.rs
+++ b/lib/src/membership/machine/handover.rs
@@ -1,8 +1,8 @@
-//! Handing upstreams over to other nodes, one by one.
+//! Handing upstreams over to other nodes.
 
 use std::sync::atomic::Ordering;
 
-use super::claims::Busy;
+use super::claims::ClaimOperation;
 use super::{Call, Machine, Purpose};
 use crate::clock::Millis;
 use crate::membership::guard::Guard;
@@ -12,52 +12,56 @@
 use crate::ports::Condition;
 
 impl Machine {
-    // One upstream at a time goes from a node that holds two more than another, once
-    // the set of nodes has been still: a moved upstream takes no requests meanwhile.
-    pub(super) fn balance(&mut self, now: Millis) {
-        let still = now.since(self.nodes_since) >= self.limits.stable_before_rebalance;
-        if !still || now < self.next_rebalance || !self.busy.is_empty() {
+    // Moves one upstream at a time from a node that owns at least two more than another,
+    // once the set of nodes has been stable: an upstream takes no requests while it moves.
+    pub(super) fn rebalance(&mut self, now: Millis) {
+        let stable = now.since(self.nodes_changed_at) >= self.limits.stable_before_rebalance;
+        if !stable || now < self.next_rebalance || !self.operations.is_empty() {
             return;
         }
-        let span = self.limits.rebalance_interval;
-        self.next_rebalance = now + self.jitter(span);
-        let load = self.load();
-        let own = load.owned_by(&self.identity.name);
+        let interval = self.limits.rebalance_interval;
+        self.next_rebalance = now + self.jitter(interval);
+        let counts = self.owned_counts();
+        let own = counts.owned_by(&self.identity.name);
         let live: Vec<&Record> = self.table.live_records().collect();
-        let moved = self.holds.keys().find(|upstream| {
-            let Some(region) = self.regions.get(*upstream) else {
+        let moved = self.owned.keys().find(|upstream| {
+            let Some(region) = self.upstream_regions.get(*upstream) else {
                 return false;
             };
             let candidates = placement::candidates(&live, region);
-            placement::successor(upstream, &candidates, &load)
-                .is_some_and(|to| load.owned_by(&to.identity.name) + 2 <= own)
+            placement::successor(upstream, &candidates, &counts)
+                .is_some_and(|to| counts.owned_by(&to.identity.name) + 2 <= own)
         });
         if let Some(upstream) = moved.cloned() {
-            self.note("rebalanced");
+            self.record_event("rebalanced");
             self.hand_over(now, &upstream);
         }
     }
 
     pub(super) fn hand_over(&mut self, now: Millis, upstream: &Name) {
-        self.busy.insert(upstream.clone(), Busy::Releasing);
+        self.operations
+            .insert(upstream.clone(), ClaimOperation::Releasing);
         let limit = self.limits.release_timeout;
         let call = Call::Release(upstream.clone(), limit);
-        self.call(now, Purpose::Release(upstream.clone()), call);
+        self.start_call(now, Purpose::Release(upstream.clone()), call);
         if !self.guards.on(Guard::ReleaseFirst) {
             self.write_handover(now, upstream);
         }
     }
 
-    pub(super) fn released(&mut self, now: Millis, upstream: &Name) {
-        if !matches!(self.busy.get(upstream), Some(Busy::Releasing)) {
+    pub(super) fn handle_released(&mut self, now: Millis, upstream: &Name) {
+        if !matches!(
+            self.operations.get(upstream),
+            Some(ClaimOperation::Releasing)
+        ) {
             return;
         }
-        self.busy.remove(upstream);
-        if let Some(held) = self.holds.remove(upstream) {
-            held.until.store(0, Ordering::Release);
+        self.operations.remove(upstream);
+        if let Some(owned) = self.owned.remove(upstream) {
+            owned.until.store(0, Ordering::Release);
         }
-        if !self.regions.contains_key(upstream) {
-            self.free_claim(now, upstream);
+        if !self.upstream_regions.contains_key(upstream) {
+            self.clear_claim(now, upstream);
             return;
         }
         self.write_handover(now, upstream);
@@ -68,20 +72,24 @@
         let Some(own) = own.filter(|claim| claim.names(&self.identity)) else {
             return;
         };
-        let mut load = self.load();
-        for busy in self.busy.values() {
-            if let Busy::Claiming { claim, .. } = busy {
-                load.increment(&claim.node);
+        let mut counts = self.owned_counts();
+        for operation in self.operations.values() {
+            if let ClaimOperation::Claiming { claim, .. } = operation {
+                counts.increment(&claim.node);
             }
         }
-        let region = self.regions.get(upstream).cloned().unwrap_or_default();
+        let region = self
+            .upstream_regions
+            .get(upstream)
+            .cloned()
+            .unwrap_or_default();
         let live: Vec<&Record> = self
             .table
             .live_records()
             .filter(|record| record.identity.name != self.identity.name)
             .collect();
         let candidates = placement::candidates(&live, &region);
-        let Some(successor) = placement::successor(upstream, &candidates, &load) else {
+        let Some(successor) = placement::successor(upstream, &candidates, &counts) else {
             self.reconcile(now);
             return;
         };
--- a/lib/src/membership/machine/lease.rs
+++ b/lib/src/membership/machine/lease.rs
@@ -1,4 +1,4 @@
-//! The node's lease and record.
+//! The node's lease, and its registration at the key-value service.
 
 use smallvec::SmallVec;
 
@@ -10,90 +10,92 @@
 use crate::membership::placement;
 use crate::ports::{Commit, Condition, Entry, Error, LeaseId, Transaction, Write};
 
-/// Shortest wait before the service is tried again after a failure.
-pub(super) const RETRY: Millis = Millis(400);
+/// Shortest delay before a failed call to the key-value service is retried.
+pub(super) const MIN_RETRY_DELAY: Millis = Millis(400);
 
-/// A lease is exchanged for one whose span is this many times as long.
-const OUTGROWN: u64 = 2;
+/// The lease is replaced once the TTL that the fleet needs is this many times as long.
+const LEASE_GROWTH_FACTOR: u64 = 2;
 
-/// A registration at the service.
+/// A registration at the key-value service.
 #[derive(Debug)]
 pub(super) struct Session {
     pub lease: LeaseId,
-    pub span: Millis,
+    pub ttl: Millis,
     pub record: Record,
-    /// When ownership ends as far as the lease goes; witnesses may extend it.
-    pub service_until: Millis,
-    /// When the last renewal that succeeded was sent.
-    pub renewed: Millis,
-    /// The service said that the lease has lapsed.
-    pub dead: bool,
-    pub renewing: bool,
+    /// When ownership under the lease ends; witnesses may extend ownership beyond it.
+    pub lease_until: Millis,
+    /// When the last successful renewal was sent.
+    pub last_renewal: Millis,
+    /// The lease has expired, or can't be relied on any more.
+    pub expired: bool,
+    pub renewal_in_flight: bool,
     pub next_renewal: Millis,
-    /// Claims read in a call that was sent since then are certainly this node's.
-    pub checked_after: Millis,
-    pub checked: bool,
+    /// Only a full read that was sent at or after this time confirms this node's claims.
+    pub confirm_after: Millis,
+    pub claims_confirmed: bool,
 }
 
-/// How far a registration has come.
+/// The progress of a registration.
 #[derive(Debug)]
-pub(super) enum Joining {
+pub(super) enum RegistrationState {
     Idle,
-    Granting,
-    Registering(Join),
-    Settling(Join),
+    GrantingLease,
+    Writing(PendingRegistration),
+    /// The outcome of the write is unknown, and the record is being read back.
+    Verifying(PendingRegistration),
 }
 
-/// A lease and the record that is being written under it.
+/// A lease and the record to write under it.
 #[derive(Debug, Clone)]
-pub(super) struct Join {
+pub(super) struct PendingRegistration {
     pub lease: LeaseId,
-    pub span: Millis,
-    pub granted: Millis,
+    pub ttl: Millis,
+    /// When the call was sent from which the lease's TTL counts.
+    pub granted_at: Millis,
     pub record: Record,
 }
 
 impl Machine {
-    pub(super) fn tend_lease(&mut self, now: Millis) {
-        if self.ending() {
+    pub(super) fn maintain_lease(&mut self, now: Millis) {
+        if self.is_ending_lease() {
             return;
         }
         if let Some(session) = &mut self.session
-            && !session.dead
-            && !session.renewing
+            && !session.expired
+            && !session.renewal_in_flight
             && now >= session.next_renewal
         {
-            session.renewing = true;
+            session.renewal_in_flight = true;
             let lease = session.lease;
-            self.call(now, Purpose::Renew(lease), Call::Renew(lease));
+            self.start_call(now, Purpose::Renew(lease), Call::Renew(lease));
         }
-        if matches!(self.joining, Joining::Idle) && now >= self.next_join {
-            self.join(now);
+        if matches!(self.registration, RegistrationState::Idle) && now >= self.next_registration {
+            self.start_registration(now);
         }
     }
 
-    // A registration is written anew when there is none, when the fleet has
-    // outgrown the lease's span, when witnesses have gone, or when draining begins.
-    fn join(&mut self, now: Millis) {
+    // Registers when there is no live registration, when the fleet has outgrown the
+    // lease's TTL, or when the record is outdated by lost witnesses or by draining.
+    fn start_registration(&mut self, now: Millis) {
         if !self.table.has_read() {
             return;
         }
-        let span = self.limits.lease_ttl(self.fleet_size());
+        let ttl = self.limits.lease_ttl(self.fleet_size());
         match &self.session {
-            Some(session) if !session.dead => {
-                let outgrown = span.0 >= session.span.0 * OUTGROWN;
-                let (lease, old) = (session.lease, session.span);
+            Some(session) if !session.expired => {
+                let outgrown = ttl.0 >= session.ttl.0 * LEASE_GROWTH_FACTOR;
+                let (lease, current_ttl) = (session.lease, session.ttl);
                 if outgrown {
-                    self.joining = Joining::Granting;
-                    self.call(now, Purpose::Grant, Call::Grant(span));
-                } else if session.checked && self.record_outdated(now) {
-                    let renewed = session.renewed;
-                    self.register(now, lease, old, renewed);
+                    self.registration = RegistrationState::GrantingLease;
+                    self.start_call(now, Purpose::Grant, Call::Grant(ttl));
+                } else if session.claims_confirmed && self.is_record_outdated(now) {
+                    let last_renewal = session.last_renewal;
+                    self.write_registration(now, lease, current_ttl, last_renewal);
                 }
             }
             _ => {
-                self.joining = Joining::Granting;
-                self.call(now, Purpose::Grant, Call::Grant(span));
+                self.registration = RegistrationState::GrantingLease;
+                self.start_call(now, Purpose::Grant, Call::Grant(ttl));
             }
         }
     }
@@ -114,21 +116,21 @@
         names.len().max(1)
     }
 
-    fn record_outdated(&self, now: Millis) -> bool {
+    fn is_record_outdated(&self, now: Millis) -> bool {
         let Some(session) = &self.session else {
             return false;
         };
-        if self.doubtful || self.stopping.is_some() != session.record.draining {
+        if self.registration_uncertain || self.drain.is_some() != session.record.draining {
             return true;
         }
-        // A node that is replaced is back in a moment; chasing each change would
-        // cost a write for every witness of every node.
-        now.since(self.nodes_since) >= self.limits.min_lease_ttl
+        // A restarted node is usually back soon. Following each change at once would cost
+        // a write for every witness of every node.
+        now.since(self.nodes_changed_at) >= self.limits.min_lease_ttl
             && self.may_change_witnesses(now)
-            && self.witnesses_outdated(&session.record.witnesses)
+            && self.are_witnesses_outdated(&session.record.witnesses)
     }
 
-    fn witnesses_outdated(&self, current: &Witnesses) -> bool {
+    fn are_witnesses_outdated(&self, current: &Witnesses) -> bool {
         let wanted = self.wanted_witnesses();
         let lost = current
             .iter()
@@ -144,8 +146,8 @@
         placement::select_witnesses(&own, &live)
     }
 
-    // Support that is counted on was given by the old witnesses; a successor
-    // would ask only the new ones, which know nothing of it.
+    // Witnesses must not change while support from the current ones is counted on: a
+    // successor would ask only the new ones, which don't know of that support.
     fn may_change_witnesses(&self, now: Millis) -> bool {
         now >= self.support_until || !self.guards.on(Guard::WitnessesFixed)
     }
@@ -155,13 +157,13 @@
             identity: self.identity.clone(),
             lease,
             witnesses,
-            draining: self.stopping.is_some(),
+            draining: self.drain.is_some(),
             revision: 0,
             gone: false,
         }
     }
 
-    fn register(&mut self, now: Millis, lease: LeaseId, span: Millis, granted: Millis) {
+    fn write_registration(&mut self, now: Millis, lease: LeaseId, ttl: Millis, granted_at: Millis) {
         let witnesses = match &self.session {
             Some(session) if !self.may_change_witnesses(now) => session.record.witnesses.clone(),
             _ => self.wanted_witnesses(),
@@ -171,17 +173,17 @@
             .as_ref()
             .is_none_or(|session| session.record.witnesses != witnesses);
         if changed && self.guards.on(Guard::WitnessesFixed) {
-            self.round = None;
+            self.support_round = None;
         }
         let record = self.own_record(lease, witnesses);
         let key = self.keys.node(&self.identity.name);
         let registration = self
             .keys
             .registration(&self.identity.name, self.identity.incarnation);
-        let living = self.session.as_ref().filter(|session| !session.dead);
-        // The record of a previous start of this node stands until its lease ends;
-        // that start may still run, paused, and believe in its bound.
-        let conditions = match living {
+        let live_session = self.session.as_ref().filter(|session| !session.expired);
+        // The record of a previous incarnation of this node exists until its lease ends.
+        // That incarnation may still be running, paused, and rely on its deadline.
+        let conditions = match live_session {
             Some(session) => vec![Condition::Unchanged(key.clone(), session.record.revision)],
             None if self.guards.on(Guard::PreviousStart) => vec![Condition::Absent(key.clone())],
             None => Vec::new(),
@@ -190,213 +192,248 @@
             Write::Put(key, record.to_value(), Some(lease)),
             Write::Put(registration, record.to_value(), None),
         ];
-        self.joining = Joining::Registering(Join {
+        self.registration = RegistrationState::Writing(PendingRegistration {
             lease,
-            span,
-            granted,
+            ttl,
+            granted_at,
             record,
         });
         let transaction = Transaction { conditions, writes };
-        self.call(now, Purpose::Register, Call::Commit(transaction));
+        self.start_call(now, Purpose::Register, Call::Commit(transaction));
     }
 
-    /// Whether the witnesses at the service may differ from the ones this node knows of.
-    pub(super) fn witnesses_unsettled(&self) -> bool {
-        self.doubtful || self.witnesses_changing()
+    /// Returns whether the registered witnesses may differ from the ones that this node
+    /// knows of.
+    pub(super) fn witnesses_uncertain(&self) -> bool {
+        self.registration_uncertain || self.witnesses_changing()
     }
 
     fn witnesses_changing(&self) -> bool {
-        let (Joining::Registering(join) | Joining::Settling(join)) = &self.joining else {
+        let (RegistrationState::Writing(pending) | RegistrationState::Verifying(pending)) =
+            &self.registration
+        else {
             return false;
         };
         self.session
             .as_ref()
-            .is_none_or(|session| session.record.witnesses != join.record.witnesses)
+            .is_none_or(|session| session.record.witnesses != pending.record.witnesses)
     }
 
-    pub(super) fn granted(&mut self, now: Millis, sent: Millis, result: &Result<LeaseId, Error>) {
-        self.joining = Joining::Idle;
+    pub(super) fn handle_grant_result(
+        &mut self,
+        now: Millis,
+        sent_at: Millis,
+        result: &Result<LeaseId, Error>,
+    ) {
+        self.registration = RegistrationState::Idle;
         match result {
             Ok(lease) => {
                 let lease = *lease;
-                let span = self.limits.lease_ttl(self.fleet_size());
-                self.register(now, lease, span, sent);
+                let ttl = self.limits.lease_ttl(self.fleet_size());
+                self.write_registration(now, lease, ttl, sent_at);
             }
-            Err(_) => self.retry_join(now),
+            Err(_) => self.retry_registration(now),
         }
     }
 
-    fn retry_join(&mut self, now: Millis) {
-        self.joining = Joining::Idle;
-        let retry = self.retry_span();
-        self.next_join = now + self.jitter(retry);
+    fn retry_registration(&mut self, now: Millis) {
+        self.registration = RegistrationState::Idle;
+        let delay = self.retry_delay();
+        self.next_registration = now + self.jitter(delay);
     }
 
-    // All nodes try at the same time when the service comes back. At a third of
-    // the lease's span their calls stay as far apart as renewals do.
-    pub(super) fn retry_span(&self) -> Millis {
-        let span = self.limits.lease_ttl(self.fleet_size());
-        RETRY.max(Millis(span.0 / RENEWALS_PER_LEASE))
+    // All nodes retry when the key-value service comes back. At a third of the lease's
+    // TTL their calls are spread as widely as renewals.
+    pub(super) fn retry_delay(&self) -> Millis {
+        let ttl = self.limits.lease_ttl(self.fleet_size());
+        MIN_RETRY_DELAY.max(Millis(ttl.0 / RENEWALS_PER_LEASE))
     }
 
-    pub(super) fn registered(&mut self, now: Millis, result: &Result<Commit, Error>) {
-        let changed = self.witnesses_changing();
-        let Joining::Registering(join) = std::mem::replace(&mut self.joining, Joining::Idle) else {
+    pub(super) fn handle_register_result(&mut self, now: Millis, result: &Result<Commit, Error>) {
+        let witnesses_changing = self.witnesses_changing();
+        let RegistrationState::Writing(pending) =
+            std::mem::replace(&mut self.registration, RegistrationState::Idle)
+        else {
             return;
         };
         if matches!(result, Err(Error::NoAnswer(_) | Error::Malformed(_))) {
-            self.doubt(&join, changed);
+            self.mark_uncertain(&pending, witnesses_changing);
         }
         match result {
-            Ok(commit) if commit.done => self.joined(now, join, commit.revision, true),
-            // What stands under the key is this node's own late write, or its previous start's.
-            Ok(_) | Err(Error::NoAnswer(_) | Error::Malformed(_)) => self.settle(now, join),
-            Err(Error::Unreachable(_) | Error::Refused(_)) => self.retry_join(now),
+            Ok(commit) if commit.done => {
+                self.complete_registration(now, pending, commit.revision, true);
+            }
+            // The key may hold this node's own late write or the record of its previous
+            // incarnation.
+            Ok(_) | Err(Error::NoAnswer(_) | Error::Malformed(_)) => {
+                self.verify_registration(now, pending);
+            }
+            Err(Error::Unreachable(_) | Error::Refused(_)) => self.retry_registration(now),
         }
     }
 
-    // The write may take effect at any later time. With other witnesses, a successor
-    // would ask those while this node counts on the old ones; under another lease, the
-    // record would vanish while this node renews the old lease. Until a registration
-    // of its own is certain again, neither the old witnesses nor the old lease count.
-    fn doubt(&mut self, join: &Join, changed: bool) {
-        self.doubtful |= changed;
+    // The write may take effect at any later time. If it changes the witnesses, a successor
+    // would ask the new ones while this node counts on the old ones. If it is made under
+    // another lease, the record would expire while this node renews the old lease. Until a
+    // registration is known to be in effect, neither the old witnesses nor the old lease
+    // are relied on.
+    fn mark_uncertain(&mut self, pending: &PendingRegistration, witnesses_changing: bool) {
+        self.registration_uncertain |= witnesses_changing;
         if let Some(session) = &mut self.session
-            && session.lease != join.lease
+            && session.lease != pending.lease
         {
-            session.dead = true;
-            session.checked = false;
+            session.expired = true;
+            session.claims_confirmed = false;
         }
     }
 
-    fn settle(&mut self, now: Millis, join: Join) {
-        self.joining = Joining::Settling(join);
+    fn verify_registration(&mut self, now: Millis, pending: PendingRegistration) {
+        self.registration = RegistrationState::Verifying(pending);
         let key = self.keys.node(&self.identity.name);
-        self.call(now, Purpose::SettleRegister, Call::Read(key));
+        self.start_call(now, Purpose::VerifyRegistration, Call::Read(key));
     }
 
-    pub(super) fn settled(&mut self, now: Millis, result: Result<Option<Entry>, Error>) {
-        let Joining::Settling(join) = std::mem::replace(&mut self.joining, Joining::Idle) else {
+    pub(super) fn handle_registration_read(
+        &mut self,
+        now: Millis,
+        result: Result<Option<Entry>, Error>,
+    ) {
+        let RegistrationState::Verifying(pending) =
+            std::mem::replace(&mut self.registration, RegistrationState::Idle)
+        else {
             return;
         };
         let Ok(entry) = result else {
-            // Without the read nothing is known; asking again is all there is.
-            self.joining = Joining::Settling(join);
-            self.next_join = now + RETRY;
+            // The outcome of the write is still unknown, so the read is retried.
+            self.registration = RegistrationState::Verifying(pending);
+            self.next_registration = now + MIN_RETRY_DELAY;
             return;
         };
         let found = entry.and_then(|entry| Record::from_value(&entry.value, entry.revision));
         match found {
             Some(record) if record.identity == self.identity => {
                 let revision = record.revision;
-                let known = self.session.as_ref().map(|t| t.record.revision);
+                let known = self.session.as_ref().map(|session| session.record.revision);
                 if known == Some(revision) {
-                    // Still the old one: writing over it makes the late write fail.
-                    self.retry_join(now);
+                    // The old record is still there; writing it again makes the late write
+                    // fail.
+                    self.retry_registration(now);
                     return;
                 }
-                let own = record.lease == join.lease;
-                let join = Join {
+                let same_lease = record.lease == pending.lease;
+                let pending = PendingRegistration {
                     lease: record.lease,
                     record,
-                    ..join
+                    ..pending
                 };
-                self.joined(now, join, revision, own);
+                self.complete_registration(now, pending, revision, same_lease);
             }
             _ => {
                 if let Some(session) = &mut self.session {
-                    session.dead = true;
+                    session.expired = true;
                 }
-                self.retry_join(now);
+                self.retry_registration(now);
             }
         }
     }
 
-    /// Asks again for a settlement whose read failed.
-    pub(super) fn tend_settling(&mut self, now: Millis) {
-        let reading = self
+    /// Repeats a read of the node's record that failed.
+    pub(super) fn retry_verification(&mut self, now: Millis) {
+        let read_in_flight = self
             .pending
             .values()
-            .any(|pending| matches!(pending.purpose, Purpose::SettleRegister));
-        if reading || now < self.next_join {
+            .any(|pending| matches!(pending.purpose, Purpose::VerifyRegistration));
+        if read_in_flight || now < self.next_registration {
             return;
         }
-        if let Joining::Settling(join) = &self.joining {
-            let join = join.clone();
-            self.settle(now, join);
+        if let RegistrationState::Verifying(pending) = &self.registration {
+            let pending = pending.clone();
+            self.verify_registration(now, pending);
         }
     }
 
-    fn joined(&mut self, now: Millis, join: Join, revision: u64, counted: bool) {
-        let Join {
+    fn complete_registration(
+        &mut self,
+        now: Millis,
+        pending: PendingRegistration,
+        revision: u64,
+        lease_time_known: bool,
+    ) {
+        let PendingRegistration {
             lease,
-            span,
-            granted,
+            ttl,
+            granted_at,
             mut record,
-        } = join;
+        } = pending;
         record.revision = revision;
         self.witness.registered(revision);
-        self.doubtful = false;
-        let kept = self.session.take().filter(|session| session.lease == lease);
-        let service_until = match &kept {
-            Some(session) => session.service_until,
-            None if counted => granted + span - drift_margin(span),
+        self.registration_uncertain = false;
+        let previous = self.session.take().filter(|session| session.lease == lease);
+        let lease_until = match &previous {
+            Some(session) => session.lease_until,
+            None if lease_time_known => granted_at + ttl - drift_margin(ttl),
             None => Millis::ZERO,
         };
-        let checked = kept.as_ref().is_some_and(|session| session.checked);
+        let claims_confirmed = previous
+            .as_ref()
+            .is_some_and(|session| session.claims_confirmed);
         self.session = Some(Session {
             lease,
-            span,
+            ttl,
             record: record.clone(),
-            service_until,
-            renewed: kept.as_ref().map_or(granted, |session| session.renewed),
-            dead: false,
-            renewing: kept.as_ref().is_some_and(|session| session.renewing),
-            next_renewal: kept.map_or(now, |session| session.next_renewal),
-            checked_after: now,
-            checked,
+            lease_until,
+            last_renewal: previous
+                .as_ref()
+                .map_or(granted_at, |session| session.last_renewal),
+            expired: false,
+            renewal_in_flight: previous
+                .as_ref()
+                .is_some_and(|session| session.renewal_in_flight),
+            next_renewal: previous.map_or(now, |session| session.next_renewal),
+            confirm_after: now,
+            claims_confirmed,
         });
-        self.joining = Joining::Idle;
-        self.next_join = now + RETRY;
+        self.registration = RegistrationState::Idle;
+        self.next_registration = now + MIN_RETRY_DELAY;
         self.table.merge_record(record.clone());
         self.table.merge_registration(record);
-        self.reading.wanted = true;
-        self.note("registered");
+        self.full_read.requested = true;
+        self.record_event("registered");
     }
 
-    pub(super) fn renewed(
+    pub(super) fn handle_renew_result(
         &mut self,
         now: Millis,
-        sent: Millis,
+        sent_at: Millis,
         lease: LeaseId,
         result: &Result<Millis, Error>,
     ) {
-        let from = if self.guards.on(Guard::BoundFromSend) {
-            sent
+        let counted_from = if self.guards.on(Guard::BoundFromSend) {
+            sent_at
         } else {
             now
         };
-        let Some(session) = self.session_under(lease) else {
+        let Some(session) = self.session_of(lease) else {
             return;
         };
-        session.renewing = false;
+        session.renewal_in_flight = false;
         match result {
-            Ok(span) if *span > Millis::ZERO => {
-                let third = Millis(session.span.0 / RENEWALS_PER_LEASE);
+            Ok(ttl) if *ttl > Millis::ZERO => {
+                let third = Millis(session.ttl.0 / RENEWALS_PER_LEASE);
                 let wait = self.jitter(third);
-                self.renewal_counts(lease, from);
+                self.record_renewal(lease, counted_from);
                 if let Some(session) = &mut self.session {
-                    session.next_renewal = sent + wait;
+                    session.next_renewal = sent_at + wait;
                 }
             }
             Ok(_) => {
-                session.dead = true;
-                session.checked = false;
-                self.next_join = now;
-                self.note("lease_lost");
+                session.expired = true;
+                session.claims_confirmed = false;
+                self.next_registration = now;
+                self.record_event("lease_lost");
             }
             Err(_) => {
-                let third = Millis(session.span.0 / RENEWALS_PER_LEASE);
+                let third = Millis(session.ttl.0 / RENEWALS_PER_LEASE);
                 let wait = self.jitter(Millis(third.0 / 2));
                 if let Some(session) = &mut self.session {
                     session.next_renewal = now + wait;
@@ -405,37 +442,39 @@
         }
     }
 
-    // A renewal that is answered after its lease was exchanged says nothing of the new one.
-    fn session_under(&mut self, lease: LeaseId) -> Option<&mut Session> {
+    // Returns the session if it still is under this lease: a renewal that completes after
+    // the lease was replaced says nothing about the new one.
+    fn session_of(&mut self, lease: LeaseId) -> Option<&mut Session> {
         self.session
             .as_mut()
             .filter(|session| session.lease == lease)
     }
 
-    /// Counts a renewal that was sent, by this node or through a witness, at `sent`.
-    pub(super) fn renewal_counts(&mut self, lease: LeaseId, sent: Millis) {
-        let Some(session) = self.session_under(lease) else {
+    /// Records a successful renewal that this node, or a witness for it, sent at `sent_at`.
+    pub(super) fn record_renewal(&mut self, lease: LeaseId, sent_at: Millis) {
+        let Some(session) = self.session_of(lease) else {
             return;
         };
-        session.renewed = session.renewed.max(sent);
-        let until = sent + session.span - drift_margin(session.span);
-        session.service_until = session.service_until.max(until);
-        if session.checked {
-            self.extend(until);
+        session.last_renewal = session.last_renewal.max(sent_at);
+        let until = sent_at + session.ttl - drift_margin(session.ttl);
+        session.lease_until = session.lease_until.max(until);
+        if session.claims_confirmed {
+            self.extend_ownership(until);
         }
     }
 
-    /// Whether the lease was renewed too long ago to rely on the service.
-    pub(super) fn renewal_late(&self, now: Millis) -> bool {
+    /// Returns whether the lease expired or its last renewal is more than half a TTL ago, so
+    /// that the node asks its witnesses for support.
+    pub(super) fn is_renewal_overdue(&self, now: Millis) -> bool {
         self.session.as_ref().is_some_and(|session| {
-            session.dead || now.since(session.renewed) >= Millis(session.span.0 / 2)
+            session.expired || now.since(session.last_renewal) >= Millis(session.ttl.0 / 2)
         })
     }
 
-    /// Whether the outage has lasted longer than any owner may go on.
-    pub(super) fn outage_over(&self, now: Millis) -> bool {
+    /// Returns whether the last renewal is so long ago that owners must stop.
+    pub(super) fn max_outage_reached(&self, now: Millis) -> bool {
         self.session
             .as_ref()
-            .is_none_or(|session| now.since(session.renewed) >= MAX_OUTAGE)
+            .is_none_or(|session| now.since(session.last_renewal) >= MAX_OUTAGE)
     }
 }
--- a/lib/src/membership/machine/mod.rs
+++ b/lib/src/membership/machine/mod.rs
@@ -1,18 +1,18 @@
-//! Ownership as one node sees it: its lease, its witnesses, its claims.
+//! State machine of one node's ownership: its lease, witnesses and claims.
 //!
-//! The machine does no I/O and reads no clock: calls go out as [`Action`]s, and
-//! their answers come back with the time. The keeper drives it in a node, the
-//! fuzz harness under virtual time. See docs/design/0004-ownership.md.
+//! The machine does no I/O and reads no clock: it emits calls as [`Action`]s and
+//! receives their results together with the current time. The keeper drives it in
+//! a node, the fuzz harness under virtual time. See docs/design/0004-ownership.md.
 
 mod call;
 mod claims;
+mod cleanup;
+mod drain;
+mod full_read;
 mod handover;
 mod lease;
-mod reading;
-mod stop;
 mod support;
 mod takeover;
-mod tidy;
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -32,25 +32,26 @@
 use crate::name::Name;
 
 pub use call::{Action, Call, CallResult};
-use call::{Pending, Purpose};
-use claims::Busy;
-use lease::{Joining, Session};
-use reading::Reading;
-use stop::Stopping;
-use support::Round;
+use call::{PendingCall, Purpose};
+use claims::ClaimOperation;
+use drain::DrainState;
+use full_read::FullRead;
+use lease::{RegistrationState, Session};
+use support::SupportRound;
 use takeover::Withdrawal;
 
-/// Wait after the start before leftovers of ended nodes are removed.
-const FIRST_TIDY: Millis = Millis::from_secs(30);
+/// Delay after the start before leftovers of former nodes are removed.
+const FIRST_CLEANUP_DELAY: Millis = Millis::from_secs(30);
 
 /// An upstream that this node owns and serves.
 #[derive(Debug)]
-struct Held {
+struct OwnedUpstream {
     token: u64,
+    // End of ownership in milliseconds, shared with the upstream's driver.
     until: Arc<AtomicU64>,
 }
 
-/// Ownership as one node sees it.
+/// Lease, witnesses and claims of one node, as a state machine without I/O.
 #[derive(Debug)]
 pub struct Machine {
     identity: Identity,
@@ -61,48 +62,52 @@
     table: MembershipTable,
     witness: Witness,
     actions: Vec<Action>,
-    pending: BTreeMap<u64, Pending>,
-    calls: u64,
+    pending: BTreeMap<u64, PendingCall>,
+    last_call_id: u64,
 
     session: Option<Session>,
-    joining: Joining,
-    // A registration with other witnesses may yet take effect.
-    doubtful: bool,
-    next_join: Millis,
-    // Whether the node may own upstreams, and until when.
+    registration: RegistrationState,
+    // A write of a registration with different witnesses may still take effect.
+    registration_uncertain: bool,
+    next_registration: Millis,
+    // Whether the node may own upstreams, since when, and until when.
     eligible: bool,
     eligible_since: Millis,
-    until: Millis,
-    last_service: Option<Millis>,
+    owned_until: Millis,
+    last_service_contact: Option<Millis>,
 
-    round: Option<Round>,
-    rounds: u64,
-    next_round: Millis,
+    support_round: Option<SupportRound>,
+    last_round: u64,
+    next_support_round: Millis,
+    // Until when this node may count on support from its witnesses.
     support_until: Millis,
 
-    reading: Reading,
+    full_read: FullRead,
 
-    regions: BTreeMap<Name, Name>,
-    holds: BTreeMap<Name, Held>,
-    busy: BTreeMap<Name, Busy>,
+    // Upstreams that some node should own, with the region of each.
+    upstream_regions: BTreeMap<Name, Name>,
+    owned: BTreeMap<Name, OwnedUpstream>,
+    operations: BTreeMap<Name, ClaimOperation>,
+    // Withdrawals by the former owner's name and incarnation.
     withdrawals: BTreeMap<(Name, u64), Withdrawal>,
-    next_plan: Millis,
+    next_claim_check: Millis,
     next_rebalance: Millis,
     next_handover: Millis,
-    next_tidy: Millis,
+    next_cleanup: Millis,
+    // Digest of the live nodes, and when it last changed.
     nodes_digest: u64,
-    nodes_since: Millis,
-    stopping: Option<Stopping>,
+    nodes_changed_at: Millis,
+    drain: Option<DrainState>,
 }
 
 impl Machine {
-    /// Makes the machine of a node that just started.
+    /// Creates the machine of a node that just started.
     #[must_use]
     pub fn new(identity: Identity, limits: Limits, prefix: &str, seed: u64, now: Millis) -> Self {
         Self::with_guards(identity, limits, prefix, seed, now, Guards::all())
     }
 
-    /// Makes a machine that may lack a guard, for the fuzz harness.
+    /// Creates a machine that may have one guard disabled, for the fuzz harness.
     #[must_use]
     pub fn with_guards(
         identity: Identity,
@@ -124,170 +129,182 @@
             witness,
             actions: Vec::new(),
             pending: BTreeMap::new(),
-            calls: 0,
+            last_call_id: 0,
             session: None,
-            joining: Joining::Idle,
-            doubtful: false,
-            next_join: now,
+            registration: RegistrationState::Idle,
+            registration_uncertain: false,
+            next_registration: now,
             eligible: false,
             eligible_since: now,
-            until: Millis::ZERO,
-            last_service: None,
-            round: None,
-            rounds: 0,
-            next_round: now,
+            owned_until: Millis::ZERO,
+            last_service_contact: None,
+            support_round: None,
+            last_round: 0,
+            next_support_round: now,
             support_until: Millis::ZERO,
-            reading: Reading {
-                under_way: false,
-                wanted: true,
-                next: now,
-                after: now,
-                bytes: 0,
+            full_read: FullRead {
+                in_flight: false,
+                requested: true,
+                next_at: now,
+                not_before: now,
+                last_size_bytes: 0,
             },
-            regions: BTreeMap::new(),
-            holds: BTreeMap::new(),
-            busy: BTreeMap::new(),
+            upstream_regions: BTreeMap::new(),
+            owned: BTreeMap::new(),
+            operations: BTreeMap::new(),
             withdrawals: BTreeMap::new(),
-            next_plan: now,
+            next_claim_check: now,
             next_rebalance: now,
             next_handover: now,
-            next_tidy: now + FIRST_TIDY,
+            next_cleanup: now + FIRST_CLEANUP_DELAY,
             nodes_digest: 0,
-            nodes_since: now,
-            stopping: None,
+            nodes_changed_at: now,
+            drain: None,
         }
     }
 
-    /// Takes the actions that became due.
+    /// Returns the actions that became due and clears them.
     pub fn take_actions(&mut self) -> Vec<Action> {
         std::mem::take(&mut self.actions)
     }
 
-    /// Does what time brings; called several times a second.
+    /// Performs everything that is due by now; called several times a second.
     pub fn tick(&mut self, now: Millis) {
-        self.check_lapse(now);
-        self.tend_lease(now);
-        self.tend_support(now);
-        self.tend_reading(now);
-        self.tend_claims(now);
-        self.tend_stop(now);
+        self.check_expiry(now);
+        self.maintain_lease(now);
+        self.maintain_support(now);
+        self.maintain_full_read(now);
+        self.maintain_claims(now);
+        self.advance_drain(now);
     }
 
-    /// Takes the answer of a call.
-    pub fn handle_result(&mut self, now: Millis, call: u64, answer: CallResult) {
-        self.check_lapse(now);
-        let Some(Pending { purpose, sent }) = self.pending.remove(&call) else {
+    /// Handles the result of the call numbered `call`.
+    pub fn handle_result(&mut self, now: Millis, call: u64, result: CallResult) {
+        self.check_expiry(now);
+        let Some(PendingCall { purpose, sent_at }) = self.pending.remove(&call) else {
             return;
         };
-        self.note_service(now, &answer);
-        match (purpose, answer) {
-            (Purpose::Grant, CallResult::Granted(result)) => self.granted(now, sent, &result),
-            (Purpose::Register, CallResult::Committed(result)) => self.registered(now, &result),
-            (Purpose::SettleRegister, CallResult::Read(result)) => self.settled(now, result),
+        self.record_service_contact(now, &result);
+        match (purpose, result) {
+            (Purpose::Grant, CallResult::Granted(result)) => {
+                self.handle_grant_result(now, sent_at, &result);
+            }
+            (Purpose::Register, CallResult::Committed(result)) => {
+                self.handle_register_result(now, &result);
+            }
+            (Purpose::VerifyRegistration, CallResult::Read(result)) => {
+                self.handle_registration_read(now, result);
+            }
             (Purpose::Renew(lease), CallResult::Renewed(result)) => {
-                self.renewed(now, sent, lease, &result);
+                self.handle_renew_result(now, sent_at, lease, &result);
+            }
+            (Purpose::List, CallResult::Listed(result)) => {
+                self.handle_list_result(now, sent_at, result);
             }
-            (Purpose::List, CallResult::Listed(result)) => self.listed(now, sent, result),
             (Purpose::Claim(upstream), CallResult::Committed(result)) => {
-                self.claimed(now, &upstream, &result);
+                self.handle_claim_result(now, &upstream, &result);
+            }
+            (Purpose::VerifyClaim(upstream), CallResult::Read(result)) => {
+                self.handle_claim_read(now, &upstream, result);
             }
-            (Purpose::SettleClaim(upstream), CallResult::Read(result)) => {
-                self.claim_read(now, &upstream, result);
+            (Purpose::Release(upstream), CallResult::Released) => {
+                self.handle_released(now, &upstream);
             }
-            (Purpose::Release(upstream), CallResult::Released) => self.released(now, &upstream),
             (Purpose::Support { round, witness }, CallResult::Vote(vote)) => {
-                self.supported(now, round, witness, vote);
+                self.handle_support_vote(now, round, witness, vote);
             }
             (
                 Purpose::Withdraw {
-                    start,
+                    owner,
                     round,
                     witness,
                 },
                 CallResult::Vote(vote),
             ) => {
-                self.withdrawn(now, &start, round, witness, vote);
+                self.handle_withdrawal_vote(now, &owner, round, witness, vote);
             }
-            (Purpose::Revoke, _) => self.revoked(),
+            (Purpose::Revoke, _) => self.handle_revoked(),
             _ => {}
         }
         self.tick(now);
     }
 
-    /// Takes a change of a key that a watch saw.
+    /// Applies a key change reported by a watch of the key-value service.
     pub fn apply_watch_event(&mut self, now: Millis, event: &crate::ports::Event) {
-        self.last_service = Some(now);
+        self.last_service_contact = Some(now);
         if !self.table.apply_event(event) {
-            self.note("stale_read");
+            self.record_event("stale_read");
             return;
         }
         self.reconcile(now);
-        self.next_plan = now;
+        self.next_claim_check = now;
         self.tick(now);
     }
 
-    /// Takes the upstreams that should be owned, with the region of each.
+    /// Sets the upstreams that should have an owner, with the region of each.
     pub fn set_upstreams(&mut self, now: Millis, regions: BTreeMap<Name, Name>) {
-        self.regions = regions;
-        self.next_plan = now;
+        self.upstream_regions = regions;
+        self.next_claim_check = now;
         self.reconcile(now);
     }
 
-    /// Answers a peer that asks this node as a witness.
+    /// Votes as a witness on a peer's request.
     pub fn vote(&mut self, now: Millis, ask: &Ask) -> Vote {
         self.witness.vote(now, ask)
     }
 
-    /// Begins the node's planned stop: hands over everything within `limit`.
+    /// Starts the node's drain: hands over all upstreams within `limit`, then ends the lease.
     pub fn drain(&mut self, now: Millis, limit: Millis) {
-        if self.stopping.is_none() {
-            self.stopping = Some(Stopping {
-                until: now + limit,
-                ending: false,
+        if self.drain.is_none() {
+            self.drain = Some(DrainState {
+                deadline: now + limit,
+                ending_lease: false,
                 done: false,
             });
-            self.note("draining");
+            self.record_event("draining");
             self.tick(now);
         }
     }
 
-    /// Whether the planned stop is done.
+    /// Returns whether the drain is complete.
     #[must_use]
     pub fn is_drained(&self) -> bool {
-        self.stopping.is_some_and(|stopping| stopping.done)
+        self.drain.is_some_and(|drain| drain.done)
     }
 
-    fn ending(&self) -> bool {
-        self.stopping.is_some_and(|stopping| stopping.ending)
+    fn is_ending_lease(&self) -> bool {
+        self.drain.is_some_and(|drain| drain.ending_lease)
     }
 
-    /// Returns what is known of nodes and claims.
+    /// Returns the known nodes and claims.
     #[must_use]
     pub fn table(&self) -> &MembershipTable {
         &self.table
     }
 
-    /// Lets news from a peer in; see [`MembershipTable::merge_claim`] and [`MembershipTable::merge_record`].
+    /// Merges an update from a peer into the table, and returns whether the table changed.
+    ///
+    /// See [`MembershipTable::merge_claim`] and [`MembershipTable::merge_record`].
     pub fn merge_from_peer(
         &mut self,
         now: Millis,
-        learn: impl FnOnce(&mut MembershipTable) -> bool,
+        merge: impl FnOnce(&mut MembershipTable) -> bool,
     ) -> bool {
-        let news = learn(&mut self.table);
-        if news {
+        let changed = merge(&mut self.table);
+        if changed {
             self.reconcile(now);
-            self.next_plan = now;
+            self.next_claim_check = now;
         }
-        news
+        changed
     }
 
-    /// Returns how long ago the service last answered this node.
+    /// Returns how long ago the key-value service last answered this node.
     #[must_use]
     pub fn service_age(&self, now: Millis) -> Option<Millis> {
-        self.last_service.map(|at| now.since(at))
+        self.last_service_contact.map(|at| now.since(at))
     }
 
-    /// Whether this node may own upstreams now.
+    /// Returns whether this node may own upstreams now.
     #[must_use]
     pub fn is_eligible(&self) -> bool {
         self.eligible
@@ -296,72 +313,79 @@
     /// Returns when the node's ownership ends unless it is extended.
     #[must_use]
     pub fn owned_until(&self) -> Millis {
-        self.until
+        self.owned_until
     }
 
-    /// Whether ownership rests on witnesses since the service can't be reached.
+    /// Returns whether ownership is extended by witnesses beyond the lease, as in an outage of
+    /// the key-value service.
     #[must_use]
     pub fn relies_on_witnesses(&self) -> bool {
-        let service = self.session.as_ref().map(|session| session.service_until);
-        self.eligible && service.is_none_or(|until| until < self.until)
+        let lease_until = self.session.as_ref().map(|session| session.lease_until);
+        self.eligible && lease_until.is_none_or(|until| until < self.owned_until)
     }
 
-    /// Returns the lease's span, if the node has one.
+    /// Returns the lease's TTL, if the node has a lease.
     #[must_use]
     pub fn lease_ttl(&self) -> Option<Millis> {
-        self.session.as_ref().map(|session| session.span)
+        self.session.as_ref().map(|session| session.ttl)
     }
 
-    /// Lists the upstreams that this node serves, with their fencing tokens.
+    /// Iterates over the upstreams that this node owns, with their fencing tokens.
     pub fn owned_tokens(&self) -> impl Iterator<Item = (&Name, u64)> {
-        self.holds.iter().map(|(name, held)| (name, held.token))
+        self.owned.iter().map(|(name, owned)| (name, owned.token))
     }
 
-    /// Lists the holds of the upstreams that this node serves.
+    /// Iterates over the upstreams that this node owns, with their [`UpstreamOwnership`].
     pub fn ownerships<'a>(
         &'a self,
         clock: &'a Arc<dyn Clock>,
     ) -> impl Iterator<Item = (&'a Name, UpstreamOwnership)> + 'a {
-        self.holds.iter().map(|(name, held)| {
-            let until = Arc::clone(&held.until);
+        self.owned.iter().map(|(name, owned)| {
+            let until = Arc::clone(&owned.until);
             (
                 name,
-                UpstreamOwnership::new(held.token, until, Arc::clone(clock)),
+                UpstreamOwnership::new(owned.token, until, Arc::clone(clock)),
             )
         })
     }
 
-    /// Whether this node should watch the service's keys instead of reading them now and then.
+    /// Returns whether this node should watch the membership keys rather than only read them
+    /// periodically.
     #[must_use]
     pub fn is_watcher(&self) -> bool {
         placement::duty_rank(&self.identity.name, self.table.live_records())
             < self.limits.max_watchers
     }
 
-    /// Reads all keys at the next chance, as when a watch broke.
+    /// Requests a full read of the membership keys, for example after a watch broke.
     pub fn request_full_read(&mut self) {
-        self.reading.wanted = true;
+        self.full_read.requested = true;
     }
 
-    fn call(&mut self, now: Millis, purpose: Purpose, call: Call) {
-        self.calls += 1;
-        self.pending
-            .insert(self.calls, Pending { purpose, sent: now });
-        self.actions.push(Action::Call(self.calls, call));
+    fn start_call(&mut self, now: Millis, purpose: Purpose, call: Call) {
+        self.last_call_id += 1;
+        self.pending.insert(
+            self.last_call_id,
+            PendingCall {
+                purpose,
+                sent_at: now,
+            },
+        );
+        self.actions.push(Action::Call(self.last_call_id, call));
     }
 
-    fn note(&mut self, event: &'static str) {
+    fn record_event(&mut self, event: &'static str) {
         self.actions.push(Action::RecordEvent(event));
     }
 
-    // Spreads what many nodes would else do at the same time.
-    fn jitter(&mut self, span: Millis) -> Millis {
-        let quarter = span.0 / 4;
-        Millis(span.0 - quarter + self.rng.random_range(0..=2 * quarter))
+    // Returns a duration within a quarter of the given one, so that nodes don't act in lockstep.
+    fn jitter(&mut self, duration: Millis) -> Millis {
+        let quarter = duration.0 / 4;
+        Millis(duration.0 - quarter + self.rng.random_range(0..=2 * quarter))
     }
 
-    fn note_service(&mut self, now: Millis, answer: &CallResult) {
-        let reached = match answer {
+    fn record_service_contact(&mut self, now: Millis, result: &CallResult) {
+        let reached = match result {
             CallResult::Granted(result) => result.is_ok(),
             CallResult::Renewed(result) => result.is_ok(),
             CallResult::Committed(result) => result.is_ok(),
@@ -370,41 +394,41 @@
             CallResult::Revoked | CallResult::Vote(_) | CallResult::Released => false,
         };
         if reached {
-            self.last_service = Some(now);
+            self.last_service_contact = Some(now);
         }
     }
 
-    // A node whose bound has passed may have successors. Extending the bound
-    // after the fact would make it an owner beside them, so the lapse is final
-    // until the claims have been read again under a lease that lives.
-    fn check_lapse(&mut self, now: Millis) {
-        if !self.eligible || now < self.until {
+    // Once a node's ownership has expired, successors may have taken over. Extending it
+    // afterwards would create a second owner, so the expiry is final until the claims
+    // have been read again under a live lease.
+    fn check_expiry(&mut self, now: Millis) {
+        if !self.eligible || now < self.owned_until {
             return;
         }
         if !self.guards.on(Guard::LapseFinal) {
             return;
         }
         self.eligible = false;
-        self.round = None;
+        self.support_round = None;
         if let Some(session) = &mut self.session {
-            session.checked_after = now;
-            session.checked = false;
+            session.confirm_after = now;
+            session.claims_confirmed = false;
         }
-        self.reading.wanted = true;
-        self.note("lapsed");
-        let lost: Vec<Name> = self.holds.keys().cloned().collect();
+        self.full_read.requested = true;
+        self.record_event("lapsed");
+        let lost: Vec<Name> = self.owned.keys().cloned().collect();
         for upstream in lost {
             self.relinquish(now, &upstream);
         }
     }
 
-    fn extend(&mut self, until: Millis) {
-        if !self.eligible || until <= self.until {
+    fn extend_ownership(&mut self, until: Millis) {
+        if !self.eligible || until <= self.owned_until {
             return;
         }
-        self.until = until;
-        for held in self.holds.values() {
-            held.until.store(until.0, Ordering::Release);
+        self.owned_until = until;
+        for owned in self.owned.values() {
+            owned.until.store(until.0, Ordering::Release);
         }
     }
 }
--- a/lib/src/membership/machine/support.rs
+++ b/lib/src/membership/machine/support.rs
@@ -1,4 +1,4 @@
-//! Asking this node's witnesses for support while its lease can't be renewed.
+//! Requests for support from this node's witnesses while its lease can't be renewed.
 
 use std::collections::BTreeSet;
 
@@ -11,37 +11,37 @@
 use crate::name::Name;
 use crate::ports::LeaseId;
 
-/// Rounds of asking in one support span; two may fail.
-const ROUNDS: u64 = 3;
+/// Support rounds in one [`SUPPORT_TTL`]; two may fail before support expires.
+const ROUNDS_PER_SUPPORT_TTL: u64 = 3;
 
-/// One round of asking all witnesses.
+/// One round of requests for support from all witnesses.
 #[derive(Debug)]
-pub(super) struct Round {
+pub(super) struct SupportRound {
     number: u64,
-    sent: Millis,
+    sent_at: Millis,
     lease: LeaseId,
-    wanted: usize,
-    supported: BTreeSet<Name>,
+    needed: usize,
+    supporters: BTreeSet<Name>,
 }
 
 impl Machine {
-    pub(super) fn tend_support(&mut self, now: Millis) {
-        let needed = self.eligible && self.renewal_late(now);
-        if !needed || now < self.next_round || self.ending() {
+    pub(super) fn maintain_support(&mut self, now: Millis) {
+        let needed = self.eligible && self.is_renewal_overdue(now);
+        if !needed || now < self.next_support_round || self.is_ending_lease() {
             return;
         }
-        self.next_round = now + Millis(SUPPORT_TTL.0 / ROUNDS);
-        if self.witnesses_unsettled() && self.guards.on(Guard::WitnessesFixed) {
+        self.next_support_round = now + Millis(SUPPORT_TTL.0 / ROUNDS_PER_SUPPORT_TTL);
+        if self.witnesses_uncertain() && self.guards.on(Guard::WitnessesFixed) {
             return;
         }
-        if self.outage_over(now) {
-            self.note("outage_limit");
+        if self.max_outage_reached(now) {
+            self.record_event("outage_limit");
             return;
         }
-        self.ask_support(now);
+        self.start_support_round(now);
     }
 
-    fn ask_support(&mut self, now: Millis) {
+    fn start_support_round(&mut self, now: Millis) {
         let Some(session) = &self.session else {
             return;
         };
@@ -53,50 +53,52 @@
             registration: session.record.revision,
             withdraw_before: None,
         };
-        self.rounds += 1;
-        let number = self.rounds;
-        self.round = Some(Round {
+        self.last_round += 1;
+        let number = self.last_round;
+        self.support_round = Some(SupportRound {
             number,
-            sent: now,
+            sent_at: now,
             lease: ask.lease,
-            wanted: majority(witnesses.len()),
-            supported: BTreeSet::new(),
+            needed: majority(witnesses.len()),
+            supporters: BTreeSet::new(),
         });
         for witness in witnesses {
             let purpose = Purpose::Support {
                 round: number,
                 witness: witness.clone(),
             };
-            self.ask(now, &witness, purpose, ask.clone());
+            self.request_vote(now, &witness, purpose, ask.clone());
         }
     }
 
-    /// Asks a witness, which may be this node itself.
-    pub(super) fn ask(&mut self, now: Millis, witness: &Name, purpose: Purpose, ask: Ask) {
+    /// Requests a vote from a witness, which may be this node itself.
+    pub(super) fn request_vote(&mut self, now: Millis, witness: &Name, purpose: Purpose, ask: Ask) {
         if *witness == self.identity.name {
             let vote = Some(self.witness.vote(now, &ask));
             match purpose {
-                Purpose::Support { round, witness } => self.supported(now, round, witness, vote),
+                Purpose::Support { round, witness } => {
+                    self.handle_support_vote(now, round, witness, vote);
+                }
                 Purpose::Withdraw {
-                    start,
+                    owner,
                     round,
                     witness,
-                } => self.withdrawn(now, &start, round, witness, vote),
+                } => self.handle_withdrawal_vote(now, &owner, round, witness, vote),
                 _ => {}
             }
             return;
         }
-        // A witness whose record ended in the outage still listens where it did.
+        // A witness whose record expired in the outage still listens at the same address.
         let address = self
             .table
             .record(witness)
             .map(|record| record.identity.peer);
         if let Some(address) = address {
-            self.call(now, purpose, Call::RequestVote(address, ask));
+            self.start_call(now, purpose, Call::RequestVote(address, ask));
         }
     }
 
-    pub(super) fn supported(
+    pub(super) fn handle_support_vote(
         &mut self,
         now: Millis,
         number: u64,
@@ -106,37 +108,37 @@
         let Some(vote) = vote else {
             return;
         };
-        let limit = self.limits.vote_timeout();
-        let one = !self.guards.on(Guard::SupportMajority);
+        let timeout = self.limits.vote_timeout();
+        let one_suffices = !self.guards.on(Guard::SupportMajority);
         let from_send = self.guards.on(Guard::SupportFromSend);
-        let Some(round) = &mut self.round else {
+        let Some(round) = &mut self.support_round else {
             return;
         };
         if round.number != number {
             return;
         }
-        let sent = if from_send { round.sent } else { now };
-        // A late answer is a promise that this node no longer needs; rounds stay short
-        // so that a restarted witness is silent for longer than any of them.
-        let in_time = now.since(round.sent) <= limit || !from_send;
+        let counted_from = if from_send { round.sent_at } else { now };
+        // Late votes don't count, which bounds the length of a round: a restarted witness
+        // stays silent for longer than any round.
+        let in_time = now.since(round.sent_at) <= timeout || !from_send;
         if vote.renewed {
             let lease = round.lease;
-            self.renewal_counts(lease, sent);
+            self.record_renewal(lease, counted_from);
             return;
         }
         if !in_time || !vote.supported {
             return;
         }
-        round.supported.insert(witness);
-        let counted = round.supported.len();
-        if counted < round.wanted && !one {
+        round.supporters.insert(witness);
+        let counted = round.supporters.len();
+        if counted < round.needed && !one_suffices {
             return;
         }
-        let until = sent + SUPPORT_TTL - drift_margin(SUPPORT_TTL);
+        let until = counted_from + SUPPORT_TTL - drift_margin(SUPPORT_TTL);
         if !self.relies_on_witnesses() {
-            self.note("outage_support");
+            self.record_event("outage_support");
         }
         self.support_until = self.support_until.max(until);
-        self.extend(until);
+        self.extend_ownership(until);
     }
 }
--- a/lib/src/membership/ownership.rs
+++ b/lib/src/membership/ownership.rs
@@ -1,4 +1,4 @@
-//! Leased ownership of an upstream, bounded in time by this node's own clock.
+//! Ownership of an upstream, limited in time on this node's own clock.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -7,12 +7,12 @@
 use crate::error::{Code, Failure};
 use crate::ports::Fence;
 
-/// A claim on an upstream, checked just before each order.
+/// Ownership of an upstream under a claim, checked right before each order.
 ///
-/// A lease can lapse while this process is paused: the order then leaves long
-/// after the check that allowed it, and the upstream sees two owners. Reading
-/// the clock again just before each order bounds the window to one system call;
-/// the fencing token closes it for upstreams that check tokens.
+/// A lease can expire while this process is paused. An order that was allowed by an
+/// earlier check would then be sent long after it, and the upstream would see two
+/// owners. Reading the clock again right before each order limits the window to one
+/// system call; the fencing token closes it for upstreams that check tokens.
 #[derive(Debug, Clone)]
 pub struct UpstreamOwnership {
     token: u64,
@@ -21,7 +21,7 @@
 }
 
 impl UpstreamOwnership {
-    /// Makes a hold whose bound the node's lease keeper moves through `until`.
+    /// Creates the ownership; the membership machine moves its end through `until`.
     #[must_use]
     pub fn new(token: u64, until: Arc<AtomicU64>, clock: Arc<dyn Clock>) -> Self {
         Self {
@@ -37,17 +37,17 @@
         self.token
     }
 
-    /// Returns when the lease on the upstream ends, on this node's monotonic clock.
+    /// Returns when the ownership ends, on this node's monotonic clock.
     #[must_use]
     pub fn until(&self) -> Millis {
         Millis(self.until.load(Ordering::Acquire))
     }
 
-    /// Returns the fence for an order that leaves now.
+    /// Returns the fence for an order that is sent now.
     ///
     /// # Errors
     ///
-    /// [`Code::NotOwner`] when the bound has passed.
+    /// [`Code::NotOwner`] if the ownership has ended.
     pub fn fence(&self) -> Result<Fence, Failure> {
         if self.clock.now() < self.until() {
             return Ok(Fence { token: self.token });
--- a/lib/src/membership/table.rs
+++ b/lib/src/membership/table.rs
@@ -1,4 +1,4 @@
-//! What a node knows of nodes and claims, from the service and from peers.
+//! The nodes and claims that a node knows of, from the key-value service and from peers.
 
 use std::collections::BTreeMap;
 
@@ -9,10 +9,11 @@
 use crate::name::Name;
 use crate::ports::{Event, Listing};
 
-/// Ended records that are kept so that peers learn of the end.
-const ENDED_KEPT: usize = 256;
+/// Number of ended records that are kept as tombstones for peers.
+const MAX_TOMBSTONES: usize = 256;
 
-/// Nodes and claims; every entry carries the service's revision, the larger wins.
+/// Known nodes and claims. Every entry carries a revision of the key-value service, and the
+/// entry of the larger revision wins.
 #[derive(Debug)]
 pub struct MembershipTable {
     keys: Keys,
@@ -22,11 +23,11 @@
     registrations: BTreeMap<(Name, u64), Record>,
     read_revision: u64,
     version: u64,
-    read: bool,
+    has_read: bool,
 }
 
 impl MembershipTable {
-    /// Makes an empty table.
+    /// Creates an empty table.
     #[must_use]
     pub fn new(keys: Keys, guards: Guards) -> Self {
         Self {
@@ -37,101 +38,101 @@
             registrations: BTreeMap::new(),
             read_revision: 0,
             version: 0,
-            read: false,
+            has_read: false,
         }
     }
 
-    /// Returns the service's revision up to which this node has read for itself.
+    /// Returns the revision up to which this node itself has read the key-value service.
     #[must_use]
     pub fn read_revision(&self) -> u64 {
         self.read_revision
     }
 
-    /// Returns a number that grows with every change.
+    /// Returns a number that increases with every change.
     #[must_use]
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// Whether this node has read the service's keys for itself.
+    /// Returns whether this node itself has read the membership keys.
     #[must_use]
     pub fn has_read(&self) -> bool {
-        self.read
+        self.has_read
     }
 
-    /// Lists the claims by upstream.
+    /// Iterates over the claims, ordered by upstream.
     pub fn claims(&self) -> impl Iterator<Item = &Claim> {
         self.claims.values()
     }
 
-    /// Finds an upstream's claim.
+    /// Returns an upstream's claim.
     #[must_use]
     pub fn claim(&self, upstream: &str) -> Option<&Claim> {
         self.claims.get(upstream)
     }
 
-    /// Lists records of nodes, those that ended of late included.
+    /// Iterates over the nodes' records, recently ended ones included.
     pub fn records(&self) -> impl Iterator<Item = &Record> {
         self.nodes.values()
     }
 
-    /// Lists records that stand, as far as is known.
+    /// Iterates over the records that aren't known to have ended.
     pub fn live_records(&self) -> impl Iterator<Item = &Record> {
         self.nodes.values().filter(|record| !record.gone)
     }
 
-    /// Finds a node's record if it stands.
+    /// Returns a node's record unless it has ended.
     #[must_use]
     pub fn live_record(&self, name: &str) -> Option<&Record> {
         self.nodes.get(name).filter(|record| !record.gone)
     }
 
-    /// Finds a node's record, standing or ended.
+    /// Returns a node's record, live or ended.
     #[must_use]
     pub fn record(&self, name: &str) -> Option<&Record> {
         self.nodes.get(name)
     }
 
-    /// Finds what one start of a node wrote last of itself, whether or not its lease still lives.
+    /// Returns the last record that this incarnation of a node wrote, whether or not its lease
+    /// still exists.
     #[must_use]
     pub fn registration(&self, name: &Name, incarnation: u64) -> Option<&Record> {
         self.registrations.get(&(name.clone(), incarnation))
     }
 
-    /// Lists what all nodes wrote last of themselves.
+    /// Iterates over the last record that each incarnation of a node wrote.
     pub fn registrations(&self) -> impl Iterator<Item = &Record> {
         self.registrations.values()
     }
 
-    /// Whether the owner that a claim names has a record that stands.
+    /// Returns whether the owner that a claim names has a live record.
     #[must_use]
     pub fn has_live_owner(&self, claim: &Claim) -> bool {
         self.live_record(&claim.node)
             .is_some_and(|record| record.identity.incarnation == claim.incarnation)
     }
 
-    /// Takes over a read of all keys. Returns false if it is older than what was read before.
+    /// Applies a full read. Returns false if it is older than what was read before.
     ///
-    /// A replica of the service that lags, or an answer that was late, would
-    /// otherwise bring back an owner that is none any more.
+    /// A response from a lagging replica of the service, or a delayed one, would otherwise
+    /// bring back a former owner.
     pub fn apply_listing(&mut self, listing: &Listing) -> bool {
         if listing.revision < self.read_revision && self.guards.on(Guard::StaleRead) {
             return false;
         }
         self.read_revision = listing.revision;
-        self.read = true;
+        self.has_read = true;
         self.version += 1;
-        // This node may have written since the read was made; its answer must not
-        // undo what came after.
+        // Entries that are newer than the read, such as this node's own later writes, stay.
         let as_of = listing.revision;
         self.claims.retain(|_, claim| claim.token > as_of);
         self.registrations
             .retain(|_, record| record.revision > as_of);
-        let before = std::mem::take(&mut self.nodes);
+        let previous = std::mem::take(&mut self.nodes);
         for entry in &listing.entries {
             self.put(&entry.key, &entry.value, entry.revision);
         }
-        for (name, mut record) in before {
+        for (name, mut record) in previous {
             let newer = record.revision > as_of;
             if newer || !self.nodes.contains_key(&name) {
                 if !newer && !record.gone {
@@ -141,11 +142,12 @@
                 self.nodes.insert(name, record);
             }
         }
-        self.forget_ended();
+        self.prune_tombstones();
         true
     }
 
-    /// Takes over one change that a watch saw. Returns false if it is old.
+    /// Applies a change reported by a watch. Returns false if it is older than what was read
+    /// before.
     pub fn apply_event(&mut self, event: &Event) -> bool {
         if event.revision < self.read_revision && self.guards.on(Guard::StaleRead) {
             return false;
@@ -156,14 +158,14 @@
             Some(entry) => self.put(&entry.key, &entry.value, entry.revision),
             None => self.remove(&event.key, event.revision),
         }
-        self.forget_ended();
+        self.prune_tombstones();
         true
     }
 
-    /// Takes over a claim that this node wrote itself, or that a peer knows of.
+    /// Merges a claim that this node wrote, or that a peer knows of.
     ///
-    /// Returns whether it was news. What this node read for itself is complete
-    /// up to [`MembershipTable::read_revision`], so an older claim can only be one that ended.
+    /// Returns whether the table changed. What this node has read is complete up to
+    /// [`MembershipTable::read_revision`], so an unknown older claim is one that has ended.
     pub fn merge_claim(&mut self, claim: Claim) -> bool {
         let known = self.claims.get(&claim.upstream).map(|known| known.token);
         if claim.token <= known.unwrap_or(self.read_revision) {
@@ -174,7 +176,8 @@
         true
     }
 
-    /// Takes over a record that this node wrote itself, or that a peer knows of.
+    /// Merges a record that this node wrote, or that a peer knows of. Returns whether the table
+    /// changed.
     pub fn merge_record(&mut self, record: Record) -> bool {
         let known = self
             .nodes
@@ -185,20 +188,20 @@
         }
         self.nodes.insert(record.identity.name.clone(), record);
         self.version += 1;
-        self.forget_ended();
+        self.prune_tombstones();
         true
     }
 
-    /// Takes over a registration, unless a newer one is known.
+    /// Merges a registration, unless a newer one is known.
     pub fn merge_registration(&mut self, record: Record) {
-        let start = (record.identity.name.clone(), record.identity.incarnation);
-        let known = self.registrations.get(&start).map_or(0, |r| r.revision);
+        let key = (record.identity.name.clone(), record.identity.incarnation);
+        let known = self.registrations.get(&key).map_or(0, |r| r.revision);
         if record.revision > known {
-            self.registrations.insert(start, record);
+            self.registrations.insert(key, record);
         }
     }
 
-    /// Returns the largest revision of any entry.
+    /// Returns the largest revision of any claim or record.
     #[must_use]
     pub fn max_revision(&self) -> u64 {
         let claims = self.claims.values().map(|claim| claim.token);
@@ -206,7 +209,7 @@
         claims.chain(nodes).max().unwrap_or(0)
     }
 
-    /// Returns a digest of the claims and records that peers compare.
+    /// Returns a digest of the claims and live records, by which peers find differences.
     #[must_use]
     pub fn digest(&self) -> u64 {
         let mut hasher = Xxh3::new();
@@ -259,13 +262,13 @@
                 }
             }
             Some(Key::Registration(name, incarnation)) => {
-                let start = (Name::from(name), incarnation);
+                let key = (Name::from(name), incarnation);
                 if self
                     .registrations
-                    .get(&start)
+                    .get(&key)
                     .is_some_and(|r| r.revision < revision)
                 {
-                    self.registrations.remove(&start);
+                    self.registrations.remove(&key);
                 }
             }
             Some(Key::Claim(upstream)) => {
@@ -282,18 +285,18 @@
         }
     }
 
-    fn forget_ended(&mut self) {
+    fn prune_tombstones(&mut self) {
         let mut ended: Vec<u64> = self
             .nodes
             .values()
             .filter(|record| record.gone)
             .map(|record| record.revision)
             .collect();
-        if ended.len() <= ENDED_KEPT {
+        if ended.len() <= MAX_TOMBSTONES {
             return;
         }
         ended.sort_unstable();
-        let oldest = ended[ended.len() - ENDED_KEPT];
+        let oldest = ended[ended.len() - MAX_TOMBSTONES];
         self.nodes
             .retain(|_, record| !record.gone || record.revision >= oldest);
     }
--- a/lib/tests/test_ownership_fuzz.rs
+++ b/lib/tests/test_ownership_fuzz.rs
@@ -1,4 +1,5 @@
-//! Stateful fuzzing of ownership with fixed seeds; the bench runs longer campaigns.
+//! Stateful fuzzing of ownership with fixed seeds; `fuzz-outcomes` of the bench runs longer
+//! campaigns.
 
 #[path = "../../bench/src/fuzz_outcomes/harness/mod.rs"]
 mod harness;
@@ -8,7 +9,7 @@
 use harness::story::{Step, Story};
 use quickcheck::{Arbitrary, Gen};
 
-/// Events of the fixed run in CI.
+/// Number of events in the run with a fixed seed.
 const EVENTS: u64 = 3000;
 
 #[test]
@@ -31,8 +32,8 @@
     Story::arbitrary(&mut g)
 }
 
-// The stories as they were shrunk when they failed; they are kept as values, since
-// a seed means another story after a change of the generator.
+// Replays a failing story as it was shrunk. These stories are kept as values because a
+// seed yields another story once the generator changes.
 fn replay(seed: u64, sizes: (u8, u8, u8), steps: Vec<Step>) {
     let (nodes, upstreams, regions) = sizes;
     let story = Story {
@@ -47,7 +48,8 @@
     }
 }
 
-/// Pins of running requests outlast an engine's restart that its owner hears of late.
+/// Pins of running requests must survive a restart of their engine that its owner learns of
+/// late.
 #[test]
 fn replay_cold_start_unheard() {
     let steps = vec![
@@ -64,7 +66,7 @@
     replay(362_555_237_418_935_727, (6, 2, 1), steps);
 }
 
-/// A registration that takes effect late doesn't let a successor take over from a living owner.
+/// A registration that takes effect late must not let a successor take over from a live owner.
 #[test]
 fn replay_late_registration() {
     let steps = vec![
@@ -93,7 +95,8 @@
     replay(13_934_760_967_470_069_082, (4, 2, 2), steps);
 }
 
-/// A planned stop waits for requests of upstreams that were given up by a lapsed lease.
+/// A drain must wait for the requests of upstreams that were relinquished when the lease
+/// expired.
 #[test]
 fn replay_lapse_while_draining() {
     let steps = vec![
@@ -105,7 +108,7 @@
     replay(2_683_497_640_439_070_046, (3, 1, 2), steps);
 }
 
-/// Calls to the key-value service by a fleet at rest don't grow with its upstreams.
+/// Calls to the key-value service by an idle fleet must not grow with the number of upstreams.
 #[test]
 fn rest_calls_bounded() {
     let story = Story {
@@ -120,14 +123,14 @@
     let (before, _) = world.service_cost();
     world.run(120_000).expect("nothing fails");
     let (after, _) = world.service_cost();
-    let calls_of_a_node = (after - before) / 16;
+    let calls_per_node = (after - before) / 16;
     assert!(
-        calls_of_a_node < 2 * 120,
-        "{calls_of_a_node} calls in two minutes"
+        calls_per_node < 2 * 120,
+        "{calls_per_node} calls per node in two minutes"
     );
 }
 
-/// Each of these guards, left out, lets a story break a promise; the seeds are of
+/// Disabling any of these guards must let a story break a promise. The seeds are of the
 /// stories that `fuzz-outcomes --without` found first.
 #[test]
 fn guards_left_out() {
@@ -145,8 +148,8 @@
     ];
     for (guard, seed) in found {
         let story = story(seed);
-        let left_out = campaign::play(&story, Guards::without(guard));
-        assert!(left_out.is_err(), "{guard:?}");
+        let without_guard = campaign::play(&story, Guards::without(guard));
+        assert!(without_guard.is_err(), "{guard:?}");
         assert_eq!(campaign::play(&story, Guards::all()).err(), None);
     }
 }
