--- a/bench/src/fuzz_outcomes/harness/world/events.rs
+++ b/bench/src/fuzz_outcomes/harness/world/events.rs
@@ -70,7 +70,7 @@
             }
             Arrival::Answer(number, answer) => {
                 self.on_machine(index, |machine, now| {
-                    machine.handle_result(now, number, answer)
+                    machine.handle_result(now, number, answer);
                 });
             }
             Arrival::Seen(event) => {
--- a/lib/src/membership/keeper/mod.rs
+++ b/lib/src/membership/keeper/mod.rs
@@ -324,7 +324,7 @@
     fn released(self: &Arc<Self>, number: u64) {
         self.step(|core, now| {
             core.machine
-                .handle_result(now, number, CallResult::Released)
+                .handle_result(now, number, CallResult::Released);
         });
     }
 
