--- a/lib/src/membership/machine/mod.rs
+++ b/lib/src/membership/machine/mod.rs
@@ -40,14 +40,14 @@
 use support::SupportRound;
 use takeover::Withdrawal;
 
-/// Delay after the start before leftovers of former nodes are removed.
+/// Delay after the start before stale keys of former nodes are removed.
 const FIRST_CLEANUP_DELAY: Millis = Millis::from_secs(30);
 
 /// An upstream that this node owns and serves.
 #[derive(Debug)]
 struct OwnedUpstream {
     token: u64,
-    // End of ownership in milliseconds, shared with the upstream's driver.
+    // End of ownership in milliseconds, shared with the [`UpstreamOwnership`]s given out.
     until: Arc<AtomicU64>,
 }
 
