--- a/bench/src/spread/site.rs
+++ b/bench/src/spread/site.rs
@@ -146,7 +146,7 @@
 pub struct Site {
     pub peer: Peer,
     pub config: Arc<config::Keeper>,
-    pub gossip: Option<Arc<gossip::Keeper>>,
+    pub gossip: Option<Arc<gossip::Gossiper>>,
     pub transport: Arc<dyn Transport>,
     pub stop: CancellationToken,
 }
@@ -224,7 +224,7 @@
             stop: stop.clone(),
         });
         let gossip = way.gossip.as_ref().map(|limits| {
-            gossip::Keeper::start(gossip::Parts {
+            gossip::Gossiper::start(gossip::Parts {
                 node: Arc::clone(&peer.name),
                 incarnation,
                 region: Arc::clone(&peer.region),
--- a/lib/src/gossip/keeper.rs
+++ b/lib/src/gossip/gossiper.rs
@@ -100,7 +100,7 @@
 
 /// Exchanges with peers.
 #[derive(Debug)]
-pub struct Keeper {
+pub struct Gossiper {
     parts: Parts,
     choice: Mutex<Choice>,
     /// What peers were last told; the difference to now is news.
@@ -114,7 +114,7 @@
     reached: AtomicBool,
 }
 
-impl Keeper {
+impl Gossiper {
     /// Starts the regular exchanges and the passing on of news.
     #[must_use]
     pub fn start(parts: Parts) -> Arc<Self> {
@@ -385,7 +385,7 @@
 }
 
 #[async_trait]
-impl Exchange for Keeper {
+impl Exchange for Gossiper {
     async fn exchange(&self, mut digest: Digest) -> Delta {
         let mut told = Delta {
             operations: std::mem::take(&mut digest.operations),
--- a/lib/src/gossip/mod.rs
+++ b/lib/src/gossip/mod.rs
@@ -6,10 +6,10 @@
 //! docs/design/0005-configuration.md weighs this against the other ways.
 
 mod choice;
-pub mod keeper;
+pub mod gossiper;
 pub mod rank;
 
-pub use keeper::{Keeper, Limits, Parts};
+pub use gossiper::{Gossiper, Limits, Parts};
 
 use std::fmt;
 use std::net::SocketAddr;
--- a/lib/src/node/assembly.rs
+++ b/lib/src/node/assembly.rs
@@ -61,7 +61,7 @@
     pub(super) registry: Arc<Registry>,
     clients: Arc<Clients>,
     loads: Arc<loads::Shared>,
-    gossip: Arc<gossip::Keeper>,
+    gossip: Arc<gossip::Gossiper>,
     pub(super) config: Arc<config::Keeper>,
     pub(super) membership: Arc<membership::Keeper>,
     quarantine: Arc<entry::Quarantine>,
@@ -103,7 +103,7 @@
             membership: &membership,
             quarantine: &quarantine,
         };
-        let gossip = gossip::Keeper::start(base.gossip(&shares, &clients));
+        let gossip = gossip::Gossiper::start(base.gossip(&shares, &clients));
         Self {
             base,
             registry,
--- a/lib/tests/test_gossip.rs
+++ b/lib/tests/test_gossip.rs
@@ -11,7 +11,7 @@
 use chivevalve::clock::{Clock, Monotonic};
 use chivevalve::entry::Quarantine;
 use chivevalve::error::{Code, Failure};
-use chivevalve::gossip::{Exchange, Keeper, Limits, Parts, Peer, Peers, Snapshot, Transport};
+use chivevalve::gossip::{Exchange, Gossiper, Limits, Parts, Peer, Peers, Snapshot, Transport};
 use chivevalve::membership::Fleet;
 use chivevalve::membership::fleet::{State, Upstream};
 use chivevalve::poison::fingerprint::{Fingerprint, Identity};
@@ -25,7 +25,7 @@
 use futures::stream::{self, BoxStream};
 
 /// What answers for a node: its exchange and its configuration.
-type Served = (Weak<Keeper>, Arc<chivevalve::config::Keeper>);
+type Served = (Weak<Gossiper>, Arc<chivevalve::config::Keeper>);
 
 /// Nodes by address; a node that isn't there can't be reached.
 #[derive(Debug, Default)]
@@ -40,7 +40,7 @@
     async fn reach(
         &self,
         peer: &Peer,
-    ) -> Result<(Arc<Keeper>, Arc<chivevalve::config::Keeper>), Failure> {
+    ) -> Result<(Arc<Gossiper>, Arc<chivevalve::config::Keeper>), Failure> {
         self.calls.lock().unwrap().push(peer.address);
         if self.silent.lock().unwrap().contains(&peer.address) {
             std::future::pending::<()>().await;
@@ -81,7 +81,7 @@
 /// A node that exchanges with all others of the net.
 struct Joined {
     node: Node,
-    gossip: Arc<Keeper>,
+    gossip: Arc<Gossiper>,
     quarantine: Arc<Quarantine>,
 }
 
@@ -93,7 +93,7 @@
     let clock: Arc<dyn Clock> = Arc::new(Monotonic::start());
     let quarantine = Quarantine::new(own.name.clone(), clock, Arc::default());
     let quarantine = Arc::new(quarantine);
-    let gossip = Keeper::start(Parts {
+    let gossip = Gossiper::start(Parts {
         node: own.name,
         incarnation: 1,
         region: own.region,
