--- a/lib/src/membership/keeper/mod.rs
+++ b/lib/src/membership/manager/mod.rs
@@ -74,7 +74,7 @@
 
 /// Membership of one node.
 #[derive(Debug)]
-pub struct Keeper {
+pub struct MembershipManager {
     pub(super) core: Mutex<Core>,
     pub(super) parts: Parts,
     keys: Keys,
@@ -103,7 +103,7 @@
     Release(u64, Name, Millis),
 }
 
-impl Keeper {
+impl MembershipManager {
     /// Starts membership; its tasks end with `stop`.
     #[must_use]
     pub fn start(parts: Parts, stop: CancellationToken) -> Arc<Self> {
@@ -394,7 +394,7 @@
 }
 
 #[async_trait::async_trait]
-impl Renewal for Keeper {
+impl Renewal for MembershipManager {
     async fn renew(&self, ask: Ask) -> Vote {
         let now = self.parts.clock.now();
         let (mut vote, reached) = {
@@ -412,7 +412,7 @@
     }
 }
 
-impl Detector for Keeper {
+impl Detector for MembershipManager {
     fn failed(&self, upstream: &str) {
         let now = self.parts.clock.now();
         let mut core = self.lock();
--- a/lib/src/membership/keeper/publish.rs
+++ b/lib/src/membership/manager/publish.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-use super::{Adoption, Core, Keeper};
+use super::{Adoption, Core, MembershipManager};
 use crate::clock::Millis;
 use crate::declaration::{Kind, Pool};
 use crate::loads::WEIGHTS;
@@ -14,7 +14,7 @@
 use crate::name::Name;
 use crate::ports::Vm;
 
-impl Keeper {
+impl MembershipManager {
     pub(super) fn adopt(&self, core: &mut Core, now: Millis, upstream: &Name, hold: Hold) {
         let Some((found, pool)) = self.describe(core, now, upstream) else {
             core.adopted.remove(upstream);
--- a/lib/src/membership/mod.rs
+++ b/lib/src/membership/mod.rs
@@ -3,7 +3,7 @@
 pub mod fleet;
 pub mod guard;
 pub mod hold;
-pub mod keeper;
+pub mod manager;
 pub mod last_seen;
 pub mod limits;
 pub mod machine;
@@ -16,7 +16,7 @@
 
 pub use fleet::Fleet;
 pub use hold::Hold;
-pub use keeper::{Keeper, Parts};
+pub use manager::{MembershipManager, Parts};
 pub use limits::Limits;
 pub use node::Identity;
 pub use share::Node;
--- a/lib/src/membership/share.rs
+++ b/lib/src/membership/share.rs
@@ -7,7 +7,7 @@
 
 use crate::clock::Millis;
 use crate::gossip::{Peer, Peers, Share};
-use crate::membership::keeper::{Core, Keeper};
+use crate::membership::manager::{Core, MembershipManager};
 use crate::membership::last_seen;
 use crate::membership::node::{Claim, Record};
 use crate::name::Name;
@@ -33,7 +33,7 @@
     pub age: Option<Millis>,
 }
 
-impl Keeper {
+impl MembershipManager {
     /// Lists the nodes that are known, this one included.
     #[must_use]
     pub fn nodes(&self) -> Vec<Node> {
@@ -53,7 +53,7 @@
     }
 }
 
-impl Peers for Keeper {
+impl Peers for MembershipManager {
     fn peers(&self) -> Vec<Peer> {
         let now = self.parts.clock.now();
         let own = &self.parts.identity;
@@ -89,7 +89,7 @@
     }
 }
 
-impl Share for Keeper {
+impl Share for MembershipManager {
     fn digest(&self, digest: &mut Digest) {
         let now = self.parts.clock.now();
         let own = &self.parts.identity;
@@ -191,7 +191,7 @@
     }
 }
 
-fn unregistered(keeper: &Keeper) -> peer::NodeRecord {
+fn unregistered(keeper: &MembershipManager) -> peer::NodeRecord {
     let own = &keeper.parts.identity;
     peer::NodeRecord {
         node: own.name.to_string(),
--- a/lib/src/node/assembly.rs
+++ b/lib/src/node/assembly.rs
@@ -41,7 +41,7 @@
 /// Parts whose state is spread between nodes.
 struct Shares<'a> {
     config: &'a Arc<config::Keeper>,
-    membership: &'a Arc<membership::Keeper>,
+    membership: &'a Arc<membership::MembershipManager>,
     quarantine: &'a Arc<entry::Quarantine>,
 }
 
@@ -63,7 +63,7 @@
     loads: Arc<loads::Shared>,
     gossip: Arc<gossip::Gossiper>,
     pub(super) config: Arc<config::Keeper>,
-    pub(super) membership: Arc<membership::Keeper>,
+    pub(super) membership: Arc<membership::MembershipManager>,
     quarantine: Arc<entry::Quarantine>,
 }
 
@@ -231,7 +231,7 @@
         config: &Arc<config::Keeper>,
         registry: &Arc<Registry>,
         clients: &Arc<Clients>,
-    ) -> Arc<membership::Keeper> {
+    ) -> Arc<membership::MembershipManager> {
         let parts = membership::Parts {
             identity: self.identity.clone(),
             store: Arc::clone(&self.platform.store) as _,
@@ -248,10 +248,10 @@
             seed: seed(),
             seeds: self.settings.platform.seeds.clone(),
         };
-        membership::Keeper::start(parts, self.stop.clone())
+        membership::MembershipManager::start(parts, self.stop.clone())
     }
 
-    fn loads(&self, membership: &membership::Keeper, clients: &Arc<Clients>) -> loads::Parts {
+    fn loads(&self, membership: &membership::MembershipManager, clients: &Arc<Clients>) -> loads::Parts {
         loads::Parts {
             node: Arc::clone(&self.identity.name),
             fleet: membership.fleet(),
--- a/lib/src/node/mod.rs
+++ b/lib/src/node/mod.rs
@@ -71,7 +71,7 @@
 #[derive(Debug)]
 pub struct Node {
     limits: settings::Limits,
-    membership: Arc<membership::Keeper>,
+    membership: Arc<membership::MembershipManager>,
     config: Arc<config::Keeper>,
     registry: Arc<Registry>,
     metrics: Arc<Metrics>,
@@ -180,7 +180,7 @@
 
     /// Returns the node's membership.
     #[must_use]
-    pub fn membership(&self) -> &Arc<membership::Keeper> {
+    pub fn membership(&self) -> &Arc<membership::MembershipManager> {
         &self.membership
     }
 
--- a/lib/src/node/port.rs
+++ b/lib/src/node/port.rs
@@ -12,7 +12,7 @@
 #[derive(Debug)]
 pub struct Port {
     /// The node's membership.
-    pub membership: Arc<membership::Keeper>,
+    pub membership: Arc<membership::MembershipManager>,
     /// Cancelled when the node is to stop; the program that runs it waits for this.
     pub leaving: CancellationToken,
 }
