--- a/bench/src/spread/site.rs
+++ b/bench/src/spread/site.rs
@@ -224,7 +224,7 @@
             stop: stop.clone(),
         });
         let gossip = way.gossip.as_ref().map(|limits| {
-            gossip::Gossiper::start(gossip::Parts {
+            gossip::Gossiper::start(gossip::Dependencies {
                 node: Arc::clone(&peer.name),
                 incarnation,
                 region: Arc::clone(&peer.region),
--- a/lib/src/gossip/gossiper.rs
+++ b/lib/src/gossip/gossiper.rs
@@ -70,7 +70,7 @@
 
 /// What the exchange is made of.
 #[derive(Debug)]
-pub struct Parts {
+pub struct Dependencies {
     /// This node's name.
     pub node: Name,
     /// Which start of the node this is.
@@ -101,7 +101,7 @@
 /// Exchanges with peers.
 #[derive(Debug)]
 pub struct Gossiper {
-    parts: Parts,
+    parts: Dependencies,
     choice: Mutex<Choice>,
     /// What peers were last told; the difference to now is news.
     told: Mutex<Digest>,
@@ -117,7 +117,7 @@
 impl Gossiper {
     /// Starts the regular exchanges and the passing on of news.
     #[must_use]
-    pub fn start(parts: Parts) -> Arc<Self> {
+    pub fn start(parts: Dependencies) -> Arc<Self> {
         let choice = Choice::new(
             Arc::clone(&parts.region),
             parts.limits.away_percent,
--- a/lib/src/gossip/mod.rs
+++ b/lib/src/gossip/mod.rs
@@ -9,7 +9,7 @@
 pub mod gossiper;
 pub mod rank;
 
-pub use gossiper::{Gossiper, Limits, Parts};
+pub use gossiper::{Gossiper, Limits, Dependencies};
 
 use std::fmt;
 use std::net::SocketAddr;
--- a/lib/src/membership/manager/mod.rs
+++ b/lib/src/membership/manager/mod.rs
@@ -41,7 +41,7 @@
 
 /// What a keeper works with.
 #[derive(Debug)]
-pub struct Parts {
+pub struct Dependencies {
     /// This start of this node.
     pub identity: Identity,
     /// The key-value service.
@@ -76,7 +76,7 @@
 #[derive(Debug)]
 pub struct MembershipManager {
     pub(super) core: Mutex<Core>,
-    pub(super) parts: Parts,
+    pub(super) parts: Dependencies,
     keys: Keys,
     fleet: watch::Sender<Arc<Fleet>>,
     adoptions: mpsc::UnboundedSender<Adoption>,
@@ -106,7 +106,7 @@
 impl MembershipManager {
     /// Starts membership; its tasks end with `stop`.
     #[must_use]
-    pub fn start(parts: Parts, stop: CancellationToken) -> Arc<Self> {
+    pub fn start(parts: Dependencies, stop: CancellationToken) -> Arc<Self> {
         let now = parts.clock.now();
         let core = Core {
             machine: Machine::new(
@@ -246,7 +246,7 @@
     async fn make(&self, call: Call) -> Answer {
         let limit = self.parts.limits.call_timeout.duration();
         let lost = || Error::NoAnswer("no answer in time".to_owned());
-        let Parts {
+        let Dependencies {
             store,
             lease,
             relay,
--- a/lib/src/membership/mod.rs
+++ b/lib/src/membership/mod.rs
@@ -16,7 +16,7 @@
 
 pub use fleet::Fleet;
 pub use hold::Hold;
-pub use manager::{MembershipManager, Parts};
+pub use manager::{MembershipManager, Dependencies};
 pub use limits::Limits;
 pub use node::Identity;
 pub use share::Node;
--- a/lib/src/node/assembly.rs
+++ b/lib/src/node/assembly.rs
@@ -232,7 +232,7 @@
         registry: &Arc<Registry>,
         clients: &Arc<Clients>,
     ) -> Arc<membership::MembershipManager> {
-        let parts = membership::Parts {
+        let parts = membership::Dependencies {
             identity: self.identity.clone(),
             store: Arc::clone(&self.platform.store) as _,
             lease: Arc::clone(&self.platform.store) as _,
@@ -268,13 +268,13 @@
         entry::Quarantine::new(start.into(), clock, Arc::clone(&self.metrics))
     }
 
-    fn gossip(&self, shares: &Shares<'_>, clients: &Arc<Clients>) -> gossip::Parts {
+    fn gossip(&self, shares: &Shares<'_>, clients: &Arc<Clients>) -> gossip::Dependencies {
         let Shares {
             config,
             membership,
             quarantine,
         } = shares;
-        gossip::Parts {
+        gossip::Dependencies {
             node: Arc::clone(&self.identity.name),
             incarnation: self.identity.incarnation,
             region: Arc::clone(&self.identity.region),
--- a/lib/tests/test_gossip.rs
+++ b/lib/tests/test_gossip.rs
@@ -11,7 +11,7 @@
 use chivevalve::clock::{Clock, Monotonic};
 use chivevalve::entry::Quarantine;
 use chivevalve::error::{Code, Failure};
-use chivevalve::gossip::{Exchange, Gossiper, Limits, Parts, Peer, Peers, Snapshot, Transport};
+use chivevalve::gossip::{Exchange, Gossiper, Limits, Dependencies, Peer, Peers, Snapshot, Transport};
 use chivevalve::membership::Fleet;
 use chivevalve::membership::fleet::{State, Upstream};
 use chivevalve::poison::fingerprint::{Fingerprint, Identity};
@@ -93,7 +93,7 @@
     let clock: Arc<dyn Clock> = Arc::new(Monotonic::start());
     let quarantine = Quarantine::new(own.name.clone(), clock, Arc::default());
     let quarantine = Arc::new(quarantine);
-    let gossip = Gossiper::start(Parts {
+    let gossip = Gossiper::start(Dependencies {
         node: own.name,
         incarnation: 1,
         region: own.region,
