--- a/lib/src/membership/share.rs
+++ b/lib/src/membership/gossip_state.rs
@@ -26,25 +26,25 @@
 
 /// A node as operators see it.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Node {
+pub struct NodeStatus {
     /// Its record.
     pub record: Record,
     /// How long ago it was last heard of, if ever.
-    pub age: Option<Millis>,
+    pub last_heard_age: Option<Millis>,
 }
 
 impl MembershipManager {
     /// Lists the nodes that are known, this one included.
     #[must_use]
-    pub fn nodes(&self) -> Vec<Node> {
+    pub fn nodes(&self) -> Vec<NodeStatus> {
         let now = self.parts.clock.now();
         let core = self.lock();
         core.machine
             .table()
             .live()
-            .map(|record| Node {
+            .map(|record| NodeStatus {
                 record: record.clone(),
-                age: core
+                last_heard_age: core
                     .last_seen
                     .of(&record.identity.name)
                     .map(|heartbeat| now.since(heartbeat.at)),
--- a/lib/src/membership/mod.rs
+++ b/lib/src/membership/mod.rs
@@ -1,6 +1,7 @@
 //! Who is there: nodes, upstreams, and which node owns which upstream.
 
 pub mod fleet;
+pub mod gossip_state;
 pub mod guard;
 pub mod hold;
 pub mod manager;
@@ -9,7 +10,7 @@
 pub mod machine;
 pub mod node;
 pub mod placement;
-pub mod share;
+
 pub mod table;
 pub mod upstreams;
 pub mod witness;
@@ -19,7 +20,7 @@
 pub use manager::{MembershipManager, Dependencies};
 pub use limits::Limits;
 pub use node::Identity;
-pub use share::Node;
+pub use gossip_state::NodeStatus;
 
 use std::fmt;
 use std::net::SocketAddr;
--- a/lib/src/node/port.rs
+++ b/lib/src/node/port.rs
@@ -48,14 +48,14 @@
     }
 }
 
-fn peer(node: membership::Node) -> wire::Peer {
+fn peer(node: membership::NodeStatus) -> wire::Peer {
     let identity = node.record.identity;
     wire::Peer {
         name: identity.name.to_string(),
         region: identity.region.to_string(),
         failure_domain: identity.failure_domain.to_string(),
         operators: Some(identity.operators),
-        heard_age_ms: node.age.map_or(u64::MAX, |age| age.0),
+        heard_age_ms: node.last_heard_age.map_or(u64::MAX, |age| age.0),
         draining: node.record.draining,
     }
 }
