--- a/bench/src/fuzz_outcomes/harness/world.rs
+++ b/bench/src/fuzz_outcomes/harness/world.rs
@@ -51,7 +51,7 @@
         from: usize,
         start: u64,
         number: u64,
-        ask: witness::Ask,
+        ask: witness::VoteRequest,
     },
     News(Vec<Claim>, Vec<chivevalve::membership::node::Record>),
     Released(u64, Name, u64),
--- a/bench/src/fuzz_outcomes/harness/world/events.rs
+++ b/bench/src/fuzz_outcomes/harness/world/events.rs
@@ -141,7 +141,7 @@
         from: usize,
         start: u64,
         number: u64,
-        ask: &witness::Ask,
+        ask: &witness::VoteRequest,
     ) {
         let now = self.nodes[index].clock(self.now);
         let reached = self.service_reachable(index);
--- a/bench/src/spread/loopback.rs
+++ b/bench/src/spread/loopback.rs
@@ -81,7 +81,7 @@
 
 #[async_trait]
 impl Renewal for Unused {
-    async fn renew(&self, _ask: witness::Ask) -> witness::Vote {
+    async fn renew(&self, _ask: witness::VoteRequest) -> witness::Vote {
         witness::Vote::default()
     }
 }
--- a/lib/src/membership/machine/call.rs
+++ b/lib/src/membership/machine/call.rs
@@ -5,7 +5,7 @@
 use std::sync::atomic::AtomicU64;
 
 use crate::clock::Millis;
-use crate::membership::witness::{Ask, Vote};
+use crate::membership::witness::{VoteRequest, Vote};
 use crate::name::Name;
 use crate::ports::{Commit, Entry, Error, LeaseId, Listing, Transaction};
 
@@ -25,7 +25,7 @@
     /// Reads all keys of membership.
     List,
     /// Asks a peer as a witness.
-    Ask(SocketAddr, Ask),
+    Ask(SocketAddr, VoteRequest),
     /// Stops serving an upstream and waits for what runs.
     Release(Name, Millis),
 }
--- a/lib/src/membership/machine/mod.rs
+++ b/lib/src/membership/machine/mod.rs
@@ -28,7 +28,7 @@
 use crate::membership::node::{Identity, Keys};
 use crate::membership::placement;
 use crate::membership::table::Table;
-use crate::membership::witness::{Ask, Vote, Witness};
+use crate::membership::witness::{VoteRequest, Vote, Witness};
 use crate::name::Name;
 
 pub use call::{Action, Answer, Call};
@@ -234,7 +234,7 @@
     }
 
     /// Answers a peer that asks this node as a witness.
-    pub fn vote(&mut self, now: Millis, ask: &Ask) -> Vote {
+    pub fn vote(&mut self, now: Millis, ask: &VoteRequest) -> Vote {
         self.witness.vote(now, ask)
     }
 
--- a/lib/src/membership/machine/support.rs
+++ b/lib/src/membership/machine/support.rs
@@ -7,7 +7,7 @@
 use crate::membership::guard::Guard;
 use crate::membership::limits::{SUPPORT_SPAN, drift};
 use crate::membership::placement::majority;
-use crate::membership::witness::{Ask, Vote};
+use crate::membership::witness::{VoteRequest, Vote};
 use crate::name::Name;
 use crate::ports::LeaseId;
 
@@ -46,7 +46,7 @@
             return;
         };
         let witnesses = session.record.witnesses.clone();
-        let ask = Ask {
+        let ask = VoteRequest {
             node: self.identity.name.clone(),
             incarnation: self.identity.incarnation,
             lease: session.lease,
@@ -72,7 +72,7 @@
     }
 
     /// Asks a witness, which may be this node itself.
-    pub(super) fn ask(&mut self, now: Millis, witness: &Name, purpose: Purpose, ask: Ask) {
+    pub(super) fn ask(&mut self, now: Millis, witness: &Name, purpose: Purpose, ask: VoteRequest) {
         if *witness == self.identity.name {
             let vote = Some(self.witness.vote(now, &ask));
             match purpose {
--- a/lib/src/membership/machine/takeover.rs
+++ b/lib/src/membership/machine/takeover.rs
@@ -8,7 +8,7 @@
 use crate::membership::limits::{OUTAGE_LIMIT, drift};
 use crate::membership::node::{Claim, Record};
 use crate::membership::placement::majority;
-use crate::membership::witness::{Ask, Vote};
+use crate::membership::witness::{VoteRequest, Vote};
 use crate::name::Name;
 
 /// Wait after a round in which too few witnesses withdrew.
@@ -70,7 +70,7 @@
             withdrawal.next = now + again;
             withdrawal.withdrawn.clear();
         }
-        let ask = Ask {
+        let ask = VoteRequest {
             node: start.0.clone(),
             incarnation: start.1,
             lease: record.lease,
--- a/lib/src/membership/manager/mod.rs
+++ b/lib/src/membership/manager/mod.rs
@@ -26,7 +26,7 @@
 use crate::membership::machine::{Action, Answer, Call, Machine};
 use crate::membership::node::{Identity, Keys};
 use crate::membership::upstreams::{Upstreams, Verdict};
-use crate::membership::witness::{Ask, Vote};
+use crate::membership::witness::{VoteRequest, Vote};
 use crate::membership::{Adopter, Detector, Hold, Relay, Renewal};
 use crate::metrics::Metrics;
 use crate::name::Name;
@@ -395,7 +395,7 @@
 
 #[async_trait::async_trait]
 impl Renewal for MembershipManager {
-    async fn renew(&self, ask: Ask) -> Vote {
+    async fn renew(&self, ask: VoteRequest) -> Vote {
         let now = self.parts.clock.now();
         let (mut vote, reached) = {
             let mut core = self.lock();
--- a/lib/src/membership/witness.rs
+++ b/lib/src/membership/witness.rs
@@ -20,7 +20,7 @@
 
 /// What is asked of a witness.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Ask {
+pub struct VoteRequest {
     /// The node whose ownership is asked about.
     pub node: Name,
     /// Which start of it.
@@ -115,7 +115,7 @@
     }
 
     /// Votes on an owner that asks for support, or on a successor that asks to withdraw it.
-    pub fn vote(&mut self, now: Millis, ask: &Ask) -> Vote {
+    pub fn vote(&mut self, now: Millis, ask: &VoteRequest) -> Vote {
         if now < self.speaks_from && !self.surely_new(ask) {
             return Vote::default();
         }
@@ -134,7 +134,7 @@
 
     // To withdraw, the witness must also know that no older registration of the node was
     // supported, which only time tells.
-    fn surely_new(&self, ask: &Ask) -> bool {
+    fn surely_new(&self, ask: &VoteRequest) -> bool {
         let younger = self
             .forgot_nothing_after
             .is_some_and(|revision| ask.registration > revision);
--- a/lib/src/peer/client.rs
+++ b/lib/src/peer/client.rs
@@ -19,7 +19,7 @@
 use crate::gossip::{Peer, Transport};
 use crate::membership::Relay;
 use crate::membership::fleet::Owner;
-use crate::membership::witness::{Ask, Vote};
+use crate::membership::witness::{VoteRequest, Vote};
 use crate::metrics::Metrics;
 use crate::name::Name;
 use crate::runner::{Reach, Runner};
@@ -166,7 +166,7 @@
 
 #[async_trait]
 impl Relay for Clients {
-    async fn renew(&self, peer: SocketAddr, ask: Ask) -> Option<Vote> {
+    async fn renew(&self, peer: SocketAddr, ask: VoteRequest) -> Option<Vote> {
         let link = self.link(peer);
         let way = link.way().ok()?;
         let mut client = way.client();
--- a/lib/src/peer/witness.rs
+++ b/lib/src/peer/witness.rs
@@ -1,11 +1,11 @@
 //! The votes of witnesses as the messages that carry them.
 
-use crate::membership::witness::{Ask, Vote};
+use crate::membership::witness::{VoteRequest, Vote};
 use crate::ports::LeaseId;
 use crate::schema::peer::{RenewReply, RenewRequest};
 
-impl From<Ask> for RenewRequest {
-    fn from(ask: Ask) -> Self {
+impl From<VoteRequest> for RenewRequest {
+    fn from(ask: VoteRequest) -> Self {
         Self {
             node: ask.node.to_string(),
             lease: ask.lease.0,
@@ -16,7 +16,7 @@
     }
 }
 
-impl From<RenewRequest> for Ask {
+impl From<RenewRequest> for VoteRequest {
     fn from(request: RenewRequest) -> Self {
         Self {
             node: request.node.into(),
--- a/lib/tests/peer_fakes/mod.rs
+++ b/lib/tests/peer_fakes/mod.rs
@@ -11,7 +11,7 @@
 use chivevalve::loads;
 use chivevalve::membership::Renewal;
 use chivevalve::membership::fleet::Owner;
-use chivevalve::membership::witness::{Ask, Vote};
+use chivevalve::membership::witness::{VoteRequest, Vote};
 use chivevalve::metrics::Metrics;
 use chivevalve::peer::Limits;
 use chivevalve::peer::client::{self, Clients};
@@ -39,7 +39,7 @@
 
 #[async_trait]
 impl Renewal for Words {
-    async fn renew(&self, ask: Ask) -> Vote {
+    async fn renew(&self, ask: VoteRequest) -> Vote {
         Vote {
             renewed: false,
             supported: &*ask.node == "b",
--- a/lib/tests/test_membership.rs
+++ b/lib/tests/test_membership.rs
@@ -10,7 +10,7 @@
 use chivevalve::membership::placement::{self, Load};
 use chivevalve::membership::table::Table;
 use chivevalve::membership::upstreams::{Upstreams, Verdict};
-use chivevalve::membership::witness::{Ask, Witness};
+use chivevalve::membership::witness::{VoteRequest, Witness};
 use chivevalve::name::Name;
 use chivevalve::ports::{Entry, LeaseId, Listing, Vm};
 
@@ -95,8 +95,8 @@
     assert!(table.learn_claim(claim(10)));
 }
 
-fn ask(registration: u64, withdraw_before: Option<u64>) -> Ask {
-    Ask {
+fn ask(registration: u64, withdraw_before: Option<u64>) -> VoteRequest {
+    VoteRequest {
         node: Name::from("n"),
         incarnation: 1,
         lease: LeaseId(1),
@@ -160,7 +160,7 @@
     witness.registered(7);
     assert!(witness.vote(quiet, &ask(8, Some(10))).withdrawn);
     for other in 0..4096 {
-        let other = Ask {
+        let other = VoteRequest {
             node: Name::from(format!("other-{other}")),
             ..ask(8, None)
         };
--- a/lib/tests/test_peer.rs
+++ b/lib/tests/test_peer.rs
@@ -14,7 +14,7 @@
 use chivevalve::loads;
 use chivevalve::membership::Relay;
 use chivevalve::membership::fleet::{Fleet, Owner};
-use chivevalve::membership::witness::Ask;
+use chivevalve::membership::witness::VoteRequest;
 use chivevalve::peer::Clients;
 use chivevalve::ports::LeaseId;
 use chivevalve::runner::Reach;
@@ -526,7 +526,7 @@
     };
     let delta = clients.exchange(&peer, digest.clone()).await.unwrap();
     assert_eq!(delta.digest, Some(digest));
-    let ask = Ask {
+    let ask = VoteRequest {
         node: "b".into(),
         incarnation: 1,
         lease: LeaseId(5),
