--- a/bench/src/spread/loopback.rs
+++ b/bench/src/spread/loopback.rs
@@ -11,7 +11,7 @@
 use chivevalve::error::{Code, Failure};
 use chivevalve::gossip::{Peer, Peers, Snapshot};
 use chivevalve::loads::{Ask, Permit, Permits};
-use chivevalve::membership::{Renewal, witness};
+use chivevalve::membership::{VoteHandler, witness};
 use chivevalve::metrics::Metrics;
 use chivevalve::name::Name;
 use chivevalve::peer::tls::Security;
@@ -80,8 +80,8 @@
 }
 
 #[async_trait]
-impl Renewal for Unused {
-    async fn renew(&self, _ask: witness::VoteRequest) -> witness::Vote {
+impl VoteHandler for Unused {
+    async fn handle_vote_request(&self, _ask: witness::VoteRequest) -> witness::Vote {
         witness::Vote::default()
     }
 }
@@ -154,7 +154,7 @@
         let handlers = server::Handlers {
             runner: Arc::new(Unused),
             exchange: Arc::clone(gossip) as _,
-            renewal: Arc::new(Unused),
+            vote_handler: Arc::new(Unused),
             snapshot: Arc::clone(&site.config) as Arc<dyn Snapshot>,
             permits: Arc::new(Unused),
             clock,
--- a/lib/src/membership/manager/mod.rs
+++ b/lib/src/membership/manager/mod.rs
@@ -27,7 +27,7 @@
 use crate::membership::node::{Identity, Keys};
 use crate::membership::upstreams::{Upstreams, Verdict};
 use crate::membership::witness::{VoteRequest, Vote};
-use crate::membership::{Adopter, Detector, Hold, Relay, Renewal};
+use crate::membership::{Adopter, Detector, Hold, VoteClient, VoteHandler};
 use crate::metrics::Metrics;
 use crate::name::Name;
 use crate::ports::{Directory, Error, Lease, Store, Vm, Watch};
@@ -57,7 +57,7 @@
     /// The configuration in force, for the pools.
     pub view: watch::Receiver<Arc<View>>,
     /// Reaches peers as witnesses.
-    pub relay: Arc<dyn Relay>,
+    pub vote_client: Arc<dyn VoteClient>,
     /// The node's monotonic clock.
     pub clock: Arc<dyn Clock>,
     /// Where rare events are counted.
@@ -249,7 +249,7 @@
         let Dependencies {
             store,
             lease,
-            relay,
+            vote_client,
             ..
         } = &self.parts;
         match call {
@@ -285,7 +285,7 @@
                     .unwrap_or_else(|_| Err(lost())),
             ),
             Call::Ask(peer, ask) => {
-                let vote = timeout(limit, relay.renew(peer, ask)).await;
+                let vote = timeout(limit, vote_client.request_vote(peer, ask)).await;
                 Answer::Voted(vote.ok().flatten())
             }
             Call::Release(..) => Answer::Released,
@@ -394,8 +394,8 @@
 }
 
 #[async_trait::async_trait]
-impl Renewal for MembershipManager {
-    async fn renew(&self, ask: VoteRequest) -> Vote {
+impl VoteHandler for MembershipManager {
+    async fn handle_vote_request(&self, ask: VoteRequest) -> Vote {
         let now = self.parts.clock.now();
         let (mut vote, reached) = {
             let mut core = self.lock();
--- a/lib/src/membership/mod.rs
+++ b/lib/src/membership/mod.rs
@@ -45,16 +45,16 @@
 
 /// Votes for peers that ask this node as their witness.
 #[async_trait]
-pub trait Renewal: fmt::Debug + Send + Sync {
+pub trait VoteHandler: fmt::Debug + Send + Sync {
     /// Renews the asking node's lease if this node can, and supports it or withdraws.
-    async fn renew(&self, ask: witness::VoteRequest) -> witness::Vote;
+    async fn handle_vote_request(&self, ask: witness::VoteRequest) -> witness::Vote;
 }
 
 /// Asks a peer as a witness, over the peer's connection.
 #[async_trait]
-pub trait Relay: fmt::Debug + Send + Sync {
+pub trait VoteClient: fmt::Debug + Send + Sync {
     /// Returns the peer's vote, or none when no answer came in time.
-    async fn renew(&self, peer: SocketAddr, ask: witness::VoteRequest) -> Option<witness::Vote>;
+    async fn request_vote(&self, peer: SocketAddr, ask: witness::VoteRequest) -> Option<witness::Vote>;
 }
 
 /// Detects failed upstreams from what their owners meet, so that one which fails is held out.
--- a/lib/src/node/assembly.rs
+++ b/lib/src/node/assembly.rs
@@ -145,7 +145,7 @@
         server::Handlers {
             runner: Arc::clone(&self.registry) as _,
             exchange: Arc::clone(&self.gossip) as _,
-            renewal: Arc::clone(&self.membership) as _,
+            vote_handler: Arc::clone(&self.membership) as _,
             snapshot: Arc::clone(&self.config) as _,
             permits: self.loads.served(),
             clock: Arc::clone(&base.clock),
@@ -240,7 +240,7 @@
             directory: Arc::clone(&self.platform.directory) as _,
             adopter: Arc::clone(registry) as _,
             view: config.view(),
-            relay: Arc::clone(clients) as _,
+            vote_client: Arc::clone(clients) as _,
             clock: Arc::clone(&self.clock),
             metrics: Arc::clone(&self.metrics),
             limits: limits::membership(&self.settings),
--- a/lib/src/peer/client.rs
+++ b/lib/src/peer/client.rs
@@ -17,7 +17,7 @@
 use crate::clock::{Clock, Millis};
 use crate::error::Failure;
 use crate::gossip::{Peer, Transport};
-use crate::membership::Relay;
+use crate::membership::VoteClient;
 use crate::membership::fleet::Owner;
 use crate::membership::witness::{VoteRequest, Vote};
 use crate::metrics::Metrics;
@@ -165,8 +165,8 @@
 }
 
 #[async_trait]
-impl Relay for Clients {
-    async fn renew(&self, peer: SocketAddr, ask: VoteRequest) -> Option<Vote> {
+impl VoteClient for Clients {
+    async fn request_vote(&self, peer: SocketAddr, ask: VoteRequest) -> Option<Vote> {
         let link = self.link(peer);
         let way = link.way().ok()?;
         let mut client = way.client();
--- a/lib/src/peer/server.rs
+++ b/lib/src/peer/server.rs
@@ -18,7 +18,7 @@
 use crate::error::{Code, Failure};
 use crate::gossip::{Exchange, Snapshot};
 use crate::loads::Permits;
-use crate::membership::Renewal;
+use crate::membership::VoteHandler;
 use crate::metrics::Metrics;
 use crate::ports::Answer;
 use crate::runner::{Attempt, Runner};
@@ -36,7 +36,7 @@
     /// Answers exchanges.
     pub exchange: Arc<dyn Exchange>,
     /// Answers as a witness.
-    pub renewal: Arc<dyn Renewal>,
+    pub vote_handler: Arc<dyn VoteHandler>,
     /// Gives the whole configuration.
     pub snapshot: Arc<dyn Snapshot>,
     /// Gives leave to load, if this node owns the weight store's queue.
@@ -131,7 +131,7 @@
     async fn renew(&self, request: Request<RenewRequest>) -> Result<Response<RenewReply>, Status> {
         let request = request.into_inner();
         call::count(&self.metrics, "received", &request);
-        let reply = RenewReply::from(self.renewal.renew(request.into()).await);
+        let reply = RenewReply::from(self.vote_handler.handle_vote_request(request.into()).await);
         call::count(&self.metrics, "sent", &reply);
         Ok(Response::new(reply))
     }
--- a/lib/tests/peer_fakes/mod.rs
+++ b/lib/tests/peer_fakes/mod.rs
@@ -9,7 +9,7 @@
 use chivevalve::error::{Code, Failure};
 use chivevalve::gossip::{Exchange, Snapshot};
 use chivevalve::loads;
-use chivevalve::membership::Renewal;
+use chivevalve::membership::VoteHandler;
 use chivevalve::membership::fleet::Owner;
 use chivevalve::membership::witness::{VoteRequest, Vote};
 use chivevalve::metrics::Metrics;
@@ -38,8 +38,8 @@
 }
 
 #[async_trait]
-impl Renewal for Words {
-    async fn renew(&self, ask: VoteRequest) -> Vote {
+impl VoteHandler for Words {
+    async fn handle_vote_request(&self, ask: VoteRequest) -> Vote {
         Vote {
             renewed: false,
             supported: &*ask.node == "b",
@@ -95,7 +95,7 @@
         let handlers = Handlers {
             runner,
             exchange: Arc::new(Words),
-            renewal: Arc::new(Words),
+            vote_handler: Arc::new(Words),
             snapshot: Arc::new(Words),
             permits: Arc::new(queue),
             clock,
--- a/lib/tests/test_peer.rs
+++ b/lib/tests/test_peer.rs
@@ -12,7 +12,7 @@
 use chivevalve::error::{Code, Fate};
 use chivevalve::gossip::{Peer, Transport};
 use chivevalve::loads;
-use chivevalve::membership::Relay;
+use chivevalve::membership::VoteClient;
 use chivevalve::membership::fleet::{Fleet, Owner};
 use chivevalve::membership::witness::VoteRequest;
 use chivevalve::peer::Clients;
@@ -533,7 +533,7 @@
         registration: 7,
         withdraw_before: Some(9),
     };
-    let vote = clients.renew(peer.address, ask).await.unwrap();
+    let vote = clients.request_vote(peer.address, ask).await.unwrap();
     assert!(vote.supported && vote.withdrawn && !vote.renewed);
     let parts = clients.snapshot(&peer).await.unwrap();
     assert_eq!(parts.count().await, 3);
