--- a/lib/src/membership/manager/mod.rs
+++ b/lib/src/membership/manager/mod.rs
@@ -27,7 +27,7 @@
 use crate::membership::node::{Identity, Keys};
 use crate::membership::upstreams::{Upstreams, Verdict};
 use crate::membership::witness::{VoteRequest, Vote};
-use crate::membership::{Adopter, Detector, Hold, VoteClient, VoteHandler};
+use crate::membership::{Adopter, FailureDetector, Hold, VoteClient, VoteHandler};
 use crate::metrics::Metrics;
 use crate::name::Name;
 use crate::ports::{Directory, Error, Lease, Store, Vm, Watch};
@@ -412,15 +412,15 @@
     }
 }
 
-impl Detector for MembershipManager {
-    fn failed(&self, upstream: &str) {
+impl FailureDetector for MembershipManager {
+    fn record_failure(&self, upstream: &str) {
         let now = self.parts.clock.now();
         let mut core = self.lock();
         core.upstreams.failed(now, upstream);
         self.publish(&mut core, now);
     }
 
-    fn answered(&self, upstream: &str) {
+    fn record_success(&self, upstream: &str) {
         let now = self.parts.clock.now();
         self.lock().upstreams.answered(now, upstream);
     }
--- a/lib/src/membership/mod.rs
+++ b/lib/src/membership/mod.rs
@@ -58,10 +58,10 @@
 }
 
 /// Detects failed upstreams from what their owners meet, so that one which fails is held out.
-pub trait Detector: fmt::Debug + Send + Sync {
+pub trait FailureDetector: fmt::Debug + Send + Sync {
     /// An upstream couldn't be reached, or broke a connection.
-    fn failed(&self, upstream: &str);
+    fn record_failure(&self, upstream: &str);
 
     /// An upstream answered.
-    fn answered(&self, upstream: &str);
+    fn record_success(&self, upstream: &str);
 }
--- a/lib/src/node/assembly.rs
+++ b/lib/src/node/assembly.rs
@@ -85,7 +85,7 @@
             stop,
         };
         let permits = Deferred::<dyn loads::Permits>::default();
-        let detector = Deferred::<dyn membership::Detector>::default();
+        let detector = Deferred::<dyn membership::FailureDetector>::default();
         let peers = Deferred::<dyn gossip::Peers>::default();
         let decisions = Deferred::<dyn owner::Decisions>::default();
         let registry = Registry::start(base.owner(&permits, &detector, &decisions));
@@ -179,7 +179,7 @@
     fn owner(
         &self,
         permits: &Deferred<dyn loads::Permits>,
-        detector: &Deferred<dyn membership::Detector>,
+        detector: &Deferred<dyn membership::FailureDetector>,
         decisions: &Deferred<dyn owner::Decisions>,
     ) -> owner::Parts {
         owner::Parts {
--- a/lib/src/node/deferred.rs
+++ b/lib/src/node/deferred.rs
@@ -14,7 +14,7 @@
 use crate::error::{Code, Failure};
 use crate::gossip::{Peer, Peers};
 use crate::loads::{Ask, Permit, Permits};
-use crate::membership::Detector;
+use crate::membership::FailureDetector;
 use crate::owner::Decisions;
 use crate::request::Ticket;
 
@@ -31,16 +31,16 @@
     }
 }
 
-impl Detector for OnceLock<Arc<dyn Detector>> {
-    fn failed(&self, upstream: &str) {
+impl FailureDetector for OnceLock<Arc<dyn FailureDetector>> {
+    fn record_failure(&self, upstream: &str) {
         if let Some(detector) = self.get() {
-            detector.failed(upstream);
+            detector.record_failure(upstream);
         }
     }
 
-    fn answered(&self, upstream: &str) {
+    fn record_success(&self, upstream: &str) {
         if let Some(detector) = self.get() {
-            detector.answered(upstream);
+            detector.record_success(upstream);
         }
     }
 }
--- a/lib/src/owner/driver/mod.rs
+++ b/lib/src/owner/driver/mod.rs
@@ -295,7 +295,7 @@
         }
         log::info!("owner: {} answers again", self.name());
         if let Some(detector) = &self.parts.detector {
-            detector.answered(self.name());
+            detector.record_success(self.name());
         }
     }
 
@@ -304,7 +304,7 @@
             log::warn!("owner: {} can't be reached; it gets no work", self.name());
         }
         if let Some(detector) = &self.parts.detector {
-            detector.failed(self.name());
+            detector.record_failure(self.name());
         }
         if let Err(failure) = self.takes_work() {
             self.refuse_waiting(&failure);
--- a/lib/src/owner/registry.rs
+++ b/lib/src/owner/registry.rs
@@ -22,7 +22,7 @@
 use crate::declaration::Pool;
 use crate::error::{Code, Failure};
 use crate::loads::{Permits, WEIGHTS};
-use crate::membership::{Adopter, Detector, Hold, fleet};
+use crate::membership::{Adopter, FailureDetector, Hold, fleet};
 use crate::metrics::Metrics;
 use crate::name::Name;
 use crate::ports::{Answer, Connector};
@@ -40,7 +40,7 @@
     /// Gives leave to load.
     pub permits: Arc<dyn Permits>,
     /// Learns how owned upstreams are, so that membership can hold one out.
-    pub detector: Option<Arc<dyn Detector>>,
+    pub detector: Option<Arc<dyn FailureDetector>>,
     /// Tells whether what waits is still wanted as it was decided.
     pub decisions: Arc<dyn Decisions>,
     /// The node's clock.
--- a/lib/tests/owner_fakes/mod.rs
+++ b/lib/tests/owner_fakes/mod.rs
@@ -14,7 +14,7 @@
 use chivevalve::error::{Code, Failure};
 use chivevalve::loads::{Ask, Permit, Permits};
 use chivevalve::membership::fleet::{State, Upstream};
-use chivevalve::membership::{Adopter, Detector, Hold};
+use chivevalve::membership::{Adopter, FailureDetector, Hold};
 use chivevalve::metrics::Metrics;
 use chivevalve::owner::{Decisions, Limits, Parts, Registry};
 use chivevalve::ports::{Answer, Call, Connector, Engine, Fence, Report, Service, Vm};
@@ -342,12 +342,12 @@
     }
 }
 
-impl Detector for Counts {
-    fn failed(&self, _: &str) {
+impl FailureDetector for Counts {
+    fn record_failure(&self, _: &str) {
         self.failed.fetch_add(1, Ordering::Relaxed);
     }
 
-    fn answered(&self, _: &str) {
+    fn record_success(&self, _: &str) {
         self.answered.fetch_add(1, Ordering::Relaxed);
     }
 }
