--- a/bench/src/fuzz_outcomes/harness/world/faults.rs
+++ b/bench/src/fuzz_outcomes/harness/world/faults.rs
@@ -169,7 +169,7 @@
             all.iter().filter(|upstream| !upstream.vm.leaving).count()
         };
         let before = usable(&node.upstreams);
-        node.upstreams.list(now, vms);
+        node.upstreams.apply_list(now, vms);
         let left = usable(&node.upstreams);
         let after = node.upstreams.all(now);
         let accepted = bad.is_some() && cut_short && before > 2 && left * 3 < before;
--- a/lib/src/membership/gossip_state.rs
+++ b/lib/src/membership/gossip_state.rs
@@ -105,7 +105,7 @@
         digest.heard = core.last_seen.tell(now);
         digest.leaving = core
             .upstreams
-            .signs(now)
+            .leave_notices(now)
             .map(|(upstream, age)| peer::Leaving {
                 upstream: upstream.to_string(),
                 age_ms: u32::try_from(age.0).unwrap_or(u32::MAX),
@@ -187,7 +187,7 @@
     }
     for leaving in &digest.leaving {
         let at = now.since(Millis(u64::from(leaving.age_ms)));
-        core.upstreams.sign(at, &leaving.upstream);
+        core.upstreams.record_leave_notice(at, &leaving.upstream);
     }
 }
 
--- a/lib/src/membership/manager/mod.rs
+++ b/lib/src/membership/manager/mod.rs
@@ -25,7 +25,7 @@
 use crate::membership::limits::Limits;
 use crate::membership::machine::{Action, Answer, Call, Machine};
 use crate::membership::node::{Identity, Keys};
-use crate::membership::upstreams::{Upstreams, Verdict};
+use crate::membership::upstreams::{Upstreams, ListOutcome};
 use crate::membership::witness::{VoteRequest, Vote};
 use crate::membership::{Adopter, FailureDetector, Hold, VoteClient, VoteHandler};
 use crate::metrics::Metrics;
@@ -92,7 +92,7 @@
     pub last_seen: LastSeen,
     pub gossip: crate::membership::gossip_state::Progress,
     published: (u64, u64),
-    next_release: Option<Millis>,
+    next_readmission: Option<Millis>,
     adopted: BTreeMap<Name, (State, u64)>,
 }
 
@@ -120,7 +120,7 @@
             last_seen: LastSeen::default(),
             gossip: crate::membership::gossip_state::Progress::default(),
             published: (0, 0),
-            next_release: None,
+            next_readmission: None,
             adopted: BTreeMap::new(),
         };
         let (adoptions, queue) = mpsc::unbounded_channel();
@@ -161,7 +161,7 @@
     pub fn drain_upstream(&self, upstream: &str) -> bool {
         let now = self.parts.clock.now();
         let mut core = self.lock();
-        let taken = core.upstreams.sign(now, upstream);
+        let taken = core.upstreams.record_leave_notice(now, upstream);
         self.publish(&mut core, now);
         taken
     }
@@ -347,8 +347,8 @@
 
     fn list_read(self: &Arc<Self>, vms: Vec<Vm>) {
         let listed = vms.len();
-        let verdict = self.step(|core, now| core.upstreams.list(now, vms));
-        if let Verdict::Rejected { missing } = verdict {
+        let verdict = self.step(|core, now| core.upstreams.apply_list(now, vms));
+        if let ListOutcome::Rejected { missing } = verdict {
             let events = &self.parts.metrics.events;
             events.with_label_values(&["list_rejected"]).inc();
             warn!("membership: the list of VMs ({listed}) lacks {missing} at once and is rejected");
@@ -416,12 +416,12 @@
     fn record_failure(&self, upstream: &str) {
         let now = self.parts.clock.now();
         let mut core = self.lock();
-        core.upstreams.failed(now, upstream);
+        core.upstreams.record_failure(now, upstream);
         self.publish(&mut core, now);
     }
 
     fn record_success(&self, upstream: &str) {
         let now = self.parts.clock.now();
-        self.lock().upstreams.answered(now, upstream);
+        self.lock().upstreams.record_success(now, upstream);
     }
 }
--- a/lib/src/membership/manager/publish.rs
+++ b/lib/src/membership/manager/publish.rs
@@ -43,13 +43,13 @@
     // and tells the adopter of upstreams whose state or pool changed.
     pub(in crate::membership) fn publish(&self, core: &mut Core, now: Millis) {
         let version = (core.upstreams.version(), core.machine.table().version());
-        let released = core.next_release.is_some_and(|at| now >= at);
+        let released = core.next_readmission.is_some_and(|at| now >= at);
         if core.published == version && !released {
             return;
         }
         let renewed = core.published.0 != version.0 || released;
         core.published = version;
-        core.next_release = core.upstreams.next_release(now);
+        core.next_readmission = core.upstreams.next_readmission(now);
         if renewed {
             let regions = self.regions(core, now);
             core.machine.upstreams(now, regions);
--- a/lib/src/membership/upstreams.rs
+++ b/lib/src/membership/upstreams.rs
@@ -29,7 +29,7 @@
 
 /// What became of a list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Verdict {
+pub enum ListOutcome {
     /// It is in force.
     Accepted,
     /// It lacks so many that the one before stays in force.
@@ -88,7 +88,7 @@
     /// stayed so for a minute; one that is empty never. Until then what it lacks gets no new
     /// work, unless that is most of a pool. Marks of leaving in a list that is rejected still
     /// count as signs.
-    pub fn list(&mut self, now: Millis, vms: Vec<Vm>) -> Verdict {
+    pub fn apply_list(&mut self, now: Millis, vms: Vec<Vm>) -> ListOutcome {
         let listed: BTreeMap<Name, Vm> = vms.into_iter().map(|vm| (vm.name.clone(), vm)).collect();
         let leaving: Vec<Name> = self
             .usable()
@@ -96,14 +96,14 @@
             .map(|vm| vm.name.clone())
             .collect();
         for name in &leaving {
-            self.sign(now, name);
+            self.record_leave_notice(now, name);
         }
         let missing = self
             .usable()
             .filter(|vm| !listed.contains_key(&vm.name))
             .count();
         if self.rejects(now, &listed, missing) {
-            return Verdict::Rejected { missing };
+            return ListOutcome::Rejected { missing };
         }
         let was_doubted = self.pending.take().is_some();
         self.accepted_at = Some(now);
@@ -114,7 +114,7 @@
         let vms = &self.vms;
         self.health.retain(|name, _| vms.contains_key(name));
         self.signs.retain(|_, at| now.since(*at) < SIGN);
-        Verdict::Accepted
+        ListOutcome::Accepted
     }
 
     fn usable(&self) -> impl Iterator<Item = &Vm> {
@@ -149,7 +149,7 @@
     }
 
     /// Takes note that an upstream couldn't be reached or broke a connection.
-    pub fn failed(&mut self, now: Millis, upstream: &str) {
+    pub fn record_failure(&mut self, now: Millis, upstream: &str) {
         if !self.vms.contains_key(upstream) {
             return;
         }
@@ -172,7 +172,7 @@
     ///
     /// Its earlier failures are forgiven only by time, so that one which answers
     /// between failures is held out for longer and longer.
-    pub fn answered(&mut self, now: Millis, upstream: &str) {
+    pub fn record_success(&mut self, now: Millis, upstream: &str) {
         if let Some(health) = self.health.get(upstream)
             && now.since(health.failed_at) >= FORGIVEN
         {
@@ -181,7 +181,7 @@
     }
 
     /// Takes a peer's sign that an upstream leaves; returns whether it was news.
-    pub fn sign(&mut self, now: Millis, upstream: &str) -> bool {
+    pub fn record_leave_notice(&mut self, now: Millis, upstream: &str) -> bool {
         let usable = |name: &str| self.vms.get(name).is_some_and(|vm| !vm.leaving);
         let known = usable(upstream);
         // Like the list, peers can be wrong about many at once. What the list says
@@ -197,7 +197,7 @@
     }
 
     /// Lists fresh signs of leaving with their ages.
-    pub fn signs(&self, now: Millis) -> impl Iterator<Item = (&Name, Millis)> {
+    pub fn leave_notices(&self, now: Millis) -> impl Iterator<Item = (&Name, Millis)> {
         self.signs
             .iter()
             .map(move |(name, at)| (name, now.since(*at)))
@@ -286,7 +286,7 @@
 
     /// Returns when a held upstream is next let in, if any is held.
     #[must_use]
-    pub fn next_release(&self, now: Millis) -> Option<Millis> {
+    pub fn next_readmission(&self, now: Millis) -> Option<Millis> {
         let ends = self.health.values().map(|health| health.held_until);
         ends.filter(|until| *until > now).min()
     }
--- a/lib/tests/test_membership.rs
+++ b/lib/tests/test_membership.rs
@@ -9,7 +9,7 @@
 use chivevalve::membership::node::{Claim, Identity, Keys, Record, Witnesses};
 use chivevalve::membership::placement::{self, Load};
 use chivevalve::membership::table::Table;
-use chivevalve::membership::upstreams::{Upstreams, Verdict};
+use chivevalve::membership::upstreams::{Upstreams, ListOutcome};
 use chivevalve::membership::witness::{VoteRequest, Witness};
 use chivevalve::name::Name;
 use chivevalve::ports::{Entry, LeaseId, Listing, Vm};
@@ -239,13 +239,13 @@
 #[test]
 fn list_lacks_many() {
     let mut upstreams = Upstreams::new(Guards::all());
-    assert_eq!(upstreams.list(Millis(0), vms(9)), Verdict::Accepted);
-    let empty = upstreams.list(Millis(1000), Vec::new());
-    assert_eq!(empty, Verdict::Rejected { missing: 9 });
-    let short = upstreams.list(Millis(2000), vms(4));
-    assert_eq!(short, Verdict::Rejected { missing: 5 });
+    assert_eq!(upstreams.apply_list(Millis(0), vms(9)), ListOutcome::Accepted);
+    let empty = upstreams.apply_list(Millis(1000), Vec::new());
+    assert_eq!(empty, ListOutcome::Rejected { missing: 9 });
+    let short = upstreams.apply_list(Millis(2000), vms(4));
+    assert_eq!(short, ListOutcome::Rejected { missing: 5 });
     assert_eq!(upstreams.all(Millis(2000)).len(), 9);
-    assert_eq!(upstreams.list(Millis(62_000), vms(4)), Verdict::Accepted);
+    assert_eq!(upstreams.apply_list(Millis(62_000), vms(4)), ListOutcome::Accepted);
     assert_eq!(upstreams.all(Millis(62_000)).len(), 4);
 }
 
@@ -253,45 +253,45 @@
 #[test]
 fn list_lacks_many_gets_no_new_work_there() {
     let mut upstreams = Upstreams::new(Guards::all());
-    upstreams.list(Millis(0), vms(5));
+    upstreams.apply_list(Millis(0), vms(5));
     let states = |upstreams: &Upstreams, now: Millis| -> Vec<State> {
         let all = vms(5);
         all.iter().map(|vm| upstreams.state(now, vm)).collect()
     };
-    let short = upstreams.list(Millis(1_000), vms(3));
-    assert_eq!(short, Verdict::Rejected { missing: 2 });
+    let short = upstreams.apply_list(Millis(1_000), vms(3));
+    assert_eq!(short, ListOutcome::Rejected { missing: 2 });
     let (usable, held) = (State::Usable, State::Held);
     let expected = [usable, usable, usable, held, held];
     assert_eq!(states(&upstreams, Millis(1_000)), expected);
     // Most of a pool at once is more likely a fault of the list: refusing all would be worse.
-    upstreams.list(Millis(2_000), vms(2));
+    upstreams.apply_list(Millis(2_000), vms(2));
     assert_eq!(states(&upstreams, Millis(2_000)), [usable; 5]);
     // They are back.
-    assert_eq!(upstreams.list(Millis(3_000), vms(5)), Verdict::Accepted);
+    assert_eq!(upstreams.apply_list(Millis(3_000), vms(5)), ListOutcome::Accepted);
     assert_eq!(states(&upstreams, Millis(3_000)), [usable; 5]);
 }
 
 #[test]
 fn list_lacks_few() {
     let mut upstreams = Upstreams::new(Guards::all());
-    upstreams.list(Millis(0), vms(9));
-    assert_eq!(upstreams.list(Millis(1000), vms(6)), Verdict::Accepted);
+    upstreams.apply_list(Millis(0), vms(9));
+    assert_eq!(upstreams.apply_list(Millis(1000), vms(6)), ListOutcome::Accepted);
 }
 
 /// An upstream that fails again soon after it answered is held out for longer.
 #[test]
 fn failed_flapping() {
     let mut upstreams = Upstreams::new(Guards::all());
-    upstreams.list(Millis(0), vms(9));
+    upstreams.apply_list(Millis(0), vms(9));
     let state = |upstreams: &Upstreams, at| {
         let found = upstreams.get(Millis(at), "u0");
         found.map(|found| found.state)
     };
-    upstreams.failed(Millis(1000), "u0");
+    upstreams.record_failure(Millis(1000), "u0");
     assert_eq!(state(&upstreams, 1249), Some(State::Held));
     assert_eq!(state(&upstreams, 1250), Some(State::Usable));
-    upstreams.answered(Millis(1300), "u0");
-    upstreams.failed(Millis(1400), "u0");
+    upstreams.record_success(Millis(1300), "u0");
+    upstreams.record_failure(Millis(1400), "u0");
     assert_eq!(state(&upstreams, 1899), Some(State::Held));
     assert_eq!(state(&upstreams, 1900), Some(State::Usable));
 }
@@ -300,9 +300,9 @@
 #[test]
 fn failed_most_of_pool() {
     let mut upstreams = Upstreams::new(Guards::all());
-    upstreams.list(Millis(0), vms(3));
-    upstreams.failed(Millis(1000), "u0");
-    upstreams.failed(Millis(1000), "u1");
+    upstreams.apply_list(Millis(0), vms(3));
+    upstreams.record_failure(Millis(1000), "u0");
+    upstreams.record_failure(Millis(1000), "u1");
     let states: Vec<State> = upstreams
         .all(Millis(1001))
         .into_iter()
@@ -314,8 +314,8 @@
 #[test]
 fn sign_stops_new_work() {
     let mut upstreams = Upstreams::new(Guards::all());
-    upstreams.list(Millis(0), vms(9));
-    assert!(upstreams.sign(Millis(10), "u3"));
+    upstreams.apply_list(Millis(0), vms(9));
+    assert!(upstreams.record_leave_notice(Millis(10), "u3"));
     let state = upstreams.get(Millis(20), "u3").map(|found| found.state);
     assert_eq!(state, Some(State::Leaving));
 }
@@ -354,18 +354,18 @@
 fn guards_of_lists() {
     let made = |guard| {
         let mut upstreams = Upstreams::new(Guards::without(guard));
-        upstreams.list(Millis(0), vms(9));
+        upstreams.apply_list(Millis(0), vms(9));
         upstreams
     };
     let mut panicking = made(Guard::PanicThreshold);
-    assert_eq!(panicking.list(Millis(1), Vec::new()), Verdict::Accepted);
+    assert_eq!(panicking.apply_list(Millis(1), Vec::new()), ListOutcome::Accepted);
     let mut leaving = made(Guard::LeavingStops);
-    leaving.sign(Millis(1), "u0");
+    leaving.record_leave_notice(Millis(1), "u0");
     let state = leaving.get(Millis(2), "u0").map(|found| found.state);
     assert_eq!(state, Some(State::Usable));
     let mut flapping = made(Guard::FlapBackoff);
-    flapping.failed(Millis(1000), "u0");
-    flapping.failed(Millis(1400), "u0");
+    flapping.record_failure(Millis(1000), "u0");
+    flapping.record_failure(Millis(1400), "u0");
     let state = flapping.get(Millis(1700), "u0").map(|found| found.state);
     assert_eq!(state, Some(State::Usable));
 }
