--- a/lib/src/entry/quarantine.rs
+++ b/lib/src/entry/quarantine.rs
@@ -214,7 +214,7 @@
         for upstream in fleet.upstreams() {
             let name = &upstream.vm.name;
             match upstream.state {
-                Usability::Held => self.ended(&mut state, name, now),
+                Usability::Suspended => self.ended(&mut state, name, now),
                 Usability::Usable => {
                     if let Some(end) = state.ends.get_mut(name)
                         && end.sight == Sight::Seen
--- a/lib/src/membership/fleet.rs
+++ b/lib/src/membership/fleet.rs
@@ -16,7 +16,7 @@
     /// It may.
     Usable,
     /// It failed of late and is held out for a while.
-    Held,
+    Suspended,
     /// It is about to go: in-flight work finishes, nothing new starts.
     Leaving,
 }
--- a/lib/src/membership/manager/publish.rs
+++ b/lib/src/membership/manager/publish.rs
@@ -86,7 +86,7 @@
         let metrics = &self.parts.metrics;
         for (state, name) in [
             (State::Usable, "usable"),
-            (State::Held, "held"),
+            (State::Suspended, "held"),
             (State::Leaving, "leaving"),
         ] {
             let count = all
--- a/lib/src/membership/upstreams.rs
+++ b/lib/src/membership/upstreams.rs
@@ -215,10 +215,10 @@
             return State::Leaving;
         }
         if self.held(now, &vm.name) && !self.most_held(now, &vm.pool) {
-            return State::Held;
+            return State::Suspended;
         }
         if self.lacked(&vm.name) && !self.most_lacked(&vm.pool) {
-            return State::Held;
+            return State::Suspended;
         }
         State::Usable
     }
--- a/lib/src/operators/explain.rs
+++ b/lib/src/operators/explain.rs
@@ -131,7 +131,7 @@
 pub(super) const fn state_name(state: State) -> &'static str {
     match state {
         State::Usable => "usable",
-        State::Held => "held",
+        State::Suspended => "held",
         State::Leaving => "leaving",
     }
 }
--- a/lib/tests/entry_support/mod.rs
+++ b/lib/tests/entry_support/mod.rs
@@ -332,7 +332,7 @@
 
 /// The same, all of which failed of late.
 pub fn three_held() -> Fleet {
-    fleet(State::Held)
+    fleet(State::Suspended)
 }
 
 fn fleet(state: State) -> Fleet {
--- a/lib/tests/test_entry_quarantine.rs
+++ b/lib/tests/test_entry_quarantine.rs
@@ -80,7 +80,7 @@
         for request in requests {
             self.lose(request, Suspicion::Begun);
         }
-        self.show(State::Held).await;
+        self.show(State::Suspended).await;
         self.show(State::Usable).await;
     }
 
--- a/lib/tests/test_gossip.rs
+++ b/lib/tests/test_gossip.rs
@@ -290,7 +290,7 @@
             &poison,
             Suspicion::Begun,
         );
-        for state in [State::Held, State::Usable] {
+        for state in [State::Suspended, State::Usable] {
             sender.send_replace(fleet(state));
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
--- a/lib/tests/test_membership.rs
+++ b/lib/tests/test_membership.rs
@@ -260,7 +260,7 @@
     };
     let short = upstreams.apply_list(Millis(1_000), vms(3));
     assert_eq!(short, ListOutcome::Rejected { missing: 2 });
-    let (usable, held) = (State::Usable, State::Held);
+    let (usable, held) = (State::Usable, State::Suspended);
     let expected = [usable, usable, usable, held, held];
     assert_eq!(states(&upstreams, Millis(1_000)), expected);
     // Most of a pool at once is more likely a fault of the list: refusing all would be worse.
@@ -288,11 +288,11 @@
         found.map(|found| found.state)
     };
     upstreams.record_failure(Millis(1000), "u0");
-    assert_eq!(state(&upstreams, 1249), Some(State::Held));
+    assert_eq!(state(&upstreams, 1249), Some(State::Suspended));
     assert_eq!(state(&upstreams, 1250), Some(State::Usable));
     upstreams.record_success(Millis(1300), "u0");
     upstreams.record_failure(Millis(1400), "u0");
-    assert_eq!(state(&upstreams, 1899), Some(State::Held));
+    assert_eq!(state(&upstreams, 1899), Some(State::Suspended));
     assert_eq!(state(&upstreams, 1900), Some(State::Usable));
 }
 
