--- a/lib/src/membership/guard.rs
+++ b/lib/src/membership/guard.rs
@@ -92,7 +92,7 @@
 
     /// Whether a guard is on.
     #[must_use]
-    pub fn on(self, guard: Guard) -> bool {
+    pub fn is_enabled(self, guard: Guard) -> bool {
         self.without != Some(guard)
     }
 }
--- a/lib/src/membership/machine/claims.rs
+++ b/lib/src/membership/machine/claims.rs
@@ -147,7 +147,7 @@
 
     fn claim_free(&mut self, now: Millis, upstream: &Name) {
         let mut conditions = self.claimant_conditions();
-        if self.guards.on(Guard::ClaimUnchanged) {
+        if self.guards.is_enabled(Guard::ClaimUnchanged) {
             conditions.push(Condition::Absent(self.keys.claim(upstream)));
         }
         let claim = self.own_claim(upstream);
@@ -163,7 +163,7 @@
         }
         let mut conditions = self.claimant_conditions();
         let key = self.keys.claim(&claim.upstream);
-        if self.guards.on(Guard::ClaimUnchanged) {
+        if self.guards.is_enabled(Guard::ClaimUnchanged) {
             conditions.push(Condition::Unchanged(key, claim.token));
         }
         let key = self.keys.node(&claim.node);
@@ -171,7 +171,7 @@
             Some(other_start) => Condition::Unchanged(key, other_start.revision),
             None => Condition::Absent(key),
         });
-        if self.guards.on(Guard::OwnerUnregistered) {
+        if self.guards.is_enabled(Guard::OwnerUnregistered) {
             let key = self.keys.registration(&claim.node, claim.incarnation);
             let known = self.table.registration(&claim.node, claim.incarnation);
             conditions.push(match known {
@@ -230,7 +230,7 @@
                 self.reconcile(now);
             }
             Err(Error::NoAnswer(_) | Error::Malformed(_)) => {
-                if self.guards.on(Guard::SettleClaim) {
+                if self.guards.is_enabled(Guard::SettleClaim) {
                     self.settle_claim(now, claim, over);
                 } else {
                     let assumed = self.table.newest() + 1;
--- a/lib/src/membership/machine/handover.rs
+++ b/lib/src/membership/machine/handover.rs
@@ -43,7 +43,7 @@
         let limit = self.limits.release;
         let call = Call::Release(upstream.clone(), limit);
         self.call(now, Purpose::Release(upstream.clone()), call);
-        if !self.guards.on(Guard::ReleaseFirst) {
+        if !self.guards.is_enabled(Guard::ReleaseFirst) {
             self.write_handover(now, upstream);
         }
     }
--- a/lib/src/membership/machine/lease.rs
+++ b/lib/src/membership/machine/lease.rs
@@ -143,7 +143,7 @@
     // Support that is counted on was given by the old witnesses; a successor
     // would ask only the new ones, which know nothing of it.
     fn may_change_witnesses(&self, now: Millis) -> bool {
-        now >= self.support_until || !self.guards.on(Guard::WitnessesFixed)
+        now >= self.support_until || !self.guards.is_enabled(Guard::WitnessesFixed)
     }
 
     fn own_record(&self, lease: LeaseId, witnesses: Witnesses) -> Record {
@@ -166,7 +166,7 @@
             .session
             .as_ref()
             .is_none_or(|session| session.record.witnesses != witnesses);
-        if changed && self.guards.on(Guard::WitnessesFixed) {
+        if changed && self.guards.is_enabled(Guard::WitnessesFixed) {
             self.round = None;
         }
         let record = self.own_record(lease, witnesses);
@@ -179,7 +179,7 @@
         // that start may still run, paused, and believe in its bound.
         let conditions = match living {
             Some(session) => vec![Condition::Unchanged(key.clone(), session.record.revision)],
-            None if self.guards.on(Guard::PreviousStart) => vec![Condition::Absent(key.clone())],
+            None if self.guards.is_enabled(Guard::PreviousStart) => vec![Condition::Absent(key.clone())],
             None => Vec::new(),
         };
         let writes = vec![
@@ -367,7 +367,7 @@
         lease: LeaseId,
         result: &Result<Millis, Error>,
     ) {
-        let from = if self.guards.on(Guard::BoundFromSend) {
+        let from = if self.guards.is_enabled(Guard::BoundFromSend) {
             sent
         } else {
             now
--- a/lib/src/membership/machine/mod.rs
+++ b/lib/src/membership/machine/mod.rs
@@ -373,7 +373,7 @@
         if !self.eligible || now < self.until {
             return;
         }
-        if !self.guards.on(Guard::LapseFinal) {
+        if !self.guards.is_enabled(Guard::LapseFinal) {
             return;
         }
         self.eligible = false;
--- a/lib/src/membership/machine/support.rs
+++ b/lib/src/membership/machine/support.rs
@@ -31,7 +31,7 @@
             return;
         }
         self.next_round = now + Millis(SUPPORT_SPAN.0 / ROUNDS);
-        if self.witnesses_unsettled() && self.guards.on(Guard::WitnessesFixed) {
+        if self.witnesses_unsettled() && self.guards.is_enabled(Guard::WitnessesFixed) {
             return;
         }
         if self.outage_over(now) {
@@ -107,8 +107,8 @@
             return;
         };
         let limit = self.limits.round();
-        let one = !self.guards.on(Guard::SupportMajority);
-        let from_send = self.guards.on(Guard::SupportFromSend);
+        let one = !self.guards.is_enabled(Guard::SupportMajority);
+        let from_send = self.guards.is_enabled(Guard::SupportFromSend);
         let Some(round) = &mut self.round else {
             return;
         };
--- a/lib/src/membership/machine/takeover.rs
+++ b/lib/src/membership/machine/takeover.rs
@@ -31,7 +31,7 @@
     /// Whether a claim's vanished owner can't be an owner any more, as far as its
     /// witnesses go. Asks them if that isn't known yet.
     pub(super) fn witnesses_withdrew(&mut self, now: Millis, claim: &Claim) -> bool {
-        if !self.guards.on(Guard::WithdrawMajority) {
+        if !self.guards.is_enabled(Guard::WithdrawMajority) {
             return true;
         }
         let start = (claim.node.clone(), claim.incarnation);
--- a/lib/src/membership/table.rs
+++ b/lib/src/membership/table.rs
@@ -115,7 +115,7 @@
     /// A replica of the service that lags, or an answer that was late, would
     /// otherwise bring back an owner that is none any more.
     pub fn read(&mut self, listing: &Listing) -> bool {
-        if listing.revision < self.read_up_to && self.guards.on(Guard::StaleRead) {
+        if listing.revision < self.read_up_to && self.guards.is_enabled(Guard::StaleRead) {
             return false;
         }
         self.read_up_to = listing.revision;
@@ -147,7 +147,7 @@
 
     /// Takes over one change that a watch saw. Returns false if it is old.
     pub fn see(&mut self, event: &Event) -> bool {
-        if event.revision < self.read_up_to && self.guards.on(Guard::StaleRead) {
+        if event.revision < self.read_up_to && self.guards.is_enabled(Guard::StaleRead) {
             return false;
         }
         self.read_up_to = event.revision;
--- a/lib/src/membership/upstreams.rs
+++ b/lib/src/membership/upstreams.rs
@@ -123,7 +123,7 @@
 
     fn rejects(&mut self, now: Millis, listed: &BTreeMap<Name, Vm>, missing: usize) -> bool {
         let usable = self.usable().count();
-        if usable == 0 || !self.guards.on(Guard::PanicThreshold) {
+        if usable == 0 || !self.guards.is_enabled(Guard::PanicThreshold) {
             return false;
         }
         if listed.is_empty() {
@@ -158,7 +158,7 @@
             // Requests that were under way fail together; they are one sign.
             return;
         }
-        if now.since(health.failed_at) >= FORGIVEN || !self.guards.on(Guard::FlapBackoff) {
+        if now.since(health.failed_at) >= FORGIVEN || !self.guards.is_enabled(Guard::FlapBackoff) {
             health.strikes = 0;
         }
         let doubled = FIRST_HOLD.0 << health.strikes.min(16);
@@ -211,7 +211,7 @@
             .signs
             .get(&vm.name)
             .is_some_and(|at| now.since(*at) < SIGN);
-        if (vm.leaving || signed) && self.guards.on(Guard::LeavingStops) {
+        if (vm.leaving || signed) && self.guards.is_enabled(Guard::LeavingStops) {
             return State::Leaving;
         }
         if self.held(now, &vm.name) && !self.most_held(now, &vm.pool) {
--- a/lib/src/membership/witness.rs
+++ b/lib/src/membership/witness.rs
@@ -85,7 +85,7 @@
     /// Makes a witness that may lack a guard, for the fuzz harness.
     #[must_use]
     pub fn with_guards(now: Millis, quiet: Millis, guards: Guards) -> Self {
-        let quiet = if guards.on(Guard::WitnessQuiet) {
+        let quiet = if guards.is_enabled(Guard::WitnessQuiet) {
             quiet
         } else {
             Millis::ZERO
@@ -162,7 +162,7 @@
     fn support(&mut self, now: Millis, registration: u64, guards: Guards) -> Vote {
         // A withdrawn registration may have a successor already.
         let withdrawn = registration < self.withdrawn_before;
-        let supported = !withdrawn || !guards.on(Guard::WitnessRemembers);
+        let supported = !withdrawn || !guards.is_enabled(Guard::WitnessRemembers);
         if supported {
             self.supported_at = Some(now);
         }
@@ -178,7 +178,7 @@
         let counted_on = self
             .supported_at
             .is_some_and(|at| now <= at + SUPPORT_SPAN + drift(SUPPORT_SPAN));
-        let withdrawn = !counted_on || !guards.on(Guard::WitnessWaits);
+        let withdrawn = !counted_on || !guards.is_enabled(Guard::WitnessWaits);
         if withdrawn {
             self.withdrawn_before = self.withdrawn_before.max(revision);
         }
