--- a/lib/src/membership/machine/claims.rs
+++ b/lib/src/membership/machine/claims.rs
@@ -301,7 +301,7 @@
         let own = self
             .table
             .claim(upstream)
-            .filter(|claim| claim.token == over && claim.names(&self.identity))
+            .filter(|claim| claim.token == over && claim.is_owned_by(&self.identity))
             .cloned();
         let Some(own) = own else {
             return;
@@ -317,7 +317,7 @@
             .iter()
             .filter(|(upstream, held)| {
                 let claim = self.table.claim(upstream);
-                claim.is_none_or(|c| c.token != held.token || !c.names(&self.identity))
+                claim.is_none_or(|c| c.token != held.token || !c.is_owned_by(&self.identity))
             })
             .map(|(upstream, _)| upstream.clone())
             .collect();
@@ -332,7 +332,7 @@
         let gained: Vec<(Name, u64)> = self
             .table
             .claims()
-            .filter(|claim| claim.names(&self.identity))
+            .filter(|claim| claim.is_owned_by(&self.identity))
             .filter(|claim| self.regions.contains_key(&claim.upstream))
             .filter(|claim| !self.holds.contains_key(&claim.upstream))
             .filter(|claim| !self.busy.contains_key(&claim.upstream))
@@ -363,13 +363,13 @@
     // from a peer that still has it, and a late removal could take a newer one.
     pub(super) fn free_claim(&mut self, now: Millis, upstream: &Name) {
         let own = self.table.claim(upstream).cloned();
-        let Some(own) = own.filter(|claim| claim.names(&self.identity)) else {
+        let Some(own) = own.filter(|claim| claim.is_owned_by(&self.identity)) else {
             return;
         };
         let over = own.token;
         let key = self.keys.claim(upstream);
         let conditions = vec![Condition::Unchanged(key, over)];
-        self.write_claim(now, own.freed(), over, conditions);
+        self.write_claim(now, own.into_free(), over, conditions);
     }
 
     fn may_adopt(&self) -> bool {
--- a/lib/src/membership/machine/handover.rs
+++ b/lib/src/membership/machine/handover.rs
@@ -65,7 +65,7 @@
 
     pub(super) fn write_handover(&mut self, now: Millis, upstream: &Name) {
         let own = self.table.claim(upstream).cloned();
-        let Some(own) = own.filter(|claim| claim.names(&self.identity)) else {
+        let Some(own) = own.filter(|claim| claim.is_owned_by(&self.identity)) else {
             return;
         };
         let mut load = self.load();
--- a/lib/src/membership/machine/stop.rs
+++ b/lib/src/membership/machine/stop.rs
@@ -35,7 +35,7 @@
             .table
             .live()
             .any(|record| record.identity.name != self.identity.name && !record.draining);
-        let rest = successor && self.table.claims().any(|claim| claim.names(&self.identity));
+        let rest = successor && self.table.claims().any(|claim| claim.is_owned_by(&self.identity));
         let clear = announced && self.holds.is_empty() && self.busy.is_empty() && !rest;
         if clear || now >= stopping.until {
             self.finish_stop(now, stopping);
@@ -58,7 +58,7 @@
         let idle: Vec<Name> = self
             .table
             .claims()
-            .filter(|claim| claim.names(&self.identity))
+            .filter(|claim| claim.is_owned_by(&self.identity))
             .filter(|claim| !self.holds.contains_key(&claim.upstream))
             .filter(|claim| !self.busy.contains_key(&claim.upstream))
             .map(|claim| claim.upstream.clone())
--- a/lib/src/membership/machine/tidy.rs
+++ b/lib/src/membership/machine/tidy.rs
@@ -26,7 +26,7 @@
         let left = self.table.registrations().find(|record| {
             let start = &record.identity;
             let stands = self.table.live_record(&start.name);
-            stands.is_none() && !self.table.claims().any(|claim| claim.names(start))
+            stands.is_none() && !self.table.claims().any(|claim| claim.is_owned_by(start))
         })?;
         let start = &left.identity;
         let key = self.keys.registration(&start.name, start.incarnation);
--- a/lib/src/membership/node.rs
+++ b/lib/src/membership/node.rs
@@ -163,7 +163,7 @@
 
     /// Returns the claim that its owner leaves behind: nobody's.
     #[must_use]
-    pub fn freed(self) -> Self {
+    pub fn into_free(self) -> Self {
         Self {
             node: Name::from(""),
             incarnation: 0,
@@ -179,7 +179,7 @@
 
     /// Whether it names this start of a node.
     #[must_use]
-    pub fn names(&self, identity: &Identity) -> bool {
+    pub fn is_owned_by(&self, identity: &Identity) -> bool {
         self.node == identity.name && self.incarnation == identity.incarnation
     }
 
