--- a/lib/src/membership/machine/lease.rs
+++ b/lib/src/membership/machine/lease.rs
@@ -331,7 +331,7 @@
             mut record,
         } = join;
         record.revision = revision;
-        self.witness.registered(revision);
+        self.witness.record_own_registration(revision);
         self.doubtful = false;
         let kept = self.session.take().filter(|session| session.lease == lease);
         let service_until = match &kept {
--- a/lib/src/membership/witness.rs
+++ b/lib/src/membership/witness.rs
@@ -108,7 +108,7 @@
     /// leases would lapse before the first vote, and callers be refused at every upstream.
     ///
     /// [`Limits::quiet`]: crate::membership::limits::Limits::quiet
-    pub fn registered(&mut self, revision: u64) {
+    pub fn record_own_registration(&mut self, revision: u64) {
         if !self.overflowed {
             self.forgot_nothing_after.get_or_insert(revision);
         }
--- a/lib/tests/test_membership.rs
+++ b/lib/tests/test_membership.rs
@@ -146,8 +146,8 @@
     let (mut witness, _) = witness();
     let soon = Millis(100);
     assert!(!witness.vote(soon, &ask(8, None)).supported);
-    witness.registered(7);
-    witness.registered(9);
+    witness.record_own_registration(7);
+    witness.record_own_registration(9);
     assert!(!witness.vote(soon, &ask(7, None)).supported);
     assert!(!witness.vote(soon, &ask(8, Some(10))).withdrawn);
     assert!(witness.vote(soon, &ask(8, None)).supported);
@@ -157,7 +157,7 @@
 #[test]
 fn hear_forgot_younger_registration() {
     let (mut witness, quiet) = witness();
-    witness.registered(7);
+    witness.record_own_registration(7);
     assert!(witness.vote(quiet, &ask(8, Some(10))).withdrawn);
     for other in 0..4096 {
         let other = VoteRequest {
@@ -169,7 +169,7 @@
     let later = quiet + Millis(2);
     witness.vote(later, &ask(8, None));
     assert!(!witness.vote(later, &ask(8, None)).supported);
-    witness.registered(20);
+    witness.record_own_registration(20);
     assert!(!witness.vote(later, &ask(21, None)).supported);
 }
 
