--- a/bench/src/spread/run.rs
+++ b/bench/src/spread/run.rs
@@ -83,7 +83,7 @@
     pub idle_bytes: f64,
     /// Per node and change, beyond idle.
     pub change_bytes: f64,
-    /// Share of one core per node without changes, in percent.
+    /// GossipState of one core per node without changes, in percent.
     pub idle_cpu_percent: f64,
     /// Processor time per node and change, beyond idle, in microseconds.
     pub change_cpu_us: f64,
@@ -308,13 +308,13 @@
         node: from.peer.name.to_string(),
         ..Digest::default()
     };
-    chivevalve::gossip::Share::digest(&*from.config, &mut digest);
+    chivevalve::gossip::GossipState::fill_digest(&*from.config, &mut digest);
     let mut lacking = chivevalve::schema::peer::Delta::default();
     let before = Digest {
         revision: digest.revision - 1,
         ..Digest::default()
     };
-    chivevalve::gossip::Share::answer(&*from.config, &before, &mut lacking);
+    chivevalve::gossip::GossipState::fill_delta(&*from.config, &before, &mut lacking);
     digest.operations = lacking.operations;
     let sends = sites
         .iter()
--- a/bench/src/spread/site.rs
+++ b/bench/src/spread/site.rs
@@ -11,7 +11,7 @@
 use chivevalve::config::prefetch::Idle;
 use chivevalve::config::{self, Accepted, Error as Refused, Order};
 use chivevalve::declaration::Set;
-use chivevalve::gossip::{self, Peer, Peers, Share, Snapshot, Transport};
+use chivevalve::gossip::{self, Peer, Peers, GossipState, Snapshot, Transport};
 use chivevalve::metrics::Metrics;
 use chivevalve::ports::{
     Commit, Entry, Error, Event, Listing, Store as Border, Transaction, Watch, Weights,
@@ -228,7 +228,7 @@
                 node: Arc::clone(&peer.name),
                 incarnation,
                 region: Arc::clone(&peer.region),
-                shares: vec![Arc::clone(&config) as Arc<dyn Share>],
+                shares: vec![Arc::clone(&config) as Arc<dyn GossipState>],
                 news: vec![config.news()],
                 install: Arc::clone(&config) as _,
                 peers,
--- a/lib/src/config/share.rs
+++ b/lib/src/config/share.rs
@@ -9,12 +9,12 @@
 use super::view::View;
 use crate::clock::Millis;
 use crate::declaration::Set;
-use crate::gossip::{Install, Share, Snapshot};
+use crate::gossip::{Install, GossipState, Snapshot};
 use crate::schema::declaration::{Bucket, Head};
 use crate::schema::peer::{Delta, Digest, SnapshotPart};
 
-impl Share for Keeper {
-    fn digest(&self, digest: &mut Digest) {
+impl GossipState for Keeper {
+    fn fill_digest(&self, digest: &mut Digest) {
         let now = self.now();
         let state = self.state();
         digest.revision = state.learned().revision();
@@ -22,7 +22,7 @@
         digest.confirmed_age_ms = state.age(now).map_or(0, |age| age.0.saturating_add(1));
     }
 
-    fn answer(&self, theirs: &Digest, delta: &mut Delta) {
+    fn fill_delta(&self, theirs: &Digest, delta: &mut Delta) {
         let state = self.state();
         if theirs.revision >= state.learned().revision() {
             return;
@@ -35,7 +35,7 @@
         }
     }
 
-    fn learn(&self, delta: &Delta) -> bool {
+    fn merge_delta(&self, delta: &Delta) -> bool {
         let operations: Vec<_> = delta.operations.iter().cloned().map(Arc::new).collect();
         let (news, _) = self.offer(&operations);
         let Some(theirs) = &delta.digest else {
--- a/lib/src/entry/quarantine/share.rs
+++ b/lib/src/entry/quarantine/share.rs
@@ -6,7 +6,7 @@
 
 use super::{End, Quarantine, REPORT_TTL, Sight, State, Told};
 use crate::clock::Millis;
-use crate::gossip::Share;
+use crate::gossip::GossipState;
 use crate::name::Name;
 use crate::poison::fingerprint::Fingerprint;
 use crate::poison::ledger::{Suspect, Suspicion};
@@ -18,8 +18,8 @@
 /// Survivors that are told, the newest first.
 const MOST_CLEARED: usize = 64;
 
-impl Share for Quarantine {
-    fn digest(&self, digest: &mut Digest) {
+impl GossipState for Quarantine {
+    fn fill_digest(&self, digest: &mut Digest) {
         let now = self.clock.now();
         let state = self.state();
         digest.known_ends = newest(&state).into_iter().map(hash).collect();
@@ -37,7 +37,7 @@
         digest.survivors = survivors;
     }
 
-    fn answer(&self, theirs: &Digest, delta: &mut Delta) {
+    fn fill_delta(&self, theirs: &Digest, delta: &mut Delta) {
         let now = self.clock.now();
         let known: HashSet<u64> = theirs.known_ends.iter().copied().collect();
         let state = self.state();
@@ -48,7 +48,7 @@
             .collect();
     }
 
-    fn learn(&self, delta: &Delta) -> bool {
+    fn merge_delta(&self, delta: &Delta) -> bool {
         let now = self.clock.now();
         let mut state = self.state();
         let mut is_news = false;
--- a/lib/src/gossip/gossiper.rs
+++ b/lib/src/gossip/gossiper.rs
@@ -17,7 +17,7 @@
 use tokio_util::sync::CancellationToken;
 
 use super::choice::Choice;
-use super::{Exchange, Install, Peer, Peers, Share, Transport};
+use super::{Exchange, Install, Peer, Peers, GossipState, Transport};
 use crate::clock::{Clock, Millis};
 use crate::error::{Code, Failure};
 use crate::name::Name;
@@ -78,7 +78,7 @@
     /// This node's region.
     pub region: Name,
     /// What is spread.
-    pub shares: Vec<Arc<dyn Share>>,
+    pub shares: Vec<Arc<dyn GossipState>>,
     /// Change when a part learned something elsewhere than from peers, such as
     /// from the service or from an operator.
     pub news: Vec<watch::Receiver<u64>>,
@@ -241,7 +241,7 @@
         }
         let mut lacking = Delta::default();
         for share in &self.parts.shares {
-            share.answer(&before, &mut lacking);
+            share.fill_delta(&before, &mut lacking);
         }
         if lacking.encoded_len() > self.parts.limits.news_bytes {
             // Peers see from the digest that they are behind, and ask.
@@ -290,7 +290,7 @@
             ..Digest::default()
         };
         for share in &self.parts.shares {
-            share.digest(&mut digest);
+            share.fill_digest(&mut digest);
         }
         digest
     }
@@ -338,7 +338,7 @@
             .parts
             .shares
             .iter()
-            .map(|share| share.learn(delta))
+            .map(|share| share.merge_delta(delta))
             .collect();
         news.contains(&true)
     }
@@ -410,7 +410,7 @@
             ..Delta::default()
         };
         for share in &self.parts.shares {
-            share.answer(&theirs, &mut delta);
+            share.fill_delta(&theirs, &mut delta);
         }
         let own = self.digest();
         if own.revision < theirs.revision {
--- a/lib/src/gossip/mod.rs
+++ b/lib/src/gossip/mod.rs
@@ -2,7 +2,7 @@
 //! service would tell them, at a cost that doesn't grow with the fleet.
 //!
 //! Each period a node swaps digests with one peer, and news goes at once to a
-//! few. Parts whose state is spread stand behind [`Share`].
+//! few. Parts whose state is spread stand behind [`GossipState`].
 //! docs/design/0005-configuration.md weighs this against the other ways.
 
 mod choice;
@@ -25,15 +25,15 @@
 ///
 /// Each part reads and fills only its own fields of the messages. Learning the
 /// same thing twice, late or out of order must change nothing.
-pub trait Share: fmt::Debug + Send + Sync {
+pub trait GossipState: fmt::Debug + Send + Sync {
     /// Fills in what this node has.
-    fn digest(&self, digest: &mut Digest);
+    fn fill_digest(&self, digest: &mut Digest);
 
     /// Fills in what the sender of `theirs` lacks.
-    fn answer(&self, theirs: &Digest, delta: &mut Delta);
+    fn fill_delta(&self, theirs: &Digest, delta: &mut Delta);
 
     /// Takes over what is newer. Returns whether anything was news that peers should hear at once.
-    fn learn(&self, delta: &Delta) -> bool;
+    fn merge_delta(&self, delta: &Delta) -> bool;
 }
 
 /// Answers a peer's exchange.
--- a/lib/src/membership/gossip_state.rs
+++ b/lib/src/membership/gossip_state.rs
@@ -6,7 +6,7 @@
 use bytes::Bytes;
 
 use crate::clock::Millis;
-use crate::gossip::{Peer, Peers, Share};
+use crate::gossip::{Peer, Peers, GossipState};
 use crate::membership::manager::{Core, MembershipManager};
 use crate::membership::last_seen;
 use crate::membership::node::{Claim, Record};
@@ -89,8 +89,8 @@
     }
 }
 
-impl Share for MembershipManager {
-    fn digest(&self, digest: &mut Digest) {
+impl GossipState for MembershipManager {
+    fn fill_digest(&self, digest: &mut Digest) {
         let now = self.parts.clock.now();
         let own = &self.parts.identity;
         let mut core = self.lock();
@@ -118,7 +118,7 @@
         }
     }
 
-    fn answer(&self, theirs: &Digest, delta: &mut Delta) {
+    fn fill_delta(&self, theirs: &Digest, delta: &mut Delta) {
         let core = self.lock();
         let table = core.machine.table();
         if *theirs.claims_digest == table.digest().to_le_bytes() {
@@ -141,7 +141,7 @@
             .collect();
     }
 
-    fn learn(&self, delta: &Delta) -> bool {
+    fn merge_delta(&self, delta: &Delta) -> bool {
         let now = self.parts.clock.now();
         let mut guard = self.lock();
         let core = &mut *guard;
--- a/lib/tests/test_entry_quarantine.rs
+++ b/lib/tests/test_entry_quarantine.rs
@@ -5,7 +5,7 @@
 
 use chivevalve::clock::{Clock, Manual, Millis};
 use chivevalve::entry::Quarantine;
-use chivevalve::gossip::Share;
+use chivevalve::gossip::GossipState;
 use chivevalve::membership::Fleet;
 use chivevalve::membership::fleet::{State, Upstream};
 use chivevalve::poison::fingerprint::{Fingerprint, Identity};
@@ -91,13 +91,13 @@
     /// Tells another node what it lacks; returns how many reports that took.
     fn tell(&self, other: &Self) -> usize {
         let mut theirs = Digest::default();
-        other.quarantine.digest(&mut theirs);
+        other.quarantine.fill_digest(&mut theirs);
         let mut delta = Delta::default();
-        self.quarantine.answer(&theirs, &mut delta);
+        self.quarantine.fill_delta(&theirs, &mut delta);
         let mut own = Digest::default();
-        self.quarantine.digest(&mut own);
+        self.quarantine.fill_digest(&mut own);
         delta.digest = Some(own);
-        other.quarantine.learn(&delta);
+        other.quarantine.merge_delta(&delta);
         delta.ends.len()
     }
 }
--- a/lib/tests/test_gossip.rs
+++ b/lib/tests/test_gossip.rs
@@ -197,7 +197,7 @@
     let a = join(&net, &store, 1, &[1]);
     a.node.apply(&set(&[])).await;
     let mut digest = Digest::default();
-    chivevalve::gossip::Share::digest(&*a.node.keeper, &mut digest);
+    chivevalve::gossip::GossipState::fill_digest(&*a.node.keeper, &mut digest);
     down(&store);
     tokio::time::sleep(Duration::from_mins(1)).await;
     let before = a.node.keeper.status().confirmed_age_ms.unwrap();
@@ -215,7 +215,7 @@
     a.node.apply(&set(&[("faults", "1")])).await;
     b.node.in_force(1).await;
     let mut old = Digest::default();
-    chivevalve::gossip::Share::digest(&*b.node.keeper, &mut old);
+    chivevalve::gossip::GossipState::fill_digest(&*b.node.keeper, &mut old);
     a.node.apply(&set(&[("plans", "1")])).await;
     b.node.in_force(2).await;
     let answer = b.gossip.exchange(old).await;
