--- a/bench/src/spread/links.rs
+++ b/bench/src/spread/links.rs
@@ -10,7 +10,7 @@
 
 use async_trait::async_trait;
 use chivevalve::error::{Code, Failure};
-use chivevalve::gossip::{Exchange, Peer, Peers, Snapshot, Transport};
+use chivevalve::gossip::{ExchangeHandler, Peer, Peers, Snapshot, Transport};
 use chivevalve::name::Name;
 use chivevalve::schema::peer::{Delta, Digest, SnapshotPart};
 use futures::StreamExt;
@@ -28,7 +28,7 @@
 #[derive(Debug, Clone)]
 pub struct Served {
     /// Its exchange.
-    pub exchange: Arc<dyn Exchange>,
+    pub exchange: Arc<dyn ExchangeHandler>,
     /// Its snapshots.
     pub snapshot: Arc<dyn Snapshot>,
 }
@@ -186,7 +186,7 @@
         self.links.carry(self.own.address, peer.address).await;
         let served = self.links.served(peer.address)?;
         let digest = Digest::decode(sent.as_slice()).map_err(|error| broken(&error))?;
-        let answer = served.exchange.exchange(digest).await.encode_to_vec();
+        let answer = served.exchange.handle_exchange(digest).await.encode_to_vec();
         self.links.count(answer.len());
         self.links.carry(peer.address, self.own.address).await;
         Delta::decode(answer.as_slice()).map_err(|error| broken(&error))
--- a/lib/src/gossip/gossiper.rs
+++ b/lib/src/gossip/gossiper.rs
@@ -17,7 +17,7 @@
 use tokio_util::sync::CancellationToken;
 
 use super::choice::Choice;
-use super::{Exchange, Install, Peer, Peers, GossipState, Transport};
+use super::{ExchangeHandler, Install, Peer, Peers, GossipState, Transport};
 use crate::clock::{Clock, Millis};
 use crate::error::{Code, Failure};
 use crate::name::Name;
@@ -385,8 +385,8 @@
 }
 
 #[async_trait]
-impl Exchange for Gossiper {
-    async fn exchange(&self, mut digest: Digest) -> Delta {
+impl ExchangeHandler for Gossiper {
+    async fn handle_exchange(&self, mut digest: Digest) -> Delta {
         let mut told = Delta {
             operations: std::mem::take(&mut digest.operations),
             claims: std::mem::take(&mut digest.claims),
--- a/lib/src/gossip/mod.rs
+++ b/lib/src/gossip/mod.rs
@@ -38,9 +38,9 @@
 
 /// Answers a peer's exchange.
 #[async_trait]
-pub trait Exchange: fmt::Debug + Send + Sync {
+pub trait ExchangeHandler: fmt::Debug + Send + Sync {
     /// Learns from the digest and returns what the peer lacks.
-    async fn exchange(&self, digest: Digest) -> Delta;
+    async fn handle_exchange(&self, digest: Digest) -> Delta;
 }
 
 /// A node to exchange with.
--- a/lib/src/peer/server.rs
+++ b/lib/src/peer/server.rs
@@ -16,7 +16,7 @@
 use super::{Limits, call, permit, wire};
 use crate::clock::Clock;
 use crate::error::{Code, Failure};
-use crate::gossip::{Exchange, Snapshot};
+use crate::gossip::{ExchangeHandler, Snapshot};
 use crate::loads::Permits;
 use crate::membership::VoteHandler;
 use crate::metrics::Metrics;
@@ -34,7 +34,7 @@
     /// Runs attempts at the upstreams that this node owns.
     pub runner: Arc<dyn Runner>,
     /// Answers exchanges.
-    pub exchange: Arc<dyn Exchange>,
+    pub exchange: Arc<dyn ExchangeHandler>,
     /// Answers as a witness.
     pub vote_handler: Arc<dyn VoteHandler>,
     /// Gives the whole configuration.
@@ -113,7 +113,7 @@
     async fn exchange(&self, request: Request<Digest>) -> Result<Response<Delta>, Status> {
         let digest = request.into_inner();
         call::count(&self.metrics, "received", &digest);
-        let delta = self.exchange.exchange(digest).await;
+        let delta = self.exchange.handle_exchange(digest).await;
         call::count(&self.metrics, "sent", &delta);
         Ok(Response::new(delta))
     }
--- a/lib/tests/peer_fakes/mod.rs
+++ b/lib/tests/peer_fakes/mod.rs
@@ -7,7 +7,7 @@
 use async_trait::async_trait;
 use chivevalve::clock::{Clock, Millis, Monotonic};
 use chivevalve::error::{Code, Failure};
-use chivevalve::gossip::{Exchange, Snapshot};
+use chivevalve::gossip::{ExchangeHandler, Snapshot};
 use chivevalve::loads;
 use chivevalve::membership::VoteHandler;
 use chivevalve::membership::fleet::Owner;
@@ -28,8 +28,8 @@
 pub struct Words;
 
 #[async_trait]
-impl Exchange for Words {
-    async fn exchange(&self, digest: Digest) -> Delta {
+impl ExchangeHandler for Words {
+    async fn handle_exchange(&self, digest: Digest) -> Delta {
         Delta {
             digest: Some(digest),
             ..Delta::default()
--- a/lib/tests/test_gossip.rs
+++ b/lib/tests/test_gossip.rs
@@ -11,7 +11,7 @@
 use chivevalve::clock::{Clock, Monotonic};
 use chivevalve::entry::Quarantine;
 use chivevalve::error::{Code, Failure};
-use chivevalve::gossip::{Exchange, Gossiper, Limits, Dependencies, Peer, Peers, Snapshot, Transport};
+use chivevalve::gossip::{ExchangeHandler, Gossiper, Limits, Dependencies, Peer, Peers, Snapshot, Transport};
 use chivevalve::membership::Fleet;
 use chivevalve::membership::fleet::{State, Upstream};
 use chivevalve::poison::fingerprint::{Fingerprint, Identity};
@@ -58,7 +58,7 @@
 impl Transport for Net {
     async fn exchange(&self, peer: &Peer, digest: Digest) -> Result<Delta, Failure> {
         let (gossip, _) = self.reach(peer).await?;
-        Ok(gossip.exchange(digest).await)
+        Ok(gossip.handle_exchange(digest).await)
     }
 
     async fn snapshot(
@@ -202,7 +202,7 @@
     tokio::time::sleep(Duration::from_mins(1)).await;
     let before = a.node.keeper.status().confirmed_age_ms.unwrap();
     digest.confirmed_age_ms = 1;
-    a.gossip.exchange(digest).await;
+    a.gossip.handle_exchange(digest).await;
     assert!(a.node.keeper.status().confirmed_age_ms.unwrap() >= before);
 }
 
@@ -218,7 +218,7 @@
     chivevalve::gossip::GossipState::fill_digest(&*b.node.keeper, &mut old);
     a.node.apply(&set(&[("plans", "1")])).await;
     b.node.in_force(2).await;
-    let answer = b.gossip.exchange(old).await;
+    let answer = b.gossip.handle_exchange(old).await;
     assert_eq!(answer.operations.len(), 1, "the old peer is told");
     assert_eq!((a.node.revision(), b.node.revision()), (2, 2));
 }
@@ -240,7 +240,7 @@
             operations: vec![newer.clone()],
             ..Digest::default()
         };
-        a.gossip.exchange(digest).await;
+        a.gossip.handle_exchange(digest).await;
         tokio::time::sleep(Duration::from_secs(1)).await;
     }
     let page = a.node.metrics.render();
