--- a/bench/src/spread/links.rs
+++ b/bench/src/spread/links.rs
@@ -10,7 +10,7 @@
 
 use async_trait::async_trait;
 use chivevalve::error::{Code, Failure};
-use chivevalve::gossip::{ExchangeHandler, Peer, Peers, Snapshot, Transport};
+use chivevalve::gossip::{ExchangeHandler, Peer, PeerSource, Snapshot, Transport};
 use chivevalve::name::Name;
 use chivevalve::schema::peer::{Delta, Digest, SnapshotPart};
 use futures::StreamExt;
@@ -225,7 +225,7 @@
     pub own: Name,
 }
 
-impl Peers for Everyone {
+impl PeerSource for Everyone {
     fn peers(&self) -> Vec<Peer> {
         let inner = self.links.lock();
         inner
@@ -241,7 +241,7 @@
 #[derive(Debug)]
 pub struct Nobody;
 
-impl Peers for Nobody {
+impl PeerSource for Nobody {
     fn peers(&self) -> Vec<Peer> {
         Vec::new()
     }
--- a/bench/src/spread/loopback.rs
+++ b/bench/src/spread/loopback.rs
@@ -9,7 +9,7 @@
 use async_trait::async_trait;
 use chivevalve::clock::Monotonic;
 use chivevalve::error::{Code, Failure};
-use chivevalve::gossip::{Peer, Peers, Snapshot};
+use chivevalve::gossip::{Peer, PeerSource, Snapshot};
 use chivevalve::loads::{Ask, Permit, Permits};
 use chivevalve::membership::{VoteHandler, witness};
 use chivevalve::metrics::Metrics;
@@ -61,7 +61,7 @@
     own: Name,
 }
 
-impl Peers for Known {
+impl PeerSource for Known {
     fn peers(&self) -> Vec<Peer> {
         let others = self.peers.iter().filter(|peer| peer.name != self.own);
         others.cloned().collect()
--- a/bench/src/spread/site.rs
+++ b/bench/src/spread/site.rs
@@ -11,7 +11,7 @@
 use chivevalve::config::prefetch::Idle;
 use chivevalve::config::{self, Accepted, Error as Refused, Order};
 use chivevalve::declaration::Set;
-use chivevalve::gossip::{self, Peer, Peers, GossipState, Snapshot, Transport};
+use chivevalve::gossip::{self, Peer, PeerSource, GossipState, Snapshot, Transport};
 use chivevalve::metrics::Metrics;
 use chivevalve::ports::{
     Commit, Entry, Error, Event, Listing, Store as Border, Transaction, Watch, Weights,
@@ -182,7 +182,7 @@
             links: Arc::clone(&ground.links),
             own: peer.clone(),
         });
-        let peers: Arc<dyn Peers> = if way.gossip.is_some() || way.config.watchers > 0 {
+        let peers: Arc<dyn PeerSource> = if way.gossip.is_some() || way.config.watchers > 0 {
             Arc::new(Everyone {
                 links: Arc::clone(&ground.links),
                 own: Arc::clone(&peer.name),
@@ -202,7 +202,7 @@
         peer: Peer,
         incarnation: u64,
         transport: Arc<dyn Transport>,
-        peers: Arc<dyn Peers>,
+        peers: Arc<dyn PeerSource>,
         (store, watch): (Arc<dyn Border>, Arc<dyn Watch>),
     ) -> Self {
         let stop = CancellationToken::new();
--- a/cli/tests/common/mod.rs
+++ b/cli/tests/common/mod.rs
@@ -21,7 +21,7 @@
 use async_trait::async_trait;
 use chivevalve::clock::{Millis, Monotonic};
 use chivevalve::config::{self, Keeper, prefetch};
-use chivevalve::gossip::{Peer, Peers};
+use chivevalve::gossip::{Peer, PeerSource};
 use chivevalve::membership::Fleet;
 use chivevalve::membership::fleet::{Owner, State, Upstream};
 use chivevalve::metrics::Metrics;
@@ -61,7 +61,7 @@
 #[derive(Debug)]
 struct Alone;
 
-impl Peers for Alone {
+impl PeerSource for Alone {
     fn peers(&self) -> Vec<Peer> {
         Vec::new()
     }
--- a/lib/src/config/keeper.rs
+++ b/lib/src/config/keeper.rs
@@ -20,7 +20,7 @@
 use super::view::{self, View};
 use crate::clock::{Clock, Millis};
 use crate::declaration::convert;
-use crate::gossip::Peers;
+use crate::gossip::PeerSource;
 use crate::metrics::Metrics;
 use crate::name::Name;
 use crate::owner::Decisions;
@@ -75,7 +75,7 @@
     /// The weight store's listing, for plans.
     pub weights: Arc<dyn Weights>,
     /// The other nodes, by which it is known who watches.
-    pub peers: Arc<dyn Peers>,
+    pub peers: Arc<dyn PeerSource>,
     /// Hears of adapters ahead of time.
     pub prefetch: Arc<dyn Prefetch>,
     /// Prefix of this deployment's keys; ends in a slash or is empty.
--- a/lib/src/gossip/gossiper.rs
+++ b/lib/src/gossip/gossiper.rs
@@ -17,7 +17,7 @@
 use tokio_util::sync::CancellationToken;
 
 use super::choice::Choice;
-use super::{ExchangeHandler, Install, Peer, Peers, GossipState, Transport};
+use super::{ExchangeHandler, Install, Peer, PeerSource, GossipState, Transport};
 use crate::clock::{Clock, Millis};
 use crate::error::{Code, Failure};
 use crate::name::Name;
@@ -85,7 +85,7 @@
     /// Takes over snapshots.
     pub install: Arc<dyn Install>,
     /// Whom there is to speak to.
-    pub peers: Arc<dyn Peers>,
+    pub peers: Arc<dyn PeerSource>,
     /// How to speak to them.
     pub transport: Arc<dyn Transport>,
     /// Time.
--- a/lib/src/gossip/mod.rs
+++ b/lib/src/gossip/mod.rs
@@ -58,7 +58,7 @@
 ///
 /// Membership answers with the live nodes, and with the settings' seeds while
 /// it knows of none.
-pub trait Peers: fmt::Debug + Send + Sync {
+pub trait PeerSource: fmt::Debug + Send + Sync {
     /// Lists the live nodes without this one, in any order.
     fn peers(&self) -> Vec<Peer>;
 }
--- a/lib/src/membership/gossip_state.rs
+++ b/lib/src/membership/gossip_state.rs
@@ -6,7 +6,7 @@
 use bytes::Bytes;
 
 use crate::clock::Millis;
-use crate::gossip::{Peer, Peers, GossipState};
+use crate::gossip::{Peer, PeerSource, GossipState};
 use crate::membership::manager::{Core, MembershipManager};
 use crate::membership::last_seen;
 use crate::membership::node::{Claim, Record};
@@ -53,7 +53,7 @@
     }
 }
 
-impl Peers for MembershipManager {
+impl PeerSource for MembershipManager {
     fn peers(&self) -> Vec<Peer> {
         let now = self.parts.clock.now();
         let own = &self.parts.identity;
--- a/lib/src/node/assembly.rs
+++ b/lib/src/node/assembly.rs
@@ -86,7 +86,7 @@
         };
         let permits = Deferred::<dyn loads::Permits>::default();
         let detector = Deferred::<dyn membership::FailureDetector>::default();
-        let peers = Deferred::<dyn gossip::Peers>::default();
+        let peers = Deferred::<dyn gossip::PeerSource>::default();
         let decisions = Deferred::<dyn owner::Decisions>::default();
         let registry = Registry::start(base.owner(&permits, &detector, &decisions));
         let clients = Clients::new(base.clients(&registry, security));
@@ -207,7 +207,7 @@
     fn config(
         &self,
         registry: &Arc<Registry>,
-        peers: &Deferred<dyn gossip::Peers>,
+        peers: &Deferred<dyn gossip::PeerSource>,
     ) -> config::Parts {
         config::Parts {
             node: Arc::clone(&self.identity.name),
--- a/lib/src/node/deferred.rs
+++ b/lib/src/node/deferred.rs
@@ -12,7 +12,7 @@
 use tokio::sync::watch;
 
 use crate::error::{Code, Failure};
-use crate::gossip::{Peer, Peers};
+use crate::gossip::{Peer, PeerSource};
 use crate::loads::{Ask, Permit, Permits};
 use crate::membership::FailureDetector;
 use crate::owner::Decisions;
@@ -51,7 +51,7 @@
     }
 }
 
-impl Peers for OnceLock<Arc<dyn Peers>> {
+impl PeerSource for OnceLock<Arc<dyn PeerSource>> {
     fn peers(&self) -> Vec<Peer> {
         self.get().map_or_else(Vec::new, |peers| peers.peers())
     }
--- a/lib/tests/config_setup/mod.rs
+++ b/lib/tests/config_setup/mod.rs
@@ -13,7 +13,7 @@
 use chivevalve::config::prefetch::{Prefetch, Upcoming};
 use chivevalve::config::{self, Accepted, Keeper, Limits, Order, Parts};
 use chivevalve::declaration::{self, Set, Source};
-use chivevalve::gossip::{Peer, Peers};
+use chivevalve::gossip::{Peer, PeerSource};
 use chivevalve::metrics::Metrics;
 use chivevalve::ports::{Error, Store as Border, Watch, Weights};
 use chivevalve_standins::store::Store;
@@ -23,7 +23,7 @@
 #[derive(Debug, Default)]
 pub struct Listed(pub Mutex<Vec<Peer>>);
 
-impl Peers for Listed {
+impl PeerSource for Listed {
     fn peers(&self) -> Vec<Peer> {
         self.0.lock().unwrap().clone()
     }
@@ -76,7 +76,7 @@
             store: Arc::clone(store) as Arc<dyn Border>,
             watch: Arc::clone(store) as Arc<dyn Watch>,
             weights: Arc::new(shelf),
-            peers: Arc::clone(&peers) as Arc<dyn Peers>,
+            peers: Arc::clone(&peers) as Arc<dyn PeerSource>,
             prefetch: Arc::clone(&fetched) as Arc<dyn Prefetch>,
             prefix: "t/".to_owned(),
             clock: Arc::new(Monotonic::start()),
--- a/lib/tests/test_gossip.rs
+++ b/lib/tests/test_gossip.rs
@@ -11,7 +11,7 @@
 use chivevalve::clock::{Clock, Monotonic};
 use chivevalve::entry::Quarantine;
 use chivevalve::error::{Code, Failure};
-use chivevalve::gossip::{ExchangeHandler, Gossiper, Limits, Dependencies, Peer, Peers, Snapshot, Transport};
+use chivevalve::gossip::{ExchangeHandler, Gossiper, Limits, Dependencies, Peer, PeerSource, Snapshot, Transport};
 use chivevalve::membership::Fleet;
 use chivevalve::membership::fleet::{State, Upstream};
 use chivevalve::poison::fingerprint::{Fingerprint, Identity};
@@ -100,7 +100,7 @@
         shares: vec![Arc::clone(&node.keeper) as _, Arc::clone(&quarantine) as _],
         news: vec![node.keeper.news(), quarantine.news()],
         install: Arc::clone(&node.keeper) as _,
-        peers: Arc::clone(&node.peers) as Arc<dyn Peers>,
+        peers: Arc::clone(&node.peers) as Arc<dyn PeerSource>,
         transport: Arc::clone(net) as _,
         clock: Arc::new(Monotonic::start()),
         limits: Limits::default(),
