--- a/bench/src/spread/links.rs
+++ b/bench/src/spread/links.rs
@@ -10,7 +10,7 @@
 
 use async_trait::async_trait;
 use chivevalve::error::{Code, Failure};
-use chivevalve::gossip::{ExchangeHandler, Peer, PeerSource, Snapshot, Transport};
+use chivevalve::gossip::{ExchangeHandler, Peer, PeerSource, SnapshotSource, Transport};
 use chivevalve::name::Name;
 use chivevalve::schema::peer::{Delta, Digest, SnapshotPart};
 use futures::StreamExt;
@@ -30,7 +30,7 @@
     /// Its exchange.
     pub exchange: Arc<dyn ExchangeHandler>,
     /// Its snapshots.
-    pub snapshot: Arc<dyn Snapshot>,
+    pub snapshot: Arc<dyn SnapshotSource>,
 }
 
 /// A place in the net, which a node's later starts share.
--- a/bench/src/spread/loopback.rs
+++ b/bench/src/spread/loopback.rs
@@ -9,7 +9,7 @@
 use async_trait::async_trait;
 use chivevalve::clock::Monotonic;
 use chivevalve::error::{Code, Failure};
-use chivevalve::gossip::{Peer, PeerSource, Snapshot};
+use chivevalve::gossip::{Peer, PeerSource, SnapshotSource};
 use chivevalve::loads::{Ask, Permit, Permits};
 use chivevalve::membership::{VoteHandler, witness};
 use chivevalve::metrics::Metrics;
@@ -155,7 +155,7 @@
             runner: Arc::new(Unused),
             exchange: Arc::clone(gossip) as _,
             vote_handler: Arc::new(Unused),
-            snapshot: Arc::clone(&site.config) as Arc<dyn Snapshot>,
+            snapshot: Arc::clone(&site.config) as Arc<dyn SnapshotSource>,
             permits: Arc::new(Unused),
             clock,
             metrics: Arc::clone(metrics),
--- a/bench/src/spread/site.rs
+++ b/bench/src/spread/site.rs
@@ -11,7 +11,7 @@
 use chivevalve::config::prefetch::Idle;
 use chivevalve::config::{self, Accepted, Error as Refused, Order};
 use chivevalve::declaration::Set;
-use chivevalve::gossip::{self, Peer, PeerSource, GossipState, Snapshot, Transport};
+use chivevalve::gossip::{self, Peer, PeerSource, GossipState, SnapshotSource, Transport};
 use chivevalve::metrics::Metrics;
 use chivevalve::ports::{
     Commit, Entry, Error, Event, Listing, Store as Border, Transaction, Watch, Weights,
@@ -242,7 +242,7 @@
         if let Some(gossip) = &gossip {
             let served = Served {
                 exchange: Arc::clone(gossip) as _,
-                snapshot: Arc::clone(&config) as Arc<dyn Snapshot>,
+                snapshot: Arc::clone(&config) as Arc<dyn SnapshotSource>,
             };
             ground.links.serve(peer.address, Some(served));
         }
--- a/lib/src/config/share.rs
+++ b/lib/src/config/share.rs
@@ -9,7 +9,7 @@
 use super::view::View;
 use crate::clock::Millis;
 use crate::declaration::Set;
-use crate::gossip::{Install, GossipState, Snapshot};
+use crate::gossip::{SnapshotInstaller, GossipState, SnapshotSource};
 use crate::schema::declaration::{Bucket, Head};
 use crate::schema::peer::{Delta, Digest, SnapshotPart};
 
@@ -66,7 +66,7 @@
     }
 }
 
-impl Snapshot for Keeper {
+impl SnapshotSource for Keeper {
     fn parts(&self) -> Box<dyn Iterator<Item = SnapshotPart> + Send> {
         let view = self.learned();
         let head = Head {
@@ -87,7 +87,7 @@
     }
 }
 
-impl Install for Keeper {
+impl SnapshotInstaller for Keeper {
     fn is_wanted(&self, revision: u64) -> bool {
         let now = self.now();
         let state = self.state();
--- a/lib/src/gossip/gossiper.rs
+++ b/lib/src/gossip/gossiper.rs
@@ -17,7 +17,7 @@
 use tokio_util::sync::CancellationToken;
 
 use super::choice::Choice;
-use super::{ExchangeHandler, Install, Peer, PeerSource, GossipState, Transport};
+use super::{ExchangeHandler, SnapshotInstaller, Peer, PeerSource, GossipState, Transport};
 use crate::clock::{Clock, Millis};
 use crate::error::{Code, Failure};
 use crate::name::Name;
@@ -83,7 +83,7 @@
     /// from the service or from an operator.
     pub news: Vec<watch::Receiver<u64>>,
     /// Takes over snapshots.
-    pub install: Arc<dyn Install>,
+    pub install: Arc<dyn SnapshotInstaller>,
     /// Whom there is to speak to.
     pub peers: Arc<dyn PeerSource>,
     /// How to speak to them.
--- a/lib/src/gossip/mod.rs
+++ b/lib/src/gossip/mod.rs
@@ -77,7 +77,7 @@
 }
 
 /// Gives a peer the whole configuration.
-pub trait Snapshot: fmt::Debug + Send + Sync {
+pub trait SnapshotSource: fmt::Debug + Send + Sync {
     /// Cuts the newest configuration into parts of at most a few hundred kilobytes.
     ///
     /// Parts are made as they are taken, so that a slow reader holds one part
@@ -86,7 +86,7 @@
 }
 
 /// Takes over the whole configuration that a peer gives.
-pub trait Install: fmt::Debug + Send + Sync {
+pub trait SnapshotInstaller: fmt::Debug + Send + Sync {
     /// Whether this node lacks the revision.
     fn is_wanted(&self, revision: u64) -> bool;
 
--- a/lib/src/peer/server.rs
+++ b/lib/src/peer/server.rs
@@ -16,7 +16,7 @@
 use super::{Limits, call, permit, wire};
 use crate::clock::Clock;
 use crate::error::{Code, Failure};
-use crate::gossip::{ExchangeHandler, Snapshot};
+use crate::gossip::{ExchangeHandler, SnapshotSource};
 use crate::loads::Permits;
 use crate::membership::VoteHandler;
 use crate::metrics::Metrics;
@@ -38,7 +38,7 @@
     /// Answers as a witness.
     pub vote_handler: Arc<dyn VoteHandler>,
     /// Gives the whole configuration.
-    pub snapshot: Arc<dyn Snapshot>,
+    pub snapshot: Arc<dyn SnapshotSource>,
     /// Gives leave to load, if this node owns the weight store's queue.
     pub permits: Arc<dyn Permits>,
     /// The node's clock.
--- a/lib/tests/peer_fakes/mod.rs
+++ b/lib/tests/peer_fakes/mod.rs
@@ -7,7 +7,7 @@
 use async_trait::async_trait;
 use chivevalve::clock::{Clock, Millis, Monotonic};
 use chivevalve::error::{Code, Failure};
-use chivevalve::gossip::{ExchangeHandler, Snapshot};
+use chivevalve::gossip::{ExchangeHandler, SnapshotSource};
 use chivevalve::loads;
 use chivevalve::membership::VoteHandler;
 use chivevalve::membership::fleet::Owner;
@@ -48,7 +48,7 @@
     }
 }
 
-impl Snapshot for Words {
+impl SnapshotSource for Words {
     fn parts(&self) -> Box<dyn Iterator<Item = SnapshotPart> + Send> {
         Box::new(std::iter::repeat_n(SnapshotPart::default(), 3))
     }
