--- a/lib/src/config/follower.rs
+++ b/lib/src/config/follower.rs
@@ -72,7 +72,7 @@
 
     fn watcher(&self) -> bool {
         let parts = &self.keeper.parts;
-        rank::is_among(
+        rank::ranks_among_first(
             &parts.node,
             &parts.region,
             &parts.peers.peers(),
--- a/lib/src/gossip/rank.rs
+++ b/lib/src/gossip/rank.rs
@@ -13,7 +13,7 @@
 /// agree without a message, and a node that comes or goes moves one place. While
 /// pictures differ, one too many or one too few do it, which must be harmless.
 #[must_use]
-pub fn is_among(node: &str, region: &str, peers: &[Peer], count: usize) -> bool {
+pub fn ranks_among_first(node: &str, region: &str, peers: &[Peer], count: usize) -> bool {
     let own = rank(node);
     let before = peers
         .iter()
