--- a/bench/src/spread/run.rs
+++ b/bench/src/spread/run.rs
@@ -83,7 +83,7 @@
     pub idle_bytes: f64,
     /// Per node and change, beyond idle.
     pub change_bytes: f64,
-    /// GossipState of one core per node without changes, in percent.
+    /// Share of one core per node without changes, in percent.
     pub idle_cpu_percent: f64,
     /// Processor time per node and change, beyond idle, in microseconds.
     pub change_cpu_us: f64,
--- a/bench/src/spread/ways.rs
+++ b/bench/src/spread/ways.rs
@@ -62,9 +62,9 @@
             Self::Broadcast => Way {
                 config,
                 gossip: Some(gossip::Limits {
-                    period: NEVER,
-                    first_period: NEVER,
-                    fan_out: 0,
+                    interval: NEVER,
+                    bootstrap_interval: NEVER,
+                    fanout: 0,
                     ..gossip::Limits::default()
                 }),
             },
--- a/lib/src/gossip/choice.rs
+++ b/lib/src/gossip/choice.rs
@@ -32,16 +32,16 @@
 pub(super) struct Choice {
     region: Name,
     /// How many of 100 draws go to another region.
-    away_percent: u32,
+    cross_region_percent: u32,
     backoffs: HashMap<SocketAddr, Backoff>,
     rng: Pcg32,
 }
 
 impl Choice {
-    pub(super) fn new(region: Name, away_percent: u32, seed: u64) -> Self {
+    pub(super) fn new(region: Name, cross_region_percent: u32, seed: u64) -> Self {
         Self {
             region,
-            away_percent,
+            cross_region_percent,
             backoffs: HashMap::new(),
             rng: Pcg32::seed_from_u64(seed),
         }
@@ -53,7 +53,7 @@
             .retain(|address, _| peers.iter().any(|peer| peer.address == *address));
         let mut drawn: Vec<Peer> = Vec::with_capacity(count);
         for _ in 0..count {
-            let away = self.rng.random_range(0..100) < self.away_percent;
+            let away = self.rng.random_range(0..100) < self.cross_region_percent;
             let next = self
                 .one(peers, &drawn, now, Some(away))
                 .or_else(|| self.one(peers, &drawn, now, None));
--- a/lib/src/gossip/gossiper.rs
+++ b/lib/src/gossip/gossiper.rs
@@ -30,40 +30,40 @@
 #[derive(Debug, Clone)]
 pub struct Limits {
     /// Time between two regular exchanges.
-    pub period: Millis,
+    pub interval: Millis,
     /// Time between tries while this node has reached nobody yet.
-    pub first_period: Millis,
+    pub bootstrap_interval: Millis,
     /// Peers that news is passed to at once.
-    pub fan_out: usize,
+    pub fanout: usize,
     /// How often news is passed on, to other peers each time.
-    pub waves: usize,
+    pub push_rounds: usize,
     /// Time between two waves of the same news.
-    pub wave_pause: Millis,
+    pub push_round_interval: Millis,
     /// How long an exchange may take.
-    pub timeout: Millis,
+    pub exchange_timeout: Millis,
     /// How long the next part of a snapshot may take.
-    pub part_timeout: Millis,
+    pub snapshot_part_timeout: Millis,
     /// Exchanges that this node has under way at a time.
-    pub concurrency: usize,
+    pub max_concurrent_exchanges: usize,
     /// How many of 100 exchanges go to another region.
-    pub away_percent: u32,
+    pub cross_region_percent: u32,
     /// Most bytes of news that are sent along with a digest.
-    pub news_bytes: usize,
+    pub max_push_bytes: usize,
 }
 
 impl Default for Limits {
     fn default() -> Self {
         Self {
-            period: Millis(1_000),
-            first_period: Millis(250),
-            fan_out: 3,
-            waves: 2,
-            wave_pause: Millis(300),
-            timeout: Millis(1_000),
-            part_timeout: Millis(5_000),
-            concurrency: 8,
-            away_percent: 15,
-            news_bytes: 48 * 1024,
+            interval: Millis(1_000),
+            bootstrap_interval: Millis(250),
+            fanout: 3,
+            push_rounds: 2,
+            push_round_interval: Millis(300),
+            exchange_timeout: Millis(1_000),
+            snapshot_part_timeout: Millis(5_000),
+            max_concurrent_exchanges: 8,
+            cross_region_percent: 15,
+            max_push_bytes: 48 * 1024,
         }
     }
 }
@@ -120,7 +120,7 @@
     pub fn start(parts: Dependencies) -> Arc<Self> {
         let choice = Choice::new(
             Arc::clone(&parts.region),
-            parts.limits.away_percent,
+            parts.limits.cross_region_percent,
             parts.seed,
         );
         let keeper = Arc::new(Self {
@@ -129,7 +129,7 @@
             news: Notify::new(),
             ahead: Mutex::default(),
             pull: Notify::new(),
-            places: Semaphore::new(parts.limits.concurrency),
+            places: Semaphore::new(parts.limits.max_concurrent_exchanges),
             snapshot: Semaphore::new(1),
             reached: AtomicBool::new(false),
             parts,
@@ -174,9 +174,9 @@
     async fn rounds(self: Arc<Self>) {
         loop {
             let period = if self.reached.load(Ordering::Relaxed) {
-                self.parts.limits.period
+                self.parts.limits.interval
             } else {
-                self.parts.limits.first_period
+                self.parts.limits.bootstrap_interval
             };
             let pause = lock(&self.choice).jitter(period);
             tokio::time::sleep(pause.duration()).await;
@@ -211,12 +211,12 @@
             let Some(news) = self.gather() else {
                 continue;
             };
-            for wave in 0..self.parts.limits.waves {
+            for wave in 0..self.parts.limits.push_rounds {
                 if wave > 0 {
-                    let pause = lock(&self.choice).jitter(self.parts.limits.wave_pause);
+                    let pause = lock(&self.choice).jitter(self.parts.limits.push_round_interval);
                     tokio::time::sleep(pause.duration()).await;
                 }
-                let peers = self.draw(self.parts.limits.fan_out);
+                let peers = self.draw(self.parts.limits.fanout);
                 let count = peers.len();
                 let told = peers.iter().map(|peer| self.with(peer, news.clone()));
                 let knew = join_all(told)
@@ -243,7 +243,7 @@
         for share in &self.parts.shares {
             share.fill_delta(&before, &mut lacking);
         }
-        if lacking.encoded_len() > self.parts.limits.news_bytes {
+        if lacking.encoded_len() > self.parts.limits.max_push_bytes {
             // Peers see from the digest that they are behind, and ask.
             return Some(Digest::default());
         }
@@ -306,7 +306,7 @@
         digest.nodes.extend(news.nodes);
         digest.ends.extend(news.ends);
         let sent = self.parts.clock.now();
-        let limit = self.parts.limits.timeout.duration();
+        let limit = self.parts.limits.exchange_timeout.duration();
         let call = self.parts.transport.exchange(peer, digest);
         let answer = tokio::time::timeout(limit, call)
             .await
@@ -364,7 +364,7 @@
 
     async fn read_snapshot(&self, peer: &Peer) -> Result<Vec<SnapshotPart>, Failure> {
         let late = |_| Failure::new(Code::PeerLost, "the snapshot stopped");
-        let limit = self.parts.limits.part_timeout.duration();
+        let limit = self.parts.limits.snapshot_part_timeout.duration();
         let opened = tokio::time::timeout(limit, self.parts.transport.snapshot(peer));
         let mut stream = opened.await.map_err(late)??;
         let mut parts = Vec::new();
--- a/lib/src/node/limits.rs
+++ b/lib/src/node/limits.rs
@@ -69,7 +69,7 @@
 /// Returns the exchange's times.
 pub fn gossip(settings: &Settings) -> gossip::Limits {
     gossip::Limits {
-        period: settings.platform.gossip,
+        interval: settings.platform.gossip,
         ..gossip::Limits::default()
     }
 }
