--- a/lib/src/gossip/gossiper.rs
+++ b/lib/src/gossip/gossiper.rs
@@ -78,12 +78,12 @@
     /// This node's region.
     pub region: Name,
     /// What is spread.
-    pub shares: Vec<Arc<dyn GossipState>>,
+    pub states: Vec<Arc<dyn GossipState>>,
     /// Change when a part learned something elsewhere than from peers, such as
     /// from the service or from an operator.
-    pub news: Vec<watch::Receiver<u64>>,
+    pub changes: Vec<watch::Receiver<u64>>,
     /// Takes over snapshots.
-    pub install: Arc<dyn SnapshotInstaller>,
+    pub installer: Arc<dyn SnapshotInstaller>,
     /// Whom there is to speak to.
     pub peers: Arc<dyn PeerSource>,
     /// How to speak to them.
@@ -135,7 +135,7 @@
             parts,
         });
         *lock(&keeper.told) = keeper.digest();
-        for news in &keeper.parts.news {
+        for news in &keeper.parts.changes {
             tokio::spawn(Arc::clone(&keeper).hear(news.clone()));
         }
         tokio::spawn(Arc::clone(&keeper).until_stop(Self::rounds));
@@ -240,7 +240,7 @@
             return None;
         }
         let mut lacking = Delta::default();
-        for share in &self.parts.shares {
+        for share in &self.parts.states {
             share.fill_delta(&before, &mut lacking);
         }
         if lacking.encoded_len() > self.parts.limits.max_push_bytes {
@@ -289,7 +289,7 @@
             incarnation: self.parts.incarnation,
             ..Digest::default()
         };
-        for share in &self.parts.shares {
+        for share in &self.parts.states {
             share.fill_digest(&mut digest);
         }
         digest
@@ -336,7 +336,7 @@
         // Every part learns, whatever the others found.
         let news: Vec<bool> = self
             .parts
-            .shares
+            .states
             .iter()
             .map(|share| share.merge_delta(delta))
             .collect();
@@ -349,11 +349,11 @@
         let Ok(_one) = self.snapshot.try_acquire() else {
             return Ok(());
         };
-        if !self.parts.install.is_wanted(revision) {
+        if !self.parts.installer.is_wanted(revision) {
             return Ok(());
         }
         let parts = self.read_snapshot(peer).await?;
-        let install = Arc::clone(&self.parts.install);
+        let install = Arc::clone(&self.parts.installer);
         // Building a large configuration takes a while; exchanges go on meanwhile.
         let news = tokio::task::spawn_blocking(move || install.install(parts)).await;
         if matches!(news, Ok(true)) {
@@ -409,7 +409,7 @@
             was_news,
             ..Delta::default()
         };
-        for share in &self.parts.shares {
+        for share in &self.parts.states {
             share.fill_delta(&theirs, &mut delta);
         }
         let own = self.digest();
--- a/lib/src/membership/gossip_state.rs
+++ b/lib/src/membership/gossip_state.rs
@@ -77,7 +77,7 @@
         if !peers.is_empty() {
             return peers;
         }
-        let seeds = self.parts.seeds.iter();
+        let seeds = self.parts.seed_peers.iter();
         seeds
             .filter(|address| **address != own.peer)
             .map(|address| Peer {
--- a/lib/src/membership/manager/mod.rs
+++ b/lib/src/membership/manager/mod.rs
@@ -69,7 +69,7 @@
     /// Seed of the jitter.
     pub seed: u64,
     /// Peers to hear from while nothing else is known.
-    pub seeds: Vec<SocketAddr>,
+    pub seed_peers: Vec<SocketAddr>,
 }
 
 /// Membership of one node.
--- a/lib/src/node/assembly.rs
+++ b/lib/src/node/assembly.rs
@@ -246,7 +246,7 @@
             limits: limits::membership(&self.settings),
             prefix: Arc::clone(&self.settings.platform.prefix),
             seed: seed(),
-            seeds: self.settings.platform.seeds.clone(),
+            seed_peers: self.settings.platform.seeds.clone(),
         };
         membership::MembershipManager::start(parts, self.stop.clone())
     }
@@ -278,13 +278,13 @@
             node: Arc::clone(&self.identity.name),
             incarnation: self.identity.incarnation,
             region: Arc::clone(&self.identity.region),
-            shares: vec![
+            states: vec![
                 Arc::clone(config) as _,
                 Arc::clone(membership) as _,
                 Arc::clone(quarantine) as _,
             ],
-            news: vec![config.news(), quarantine.news()],
-            install: Arc::clone(config) as _,
+            changes: vec![config.news(), quarantine.news()],
+            installer: Arc::clone(config) as _,
             peers: Arc::clone(membership) as _,
             transport: Arc::clone(clients) as _,
             clock: Arc::clone(&self.clock),
