--- a/lib/src/gossip/gossiper.rs
+++ b/lib/src/gossip/gossiper.rs
@@ -145,7 +145,7 @@
     }
 
     /// Passes on what is new here since peers were last told.
-    pub fn tell(&self) {
+    pub fn push_changes(&self) {
         self.news.notify_one();
     }
 
@@ -155,7 +155,7 @@
             tokio::select! {
                 () = self.parts.stop.cancelled() => return,
                 changed = news.changed() => match changed {
-                    Ok(()) => self.tell(),
+                    Ok(()) => self.push_changes(),
                     Err(_) => return,
                 },
             }
@@ -324,7 +324,7 @@
         self.reached.store(true, Ordering::Relaxed);
         grow_older(&mut delta, now.since(sent));
         if self.learn(&delta) {
-            self.tell();
+            self.push_changes();
         }
         if delta.snapshot_needed {
             self.take_snapshot(peer, &delta).await?;
@@ -357,7 +357,7 @@
         // Building a large configuration takes a while; exchanges go on meanwhile.
         let news = tokio::task::spawn_blocking(move || install.install(parts)).await;
         if matches!(news, Ok(true)) {
-            self.tell();
+            self.push_changes();
         }
         Ok(())
     }
@@ -403,7 +403,7 @@
         told.digest = Some(theirs.clone());
         let was_news = self.learn(&told);
         if was_news {
-            self.tell();
+            self.push_changes();
         }
         let mut delta = Delta {
             was_news,
