--- a/bench/src/fuzz_outcomes/harness/world/calls.rs
+++ b/bench/src/fuzz_outcomes/harness/world/calls.rs
@@ -65,7 +65,13 @@
         self.later(0, Due::Node(index, start, released));
     }
 
-    pub(super) fn ask(&mut self, from: usize, number: u64, address: SocketAddr, ask: witness::VoteRequest) {
+    pub(super) fn ask(
+        &mut self,
+        from: usize,
+        number: u64,
+        address: SocketAddr,
+        ask: witness::VoteRequest,
+    ) {
         let start = self.nodes[from].identity.incarnation;
         let to = self
             .nodes
--- a/bench/src/spread/links.rs
+++ b/bench/src/spread/links.rs
@@ -186,7 +186,11 @@
         self.links.carry(self.own.address, peer.address).await;
         let served = self.links.served(peer.address)?;
         let digest = Digest::decode(sent.as_slice()).map_err(|error| broken(&error))?;
-        let answer = served.exchange.handle_exchange(digest).await.encode_to_vec();
+        let answer = served
+            .exchange
+            .handle_exchange(digest)
+            .await
+            .encode_to_vec();
         self.links.count(answer.len());
         self.links.carry(peer.address, self.own.address).await;
         Delta::decode(answer.as_slice()).map_err(|error| broken(&error))
--- a/bench/src/spread/site.rs
+++ b/bench/src/spread/site.rs
@@ -11,7 +11,7 @@
 use chivevalve::config::prefetch::Idle;
 use chivevalve::config::{self, Accepted, Error as Refused, Order};
 use chivevalve::declaration::Set;
-use chivevalve::gossip::{self, Peer, PeerSource, GossipState, SnapshotSource, Transport};
+use chivevalve::gossip::{self, GossipState, Peer, PeerSource, SnapshotSource, Transport};
 use chivevalve::metrics::Metrics;
 use chivevalve::ports::{
     Commit, Entry, Error, Event, Listing, Store as Border, Transaction, Watch, Weights,
--- a/lib/src/config/share.rs
+++ b/lib/src/config/share.rs
@@ -9,7 +9,7 @@
 use super::view::View;
 use crate::clock::Millis;
 use crate::declaration::Set;
-use crate::gossip::{SnapshotInstaller, GossipState, SnapshotSource};
+use crate::gossip::{GossipState, SnapshotInstaller, SnapshotSource};
 use crate::schema::declaration::{Bucket, Head};
 use crate::schema::peer::{Delta, Digest, SnapshotPart};
 
--- a/lib/src/gossip/gossiper.rs
+++ b/lib/src/gossip/gossiper.rs
@@ -17,7 +17,7 @@
 use tokio_util::sync::CancellationToken;
 
 use super::choice::Choice;
-use super::{ExchangeHandler, SnapshotInstaller, Peer, PeerSource, GossipState, Transport};
+use super::{ExchangeHandler, GossipState, Peer, PeerSource, SnapshotInstaller, Transport};
 use crate::clock::{Clock, Millis};
 use crate::error::{Code, Failure};
 use crate::name::Name;
--- a/lib/src/gossip/mod.rs
+++ b/lib/src/gossip/mod.rs
@@ -9,7 +9,7 @@
 pub mod gossiper;
 pub mod rank;
 
-pub use gossiper::{Gossiper, Limits, Dependencies};
+pub use gossiper::{Dependencies, Gossiper, Limits};
 
 use std::fmt;
 use std::net::SocketAddr;
--- a/lib/src/membership/gossip_state.rs
+++ b/lib/src/membership/gossip_state.rs
@@ -6,9 +6,9 @@
 use bytes::Bytes;
 
 use crate::clock::Millis;
-use crate::gossip::{Peer, PeerSource, GossipState};
-use crate::membership::manager::{Core, MembershipManager};
+use crate::gossip::{GossipState, Peer, PeerSource};
 use crate::membership::last_seen;
+use crate::membership::manager::{Core, MembershipManager};
 use crate::membership::node::{Claim, Record};
 use crate::name::Name;
 use crate::schema::peer::{self, Delta, Digest};
--- a/lib/src/membership/machine/call.rs
+++ b/lib/src/membership/machine/call.rs
@@ -5,7 +5,7 @@
 use std::sync::atomic::AtomicU64;
 
 use crate::clock::Millis;
-use crate::membership::witness::{VoteRequest, Vote};
+use crate::membership::witness::{Vote, VoteRequest};
 use crate::name::Name;
 use crate::ports::{Commit, Entry, Error, LeaseId, Listing, Transaction};
 
--- a/lib/src/membership/machine/lease.rs
+++ b/lib/src/membership/machine/lease.rs
@@ -179,7 +179,9 @@
         // that start may still run, paused, and believe in its bound.
         let conditions = match living {
             Some(session) => vec![Condition::Unchanged(key.clone(), session.record.revision)],
-            None if self.guards.is_enabled(Guard::PreviousStart) => vec![Condition::Absent(key.clone())],
+            None if self.guards.is_enabled(Guard::PreviousStart) => {
+                vec![Condition::Absent(key.clone())]
+            }
             None => Vec::new(),
         };
         let writes = vec![
--- a/lib/src/membership/machine/mod.rs
+++ b/lib/src/membership/machine/mod.rs
@@ -28,7 +28,7 @@
 use crate::membership::node::{Identity, Keys};
 use crate::membership::placement;
 use crate::membership::table::Table;
-use crate::membership::witness::{VoteRequest, Vote, Witness};
+use crate::membership::witness::{Vote, VoteRequest, Witness};
 use crate::name::Name;
 
 pub use call::{Action, Answer, Call};
--- a/lib/src/membership/machine/stop.rs
+++ b/lib/src/membership/machine/stop.rs
@@ -35,7 +35,11 @@
             .table
             .live()
             .any(|record| record.identity.name != self.identity.name && !record.draining);
-        let rest = successor && self.table.claims().any(|claim| claim.is_owned_by(&self.identity));
+        let rest = successor
+            && self
+                .table
+                .claims()
+                .any(|claim| claim.is_owned_by(&self.identity));
         let clear = announced && self.holds.is_empty() && self.busy.is_empty() && !rest;
         if clear || now >= stopping.until {
             self.finish_stop(now, stopping);
--- a/lib/src/membership/machine/support.rs
+++ b/lib/src/membership/machine/support.rs
@@ -7,7 +7,7 @@
 use crate::membership::guard::Guard;
 use crate::membership::limits::{SUPPORT_SPAN, drift};
 use crate::membership::placement::majority;
-use crate::membership::witness::{VoteRequest, Vote};
+use crate::membership::witness::{Vote, VoteRequest};
 use crate::name::Name;
 use crate::ports::LeaseId;
 
--- a/lib/src/membership/machine/takeover.rs
+++ b/lib/src/membership/machine/takeover.rs
@@ -8,7 +8,7 @@
 use crate::membership::limits::{OUTAGE_LIMIT, drift};
 use crate::membership::node::{Claim, Record};
 use crate::membership::placement::majority;
-use crate::membership::witness::{VoteRequest, Vote};
+use crate::membership::witness::{Vote, VoteRequest};
 use crate::name::Name;
 
 /// Wait after a round in which too few witnesses withdrew.
--- a/lib/src/membership/mod.rs
+++ b/lib/src/membership/mod.rs
@@ -4,10 +4,10 @@
 pub mod gossip_state;
 pub mod guard;
 pub mod hold;
-pub mod manager;
 pub mod last_seen;
 pub mod limits;
 pub mod machine;
+pub mod manager;
 pub mod node;
 pub mod placement;
 
@@ -16,11 +16,11 @@
 pub mod witness;
 
 pub use fleet::Fleet;
+pub use gossip_state::NodeStatus;
 pub use hold::Hold;
-pub use manager::{MembershipManager, Dependencies};
 pub use limits::Limits;
+pub use manager::{Dependencies, MembershipManager};
 pub use node::Identity;
-pub use gossip_state::NodeStatus;
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -54,7 +54,11 @@
 #[async_trait]
 pub trait VoteClient: fmt::Debug + Send + Sync {
     /// Returns the peer's vote, or none when no answer came in time.
-    async fn request_vote(&self, peer: SocketAddr, ask: witness::VoteRequest) -> Option<witness::Vote>;
+    async fn request_vote(
+        &self,
+        peer: SocketAddr,
+        ask: witness::VoteRequest,
+    ) -> Option<witness::Vote>;
 }
 
 /// Detects failed upstreams from what their owners meet, so that one which fails is held out.
--- a/lib/src/node/assembly.rs
+++ b/lib/src/node/assembly.rs
@@ -251,7 +251,11 @@
         membership::MembershipManager::start(parts, self.stop.clone())
     }
 
-    fn loads(&self, membership: &membership::MembershipManager, clients: &Arc<Clients>) -> loads::Parts {
+    fn loads(
+        &self,
+        membership: &membership::MembershipManager,
+        clients: &Arc<Clients>,
+    ) -> loads::Parts {
         loads::Parts {
             node: Arc::clone(&self.identity.name),
             fleet: membership.fleet(),
--- a/lib/src/peer/client.rs
+++ b/lib/src/peer/client.rs
@@ -19,7 +19,7 @@
 use crate::gossip::{Peer, Transport};
 use crate::membership::VoteClient;
 use crate::membership::fleet::Owner;
-use crate::membership::witness::{VoteRequest, Vote};
+use crate::membership::witness::{Vote, VoteRequest};
 use crate::metrics::Metrics;
 use crate::name::Name;
 use crate::runner::{Reach, Runner};
--- a/lib/src/peer/witness.rs
+++ b/lib/src/peer/witness.rs
@@ -1,6 +1,6 @@
 //! The votes of witnesses as the messages that carry them.
 
-use crate::membership::witness::{VoteRequest, Vote};
+use crate::membership::witness::{Vote, VoteRequest};
 use crate::ports::LeaseId;
 use crate::schema::peer::{RenewReply, RenewRequest};
 
--- a/lib/tests/peer_fakes/mod.rs
+++ b/lib/tests/peer_fakes/mod.rs
@@ -11,7 +11,7 @@
 use chivevalve::loads;
 use chivevalve::membership::VoteHandler;
 use chivevalve::membership::fleet::Owner;
-use chivevalve::membership::witness::{VoteRequest, Vote};
+use chivevalve::membership::witness::{Vote, VoteRequest};
 use chivevalve::metrics::Metrics;
 use chivevalve::peer::Limits;
 use chivevalve::peer::client::{self, Clients};
--- a/lib/tests/test_gossip.rs
+++ b/lib/tests/test_gossip.rs
@@ -11,7 +11,9 @@
 use chivevalve::clock::{Clock, Monotonic};
 use chivevalve::entry::Quarantine;
 use chivevalve::error::{Code, Failure};
-use chivevalve::gossip::{ExchangeHandler, Gossiper, Limits, Dependencies, Peer, PeerSource, SnapshotSource, Transport};
+use chivevalve::gossip::{
+    Dependencies, ExchangeHandler, Gossiper, Limits, Peer, PeerSource, SnapshotSource, Transport,
+};
 use chivevalve::membership::Fleet;
 use chivevalve::membership::fleet::{State, Upstream};
 use chivevalve::poison::fingerprint::{Fingerprint, Identity};
--- a/lib/tests/test_membership.rs
+++ b/lib/tests/test_membership.rs
@@ -9,7 +9,7 @@
 use chivevalve::membership::node::{Claim, Identity, Keys, Record, Witnesses};
 use chivevalve::membership::placement::{self, Load};
 use chivevalve::membership::table::Table;
-use chivevalve::membership::upstreams::{Upstreams, ListOutcome};
+use chivevalve::membership::upstreams::{ListOutcome, Upstreams};
 use chivevalve::membership::witness::{VoteRequest, Witness};
 use chivevalve::name::Name;
 use chivevalve::ports::{Entry, LeaseId, Listing, Vm};
@@ -239,13 +239,19 @@
 #[test]
 fn list_lacks_many() {
     let mut upstreams = Upstreams::new(Guards::all());
-    assert_eq!(upstreams.apply_list(Millis(0), vms(9)), ListOutcome::Accepted);
+    assert_eq!(
+        upstreams.apply_list(Millis(0), vms(9)),
+        ListOutcome::Accepted
+    );
     let empty = upstreams.apply_list(Millis(1000), Vec::new());
     assert_eq!(empty, ListOutcome::Rejected { missing: 9 });
     let short = upstreams.apply_list(Millis(2000), vms(4));
     assert_eq!(short, ListOutcome::Rejected { missing: 5 });
     assert_eq!(upstreams.all(Millis(2000)).len(), 9);
-    assert_eq!(upstreams.apply_list(Millis(62_000), vms(4)), ListOutcome::Accepted);
+    assert_eq!(
+        upstreams.apply_list(Millis(62_000), vms(4)),
+        ListOutcome::Accepted
+    );
     assert_eq!(upstreams.all(Millis(62_000)).len(), 4);
 }
 
@@ -267,7 +273,10 @@
     upstreams.apply_list(Millis(2_000), vms(2));
     assert_eq!(states(&upstreams, Millis(2_000)), [usable; 5]);
     // They are back.
-    assert_eq!(upstreams.apply_list(Millis(3_000), vms(5)), ListOutcome::Accepted);
+    assert_eq!(
+        upstreams.apply_list(Millis(3_000), vms(5)),
+        ListOutcome::Accepted
+    );
     assert_eq!(states(&upstreams, Millis(3_000)), [usable; 5]);
 }
 
@@ -275,7 +284,10 @@
 fn list_lacks_few() {
     let mut upstreams = Upstreams::new(Guards::all());
     upstreams.apply_list(Millis(0), vms(9));
-    assert_eq!(upstreams.apply_list(Millis(1000), vms(6)), ListOutcome::Accepted);
+    assert_eq!(
+        upstreams.apply_list(Millis(1000), vms(6)),
+        ListOutcome::Accepted
+    );
 }
 
 /// An upstream that fails again soon after it answered is held out for longer.
@@ -358,7 +370,10 @@
         upstreams
     };
     let mut panicking = made(Guard::PanicThreshold);
-    assert_eq!(panicking.apply_list(Millis(1), Vec::new()), ListOutcome::Accepted);
+    assert_eq!(
+        panicking.apply_list(Millis(1), Vec::new()),
+        ListOutcome::Accepted
+    );
     let mut leaving = made(Guard::LeavingStops);
     leaving.record_leave_notice(Millis(1), "u0");
     let state = leaving.get(Millis(2), "u0").map(|found| found.state);
