--- a/bench/src/spread/loopback.rs
+++ b/bench/src/spread/loopback.rs
@@ -9,9 +9,9 @@
 use async_trait::async_trait;
 use chivevalve::clock::Monotonic;
 use chivevalve::error::{Code, Failure};
-use chivevalve::gossip::{Peer, Peers, Snapshot};
+use chivevalve::gossip::{Peer, PeerSource, SnapshotSource};
 use chivevalve::loads::{Permit, PermitRequest, PermitSource};
-use chivevalve::membership::{Renewal, witness};
+use chivevalve::membership::{VoteHandler, witness};
 use chivevalve::metrics::Metrics;
 use chivevalve::name::Name;
 use chivevalve::peer::tls::Security;
@@ -61,7 +61,7 @@
     own: Name,
 }
 
-impl Peers for Known {
+impl PeerSource for Known {
     fn peers(&self) -> Vec<Peer> {
         let others = self.peers.iter().filter(|peer| peer.name != self.own);
         others.cloned().collect()
@@ -80,8 +80,8 @@
 }
 
 #[async_trait]
-impl Renewal for Unused {
-    async fn renew(&self, _ask: witness::Ask) -> witness::Vote {
+impl VoteHandler for Unused {
+    async fn handle_vote_request(&self, _ask: witness::VoteRequest) -> witness::Vote {
         witness::Vote::default()
     }
 }
@@ -157,8 +157,8 @@
         let handlers = server::Handlers {
             runner: Arc::new(Unused),
             exchange: Arc::clone(gossip) as _,
-            renewal: Arc::new(Unused),
-            snapshot: Arc::clone(&site.config) as Arc<dyn Snapshot>,
+            vote_handler: Arc::new(Unused),
+            snapshot: Arc::clone(&site.config) as Arc<dyn SnapshotSource>,
             permits: Arc::new(Unused),
             clock,
             metrics: Arc::clone(metrics),
--- a/bench/src/spread/site.rs
+++ b/bench/src/spread/site.rs
@@ -11,7 +11,7 @@
 use chivevalve::config::prefetch::Idle;
 use chivevalve::config::{self, Accepted, Error as Refused, Order};
 use chivevalve::declaration::Set;
-use chivevalve::gossip::{self, Peer, Peers, Share, Snapshot, Transport};
+use chivevalve::gossip::{self, GossipState, Peer, PeerSource, SnapshotSource, Transport};
 use chivevalve::metrics::Metrics;
 use chivevalve::ports::{
     Commit, Entry, Error, Event, Listing, Store as Border, Transaction, Watch, Weights,
@@ -146,7 +146,7 @@
 pub struct Site {
     pub peer: Peer,
     pub config: Arc<config::Keeper>,
-    pub gossip: Option<Arc<gossip::Keeper>>,
+    pub gossip: Option<Arc<gossip::Gossiper>>,
     pub transport: Arc<dyn Transport>,
     pub stop: CancellationToken,
 }
@@ -182,7 +182,7 @@
             links: Arc::clone(&ground.links),
             own: peer.clone(),
         });
-        let peers: Arc<dyn Peers> = if way.gossip.is_some() || way.config.watchers > 0 {
+        let peers: Arc<dyn PeerSource> = if way.gossip.is_some() || way.config.watchers > 0 {
             Arc::new(Everyone {
                 links: Arc::clone(&ground.links),
                 own: Arc::clone(&peer.name),
@@ -202,7 +202,7 @@
         peer: Peer,
         incarnation: u64,
         transport: Arc<dyn Transport>,
-        peers: Arc<dyn Peers>,
+        peers: Arc<dyn PeerSource>,
         (store, watch): (Arc<dyn Border>, Arc<dyn Watch>),
     ) -> Self {
         let stop = CancellationToken::new();
@@ -224,13 +224,13 @@
             stop: stop.clone(),
         });
         let gossip = way.gossip.as_ref().map(|limits| {
-            gossip::Keeper::start(gossip::Parts {
+            gossip::Gossiper::start(gossip::Dependencies {
                 node: Arc::clone(&peer.name),
                 incarnation,
                 region: Arc::clone(&peer.region),
-                shares: vec![Arc::clone(&config) as Arc<dyn Share>],
-                news: vec![config.news()],
-                install: Arc::clone(&config) as _,
+                states: vec![Arc::clone(&config) as Arc<dyn GossipState>],
+                changes: vec![config.news()],
+                installer: Arc::clone(&config) as _,
                 peers,
                 transport: Arc::clone(&transport),
                 clock,
@@ -242,7 +242,7 @@
         if let Some(gossip) = &gossip {
             let served = Served {
                 exchange: Arc::clone(gossip) as _,
-                snapshot: Arc::clone(&config) as Arc<dyn Snapshot>,
+                snapshot: Arc::clone(&config) as Arc<dyn SnapshotSource>,
             };
             ground.links.serve(peer.address, Some(served));
         }
--- a/lib/src/gossip/keeper.rs
+++ b/lib/src/gossip/gossiper.rs
@@ -17,7 +17,7 @@
 use tokio_util::sync::CancellationToken;
 
 use super::choice::Choice;
-use super::{Exchange, Install, Peer, Peers, Share, Transport};
+use super::{ExchangeHandler, GossipState, Peer, PeerSource, SnapshotInstaller, Transport};
 use crate::clock::{Clock, Millis};
 use crate::error::{Code, Failure};
 use crate::name::Name;
@@ -30,47 +30,47 @@
 #[derive(Debug, Clone)]
 pub struct Limits {
     /// Time between two regular exchanges.
-    pub period: Millis,
+    pub interval: Millis,
     /// Time between tries while this node has reached nobody yet.
-    pub first_period: Millis,
+    pub bootstrap_interval: Millis,
     /// Peers that news is passed to at once.
-    pub fan_out: usize,
+    pub fanout: usize,
     /// How often news is passed on, to other peers each time.
-    pub waves: usize,
+    pub push_rounds: usize,
     /// Time between two waves of the same news.
-    pub wave_pause: Millis,
+    pub push_round_interval: Millis,
     /// How long an exchange may take.
-    pub timeout: Millis,
+    pub exchange_timeout: Millis,
     /// How long the next part of a snapshot may take.
-    pub part_timeout: Millis,
+    pub snapshot_part_timeout: Millis,
     /// Exchanges that this node has under way at a time.
-    pub concurrency: usize,
+    pub max_concurrent_exchanges: usize,
     /// How many of 100 exchanges go to another region.
-    pub away_percent: u32,
+    pub cross_region_percent: u32,
     /// Most bytes of news that are sent along with a digest.
-    pub news_bytes: usize,
+    pub max_push_bytes: usize,
 }
 
 impl Default for Limits {
     fn default() -> Self {
         Self {
-            period: Millis(1_000),
-            first_period: Millis(250),
-            fan_out: 3,
-            waves: 2,
-            wave_pause: Millis(300),
-            timeout: Millis(1_000),
-            part_timeout: Millis(5_000),
-            concurrency: 8,
-            away_percent: 15,
-            news_bytes: 48 * 1024,
+            interval: Millis(1_000),
+            bootstrap_interval: Millis(250),
+            fanout: 3,
+            push_rounds: 2,
+            push_round_interval: Millis(300),
+            exchange_timeout: Millis(1_000),
+            snapshot_part_timeout: Millis(5_000),
+            max_concurrent_exchanges: 8,
+            cross_region_percent: 15,
+            max_push_bytes: 48 * 1024,
         }
     }
 }
 
 /// What the exchange is made of.
 #[derive(Debug)]
-pub struct Parts {
+pub struct Dependencies {
     /// This node's name.
     pub node: Name,
     /// Which start of the node this is.
@@ -78,14 +78,14 @@
     /// This node's region.
     pub region: Name,
     /// What is spread.
-    pub shares: Vec<Arc<dyn Share>>,
+    pub states: Vec<Arc<dyn GossipState>>,
     /// Change when a part learned something elsewhere than from peers, such as
     /// from the service or from an operator.
-    pub news: Vec<watch::Receiver<u64>>,
+    pub changes: Vec<watch::Receiver<u64>>,
     /// Takes over snapshots.
-    pub install: Arc<dyn Install>,
+    pub installer: Arc<dyn SnapshotInstaller>,
     /// Whom there is to speak to.
-    pub peers: Arc<dyn Peers>,
+    pub peers: Arc<dyn PeerSource>,
     /// How to speak to them.
     pub transport: Arc<dyn Transport>,
     /// Time.
@@ -100,8 +100,8 @@
 
 /// Exchanges with peers.
 #[derive(Debug)]
-pub struct Keeper {
-    parts: Parts,
+pub struct Gossiper {
+    parts: Dependencies,
     choice: Mutex<Choice>,
     /// What peers were last told; the difference to now is news.
     told: Mutex<Digest>,
@@ -114,13 +114,13 @@
     reached: AtomicBool,
 }
 
-impl Keeper {
+impl Gossiper {
     /// Starts the regular exchanges and the passing on of news.
     #[must_use]
-    pub fn start(parts: Parts) -> Arc<Self> {
+    pub fn start(parts: Dependencies) -> Arc<Self> {
         let choice = Choice::new(
             Arc::clone(&parts.region),
-            parts.limits.away_percent,
+            parts.limits.cross_region_percent,
             parts.seed,
         );
         let keeper = Arc::new(Self {
@@ -129,13 +129,13 @@
             news: Notify::new(),
             ahead: Mutex::default(),
             pull: Notify::new(),
-            places: Semaphore::new(parts.limits.concurrency),
+            places: Semaphore::new(parts.limits.max_concurrent_exchanges),
             snapshot: Semaphore::new(1),
             reached: AtomicBool::new(false),
             parts,
         });
         *lock(&keeper.told) = keeper.digest();
-        for news in &keeper.parts.news {
+        for news in &keeper.parts.changes {
             tokio::spawn(Arc::clone(&keeper).hear(news.clone()));
         }
         tokio::spawn(Arc::clone(&keeper).until_stop(Self::rounds));
@@ -145,7 +145,7 @@
     }
 
     /// Passes on what is new here since peers were last told.
-    pub fn tell(&self) {
+    pub fn push_changes(&self) {
         self.news.notify_one();
     }
 
@@ -155,7 +155,7 @@
             tokio::select! {
                 () = self.parts.stop.cancelled() => return,
                 changed = news.changed() => match changed {
-                    Ok(()) => self.tell(),
+                    Ok(()) => self.push_changes(),
                     Err(_) => return,
                 },
             }
@@ -174,9 +174,9 @@
     async fn rounds(self: Arc<Self>) {
         loop {
             let period = if self.reached.load(Ordering::Relaxed) {
-                self.parts.limits.period
+                self.parts.limits.interval
             } else {
-                self.parts.limits.first_period
+                self.parts.limits.bootstrap_interval
             };
             let pause = lock(&self.choice).jitter(period);
             tokio::time::sleep(pause.duration()).await;
@@ -211,12 +211,12 @@
             let Some(news) = self.gather() else {
                 continue;
             };
-            for wave in 0..self.parts.limits.waves {
+            for wave in 0..self.parts.limits.push_rounds {
                 if wave > 0 {
-                    let pause = lock(&self.choice).jitter(self.parts.limits.wave_pause);
+                    let pause = lock(&self.choice).jitter(self.parts.limits.push_round_interval);
                     tokio::time::sleep(pause.duration()).await;
                 }
-                let peers = self.draw(self.parts.limits.fan_out);
+                let peers = self.draw(self.parts.limits.fanout);
                 let count = peers.len();
                 let told = peers.iter().map(|peer| self.with(peer, news.clone()));
                 let knew = join_all(told)
@@ -240,10 +240,10 @@
             return None;
         }
         let mut lacking = Delta::default();
-        for share in &self.parts.shares {
-            share.answer(&before, &mut lacking);
+        for share in &self.parts.states {
+            share.fill_delta(&before, &mut lacking);
         }
-        if lacking.encoded_len() > self.parts.limits.news_bytes {
+        if lacking.encoded_len() > self.parts.limits.max_push_bytes {
             // Peers see from the digest that they are behind, and ask.
             return Some(Digest::default());
         }
@@ -289,8 +289,8 @@
             incarnation: self.parts.incarnation,
             ..Digest::default()
         };
-        for share in &self.parts.shares {
-            share.digest(&mut digest);
+        for share in &self.parts.states {
+            share.fill_digest(&mut digest);
         }
         digest
     }
@@ -306,7 +306,7 @@
         digest.nodes.extend(news.nodes);
         digest.ends.extend(news.ends);
         let sent = self.parts.clock.now();
-        let limit = self.parts.limits.timeout.duration();
+        let limit = self.parts.limits.exchange_timeout.duration();
         let call = self.parts.transport.exchange(peer, digest);
         let answer = tokio::time::timeout(limit, call)
             .await
@@ -324,7 +324,7 @@
         self.reached.store(true, Ordering::Relaxed);
         grow_older(&mut delta, now.since(sent));
         if self.learn(&delta) {
-            self.tell();
+            self.push_changes();
         }
         if delta.snapshot_needed {
             self.take_snapshot(peer, &delta).await?;
@@ -336,9 +336,9 @@
         // Every part learns, whatever the others found.
         let news: Vec<bool> = self
             .parts
-            .shares
+            .states
             .iter()
-            .map(|share| share.learn(delta))
+            .map(|share| share.merge_delta(delta))
             .collect();
         news.contains(&true)
     }
@@ -349,22 +349,22 @@
         let Ok(_one) = self.snapshot.try_acquire() else {
             return Ok(());
         };
-        if !self.parts.install.is_wanted(revision) {
+        if !self.parts.installer.is_wanted(revision) {
             return Ok(());
         }
         let parts = self.read_snapshot(peer).await?;
-        let install = Arc::clone(&self.parts.install);
+        let install = Arc::clone(&self.parts.installer);
         // Building a large configuration takes a while; exchanges go on meanwhile.
         let news = tokio::task::spawn_blocking(move || install.install(parts)).await;
         if matches!(news, Ok(true)) {
-            self.tell();
+            self.push_changes();
         }
         Ok(())
     }
 
     async fn read_snapshot(&self, peer: &Peer) -> Result<Vec<SnapshotPart>, Failure> {
         let late = |_| Failure::new(Code::PeerLost, "the snapshot stopped");
-        let limit = self.parts.limits.part_timeout.duration();
+        let limit = self.parts.limits.snapshot_part_timeout.duration();
         let opened = tokio::time::timeout(limit, self.parts.transport.snapshot(peer));
         let mut stream = opened.await.map_err(late)??;
         let mut parts = Vec::new();
@@ -385,8 +385,8 @@
 }
 
 #[async_trait]
-impl Exchange for Keeper {
-    async fn exchange(&self, mut digest: Digest) -> Delta {
+impl ExchangeHandler for Gossiper {
+    async fn handle_exchange(&self, mut digest: Digest) -> Delta {
         let mut told = Delta {
             operations: std::mem::take(&mut digest.operations),
             claims: std::mem::take(&mut digest.claims),
@@ -403,14 +403,14 @@
         told.digest = Some(theirs.clone());
         let was_news = self.learn(&told);
         if was_news {
-            self.tell();
+            self.push_changes();
         }
         let mut delta = Delta {
             was_news,
             ..Delta::default()
         };
-        for share in &self.parts.shares {
-            share.answer(&theirs, &mut delta);
+        for share in &self.parts.states {
+            share.fill_delta(&theirs, &mut delta);
         }
         let own = self.digest();
         if own.revision < theirs.revision {
--- a/lib/src/gossip/mod.rs
+++ b/lib/src/gossip/mod.rs
@@ -2,14 +2,14 @@
 //! service would tell them, at a cost that doesn't grow with the fleet.
 //!
 //! Each period a node swaps digests with one peer, and news goes at once to a
-//! few. Parts whose state is spread stand behind [`Share`].
+//! few. Parts whose state is spread stand behind [`GossipState`].
 //! docs/design/0005-configuration.md weighs this against the other ways.
 
 mod choice;
-pub mod keeper;
+pub mod gossiper;
 pub mod rank;
 
-pub use keeper::{Keeper, Limits, Parts};
+pub use gossiper::{Dependencies, Gossiper, Limits};
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -25,22 +25,22 @@
 ///
 /// Each part reads and fills only its own fields of the messages. Learning the
 /// same thing twice, late or out of order must change nothing.
-pub trait Share: fmt::Debug + Send + Sync {
+pub trait GossipState: fmt::Debug + Send + Sync {
     /// Fills in what this node has.
-    fn digest(&self, digest: &mut Digest);
+    fn fill_digest(&self, digest: &mut Digest);
 
     /// Fills in what the sender of `theirs` lacks.
-    fn answer(&self, theirs: &Digest, delta: &mut Delta);
+    fn fill_delta(&self, theirs: &Digest, delta: &mut Delta);
 
     /// Takes over what is newer. Returns whether anything was news that peers should hear at once.
-    fn learn(&self, delta: &Delta) -> bool;
+    fn merge_delta(&self, delta: &Delta) -> bool;
 }
 
 /// Answers a peer's exchange.
 #[async_trait]
-pub trait Exchange: fmt::Debug + Send + Sync {
+pub trait ExchangeHandler: fmt::Debug + Send + Sync {
     /// Learns from the digest and returns what the peer lacks.
-    async fn exchange(&self, digest: Digest) -> Delta;
+    async fn handle_exchange(&self, digest: Digest) -> Delta;
 }
 
 /// A node to exchange with.
@@ -58,7 +58,7 @@
 ///
 /// Membership answers with the live nodes, and with the settings' seeds while
 /// it knows of none.
-pub trait Peers: fmt::Debug + Send + Sync {
+pub trait PeerSource: fmt::Debug + Send + Sync {
     /// Lists the live nodes without this one, in any order.
     fn peers(&self) -> Vec<Peer>;
 }
@@ -77,7 +77,7 @@
 }
 
 /// Gives a peer the whole configuration.
-pub trait Snapshot: fmt::Debug + Send + Sync {
+pub trait SnapshotSource: fmt::Debug + Send + Sync {
     /// Cuts the newest configuration into parts of at most a few hundred kilobytes.
     ///
     /// Parts are made as they are taken, so that a slow reader holds one part
@@ -86,7 +86,7 @@
 }
 
 /// Takes over the whole configuration that a peer gives.
-pub trait Install: fmt::Debug + Send + Sync {
+pub trait SnapshotInstaller: fmt::Debug + Send + Sync {
     /// Whether this node lacks the revision.
     fn is_wanted(&self, revision: u64) -> bool;
 
--- a/lib/src/membership/share.rs
+++ b/lib/src/membership/gossip_state.rs
@@ -6,9 +6,9 @@
 use bytes::Bytes;
 
 use crate::clock::Millis;
-use crate::gossip::{Peer, Peers, Share};
-use crate::membership::keeper::{Core, Keeper};
+use crate::gossip::{GossipState, Peer, PeerSource};
 use crate::membership::last_seen;
+use crate::membership::manager::{Core, MembershipManager};
 use crate::membership::node::{Claim, Record};
 use crate::name::Name;
 use crate::schema::peer::{self, Delta, Digest};
@@ -26,25 +26,25 @@
 
 /// A node as operators see it.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Node {
+pub struct NodeStatus {
     /// Its record.
     pub record: Record,
     /// How long ago it was last heard of, if ever.
-    pub age: Option<Millis>,
+    pub last_heard_age: Option<Millis>,
 }
 
-impl Keeper {
+impl MembershipManager {
     /// Lists the nodes that are known, this one included.
     #[must_use]
-    pub fn nodes(&self) -> Vec<Node> {
+    pub fn nodes(&self) -> Vec<NodeStatus> {
         let now = self.parts.clock.now();
         let core = self.lock();
         core.machine
             .table()
             .live_records()
-            .map(|record| Node {
+            .map(|record| NodeStatus {
                 record: record.clone(),
-                age: core
+                last_heard_age: core
                     .last_seen
                     .of(&record.identity.name)
                     .map(|heartbeat| now.since(heartbeat.at)),
@@ -53,7 +53,7 @@
     }
 }
 
-impl Peers for Keeper {
+impl PeerSource for MembershipManager {
     fn peers(&self) -> Vec<Peer> {
         let now = self.parts.clock.now();
         let own = &self.parts.identity;
@@ -77,7 +77,7 @@
         if !peers.is_empty() {
             return peers;
         }
-        let seeds = self.parts.seeds.iter();
+        let seeds = self.parts.seed_peers.iter();
         seeds
             .filter(|address| **address != own.peer)
             .map(|address| Peer {
@@ -89,8 +89,8 @@
     }
 }
 
-impl Share for Keeper {
-    fn digest(&self, digest: &mut Digest) {
+impl GossipState for MembershipManager {
+    fn fill_digest(&self, digest: &mut Digest) {
         let now = self.parts.clock.now();
         let own = &self.parts.identity;
         let mut core = self.lock();
@@ -105,7 +105,7 @@
         digest.heard = core.last_seen.tell(now);
         digest.leaving = core
             .upstreams
-            .signs(now)
+            .leave_notices(now)
             .map(|(upstream, age)| peer::Leaving {
                 upstream: upstream.to_string(),
                 age_ms: u32::try_from(age.0).unwrap_or(u32::MAX),
@@ -118,7 +118,7 @@
         }
     }
 
-    fn answer(&self, theirs: &Digest, delta: &mut Delta) {
+    fn fill_delta(&self, theirs: &Digest, delta: &mut Delta) {
         let core = self.lock();
         let table = core.machine.table();
         if *theirs.claims_digest == table.digest().to_le_bytes() {
@@ -141,7 +141,7 @@
             .collect();
     }
 
-    fn learn(&self, delta: &Delta) -> bool {
+    fn merge_delta(&self, delta: &Delta) -> bool {
         let now = self.parts.clock.now();
         let mut guard = self.lock();
         let core = &mut *guard;
@@ -191,11 +191,11 @@
     }
     for leaving in &digest.leaving {
         let at = now.since(Millis(u64::from(leaving.age_ms)));
-        core.upstreams.sign(at, &leaving.upstream);
+        core.upstreams.record_leave_notice(at, &leaving.upstream);
     }
 }
 
-fn unregistered(keeper: &Keeper) -> peer::NodeRecord {
+fn unregistered(keeper: &MembershipManager) -> peer::NodeRecord {
     let own = &keeper.parts.identity;
     peer::NodeRecord {
         node: own.name.to_string(),
--- a/lib/src/membership/machine/call.rs
+++ b/lib/src/membership/machine/call.rs
@@ -5,7 +5,7 @@
 use std::sync::atomic::AtomicU64;
 
 use crate::clock::Millis;
-use crate::membership::witness::{Ask, Vote};
+use crate::membership::witness::{Vote, VoteRequest};
 use crate::name::Name;
 use crate::ports::{Commit, Entry, Error, LeaseId, Listing, Transaction};
 
@@ -25,7 +25,7 @@
     /// Reads all membership keys.
     List,
     /// Requests a vote from the witness at this address.
-    RequestVote(SocketAddr, Ask),
+    RequestVote(SocketAddr, VoteRequest),
     /// Stops serving an upstream and waits up to this long for its running requests.
     Release(Name, Millis),
 }
--- a/lib/src/membership/machine/claims.rs
+++ b/lib/src/membership/machine/claims.rs
@@ -147,7 +147,7 @@
 
     fn claim_unclaimed(&mut self, now: Millis, upstream: &Name) {
         let mut conditions = self.claimant_conditions();
-        if self.guards.on(Guard::ClaimUnchanged) {
+        if self.guards.is_enabled(Guard::ClaimUnchanged) {
             conditions.push(Condition::Absent(self.keys.claim(upstream)));
         }
         let claim = self.own_claim(upstream);
@@ -163,7 +163,7 @@
         }
         let mut conditions = self.claimant_conditions();
         let key = self.keys.claim(&claim.upstream);
-        if self.guards.on(Guard::ClaimUnchanged) {
+        if self.guards.is_enabled(Guard::ClaimUnchanged) {
             conditions.push(Condition::Unchanged(key, claim.token));
         }
         let key = self.keys.node(&claim.node);
@@ -171,7 +171,7 @@
             Some(other_incarnation) => Condition::Unchanged(key, other_incarnation.revision),
             None => Condition::Absent(key),
         });
-        if self.guards.on(Guard::OwnerUnregistered) {
+        if self.guards.is_enabled(Guard::OwnerUnregistered) {
             let key = self.keys.registration(&claim.node, claim.incarnation);
             let known = self.table.registration(&claim.node, claim.incarnation);
             conditions.push(match known {
@@ -244,7 +244,7 @@
                 self.reconcile(now);
             }
             Err(Error::NoAnswer(_) | Error::Malformed(_)) => {
-                if self.guards.on(Guard::SettleClaim) {
+                if self.guards.is_enabled(Guard::SettleClaim) {
                     self.verify_claim(now, claim, replaced_token);
                 } else {
                     let assumed = self.table.max_revision() + 1;
@@ -323,7 +323,7 @@
         let own = self
             .table
             .claim(upstream)
-            .filter(|claim| claim.token == replaced_token && claim.names(&self.identity))
+            .filter(|claim| claim.token == replaced_token && claim.is_owned_by(&self.identity))
             .cloned();
         let Some(own) = own else {
             return;
@@ -342,7 +342,7 @@
             .iter()
             .filter(|(upstream, owned)| {
                 let claim = self.table.claim(upstream);
-                claim.is_none_or(|c| c.token != owned.token || !c.names(&self.identity))
+                claim.is_none_or(|c| c.token != owned.token || !c.is_owned_by(&self.identity))
             })
             .map(|(upstream, _)| upstream.clone())
             .collect();
@@ -357,7 +357,7 @@
         let gained: Vec<(Name, u64)> = self
             .table
             .claims()
-            .filter(|claim| claim.names(&self.identity))
+            .filter(|claim| claim.is_owned_by(&self.identity))
             .filter(|claim| self.upstream_regions.contains_key(&claim.upstream))
             .filter(|claim| !self.owned.contains_key(&claim.upstream))
             .filter(|claim| !self.operations.contains_key(&claim.upstream))
@@ -390,13 +390,13 @@
     // could bring it back, and a late deletion could remove a newer claim.
     pub(super) fn clear_claim(&mut self, now: Millis, upstream: &Name) {
         let own = self.table.claim(upstream).cloned();
-        let Some(own) = own.filter(|claim| claim.names(&self.identity)) else {
+        let Some(own) = own.filter(|claim| claim.is_owned_by(&self.identity)) else {
             return;
         };
         let replaced_token = own.token;
         let key = self.keys.claim(upstream);
         let conditions = vec![Condition::Unchanged(key, replaced_token)];
-        self.write_claim(now, own.freed(), replaced_token, conditions);
+        self.write_claim(now, own.into_free(), replaced_token, conditions);
     }
 
     fn may_adopt(&self) -> bool {
--- a/lib/src/membership/machine/cleanup.rs
+++ b/lib/src/membership/machine/cleanup.rs
@@ -25,7 +25,7 @@
         let stale = self.table.registrations().find(|record| {
             let identity = &record.identity;
             let live = self.table.live_record(&identity.name);
-            live.is_none() && !self.table.claims().any(|claim| claim.names(identity))
+            live.is_none() && !self.table.claims().any(|claim| claim.is_owned_by(identity))
         })?;
         let identity = &stale.identity;
         let key = self.keys.registration(&identity.name, identity.incarnation);
--- a/lib/src/membership/machine/drain.rs
+++ b/lib/src/membership/machine/drain.rs
@@ -35,8 +35,11 @@
             .table
             .live_records()
             .any(|record| record.identity.name != self.identity.name && !record.draining);
-        let claims_left =
-            has_successor && self.table.claims().any(|claim| claim.names(&self.identity));
+        let claims_left = has_successor
+            && self
+                .table
+                .claims()
+                .any(|claim| claim.is_owned_by(&self.identity));
         let handed_over =
             announced && self.owned.is_empty() && self.operations.is_empty() && !claims_left;
         if handed_over || now >= drain.deadline {
@@ -60,7 +63,7 @@
         let not_served: Vec<Name> = self
             .table
             .claims()
-            .filter(|claim| claim.names(&self.identity))
+            .filter(|claim| claim.is_owned_by(&self.identity))
             .filter(|claim| !self.owned.contains_key(&claim.upstream))
             .filter(|claim| !self.operations.contains_key(&claim.upstream))
             .map(|claim| claim.upstream.clone())
--- a/lib/src/membership/machine/handover.rs
+++ b/lib/src/membership/machine/handover.rs
@@ -44,7 +44,7 @@
         let limit = self.limits.release_timeout;
         let call = Call::Release(upstream.clone(), limit);
         self.start_call(now, Purpose::Release(upstream.clone()), call);
-        if !self.guards.on(Guard::ReleaseFirst) {
+        if !self.guards.is_enabled(Guard::ReleaseFirst) {
             self.write_handover(now, upstream);
         }
     }
@@ -69,7 +69,7 @@
 
     pub(super) fn write_handover(&mut self, now: Millis, upstream: &Name) {
         let own = self.table.claim(upstream).cloned();
-        let Some(own) = own.filter(|claim| claim.names(&self.identity)) else {
+        let Some(own) = own.filter(|claim| claim.is_owned_by(&self.identity)) else {
             return;
         };
         let mut counts = self.owned_counts();
--- a/lib/src/membership/machine/lease.rs
+++ b/lib/src/membership/machine/lease.rs
@@ -149,7 +149,7 @@
     // Witnesses must not change while support from the current ones is counted on: a
     // successor would ask only the new ones, which don't know of that support.
     fn may_change_witnesses(&self, now: Millis) -> bool {
-        now >= self.support_until || !self.guards.on(Guard::WitnessesFixed)
+        now >= self.support_until || !self.guards.is_enabled(Guard::WitnessesFixed)
     }
 
     fn own_record(&self, lease: LeaseId, witnesses: Witnesses) -> Record {
@@ -172,7 +172,7 @@
             .session
             .as_ref()
             .is_none_or(|session| session.record.witnesses != witnesses);
-        if changed && self.guards.on(Guard::WitnessesFixed) {
+        if changed && self.guards.is_enabled(Guard::WitnessesFixed) {
             self.support_round = None;
         }
         let record = self.own_record(lease, witnesses);
@@ -185,7 +185,9 @@
         // That incarnation may still be running, paused, and rely on its deadline.
         let conditions = match live_session {
             Some(session) => vec![Condition::Unchanged(key.clone(), session.record.revision)],
-            None if self.guards.on(Guard::PreviousStart) => vec![Condition::Absent(key.clone())],
+            None if self.guards.is_enabled(Guard::PreviousStart) => {
+                vec![Condition::Absent(key.clone())]
+            }
             None => Vec::new(),
         };
         let writes = vec![
@@ -366,7 +368,7 @@
             mut record,
         } = pending;
         record.revision = revision;
-        self.witness.registered(revision);
+        self.witness.record_own_registration(revision);
         self.registration_uncertain = false;
         let previous = self.session.take().filter(|session| session.lease == lease);
         let lease_until = match &previous {
@@ -408,7 +410,7 @@
         lease: LeaseId,
         result: &Result<Millis, Error>,
     ) {
-        let counted_from = if self.guards.on(Guard::BoundFromSend) {
+        let counted_from = if self.guards.is_enabled(Guard::BoundFromSend) {
             sent_at
         } else {
             now
--- a/lib/src/membership/machine/mod.rs
+++ b/lib/src/membership/machine/mod.rs
@@ -22,13 +22,12 @@
 use rand_pcg::Pcg64Mcg;
 
 use crate::clock::{Clock, Millis};
-use crate::membership::UpstreamOwnership;
 use crate::membership::guard::{Guard, Guards};
 use crate::membership::limits::Limits;
 use crate::membership::node::{Identity, Keys};
-use crate::membership::placement;
 use crate::membership::table::MembershipTable;
-use crate::membership::witness::{Ask, Vote, Witness};
+use crate::membership::witness::{Vote, VoteRequest, Witness};
+use crate::membership::{UpstreamOwnership, placement};
 use crate::name::Name;
 
 pub use call::{Action, Call, CallResult};
@@ -249,7 +248,7 @@
     }
 
     /// Votes as a witness on a peer's request.
-    pub fn vote(&mut self, now: Millis, ask: &Ask) -> Vote {
+    pub fn vote(&mut self, now: Millis, ask: &VoteRequest) -> Vote {
         self.witness.vote(now, ask)
     }
 
@@ -405,7 +404,7 @@
         if !self.eligible || now < self.owned_until {
             return;
         }
-        if !self.guards.on(Guard::LapseFinal) {
+        if !self.guards.is_enabled(Guard::LapseFinal) {
             return;
         }
         self.eligible = false;
--- a/lib/src/membership/machine/support.rs
+++ b/lib/src/membership/machine/support.rs
@@ -7,7 +7,7 @@
 use crate::membership::guard::Guard;
 use crate::membership::limits::{SUPPORT_TTL, drift_margin};
 use crate::membership::placement::majority;
-use crate::membership::witness::{Ask, Vote};
+use crate::membership::witness::{Vote, VoteRequest};
 use crate::name::Name;
 use crate::ports::LeaseId;
 
@@ -31,7 +31,7 @@
             return;
         }
         self.next_support_round = now + Millis(SUPPORT_TTL.0 / ROUNDS_PER_SUPPORT_TTL);
-        if self.witnesses_uncertain() && self.guards.on(Guard::WitnessesFixed) {
+        if self.witnesses_uncertain() && self.guards.is_enabled(Guard::WitnessesFixed) {
             return;
         }
         if self.max_outage_reached(now) {
@@ -46,7 +46,7 @@
             return;
         };
         let witnesses = session.record.witnesses.clone();
-        let ask = Ask {
+        let ask = VoteRequest {
             node: self.identity.name.clone(),
             incarnation: self.identity.incarnation,
             lease: session.lease,
@@ -72,7 +72,13 @@
     }
 
     /// Requests a vote from a witness, which may be this node itself.
-    pub(super) fn request_vote(&mut self, now: Millis, witness: &Name, purpose: Purpose, ask: Ask) {
+    pub(super) fn request_vote(
+        &mut self,
+        now: Millis,
+        witness: &Name,
+        purpose: Purpose,
+        ask: VoteRequest,
+    ) {
         if *witness == self.identity.name {
             let vote = Some(self.witness.vote(now, &ask));
             match purpose {
@@ -109,8 +115,8 @@
             return;
         };
         let timeout = self.limits.vote_timeout();
-        let one_suffices = !self.guards.on(Guard::SupportMajority);
-        let from_send = self.guards.on(Guard::SupportFromSend);
+        let one_suffices = !self.guards.is_enabled(Guard::SupportMajority);
+        let from_send = self.guards.is_enabled(Guard::SupportFromSend);
         let Some(round) = &mut self.support_round else {
             return;
         };
--- a/lib/src/membership/machine/takeover.rs
+++ b/lib/src/membership/machine/takeover.rs
@@ -8,7 +8,7 @@
 use crate::membership::limits::{MAX_OUTAGE, drift_margin};
 use crate::membership::node::{Claim, Record};
 use crate::membership::placement::majority;
-use crate::membership::witness::{Ask, Vote};
+use crate::membership::witness::{Vote, VoteRequest};
 use crate::name::Name;
 
 /// Delay before another round if too few witnesses withdrew.
@@ -33,7 +33,7 @@
     /// Returns whether the lost owner of a claim can no longer be kept an owner by its
     /// witnesses, and asks them to withdraw if that isn't known yet.
     pub(super) fn witnesses_withdrew(&mut self, now: Millis, claim: &Claim) -> bool {
-        if !self.guards.on(Guard::WithdrawMajority) {
+        if !self.guards.is_enabled(Guard::WithdrawMajority) {
             return true;
         }
         let owner = (claim.node.clone(), claim.incarnation);
@@ -72,7 +72,7 @@
             withdrawal.next_at = now + delay;
             withdrawal.withdrawn.clear();
         }
-        let ask = Ask {
+        let ask = VoteRequest {
             node: owner.0.clone(),
             incarnation: owner.1,
             lease: record.lease,
--- a/lib/src/membership/keeper/mod.rs
+++ b/lib/src/membership/manager/mod.rs
@@ -25,9 +25,9 @@
 use crate::membership::limits::Limits;
 use crate::membership::machine::{Action, Call, CallResult, Machine};
 use crate::membership::node::{Identity, Keys};
-use crate::membership::upstreams::{Upstreams, Verdict};
-use crate::membership::witness::{Ask, Vote};
-use crate::membership::{Adopter, Detector, Relay, Renewal, UpstreamOwnership};
+use crate::membership::upstreams::{ListOutcome, Upstreams};
+use crate::membership::witness::{Vote, VoteRequest};
+use crate::membership::{Adopter, FailureDetector, UpstreamOwnership, VoteClient, VoteHandler};
 use crate::metrics::Metrics;
 use crate::name::Name;
 use crate::ports::{Directory, Error, Lease, Store, Vm, Watch};
@@ -41,7 +41,7 @@
 
 /// What a keeper works with.
 #[derive(Debug)]
-pub struct Parts {
+pub struct Dependencies {
     /// This start of this node.
     pub identity: Identity,
     /// The key-value service.
@@ -57,7 +57,7 @@
     /// The configuration in force, for the pools.
     pub view: watch::Receiver<Arc<View>>,
     /// Reaches peers as witnesses.
-    pub relay: Arc<dyn Relay>,
+    pub vote_client: Arc<dyn VoteClient>,
     /// The node's monotonic clock.
     pub clock: Arc<dyn Clock>,
     /// Where rare events are counted.
@@ -69,14 +69,14 @@
     /// Seed of the jitter.
     pub seed: u64,
     /// Peers to hear from while nothing else is known.
-    pub seeds: Vec<SocketAddr>,
+    pub seed_peers: Vec<SocketAddr>,
 }
 
 /// Membership of one node.
 #[derive(Debug)]
-pub struct Keeper {
+pub struct MembershipManager {
     pub(super) core: Mutex<Core>,
-    pub(super) parts: Parts,
+    pub(super) parts: Dependencies,
     keys: Keys,
     fleet: watch::Sender<Arc<Fleet>>,
     adoptions: mpsc::UnboundedSender<Adoption>,
@@ -90,9 +90,9 @@
     pub machine: Machine,
     pub upstreams: Upstreams,
     pub last_seen: LastSeen,
-    pub gossip: crate::membership::share::Progress,
+    pub gossip: crate::membership::gossip_state::Progress,
     published: (u64, u64),
-    next_release: Option<Millis>,
+    next_readmission: Option<Millis>,
     adopted: BTreeMap<Name, (State, u64)>,
 }
 
@@ -103,10 +103,10 @@
     Release(u64, Name, Millis),
 }
 
-impl Keeper {
+impl MembershipManager {
     /// Starts membership; its tasks end with `stop`.
     #[must_use]
-    pub fn start(parts: Parts, stop: CancellationToken) -> Arc<Self> {
+    pub fn start(parts: Dependencies, stop: CancellationToken) -> Arc<Self> {
         let now = parts.clock.now();
         let core = Core {
             machine: Machine::new(
@@ -118,9 +118,9 @@
             ),
             upstreams: Upstreams::new(Guards::all()),
             last_seen: LastSeen::default(),
-            gossip: crate::membership::share::Progress::default(),
+            gossip: crate::membership::gossip_state::Progress::default(),
             published: (0, 0),
-            next_release: None,
+            next_readmission: None,
             adopted: BTreeMap::new(),
         };
         let (adoptions, queue) = mpsc::unbounded_channel();
@@ -161,7 +161,7 @@
     pub fn drain_upstream(&self, upstream: &str) -> bool {
         let now = self.parts.clock.now();
         let mut core = self.lock();
-        let taken = core.upstreams.sign(now, upstream);
+        let taken = core.upstreams.record_leave_notice(now, upstream);
         self.publish(&mut core, now);
         taken
     }
@@ -246,10 +246,10 @@
     async fn make(&self, call: Call) -> CallResult {
         let limit = self.parts.limits.call_timeout.duration();
         let lost = || Error::NoAnswer("no answer in time".to_owned());
-        let Parts {
+        let Dependencies {
             store,
             lease,
-            relay,
+            vote_client,
             ..
         } = &self.parts;
         match call {
@@ -285,7 +285,7 @@
                     .unwrap_or_else(|_| Err(lost())),
             ),
             Call::RequestVote(peer, ask) => {
-                let vote = timeout(limit, relay.renew(peer, ask)).await;
+                let vote = timeout(limit, vote_client.request_vote(peer, ask)).await;
                 CallResult::Vote(vote.ok().flatten())
             }
             Call::Release(..) => CallResult::Released,
@@ -350,8 +350,8 @@
 
     fn list_read(self: &Arc<Self>, vms: Vec<Vm>) {
         let listed = vms.len();
-        let verdict = self.step(|core, now| core.upstreams.list(now, vms));
-        if let Verdict::Rejected { missing } = verdict {
+        let verdict = self.step(|core, now| core.upstreams.apply_list(now, vms));
+        if let ListOutcome::Rejected { missing } = verdict {
             let events = &self.parts.metrics.events;
             events.with_label_values(&["list_rejected"]).inc();
             warn!("membership: the list of VMs ({listed}) lacks {missing} at once and is rejected");
@@ -397,8 +397,8 @@
 }
 
 #[async_trait::async_trait]
-impl Renewal for Keeper {
-    async fn renew(&self, ask: Ask) -> Vote {
+impl VoteHandler for MembershipManager {
+    async fn handle_vote_request(&self, ask: VoteRequest) -> Vote {
         let now = self.parts.clock.now();
         let (mut vote, reached) = {
             let mut core = self.lock();
@@ -415,16 +415,16 @@
     }
 }
 
-impl Detector for Keeper {
-    fn failed(&self, upstream: &str) {
+impl FailureDetector for MembershipManager {
+    fn record_failure(&self, upstream: &str) {
         let now = self.parts.clock.now();
         let mut core = self.lock();
-        core.upstreams.failed(now, upstream);
+        core.upstreams.record_failure(now, upstream);
         self.publish(&mut core, now);
     }
 
-    fn answered(&self, upstream: &str) {
+    fn record_success(&self, upstream: &str) {
         let now = self.parts.clock.now();
-        self.lock().upstreams.answered(now, upstream);
+        self.lock().upstreams.record_success(now, upstream);
     }
 }
--- a/lib/src/membership/keeper/publish.rs
+++ b/lib/src/membership/manager/publish.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-use super::{Adoption, Core, Keeper};
+use super::{Adoption, Core, MembershipManager};
 use crate::clock::Millis;
 use crate::declaration::{Kind, Pool};
 use crate::loads::WEIGHT_STORE;
@@ -14,7 +14,7 @@
 use crate::name::Name;
 use crate::ports::Vm;
 
-impl Keeper {
+impl MembershipManager {
     pub(super) fn adopt(
         &self,
         core: &mut Core,
@@ -49,13 +49,13 @@
     // and tells the adopter of upstreams whose state or pool changed.
     pub(in crate::membership) fn publish(&self, core: &mut Core, now: Millis) {
         let version = (core.upstreams.version(), core.machine.table().version());
-        let released = core.next_release.is_some_and(|at| now >= at);
+        let released = core.next_readmission.is_some_and(|at| now >= at);
         if core.published == version && !released {
             return;
         }
         let renewed = core.published.0 != version.0 || released;
         core.published = version;
-        core.next_release = core.upstreams.next_release(now);
+        core.next_readmission = core.upstreams.next_readmission(now);
         if renewed {
             let regions = self.regions(core, now);
             core.machine.set_upstreams(now, regions);
@@ -92,7 +92,7 @@
         let metrics = &self.parts.metrics;
         for (state, name) in [
             (State::Usable, "usable"),
-            (State::Held, "held"),
+            (State::Suspended, "held"),
             (State::Leaving, "leaving"),
         ] {
             let count = all
--- a/lib/src/membership/mod.rs
+++ b/lib/src/membership/mod.rs
@@ -1,25 +1,25 @@
 //! Who is there: nodes, upstreams, and which node owns which upstream.
 
 pub mod fleet;
+pub mod gossip_state;
 pub mod guard;
-pub mod keeper;
 pub mod last_seen;
 pub mod limits;
 pub mod machine;
+pub mod manager;
 pub mod node;
 pub mod ownership;
 pub mod placement;
-pub mod share;
 pub mod table;
 pub mod upstreams;
 pub mod witness;
 
 pub use fleet::Fleet;
-pub use keeper::{Keeper, Parts};
+pub use gossip_state::NodeStatus;
 pub use limits::Limits;
+pub use manager::{Dependencies, MembershipManager};
 pub use node::Identity;
 pub use ownership::UpstreamOwnership;
-pub use share::Node;
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -44,23 +44,27 @@
 
 /// Votes for peers that ask this node as their witness.
 #[async_trait]
-pub trait Renewal: fmt::Debug + Send + Sync {
+pub trait VoteHandler: fmt::Debug + Send + Sync {
     /// Renews the asking node's lease if this node can, and supports it or withdraws.
-    async fn renew(&self, ask: witness::Ask) -> witness::Vote;
+    async fn handle_vote_request(&self, ask: witness::VoteRequest) -> witness::Vote;
 }
 
 /// Asks a peer as a witness, over the peer's connection.
 #[async_trait]
-pub trait Relay: fmt::Debug + Send + Sync {
+pub trait VoteClient: fmt::Debug + Send + Sync {
     /// Returns the peer's vote, or none when no answer came in time.
-    async fn renew(&self, peer: SocketAddr, ask: witness::Ask) -> Option<witness::Vote>;
+    async fn request_vote(
+        &self,
+        peer: SocketAddr,
+        ask: witness::VoteRequest,
+    ) -> Option<witness::Vote>;
 }
 
 /// Detects failed upstreams from what their owners meet, so that one which fails is held out.
-pub trait Detector: fmt::Debug + Send + Sync {
+pub trait FailureDetector: fmt::Debug + Send + Sync {
     /// An upstream couldn't be reached, or broke a connection.
-    fn failed(&self, upstream: &str);
+    fn record_failure(&self, upstream: &str);
 
     /// An upstream answered.
-    fn answered(&self, upstream: &str);
+    fn record_success(&self, upstream: &str);
 }
--- a/lib/src/membership/table.rs
+++ b/lib/src/membership/table.rs
@@ -117,7 +117,7 @@
     /// A response from a lagging replica of the service, or a delayed one, would otherwise
     /// bring back a former owner.
     pub fn apply_listing(&mut self, listing: &Listing) -> bool {
-        if listing.revision < self.read_revision && self.guards.on(Guard::StaleRead) {
+        if listing.revision < self.read_revision && self.guards.is_enabled(Guard::StaleRead) {
             return false;
         }
         self.read_revision = listing.revision;
@@ -149,7 +149,7 @@
     /// Applies a change reported by a watch. Returns false if it is older than what was read
     /// before.
     pub fn apply_event(&mut self, event: &Event) -> bool {
-        if event.revision < self.read_revision && self.guards.on(Guard::StaleRead) {
+        if event.revision < self.read_revision && self.guards.is_enabled(Guard::StaleRead) {
             return false;
         }
         self.read_revision = event.revision;
--- a/lib/src/membership/witness.rs
+++ b/lib/src/membership/witness.rs
@@ -20,7 +20,7 @@
 
 /// What is asked of a witness.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Ask {
+pub struct VoteRequest {
     /// The node whose ownership is asked about.
     pub node: Name,
     /// Which start of it.
@@ -85,7 +85,7 @@
     /// Makes a witness that may lack a guard, for the fuzz harness.
     #[must_use]
     pub fn with_guards(now: Millis, quiet: Millis, guards: Guards) -> Self {
-        let quiet = if guards.on(Guard::WitnessQuiet) {
+        let quiet = if guards.is_enabled(Guard::WitnessQuiet) {
             quiet
         } else {
             Millis::ZERO
@@ -108,14 +108,14 @@
     /// leases would lapse before the first vote, and callers be refused at every upstream.
     ///
     /// [`Limits::witness_silence`]: crate::membership::limits::Limits::witness_silence
-    pub fn registered(&mut self, revision: u64) {
+    pub fn record_own_registration(&mut self, revision: u64) {
         if !self.overflowed {
             self.forgot_nothing_after.get_or_insert(revision);
         }
     }
 
     /// Votes on an owner that asks for support, or on a successor that asks to withdraw it.
-    pub fn vote(&mut self, now: Millis, ask: &Ask) -> Vote {
+    pub fn vote(&mut self, now: Millis, ask: &VoteRequest) -> Vote {
         if now < self.speaks_from && !self.surely_new(ask) {
             return Vote::default();
         }
@@ -134,7 +134,7 @@
 
     // To withdraw, the witness must also know that no older registration of the node was
     // supported, which only time tells.
-    fn surely_new(&self, ask: &Ask) -> bool {
+    fn surely_new(&self, ask: &VoteRequest) -> bool {
         let younger = self
             .forgot_nothing_after
             .is_some_and(|revision| ask.registration > revision);
@@ -162,7 +162,7 @@
     fn support(&mut self, now: Millis, registration: u64, guards: Guards) -> Vote {
         // A withdrawn registration may have a successor already.
         let withdrawn = registration < self.withdrawn_before;
-        let supported = !withdrawn || !guards.on(Guard::WitnessRemembers);
+        let supported = !withdrawn || !guards.is_enabled(Guard::WitnessRemembers);
         if supported {
             self.supported_at = Some(now);
         }
@@ -178,7 +178,7 @@
         let counted_on = self
             .supported_at
             .is_some_and(|at| now <= at + SUPPORT_TTL + drift_margin(SUPPORT_TTL));
-        let withdrawn = !counted_on || !guards.on(Guard::WitnessWaits);
+        let withdrawn = !counted_on || !guards.is_enabled(Guard::WitnessWaits);
         if withdrawn {
             self.withdrawn_before = self.withdrawn_before.max(revision);
         }
--- a/lib/src/node/deferred.rs
+++ b/lib/src/node/deferred.rs
@@ -12,9 +12,9 @@
 use tokio::sync::watch;
 
 use crate::error::{Code, Failure};
-use crate::gossip::{Peer, Peers};
+use crate::gossip::{Peer, PeerSource};
 use crate::loads::{Permit, PermitRequest, PermitSource};
-use crate::membership::Detector;
+use crate::membership::FailureDetector;
 use crate::owner::RoutingCheck;
 use crate::request::Ticket;
 
@@ -34,16 +34,16 @@
     }
 }
 
-impl Detector for OnceLock<Arc<dyn Detector>> {
-    fn failed(&self, upstream: &str) {
+impl FailureDetector for OnceLock<Arc<dyn FailureDetector>> {
+    fn record_failure(&self, upstream: &str) {
         if let Some(detector) = self.get() {
-            detector.failed(upstream);
+            detector.record_failure(upstream);
         }
     }
 
-    fn answered(&self, upstream: &str) {
+    fn record_success(&self, upstream: &str) {
         if let Some(detector) = self.get() {
-            detector.answered(upstream);
+            detector.record_success(upstream);
         }
     }
 }
@@ -54,7 +54,7 @@
     }
 }
 
-impl Peers for OnceLock<Arc<dyn Peers>> {
+impl PeerSource for OnceLock<Arc<dyn PeerSource>> {
     fn peers(&self) -> Vec<Peer> {
         self.get().map_or_else(Vec::new, |peers| peers.peers())
     }
--- a/lib/src/node/port.rs
+++ b/lib/src/node/port.rs
@@ -12,7 +12,7 @@
 #[derive(Debug)]
 pub struct Port {
     /// The node's membership.
-    pub membership: Arc<membership::Keeper>,
+    pub membership: Arc<membership::MembershipManager>,
     /// Cancelled when the node is to stop; the program that runs it waits for this.
     pub leaving: CancellationToken,
 }
@@ -48,14 +48,14 @@
     }
 }
 
-fn peer(node: membership::Node) -> wire::Peer {
+fn peer(node: membership::NodeStatus) -> wire::Peer {
     let identity = node.record.identity;
     wire::Peer {
         name: identity.name.to_string(),
         region: identity.region.to_string(),
         failure_domain: identity.failure_domain.to_string(),
         operators: Some(identity.operators),
-        heard_age_ms: node.age.map_or(u64::MAX, |age| age.0),
+        heard_age_ms: node.last_heard_age.map_or(u64::MAX, |age| age.0),
         draining: node.record.draining,
     }
 }
--- a/lib/src/owner/registry.rs
+++ b/lib/src/owner/registry.rs
@@ -22,7 +22,7 @@
 use crate::declaration::Pool;
 use crate::error::{Code, Failure};
 use crate::loads::{PermitSource, WEIGHT_STORE};
-use crate::membership::{Adopter, Detector, UpstreamOwnership, fleet};
+use crate::membership::{Adopter, FailureDetector, UpstreamOwnership, fleet};
 use crate::metrics::Metrics;
 use crate::name::Name;
 use crate::ports::{Answer, Connector};
@@ -40,7 +40,7 @@
     /// Gives leave to load.
     pub permits: Arc<dyn PermitSource>,
     /// Learns how owned upstreams are, so that membership can hold one out.
-    pub detector: Option<Arc<dyn Detector>>,
+    pub detector: Option<Arc<dyn FailureDetector>>,
     /// Tells whether what waits is still wanted as it was decided.
     pub routing: Arc<dyn RoutingCheck>,
     /// The node's clock.
--- a/lib/src/peer/server.rs
+++ b/lib/src/peer/server.rs
@@ -16,9 +16,9 @@
 use super::{Limits, call, permit, wire};
 use crate::clock::Clock;
 use crate::error::{Code, Failure};
-use crate::gossip::{Exchange, Snapshot};
+use crate::gossip::{ExchangeHandler, SnapshotSource};
 use crate::loads::PermitSource;
-use crate::membership::Renewal;
+use crate::membership::VoteHandler;
 use crate::metrics::Metrics;
 use crate::ports::Answer;
 use crate::runner::{Attempt, Runner};
@@ -34,11 +34,11 @@
     /// Runs attempts at the upstreams that this node owns.
     pub runner: Arc<dyn Runner>,
     /// Answers exchanges.
-    pub exchange: Arc<dyn Exchange>,
+    pub exchange: Arc<dyn ExchangeHandler>,
     /// Answers as a witness.
-    pub renewal: Arc<dyn Renewal>,
+    pub vote_handler: Arc<dyn VoteHandler>,
     /// Gives the whole configuration.
-    pub snapshot: Arc<dyn Snapshot>,
+    pub snapshot: Arc<dyn SnapshotSource>,
     /// Gives leave to load, if this node owns the weight store's queue.
     pub permits: Arc<dyn PermitSource>,
     /// The node's clock.
@@ -113,7 +113,7 @@
     async fn exchange(&self, request: Request<Digest>) -> Result<Response<Delta>, Status> {
         let digest = request.into_inner();
         call::count(&self.metrics, "received", &digest);
-        let delta = self.exchange.exchange(digest).await;
+        let delta = self.exchange.handle_exchange(digest).await;
         call::count(&self.metrics, "sent", &delta);
         Ok(Response::new(delta))
     }
@@ -131,7 +131,7 @@
     async fn renew(&self, request: Request<RenewRequest>) -> Result<Response<RenewReply>, Status> {
         let request = request.into_inner();
         call::count(&self.metrics, "received", &request);
-        let reply = RenewReply::from(self.renewal.renew(request.into()).await);
+        let reply = RenewReply::from(self.vote_handler.handle_vote_request(request.into()).await);
         call::count(&self.metrics, "sent", &reply);
         Ok(Response::new(reply))
     }
--- a/lib/tests/test_gossip.rs
+++ b/lib/tests/test_gossip.rs
@@ -11,7 +11,9 @@
 use chivevalve::clock::{Clock, Monotonic};
 use chivevalve::entry::Quarantine;
 use chivevalve::error::{Code, Failure};
-use chivevalve::gossip::{Exchange, Keeper, Limits, Parts, Peer, Peers, Snapshot, Transport};
+use chivevalve::gossip::{
+    Dependencies, ExchangeHandler, Gossiper, Limits, Peer, PeerSource, SnapshotSource, Transport,
+};
 use chivevalve::membership::Fleet;
 use chivevalve::membership::fleet::{State, Upstream};
 use chivevalve::poison::fingerprint::{Fingerprint, Identity};
@@ -25,7 +27,7 @@
 use futures::stream::{self, BoxStream};
 
 /// What answers for a node: its exchange and its configuration.
-type Served = (Weak<Keeper>, Arc<chivevalve::config::Keeper>);
+type Served = (Weak<Gossiper>, Arc<chivevalve::config::Keeper>);
 
 /// Nodes by address; a node that isn't there can't be reached.
 #[derive(Debug, Default)]
@@ -40,7 +42,7 @@
     async fn reach(
         &self,
         peer: &Peer,
-    ) -> Result<(Arc<Keeper>, Arc<chivevalve::config::Keeper>), Failure> {
+    ) -> Result<(Arc<Gossiper>, Arc<chivevalve::config::Keeper>), Failure> {
         self.calls.lock().unwrap().push(peer.address);
         if self.silent.lock().unwrap().contains(&peer.address) {
             std::future::pending::<()>().await;
@@ -58,7 +60,7 @@
 impl Transport for Net {
     async fn exchange(&self, peer: &Peer, digest: Digest) -> Result<Delta, Failure> {
         let (gossip, _) = self.reach(peer).await?;
-        Ok(gossip.exchange(digest).await)
+        Ok(gossip.handle_exchange(digest).await)
     }
 
     async fn snapshot(
@@ -81,7 +83,7 @@
 /// A node that exchanges with all others of the net.
 struct Joined {
     node: Node,
-    gossip: Arc<Keeper>,
+    gossip: Arc<Gossiper>,
     quarantine: Arc<Quarantine>,
 }
 
@@ -93,14 +95,14 @@
     let clock: Arc<dyn Clock> = Arc::new(Monotonic::start());
     let quarantine = Quarantine::new(own.name.clone(), clock, Arc::default());
     let quarantine = Arc::new(quarantine);
-    let gossip = Keeper::start(Parts {
+    let gossip = Gossiper::start(Dependencies {
         node: own.name,
         incarnation: 1,
         region: own.region,
-        shares: vec![Arc::clone(&node.keeper) as _, Arc::clone(&quarantine) as _],
-        news: vec![node.keeper.news(), quarantine.news()],
-        install: Arc::clone(&node.keeper) as _,
-        peers: Arc::clone(&node.peers) as Arc<dyn Peers>,
+        states: vec![Arc::clone(&node.keeper) as _, Arc::clone(&quarantine) as _],
+        changes: vec![node.keeper.news(), quarantine.news()],
+        installer: Arc::clone(&node.keeper) as _,
+        peers: Arc::clone(&node.peers) as Arc<dyn PeerSource>,
         transport: Arc::clone(net) as _,
         clock: Arc::new(Monotonic::start()),
         limits: Limits::default(),
@@ -197,12 +199,12 @@
     let a = join(&net, &store, 1, &[1]);
     a.node.apply(&set(&[])).await;
     let mut digest = Digest::default();
-    chivevalve::gossip::Share::digest(&*a.node.keeper, &mut digest);
+    chivevalve::gossip::GossipState::fill_digest(&*a.node.keeper, &mut digest);
     down(&store);
     tokio::time::sleep(Duration::from_mins(1)).await;
     let before = a.node.keeper.status().confirmed_age_ms.unwrap();
     digest.confirmed_age_ms = 1;
-    a.gossip.exchange(digest).await;
+    a.gossip.handle_exchange(digest).await;
     assert!(a.node.keeper.status().confirmed_age_ms.unwrap() >= before);
 }
 
@@ -215,10 +217,10 @@
     a.node.apply(&set(&[("faults", "1")])).await;
     b.node.in_force(1).await;
     let mut old = Digest::default();
-    chivevalve::gossip::Share::digest(&*b.node.keeper, &mut old);
+    chivevalve::gossip::GossipState::fill_digest(&*b.node.keeper, &mut old);
     a.node.apply(&set(&[("plans", "1")])).await;
     b.node.in_force(2).await;
-    let answer = b.gossip.exchange(old).await;
+    let answer = b.gossip.handle_exchange(old).await;
     assert_eq!(answer.operations.len(), 1, "the old peer is told");
     assert_eq!((a.node.revision(), b.node.revision()), (2, 2));
 }
@@ -240,7 +242,7 @@
             operations: vec![newer.clone()],
             ..Digest::default()
         };
-        a.gossip.exchange(digest).await;
+        a.gossip.handle_exchange(digest).await;
         tokio::time::sleep(Duration::from_secs(1)).await;
     }
     let page = a.node.metrics.render();
@@ -290,7 +292,7 @@
             &poison,
             Suspicion::Begun,
         );
-        for state in [State::Held, State::Usable] {
+        for state in [State::Suspended, State::Usable] {
             sender.send_replace(fleet(state));
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
--- a/lib/tests/test_peer.rs
+++ b/lib/tests/test_peer.rs
@@ -12,9 +12,9 @@
 use chivevalve::error::{Code, Fate};
 use chivevalve::gossip::{Peer, Transport};
 use chivevalve::loads;
-use chivevalve::membership::Relay;
+use chivevalve::membership::VoteClient;
 use chivevalve::membership::fleet::{Fleet, Owner};
-use chivevalve::membership::witness::Ask;
+use chivevalve::membership::witness::VoteRequest;
 use chivevalve::peer::Clients;
 use chivevalve::ports::LeaseId;
 use chivevalve::runner::Reach;
@@ -526,14 +526,14 @@
     };
     let delta = clients.exchange(&peer, digest.clone()).await.unwrap();
     assert_eq!(delta.digest, Some(digest));
-    let ask = Ask {
+    let ask = VoteRequest {
         node: "b".into(),
         incarnation: 1,
         lease: LeaseId(5),
         registration: 7,
         withdraw_before: Some(9),
     };
-    let vote = clients.renew(peer.address, ask).await.unwrap();
+    let vote = clients.request_vote(peer.address, ask).await.unwrap();
     assert!(vote.supported && vote.withdrawn && !vote.renewed);
     let parts = clients.snapshot(&peer).await.unwrap();
     assert_eq!(parts.count().await, 3);
