--- a/lib/src/policy/upstream/load.rs
+++ b/lib/src/policy/upstream/load.rs
@@ -196,7 +196,7 @@
         let prefetch = pending.is_some_and(|pending| pending.demand.class.is_none());
         let wanted = self.queue.is_blocked(adapter) || prefetch;
         let started = wanted && !self.closed && self.begin_load(adapter, prefetch, now, actions);
-        // A prefetch is tried once; later requests ask for the load themselves.
+        // A prefetch is tried once; later requests trigger the load themselves.
         self.prefetches.remove(adapter);
         if !started {
             actions.push(Action::CancelPermit {
