--- a/lib/src/policy/queue.rs
+++ b/lib/src/policy/queue.rs
@@ -410,8 +410,7 @@
     /// by the number of waiting requests.
     fn remove_idle_flows(&mut self) {
         if self.len == 0 {
-            // Without waiting requests, no account is owed anything: start over with no
-            // tags.
+            // No request waits, so no account is ahead of another one: start over.
             self.accounts.clear();
             self.virtual_time = 0;
         } else if self.accounts.len() > MAX_IDLE_FLOWS + self.len {
