--- a/lib/src/membership/machine/lease.rs
+++ b/lib/src/membership/machine/lease.rs
@@ -41,7 +41,8 @@
     Idle,
     GrantingLease,
     Writing(PendingRegistration),
-    /// The outcome of the write is unknown, and the record is being read back.
+    /// The write failed its conditions or its outcome is unknown, and the record is being read
+    /// back.
     Verifying(PendingRegistration),
 }
 
