--- a/lib/src/claim/manager.rs
+++ b/lib/src/claim/manager.rs
@@ -1,4 +1,4 @@
-//! A node's access to claims, and a request's own claim.
+//! Access to claims for a node's requests, and the claim that a request holds.
 
 use std::sync::Arc;
 
@@ -7,44 +7,44 @@
 use tokio::sync::oneshot;
 
 use super::Dependencies;
-use super::desk::{Desk, Release, Take};
+use super::actor::{AcquireClaim, ClaimActor, ReleaseClaim};
 use super::record::{self, ClaimRecord};
 use crate::clock::Millis;
 use crate::error::{Code, Failure};
 use crate::name::Name;
 use crate::request::Id;
 
-/// Messages that wait at the actor.
-const MAILBOX: usize = 1_024;
+/// Most messages queued at the actor.
+const MAILBOX_CAPACITY: usize = 1_024;
 
-/// When to try again after the service couldn't take a claim.
+/// Delay that callers are told to wait before a retry when claims are unavailable.
 const RETRY_AFTER: Millis = Millis::from_secs(5);
 
-/// Takes claims.
+/// Acquires claims on idempotency keys; a handle to the claims' actor.
 #[derive(Debug, Clone)]
 pub struct ClaimManager {
-    desk: ActorRef<Desk>,
-    parts: Arc<Dependencies>,
+    actor: ActorRef<ClaimActor>,
+    dependencies: Arc<Dependencies>,
 }
 
 impl ClaimManager {
-    /// Starts the actor; it ends when the last keeper and the last claim are gone.
+    /// Starts the actor, which stops when the last manager and the last claim are dropped.
     #[must_use]
-    pub fn start(parts: Dependencies) -> Self {
-        let parts = Arc::new(parts);
-        let desk = Desk::new(Arc::clone(&parts));
+    pub fn start(dependencies: Dependencies) -> Self {
+        let dependencies = Arc::new(dependencies);
+        let actor = ClaimActor::new(Arc::clone(&dependencies));
         Self {
-            desk: Desk::spawn_with_mailbox(desk, mailbox::bounded(MAILBOX)),
-            parts,
+            actor: ClaimActor::spawn_with_mailbox(actor, mailbox::bounded(MAILBOX_CAPACITY)),
+            dependencies,
         }
     }
 
-    /// Takes the claim on an account's idempotency key for a request.
+    /// Acquires the claim on an account's idempotency key for a request.
     ///
     /// # Errors
     ///
-    /// [`Code::KeyTaken`] or [`Code::KeyReused`] when another request has it,
-    /// [`Code::ClaimUnavailable`] when the service didn't say that it is this one's.
+    /// [`Code::KeyTaken`] or [`Code::KeyReused`] when another request holds it,
+    /// [`Code::ClaimUnavailable`] when the service didn't confirm it in time.
     pub async fn acquire(
         &self,
         account: &str,
@@ -52,83 +52,88 @@
         digest: String,
         id: &Id,
     ) -> Result<Claim, Failure> {
-        let (reply, answer) = oneshot::channel();
-        let take = Take {
-            key: record::path(&self.parts.prefix, account, key),
-            record: ClaimRecord::new(digest, id, &self.parts.node),
+        let (reply, acquired) = oneshot::channel();
+        let acquire = AcquireClaim {
+            key: record::store_key(&self.dependencies.prefix, account, key),
+            record: ClaimRecord::new(digest, id, &self.dependencies.node),
             reply,
         };
-        if self.desk.tell(take).try_send().is_err() {
+        if self.actor.tell(acquire).try_send().is_err() {
             return Err(unavailable("too many claims wait at this node"));
         }
-        // When the time is up, the answer that comes later is dropped, and
-        // dropping a claim that nothing was sent on gives it back.
-        let timeout = self.parts.limits.timeout.duration();
-        match tokio::time::timeout(timeout, answer).await {
-            Ok(Ok(answer)) => answer,
+        // After a timeout the reply is dropped when it arrives. Dropping a claim
+        // that no request was sent under releases it.
+        let timeout = self.dependencies.limits.timeout.duration();
+        match tokio::time::timeout(timeout, acquired).await {
+            Ok(Ok(result)) => result,
             Ok(Err(_)) => Err(unavailable("the claims' actor has stopped")),
             Err(_) => Err(unavailable("the key-value service didn't answer in time")),
         }
     }
 }
 
-/// Refuses a request whose claim can't be taken now.
+/// Returns the failure of a request whose claim can't be acquired now.
 pub fn unavailable(detail: &str) -> Failure {
     Failure::new(Code::ClaimUnavailable, detail).retry_after(RETRY_AFTER)
 }
 
-/// A request's own claim on an idempotency key.
+/// A claim on an idempotency key, held by one request.
 ///
-/// While it is spent, the request may have run, and the claim outlives it.
-/// Dropped unspent, it is given back, so that the caller may try again.
+/// Dropping it releases the key, so that the caller may retry, unless the
+/// request may have run; then the claim stays for its retention time.
 #[derive(Debug)]
 pub struct Claim {
     key: String,
-    mark: Name,
+    request: Name,
     revision: u64,
-    spent: bool,
-    desk: ActorRef<Desk>,
+    keep_on_drop: bool,
+    actor: ActorRef<ClaimActor>,
     timeout: Millis,
 }
 
 impl Claim {
-    /// Makes the claim that the service has just confirmed, written at this revision.
+    /// Creates the claim that the service has confirmed at this revision.
     #[must_use]
-    pub fn new(take: &Take, revision: u64, desk: ActorRef<Desk>, timeout: Millis) -> Self {
+    pub fn new(
+        acquire: &AcquireClaim,
+        revision: u64,
+        actor: ActorRef<ClaimActor>,
+        timeout: Millis,
+    ) -> Self {
         Self {
-            key: take.key.clone(),
-            mark: Name::clone(&take.record.request),
+            key: acquire.key.clone(),
+            request: Name::clone(&acquire.record.request),
             revision,
-            spent: false,
-            desk,
+            keep_on_drop: false,
+            actor,
             timeout,
         }
     }
 
-    /// Notes whether the request may have run; said before each try and after each failure.
-    pub fn set_may_have_run(&mut self, spent: bool) {
-        self.spent = spent;
+    /// Sets whether the request may have run; called before each attempt and after each failure.
+    pub fn set_may_have_run(&mut self, may_have_run: bool) {
+        self.keep_on_drop = may_have_run;
     }
 
-    /// Gives the claim back if nothing was sent on it, and waits until others can see that.
+    /// Releases the claim unless the request may have run, and waits until other nodes see that.
     pub async fn release_unused(mut self) {
-        if self.spent {
+        if self.keep_on_drop {
             return;
         }
-        self.spent = true;
+        self.keep_on_drop = true;
         let (reply, done) = oneshot::channel();
         let release = self.release(Some(reply));
-        if self.desk.tell(release).try_send().is_ok() {
-            // The caller is told "not run" in any case; waiting only makes sure
-            // that its next try finds the key free.
+        if self.actor.tell(release).try_send().is_ok() {
+            // The caller is told that the request didn't run in any case. Waiting
+            // makes sure that its retry finds the key free.
             let _ = tokio::time::timeout(self.timeout.duration(), done).await;
         }
     }
 
-    fn release(&mut self, reply: Option<oneshot::Sender<()>>) -> Release {
-        Release {
+    fn release(&mut self, reply: Option<oneshot::Sender<()>>) -> ReleaseClaim {
+        ReleaseClaim {
             key: std::mem::take(&mut self.key),
-            mark: Name::clone(&self.mark),
+            request: Name::clone(&self.request),
             revision: self.revision,
             reply,
         }
@@ -137,11 +142,11 @@
 
 impl Drop for Claim {
     fn drop(&mut self) {
-        if !self.spent {
+        if !self.keep_on_drop {
             let release = self.release(None);
-            // If the actor is full the claim stays until its lease ends; the
-            // caller's next try is then refused, which is safe.
-            let _ = self.desk.tell(release).try_send();
+            // If the mailbox is full, the claim stays until its lease ends. A retry
+            // is refused until then, which is safe.
+            let _ = self.actor.tell(release).try_send();
         }
     }
 }
--- a/lib/src/claim/mod.rs
+++ b/lib/src/claim/mod.rs
@@ -1,11 +1,12 @@
-//! Claims on idempotency keys: a request that isn't idempotent runs at most once for each key.
+//! Claims on idempotency keys: a request that isn't idempotent runs at most once per key.
 //!
-//! A claim is a key of the key-value service that must be absent when it is
-//! written, before the request is first sent. Whoever comes second, at any node
-//! and at any time, finds it. docs/design/0003-outcomes.md weighs where claims
-//! could live and says what is promised without a key.
+//! A claim is an entry of the key-value service that is written, before the
+//! request is first sent, on condition that its key is absent. A later request
+//! with the same key finds it at any node and at any time.
+//! docs/design/0003-outcomes.md compares the places where claims could be kept
+//! and says what is guaranteed without a key.
 
-mod desk;
+mod actor;
 mod manager;
 mod record;
 mod writer;
@@ -22,18 +23,18 @@
 use crate::name::Name;
 use crate::ports::{Lease, Store};
 
-/// How claims are written and kept.
+/// Timeouts, retention and rate limits of claims.
 #[derive(Debug, Clone, Copy)]
 pub struct Limits {
-    /// Longest time that a request waits for its claim to be taken or given back.
+    /// Longest time that a request waits for its claim to be acquired or released.
     pub timeout: Millis,
     /// Shortest time that a claim is kept.
     pub retention: Millis,
-    /// Transactions a second that all nodes together may spend on claims.
+    /// Transactions per second that all nodes together may spend on claims.
     pub writes_per_second: u32,
-    /// Shortest time between two transactions of this node.
+    /// Shortest pause after one of this node's batches before the next.
     pub min_write_interval: Millis,
-    /// Most claims that wait at this node.
+    /// Most claims queued at this node.
     pub max_waiting: usize,
 }
 
@@ -49,21 +50,21 @@
     }
 }
 
-/// What claims need of the node's other parts.
+/// The parts of the node that claims depend on.
 #[derive(Debug, Clone)]
 pub struct Dependencies {
-    /// Holds the claims.
+    /// Stores the claims.
     pub store: Arc<dyn Store>,
-    /// Bounds how long they are kept.
+    /// Grants the leases that bound how long claims are kept.
     pub lease: Arc<dyn Lease>,
-    /// Tells how many nodes share the service's rate.
+    /// Gives the number of nodes that share the service's write rate.
     pub fleet: watch::Receiver<Arc<Fleet>>,
     /// Prefix of all keys of this deployment.
     pub prefix: Name,
-    /// This node's name, for people who read a claim.
+    /// This node's name, recorded in each claim for people who read it.
     pub node: Name,
     /// The node's clock.
     pub clock: Arc<dyn Clock>,
-    /// Bounds.
+    /// Timeouts, retention and rate limits.
     pub limits: Limits,
 }
--- a/lib/src/claim/record.rs
+++ b/lib/src/claim/record.rs
@@ -1,4 +1,4 @@
-//! What a claim holds, and under which key.
+//! The value of a claim and the key that it is stored under.
 
 use std::time::{SystemTime, UNIX_EPOCH};
 
@@ -13,22 +13,22 @@
 
 /// The value of a claim.
 ///
-/// The request's identity is the mark by which a node knows its own write again
-/// when the answer to it was lost.
+/// A node whose write got no response recognises the write as its own by the
+/// request's ID.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClaimRecord {
-    /// Digest of the request that the key was first used for.
+    /// Digest of the first request that used the key.
     pub digest: String,
-    /// Identity of that request.
+    /// ID of that request.
     pub request: Name,
-    /// The node that took the claim; for people only.
+    /// The node that acquired the claim; informational.
     pub node: Name,
-    /// When it was taken, in milliseconds since 1970 by that node's clock; for people only.
+    /// When it was acquired, in milliseconds since the Unix epoch by that node's clock; informational.
     pub time_ms: u64,
 }
 
 impl ClaimRecord {
-    /// Makes the record of a request that claims a key now.
+    /// Creates the record of a request that claims a key now.
     #[must_use]
     pub fn new(digest: String, request: &Id, node: &Name) -> Self {
         let now = SystemTime::now().duration_since(UNIX_EPOCH);
@@ -40,33 +40,35 @@
         }
     }
 
-    /// Reads a claim's value; a value that can't be read is nobody's own.
+    /// Decodes a claim's value; returns `None` if it is malformed.
+    ///
+    /// No request treats a claim with a malformed value as its own.
     #[must_use]
     pub fn decode(value: &[u8]) -> Option<Self> {
         serde_json::from_slice(value).ok()
     }
 
-    /// Returns the claim's value.
+    /// Encodes the claim's value.
     #[must_use]
     pub fn encode(&self) -> Bytes {
         serde_json::to_vec(self).unwrap_or_default().into()
     }
 }
 
-/// Returns the service's key of an account's idempotency key.
+/// Returns the store key of the claim on an account's idempotency key.
 ///
-/// The caller's text goes in as a digest: it may be long, hold any byte, or be a secret.
+/// It holds a digest of the caller's text, which may be long, contain any byte or be a secret.
 #[must_use]
-pub fn path(prefix: &str, account: &str, key: &[u8]) -> String {
+pub fn store_key(prefix: &str, account: &str, key: &[u8]) -> String {
     let prefix = prefix.trim_end_matches('/');
     let digest = URL_SAFE_NO_PAD.encode(Sha256::digest(key));
     format!("{prefix}/claims/{account}/{digest}")
 }
 
-/// Returns the digest by which a repeated request is known to be the same.
+/// Returns the digest that identifies a repeated request.
 ///
-/// Each part's length goes in before it, so that no two requests share a digest
-/// by moving bytes from one part to the next.
+/// Each part is prefixed with its length, so that moving bytes from one part to
+/// the next changes the digest.
 #[must_use]
 pub fn digest(parts: &[&[u8]]) -> String {
     let mut hasher = Sha256::new();
@@ -89,14 +91,14 @@
     }
 
     #[test]
-    fn digest_parts_kept_apart() {
+    fn digest_depends_on_part_boundaries() {
         assert_ne!(digest(&[b"ab", b"c"]), digest(&[b"a", b"bc"]));
     }
 
     #[test]
-    fn path_hides_key() {
-        let path = path("/p/", "shop", b"secret");
-        assert!(path.starts_with("/p/claims/shop/"));
-        assert!(!path.contains("secret"));
+    fn store_key_hides_idempotency_key() {
+        let stored = store_key("/p/", "shop", b"secret");
+        assert!(stored.starts_with("/p/claims/shop/"));
+        assert!(!stored.contains("secret"));
     }
 }
--- a/lib/src/claim/writer.rs
+++ b/lib/src/claim/writer.rs
@@ -1,5 +1,5 @@
-//! Writes claims to the key-value service, many in one transaction, and settles
-//! what a lost answer or another writer leaves open.
+//! Writes claims to the key-value service, many per transaction, and resolves
+//! the outcome after a lost response or a write by another node.
 
 use std::sync::Arc;
 
@@ -8,56 +8,58 @@
 
 use super::record::ClaimRecord;
 
-/// Transactions that one batch gets; what is open after them counts as doubtful, so that a
-/// caller is not kept waiting for a service that keeps refusing.
-const ROUNDS: u32 = 4;
+/// Most transactions per batch.
+///
+/// Operations that are unresolved after them end as [`Outcome::Unknown`], so that
+/// callers don't wait for a service that keeps rejecting transactions.
+const MAX_TRANSACTIONS: u32 = 4;
 
-/// A change of one claim.
+/// What to do with a claim.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Change {
-    /// Take it, if nobody has.
-    Take(ClaimRecord),
-    /// Give it back, as it was written at this revision of the service.
+pub enum Operation {
+    /// Write the record if the key is absent.
+    Acquire(ClaimRecord),
+    /// Delete the claim if it is still the one written at this revision of the service.
     Release(u64),
 }
 
-/// A change of one claim, under the claim's key.
+/// An operation on the claim at a store key.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Job {
-    /// The service's key.
+pub struct ClaimWrite {
+    /// The store key.
     pub key: String,
-    /// What to do with it.
-    pub change: Change,
+    /// What to do with the claim.
+    pub operation: Operation,
 }
 
-/// How a job ended.
+/// The result of an operation.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Outcome {
-    /// The claim is this request's own, written at this revision of the service.
-    Taken(u64),
-    /// Another request has the claim; none if its record can't be read.
-    Found(Option<ClaimRecord>),
-    /// The claim is given back.
+    /// The request holds the claim, written at this revision of the service.
+    Acquired(u64),
+    /// Another request holds the claim; `None` if its record is malformed.
+    Conflict(Option<ClaimRecord>),
+    /// The request holds the claim no longer.
     Released,
     /// Nothing was written, and nothing will be.
-    Failed,
-    /// Nobody can tell whether it was written, or still will be.
-    Doubtful,
+    NotWritten,
+    /// The claim may have been written, or may yet be.
+    Unknown,
 }
 
-/// The lease that new claims live with.
+/// The lease that new claims are attached to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Held {
-    /// Its number.
-    pub lease: LeaseId,
-    /// When it was asked for, on the node's clock.
-    pub since: Millis,
+pub struct ClaimLease {
+    /// ID of the lease.
+    pub id: LeaseId,
+    /// When it was requested, on the node's clock.
+    pub requested_at: Millis,
 }
 
-/// Writes batches of jobs.
+/// Writes batches of claim operations.
 #[derive(Debug, Clone)]
-pub struct Writer {
-    /// Holds the claims.
+pub struct ClaimWriter {
+    /// Stores the claims.
     pub store: Arc<dyn Store>,
     /// Grants leases.
     pub lease: Arc<dyn Lease>,
@@ -67,107 +69,130 @@
     pub retention: Millis,
 }
 
-impl Writer {
-    /// Does all jobs, which are on different keys; returns how each ended, in order.
-    pub async fn write(&self, jobs: &[Job], held: &mut Option<Held>) -> Vec<Outcome> {
-        let mut outcomes = vec![None; jobs.len()];
-        let mut doubt = false;
-        for _ in 0..ROUNDS {
-            let open: Vec<usize> = (0..jobs.len()).filter(|i| outcomes[*i].is_none()).collect();
-            if open.is_empty() {
+impl ClaimWriter {
+    /// Carries out all operations and returns their outcomes in order.
+    ///
+    /// Each must be on a different key.
+    pub async fn write_batch(
+        &self,
+        batch: &[ClaimWrite],
+        lease: &mut Option<ClaimLease>,
+    ) -> Vec<Outcome> {
+        let mut outcomes = vec![None; batch.len()];
+        let mut maybe_written = false;
+        for _ in 0..MAX_TRANSACTIONS {
+            let unresolved: Vec<usize> = (0..batch.len())
+                .filter(|i| outcomes[*i].is_none())
+                .collect();
+            if unresolved.is_empty() {
                 break;
             }
-            self.round(jobs, &open, held, &mut outcomes, &mut doubt)
+            self.try_commit(batch, &unresolved, lease, &mut outcomes, &mut maybe_written)
                 .await;
         }
-        // A job that is still open met a doubtful answer last, or lost a race each time.
+        // The last transaction of an operation that is still unresolved was rejected, got no
+        // response or failed on a condition.
         outcomes
             .into_iter()
-            .map(|outcome| outcome.unwrap_or(Outcome::Doubtful))
+            .map(|outcome| outcome.unwrap_or(Outcome::Unknown))
             .collect()
     }
 
-    async fn round(
+    /// Sends one transaction for the unresolved operations and notes their outcomes.
+    ///
+    /// `maybe_written` is set when the response to a transaction was lost.
+    async fn try_commit(
         &self,
-        jobs: &[Job],
-        open: &[usize],
-        held: &mut Option<Held>,
+        batch: &[ClaimWrite],
+        unresolved: &[usize],
+        lease: &mut Option<ClaimLease>,
         outcomes: &mut [Option<Outcome>],
-        doubt: &mut bool,
+        maybe_written: &mut bool,
     ) {
-        let Some(lease) = self.current(held).await else {
-            fail(open, outcomes, *doubt);
+        let Some(id) = self.current_lease(lease).await else {
+            resolve_unsent(unresolved, outcomes, *maybe_written);
             return;
         };
-        let transaction = transaction(open.iter().map(|index| &jobs[*index]), lease);
+        let transaction = transaction(unresolved.iter().map(|index| &batch[*index]), id);
         match self.store.commit(transaction).await {
             Ok(commit) if commit.done => {
-                for index in open {
-                    outcomes[*index] = Some(jobs[*index].done(commit.revision));
+                for index in unresolved {
+                    outcomes[*index] = Some(batch[*index].committed(commit.revision));
                 }
             }
-            Err(Error::Unreachable(_)) => fail(open, outcomes, *doubt),
+            Err(Error::Unreachable(_)) => resolve_unsent(unresolved, outcomes, *maybe_written),
             Err(Error::Refused(reason)) => {
-                // The usual reason is a lease that is gone; the next round takes a new one.
-                log::warn!("claim: the service refused a transaction: {reason}");
-                *held = None;
+                // Usually the lease has expired; the next transaction uses a new one.
+                log::warn!("claim: the key-value service rejected a transaction: {reason}");
+                *lease = None;
             }
-            // A condition failed: each key itself says which.
-            Ok(_) => self.read_back(jobs, open, outcomes).await,
+            // A condition failed; reading the keys shows which.
+            Ok(_) => self.read_back(batch, unresolved, outcomes).await,
             Err(Error::NoAnswer(_) | Error::Malformed(_)) => {
-                *doubt = true;
-                self.read_back(jobs, open, outcomes).await;
+                *maybe_written = true;
+                self.read_back(batch, unresolved, outcomes).await;
             }
         }
     }
 
-    /// Settles jobs by what their keys hold; what can still be done stays open.
+    /// Resolves operations by the current values of their keys.
     ///
-    /// After a lost answer the write may yet arrive. Writing it again is safe:
-    /// both carry the same mark and only one of them finds the key absent.
-    async fn read_back(&self, jobs: &[Job], open: &[usize], outcomes: &mut [Option<Outcome>]) {
-        let reads = open.iter().map(|index| self.store.get(&jobs[*index].key));
+    /// Operations that can still be carried out stay unresolved. After a lost
+    /// response the write may yet arrive. Writing again is safe: both writes carry
+    /// the same request ID, and only one of them finds the key absent.
+    async fn read_back(
+        &self,
+        batch: &[ClaimWrite],
+        unresolved: &[usize],
+        outcomes: &mut [Option<Outcome>],
+    ) {
+        let reads = unresolved
+            .iter()
+            .map(|index| self.store.get(&batch[*index].key));
         let found = futures::future::join_all(reads).await;
-        for (index, found) in open.iter().zip(found) {
+        for (index, found) in unresolved.iter().zip(found) {
             outcomes[*index] = match found {
-                Ok(entry) => jobs[*index].judge(entry.as_ref()),
-                Err(_) => Some(Outcome::Doubtful),
+                Ok(entry) => batch[*index].outcome_for(entry.as_ref()),
+                Err(_) => Some(Outcome::Unknown),
             };
         }
     }
 
-    /// Returns the lease for new claims, taking a new one when the old has run for a while.
+    /// Returns the lease for new claims; a new one once a quarter of the retention has passed.
     ///
-    /// One lease for many claims costs the service a call in hours, and nobody
-    /// has to clean up: the service removes them with the lease.
-    async fn current(&self, held: &mut Option<Held>) -> Option<LeaseId> {
+    /// Sharing a lease costs the service one call every few hours, and claims need
+    /// no explicit cleanup: the service removes them when the lease ends.
+    async fn current_lease(&self, lease: &mut Option<ClaimLease>) -> Option<LeaseId> {
         let now = self.clock.now();
         let quarter = Millis(self.retention.0 / 4);
-        if let Some(held) = held.filter(|held| now < held.since + quarter) {
-            return Some(held.lease);
+        if let Some(lease) = lease.filter(|lease| now < lease.requested_at + quarter) {
+            return Some(lease.id);
         }
         match self.lease.grant(self.retention + quarter).await {
-            Ok(lease) => {
-                *held = Some(Held { lease, since: now });
-                Some(lease)
+            Ok(id) => {
+                *lease = Some(ClaimLease {
+                    id,
+                    requested_at: now,
+                });
+                Some(id)
             }
             Err(error) => {
-                log::warn!("claim: no lease for claims: {error}");
+                log::warn!("claim: failed to obtain a lease for claims: {error}");
                 None
             }
         }
     }
 
-    /// Removes a claim that carries this mark, if it is there.
+    /// Removes the claim at this key if it belongs to this request.
     ///
     /// # Errors
     ///
-    /// When the service didn't say so.
-    pub async fn erase(&self, key: &str, mark: &str) -> Result<(), Error> {
+    /// When the key couldn't be read or the deletion couldn't be confirmed.
+    pub async fn remove_own(&self, key: &str, request: &str) -> Result<(), Error> {
         let Some(entry) = self.store.get(key).await? else {
             return Ok(());
         };
-        if ClaimRecord::decode(&entry.value).is_none_or(|record| &*record.request != mark) {
+        if ClaimRecord::decode(&entry.value).is_none_or(|record| &*record.request != request) {
             return Ok(());
         }
         let transaction = Transaction {
@@ -178,31 +203,31 @@
     }
 }
 
-/// Gives jobs up whose last transaction wasn't sent.
+/// Resolves operations whose last transaction wasn't sent.
 ///
-/// A transaction before it whose answer was lost may still take effect; calling
-/// the job failed then would leave a claim behind that nobody clears away.
-fn fail(open: &[usize], outcomes: &mut [Option<Outcome>], doubt: bool) {
-    let end = if doubt {
-        Outcome::Doubtful
+/// An earlier transaction whose response was lost may still take effect. Calling
+/// its operations not written would leave claims behind that are never removed.
+fn resolve_unsent(unresolved: &[usize], outcomes: &mut [Option<Outcome>], maybe_written: bool) {
+    let outcome = if maybe_written {
+        Outcome::Unknown
     } else {
-        Outcome::Failed
+        Outcome::NotWritten
     };
-    for index in open {
-        outcomes[*index] = Some(end.clone());
+    for index in unresolved {
+        outcomes[*index] = Some(outcome.clone());
     }
 }
 
-fn transaction<'a>(jobs: impl Iterator<Item = &'a Job>, lease: LeaseId) -> Transaction {
+fn transaction<'a>(writes: impl Iterator<Item = &'a ClaimWrite>, lease: LeaseId) -> Transaction {
     let mut transaction = Transaction::default();
-    for job in jobs {
-        let key = || job.key.clone();
-        let (condition, write) = match &job.change {
-            Change::Take(record) => (
+    for claim in writes {
+        let key = || claim.key.clone();
+        let (condition, write) = match &claim.operation {
+            Operation::Acquire(record) => (
                 Condition::Absent(key()),
                 Write::Put(key(), record.encode(), Some(lease)),
             ),
-            Change::Release(revision) => {
+            Operation::Release(revision) => {
                 (Condition::Unchanged(key(), *revision), Write::Delete(key()))
             }
         };
@@ -212,31 +237,32 @@
     transaction
 }
 
-impl Job {
-    fn done(&self, revision: u64) -> Outcome {
-        match self.change {
-            Change::Take(_) => Outcome::Taken(revision),
-            Change::Release(_) => Outcome::Released,
+impl ClaimWrite {
+    /// Returns the outcome of a transaction that was committed at this revision.
+    fn committed(&self, revision: u64) -> Outcome {
+        match self.operation {
+            Operation::Acquire(_) => Outcome::Acquired(revision),
+            Operation::Release(_) => Outcome::Released,
         }
     }
 
-    /// Returns how the job ended given what its key holds; none when it is to be done still.
-    fn judge(&self, entry: Option<&Entry>) -> Option<Outcome> {
-        match (&self.change, entry) {
-            (Change::Take(_), None) => None,
-            (Change::Take(own), Some(entry)) => {
+    /// Returns the outcome given the entry at the key; `None` if the operation is still to be done.
+    fn outcome_for(&self, entry: Option<&Entry>) -> Option<Outcome> {
+        match (&self.operation, entry) {
+            (Operation::Acquire(_), None) => None,
+            (Operation::Acquire(own), Some(entry)) => {
                 let record = ClaimRecord::decode(&entry.value);
-                let mine = record
+                let is_own = record
                     .as_ref()
                     .is_some_and(|found| found.request == own.request);
-                Some(if mine {
-                    Outcome::Taken(entry.revision)
+                Some(if is_own {
+                    Outcome::Acquired(entry.revision)
                 } else {
-                    Outcome::Found(record)
+                    Outcome::Conflict(record)
                 })
             }
-            (Change::Release(revision), Some(entry)) if entry.revision == *revision => None,
-            (Change::Release(_), _) => Some(Outcome::Released),
+            (Operation::Release(revision), Some(entry)) if entry.revision == *revision => None,
+            (Operation::Release(_), _) => Some(Outcome::Released),
         }
     }
 }
--- a/lib/tests/test_entry_claims.rs
+++ b/lib/tests/test_entry_claims.rs
@@ -1,4 +1,4 @@
-//! Requests that aren't idempotent run at most once for each key.
+//! Requests that aren't idempotent run at most once per idempotency key.
 
 mod entry_support;
 
@@ -16,7 +16,7 @@
     world.send(PUSH, &[&header], body).await
 }
 
-/// Two nodes before the same upstreams and the same key-value service.
+/// Starts two nodes that share their upstreams and their key-value service.
 async fn pair() -> (World, World) {
     let script = Arc::<Script>::default();
     let store = Arc::<Memory>::default();
@@ -34,10 +34,9 @@
     rest.split('"').next().unwrap_or("none")
 }
 
-/// Symptom: a receipt is booked twice.
-/// Sequence: the balancer gets no answer in time and sends the call to a second
-/// node, while the first one runs it.
-/// Cause: each node knew only its own calls.
+/// Guards against a receipt being booked twice: the load balancer gets no response
+/// in time and sends the call to a second node while the first one runs it. This
+/// happened when each node knew only its own calls.
 #[tokio::test]
 async fn claim_two_nodes_at_once() {
     for _ in 0..20 {
@@ -65,14 +64,13 @@
         ("422", "idempotency_key_reused")
     );
     assert_eq!(world.script.count(), 1);
-    // The repetitions cost the service nothing.
+    // The duplicates cost the key-value service no call.
     assert_eq!(world.store.calls(), (1, 0));
 }
 
-/// Symptom: a receipt is booked twice.
-/// Sequence: the node that runs the call dies before it answers; the caller
-/// sends the call again and meets another node.
-/// Cause: the claim died with its node.
+/// Guards against a receipt being booked twice: the node that runs the call stops
+/// before it responds, and the caller's retry reaches another node. This happened
+/// when the claim ended with its node.
 #[tokio::test]
 async fn claim_outlives_its_node() {
     let (one, two) = pair().await;
@@ -82,11 +80,10 @@
     assert_eq!(two.script.count(), 1);
 }
 
-/// Symptom: a receipt is lost: the node says that it was not run, and then
-/// refuses to run it.
-/// Sequence: the claim is taken, every upstream refuses, the caller follows the
-/// hint and sends the call again with the same key, to another node.
-/// Cause: the claim was kept although nothing had run.
+/// Guards against a receipt being lost: every upstream refuses the call, the caller
+/// is told that it didn't run and retries with the same key at another node, and
+/// the retry is refused. This happened when the claim was kept although nothing
+/// had run.
 #[tokio::test]
 async fn claim_released_after_not_run() {
     let (one, two) = pair().await;
@@ -95,14 +92,13 @@
     assert_eq!((status(&refused), code(&refused)), ("503", "brownout"));
     assert_eq!(status(&push(&two, "k", "1.50").await), "200");
     assert_eq!(two.script.count(), 2);
-    // And the node that gave it back doesn't remember it as its own.
+    // The node that released the claim must not remember it as its own.
     assert_eq!(status(&push(&one, "k", "1.50").await), "409");
 }
 
-/// Symptom: a receipt is booked twice.
-/// Sequence: the connection to the service breaks after the call was sent; the
-/// caller sends the call again with the same key.
-/// Cause: the claim was given back after a failure whose fate is unknown.
+/// Guards against a receipt being booked twice: the connection to the upstream
+/// breaks after the call was sent, and the caller retries with the same key. This
+/// happened when the claim was released after a failure whose fate is unknown.
 #[tokio::test]
 async fn claim_kept_after_unknown() {
     let world = world().await;
@@ -114,12 +110,11 @@
     assert_eq!(world.script.count(), 1);
 }
 
-/// Symptom: a call is refused as a repetition of itself.
-/// Sequence: the claim is written, the answer to the write is lost, the node
-/// writes it again and finds the key taken.
-/// Cause: the node didn't know its own mark.
+/// Guards against a call being refused as a duplicate of itself: the claim is
+/// written, the response to the write is lost, and the node writes again and finds
+/// the key claimed. The node must recognise its own request ID.
 #[tokio::test]
-async fn claim_answer_lost() {
+async fn claim_write_response_lost() {
     let world = world().await;
     world.store.then(&[Some(Fault::AnswerLost)]);
     assert_eq!(status(&push(&world, "k", "1.50").await), "200");
@@ -127,19 +122,18 @@
 }
 
 #[tokio::test]
-async fn claim_call_lost() {
+async fn claim_write_lost() {
     let world = world().await;
     world.store.then(&[Some(Fault::CallLost)]);
     assert_eq!(status(&push(&world, "k", "1.50").await), "200");
     assert_eq!(world.script.count(), 1);
 }
 
-/// Symptom: a receipt is booked twice during an outage.
-/// Sequence: the key-value service is down, the node can't take the claim and
-/// runs the call all the same.
-/// Cause: availability went before the promise.
+/// Guards against a receipt being booked twice during an outage: the key-value
+/// service is down, and the node runs the call without a claim. The at-most-once
+/// guarantee takes precedence over availability.
 #[tokio::test]
-async fn claim_service_down() {
+async fn claim_store_down() {
     let world = world().await;
     world.store.set_down(true);
     let refused = push(&world, "k", "1.50").await;
@@ -149,15 +143,15 @@
     );
     assert!(refused.contains("\"fate\":\"not_run\""));
     assert_eq!(world.script.count(), 0);
-    // Calls without a key, and idempotent ones, go on.
+    // Calls without a key still run.
     assert_eq!(status(&world.send(PUSH, &[], "1.50").await), "200");
     world.store.set_down(false);
     assert_eq!(status(&push(&world, "k", "1.50").await), "200");
 }
 
-/// Symptom: a caller that went away before its call ran can't send it again.
-/// Sequence: the call waits between two tries, the caller's connection breaks.
-/// Cause: the claim was only given back where an answer was made.
+/// Guards against refusing a caller's retry although its call never ran: the
+/// caller's connection breaks while the call waits between two attempts. This
+/// happened when the claim was released only where a response was produced.
 #[tokio::test]
 async fn claim_released_when_caller_leaves_unsent() {
     let mut limits = limits();
@@ -181,9 +175,9 @@
     eventually(|| world.store.keys().is_empty()).await;
 }
 
-/// Symptom: a work order is issued twice.
-/// Sequence: the call runs, the caller's connection breaks, the caller sends it again.
-/// Cause: the claim was given back with the connection.
+/// Guards against a work order being issued twice: the caller's connection breaks
+/// while the call runs, and the caller retries. This happened when the claim was
+/// released with the connection.
 #[tokio::test]
 async fn claim_kept_when_caller_leaves_sent() {
     let world = world().await;
@@ -201,11 +195,10 @@
     assert_eq!(world.script.count(), 1);
 }
 
-/// Symptom: a burst of pushes takes the whole rate of the key-value service.
-/// Sequence: a hundred pushes arrive together.
-/// Cause: each claim was a call of its own.
+/// Guards against a burst of 100 pushes using up the write rate of the key-value
+/// service, which happened when each claim took a call of its own.
 #[tokio::test]
-async fn claim_burst_in_few_calls() {
+async fn claim_burst_is_batched() {
     let world = world().await;
     let keys: Vec<String> = (0..100).map(|number| format!("k{number}")).collect();
     let pushes = keys.iter().map(|key| push(&world, key, "1"));
--- a/lib/tests/test_entry_claims_fuzz.rs
+++ b/lib/tests/test_entry_claims_fuzz.rs
@@ -1,4 +1,4 @@
-//! Claims of several nodes on one faulty key-value service, against a simple oracle.
+//! Property test of claims that several nodes make on one faulty key-value service.
 
 mod entry_support;
 
@@ -13,17 +13,17 @@
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 use tokio::sync::watch;
 
-/// Fixed, so that CI tries the same stories each time.
+/// Fixed, so that every CI run tries the same scenarios.
 const SEED: u64 = 0xc1a1_35ee;
 
-const STORIES: u64 = 1_500;
+const SCENARIOS: u64 = 1_500;
 
 const NODES: usize = 3;
 
-/// Longer than a node goes on clearing doubtful claims away, shorter than the retention.
-const SETTLED: Millis = Millis::from_secs(3 * 60 * 60);
+/// Longer than a node's cleanup of claims takes, shorter than their retention.
+const CLEANUP_TIME: Millis = Millis::from_secs(3 * 60 * 60);
 
-/// How a request that has its claim ends.
+/// How a request that holds its claim ends.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum End {
     MayHaveRun,
@@ -39,7 +39,7 @@
     end: End,
 }
 
-/// Calls that arrive together, and what the service does meanwhile.
+/// Calls that arrive together, and the key-value service's faults meanwhile.
 #[derive(Debug, Clone)]
 struct Burst {
     calls: Vec<Call>,
@@ -119,11 +119,11 @@
     }
 }
 
-/// What a call came to: whether it may have run, or the code that refused it.
-async fn make(node: &ClaimManager, call: &Call, id: &Id) -> Result<bool, Code> {
+/// Makes a call; returns whether it may have run, or the code that refused it.
+async fn make_call(node: &ClaimManager, call: &Call, id: &Id) -> Result<bool, Code> {
     let digest = format!("body {}", call.body);
-    let taken = node.acquire("shop", &[call.key], digest, id).await;
-    let mut claim = taken.map_err(|failure| failure.code)?;
+    let acquired = node.acquire("shop", &[call.key], digest, id).await;
+    let mut claim = acquired.map_err(|failure| failure.code)?;
     match call.end {
         End::CallerGoneUnsent => drop(claim),
         End::MayHaveRun => claim.set_may_have_run(true),
@@ -137,12 +137,12 @@
     Ok(call.end == End::MayHaveRun)
 }
 
-/// Plays a story; returns what is wrong.
-async fn play(story: &[Burst]) -> Result<(), String> {
+/// Runs a scenario and returns the first violation.
+async fn run_scenario(scenario: &[Burst]) -> Result<(), String> {
     let world = world();
     let mut ran: HashMap<u8, u8> = HashMap::new();
     let mut bodies: HashMap<u8, HashSet<u8>> = HashMap::new();
-    for (number, burst) in story.iter().enumerate() {
+    for (number, burst) in scenario.iter().enumerate() {
         world.store.then(&burst.faults);
         world.store.set_down(burst.down);
         let ids: Vec<Id> = (0..burst.calls.len())
@@ -152,11 +152,11 @@
             bodies.entry(call.key).or_default().insert(call.body);
         }
         let calls = burst.calls.iter().zip(&ids);
-        let made = calls.map(|(call, id)| make(&world.nodes[call.node], call, id));
-        let made = futures::future::join_all(made).await;
+        let results = calls.map(|(call, id)| make_call(&world.nodes[call.node], call, id));
+        let results = futures::future::join_all(results).await;
         world.store.mend();
-        for (call, made) in burst.calls.iter().zip(made) {
-            match made {
+        for (call, result) in burst.calls.iter().zip(results) {
+            match result {
                 Ok(true) if ran.insert(call.key, call.body).is_some() => {
                     return Err(format!("key {} ran twice", call.key));
                 }
@@ -168,13 +168,13 @@
             }
         }
     }
-    free_again(&world, &ran).await
+    check_released(&world, &ran).await
 }
 
-/// Checks that a key on which nothing ran is free, once the service answers again, and that one
-/// on which something ran is not.
-async fn free_again(world: &World, ran: &HashMap<u8, u8>) -> Result<(), String> {
-    tokio::time::sleep(SETTLED.duration()).await;
+/// Checks that, once the service is available again, exactly the keys under which nothing ran are
+/// free.
+async fn check_released(world: &World, ran: &HashMap<u8, u8>) -> Result<(), String> {
+    tokio::time::sleep(CLEANUP_TIME.duration()).await;
     for key in 0..2 {
         let call = Call {
             node: usize::from(key),
@@ -184,39 +184,38 @@
         };
         let id = Id(format!("last-{key}").into());
         match (
-            make(&world.nodes[call.node], &call, &id).await,
+            make_call(&world.nodes[call.node], &call, &id).await,
             ran.get(&key),
         ) {
             (Ok(_), None) | (Err(Code::KeyTaken), Some(_)) => {}
-            (made, _) => return Err(format!("in the end, key {key}: {made:?}")),
+            (result, _) => return Err(format!("in the end, key {key}: {result:?}")),
         }
     }
     Ok(())
 }
 
 #[test]
-fn claims_run_at_most_once_and_come_free() {
+fn claims_run_at_most_once_and_are_released() {
     #[allow(clippy::needless_pass_by_value, reason = "properties take values")]
-    fn holds(story: Vec<Burst>) -> Result<(), String> {
+    fn holds(scenario: Vec<Burst>) -> Result<(), String> {
         tokio::runtime::Builder::new_current_thread()
             .enable_time()
             .start_paused(true)
             .build()
             .unwrap()
-            .block_on(play(&story))
+            .block_on(run_scenario(&scenario))
     }
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(6, SEED))
-        .tests(STORIES)
+        .tests(SCENARIOS)
         .quickcheck(holds as fn(Vec<Burst>) -> Result<(), String>);
 }
 
-/// Symptom: a push that was refused as not run is turned away as a repetition from then on.
-/// Sequence: the answer to the claim's write is lost, the key is read back as
-/// absent, the write arrives after all, and the service can't be reached when
-/// the node writes again.
-/// Cause: the last failure, before anything was sent, spoke for the write before it.
-/// Found by the stories above.
+/// Guards against refusing a call as a duplicate although it was reported as not
+/// run: the response to the claim's write is lost, the key is read back as absent,
+/// the write arrives after all, and the service is unreachable when the node writes
+/// again. The failure of the second write doesn't show that the first one is lost.
+/// Found by the property test above.
 #[tokio::test(start_paused = true)]
 async fn claim_late_write_then_unreachable() {
     let call = Call {
@@ -230,5 +229,5 @@
         faults: vec![Some(Fault::Late), Some(Fault::Unreachable)],
         down: false,
     };
-    play(&[burst]).await.unwrap();
+    run_scenario(&[burst]).await.unwrap();
 }
