--- a/lib/src/owner/actor.rs
+++ b/lib/src/owner/actor.rs
@@ -1,7 +1,7 @@
 //! The actor of one owned upstream.
 //!
-//! It only takes turns: messages, news from its tasks and the passing of time
-//! each go to the [`Driver`], one after another.
+//! It passes messages, events from its tasks and timer wakeups to the [`Driver`],
+//! one at a time.
 
 use std::convert::Infallible;
 use std::sync::Arc;
@@ -13,10 +13,10 @@
 use tokio::sync::{mpsc, oneshot, watch};
 
 use super::driver::Driver;
-use super::event::Event;
 use super::registry::Dependencies;
 use super::run::Grant;
 use super::status::Status;
+use super::task_event::TaskEvent;
 use crate::adapter::Adapter;
 use crate::declaration::{Kind, Pool};
 use crate::error::Failure;
@@ -24,24 +24,24 @@
 use crate::request::{Id, Ticket};
 use crate::runner::Share;
 
-/// What an upstream is owned under.
+/// An upstream with the pool and the lease under which it is owned.
 #[derive(Debug, Clone)]
-pub(super) struct Args {
+pub(super) struct Assignment {
     pub(super) upstream: fleet::Upstream,
     pub(super) pool: Arc<Pool>,
     pub(super) hold: Hold,
 }
 
-impl Args {
-    /// Whether `next` is the same ownership of the same upstream.
-    pub(super) fn continues(&self, next: &Self) -> bool {
+impl Assignment {
+    /// Whether `next` is an update of the same ownership of the same upstream.
+    pub(super) fn is_continued_by(&self, next: &Self) -> bool {
         self.hold.token() == next.hold.token()
             && self.upstream.vm.address == next.upstream.vm.address
             && base_model(&self.pool) == base_model(&next.pool)
     }
 }
 
-/// Returns a pool's base model, or none for plain services.
+/// Returns a pool's base model; `None` for plain services.
 pub(super) fn base_model(pool: &Pool) -> Option<&Arc<str>> {
     match &pool.kind {
         Kind::Engine { base_model, .. } => Some(base_model),
@@ -49,62 +49,64 @@
     }
 }
 
-/// Asks for a place.
+/// Message that submits a request.
 #[derive(Debug)]
 pub(super) struct Submit {
-    /// The request, under the place's key as its identity.
+    /// The request's ticket, with the key under which the actor tracks it as its ID.
     pub(super) ticket: Ticket,
-    /// The request's own identity, which the engine sees.
-    pub(super) request: Id,
+    /// The request's own ID, as the engine sees it.
+    pub(super) request_id: Id,
+    /// The client account's limits.
     pub(super) share: Share,
+    /// Whether no other upstream will be tried.
     pub(super) last: bool,
-    /// Where the answer goes.
+    /// Receives the grant or the refusal.
     pub(super) reply: oneshot::Sender<Result<Grant, Failure>>,
 }
 
-/// Replaces the pool, the hold or the upstream's state.
+/// Message that replaces the pool, the lease or the upstream's state.
 #[derive(Debug)]
-pub(super) struct Adopt(pub(super) Args);
+pub(super) struct UpdateAssignment(pub(super) Assignment);
 
-/// Tells that templates will move from one adapter to another.
+/// Message that templates will move from one adapter to another, which may be prefetched.
 #[derive(Debug)]
-pub(super) struct Replaced {
+pub(super) struct PrefetchReplacement {
     pub(super) old: Adapter,
     pub(super) new: Adapter,
 }
 
-/// Ends the ownership.
+/// Message that ends the ownership.
 #[derive(Debug)]
 pub(super) struct Release {
-    /// Told when nothing runs any more.
+    /// Notified when no request runs any more.
     pub(super) done: Option<oneshot::Sender<()>>,
 }
 
-/// What an actor is started with.
-pub(super) type Start = (
+/// Arguments of the actor's start.
+pub(super) type StartArgs = (
     Dependencies,
-    Args,
-    mpsc::UnboundedSender<Event>,
-    mpsc::UnboundedReceiver<Event>,
+    Assignment,
+    mpsc::UnboundedSender<TaskEvent>,
+    mpsc::UnboundedReceiver<TaskEvent>,
     watch::Sender<Status>,
 );
 
 /// The actor.
 #[derive(Debug)]
-pub(super) struct Upstream {
+pub(super) struct UpstreamActor {
     driver: Driver,
-    heard: mpsc::UnboundedReceiver<Event>,
+    events: mpsc::UnboundedReceiver<TaskEvent>,
 }
 
-impl Actor for Upstream {
-    type Args = Start;
+impl Actor for UpstreamActor {
+    type Args = StartArgs;
     type Error = Infallible;
 
-    async fn on_start(args: Start, _: ActorRef<Self>) -> Result<Self, Infallible> {
-        let (parts, args, events, heard, status) = args;
+    async fn on_start(args: StartArgs, _: ActorRef<Self>) -> Result<Self, Infallible> {
+        let (dependencies, assignment, event_sender, events, status) = args;
         Ok(Self {
-            driver: Driver::new(parts, args, events, status),
-            heard,
+            driver: Driver::new(dependencies, assignment, event_sender, status),
+            events,
         })
     }
 
@@ -117,8 +119,8 @@
             let wakeup = self.driver.wakeup();
             tokio::select! {
                 biased;
-                // Ends go first: they make room for what the mailbox brings.
-                Some(event) = self.heard.recv() => self.driver.heard(event),
+                // Events first: ended requests make room for those in the mailbox.
+                Some(event) = self.events.recv() => self.driver.handle_event(event),
                 signal = mailbox.recv() => return Ok(signal),
                 () = sleep(wakeup) => self.driver.tick(),
             }
@@ -128,12 +130,12 @@
 
 async fn sleep(wakeup: Option<std::time::Duration>) {
     match wakeup {
-        Some(span) => tokio::time::sleep(span).await,
+        Some(delay) => tokio::time::sleep(delay).await,
         None => std::future::pending().await,
     }
 }
 
-impl Message<Submit> for Upstream {
+impl Message<Submit> for UpstreamActor {
     type Reply = ();
 
     async fn handle(&mut self, submit: Submit, _: &mut Context<Self, ()>) {
@@ -141,23 +143,24 @@
     }
 }
 
-impl Message<Adopt> for Upstream {
+impl Message<UpdateAssignment> for UpstreamActor {
     type Reply = ();
 
-    async fn handle(&mut self, adopt: Adopt, _: &mut Context<Self, ()>) {
-        self.driver.adopt(adopt.0);
+    async fn handle(&mut self, update: UpdateAssignment, _: &mut Context<Self, ()>) {
+        self.driver.update_assignment(update.0);
     }
 }
 
-impl Message<Replaced> for Upstream {
+impl Message<PrefetchReplacement> for UpstreamActor {
     type Reply = ();
 
-    async fn handle(&mut self, replaced: Replaced, _: &mut Context<Self, ()>) {
-        self.driver.replaced(&replaced.old, &replaced.new);
+    async fn handle(&mut self, replacement: PrefetchReplacement, _: &mut Context<Self, ()>) {
+        self.driver
+            .prefetch_replacement(&replacement.old, &replacement.new);
     }
 }
 
-impl Message<Release> for Upstream {
+impl Message<Release> for UpstreamActor {
     type Reply = ();
 
     async fn handle(&mut self, release: Release, _: &mut Context<Self, ()>) {
--- a/lib/src/owner/body.rs
+++ b/lib/src/owner/body.rs
@@ -1,8 +1,8 @@
-//! An answer's body on its way from the upstream to whoever reads it.
+//! The body of a response, as a stream from the upstream to its reader.
 //!
-//! It is read in place, with no task or channel between: a reader that is slow
-//! holds back only its own stream, by not asking for more. A reader that stops
-//! asking drops the body by its own deadline, and with it the place.
+//! No task or channel lies between them, so a slow reader applies backpressure to
+//! its own stream only. A reader that stops reading drops the body by its own
+//! deadline, and with it the request's guard.
 
 use std::pin::Pin;
 use std::sync::Arc;
@@ -13,139 +13,144 @@
 use futures::{Stream, StreamExt};
 use tokio::time::{Instant, Sleep};
 
-use super::check;
-use super::events::Events;
-use super::place::{Outcome, Place};
+use super::event_rewriter::EventRewriter;
+use super::request_guard::{Outcome, RequestGuard};
+use super::response_check::CheckError;
 use crate::clock::Millis;
 use crate::error::{Code, Failure};
 use crate::metrics::Metrics;
 
-/// How long an upstream may take to close an answer that is whole.
+/// How long an upstream may take to end the stream of a complete response.
 ///
-/// Its caller waits meanwhile. A close in time keeps the connection for the next
-/// request, and shows that nothing follows which belongs to another answer.
-const CLOSE: Millis = Millis(250);
+/// The caller waits meanwhile. An end in time keeps the connection reusable and
+/// shows that no bytes of another response follow.
+const CLOSE_TIMEOUT: Millis = Millis(250);
 
-/// How bytes of a body are checked on their way.
+/// How the bytes of a body are checked.
 #[derive(Debug)]
-pub(super) enum Form {
+pub(super) enum BodyFormat {
     /// Events of a completion.
-    Events(Box<Events>),
-    /// A plain service's bytes, with what is still to come if the head said so.
+    Events(Box<EventRewriter>),
+    /// Bytes of a plain service, with the remaining length if the head declared one.
     Plain(Option<u64>),
 }
 
-impl Form {
-    fn take(&mut self, chunk: Bytes, metrics: &Metrics) -> Result<Bytes, Failure> {
+impl BodyFormat {
+    /// Checks received bytes and returns those to forward, which may be none.
+    fn process(&mut self, chunk: Bytes, metrics: &Metrics) -> Result<Bytes, Failure> {
         match self {
-            Self::Events(events) => events.take(chunk).map_err(|error| dropped(error, metrics)),
-            Self::Plain(Some(left)) => {
+            Self::Events(events) => events
+                .process(chunk)
+                .map_err(|error| count_dropped(error, metrics)),
+            Self::Plain(Some(remaining)) => {
                 let length = u64::try_from(chunk.len()).unwrap_or(u64::MAX);
-                *left = left
+                *remaining = remaining
                     .checked_sub(length)
-                    .ok_or_else(|| cut("the answer is longer than its head said"))?;
+                    .ok_or_else(|| truncated("the answer is longer than its head said"))?;
                 Ok(chunk)
             }
             Self::Plain(None) => Ok(chunk),
         }
     }
 
-    /// Says whether a body that ended here is whole.
-    fn ended(&self) -> Result<(), Failure> {
+    /// Checks that a body that ends here is complete.
+    fn check_end(&self) -> Result<(), Failure> {
         match self {
-            Self::Events(events) if !events.done() => Err(cut("the stream ended without [DONE]")),
-            Self::Plain(Some(left)) if *left > 0 => {
-                Err(cut("the answer is shorter than its head said"))
+            Self::Events(events) if !events.is_done() => {
+                Err(truncated("the stream ended without [DONE]"))
+            }
+            Self::Plain(Some(remaining)) if *remaining > 0 => {
+                Err(truncated("the answer is shorter than its head said"))
             }
             Self::Events(_) | Self::Plain(_) => Ok(()),
         }
     }
 
-    /// Whether an error after this point no longer matters.
-    fn is_whole(&self) -> bool {
+    /// Whether the body is complete, so that a later error doesn't matter.
+    fn is_complete(&self) -> bool {
         match self {
-            Self::Events(events) => events.done(),
-            Self::Plain(left) => *left == Some(0),
+            Self::Events(events) => events.is_done(),
+            Self::Plain(remaining) => *remaining == Some(0),
         }
     }
 }
 
-/// Counts an answer that isn't passed on, and returns how its request ended.
-pub(super) fn dropped(error: check::Error, metrics: &Metrics) -> Failure {
-    if let Some(reason) = error.dropped() {
-        metrics.dropped_answers.with_label_values(&[reason]).inc();
+/// Counts a response that isn't forwarded and returns the request's failure.
+pub(super) fn count_dropped(error: CheckError, metrics: &Metrics) -> Failure {
+    if let Some(label) = error.drop_label() {
+        metrics.dropped_answers.with_label_values(&[label]).inc();
     }
     error.into()
 }
 
-/// The body of an answer, with the place that its request holds.
+/// The body of a response, with the guard of its request.
 #[derive(Debug)]
 pub(super) struct Body {
     open: Option<Open>,
-    form: Form,
-    expired: Pin<Box<Sleep>>,
+    format: BodyFormat,
+    deadline: Pin<Box<Sleep>>,
     metrics: Arc<Metrics>,
 }
 
-/// What is given up when the body ends.
+/// What is dropped when the body ends.
 ///
-/// The upstream's stream goes first, so that it is cancelled before its place
-/// is given to the next request.
+/// The upstream's stream is dropped first, so that it is cancelled before the next
+/// request is granted.
 struct Open {
     source: BoxStream<'static, Result<Bytes, Failure>>,
-    place: Place,
+    guard: RequestGuard,
 }
 
 impl std::fmt::Debug for Open {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.debug_struct("Open")
-            .field("place", &self.place)
+            .field("guard", &self.guard)
             .finish_non_exhaustive()
     }
 }
 
 impl Body {
-    /// Makes the body of an answer that has begun.
+    /// Creates the body of a response that has begun.
     pub(super) fn new(
         source: BoxStream<'static, Result<Bytes, Failure>>,
-        place: Place,
-        form: Form,
-        expired: Sleep,
+        guard: RequestGuard,
+        format: BodyFormat,
+        deadline: Sleep,
         metrics: Arc<Metrics>,
     ) -> Self {
         Self {
-            open: Some(Open { source, place }),
-            form,
-            expired: Box::pin(expired),
+            open: Some(Open { source, guard }),
+            format,
+            deadline: Box::pin(deadline),
             metrics,
         }
     }
 
-    /// Waits for the next piece; none means that the answer is whole.
-    fn poll_piece(&mut self, cx: &mut Context<'_>) -> Poll<Result<Option<Bytes>, Failure>> {
+    /// Polls for the next chunk; `None` means that the response is complete.
+    fn poll_chunk(&mut self, cx: &mut Context<'_>) -> Poll<Result<Option<Bytes>, Failure>> {
         if self.open.is_none() {
             return Poll::Ready(Ok(None));
         }
-        if self.expired.as_mut().poll(cx).is_ready() {
-            if self.form.is_whole() {
+        if self.deadline.as_mut().poll(cx).is_ready() {
+            if self.format.is_complete() {
                 return Poll::Ready(Ok(None));
             }
             let detail = "the deadline passed while the answer came";
             return Poll::Ready(Err(Failure::new(Code::ExpiredRunning, detail)));
         }
-        let passed = ready!(self.poll_checked(cx))?;
-        self.hasten();
-        Poll::Ready(Ok(passed))
+        let chunk = ready!(self.poll_checked(cx))?;
+        self.shorten_deadline();
+        Poll::Ready(Ok(chunk))
     }
 
-    /// Stops to wait for the deadline once the answer is whole.
+    /// Limits the wait for the end of the stream once the response is complete.
     ///
-    /// An engine that pauses between its last event and the close would otherwise
-    /// turn an answer that its caller has whole into one that the deadline cut.
-    fn hasten(&mut self) {
-        let close = Instant::now() + CLOSE.duration();
-        if self.form.is_whole() && close < self.expired.deadline() {
-            self.expired.as_mut().reset(close);
+    /// If an engine pauses between its last event and the end of the stream, a
+    /// complete response would otherwise fail at the deadline.
+    fn shorten_deadline(&mut self) {
+        let close_by = Instant::now() + CLOSE_TIMEOUT.duration();
+        if self.format.is_complete() && close_by < self.deadline.deadline() {
+            self.deadline.as_mut().reset(close_by);
         }
     }
 
@@ -156,21 +161,21 @@
         loop {
             let chunk = match ready!(open.source.poll_next_unpin(cx)) {
                 Some(Ok(chunk)) => chunk,
-                None => return Poll::Ready(self.form.ended().map(|()| None)),
-                Some(Err(_)) if self.form.is_whole() => return Poll::Ready(Ok(None)),
-                Some(Err(failure)) => return Poll::Ready(Err(broken(&failure))),
+                None => return Poll::Ready(self.format.check_end().map(|()| None)),
+                Some(Err(_)) if self.format.is_complete() => return Poll::Ready(Ok(None)),
+                Some(Err(failure)) => return Poll::Ready(Err(connection_broken(&failure))),
             };
-            let passed = self.form.take(chunk, &self.metrics)?;
-            if !passed.is_empty() {
-                return Poll::Ready(Ok(Some(passed)));
+            let checked = self.format.process(chunk, &self.metrics)?;
+            if !checked.is_empty() {
+                return Poll::Ready(Ok(Some(checked)));
             }
         }
     }
 
     fn close(&mut self, outcome: Outcome) {
-        if let Some(Open { source, place }) = self.open.take() {
+        if let Some(Open { source, guard }) = self.open.take() {
             drop(source);
-            place.end(outcome);
+            guard.finish(outcome);
         }
     }
 }
@@ -180,10 +185,10 @@
 
     fn poll_next(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Option<Self::Item>> {
         let this = self.get_mut();
-        match ready!(this.poll_piece(cx)) {
-            Ok(Some(piece)) => Poll::Ready(Some(Ok(piece))),
+        match ready!(this.poll_chunk(cx)) {
+            Ok(Some(chunk)) => Poll::Ready(Some(Ok(chunk))),
             Ok(None) => {
-                this.close(Outcome::Answered);
+                this.close(Outcome::Completed);
                 Poll::Ready(None)
             }
             Err(failure) => {
@@ -194,14 +199,14 @@
     }
 }
 
-fn cut(detail: &str) -> Failure {
+fn truncated(detail: &str) -> Failure {
     Failure::new(Code::AnswerCut, detail)
 }
 
-/// Returns how an answer ended whose body broke off.
+/// Returns the failure of a response whose connection broke.
 ///
-/// Part of it has been received, so whatever the connection reports, the
-/// request isn't unsent any more.
-fn broken(failure: &Failure) -> Failure {
-    cut(&format!("the connection to the upstream broke: {failure}"))
+/// Part of the response has been received, so the request was sent whatever the
+/// connection reports.
+fn connection_broken(failure: &Failure) -> Failure {
+    truncated(&format!("the connection to the upstream broke: {failure}"))
 }
--- a/lib/src/owner/driver/load.rs
+++ b/lib/src/owner/driver/load.rs
@@ -1,44 +1,47 @@
-//! Leave to load, and the loads that follow from it.
+//! Requests for load permits, and the loads under them.
 
 use super::Driver;
 use crate::adapter::Adapter;
 use crate::clock::Millis;
 use crate::error::Failure;
 use crate::loads::{Ask, Permit};
-use crate::owner::load::{Asking, Load};
+use crate::owner::load::{LoadTask, PendingPermit};
 use crate::owner::run::Target;
 use crate::policy::upstream::{Action, Demand};
 
 impl Driver {
-    pub(super) fn granted(&mut self, ask: u64, adapter: &Adapter, permit: Box<dyn Permit>) {
-        // Leave for an ask that was taken back goes to the next load at once.
+    /// Uses a granted permit, or returns it if it isn't needed.
+    pub(super) fn use_permit(&mut self, number: u64, adapter: &Adapter, permit: Box<dyn Permit>) {
+        // Dropping a permit whose request was cancelled returns it to the queue at once.
         if self
-            .asking
+            .pending_permits
             .get(adapter)
-            .is_none_or(|asking| asking.number != ask)
+            .is_none_or(|pending| pending.number != number)
         {
             return;
         }
-        self.asking.remove(adapter);
+        self.pending_permits.remove(adapter);
         self.permits.insert(adapter.clone(), permit);
         let actions = self.machine.granted(adapter, self.now());
-        self.carry(actions);
+        self.execute(actions);
         self.permits.remove(adapter);
     }
 
-    pub(super) fn loaded(&mut self, adapter: &Adapter, result: &Result<Millis, Failure>) {
+    /// Reports the end of a load to the state machine.
+    pub(super) fn finish_load(&mut self, adapter: &Adapter, result: &Result<Millis, Failure>) {
         if let Err(failure) = result {
-            log::warn!("owner: {} didn't load {adapter}: {failure}", self.name());
+            log::warn!("owner: {} failed to load {adapter}: {failure}", self.name());
         }
         let actions = self.machine.loaded(adapter, result.is_ok(), self.now());
-        self.carry(actions);
+        self.execute(actions);
     }
 
-    pub(super) fn ask(&mut self, adapter: Adapter, demand: Demand) {
-        if self.releasing {
+    /// Requests a permit to load an adapter, or updates the pending request.
+    pub(super) fn request_permit(&mut self, adapter: Adapter, demand: Demand) {
+        if self.is_releasing {
             return;
         }
-        let ask = Ask {
+        let request = Ask {
             upstream: self.name().clone(),
             adapter: adapter.clone(),
             class: demand.class,
@@ -47,30 +50,32 @@
             waited: demand.waited,
             gain: demand.gain,
         };
-        if let Some(asking) = self.asking.get(&adapter) {
-            asking.update(ask);
+        if let Some(pending) = self.pending_permits.get(&adapter) {
+            pending.update(request);
             return;
         }
-        self.asks += 1;
-        let permits = self.parts.permits.clone();
-        let asking = Asking::start(self.asks, ask, permits, self.events.clone());
-        self.asking.insert(adapter, asking);
+        self.permit_requests += 1;
+        let permits = self.dependencies.permits.clone();
+        let pending =
+            PendingPermit::start(self.permit_requests, request, permits, self.events.clone());
+        self.pending_permits.insert(adapter, pending);
     }
 
-    pub(super) fn load(&mut self, adapter: Adapter, evict: Option<Adapter>) -> Vec<Action> {
+    /// Starts a load under the permit just granted.
+    pub(super) fn start_load(&mut self, adapter: Adapter, evict: Option<Adapter>) -> Vec<Action> {
         let (Some(permit), Target::Engine(engine)) =
             (self.permits.remove(&adapter), self.target.clone())
         else {
             return self.machine.loaded(&adapter, false, self.now());
         };
-        let load = Load {
+        let load = LoadTask {
             adapter,
             evict,
             engine,
-            hold: self.args.hold.clone(),
-            timeout: self.parts.limits.load_timeout,
-            clock: self.parts.clock.clone(),
-            metrics: self.parts.metrics.clone(),
+            hold: self.assignment.hold.clone(),
+            timeout: self.dependencies.limits.load_timeout,
+            clock: self.dependencies.clock.clone(),
+            metrics: self.dependencies.metrics.clone(),
         };
         load.start(permit, self.events.clone());
         Vec::new()
--- a/lib/src/owner/driver/mod.rs
+++ b/lib/src/owner/driver/mod.rs
@@ -1,7 +1,7 @@
-//! Feeds what happens at one upstream to its decisions, and carries out the orders.
+//! Feeds an upstream's events to its state machine and executes the resulting actions.
 
-mod correct;
 mod load;
+mod reconcile;
 
 use std::collections::{HashMap, VecDeque};
 use std::sync::Arc;
@@ -9,16 +9,16 @@
 
 use tokio::sync::{mpsc, oneshot, watch};
 
-use super::actor::{Args, Submit};
-use super::event::Event;
-use super::foreign::Foreign;
+use super::actor::{Assignment, Submit};
+use super::foreign::ForeignRequests;
 use super::health::Health;
-use super::load::Asking;
-use super::place::{End, Outcome};
+use super::load::PendingPermit;
 use super::registry::Dependencies;
-use super::report::Reports;
+use super::report_poller::ReportPoller;
+use super::request_guard::{Outcome, RequestEnd};
 use super::run::{Grant, Target, WaitTimes};
 use super::status::{Slot, Status};
+use super::task_event::TaskEvent;
 use crate::adapter::Adapter;
 use crate::clock::Millis;
 use crate::declaration::Kind;
@@ -30,18 +30,19 @@
 use crate::request::{Id, Ticket};
 use crate::runner::Share;
 
-/// A request that has a place, waiting or running.
+/// A request that waits or runs.
 #[derive(Debug)]
-struct Entry {
-    request: Id,
+struct TrackedRequest {
+    /// The request's own ID, as the engine sees it.
+    request_id: Id,
     ticket: Ticket,
-    /// Where the grant goes; none once it has gone.
+    /// Receives the grant; `None` once the request is granted.
     reply: Option<oneshot::Sender<Result<Grant, Failure>>>,
 }
 
-/// A request that came before the engine first said what it holds.
+/// A request that arrived before the engine's first report.
 #[derive(Debug)]
-struct Early {
+struct EarlyRequest {
     ticket: Ticket,
     share: Share,
     last: bool,
@@ -50,66 +51,71 @@
 /// The state of one owned upstream.
 #[derive(Debug)]
 pub(super) struct Driver {
-    parts: Dependencies,
-    args: Args,
+    dependencies: Dependencies,
+    assignment: Assignment,
     target: Target,
     machine: Machine,
-    entries: HashMap<Id, Entry>,
-    early: Vec<Early>,
-    asking: HashMap<Adapter, Asking>,
-    asks: u64,
+    /// Waiting and running requests by the keys of their guards.
+    requests: HashMap<Id, TrackedRequest>,
+    /// Requests to be queued after the engine's first report.
+    early: Vec<EarlyRequest>,
+    pending_permits: HashMap<Adapter, PendingPermit>,
+    /// Number of permit requests so far, which numbers the next one.
+    permit_requests: u64,
     permits: HashMap<Adapter, Box<dyn Permit>>,
-    foreign: Foreign,
+    foreign: ForeignRequests,
     health: Health,
-    boot: Option<Name>,
-    reported: Option<Millis>,
-    releasing: bool,
-    drained: Vec<oneshot::Sender<()>>,
-    events: mpsc::UnboundedSender<Event>,
+    /// Boot ID of the engine's process in its last report.
+    boot_id: Option<Name>,
+    last_report_at: Option<Millis>,
+    is_releasing: bool,
+    /// Notified when the last request has ended after a release.
+    drain_waiters: Vec<oneshot::Sender<()>>,
+    events: mpsc::UnboundedSender<TaskEvent>,
     status: watch::Sender<Status>,
-    reports: Reports,
+    report_poller: ReportPoller,
 }
 
 impl Driver {
-    /// Starts with what the engine will report.
+    /// Creates the driver and starts polling the engine for reports.
     pub(super) fn new(
-        parts: Dependencies,
-        args: Args,
-        events: mpsc::UnboundedSender<Event>,
+        dependencies: Dependencies,
+        assignment: Assignment,
+        events: mpsc::UnboundedSender<TaskEvent>,
         status: watch::Sender<Status>,
     ) -> Self {
-        let vm = &args.upstream.vm;
-        let target = match &args.pool.kind {
-            Kind::Engine { .. } => Target::Engine(parts.connector.engine(vm)),
-            Kind::Service => Target::Service(parts.connector.service(vm)),
+        let vm = &assignment.upstream.vm;
+        let target = match &assignment.pool.kind {
+            Kind::Engine { .. } => Target::Engine(dependencies.connector.engine(vm)),
+            Kind::Service => Target::Service(dependencies.connector.service(vm)),
         };
-        let machine = Machine::new(limits(&parts, &args));
-        let reports = Reports::start(&target, &parts, events.clone());
+        let machine = Machine::new(limits(&dependencies, &assignment));
+        let report_poller = ReportPoller::start(&target, &dependencies, events.clone());
         let mut driver = Self {
-            health: Health::new(parts.limits.failure_threshold),
-            parts,
-            args,
+            health: Health::new(dependencies.limits.failure_threshold),
+            dependencies,
+            assignment,
             target,
             machine,
-            entries: HashMap::new(),
+            requests: HashMap::new(),
             early: Vec::new(),
-            asking: HashMap::new(),
-            asks: 0,
+            pending_permits: HashMap::new(),
+            permit_requests: 0,
             permits: HashMap::new(),
-            foreign: Foreign::default(),
-            boot: None,
-            reported: None,
-            releasing: false,
-            drained: Vec::new(),
+            foreign: ForeignRequests::default(),
+            boot_id: None,
+            last_report_at: None,
+            is_releasing: false,
+            drain_waiters: Vec::new(),
             events,
             status,
-            reports,
+            report_poller,
         };
-        driver.publish();
+        driver.publish_status();
         driver
     }
 
-    /// Returns how long nothing is to be done, if that is known.
+    /// Returns the time until [`Self::tick`] is due, if a wakeup is scheduled.
     pub(super) fn wakeup(&self) -> Option<Duration> {
         let early = self.early.iter().map(|early| early.ticket.deadline).min();
         let next = [self.machine.next_wakeup(), early]
@@ -119,26 +125,26 @@
         Some(next.since(self.now()).duration())
     }
 
-    /// Takes a request in, or refuses it.
+    /// Accepts a request, or refuses it.
     pub(super) fn submit(&mut self, submit: Submit) {
-        if let Err(failure) = self.takes_work() {
+        if let Err(failure) = self.check_accepting() {
             let _ = submit.reply.send(Err(failure));
             return;
         }
-        let entry = Entry {
-            request: submit.request,
+        let request = TrackedRequest {
+            request_id: submit.request_id,
             ticket: submit.ticket.clone(),
             reply: Some(submit.reply),
         };
-        self.entries.insert(submit.ticket.id.clone(), entry);
-        let early = Early {
+        self.requests.insert(submit.ticket.id.clone(), request);
+        let early = EarlyRequest {
             ticket: submit.ticket,
             share: submit.share,
             last: submit.last,
         };
-        if self.is_known() {
-            self.arrive(early);
-        } else if self.early.len() < self.parts.limits.machine.queue as usize {
+        if self.knows_slots() {
+            self.enqueue(early);
+        } else if self.early.len() < self.dependencies.limits.machine.queue as usize {
             self.early.push(early);
         } else {
             self.refuse(
@@ -148,41 +154,41 @@
         }
     }
 
-    /// Takes over a changed pool, hold or state of the same upstream.
-    pub(super) fn adopt(&mut self, args: Args) {
-        self.args = args;
-        let limits = limits(&self.parts, &self.args);
+    /// Applies a changed pool, lease or state of the same upstream.
+    pub(super) fn update_assignment(&mut self, assignment: Assignment) {
+        self.assignment = assignment;
+        let limits = limits(&self.dependencies, &self.assignment);
         let actions = self.machine.limit(limits, self.now());
-        self.carry(actions);
-        if let Err(failure) = self.takes_work() {
+        self.execute(actions);
+        if let Err(failure) = self.check_accepting() {
             self.refuse_waiting(&failure);
         }
-        self.publish();
+        self.publish_status();
     }
 
-    /// Prepares for templates that will move from one adapter to another.
-    pub(super) fn replaced(&mut self, old: &Adapter, new: &Adapter) {
-        if self.is_known() && self.takes_work().is_ok() {
+    /// Prefetches an adapter that templates will move to from another.
+    pub(super) fn prefetch_replacement(&mut self, old: &Adapter, new: &Adapter) {
+        if self.knows_slots() && self.check_accepting().is_ok() {
             let actions = self.machine.replaced(old, new, self.now());
-            self.carry(actions);
+            self.execute(actions);
         }
     }
 
-    /// Ends the ownership: what waits is refused, what runs goes on.
+    /// Ends the ownership: waiting requests are refused, running ones continue.
     pub(super) fn release(&mut self, done: Option<oneshot::Sender<()>>) {
-        self.releasing = true;
+        self.is_releasing = true;
         self.refuse_waiting(&failure(Code::NotOwner, "the upstream is handed over"));
         let actions = self.machine.leave(Code::NotOwner);
-        self.carry(actions);
-        self.drained.extend(done);
-        self.tell_drained();
-        self.publish();
+        self.execute(actions);
+        self.drain_waiters.extend(done);
+        self.notify_drained();
+        self.publish_status();
     }
 
-    /// Lets time pass.
+    /// Refuses expired and outdated requests and advances the state machine to the current time.
     pub(super) fn tick(&mut self) {
         let now = self.now();
-        if let Err(failure) = self.takes_work() {
+        if let Err(failure) = self.check_accepting() {
             self.refuse_waiting(&failure);
         }
         let expired: Vec<Id> = self
@@ -196,185 +202,190 @@
         }
         self.refuse_outdated();
         let actions = self.machine.tick(now);
-        self.carry(actions);
+        self.execute(actions);
     }
 
-    /// Refuses what waits for something that its template no longer names.
+    /// Refuses waiting requests that the configuration now routes differently.
     fn refuse_outdated(&mut self) {
-        let routing = Arc::clone(&self.parts.routing);
+        let routing = Arc::clone(&self.dependencies.routing);
         self.refuse_waiting_if(&outdated(), |ticket| !routing.is_current(ticket));
     }
 
-    /// Takes news from a task.
-    pub(super) fn heard(&mut self, event: Event) {
+    /// Handles an event from a task.
+    pub(super) fn handle_event(&mut self, event: TaskEvent) {
         match event {
-            Event::Ended(end) => self.ended(&end),
-            Event::Granted {
-                ask,
+            TaskEvent::Ended(end) => self.end_request(&end),
+            TaskEvent::Granted {
+                number,
                 adapter,
                 permit,
-            } => self.granted(ask, &adapter, permit),
-            Event::Loaded { adapter, result } => self.loaded(&adapter, &result),
-            Event::Reported { as_of, result } => self.reported(as_of, result),
-            Event::Tick => {
+            } => self.use_permit(number, &adapter, permit),
+            TaskEvent::Loaded { adapter, result } => self.finish_load(&adapter, &result),
+            TaskEvent::Reported { as_of, result } => self.handle_report(as_of, result),
+            TaskEvent::Tick => {
                 self.tick();
-                self.publish();
+                self.publish_status();
             }
         }
     }
 
     fn now(&self) -> Millis {
-        self.parts.clock.now()
+        self.dependencies.clock.now()
     }
 
     fn name(&self) -> &Name {
-        &self.args.upstream.vm.name
+        &self.assignment.upstream.vm.name
     }
 
-    /// Whether it is known what the slots hold; a plain service has none.
-    fn is_known(&self) -> bool {
-        self.reported.is_some() || matches!(self.target, Target::Service(_))
+    /// Whether the contents of the slots are known; a plain service has none.
+    fn knows_slots(&self) -> bool {
+        self.last_report_at.is_some() || matches!(self.target, Target::Service(_))
     }
 
-    /// Says why the upstream takes no work, if it takes none.
-    fn takes_work(&self) -> Result<(), Failure> {
-        if self.releasing {
+    /// Checks that the upstream accepts work, or returns the reason why not.
+    fn check_accepting(&self) -> Result<(), Failure> {
+        if self.is_releasing {
             return Err(failure(Code::NotOwner, "the upstream is handed over"));
         }
-        if self.args.upstream.state != State::Usable {
+        if self.assignment.upstream.state != State::Usable {
             let detail = "the upstream leaves or is held out";
             return Err(failure(Code::UpstreamLeaving, detail));
         }
-        if let Some(left) = self.health.held(self.now()) {
+        if let Some(remaining) = self.health.backoff_remaining(self.now()) {
             let detail = "the upstream can't be reached";
-            return Err(failure(Code::ConnectFailed, detail).retry_after(left));
+            return Err(failure(Code::ConnectFailed, detail).retry_after(remaining));
         }
-        self.args.hold.check().map(|_| ())
+        self.assignment.hold.check().map(|_| ())
     }
 
-    fn arrive(&mut self, early: Early) {
+    fn enqueue(&mut self, early: EarlyRequest) {
         let now = self.now();
         let actions = self
             .machine
             .arrive(early.ticket, early.share, early.last, now);
-        self.carry(actions);
+        self.execute(actions);
     }
 
-    fn ended(&mut self, end: &End) {
-        let Some(entry) = self.entries.remove(&end.key) else {
+    fn end_request(&mut self, end: &RequestEnd) {
+        let Some(request) = self.requests.remove(&end.key) else {
             return;
         };
         let now = self.now();
         self.early.retain(|early| early.ticket.id != end.key);
-        let actions = if entry.reply.is_some() {
+        let actions = if request.reply.is_some() {
             self.machine.cancelled(&end.key, now)
         } else {
-            self.noted(entry.request, end.outcome, now);
+            self.record_outcome(request.request_id, end.outcome, now);
             self.machine.finished(&end.key, now)
         };
-        self.carry(actions);
-        self.tell_drained();
+        self.execute(actions);
+        self.notify_drained();
     }
 
-    fn noted(&mut self, request: Id, outcome: Outcome, now: Millis) {
+    fn record_outcome(&mut self, request: Id, outcome: Outcome, now: Millis) {
         match outcome {
-            Outcome::Answered => {
-                self.foreign.answered(request, now);
-                self.answered();
+            Outcome::Completed => {
+                self.foreign.record_own_completion(request, now);
+                self.record_reachable();
             }
-            Outcome::ConnectFailed => self.failed(now),
-            // What the slots hold isn't what this node believes: ask at once.
-            Outcome::UnknownAdapter => self.reports.hurry(),
+            Outcome::ConnectFailed => self.record_failure(now),
+            // This node's view of the slots is wrong, so a report is needed at once.
+            Outcome::UnknownAdapter => self.report_poller.poll_now(),
             Outcome::Dropped | Outcome::Refused | Outcome::Failed => {}
         }
     }
 
-    fn answered(&mut self) {
-        if !self.health.answered() {
+    fn record_reachable(&mut self) {
+        if !self.health.record_success() {
             return;
         }
-        log::info!("owner: {} answers again", self.name());
-        if let Some(detector) = &self.parts.detector {
+        log::info!("owner: {} is reachable again", self.name());
+        if let Some(detector) = &self.dependencies.detector {
             detector.answered(self.name());
         }
     }
 
-    fn failed(&mut self, now: Millis) {
-        if self.health.failed(now) {
-            log::warn!("owner: {} can't be reached; it gets no work", self.name());
+    fn record_failure(&mut self, now: Millis) {
+        if self.health.record_failure(now) {
+            log::warn!("owner: {} is unreachable and gets no requests", self.name());
         }
-        if let Some(detector) = &self.parts.detector {
+        if let Some(detector) = &self.dependencies.detector {
             detector.failed(self.name());
         }
-        if let Err(failure) = self.takes_work() {
+        if let Err(failure) = self.check_accepting() {
             self.refuse_waiting(&failure);
         }
     }
 
-    fn carry(&mut self, actions: Vec<Action>) {
-        let mut left = VecDeque::from(actions);
-        while let Some(action) = left.pop_front() {
+    /// Executes actions of the state machine, and those that follow from them, in order.
+    fn execute(&mut self, actions: Vec<Action>) {
+        let mut remaining = VecDeque::from(actions);
+        while let Some(action) = remaining.pop_front() {
             match action {
                 Action::Start {
                     id,
                     queued,
                     load_wait,
-                } => left.extend(self.begin(&id, queued, load_wait)),
+                } => remaining.extend(self.grant(&id, queued, load_wait)),
                 Action::Refuse { id, failure } => self.refuse(&id, failure),
-                Action::Ask { adapter, demand } => self.ask(adapter, demand),
+                Action::Ask { adapter, demand } => self.request_permit(adapter, demand),
                 Action::Withdraw { adapter } => {
-                    self.asking.remove(&adapter);
+                    self.pending_permits.remove(&adapter);
                     self.permits.remove(&adapter);
                 }
-                Action::Load { adapter, evict } => left.extend(self.load(adapter, evict)),
+                Action::Load { adapter, evict } => {
+                    remaining.extend(self.start_load(adapter, evict))
+                }
             }
         }
     }
 
-    /// Grants a place.
-    fn begin(&mut self, id: &Id, queued: Millis, load: Millis) -> Vec<Action> {
-        let Some(entry) = self.entries.get_mut(id) else {
+    /// Grants a request its start, unless the lease or the routing no longer allows it.
+    fn grant(&mut self, id: &Id, queued: Millis, load: Millis) -> Vec<Action> {
+        let Some(request) = self.requests.get_mut(id) else {
             return Vec::new();
         };
-        let Some(reply) = entry.reply.take() else {
+        let Some(reply) = request.reply.take() else {
             return Vec::new();
         };
-        if let Err(failure) = self.args.hold.check() {
+        if let Err(failure) = self.assignment.hold.check() {
             let _ = reply.send(Err(failure));
-            self.entries.remove(id);
-            return self.machine.finished(id, self.parts.clock.now());
+            self.requests.remove(id);
+            return self.machine.finished(id, self.dependencies.clock.now());
         }
-        // It may have waited for longer than changes take to be in force.
-        if !self.parts.routing.is_current(&entry.ticket) {
+        // The configuration may have changed while the request waited.
+        if !self.dependencies.routing.is_current(&request.ticket) {
             let _ = reply.send(Err(outdated()));
-            self.entries.remove(id);
-            return self.machine.finished(id, self.parts.clock.now());
+            self.requests.remove(id);
+            return self.machine.finished(id, self.dependencies.clock.now());
         }
-        self.parts.metrics.waited(entry.ticket.class, queued, load);
+        self.dependencies
+            .metrics
+            .waited(request.ticket.class, queued, load);
         let grant = Grant {
             target: self.target.clone(),
-            hold: self.args.hold.clone(),
+            hold: self.assignment.hold.clone(),
             waits: WaitTimes { queued, load },
         };
         if reply.send(Ok(grant)).is_ok() {
             return Vec::new();
         }
-        // The caller has gone. Its place may have said so before this request
-        // was known, and nobody will say it again: the pin would leak.
-        self.entries.remove(id);
-        self.machine.finished(id, self.parts.clock.now())
+        // The caller has disconnected. Its guard may have reported the end before this
+        // request was tracked and reports only once, so the pin would leak.
+        self.requests.remove(id);
+        self.machine.finished(id, self.dependencies.clock.now())
     }
 
     fn refuse(&mut self, id: &Id, failure: Failure) {
-        let Some(entry) = self.entries.remove(id) else {
+        let Some(request) = self.requests.remove(id) else {
             return;
         };
-        if let Some(reply) = entry.reply {
+        if let Some(reply) = request.reply {
             let _ = reply.send(Err(failure));
         }
     }
 
-    /// Refuses all that wait; none of them has run.
+    /// Refuses all waiting requests, none of which has run.
     fn refuse_waiting(&mut self, failure: &Failure) {
         self.refuse_waiting_if(failure, |_| true);
     }
@@ -383,28 +394,29 @@
         let now = self.now();
         self.early.retain(|early| !refused(&early.ticket));
         let waiting: Vec<Id> = self
-            .entries
+            .requests
             .iter()
-            .filter(|(_, entry)| entry.reply.is_some() && refused(&entry.ticket))
+            .filter(|(_, request)| request.reply.is_some() && refused(&request.ticket))
             .map(|(id, _)| id.clone())
             .collect();
         for id in waiting {
             self.refuse(&id, failure.clone());
             let actions = self.machine.cancelled(&id, now);
-            self.carry(actions);
+            self.execute(actions);
         }
     }
 
-    fn tell_drained(&mut self) {
-        if self.releasing && self.entries.is_empty() {
-            for done in self.drained.drain(..) {
+    /// Notifies the waiters of a release once no request is left.
+    fn notify_drained(&mut self) {
+        if self.is_releasing && self.requests.is_empty() {
+            for done in self.drain_waiters.drain(..) {
                 let _ = done.send(());
             }
         }
     }
 
-    fn publish(&mut self) {
-        let seen = self.machine.status();
+    fn publish_status(&mut self) {
+        let machine = self.machine.status();
         let now = self.now();
         let slot = |(adapter, pins): &(Adapter, u32)| Slot {
             adapter: adapter.engine_name(),
@@ -413,32 +425,32 @@
         let names = |adapters: &[Adapter]| adapters.iter().map(Adapter::engine_name).collect();
         self.status.send_replace(Status {
             upstream: self.name().clone(),
-            pool: self.args.pool.name.clone(),
-            token: self.args.hold.token(),
-            held: self.args.hold.check().is_ok(),
-            failing: self.health.held(now).is_some(),
-            leaving: self.releasing || self.args.upstream.state == State::Leaving,
-            running: seen.running,
+            pool: self.assignment.pool.name.clone(),
+            token: self.assignment.hold.token(),
+            held: self.assignment.hold.check().is_ok(),
+            failing: self.health.backoff_remaining(now).is_some(),
+            leaving: self.is_releasing || self.assignment.upstream.state == State::Leaving,
+            running: machine.running,
             foreign: u32::try_from(self.foreign.len()).unwrap_or(u32::MAX),
-            waiting: seen.waiting,
-            batch: self.args.pool.batch,
-            resident: seen.resident.iter().map(slot).collect(),
-            loading: names(&seen.loading),
-            asked: names(&seen.asked),
-            report_age_ms: self.reported.map(|at| now.since(at).0),
+            waiting: machine.waiting,
+            batch: self.assignment.pool.batch,
+            resident: machine.resident.iter().map(slot).collect(),
+            loading: names(&machine.loading),
+            asked: names(&machine.asked),
+            report_age_ms: self.last_report_at.map(|at| now.since(at).0),
         });
     }
 }
 
-fn limits(parts: &Dependencies, args: &Args) -> Limits {
-    let slots = match args.pool.kind {
+fn limits(dependencies: &Dependencies, assignment: &Assignment) -> Limits {
+    let slots = match assignment.pool.kind {
         Kind::Engine { slots, .. } => Some(slots),
         Kind::Service => None,
     };
     Limits {
         slots,
-        batch: args.pool.batch,
-        ..parts.limits.machine.clone()
+        batch: assignment.pool.batch,
+        ..dependencies.limits.machine.clone()
     }
 }
 
--- a/lib/src/owner/foreign.rs
+++ b/lib/src/owner/foreign.rs
@@ -1,9 +1,9 @@
 //! Requests that run on an engine but weren't started by this owner.
 //!
-//! After a takeover the former owner's requests still run. Evicting an adapter
-//! that one of them uses would cut it off or answer it from another adapter;
-//! one would see errors from the engine just after a node died. What the engine
-//! itself lists as running is therefore entered into the decisions as running.
+//! After a takeover the previous owner's requests still run. Evicting an adapter
+//! that one of them uses would abort it or serve it from another adapter, which
+//! shows as engine errors just after a node died. The requests that the engine
+//! reports as running are therefore added to the state machine as running.
 
 use std::collections::{HashMap, VecDeque};
 
@@ -12,55 +12,56 @@
 use crate::name::Name;
 use crate::request::Id;
 
-/// How long a report may still list a request that has been answered.
+/// How long after its end a request may still be listed in a report.
 const REPORT_LAG: Millis = Millis::from_secs(5);
 
-/// The foreign requests that the engine listed last.
+/// The foreign requests in the engine's last report.
 #[derive(Debug, Default)]
-pub(super) struct Foreign {
+pub(super) struct ForeignRequests {
     running: HashMap<Name, Id>,
-    answered: VecDeque<(Id, Millis)>,
+    /// This owner's completed requests that reports may still list.
+    recently_completed: VecDeque<(Id, Millis)>,
 }
 
-/// How a report changed the foreign requests.
+/// The difference between two reports' foreign requests.
 #[derive(Debug, Default)]
-pub(super) struct Change {
-    /// Requests that appeared, and the adapter that each runs on.
-    pub(super) begun: Vec<(Id, Adapter)>,
-    /// Requests that are gone.
+pub(super) struct ForeignChange {
+    /// New requests and the adapter that each runs on.
+    pub(super) started: Vec<(Id, Adapter)>,
+    /// Requests that are no longer listed.
     pub(super) ended: Vec<Id>,
 }
 
-impl Foreign {
-    /// Notes that a request of this owner has been answered whole.
+impl ForeignRequests {
+    /// Records that a request of this owner has completed.
     ///
-    /// Reports lag and list it a while longer; it must not count twice.
-    pub(super) fn answered(&mut self, request: Id, now: Millis) {
-        self.answered.push_back((request, now));
-        self.forget(now);
+    /// Reports lag and may still list it; it must not count as foreign then.
+    pub(super) fn record_own_completion(&mut self, request: Id, now: Millis) {
+        self.recently_completed.push_back((request, now));
+        self.prune(now);
     }
 
-    /// Returns how many there are.
+    /// Returns the number of foreign requests.
     pub(super) fn len(&self) -> usize {
         self.running.len()
     }
 
-    /// Takes over what the engine lists, without `own` requests.
-    pub(super) fn reported(
+    /// Updates the foreign requests from those that the engine lists, except `own` ones.
+    pub(super) fn update(
         &mut self,
         listed: &[(Name, Name)],
         own: impl Fn(&str) -> bool,
         adapter: impl Fn(&str) -> Option<Adapter>,
         now: Millis,
-    ) -> Change {
-        self.forget(now);
-        let mut change = Change::default();
+    ) -> ForeignChange {
+        self.prune(now);
+        let mut change = ForeignChange::default();
         self.running.retain(|name, id| {
-            let stays = listed.iter().any(|(listed, _)| listed == name);
-            if !stays {
+            let is_listed = listed.iter().any(|(listed, _)| listed == name);
+            if !is_listed {
                 change.ended.push(id.clone());
             }
-            stays
+            is_listed
         });
         for (name, model) in listed {
             let known = self.running.contains_key(name) || own(name) || self.was_own(name);
@@ -69,25 +70,27 @@
             };
             let id = Id(format!("foreign/{name}").into());
             self.running.insert(name.clone(), id.clone());
-            change.begun.push((id, adapter));
+            change.started.push((id, adapter));
         }
         change
     }
 
-    /// Forgets them all, as a cold start does, and returns them.
+    /// Removes all foreign requests after the engine restarted, and returns their IDs.
     pub(super) fn clear(&mut self) -> Vec<Id> {
         self.running.drain().map(|(_, id)| id).collect()
     }
 
     fn was_own(&self, name: &str) -> bool {
-        self.answered.iter().any(|(id, _)| name.contains(&*id.0))
+        self.recently_completed
+            .iter()
+            .any(|(id, _)| name.contains(&*id.0))
     }
 
-    fn forget(&mut self, now: Millis) {
-        while let Some((_, at)) = self.answered.front()
+    fn prune(&mut self, now: Millis) {
+        while let Some((_, at)) = self.recently_completed.front()
             && now.since(*at) > REPORT_LAG
         {
-            self.answered.pop_front();
+            self.recently_completed.pop_front();
         }
     }
 }
--- a/lib/src/owner/health.rs
+++ b/lib/src/owner/health.rs
@@ -1,47 +1,48 @@
-//! Whether an owned upstream can be reached.
+//! Backoff for an owned upstream that can't be reached.
 
 use crate::clock::Millis;
 
-/// Shortest time that a failing upstream gets no work.
-const HOLD_FROM: Millis = Millis::from_secs(1);
-/// Longest such time; it doubles up to here.
-const HOLD_TO: Millis = Millis::from_secs(30);
+/// First backoff; it doubles with each further failure.
+const MIN_BACKOFF: Millis = Millis::from_secs(1);
+/// Longest backoff.
+const MAX_BACKOFF: Millis = Millis::from_secs(30);
 
-/// Counts failures in a row.
+/// Counts consecutive failures and suspends work after too many.
 #[derive(Debug)]
 pub(super) struct Health {
-    limit: u32,
+    failure_threshold: u32,
     failures: u32,
-    until: Millis,
+    backoff_until: Millis,
 }
 
 impl Health {
-    /// Starts healthy; `limit` failures in a row change that.
-    pub(super) const fn new(limit: u32) -> Self {
+    /// Starts healthy; `failure_threshold` consecutive failures start a backoff.
+    pub(super) const fn new(failure_threshold: u32) -> Self {
         Self {
-            limit,
+            failure_threshold,
             failures: 0,
-            until: Millis::ZERO,
+            backoff_until: Millis::ZERO,
         }
     }
 
-    /// Returns how much longer the upstream gets no work, if it gets none.
-    pub(super) fn held(&self, now: Millis) -> Option<Millis> {
-        (self.failures >= self.limit && now < self.until).then(|| self.until.since(now))
+    /// Returns the remaining backoff, in which the upstream gets no work.
+    pub(super) fn backoff_remaining(&self, now: Millis) -> Option<Millis> {
+        (self.failures >= self.failure_threshold && now < self.backoff_until)
+            .then(|| self.backoff_until.since(now))
     }
 
-    /// Counts a failure and returns whether the upstream has just become failing.
-    pub(super) fn failed(&mut self, now: Millis) -> bool {
+    /// Counts a failure and returns whether it is the one that starts the first backoff.
+    pub(super) fn record_failure(&mut self, now: Millis) -> bool {
         self.failures = self.failures.saturating_add(1);
-        if self.failures >= self.limit {
-            let doubled = HOLD_FROM.0 << (self.failures - self.limit).min(16);
-            self.until = now + Millis(doubled).min(HOLD_TO);
+        if self.failures >= self.failure_threshold {
+            let doubled = MIN_BACKOFF.0 << (self.failures - self.failure_threshold).min(16);
+            self.backoff_until = now + Millis(doubled).min(MAX_BACKOFF);
         }
-        self.failures == self.limit
+        self.failures == self.failure_threshold
     }
 
-    /// Notes an answer and returns whether it is the first after a failure.
-    pub(super) const fn answered(&mut self) -> bool {
+    /// Resets the count and returns whether there were failures.
+    pub(super) const fn record_success(&mut self) -> bool {
         let recovered = self.failures > 0;
         self.failures = 0;
         recovered
--- a/lib/src/owner/load.rs
+++ b/lib/src/owner/load.rs
@@ -1,11 +1,11 @@
-//! Loading adapters, in tasks beside the actor.
+//! Tasks that request load permits and load adapters.
 
 use std::sync::Arc;
 
 use tokio::sync::{mpsc, watch};
 use tokio_util::task::AbortOnDropHandle;
 
-use super::event::Event;
+use super::task_event::TaskEvent;
 use crate::adapter::Adapter;
 use crate::clock::{Clock, Millis};
 use crate::error::{Code, Failure};
@@ -14,82 +14,87 @@
 use crate::metrics::Metrics;
 use crate::ports::Engine;
 
-/// Time before leave is asked for again after the queue couldn't be asked.
-const ASK_AGAIN: Millis = Millis(500);
+/// Pause before a permit is requested again after the permit queue failed.
+const PERMIT_RETRY_PAUSE: Millis = Millis(500);
 
-/// An ask for leave to load that is under way; dropping it takes the ask back.
+/// A pending request for a permit to load; dropping it cancels the request.
 #[derive(Debug)]
-pub(super) struct Asking {
-    /// Number of the ask, so that leave that comes for an earlier one is given back.
+pub(super) struct PendingPermit {
+    /// Number of the request, by which a permit for an earlier one is recognised.
+    ///
+    /// Such a permit is returned unused.
     pub(super) number: u64,
-    demand: watch::Sender<Ask>,
+    request: watch::Sender<Ask>,
     _task: AbortOnDropHandle<()>,
 }
 
-impl Asking {
-    /// Starts to ask.
+impl PendingPermit {
+    /// Starts the task that requests a permit.
     pub(super) fn start(
         number: u64,
-        ask: Ask,
+        request: Ask,
         permits: Arc<dyn Permits>,
-        events: mpsc::UnboundedSender<Event>,
+        events: mpsc::UnboundedSender<TaskEvent>,
     ) -> Self {
-        let (demand, changes) = watch::channel(ask);
+        let (request, changes) = watch::channel(request);
         let task = tokio::spawn(async move {
             let adapter = changes.borrow().adapter.clone();
-            let permit = acquired(&*permits, &changes).await;
-            let _ = events.send(Event::Granted {
-                ask: number,
+            let permit = acquire_permit(&*permits, &changes).await;
+            let _ = events.send(TaskEvent::Granted {
+                number,
                 adapter,
                 permit,
             });
         });
         Self {
             number,
-            demand,
+            request,
             _task: AbortOnDropHandle::new(task),
         }
     }
 
-    /// Replaces what the queue knows of the ask.
-    pub(super) fn update(&self, ask: Ask) {
-        self.demand.send_replace(ask);
+    /// Replaces the request that the permit queue orders.
+    pub(super) fn update(&self, request: Ask) {
+        self.request.send_replace(request);
     }
 }
 
-async fn acquired(permits: &dyn Permits, ask: &watch::Receiver<Ask>) -> Box<dyn Permit> {
+async fn acquire_permit(permits: &dyn Permits, request: &watch::Receiver<Ask>) -> Box<dyn Permit> {
     loop {
-        match permits.acquire(ask.clone()).await {
+        match permits.acquire(request.clone()).await {
             Ok(permit) => return permit,
-            Err(failure) => log::debug!("loads: no leave for {}: {failure}", ask.borrow().adapter),
+            Err(failure) => log::debug!(
+                "loads: no permit for {}: {failure}",
+                request.borrow().adapter
+            ),
         }
-        tokio::time::sleep(ASK_AGAIN.duration()).await;
+        tokio::time::sleep(PERMIT_RETRY_PAUSE.duration()).await;
     }
 }
 
-/// One load that has leave.
+/// The load of one adapter under a permit.
 #[derive(Debug)]
-pub(super) struct Load {
-    /// What to load.
+pub(super) struct LoadTask {
+    /// The adapter to load.
     pub(super) adapter: Adapter,
-    /// What to unload before.
+    /// The adapter to unload first.
     pub(super) evict: Option<Adapter>,
     /// The engine.
     pub(super) engine: Arc<dyn Engine>,
-    /// The right to give it orders.
+    /// The lease under which the engine accepts orders.
     pub(super) hold: Hold,
-    /// Longest time of one order.
+    /// Longest time for one load or unload.
     pub(super) timeout: Millis,
-    /// The clock that times the load.
+    /// The clock that measures the load.
     pub(super) clock: Arc<dyn Clock>,
-    /// Where loads are counted.
+    /// The metrics that count loads and evictions.
     pub(super) metrics: Arc<Metrics>,
 }
 
-impl Load {
-    /// Starts the load in a task; its end is told on `events` even if it panics.
-    pub(super) fn start(self, permit: Box<dyn Permit>, events: mpsc::UnboundedSender<Event>) {
-        let ending = Ending {
+impl LoadTask {
+    /// Spawns the task; its end is sent on `events` even if the task panics.
+    pub(super) fn start(self, permit: Box<dyn Permit>, events: mpsc::UnboundedSender<TaskEvent>) {
+        let completion = LoadCompletion {
             adapter: self.adapter.clone(),
             result: Err(Failure::new(Code::LoadFailed, "the load's task ended")),
             events,
@@ -101,47 +106,52 @@
             let outcome = if result.is_ok() { "done" } else { "failed" };
             self.metrics.loads.with_label_values(&[outcome]).inc();
             permit.done(result.is_ok(), took).await;
-            ending.end(result.map(|()| took));
+            completion.send(result.map(|()| took));
         });
     }
 
     async fn run(&self) -> Result<(), Failure> {
         if let Some(evict) = &self.evict {
             let fence = self.hold.check()?;
-            self.timed(self.engine.unload(evict, fence)).await?;
+            self.with_timeout(self.engine.unload(evict, fence)).await?;
             self.metrics.evictions.inc();
         }
         let fence = self.hold.check()?;
-        self.timed(self.engine.load(&self.adapter, fence)).await
+        self.with_timeout(self.engine.load(&self.adapter, fence))
+            .await
     }
 
-    async fn timed(&self, order: impl Future<Output = Result<(), Failure>>) -> Result<(), Failure> {
+    async fn with_timeout(
+        &self,
+        order: impl Future<Output = Result<(), Failure>>,
+    ) -> Result<(), Failure> {
         tokio::time::timeout(self.timeout.duration(), order)
             .await
             .unwrap_or_else(|_| Err(Failure::new(Code::LoadFailed, "the engine took too long")))
     }
 }
 
-/// Tells the actor how a load ended when it is dropped.
+/// Sends the result of a load to the actor when it is dropped.
 ///
-/// A load whose task panics would otherwise never end: its adapter would stay
-/// "loading" and all that wait for it would wait until their deadlines.
+/// If a load's task panicked without it, the adapter would stay loading and the
+/// requests that need it would wait until their deadlines.
 #[derive(Debug)]
-struct Ending {
+struct LoadCompletion {
     adapter: Adapter,
     result: Result<Millis, Failure>,
-    events: mpsc::UnboundedSender<Event>,
+    events: mpsc::UnboundedSender<TaskEvent>,
 }
 
-impl Ending {
-    fn end(mut self, result: Result<Millis, Failure>) {
+impl LoadCompletion {
+    /// Sends the result, by dropping `self`.
+    fn send(mut self, result: Result<Millis, Failure>) {
         self.result = result;
     }
 }
 
-impl Drop for Ending {
+impl Drop for LoadCompletion {
     fn drop(&mut self) {
-        let _ = self.events.send(Event::Loaded {
+        let _ = self.events.send(TaskEvent::Loaded {
             adapter: self.adapter.clone(),
             result: self.result.clone(),
         });
--- a/lib/src/owner/mod.rs
+++ b/lib/src/owner/mod.rs
@@ -1,24 +1,25 @@
-//! The upstreams that this node owns: one actor for each, so that slots, pins
-//! and eviction rest on exact knowledge.
+//! The upstreams that this node owns, with one actor per upstream.
 //!
-//! A request's bytes never pass through the actor. It decides and gives a
-//! place; the request's own task speaks to the upstream and gives the place up
-//! when it ends, however it ends. See docs/design/0001-one-owner-per-upstream.md.
+//! A single owner knows an upstream's slots and pins exactly and bases evictions on
+//! them. A request's bytes never pass through the actor. It queues requests and
+//! grants their start; the request's own task then talks to the upstream, and its
+//! `RequestGuard` reports the end to the actor however the task
+//! ends. See docs/design/0001-one-owner-per-upstream.md.
 
 mod actor;
 mod body;
-mod check;
 mod driver;
-mod event;
-mod events;
+mod event_rewriter;
 mod foreign;
 mod health;
 mod load;
-mod place;
 mod registry;
-mod report;
+mod report_poller;
+mod request_guard;
+mod response_check;
 mod run;
 mod status;
+mod task_event;
 
 pub use registry::{Dependencies, Registry, RoutingCheck};
 pub use run::WaitTimes;
@@ -27,22 +28,22 @@
 use crate::clock::Millis;
 use crate::policy;
 
-/// Bounds of owning upstreams.
+/// Capacities, intervals and timeouts of owned upstreams.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Limits {
-    /// Bounds of the decisions; slots and batch come from each pool's declaration.
+    /// Limits of each upstream's state machine; slots and batch come from the pool's declaration.
     pub machine: policy::upstream::Limits,
-    /// Messages that wait for one upstream's actor before more are refused.
+    /// Most messages queued for one upstream's actor; more are refused.
     pub mailbox_capacity: usize,
-    /// Time between two questions to an engine about what it holds.
+    /// Interval between an engine's reports.
     pub report_interval: Millis,
-    /// Longest time to such an answer.
+    /// Longest time to wait for a report.
     pub report_timeout: Millis,
-    /// Longest time of one load or unload.
+    /// Longest time for one load or unload.
     pub load_timeout: Millis,
-    /// Failed connections in a row after which the upstream gets no work until it answers again.
+    /// Consecutive failures after which the upstream gets no work for a backoff.
     pub failure_threshold: u32,
-    /// Largest whole answer of a completion, in bytes.
+    /// Largest unstreamed response of a completion, in bytes.
     pub max_response_bytes: usize,
 }
 
--- a/lib/src/owner/registry.rs
+++ b/lib/src/owner/registry.rs
@@ -1,4 +1,4 @@
-//! The actors of all owned upstreams, found by name.
+//! The actors of all owned upstreams, by name.
 
 use std::collections::HashMap;
 use std::fmt;
@@ -12,10 +12,12 @@
 use tokio::sync::{mpsc, oneshot, watch};
 use tokio_util::task::TaskTracker;
 
-use super::actor::{Adopt, Args, Release, Replaced, Submit, Upstream};
-use super::event::Event;
-use super::place::Place;
+use super::actor::{
+    Assignment, PrefetchReplacement, Release, Submit, UpdateAssignment, UpstreamActor,
+};
+use super::request_guard::RequestGuard;
 use super::run::{self, Grant};
+use super::task_event::TaskEvent;
 use super::{Limits, Status};
 use crate::clock::{Clock, Millis};
 use crate::config::prefetch::{Prefetch, Upcoming};
@@ -29,42 +31,42 @@
 use crate::request::{Id, Ticket};
 use crate::runner::{Attempt, Runner};
 
-/// When an attempt that met a full mailbox may succeed.
+/// Delay that callers are told to wait before a retry when the mailbox is full.
 const RETRY_AFTER: Millis = Millis::from_secs(1);
 
-/// What the registry works with.
+/// The parts of the node that the registry depends on.
 #[derive(Debug, Clone)]
 pub struct Dependencies {
-    /// Makes clients for upstreams.
+    /// Creates clients for upstreams.
     pub connector: Arc<dyn Connector>,
-    /// Gives leave to load.
+    /// Grants permits to load.
     pub permits: Arc<dyn Permits>,
-    /// Learns how owned upstreams are, so that membership can hold one out.
+    /// Receives failures and recoveries of owned upstreams, so that membership can exclude one.
     pub detector: Option<Arc<dyn Detector>>,
-    /// Tells whether what waits is still wanted as it was decided.
+    /// Tells whether waiting requests are still routed as their tickets say.
     pub routing: Arc<dyn RoutingCheck>,
     /// The node's clock.
     pub clock: Arc<dyn Clock>,
     /// The node's metrics.
     pub metrics: Arc<Metrics>,
-    /// Bounds.
+    /// Capacities, intervals and timeouts.
     pub limits: Limits,
 }
 
-/// The configuration, as far as it decides about requests that wait.
+/// Checks waiting requests against the configuration in force.
 pub trait RoutingCheck: fmt::Debug + Send + Sync {
-    /// Whether the configuration in force decides a request as its ticket says.
+    /// Whether the configuration in force routes the request as its ticket says.
     ///
-    /// An entry node that knows a newer one than this node decided on that.
+    /// True if the ticket was made from a newer revision than this node knows.
     fn is_current(&self, ticket: &Ticket) -> bool;
 }
 
-/// One upstream's actor and the ways to it.
+/// An upstream's actor with its channels.
 struct Handle {
-    actor: ActorRef<Upstream>,
-    events: mpsc::UnboundedSender<Event>,
+    actor: ActorRef<UpstreamActor>,
+    events: mpsc::UnboundedSender<TaskEvent>,
     status: watch::Receiver<Status>,
-    args: Args,
+    assignment: Assignment,
 }
 
 impl fmt::Debug for Handle {
@@ -76,38 +78,37 @@
 /// All upstreams that this node owns.
 #[derive(Debug)]
 pub struct Registry {
-    parts: Dependencies,
+    dependencies: Dependencies,
     owned: RwLock<HashMap<Name, Arc<Handle>>>,
-    serial: AtomicU64,
-    /// Every request that has a place, whatever has become of the ownership.
-    places: TaskTracker,
+    next_serial: AtomicU64,
+    /// Counts every request with a guard, including those of ownerships that have ended.
+    active_requests: TaskTracker,
 }
 
 impl Registry {
-    /// Starts with no upstream.
+    /// Creates a registry that owns no upstream.
     #[must_use]
-    pub fn start(parts: Dependencies) -> Arc<Self> {
+    pub fn start(dependencies: Dependencies) -> Arc<Self> {
         Arc::new(Self {
-            parts,
+            dependencies,
             owned: RwLock::default(),
-            serial: AtomicU64::new(1),
-            places: TaskTracker::new(),
+            next_serial: AtomicU64::new(1),
+            active_requests: TaskTracker::new(),
         })
     }
 
-    /// Returns when no request runs here any more.
+    /// Waits until no request runs here any more.
     ///
-    /// A release knows only what runs under the ownership that it ends. What ran
-    /// when an earlier one lapsed, or outlasted its release, still runs here and
-    /// its caller reads it; a node that stopped without a look at those would cut
-    /// them off.
+    /// A release covers only the requests of the ownership that it ends. Requests
+    /// that still run after an earlier ownership lapsed or was released aren't
+    /// covered, and a node that stopped without waiting for them would abort them.
     pub async fn wait_until_idle(&self) {
-        // Closing lets the wait end; places are still made and counted.
-        self.places.close();
-        self.places.wait().await;
+        // Closing lets the wait end; new requests are still counted.
+        self.active_requests.close();
+        self.active_requests.wait().await;
     }
 
-    /// Returns what operators see of each owned upstream, ordered by name.
+    /// Returns the status of each owned upstream, ordered by name.
     #[must_use]
     pub fn status(&self) -> Vec<Status> {
         let owned = self.owned.read().unwrap_or_else(PoisonError::into_inner);
@@ -124,22 +125,22 @@
         owned.get(upstream).cloned()
     }
 
-    fn insert(&self, args: Args) {
-        let handle = Arc::new(self.spawned(args));
-        let name = Arc::clone(&handle.args.upstream.vm.name);
+    fn insert(&self, assignment: Assignment) {
+        let handle = Arc::new(self.spawn_actor(assignment));
+        let name = Arc::clone(&handle.assignment.upstream.vm.name);
         let mut owned = self.owned.write().unwrap_or_else(PoisonError::into_inner);
         owned.insert(name, handle);
-        self.count(owned.len());
+        self.set_owned_gauge(owned.len());
     }
 
-    /// Keeps the actor and notes what it would be started anew with.
-    fn replace(&self, handle: &Handle, args: Args) {
-        let name = Arc::clone(&args.upstream.vm.name);
+    /// Keeps the actor and stores the assignment that a restart would use.
+    fn replace_assignment(&self, handle: &Handle, assignment: Assignment) {
+        let name = Arc::clone(&assignment.upstream.vm.name);
         let handle = Handle {
             actor: handle.actor.clone(),
             events: handle.events.clone(),
             status: handle.status.clone(),
-            args,
+            assignment,
         };
         let mut owned = self.owned.write().unwrap_or_else(PoisonError::into_inner);
         owned.insert(name, Arc::new(handle));
@@ -148,67 +149,74 @@
     fn remove(&self, upstream: &str) -> Option<Arc<Handle>> {
         let mut owned = self.owned.write().unwrap_or_else(PoisonError::into_inner);
         let handle = owned.remove(upstream);
-        self.count(owned.len());
+        self.set_owned_gauge(owned.len());
         handle
     }
 
-    fn count(&self, owned: usize) {
+    fn set_owned_gauge(&self, owned: usize) {
         let owned = i64::try_from(owned).unwrap_or(i64::MAX);
-        self.parts.metrics.owned.set(owned);
+        self.dependencies.metrics.owned.set(owned);
     }
 
-    fn spawned(&self, args: Args) -> Handle {
-        let (status, shown) = watch::channel(Status::default());
-        let (events, heard) = mpsc::unbounded_channel();
-        let actor = Upstream::spawn_with_mailbox(
+    fn spawn_actor(&self, assignment: Assignment) -> Handle {
+        let (status_sender, status) = watch::channel(Status::default());
+        let (events, event_receiver) = mpsc::unbounded_channel();
+        let actor = UpstreamActor::spawn_with_mailbox(
             (
-                self.parts.clone(),
-                args.clone(),
+                self.dependencies.clone(),
+                assignment.clone(),
                 events.clone(),
-                heard,
-                status,
+                event_receiver,
+                status_sender,
             ),
-            mailbox::bounded(self.parts.limits.mailbox_capacity),
+            mailbox::bounded(self.dependencies.limits.mailbox_capacity),
         );
         Handle {
             actor,
             events,
-            status: shown,
-            args,
+            status,
+            assignment,
         }
     }
 
-    /// Makes a new actor in place of one that has panicked.
+    /// Replaces an actor that has panicked.
     ///
-    /// Without it the upstream would answer nobody until its ownership moves.
-    /// The new actor takes what still runs for another owner's, and pins it.
-    fn revive(&self, dead: &Handle) {
-        let name = &dead.args.upstream.vm.name;
+    /// Otherwise the upstream would serve no request until its ownership moves. The
+    /// new actor treats requests that still run as another owner's and pins them.
+    fn restart_actor(&self, dead: &Handle) {
+        let name = &dead.assignment.upstream.vm.name;
         let mut owned = self.owned.write().unwrap_or_else(PoisonError::into_inner);
-        let same = owned
+        let is_current = owned
             .get(name)
             .is_some_and(|handle| handle.actor.id() == dead.actor.id());
-        if same {
-            log::error!("owner: the actor of {name} ended; starting it anew");
-            owned.insert(Arc::clone(name), Arc::new(self.spawned(dead.args.clone())));
+        if is_current {
+            log::error!("owner: the actor of {name} stopped; restarting it");
+            owned.insert(
+                Arc::clone(name),
+                Arc::new(self.spawn_actor(dead.assignment.clone())),
+            );
         }
     }
 
-    /// Gets a place for an attempt, and waits until it may start.
-    async fn admit(&self, attempt: &Attempt) -> Result<(Place, Grant), Failure> {
+    /// Submits an attempt to the upstream's actor and waits until it may start.
+    async fn admit(&self, attempt: &Attempt) -> Result<(RequestGuard, Grant), Failure> {
         let handle = self
             .find(&attempt.upstream)
             .ok_or_else(|| not_owner("this node doesn't own the upstream"))?;
-        let serial = self.serial.fetch_add(1, Ordering::Relaxed);
+        let serial = self.next_serial.fetch_add(1, Ordering::Relaxed);
         let key = Id(format!("{}/{serial}", attempt.ticket.id).into());
-        // The place is made first: from here on, dropping this future anywhere ends it.
-        let place = Place::new(key.clone(), handle.events.clone(), self.places.token());
+        // The guard comes first: from here on, dropping this future ends the request.
+        let guard = RequestGuard::new(
+            key.clone(),
+            handle.events.clone(),
+            self.active_requests.token(),
+        );
         let (reply, granted) = oneshot::channel();
         let mut ticket = attempt.ticket.clone();
-        let request = std::mem::replace(&mut ticket.id, key);
+        let request_id = std::mem::replace(&mut ticket.id, key);
         let submit = Submit {
             ticket,
-            request,
+            request_id,
             share: attempt.share,
             last: attempt.last,
             reply,
@@ -220,24 +228,24 @@
                 return Err(failure.retry_after(RETRY_AFTER));
             }
             Err(_) => {
-                self.revive(&handle);
+                self.restart_actor(&handle);
                 return Err(not_owner("the upstream's owner is starting"));
             }
         }
-        // The actor ends without an answer only before it has granted the place.
+        // The actor drops the reply only before it has granted the request.
         let grant = granted
             .await
             .map_err(|_| not_owner("the upstream's owner has stopped"))??;
-        Ok((place, grant))
+        Ok((guard, grant))
     }
 }
 
 #[async_trait]
 impl Runner for Registry {
     async fn run(&self, attempt: Attempt) -> Result<Answer, Failure> {
-        let order = run::Order::new(&attempt)?;
-        let (place, grant) = self.admit(&attempt).await?;
-        order.run(place, grant, &self.parts).await
+        let request = run::PreparedRequest::new(&attempt)?;
+        let (guard, grant) = self.admit(&attempt).await?;
+        request.run(guard, grant, &self.dependencies).await
     }
 }
 
@@ -245,30 +253,34 @@
 impl Adopter for Registry {
     async fn adopt(&self, upstream: fleet::Upstream, pool: Arc<Pool>, hold: Hold) {
         let name = Arc::clone(&upstream.vm.name);
-        // The weight store's queue is owned like an upstream, but nothing runs there.
+        // The weight store's queue is owned like an upstream but runs no requests.
         if &*name == WEIGHTS {
             return;
         }
-        let args = Args {
+        let assignment = Assignment {
             upstream,
             pool,
             hold,
         };
         if let Some(handle) = self.find(&name) {
-            if handle.args.continues(&args) {
-                let sent = handle.actor.tell(Adopt(args.clone())).send().await;
+            if handle.assignment.is_continued_by(&assignment) {
+                let update = UpdateAssignment(assignment.clone());
+                let sent = handle.actor.tell(update).send().await;
                 if sent.is_ok() {
-                    self.replace(&handle, args);
+                    self.replace_assignment(&handle, assignment);
                     return;
                 }
             }
-            // Another claim, address or kind is another ownership: what runs
-            // under the old one is pinned as the engine reports it.
+            // Another claim, address or kind starts a new ownership. Requests of the
+            // old one are pinned once the engine reports them.
             self.remove(&name);
             let _ = handle.actor.tell(Release { done: None }).send().await;
         }
-        log::info!("owner: took over {name} with token {}", args.hold.token());
-        self.insert(args);
+        log::info!(
+            "owner: took over {name} with token {}",
+            assignment.hold.token()
+        );
+        self.insert(assignment);
     }
 
     async fn release(&self, upstream: &str, limit: Millis) {
@@ -293,14 +305,14 @@
         for upcoming in adapters {
             let pool = owned
                 .values()
-                .filter(|handle| handle.args.pool.name == upcoming.pool);
+                .filter(|handle| handle.assignment.pool.name == upcoming.pool);
             for handle in pool {
-                let replaced = Replaced {
+                let replacement = PrefetchReplacement {
                     old: upcoming.replaces.clone(),
                     new: upcoming.adapter.clone(),
                 };
-                // An owner with a full mailbox has no load to spare either.
-                let _ = handle.actor.tell(replaced).try_send();
+                // An owner with a full mailbox is too busy to prefetch.
+                let _ = handle.actor.tell(replacement).try_send();
             }
         }
     }
--- a/lib/src/owner/run.rs
+++ b/lib/src/owner/run.rs
@@ -1,4 +1,4 @@
-//! Runs an attempt that has been given its place.
+//! Runs granted attempts at their upstreams.
 
 use std::sync::Arc;
 
@@ -9,12 +9,11 @@
 use http::{Method, StatusCode, response};
 use tokio::time::Instant;
 
-use super::body::{self, Body, Form};
-use super::check::{self, Check};
-use super::events::Events;
-use super::place::{Outcome, Place};
-
+use super::body::{self, Body, BodyFormat};
+use super::event_rewriter::EventRewriter;
 use super::registry::Dependencies;
+use super::request_guard::{Outcome, RequestGuard};
+use super::response_check::{self, ResponseCheck};
 use crate::adapter::Adapter;
 use crate::clock::Millis;
 use crate::error::{Code, Failure};
@@ -23,19 +22,19 @@
 use crate::request::{Id, Ticket};
 use crate::runner::{Attempt, Work};
 
-/// Largest error message of an engine that is read.
+/// Largest part of an engine's error response that is read.
 const MAX_ERROR_BYTES: usize = 64 << 10;
 
-/// How long a request waited at its upstream's owner; an answer's extensions carry it.
+/// How long a request waited at its upstream's owner; carried in the response's extensions.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct WaitTimes {
-    /// In the queue, the load included.
+    /// In the queue, including the load.
     pub queued: Millis,
-    /// For its adapter's load.
+    /// For its adapter to be loaded.
     pub load: Millis,
 }
 
-/// Where a granted request runs.
+/// The client of the upstream that a request runs on.
 #[derive(Debug, Clone)]
 pub(super) enum Target {
     /// A model engine.
@@ -44,7 +43,7 @@
     Service(Arc<dyn Service>),
 }
 
-/// Leave to run a request now.
+/// Permission to run a request now.
 #[derive(Debug)]
 pub(super) struct Grant {
     pub(super) target: Target,
@@ -52,21 +51,21 @@
     pub(super) waits: WaitTimes,
 }
 
-/// A request made ready for its upstream, before it queues for a place.
+/// A request that was validated and prepared for its upstream before it is queued.
 ///
-/// What is wrong with it is found here, so that a bad request costs no place.
+/// An invalid request is refused here and never enters the queue.
 #[derive(Debug)]
-pub(super) struct Order {
+pub(super) struct PreparedRequest {
     id: Id,
     deadline: Millis,
-    content: Content,
+    payload: Payload,
 }
 
 #[derive(Debug)]
-enum Content {
+enum Payload {
     Completion {
         call: Box<Call>,
-        check: Check,
+        check: ResponseCheck,
         stream: bool,
     },
     Call {
@@ -75,8 +74,8 @@
     },
 }
 
-impl Order {
-    /// Makes an attempt ready.
+impl PreparedRequest {
+    /// Prepares an attempt.
     ///
     /// # Errors
     ///
@@ -86,51 +85,51 @@
         Ok(Self {
             id: ticket.id.clone(),
             deadline: ticket.deadline,
-            content: Content::new(ticket, &attempt.work)?,
+            payload: Payload::new(ticket, &attempt.work)?,
         })
     }
 
-    /// Runs it and returns the answer; the place is held until the answer's end.
+    /// Runs the request and returns the response; `guard` is kept until the response ends.
     pub(super) async fn run(
         self,
-        place: Place,
+        guard: RequestGuard,
         grant: Grant,
-        parts: &Dependencies,
+        dependencies: &Dependencies,
     ) -> Result<Answer, Failure> {
-        let left = self.deadline.since(parts.clock.now());
-        let running = Running {
-            place,
-            deadline: Instant::now() + left.duration(),
-            parts,
+        let remaining = self.deadline.since(dependencies.clock.now());
+        let running = RunningRequest {
+            guard,
+            deadline: Instant::now() + remaining.duration(),
+            dependencies,
         };
-        let mut answer = match (self.content, grant.target) {
+        let mut response = match (self.payload, grant.target) {
             (
-                Content::Completion {
+                Payload::Completion {
                     call,
                     check,
                     stream,
                 },
                 Target::Engine(engine),
             ) => {
-                let call = completion(&*engine, *call, &grant.hold);
-                running.completed(call, check, stream).await?
+                let call = send_completion(&*engine, *call, &grant.hold);
+                running.run_completion(call, check, stream).await?
             }
-            (Content::Call { head, body }, Target::Service(service)) => {
-                let bodiless = head.method == Method::HEAD;
-                let call = passed(&*service, *head, body, &grant.hold);
-                running.called(call, bodiless).await?
+            (Payload::Call { head, body }, Target::Service(service)) => {
+                let is_head = head.method == Method::HEAD;
+                let call = send_call(&*service, *head, body, &grant.hold);
+                running.run_call(call, is_head).await?
             }
             (_, _) => {
-                running.place.end(Outcome::Refused);
+                running.guard.finish(Outcome::Refused);
                 return Err(refused(&self.id, "the upstream is of another kind"));
             }
         };
-        answer.head.extensions.insert(grant.waits);
-        Ok(answer)
+        response.head.extensions.insert(grant.waits);
+        Ok(response)
     }
 }
 
-impl Content {
+impl Payload {
     fn new(ticket: &Ticket, work: &Work) -> Result<Self, Failure> {
         match work {
             Work::Completion { path, body, stream } => {
@@ -139,8 +138,8 @@
                     .as_ref()
                     .ok_or_else(|| refused(&ticket.id, "the template names no adapter"))?;
                 Ok(Self::Completion {
-                    call: Box::new(call(ticket, adapter, path, body)?),
-                    check: Check::new(ticket, adapter),
+                    call: Box::new(engine_call(ticket, adapter, path, body)?),
+                    check: ResponseCheck::new(ticket, adapter),
                     stream: *stream,
                 })
             }
@@ -152,7 +151,8 @@
     }
 }
 
-fn call(
+/// Creates the engine's call for a completion.
+fn engine_call(
     ticket: &Ticket,
     adapter: &Adapter,
     path: &Arc<str>,
@@ -162,19 +162,19 @@
         id: ticket.id.clone(),
         adapter: adapter.clone(),
         path: Arc::clone(path),
-        body: check::addressed(body, adapter)?,
+        body: response_check::with_engine_model(body, adapter)?,
         priority: ticket.class as u32,
     })
 }
 
-/// Checks the hold and sends a completion, with nothing between the two.
-async fn completion(engine: &dyn Engine, call: Call, hold: &Hold) -> Result<Answer, Failure> {
+/// Checks the lease and sends a completion, with no await point in between.
+async fn send_completion(engine: &dyn Engine, call: Call, hold: &Hold) -> Result<Answer, Failure> {
     let fence = hold.check()?;
     engine.run(call, fence).await
 }
 
-/// Checks the hold and passes a call to a service, with nothing between the two.
-async fn passed(
+/// Checks the lease and sends a call to a service, with no await point in between.
+async fn send_call(
     service: &dyn Service,
     head: http::request::Parts,
     body: Bytes,
@@ -184,96 +184,103 @@
     service.call(head, body).await
 }
 
-/// A request that holds its place.
+/// A request that runs at its upstream.
 #[derive(Debug)]
-struct Running<'a> {
-    place: Place,
+struct RunningRequest<'a> {
+    guard: RequestGuard,
     deadline: Instant,
-    parts: &'a Dependencies,
+    dependencies: &'a Dependencies,
 }
 
-impl Running<'_> {
-    async fn completed(
+impl RunningRequest<'_> {
+    /// Runs a completion and checks its response.
+    async fn run_completion(
         self,
         call: impl Future<Output = Result<Answer, Failure>>,
-        check: Check,
+        check: ResponseCheck,
         stream: bool,
     ) -> Result<Answer, Failure> {
-        let (running, answer) = self.begun(call).await?;
-        if !answer.head.status.is_success() {
-            return Err(running.failed(answer).await);
+        let (running, response) = self.await_head(call).await?;
+        if !response.head.status.is_success() {
+            return Err(running.read_error(response).await);
         }
         if !stream {
-            return running.whole(answer, &check).await;
+            return running.read_checked(response, &check).await;
         }
-        let Answer { mut head, body } = answer;
-        // The pieces change their length on the way.
+        let Answer { mut head, body } = response;
+        // Rewriting the model name changes the length.
         head.headers.remove(CONTENT_LENGTH);
-        let form = Form::Events(Box::new(Events::new(check)));
-        Ok(running.flowing(head, body, form))
+        let format = BodyFormat::Events(Box::new(EventRewriter::new(check)));
+        Ok(running.stream_response(head, body, format))
     }
 
-    async fn called(
+    /// Runs a call to a plain service.
+    async fn run_call(
         self,
         call: impl Future<Output = Result<Answer, Failure>>,
-        bodiless: bool,
+        is_head: bool,
     ) -> Result<Answer, Failure> {
-        let (running, answer) = self.begun(call).await?;
-        // The length in such a head is that of a body which doesn't come; awaiting
-        // it would make each of these answers look cut.
-        let bodiless = bodiless || answer.head.status == StatusCode::NOT_MODIFIED;
-        let length = length(&answer.head).filter(|_| !bodiless);
-        let form = Form::Plain(length);
-        Ok(running.flowing(answer.head, answer.body, form))
+        let (running, response) = self.await_head(call).await?;
+        // The length in such a head is that of a body that isn't sent; expecting it
+        // would make each of these responses look truncated.
+        let has_no_body = is_head || response.head.status == StatusCode::NOT_MODIFIED;
+        let length = content_length(&response.head).filter(|_| !has_no_body);
+        let format = BodyFormat::Plain(length);
+        Ok(running.stream_response(response.head, response.body, format))
     }
 
-    /// Waits for the answer's head.
-    async fn begun(
+    /// Waits for the response's head until the deadline.
+    async fn await_head(
         self,
         call: impl Future<Output = Result<Answer, Failure>>,
     ) -> Result<(Self, Answer), Failure> {
-        let answer = tokio::time::timeout_at(self.deadline, call)
+        let response = tokio::time::timeout_at(self.deadline, call)
             .await
             .unwrap_or_else(|_| Err(expired()));
-        match answer {
-            Ok(answer) => Ok((self, answer)),
+        match response {
+            Ok(response) => Ok((self, response)),
             Err(failure) => {
-                self.place.end(outcome(failure.code));
+                self.guard.finish(outcome_of(failure.code));
                 Err(failure)
             }
         }
     }
 
-    fn flowing(
+    /// Returns a response whose body is checked while it streams.
+    fn stream_response(
         self,
         head: response::Parts,
         body: BoxStream<'static, Result<Bytes, Failure>>,
-        form: Form,
+        format: BodyFormat,
     ) -> Answer {
-        let expired = tokio::time::sleep_until(self.deadline);
-        let metrics = Arc::clone(&self.parts.metrics);
+        let deadline = tokio::time::sleep_until(self.deadline);
+        let metrics = Arc::clone(&self.dependencies.metrics);
         Answer {
             head,
-            body: Body::new(body, self.place, form, expired, metrics).boxed(),
+            body: Body::new(body, self.guard, format, deadline, metrics).boxed(),
         }
     }
 
-    /// Reads a whole answer to its end before any of it is passed on.
+    /// Reads an unstreamed response to its end and checks it before any of it is forwarded.
     ///
-    /// A caller of the whole form can't be told later that what it has read
-    /// wasn't whole, or wasn't its own.
-    async fn whole(self, answer: Answer, check: &Check) -> Result<Answer, Failure> {
-        let Answer { mut head, mut body } = answer;
-        let limit = self.parts.limits.max_response_bytes;
-        let read = read(&mut body, limit, length(&head));
+    /// Once the caller has read part of it, it could no longer be told that the
+    /// response was truncated or belonged to another request.
+    async fn read_checked(
+        self,
+        response: Answer,
+        check: &ResponseCheck,
+    ) -> Result<Answer, Failure> {
+        let Answer { mut head, mut body } = response;
+        let limit = self.dependencies.limits.max_response_bytes;
+        let read = read_body(&mut body, limit, content_length(&head));
         let read = tokio::time::timeout_at(self.deadline, read)
             .await
             .unwrap_or_else(|_| Err(expired()));
         drop(body);
-        let checked = read.and_then(|read| self.checked(&read, check));
+        let checked = read.and_then(|read| self.check(&read, check));
         match checked {
             Ok(bytes) => {
-                self.place.end(Outcome::Answered);
+                self.guard.finish(Outcome::Completed);
                 head.headers
                     .insert(CONTENT_LENGTH, HeaderValue::from(bytes.len()));
                 Ok(Answer {
@@ -282,57 +289,57 @@
                 })
             }
             Err(failure) => {
-                self.place.end(Outcome::Failed);
+                self.guard.finish(Outcome::Failed);
                 Err(failure)
             }
         }
     }
 
-    fn checked(&self, read: &[u8], check: &Check) -> Result<Bytes, Failure> {
+    fn check(&self, read: &[u8], check: &ResponseCheck) -> Result<Bytes, Failure> {
         check
-            .whole(read)
-            .map_err(|error| body::dropped(error, &self.parts.metrics))
+            .check_and_rename(read)
+            .map_err(|error| body::count_dropped(error, &self.dependencies.metrics))
     }
 
-    /// Reads what an engine that refused or failed says, and returns it as a numbered failure.
-    async fn failed(self, answer: Answer) -> Failure {
-        let Answer { head, mut body } = answer;
-        let read = read(&mut body, MAX_ERROR_BYTES, None);
-        let said = tokio::time::timeout_at(self.deadline, read).await;
+    /// Reads an engine's error response and returns the failure that it stands for.
+    async fn read_error(self, response: Answer) -> Failure {
+        let Answer { head, mut body } = response;
+        let read = read_body(&mut body, MAX_ERROR_BYTES, None);
+        let read = tokio::time::timeout_at(self.deadline, read).await;
         drop(body);
-        let said = said.ok().and_then(Result::ok).unwrap_or_default();
-        let (failure, outcome) = status(head.status, &said);
-        self.place.end(outcome);
+        let content = read.ok().and_then(Result::ok).unwrap_or_default();
+        let (failure, outcome) = classify_error(head.status, &content);
+        self.guard.finish(outcome);
         failure
     }
 }
 
-/// Reads a body to its end, which is where its head said.
-async fn read(
+/// Reads a body to its end and checks its length against the head's and the limit.
+async fn read_body(
     body: &mut BoxStream<'static, Result<Bytes, Failure>>,
     limit: usize,
     length: Option<u64>,
 ) -> Result<BytesMut, Failure> {
     let mut read = BytesMut::new();
-    while let Some(piece) = body.next().await {
-        let piece = piece.map_err(|failure| cut(&failure.to_string()))?;
-        if read.len() + piece.len() > limit {
-            return Err(cut("the answer is too long"));
+    while let Some(chunk) = body.next().await {
+        let chunk = chunk.map_err(|failure| truncated(&failure.to_string()))?;
+        if read.len() + chunk.len() > limit {
+            return Err(truncated("the answer is too long"));
         }
-        read.extend_from_slice(&piece);
+        read.extend_from_slice(&chunk);
     }
     if length.is_some_and(|length| length != read.len() as u64) {
-        return Err(cut("the answer isn't as long as its head said"));
+        return Err(truncated("the answer isn't as long as its head said"));
     }
     Ok(read)
 }
 
-/// Says what an engine's status means for the request.
+/// Returns the failure and the outcome for an engine's error status.
 ///
-/// Only statuses by which an engine rejects a request before its scheduler sees
-/// it are called not run; docs/errors.md lists them.
-fn status(status: StatusCode, said: &[u8]) -> (Failure, Outcome) {
-    let reason = reason(said);
+/// A request counts as not run only for statuses with which an engine rejects it
+/// before its scheduler sees it; docs/errors.md lists them.
+fn classify_error(status: StatusCode, content: &[u8]) -> (Failure, Outcome) {
+    let reason = error_reason(content);
     let detail = format!("the engine answered {}{reason}", status.as_u16());
     match status {
         StatusCode::NOT_FOUND => (
@@ -354,23 +361,23 @@
 
 /// Returns the machine-readable part of an engine's error.
 ///
-/// Its message may quote the prompt, which must not reach a log, so only the
-/// short fields `type` and `code` are taken.
-fn reason(said: &[u8]) -> String {
-    let parsed: serde_json::Value = serde_json::from_slice(said).unwrap_or_default();
+/// Only the short fields `type` and `code` are used: the message may quote the
+/// prompt, which must not be logged.
+fn error_reason(content: &[u8]) -> String {
+    let parsed: serde_json::Value = serde_json::from_slice(content).unwrap_or_default();
     let error = parsed.get("error").unwrap_or(&parsed);
     ["type", "code"]
         .into_iter()
         .filter_map(|field| error.get(field)?.as_str())
-        .filter(|text| text.len() <= 64 && text.chars().all(is_word))
+        .filter(|text| text.len() <= 64 && text.chars().all(is_word_char))
         .fold(String::new(), |all, text| format!("{all}, {text}"))
 }
 
-fn is_word(letter: char) -> bool {
-    letter.is_ascii_alphanumeric() || letter == '_'
+fn is_word_char(c: char) -> bool {
+    c.is_ascii_alphanumeric() || c == '_'
 }
 
-fn length(head: &response::Parts) -> Option<u64> {
+fn content_length(head: &response::Parts) -> Option<u64> {
     head.headers
         .get(CONTENT_LENGTH)?
         .to_str()
@@ -379,7 +386,7 @@
         .ok()
 }
 
-fn outcome(code: Code) -> Outcome {
+fn outcome_of(code: Code) -> Outcome {
     match code {
         Code::ConnectFailed => Outcome::ConnectFailed,
         Code::UpstreamRefused | Code::NotOwner => Outcome::Refused,
@@ -399,6 +406,6 @@
     )
 }
 
-fn cut(detail: &str) -> Failure {
+fn truncated(detail: &str) -> Failure {
     Failure::new(Code::AnswerCut, detail)
 }
--- a/lib/src/owner/status.rs
+++ b/lib/src/owner/status.rs
@@ -1,4 +1,4 @@
-//! What operators see of an owned upstream.
+//! Status of an owned upstream, as shown to operators.
 
 use serde::Serialize;
 
@@ -7,41 +7,41 @@
 /// An adapter in a slot.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct Slot {
-    /// Adapter and version.
+    /// The adapter's name and version.
     pub adapter: String,
-    /// Requests that run on it; it isn't evicted while there are any.
+    /// Requests that run on it; it is only evicted when there are none.
     pub pins: u32,
 }
 
-/// One owned upstream; at most a report's period old.
+/// Status of one owned upstream; at most one report interval old.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize)]
 pub struct Status {
     /// The upstream's name.
     pub upstream: Name,
-    /// Its pool.
+    /// The upstream's pool.
     pub pool: Name,
     /// Fencing token of the claim.
     pub token: u64,
-    /// Whether the right to give orders holds now.
+    /// Whether the lease that allows sending orders is valid.
     pub held: bool,
-    /// Whether it can't be reached.
+    /// Whether it gets no work because it couldn't be reached.
     pub failing: bool,
-    /// Whether it takes no new work: it leaves or is handed over.
+    /// Whether it takes no new work because it is leaving or being released.
     pub leaving: bool,
-    /// Requests running.
+    /// Number of running requests.
     pub running: u32,
-    /// Requests that run there but were started by another owner.
+    /// Number of requests that run there but were started by another owner.
     pub foreign: u32,
-    /// Requests waiting, by class from urgent to bulk.
+    /// Number of waiting requests by class, from urgent to bulk.
     pub waiting: [u32; 3],
-    /// Most requests running at a time.
+    /// Most requests that run at a time.
     pub batch: u32,
     /// Adapters in slots.
     pub resident: Vec<Slot>,
     /// Adapters being loaded.
     pub loading: Vec<String>,
-    /// Adapters that wait for leave to load.
+    /// Adapters that wait for a permit to load.
     pub asked: Vec<String>,
-    /// Milliseconds since the engine last said what it holds; none before the first time.
+    /// Milliseconds since the engine's last report; `None` before the first one.
     pub report_age_ms: Option<u64>,
 }
