--- a/lib/tests/owner_fakes/mod.rs
+++ b/lib/tests/owner_fakes/mod.rs
@@ -1,4 +1,4 @@
-//! An engine in memory with knobs for its faults, and a registry that owns it.
+//! An in-memory engine with injectable faults, and a registry that owns it.
 
 #![allow(dead_code, reason = "each test file uses a part")]
 
@@ -26,49 +26,49 @@
 use tokio::sync::watch;
 
 /// How long a load takes.
-const LOAD: Millis = Millis(300);
-/// Longer than any test.
-const FAR: Millis = Millis::from_secs(3600);
+const LOAD_TIME: Millis = Millis(300);
+/// A time after the end of any test.
+const FAR_FUTURE: Millis = Millis::from_secs(3600);
 
-/// What goes wrong at the engine.
+/// A fault of the engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fault {
-    /// Nothing.
+    /// No fault.
     None,
-    /// Answers end early, without an error.
-    Cut,
-    /// Nothing can be reached.
-    Down,
-    /// Its client panics.
+    /// Responses end early, without an error.
+    Truncated,
+    /// The engine can't be reached.
+    Unreachable,
+    /// The engine's client panics.
     Panic,
     /// Loads fail.
-    Load,
-    /// Answers stay open after their last piece.
-    Open,
+    LoadFails,
+    /// Response streams don't end after their last chunk.
+    NeverEnds,
 }
 
-/// How the engine behaves.
+/// Behaviour of the engine.
 #[derive(Debug, Clone)]
 pub struct Knobs {
-    /// What goes wrong.
+    /// The fault to inject.
     pub fault: Fault,
-    /// Pieces of each answer.
+    /// Events in each response.
     pub pieces: usize,
-    /// Span between two pieces.
+    /// Delay before each event.
     pub piece_ms: Millis,
-    /// Length of a piece's text.
+    /// Length of each event's text.
     pub piece_bytes: usize,
-    /// Identity in the answers instead of the request's.
+    /// Request ID in responses instead of the request's own.
     pub answer_as: Option<String>,
-    /// Adapter in the answers instead of the request's.
+    /// Adapter in responses instead of the request's own.
     pub answer_from: Option<String>,
-    /// Status of its answers.
+    /// Status of responses.
     pub status: u16,
-    /// How long it takes to say what it holds.
+    /// How long a report takes.
     pub report_ms: Millis,
-    /// Identity of the process.
+    /// Boot ID of the process.
     pub boot: String,
-    /// What it says is running besides what it was asked to run.
+    /// Requests that reports list as running, with their adapters.
     pub running: Vec<(String, String)>,
 }
 
@@ -80,7 +80,7 @@
     resident: BTreeSet<String>,
 }
 
-/// A model engine in memory.
+/// An in-memory model engine.
 #[derive(Debug)]
 pub struct FakeEngine {
     knobs: Mutex<Knobs>,
@@ -106,42 +106,42 @@
         }
     }
 
-    /// Turns knobs.
+    /// Changes the behaviour.
     pub fn set(&self, change: impl FnOnce(&mut Knobs)) {
         change(&mut self.knobs.lock().unwrap());
     }
 
-    /// Puts adapters into slots, as an earlier owner did.
+    /// Puts adapters into slots, as a previous owner would have.
     pub fn preload(&self, names: &[&str]) {
         let mut seen = self.seen.lock().unwrap();
         let names = names.iter().map(|name| adapter(name).engine_name());
         seen.resident.extend(names);
     }
 
-    /// Starts the process anew, with empty slots.
+    /// Restarts the process with empty slots.
     pub fn restart(&self) {
         self.seen.lock().unwrap().resident.clear();
         self.set(|knobs| knobs.boot.push('+'));
     }
 
-    /// Identities of the requests that it ran.
+    /// Returns the requests that it ran: IDs, or request lines of calls.
     pub fn runs(&self) -> Vec<String> {
         self.seen.lock().unwrap().runs.clone()
     }
 
-    /// What it was ordered to load.
+    /// Returns the adapters that it was ordered to load.
     pub fn loads(&self) -> Vec<String> {
         self.seen.lock().unwrap().loads.clone()
     }
 
-    /// What it was ordered to unload.
+    /// Returns the adapters that it was ordered to unload.
     pub fn unloads(&self) -> Vec<String> {
         self.seen.lock().unwrap().unloads.clone()
     }
 
-    fn reach(&self) -> Result<Knobs, Failure> {
+    fn connect(&self) -> Result<Knobs, Failure> {
         let knobs = self.knobs.lock().unwrap().clone();
-        if knobs.fault == Fault::Down {
+        if knobs.fault == Fault::Unreachable {
             return Err(Failure::new(Code::ConnectFailed, "down"));
         }
         Ok(knobs)
@@ -156,7 +156,7 @@
 #[async_trait]
 impl Engine for FakeEngine {
     async fn run(&self, call: Call, _: Fence) -> Result<Answer, Failure> {
-        let knobs = self.reach()?;
+        let knobs = self.connect()?;
         assert!(knobs.fault != Fault::Panic, "the client panics");
         {
             let mut seen = self.seen.lock().unwrap();
@@ -184,7 +184,7 @@
         let piece = "x".repeat(knobs.piece_bytes);
         let json = format!("{{\"id\":\"cmpl-{id}\",\"model\":\"{model}\",\"text\":\"{piece}\"}}");
         if body["stream"] != true {
-            let end = if knobs.fault == Fault::Cut {
+            let end = if knobs.fault == Fault::Truncated {
                 json.len() / 2
             } else {
                 json.len()
@@ -196,7 +196,7 @@
             });
         }
         let event = Bytes::from(format!("data: {json}\n\n"));
-        let last = (knobs.fault != Fault::Cut).then(|| Ok(Bytes::from("data: [DONE]\n\n")));
+        let last = (knobs.fault != Fault::Truncated).then(|| Ok(Bytes::from("data: [DONE]\n\n")));
         let pause = knobs.piece_ms.duration();
         let events = stream::repeat(event).take(knobs.pieces);
         let pieces = events.then(move |event| async move {
@@ -207,7 +207,7 @@
         });
         let body = pieces.chain(stream::iter(last));
         let body = match knobs.fault {
-            Fault::Open => body.chain(stream::pending()).boxed(),
+            Fault::NeverEnds => body.chain(stream::pending()).boxed(),
             _ => body.boxed(),
         };
         let head = head(200);
@@ -215,11 +215,11 @@
     }
 
     async fn load(&self, adapter: &Adapter, _: Fence) -> Result<(), Failure> {
-        let knobs = self.reach()?;
+        let knobs = self.connect()?;
         let name = adapter.engine_name();
         self.seen.lock().unwrap().loads.push(name.clone());
-        tokio::time::sleep(LOAD.duration()).await;
-        if knobs.fault == Fault::Load {
+        tokio::time::sleep(LOAD_TIME.duration()).await;
+        if knobs.fault == Fault::LoadFails {
             return Err(Failure::new(Code::LoadFailed, "partial"));
         }
         self.seen.lock().unwrap().resident.insert(name);
@@ -227,7 +227,7 @@
     }
 
     async fn unload(&self, adapter: &Adapter, _: Fence) -> Result<(), Failure> {
-        self.reach()?;
+        self.connect()?;
         let name = adapter.engine_name();
         let mut seen = self.seen.lock().unwrap();
         seen.resident.remove(&name);
@@ -236,7 +236,7 @@
     }
 
     async fn report(&self) -> Result<Report, Failure> {
-        let knobs = self.reach()?;
+        let knobs = self.connect()?;
         tokio::time::sleep(knobs.report_ms.duration()).await;
         let seen = self.seen.lock().unwrap();
         let names =
@@ -254,11 +254,11 @@
     }
 }
 
-/// Hands out one engine.
+/// Connects every upstream to one engine.
 #[derive(Debug)]
-struct One(Arc<FakeEngine>);
+struct SingleConnector(Arc<FakeEngine>);
 
-impl Connector for One {
+impl Connector for SingleConnector {
     fn engine(&self, _: &Vm) -> Arc<dyn Engine> {
         Arc::clone(&self.0) as Arc<dyn Engine>
     }
@@ -268,18 +268,18 @@
     }
 }
 
-/// As a plain service it sends back what it is called with.
+/// As a plain service it echoes the request.
 #[async_trait]
 impl Service for FakeEngine {
     async fn call(&self, called: request::Parts, body: Bytes) -> Result<Answer, Failure> {
-        let knobs = self.reach()?;
+        let knobs = self.connect()?;
         let line = format!("{} {}", called.method, called.uri);
         self.seen.lock().unwrap().runs.push(line);
         let mut head = head(201);
         head.headers = called.headers;
         head.headers.insert(CONTENT_LENGTH, body.len().into());
         let end = match knobs.fault {
-            Fault::Cut => body.len() / 2,
+            Fault::Truncated => body.len() / 2,
             _ if called.method == http::Method::HEAD => 0,
             _ => body.len(),
         };
@@ -290,59 +290,59 @@
     }
 }
 
-/// Leave at once, while it is open.
+/// Grants permits at once while it is open.
 #[derive(Debug)]
-pub struct Gate(watch::Sender<bool>);
+pub struct PermitGate(watch::Sender<bool>);
 
-impl Gate {
-    /// Lets nobody load.
+impl PermitGate {
+    /// Stops granting permits.
     pub fn close(&self) {
         self.0.send_replace(false);
     }
 
-    /// Lets everybody load.
+    /// Grants permits again.
     pub fn open(&self) {
         self.0.send_replace(true);
     }
 }
 
 #[derive(Debug)]
-struct Leave;
+struct FakePermit;
 
 #[async_trait]
-impl Permit for Leave {
+impl Permit for FakePermit {
     async fn done(self: Box<Self>, _: bool, _: Millis) {}
 }
 
 #[async_trait]
-impl Permits for Gate {
+impl Permits for PermitGate {
     async fn acquire(&self, _: watch::Receiver<Ask>) -> Result<Box<dyn Permit>, Failure> {
         let mut open = self.0.subscribe();
         open.wait_for(|open| *open).await.unwrap();
-        Ok(Box::new(Leave))
+        Ok(Box::new(FakePermit))
     }
 }
 
-/// Counts what is told of the upstream.
+/// Counts failures and recoveries of the upstream.
 #[derive(Debug, Default)]
-pub struct Counts {
+pub struct CountingDetector {
     failed: AtomicU64,
     answered: AtomicU64,
 }
 
-impl Counts {
-    /// How often it couldn't be reached.
+impl CountingDetector {
+    /// Returns how often the upstream couldn't be reached.
     pub fn failures(&self) -> u64 {
         self.failed.load(Ordering::Relaxed)
     }
 
-    /// How often it came back.
+    /// Returns how often it recovered.
     pub fn answers(&self) -> u64 {
         self.answered.load(Ordering::Relaxed)
     }
 }
 
-impl Detector for Counts {
+impl Detector for CountingDetector {
     fn failed(&self, _: &str) {
         self.failed.fetch_add(1, Ordering::Relaxed);
     }
@@ -352,18 +352,18 @@
     }
 }
 
-/// A configuration whose templates name one adapter, if the test says so.
+/// A configuration whose templates all name one adapter, once the test sets it.
 #[derive(Debug, Default)]
-pub struct Decided(Mutex<Option<Adapter>>);
+pub struct FakeRouting(Mutex<Option<Adapter>>);
 
-impl Decided {
-    /// Has all templates name this adapter.
+impl FakeRouting {
+    /// Makes all templates name this adapter.
     pub fn change(&self, adapter: Adapter) {
         *self.0.lock().unwrap() = Some(adapter);
     }
 }
 
-impl RoutingCheck for Decided {
+impl RoutingCheck for FakeRouting {
     fn is_current(&self, ticket: &Ticket) -> bool {
         let named = self.0.lock().unwrap();
         named.is_none() || ticket.adapter == *named
@@ -375,37 +375,37 @@
 pub struct Bench {
     pub engine: Arc<FakeEngine>,
     pub registry: Arc<Registry>,
-    pub permits: Arc<Gate>,
-    pub detector: Arc<Counts>,
-    pub routing: Arc<Decided>,
+    pub permits: Arc<PermitGate>,
+    pub detector: Arc<CountingDetector>,
+    pub routing: Arc<FakeRouting>,
     pub metrics: Arc<Metrics>,
     pub clock: Arc<dyn Clock>,
-    pub until: Arc<AtomicU64>,
+    pub lease_end: Arc<AtomicU64>,
 }
 
 impl Bench {
-    /// A large batch and two slots.
+    /// Starts with a batch of 8 and two slots.
     pub async fn start() -> Self {
         Self::with_batch(8).await
     }
 
-    /// Two slots.
+    /// Starts with two slots.
     pub async fn with_batch(batch: u32) -> Self {
         let bench = Self::unowned();
         bench.adopt(batch, 1).await;
         bench
     }
 
-    /// Owns nothing yet.
+    /// Starts without owning the engine.
     pub fn unowned() -> Self {
         let engine = Arc::new(FakeEngine::new());
-        let permits = Arc::new(Gate(watch::Sender::new(true)));
-        let detector = Arc::new(Counts::default());
-        let routing = Arc::new(Decided::default());
+        let permits = Arc::new(PermitGate(watch::Sender::new(true)));
+        let detector = Arc::new(CountingDetector::default());
+        let routing = Arc::new(FakeRouting::default());
         let metrics = Arc::new(Metrics::new());
         let clock: Arc<dyn Clock> = Arc::new(Monotonic::start());
         let registry = Registry::start(Dependencies {
-            connector: Arc::new(One(Arc::clone(&engine))),
+            connector: Arc::new(SingleConnector(Arc::clone(&engine))),
             permits: permits.clone(),
             detector: Some(detector.clone()),
             routing: routing.clone(),
@@ -421,11 +421,11 @@
             routing,
             metrics,
             clock,
-            until: Arc::new(AtomicU64::new(FAR.0)),
+            lease_end: Arc::new(AtomicU64::new(FAR_FUTURE.0)),
         }
     }
 
-    /// Takes the engine over with a token.
+    /// Takes ownership of the engine with a fencing token.
     pub async fn adopt(&self, batch: u32, token: u64) {
         let kind = Kind::Engine {
             base_model: "base".into(),
@@ -434,7 +434,7 @@
         self.adopt_as(kind, batch, token).await;
     }
 
-    /// Takes it over as something else.
+    /// Takes ownership of it as an upstream of another kind.
     pub async fn adopt_as(&self, kind: Kind, batch: u32, token: u64) {
         let pool = Pool {
             name: "engines".into(),
@@ -442,7 +442,7 @@
             batch,
             checks_fencing: false,
         };
-        let hold = Hold::new(token, Arc::clone(&self.until), Arc::clone(&self.clock));
+        let hold = Hold::new(token, Arc::clone(&self.lease_end), Arc::clone(&self.clock));
         let upstream = Upstream {
             vm: Vm {
                 name: "engine-1".into(),
@@ -457,12 +457,12 @@
         self.registry.adopt(upstream, Arc::new(pool), hold).await;
     }
 
-    /// Lets the hold lapse now.
-    pub fn lapse(&self) {
-        self.until.store(0, Ordering::Release);
+    /// Ends the lease now.
+    pub fn expire_lease(&self) {
+        self.lease_end.store(0, Ordering::Release);
     }
 
-    /// Answers dropped for a reason.
+    /// Returns the number of responses dropped for a reason.
     pub fn dropped(&self, reason: &str) -> u64 {
         self.metrics
             .dropped_answers
@@ -471,7 +471,7 @@
     }
 }
 
-/// Version 3 of an adapter.
+/// Returns version 3 of an adapter.
 pub fn adapter(name: &str) -> Adapter {
     Adapter {
         base_model: "base".into(),
@@ -480,7 +480,7 @@
     }
 }
 
-/// An attempt at the fake engine.
+/// Returns an attempt at the fake engine.
 pub fn attempt(id: &str, name: &str, stream: bool) -> Attempt {
     let template = format!("template-{name}");
     let body = format!("{{\"prompt\":\"p\",\"model\":\"{template}\",\"stream\":{stream}}}");
@@ -494,7 +494,7 @@
             class: Class::Normal,
             weight: 1,
             idempotent: true,
-            deadline: FAR,
+            deadline: FAR_FUTURE,
             prompt_tokens: 1,
             max_output_tokens: 8,
             revision: 1,
@@ -515,7 +515,7 @@
     }
 }
 
-/// An attempt at the fake service.
+/// Returns an attempt at the fake service.
 pub fn push(id: &str, body: &'static str) -> Attempt {
     let call = http::Request::post("/receipts?till=4")
         .header("x-till", "4")
@@ -530,7 +530,7 @@
     attempt
 }
 
-/// Reads an answer to its end.
+/// Reads a response to its end.
 pub async fn text(mut answer: Answer) -> Result<String, Failure> {
     let mut all = String::new();
     while let Some(piece) = answer.body.next().await {
--- a/lib/tests/test_owner.rs
+++ b/lib/tests/test_owner.rs
@@ -1,4 +1,4 @@
-//! Requests for one upstream meet in its owner's registry.
+//! Requests that run at an upstream through its owner's registry.
 
 mod owner_fakes;
 
@@ -14,7 +14,7 @@
 use owner_fakes::{Bench, Fault, adapter, attempt, push, text};
 
 #[tokio::test(start_paused = true)]
-async fn run_stream_names_the_template() {
+async fn streamed_response_names_the_template() {
     let bench = Bench::start().await;
     let answer = bench.registry.run(attempt("r1", "plans", true)).await;
     let seen = text(answer.unwrap()).await.unwrap();
@@ -24,7 +24,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn run_whole_names_the_template() {
+async fn unstreamed_response_names_the_template() {
     let bench = Bench::start().await;
     let answer = bench.registry.run(attempt("r1", "plans", false)).await;
     let answer = answer.unwrap();
@@ -44,9 +44,9 @@
     assert_eq!(failure.fate(), Fate::NotRun);
 }
 
-/// A request that waits doesn't begin on a version that its template left meanwhile.
+/// A waiting request must not start on a version that its template has moved away from.
 #[tokio::test(start_paused = true)]
-async fn run_outdated_while_it_waits() {
+async fn run_outdated_while_waiting() {
     let bench = Bench::with_batch(1).await;
     bench.engine.set(|knobs| knobs.pieces = 1_000_000);
     let running = bench.registry.run(attempt("r1", "plans", true)).await;
@@ -58,7 +58,7 @@
     let failure = waiting.await.unwrap().unwrap_err();
     assert_eq!(failure.code, Code::Outdated);
     assert_eq!(failure.fate(), Fate::NotRun);
-    // What runs goes on, and what is decided anew waits for its place.
+    // The running request continues, and a request for the new version waits for it to end.
     drop(running.unwrap());
     bench.engine.set(|knobs| knobs.pieces = 2);
     let next = bench.registry.run(attempt("r3", "faults", true)).await;
@@ -66,16 +66,16 @@
     assert_eq!(bench.engine.runs(), ["r1", "r3"]);
 }
 
-/// A request whose turn comes at the moment of a change doesn't begin on the former version.
+/// A request must not start on the previous version when it is granted just after the change.
 #[tokio::test(start_paused = true)]
-async fn run_outdated_at_its_turn() {
+async fn run_outdated_at_grant() {
     let bench = Bench::with_batch(1).await;
     bench.engine.set(|knobs| knobs.pieces = 1_000_000);
     let running = bench.registry.run(attempt("r1", "plans", true)).await;
     let registry = Arc::clone(&bench.registry);
     let waiting = tokio::spawn(async move { registry.run(attempt("r2", "plans", true)).await });
     tokio::time::sleep(Millis(100).duration()).await;
-    // No time passes between the change and the end that makes room.
+    // No time passes between the change and the end of the running request.
     bench.routing.change(adapter("faults"));
     drop(running.unwrap());
     let failure = waiting.await.unwrap().unwrap_err();
@@ -83,11 +83,11 @@
     assert_eq!(bench.engine.runs(), ["r1"]);
 }
 
-/// Symptom: an upstream loses a place for good each time that a caller goes away.
-/// Sequence: a caller drops the answer half read, others wait for the place.
-/// Cause: the place was given back only at the answer's end.
+/// Guards against an upstream losing capacity each time that a caller disconnects in
+/// the middle of a response, which happened when a request was ended only at the end
+/// of its response.
 #[tokio::test(start_paused = true)]
-async fn run_caller_gone_while_reading() {
+async fn run_caller_disconnects_while_reading() {
     let bench = Bench::with_batch(1).await;
     bench.engine.set(|knobs| knobs.pieces = 1_000_000);
     let endless = bench.registry.run(attempt("r1", "plans", true)).await;
@@ -97,11 +97,10 @@
     text(next.unwrap()).await.unwrap();
 }
 
-/// Symptom: a request runs that nobody waits for.
-/// Sequence: a caller goes away while its request waits in the queue.
-/// Cause: the queue didn't hear of it.
+/// Guards against running a request whose caller disconnected while it was queued,
+/// which happened when the queue wasn't notified.
 #[tokio::test(start_paused = true)]
-async fn run_caller_gone_while_waiting() {
+async fn run_caller_disconnects_while_waiting() {
     let bench = Bench::with_batch(1).await;
     let first = bench.registry.run(attempt("r1", "plans", true)).await;
     let registry = Arc::clone(&bench.registry);
@@ -115,11 +114,10 @@
     assert_eq!(bench.engine.runs(), ["r1", "r3"]);
 }
 
-/// Symptom: a caller reads another caller's answer.
-/// Sequence: the engine hands over the answer to an ended request.
-/// Cause: the answer's identity wasn't compared.
+/// Guards against a caller reading another caller's response: the engine delivers the
+/// response to an earlier request. The ID in the response must be checked.
 #[tokio::test(start_paused = true)]
-async fn run_wrong_identity() {
+async fn run_wrong_request_id() {
     let bench = Bench::start().await;
     bench
         .engine
@@ -130,9 +128,8 @@
     assert_eq!(bench.dropped("request"), 1);
 }
 
-/// Symptom: an answer of a version that the template doesn't name.
-/// Sequence: the engine resolves the name to the version before.
-/// Cause: the answer's adapter wasn't compared.
+/// Guards against a response from a version that the template doesn't name: the engine
+/// resolves the name to the previous version. The adapter in the response must be checked.
 #[tokio::test(start_paused = true)]
 async fn run_wrong_adapter() {
     let bench = Bench::start().await;
@@ -144,13 +141,13 @@
     assert_eq!(bench.dropped("adapter"), 1);
 }
 
-/// Symptom: a short answer that looks whole.
-/// Sequence: the engine's stream ends without an error before its last event.
-/// Cause: the end of the bytes was taken for the end of the answer.
+/// Guards against a truncated response that looks complete: the engine's stream ends
+/// without an error before its last event. The end of the bytes doesn't show that the
+/// response is complete.
 #[tokio::test(start_paused = true)]
-async fn run_stream_without_end() {
+async fn run_truncated_response() {
     let bench = Bench::start().await;
-    bench.engine.set(|knobs| knobs.fault = Fault::Cut);
+    bench.engine.set(|knobs| knobs.fault = Fault::Truncated);
     let answer = bench.registry.run(attempt("r1", "plans", true)).await;
     let failure = text(answer.unwrap()).await.unwrap_err();
     assert_eq!(failure.code, Code::AnswerCut);
@@ -158,13 +155,13 @@
     assert_eq!(whole.unwrap_err().code, Code::AnswerCut);
 }
 
-/// Symptom: a caller with every event of its answer is told that the deadline cut it.
-/// Sequence: the engine writes its last event and pauses before it closes the answer.
-/// Cause: only the end of the bytes was taken for the end of the answer.
+/// Guards against reporting a complete response as expired: the engine sends its last
+/// event and pauses before it ends the stream. This happened when only the end of the
+/// bytes counted as the end of the response.
 #[tokio::test(start_paused = true)]
 async fn run_engine_pauses_after_done() {
     let bench = Bench::start().await;
-    bench.engine.set(|knobs| knobs.fault = Fault::Open);
+    bench.engine.set(|knobs| knobs.fault = Fault::NeverEnds);
     let mut bounded = attempt("r1", "plans", true);
     let deadline = bench.clock.now() + Millis::from_secs(60);
     bounded.ticket.deadline = deadline;
@@ -174,11 +171,11 @@
     assert!(bench.clock.now() < deadline);
 }
 
-/// Symptom: each change of a template's version stalls its first requests.
-/// Sequence: a popular adapter's template moves to the next version.
-/// Cause: the new version is loaded only when the first request names it.
+/// Guards against stalling the first requests after a template moves to the next version
+/// of a popular adapter, which happened when the version was loaded only at the first
+/// request that names it.
 #[tokio::test(start_paused = true)]
-async fn upcoming_version_is_loaded_before() {
+async fn upcoming_version_is_prefetched() {
     let bench = Bench::start().await;
     for (id, name) in [("r1", "plans"), ("r2", "plans"), ("r3", "rare")] {
         let answer = bench.registry.run(attempt(id, name, true)).await;
@@ -206,7 +203,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn call_passes_whole() {
+async fn call_is_forwarded_unchanged() {
     let bench = Bench::unowned();
     bench.adopt_as(Kind::Service, 4, 1).await;
     let answer = bench
@@ -220,14 +217,13 @@
     assert_eq!(bench.engine.runs(), ["POST /receipts?till=4"]);
 }
 
-/// Symptom: a short answer of a service that looks whole.
-/// Sequence: its body ends before the length that its head gave.
-/// Cause: the end of the bytes was taken for the end of the answer.
+/// Guards against a truncated response of a service that looks complete: its body ends
+/// before the length that its head declares.
 #[tokio::test(start_paused = true)]
-async fn call_cut() {
+async fn call_truncated_response() {
     let bench = Bench::unowned();
     bench.adopt_as(Kind::Service, 4, 1).await;
-    bench.engine.set(|knobs| knobs.fault = Fault::Cut);
+    bench.engine.set(|knobs| knobs.fault = Fault::Truncated);
     let answer = bench
         .registry
         .run(push("r1", "{\"sum\":12}"))
@@ -238,11 +234,10 @@
     assert_eq!(failure.fate(), Fate::Unknown);
 }
 
-/// Symptom: asking a service for a file's length always fails as a cut answer.
-/// Sequence: the answer to a HEAD request gives the length that a GET would have.
-/// Cause: that length was awaited, though no body follows.
+/// Guards against reporting every response to a HEAD request as truncated: its head
+/// declares the length that a GET would have, but no body follows.
 #[tokio::test(start_paused = true)]
-async fn call_head() {
+async fn call_head_request() {
     let bench = Bench::unowned();
     bench.adopt_as(Kind::Service, 4, 1).await;
     let mut head = push("r1", "{\"sum\":12}");
@@ -254,14 +249,14 @@
     assert_eq!(text(answer).await.unwrap(), "");
 }
 
-/// Symptom: a receipt is called unknown although it was never sent.
-/// Sequence: the service can't be reached; after three failures it gets no work.
-/// Cause: a failed connection was taken for a broken one.
+/// Guards against reporting a receipt's fate as unknown although it was never sent: the
+/// service can't be reached, and after three failures it gets no work. This happened
+/// when a failed connection attempt was treated as a broken connection.
 #[tokio::test(start_paused = true)]
 async fn call_service_down() {
     let bench = Bench::unowned();
     bench.adopt_as(Kind::Service, 4, 1).await;
-    bench.engine.set(|knobs| knobs.fault = Fault::Down);
+    bench.engine.set(|knobs| knobs.fault = Fault::Unreachable);
     for number in 0..5 {
         let id = format!("r{number}");
         let failure = bench.registry.run(push(&id, "{}")).await.unwrap_err();
@@ -273,14 +268,13 @@
     tokio::time::sleep(Millis::from_secs(2).duration()).await;
     let answer = bench.registry.run(push("r9", "{}")).await.unwrap();
     text(answer).await.unwrap();
-    // The actor hears of the end after the caller has read it.
+    // The actor learns of the end after the caller has read the response.
     tokio::time::sleep(Millis(1).duration()).await;
     assert_eq!(bench.detector.answers(), 1);
 }
 
-/// Symptom: a completion is sent to a plain service.
-/// Sequence: a pool was declared anew as another kind.
-/// Cause: nobody compares what the request is with what the upstream is.
+/// Guards against sending a completion to a plain service, or a call to an engine, after
+/// a pool has been declared as another kind.
 #[tokio::test(start_paused = true)]
 async fn run_upstream_of_another_kind() {
     let bench = Bench::start().await;
