--- a/lib/src/owner/driver/correct.rs
+++ b/lib/src/owner/driver/correct.rs
@@ -1,4 +1,4 @@
-//! What the engine says of itself corrects what its owner believes.
+//! Reconciles the owner's view of an engine with the engine's reports.
 
 use super::Driver;
 use crate::adapter::Adapter;
@@ -10,28 +10,32 @@
 use crate::ports::Report;
 
 impl Driver {
-    pub(super) fn reported(&mut self, as_of: Millis, result: Result<Report, Failure>) {
+    /// Applies a report, or records that there was none.
+    pub(super) fn handle_report(&mut self, as_of: Millis, result: Result<Report, Failure>) {
         let now = self.now();
         match result {
             Ok(report) => {
-                self.answered();
-                self.corrected(&report, as_of, now);
+                self.record_reachable();
+                self.apply_report(&report, as_of, now);
             }
             Err(failure) => {
-                log::debug!("owner: {} doesn't report: {failure}", self.name());
-                self.failed(now);
+                log::debug!("owner: no report from {}: {failure}", self.name());
+                self.record_failure(now);
             }
         }
         self.tick();
-        self.publish();
+        self.publish_status();
     }
 
-    fn corrected(&mut self, report: &Report, as_of: Millis, now: Millis) {
-        let restarted = self.boot.as_ref().is_some_and(|boot| *boot != report.boot);
-        self.boot = Some(report.boot.clone());
+    fn apply_report(&mut self, report: &Report, as_of: Millis, now: Millis) {
+        let has_restarted = self
+            .boot_id
+            .as_ref()
+            .is_some_and(|boot| *boot != report.boot);
+        self.boot_id = Some(report.boot.clone());
         let mut actions = Vec::new();
-        if restarted {
-            log::warn!("owner: {} has started anew with empty slots", self.name());
+        if has_restarted {
+            log::warn!("owner: {} has restarted with empty slots", self.name());
             for id in self.foreign.clear() {
                 actions.extend(self.machine.finished(&id, now));
             }
@@ -40,61 +44,66 @@
         let resident: Vec<Adapter> = report
             .resident
             .iter()
-            .filter_map(|name| self.adapter(name))
+            .filter_map(|name| self.parse_adapter(name))
             .collect();
-        // Pins come between what the slots hold and what is started or evicted next.
+        // Foreign requests are pinned before any of the actions starts or evicts something.
         actions.extend(self.machine.engine_reported(&resident, as_of, now));
         actions.extend(self.pin_foreign(report, now));
-        self.reported = Some(now);
-        self.carry(actions);
+        self.last_report_at = Some(now);
+        self.execute(actions);
         for early in std::mem::take(&mut self.early) {
-            self.arrive(early);
+            self.enqueue(early);
         }
     }
 
+    /// Updates the foreign requests and pins the adapters that running requests use.
     fn pin_foreign(&mut self, report: &Report, now: Millis) -> Vec<Action> {
         let own = |name: &str| {
-            self.entries
+            self.requests
                 .values()
-                .any(|entry| name.contains(&*entry.request.0))
+                .any(|request| name.contains(&*request.request_id.0))
         };
-        let base = base_model(&self.args.pool).cloned();
-        let adapter = |name: &str| parsed(base.as_ref(), name);
-        let change = self.foreign.reported(&report.running, own, adapter, now);
+        let base = base_model(&self.assignment.pool).cloned();
+        let adapter = |name: &str| parse_adapter(base.as_ref(), name);
+        let change = self.foreign.update(&report.running, own, adapter, now);
         let mut actions = Vec::new();
         for id in change.ended {
             actions.extend(self.machine.finished(&id, now));
         }
-        for (id, adapter) in change.begun {
+        for (id, adapter) in change.started {
             self.machine.adopt_running(id, &adapter, now);
         }
         self.pin_own(report, now);
         actions
     }
 
-    // A request that was started after a cold start, before this owner heard of it,
-    // lost its pin with the slots; its adapter would be evicted under it.
+    /// Restores the pins of this owner's running requests.
+    ///
+    /// When the owner learns of a restart, requests that it started after the restart
+    /// lose their pins, and their adapters could be evicted while they run.
     fn pin_own(&mut self, report: &Report, now: Millis) {
-        let base = base_model(&self.args.pool).cloned();
+        let base = base_model(&self.assignment.pool).cloned();
         for (name, model) in &report.running {
-            let started = self
-                .entries
+            let running = self
+                .requests
                 .iter()
-                .find(|(_, entry)| entry.reply.is_none() && name.contains(&*entry.request.0))
+                .find(|(_, request)| {
+                    request.reply.is_none() && name.contains(&*request.request_id.0)
+                })
                 .map(|(key, _)| key.clone());
-            if let (Some(key), Some(adapter)) = (started, parsed(base.as_ref(), model)) {
+            if let (Some(key), Some(adapter)) = (running, parse_adapter(base.as_ref(), model)) {
                 self.machine.adopt_running(key, &adapter, now);
             }
         }
     }
 
-    fn adapter(&self, engine_name: &str) -> Option<Adapter> {
-        parsed(base_model(&self.args.pool), engine_name)
+    fn parse_adapter(&self, engine_name: &str) -> Option<Adapter> {
+        parse_adapter(base_model(&self.assignment.pool), engine_name)
     }
 }
 
-/// Reads an adapter from the name that an engine knows it by.
-fn parsed(base_model: Option<&Name>, engine_name: &str) -> Option<Adapter> {
+/// Parses an adapter from the engine's name of it.
+fn parse_adapter(base_model: Option<&Name>, engine_name: &str) -> Option<Adapter> {
     let (name, version) = engine_name.rsplit_once('@')?;
     Some(Adapter {
         base_model: base_model?.clone(),
