--- a/lib/src/gossip/gossiper.rs
+++ b/lib/src/gossip/gossiper.rs
@@ -1,9 +1,9 @@
-//! Exchanges with peers: one each period, and at once when there is news.
+//! Runs the exchanges with peers: one at each interval, and pushes of new changes.
 //!
-//! News reaches most nodes within a few hops, because each node that learns
-//! something passes it to a few others once. Whom it misses, through loss or a
-//! pause, finds out by the digests of the regular exchanges. Neither costs more
-//! when there are more nodes.
+//! A change reaches most nodes within a few hops, because each node that learns of it pushes it
+//! to a few others once. A node that misses the push, through packet loss or a pause, finds the
+//! difference by the digests of its regular exchanges. The cost per node of neither grows with
+//! the number of nodes.
 
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -16,38 +16,38 @@
 use tokio::sync::{Notify, Semaphore, watch};
 use tokio_util::sync::CancellationToken;
 
-use super::choice::Choice;
+use super::peer_selector::PeerSelector;
 use super::{ExchangeHandler, GossipState, Peer, PeerSource, SnapshotInstaller, Transport};
 use crate::clock::{Clock, Millis};
 use crate::error::{Code, Failure};
 use crate::name::Name;
 use crate::schema::peer::{Delta, Digest, SnapshotPart};
 
-/// Most bytes of a snapshot that is taken from a peer.
-const MAX_SNAPSHOT: usize = 128 * 1024 * 1024;
+/// Largest snapshot that is accepted from a peer, in bytes.
+const MAX_SNAPSHOT_BYTES: usize = 128 * 1024 * 1024;
 
-/// How exchanges spend time and bytes.
+/// Timing and size limits of exchanges.
 #[derive(Debug, Clone)]
 pub struct Limits {
-    /// Time between two regular exchanges.
+    /// Mean time between two regular exchanges.
     pub interval: Millis,
-    /// Time between tries while this node has reached nobody yet.
+    /// Mean time between attempts until the first exchange has succeeded.
     pub bootstrap_interval: Millis,
-    /// Peers that news is passed to at once.
+    /// Peers that a change is pushed to per round.
     pub fanout: usize,
-    /// How often news is passed on, to other peers each time.
+    /// Rounds in which a change is pushed, to newly drawn peers each time.
     pub push_rounds: usize,
-    /// Time between two waves of the same news.
+    /// Mean time between two rounds of the same push.
     pub push_round_interval: Millis,
-    /// How long an exchange may take.
+    /// Timeout of an exchange.
     pub exchange_timeout: Millis,
-    /// How long the next part of a snapshot may take.
+    /// Timeout for the next part of a snapshot.
     pub snapshot_part_timeout: Millis,
-    /// Exchanges that this node has under way at a time.
+    /// Exchanges that this node runs concurrently.
     pub max_concurrent_exchanges: usize,
-    /// How many of 100 exchanges go to another region.
+    /// Percentage of exchanges that go to another region.
     pub cross_region_percent: u32,
-    /// Most bytes of news that are sent along with a digest.
+    /// Largest set of changes that is sent along with a digest, in bytes.
     pub max_push_bytes: usize,
 }
 
@@ -68,93 +68,93 @@
     }
 }
 
-/// What the exchange is made of.
+/// What a [`Gossiper`] needs.
 #[derive(Debug)]
 pub struct Dependencies {
     /// This node's name.
     pub node: Name,
-    /// Which start of the node this is.
+    /// Incarnation of this start of the node.
     pub incarnation: u64,
     /// This node's region.
     pub region: Name,
-    /// What is spread.
+    /// State to replicate.
     pub states: Vec<Arc<dyn GossipState>>,
-    /// Change when a part learned something elsewhere than from peers, such as
-    /// from the service or from an operator.
+    /// Signal changes that a state learned from elsewhere than from peers, such as from the
+    /// key-value service or from an operator.
     pub changes: Vec<watch::Receiver<u64>>,
-    /// Takes over snapshots.
+    /// Installs snapshots of the configuration.
     pub installer: Arc<dyn SnapshotInstaller>,
-    /// Whom there is to speak to.
+    /// Peers to exchange with.
     pub peers: Arc<dyn PeerSource>,
-    /// How to speak to them.
+    /// Connections to them.
     pub transport: Arc<dyn Transport>,
-    /// Time.
+    /// Monotonic clock.
     pub clock: Arc<dyn Clock>,
-    /// Times and bytes.
+    /// Timing and size limits.
     pub limits: Limits,
-    /// Seed of draws and jitter.
+    /// Seed of peer selection and jitter.
     pub seed: u64,
-    /// Ends the exchange's tasks.
+    /// Stops the background tasks.
     pub stop: CancellationToken,
 }
 
-/// Exchanges with peers.
+/// Replicates [`GossipState`]s by exchanges with peers.
 #[derive(Debug)]
 pub struct Gossiper {
-    parts: Dependencies,
-    choice: Mutex<Choice>,
-    /// What peers were last told; the difference to now is news.
-    told: Mutex<Digest>,
-    news: Notify,
-    /// A peer that showed that it is ahead.
-    ahead: Mutex<Option<Peer>>,
-    pull: Notify,
-    places: Semaphore,
-    snapshot: Semaphore,
-    reached: AtomicBool,
+    deps: Dependencies,
+    selector: Mutex<PeerSelector>,
+    /// Digest at the last push; what changed since is pushed next.
+    last_sent: Mutex<Digest>,
+    changed: Notify,
+    /// Peer that is known to have a newer revision of the configuration.
+    newer_peer: Mutex<Option<Peer>>,
+    pull_requested: Notify,
+    permits: Semaphore,
+    snapshot_permit: Semaphore,
+    has_reached_peer: AtomicBool,
 }
 
 impl Gossiper {
-    /// Starts the regular exchanges and the passing on of news.
+    /// Starts the background tasks.
     #[must_use]
-    pub fn start(parts: Dependencies) -> Arc<Self> {
-        let choice = Choice::new(
-            Arc::clone(&parts.region),
-            parts.limits.cross_region_percent,
-            parts.seed,
+    pub fn start(deps: Dependencies) -> Arc<Self> {
+        let selector = PeerSelector::new(
+            Arc::clone(&deps.region),
+            deps.limits.cross_region_percent,
+            deps.seed,
         );
-        let keeper = Arc::new(Self {
-            choice: Mutex::new(choice),
-            told: Mutex::default(),
-            news: Notify::new(),
-            ahead: Mutex::default(),
-            pull: Notify::new(),
-            places: Semaphore::new(parts.limits.max_concurrent_exchanges),
-            snapshot: Semaphore::new(1),
-            reached: AtomicBool::new(false),
-            parts,
+        let gossiper = Arc::new(Self {
+            selector: Mutex::new(selector),
+            last_sent: Mutex::default(),
+            changed: Notify::new(),
+            newer_peer: Mutex::default(),
+            pull_requested: Notify::new(),
+            permits: Semaphore::new(deps.limits.max_concurrent_exchanges),
+            snapshot_permit: Semaphore::new(1),
+            has_reached_peer: AtomicBool::new(false),
+            deps,
         });
-        *lock(&keeper.told) = keeper.digest();
-        for news in &keeper.parts.changes {
-            tokio::spawn(Arc::clone(&keeper).hear(news.clone()));
+        *lock(&gossiper.last_sent) = gossiper.digest();
+        for changes in &gossiper.deps.changes {
+            tokio::spawn(Arc::clone(&gossiper).watch_changes(changes.clone()));
         }
-        tokio::spawn(Arc::clone(&keeper).until_stop(Self::rounds));
-        tokio::spawn(Arc::clone(&keeper).until_stop(Self::waves));
-        tokio::spawn(Arc::clone(&keeper).until_stop(Self::pulls));
-        keeper
+        tokio::spawn(Arc::clone(&gossiper).run_until_stopped(Self::exchange_loop));
+        tokio::spawn(Arc::clone(&gossiper).run_until_stopped(Self::push_loop));
+        tokio::spawn(Arc::clone(&gossiper).run_until_stopped(Self::pull_loop));
+        gossiper
     }
 
-    /// Passes on what is new here since peers were last told.
+    /// Pushes what changed since the last push.
     pub fn push_changes(&self) {
-        self.news.notify_one();
+        self.changed.notify_one();
     }
 
-    /// Passes on what a part learned elsewhere.
-    async fn hear(self: Arc<Self>, mut news: watch::Receiver<u64>) {
+    /// Pushes what a state learned from elsewhere than from peers.
+    async fn watch_changes(self: Arc<Self>, mut changes: watch::Receiver<u64>) {
         loop {
             tokio::select! {
-                () = self.parts.stop.cancelled() => return,
-                changed = news.changed() => match changed {
+                () = self.deps.stop.cancelled() => return,
+                changed = changes.changed() => match changed {
                     Ok(()) => self.push_changes(),
                     Err(_) => return,
                 },
@@ -162,221 +162,229 @@
         }
     }
 
-    async fn until_stop<F: Future<Output = ()>>(self: Arc<Self>, task: fn(Arc<Self>) -> F) {
-        let stop = self.parts.stop.clone();
+    async fn run_until_stopped<F: Future<Output = ()>>(self: Arc<Self>, task: fn(Arc<Self>) -> F) {
+        let stop = self.deps.stop.clone();
         tokio::select! {
             () = stop.cancelled() => {}
             () = task(self) => {}
         }
     }
 
-    /// Exchanges with one peer each period.
-    async fn rounds(self: Arc<Self>) {
+    /// Exchanges with one peer at each interval.
+    async fn exchange_loop(self: Arc<Self>) {
         loop {
-            let period = if self.reached.load(Ordering::Relaxed) {
-                self.parts.limits.interval
+            let interval = if self.has_reached_peer.load(Ordering::Relaxed) {
+                self.deps.limits.interval
             } else {
-                self.parts.limits.bootstrap_interval
+                self.deps.limits.bootstrap_interval
             };
-            let pause = lock(&self.choice).jitter(period);
+            let pause = lock(&self.selector).jitter(interval);
             tokio::time::sleep(pause.duration()).await;
-            if let Some(peer) = self.draw(1).pop() {
-                // A peer that takes long must not hold up the next round.
-                tokio::spawn(Arc::clone(&self).until_stop_with(peer));
+            if let Some(peer) = self.select_peers(1).pop() {
+                // A slow peer must not delay the next exchange.
+                tokio::spawn(Arc::clone(&self).exchange_until_stopped(peer));
             }
         }
     }
 
-    async fn until_stop_with(self: Arc<Self>, peer: Peer) {
-        let stop = self.parts.stop.clone();
+    async fn exchange_until_stopped(self: Arc<Self>, peer: Peer) {
+        let stop = self.deps.stop.clone();
         tokio::select! {
             () = stop.cancelled() => {}
-            () = self.round(peer) => {}
+            () = self.exchange_with_fallback(peer) => {}
         }
     }
 
-    /// Exchanges with a peer, or with another one when it doesn't answer.
-    async fn round(&self, peer: Peer) {
-        if self.with(&peer, Digest::default()).await.is_err()
-            && let Some(other) = self.draw(1).pop()
+    /// Exchanges with a peer, or with another one if that fails.
+    async fn exchange_with_fallback(&self, peer: Peer) {
+        if self.exchange_with(&peer, Digest::default()).await.is_err()
+            && let Some(other) = self.select_peers(1).pop()
         {
-            let _ = self.with(&other, Digest::default()).await;
+            let _ = self.exchange_with(&other, Digest::default()).await;
         }
     }
 
-    /// Passes news on as it comes.
-    async fn waves(self: Arc<Self>) {
+    /// Pushes changes as they occur.
+    async fn push_loop(self: Arc<Self>) {
         loop {
-            self.news.notified().await;
-            let Some(news) = self.gather() else {
+            self.changed.notified().await;
+            let Some(changes) = self.take_changes() else {
                 continue;
             };
-            for wave in 0..self.parts.limits.push_rounds {
-                if wave > 0 {
-                    let pause = lock(&self.choice).jitter(self.parts.limits.push_round_interval);
+            for round in 0..self.deps.limits.push_rounds {
+                if round > 0 {
+                    let pause = lock(&self.selector).jitter(self.deps.limits.push_round_interval);
                     tokio::time::sleep(pause.duration()).await;
                 }
-                let peers = self.draw(self.parts.limits.fanout);
+                let peers = self.select_peers(self.deps.limits.fanout);
                 let count = peers.len();
-                let told = peers.iter().map(|peer| self.with(peer, news.clone()));
-                let knew = join_all(told)
+                let exchanges = peers
+                    .iter()
+                    .map(|peer| self.exchange_with(peer, changes.clone()));
+                let already_known = join_all(exchanges)
                     .await
                     .into_iter()
-                    .filter(|told| matches!(told, Ok(false)))
+                    .filter(|changed| matches!(changed, Ok(false)))
                     .count();
-                // When most knew it already, the others hear it from them.
-                if 2 * knew > count {
+                // When most peers knew already, they push the changes to the rest.
+                if 2 * already_known > count {
                     break;
                 }
             }
         }
     }
 
-    /// Collects what a peer lacks that knows what was last told, if there is any.
-    fn gather(&self) -> Option<Digest> {
+    /// Collects what changed since the last push, or returns `None` if nothing did.
+    fn take_changes(&self) -> Option<Digest> {
         let now = self.digest();
-        let before = std::mem::replace(&mut *lock(&self.told), now.clone());
-        if is_alike(&before, &now) {
+        let before = std::mem::replace(&mut *lock(&self.last_sent), now.clone());
+        if describes_same_state(&before, &now) {
             return None;
         }
-        let mut lacking = Delta::default();
-        for share in &self.parts.states {
-            share.fill_delta(&before, &mut lacking);
+        let mut changes = Delta::default();
+        for state in &self.deps.states {
+            state.fill_delta(&before, &mut changes);
         }
-        if lacking.encoded_len() > self.parts.limits.max_push_bytes {
-            // Peers see from the digest that they are behind, and ask.
+        if changes.encoded_len() > self.deps.limits.max_push_bytes {
+            // Too large to push: peers see from the digest that they are behind and pull it.
             return Some(Digest::default());
         }
         Some(Digest {
-            operations: lacking.operations,
-            claims: lacking.claims,
-            nodes: lacking.nodes,
-            ends: lacking.ends,
+            operations: changes.operations,
+            claims: changes.claims,
+            nodes: changes.nodes,
+            ends: changes.ends,
             ..Digest::default()
         })
     }
 
-    /// Asks the peers that are ahead, as they show themselves.
-    async fn pulls(self: Arc<Self>) {
+    /// Exchanges with peers that are found to have a newer revision.
+    async fn pull_loop(self: Arc<Self>) {
         loop {
-            self.pull.notified().await;
-            let peer = lock(&self.ahead).take();
+            self.pull_requested.notified().await;
+            let peer = lock(&self.newer_peer).take();
             if let Some(peer) = peer {
-                let _ = self.with(&peer, Digest::default()).await;
+                let _ = self.exchange_with(&peer, Digest::default()).await;
             }
         }
     }
 
-    /// Notes a peer that is ahead of this node.
-    fn pull_from(&self, node: &str) {
-        let mut peers = self.parts.peers.peers();
+    /// Requests an exchange with a peer that has a newer revision.
+    fn request_pull(&self, node: &str) {
+        let mut peers = self.deps.peers.peers();
         peers.retain(|peer| &*peer.name == node);
         if let Some(peer) = peers.pop() {
-            *lock(&self.ahead) = Some(peer);
-            self.pull.notify_one();
+            *lock(&self.newer_peer) = Some(peer);
+            self.pull_requested.notify_one();
         }
     }
 
-    fn draw(&self, count: usize) -> Vec<Peer> {
-        let peers = self.parts.peers.peers();
-        let now = self.parts.clock.now();
-        lock(&self.choice).draw(&peers, count, now)
+    fn select_peers(&self, count: usize) -> Vec<Peer> {
+        let peers = self.deps.peers.peers();
+        let now = self.deps.clock.now();
+        lock(&self.selector).select(&peers, count, now)
     }
 
     fn digest(&self) -> Digest {
         let mut digest = Digest {
-            node: self.parts.node.to_string(),
-            incarnation: self.parts.incarnation,
+            node: self.deps.node.to_string(),
+            incarnation: self.deps.incarnation,
             ..Digest::default()
         };
-        for share in &self.parts.states {
-            share.fill_digest(&mut digest);
+        for state in &self.deps.states {
+            state.fill_digest(&mut digest);
         }
         digest
     }
 
-    /// Exchanges with a peer, sending news along. Returns whether it was news to the peer.
-    async fn with(&self, peer: &Peer, news: Digest) -> Result<bool, Failure> {
-        let Ok(_place) = self.places.acquire().await else {
-            return Err(Failure::new(Code::Draining, "the exchange stopped"));
+    /// Exchanges with a peer, sending `changes` along. Returns whether they were new to the peer.
+    async fn exchange_with(&self, peer: &Peer, changes: Digest) -> Result<bool, Failure> {
+        let Ok(_permit) = self.permits.acquire().await else {
+            return Err(Failure::new(Code::Draining, "gossip is shutting down"));
         };
         let mut digest = self.digest();
-        digest.operations.extend(news.operations);
-        digest.claims.extend(news.claims);
-        digest.nodes.extend(news.nodes);
-        digest.ends.extend(news.ends);
-        let sent = self.parts.clock.now();
-        let limit = self.parts.limits.exchange_timeout.duration();
-        let call = self.parts.transport.exchange(peer, digest);
-        let answer = tokio::time::timeout(limit, call)
-            .await
-            .unwrap_or_else(|_| Err(Failure::new(Code::PeerLost, "the exchange took too long")));
-        let now = self.parts.clock.now();
-        let mut delta = match answer {
+        digest.operations.extend(changes.operations);
+        digest.claims.extend(changes.claims);
+        digest.nodes.extend(changes.nodes);
+        digest.ends.extend(changes.ends);
+        let sent_at = self.deps.clock.now();
+        let limit = self.deps.limits.exchange_timeout.duration();
+        let call = self.deps.transport.exchange(peer, digest);
+        let response = tokio::time::timeout(limit, call).await.unwrap_or_else(|_| {
+            Err(Failure::new(
+                Code::PeerLost,
+                "no response within the exchange timeout",
+            ))
+        });
+        let now = self.deps.clock.now();
+        let mut delta = match response {
             Ok(delta) => delta,
             Err(failure) => {
-                debug!("gossip: {}: {failure}", peer.address);
-                lock(&self.choice).failed(peer, now);
+                debug!("gossip: exchange with {} failed: {failure}", peer.address);
+                lock(&self.selector).record_failure(peer, now);
                 return Err(failure);
             }
         };
-        lock(&self.choice).answered(peer);
-        self.reached.store(true, Ordering::Relaxed);
-        grow_older(&mut delta, now.since(sent));
-        if self.learn(&delta) {
+        lock(&self.selector).record_success(peer);
+        self.has_reached_peer.store(true, Ordering::Relaxed);
+        add_transit_time(&mut delta, now.since(sent_at));
+        if self.merge_delta(&delta) {
             self.push_changes();
         }
         if delta.snapshot_needed {
-            self.take_snapshot(peer, &delta).await?;
+            self.pull_snapshot(peer, &delta).await?;
         }
         Ok(delta.was_news)
     }
 
-    fn learn(&self, delta: &Delta) -> bool {
-        // Every part learns, whatever the others found.
-        let news: Vec<bool> = self
-            .parts
+    fn merge_delta(&self, delta: &Delta) -> bool {
+        // Not `any`: every state must merge the delta.
+        let changed: Vec<bool> = self
+            .deps
             .states
             .iter()
-            .map(|share| share.merge_delta(delta))
+            .map(|state| state.merge_delta(delta))
             .collect();
-        news.contains(&true)
+        changed.contains(&true)
     }
 
-    /// Reads a peer's whole configuration, one at a time.
-    async fn take_snapshot(&self, peer: &Peer, delta: &Delta) -> Result<(), Failure> {
+    /// Reads and installs a snapshot of a peer's configuration, unless one is being read already.
+    async fn pull_snapshot(&self, peer: &Peer, delta: &Delta) -> Result<(), Failure> {
         let revision = delta.digest.as_ref().map_or(0, |digest| digest.revision);
-        let Ok(_one) = self.snapshot.try_acquire() else {
+        let Ok(_permit) = self.snapshot_permit.try_acquire() else {
             return Ok(());
         };
-        if !self.parts.installer.is_wanted(revision) {
+        if !self.deps.installer.is_wanted(revision) {
             return Ok(());
         }
         let parts = self.read_snapshot(peer).await?;
-        let install = Arc::clone(&self.parts.installer);
-        // Building a large configuration takes a while; exchanges go on meanwhile.
-        let news = tokio::task::spawn_blocking(move || install.install(parts)).await;
-        if matches!(news, Ok(true)) {
+        let installer = Arc::clone(&self.deps.installer);
+        // Building a large configuration would block other exchanges on this worker thread.
+        let changed = tokio::task::spawn_blocking(move || installer.install(parts)).await;
+        if matches!(changed, Ok(true)) {
             self.push_changes();
         }
         Ok(())
     }
 
     async fn read_snapshot(&self, peer: &Peer) -> Result<Vec<SnapshotPart>, Failure> {
-        let late = |_| Failure::new(Code::PeerLost, "the snapshot stopped");
-        let limit = self.parts.limits.snapshot_part_timeout.duration();
-        let opened = tokio::time::timeout(limit, self.parts.transport.snapshot(peer));
-        let mut stream = opened.await.map_err(late)??;
+        let timed_out = |_| Failure::new(Code::PeerLost, "no snapshot part within its timeout");
+        let limit = self.deps.limits.snapshot_part_timeout.duration();
+        let opened = tokio::time::timeout(limit, self.deps.transport.snapshot(peer));
+        let mut stream = opened.await.map_err(timed_out)??;
         let mut parts = Vec::new();
         let mut bytes = 0;
         while let Some(part) = tokio::time::timeout(limit, stream.next())
             .await
-            .map_err(late)?
+            .map_err(timed_out)?
         {
             let part = part?;
             bytes += part.encoded_len();
-            if bytes > MAX_SNAPSHOT {
-                return Err(Failure::new(Code::PeerLost, "the snapshot is too large"));
+            if bytes > MAX_SNAPSHOT_BYTES {
+                return Err(Failure::new(
+                    Code::PeerLost,
+                    "the snapshot exceeds the size limit",
+                ));
             }
             parts.push(part);
         }
@@ -387,21 +395,22 @@
 #[async_trait]
 impl ExchangeHandler for Gossiper {
     async fn handle_exchange(&self, mut digest: Digest) -> Delta {
-        let mut told = Delta {
+        let mut received = Delta {
             operations: std::mem::take(&mut digest.operations),
             claims: std::mem::take(&mut digest.claims),
             nodes: std::mem::take(&mut digest.nodes),
             ends: std::mem::take(&mut digest.ends),
             ..Delta::default()
         };
-        // A node that was paused reads requests that are as old as its pause,
-        // and can't tell: only answers prove how old what they tell is.
+        // A node that was paused may read a request that has waited as long as the pause, and
+        // can't tell. Only responses bound the age of what they say, by the time since the
+        // request left, so the confirmed age of a request is ignored.
         let theirs = Digest {
             confirmed_age_ms: 0,
             ..digest
         };
-        told.digest = Some(theirs.clone());
-        let was_news = self.learn(&told);
+        received.digest = Some(theirs.clone());
+        let was_news = self.merge_delta(&received);
         if was_news {
             self.push_changes();
         }
@@ -409,47 +418,47 @@
             was_news,
             ..Delta::default()
         };
-        for share in &self.parts.states {
-            share.fill_delta(&theirs, &mut delta);
+        for state in &self.deps.states {
+            state.fill_delta(&theirs, &mut delta);
         }
         let own = self.digest();
         if own.revision < theirs.revision {
-            self.pull_from(&theirs.node);
+            self.request_pull(&theirs.node);
         }
         delta.digest = Some(own);
         delta
     }
 }
 
-/// Adds the time that an answer was under way to the ages that it tells.
+/// Adds the round-trip time of an exchange to the ages in its response.
 ///
-/// The peer stated them when it answered, at some time after the request left;
-/// taking them as of now could make a paused node's state look new.
-fn grow_older(delta: &mut Delta, span: Millis) {
-    let small = u32::try_from(span.0).unwrap_or(u32::MAX);
+/// The peer stated the ages when it responded, at an unknown time after the request left.
+/// Without the correction, a node that paused during the exchange would take old state for new.
+fn add_transit_time(delta: &mut Delta, round_trip: Millis) {
+    let round_trip_ms = u32::try_from(round_trip.0).unwrap_or(u32::MAX);
     for end in &mut delta.ends {
-        end.age_ms = end.age_ms.saturating_add(small);
+        end.age_ms = end.age_ms.saturating_add(round_trip_ms);
     }
     let Some(digest) = &mut delta.digest else {
         return;
     };
-    digest.service_age_ms = digest.service_age_ms.saturating_add(span.0);
+    digest.service_age_ms = digest.service_age_ms.saturating_add(round_trip.0);
     if digest.confirmed_age_ms > 0 {
-        digest.confirmed_age_ms = digest.confirmed_age_ms.saturating_add(span.0);
+        digest.confirmed_age_ms = digest.confirmed_age_ms.saturating_add(round_trip.0);
     }
     for heard in &mut digest.heard {
-        heard.age_ms = heard.age_ms.saturating_add(small);
+        heard.age_ms = heard.age_ms.saturating_add(round_trip_ms);
     }
     for leaving in &mut digest.leaving {
-        leaving.age_ms = leaving.age_ms.saturating_add(small);
+        leaving.age_ms = leaving.age_ms.saturating_add(round_trip_ms);
     }
     for survivor in &mut digest.survivors {
-        survivor.age_ms = survivor.age_ms.saturating_add(small);
+        survivor.age_ms = survivor.age_ms.saturating_add(round_trip_ms);
     }
 }
 
-/// Whether two digests of this node tell of the same state, ages aside.
-fn is_alike(before: &Digest, now: &Digest) -> bool {
+/// Whether two digests of this node describe the same state, apart from ages.
+fn describes_same_state(before: &Digest, now: &Digest) -> bool {
     let names = |digest: &Digest| -> Vec<String> {
         let leaving = digest.leaving.iter();
         let survivors = digest.survivors.iter();
@@ -468,6 +477,6 @@
 }
 
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
-    // What stands behind these locks is replaced whole, so a panic leaves it sound.
+    // Every update replaces a whole value or entry, so a panic leaves the values consistent.
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/lib/src/gossip/mod.rs
+++ b/lib/src/gossip/mod.rs
@@ -1,12 +1,12 @@
-//! The exchange by which nodes learn from one another what the key-value
-//! service would tell them, at a cost that doesn't grow with the fleet.
+//! Anti-entropy exchange between nodes, for what they would otherwise learn from the
+//! key-value service. Its cost per node doesn't grow with the number of nodes.
 //!
-//! Each period a node swaps digests with one peer, and news goes at once to a
-//! few. Parts whose state is spread stand behind [`GossipState`].
-//! docs/design/0005-configuration.md weighs this against the other ways.
+//! At each interval a node exchanges digests with one peer. Changes are also pushed to a few
+//! peers at once. Each kind of replicated state implements [`GossipState`].
+//! docs/design/0005-configuration.md compares this with the alternatives.
 
-mod choice;
 pub mod gossiper;
+mod peer_selector;
 pub mod rank;
 
 pub use gossiper::{Dependencies, Gossiper, Limits};
@@ -21,75 +21,76 @@
 use crate::name::Name;
 use crate::schema::peer::{Delta, Digest, SnapshotPart};
 
-/// A part whose state is spread between nodes: configuration, membership.
+/// State that nodes replicate by gossip, such as configuration and membership.
 ///
-/// Each part reads and fills only its own fields of the messages. Learning the
-/// same thing twice, late or out of order must change nothing.
+/// Each implementation reads and fills only its own fields of the messages. `merge_delta` is
+/// idempotent: a delta that arrives again, late or out of order changes nothing.
 pub trait GossipState: fmt::Debug + Send + Sync {
-    /// Fills in what this node has.
+    /// Fills in the digest of this node's state.
     fn fill_digest(&self, digest: &mut Digest);
 
     /// Fills in what the sender of `theirs` lacks.
     fn fill_delta(&self, theirs: &Digest, delta: &mut Delta);
 
-    /// Takes over what is newer. Returns whether anything was news that peers should hear at once.
+    /// Merges what is newer in `delta`. Returns whether anything changed that should be pushed
+    /// to peers at once.
     fn merge_delta(&self, delta: &Delta) -> bool;
 }
 
-/// Answers a peer's exchange.
+/// Handles exchanges that peers start.
 #[async_trait]
 pub trait ExchangeHandler: fmt::Debug + Send + Sync {
-    /// Learns from the digest and returns what the peer lacks.
+    /// Merges what the digest carries and returns what the peer lacks.
     async fn handle_exchange(&self, digest: Digest) -> Delta;
 }
 
 /// A node to exchange with.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Peer {
-    /// The node's name; empty for a seed whose name isn't known yet.
+    /// The node's name; empty for a seed peer whose name isn't known yet.
     pub name: Name,
     /// Where it listens for peers.
     pub address: SocketAddr,
-    /// Its region, so that most exchanges stay inside one.
+    /// Its region; most exchanges stay within one region.
     pub region: Name,
 }
 
-/// Where the exchange finds out whom it can speak to.
+/// Lists the peers that gossip may exchange with.
 ///
-/// Membership answers with the live nodes, and with the settings' seeds while
-/// it knows of none.
+/// Membership implements this: it lists the live nodes, or the seed peers of the settings while
+/// it knows no live node.
 pub trait PeerSource: fmt::Debug + Send + Sync {
-    /// Lists the live nodes without this one, in any order.
+    /// Lists the live nodes except this one, in any order.
     fn peers(&self) -> Vec<Peer>;
 }
 
-/// Carries exchanges to peers.
+/// Sends exchanges to peers.
 #[async_trait]
 pub trait Transport: fmt::Debug + Send + Sync {
     /// Sends a digest and returns what this node lacks.
     async fn exchange(&self, peer: &Peer, digest: Digest) -> Result<Delta, Failure>;
 
-    /// Reads a peer's whole configuration, part by part.
+    /// Streams a snapshot of a peer's configuration.
     async fn snapshot(
         &self,
         peer: &Peer,
     ) -> Result<BoxStream<'static, Result<SnapshotPart, Failure>>, Failure>;
 }
 
-/// Gives a peer the whole configuration.
+/// Produces snapshots of the configuration for peers.
 pub trait SnapshotSource: fmt::Debug + Send + Sync {
-    /// Cuts the newest configuration into parts of at most a few hundred kilobytes.
+    /// Splits the newest configuration into parts of at most a few hundred kilobytes.
     ///
-    /// Parts are made as they are taken, so that a slow reader holds one part
-    /// and not a copy of everything.
+    /// The iterator builds each part on demand, so that a slow reader costs the memory of one
+    /// part rather than of the whole snapshot.
     fn parts(&self) -> Box<dyn Iterator<Item = SnapshotPart> + Send>;
 }
 
-/// Takes over the whole configuration that a peer gives.
+/// Installs snapshots of the configuration from peers.
 pub trait SnapshotInstaller: fmt::Debug + Send + Sync {
     /// Whether this node lacks the revision.
     fn is_wanted(&self, revision: u64) -> bool;
 
-    /// Takes over all parts of a snapshot. Returns whether it was news.
+    /// Installs all parts of a snapshot. Returns whether the configuration changed.
     fn install(&self, parts: Vec<SnapshotPart>) -> bool;
 }
--- a/lib/src/gossip/rank.rs
+++ b/lib/src/gossip/rank.rs
@@ -1,17 +1,19 @@
-//! Which few nodes of a region do something for all of them.
+//! Chooses the few nodes of a region that do a task for all nodes in it.
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 use super::Peer;
 
-/// Seed of the ranking. Nodes of different releases must agree, so it stays.
-const SEED: u64 = 0x7761_7463_6865_7273;
+/// Seed of the rendezvous hash. Nodes of different releases must compute the same order, so it
+/// must not change.
+const RANK_SEED: u64 = 0x7761_7463_6865_7273;
 
 /// Whether a node is among the first `count` of its region.
 ///
-/// The order is a rendezvous hash of the names: nodes that see the same peers
-/// agree without a message, and a node that comes or goes moves one place. While
-/// pictures differ, one too many or one too few do it, which must be harmless.
+/// Nodes are ordered by a rendezvous hash of their names. Nodes that see the same peers agree
+/// without a message, and a node that joins or leaves shifts the others by at most one position.
+/// While nodes see different peers, one too many or one too few may be chosen, so the task must
+/// tolerate that.
 #[must_use]
 pub fn ranks_among_first(node: &str, region: &str, peers: &[Peer], count: usize) -> bool {
     let own = rank(node);
@@ -24,5 +26,5 @@
 }
 
 fn rank(name: &str) -> u64 {
-    xxh3_64_with_seed(name.as_bytes(), SEED)
+    xxh3_64_with_seed(name.as_bytes(), RANK_SEED)
 }
--- a/lib/tests/test_gossip.rs
+++ b/lib/tests/test_gossip.rs
@@ -1,4 +1,4 @@
-//! Nodes that learn the configuration from one another.
+//! Replication of the configuration between nodes by gossip.
 
 mod config_setup;
 
@@ -26,25 +26,25 @@
 use futures::StreamExt;
 use futures::stream::{self, BoxStream};
 
-/// What answers for a node: its exchange and its configuration.
-type Served = (Weak<Gossiper>, Arc<chivevalve::config::Keeper>);
+/// What serves a node's peers: its gossip and its configuration.
+type Endpoint = (Weak<Gossiper>, Arc<chivevalve::config::Keeper>);
 
-/// Nodes by address; a node that isn't there can't be reached.
+/// Simulated network: nodes by address. An address without a node is unreachable.
 #[derive(Debug, Default)]
-struct Net {
-    nodes: Mutex<BTreeMap<SocketAddr, Served>>,
-    /// Addresses that take calls and never answer.
-    silent: Mutex<Vec<SocketAddr>>,
+struct Network {
+    nodes: Mutex<BTreeMap<SocketAddr, Endpoint>>,
+    /// Addresses that accept calls and never respond.
+    unresponsive: Mutex<Vec<SocketAddr>>,
     calls: Mutex<Vec<SocketAddr>>,
 }
 
-impl Net {
-    async fn reach(
+impl Network {
+    async fn connect(
         &self,
         peer: &Peer,
     ) -> Result<(Arc<Gossiper>, Arc<chivevalve::config::Keeper>), Failure> {
         self.calls.lock().unwrap().push(peer.address);
-        if self.silent.lock().unwrap().contains(&peer.address) {
+        if self.unresponsive.lock().unwrap().contains(&peer.address) {
             std::future::pending::<()>().await;
         }
         tokio::time::sleep(Duration::from_millis(2)).await;
@@ -52,14 +52,14 @@
         nodes
             .get(&peer.address)
             .and_then(|(gossip, config)| Some((gossip.upgrade()?, Arc::clone(config))))
-            .ok_or_else(|| Failure::new(Code::PeerUnreachable, "nobody is there"))
+            .ok_or_else(|| Failure::new(Code::PeerUnreachable, "no node at this address"))
     }
 }
 
 #[async_trait]
-impl Transport for Net {
+impl Transport for Network {
     async fn exchange(&self, peer: &Peer, digest: Digest) -> Result<Delta, Failure> {
-        let (gossip, _) = self.reach(peer).await?;
+        let (gossip, _) = self.connect(peer).await?;
         Ok(gossip.handle_exchange(digest).await)
     }
 
@@ -67,7 +67,7 @@
         &self,
         peer: &Peer,
     ) -> Result<BoxStream<'static, Result<SnapshotPart, Failure>>, Failure> {
-        let (_, config) = self.reach(peer).await?;
+        let (_, config) = self.connect(peer).await?;
         Ok(stream::iter(config.parts()).map(Ok).boxed())
     }
 }
@@ -80,14 +80,14 @@
     }
 }
 
-/// A node that exchanges with all others of the net.
-struct Joined {
+/// A node that exchanges with all others of the network.
+struct GossipNode {
     node: Node,
     gossip: Arc<Gossiper>,
     quarantine: Arc<Quarantine>,
 }
 
-fn join(net: &Arc<Net>, store: &Arc<Store>, number: u16, peers: &[u16]) -> Joined {
+fn join(net: &Arc<Network>, store: &Arc<Store>, number: u16, peers: &[u16]) -> GossipNode {
     let own = peer(number);
     let node = Node::start(&own.name, store);
     let others = peers.iter().filter(|other| **other != number);
@@ -109,29 +109,29 @@
         seed: u64::from(number),
         stop: node.stop.clone(),
     });
-    let served = (Arc::downgrade(&gossip), Arc::clone(&node.keeper));
-    net.nodes.lock().unwrap().insert(own.address, served);
-    Joined {
+    let endpoint = (Arc::downgrade(&gossip), Arc::clone(&node.keeper));
+    net.nodes.lock().unwrap().insert(own.address, endpoint);
+    GossipNode {
         node,
         gossip,
         quarantine,
     }
 }
 
-fn down(store: &Store) {
+fn make_unavailable(store: &Store) {
     store.set(Knobs {
         down: true,
         ..Knobs::default()
     });
 }
 
-/// A node that starts while the key-value service is down gets the configuration from peers.
+/// A node that starts while the key-value service is unavailable gets the configuration from peers.
 #[tokio::test(start_paused = true)]
-async fn fresh_node_while_the_service_is_down() {
-    let (net, store) = (Arc::new(Net::default()), store());
+async fn new_node_while_the_service_is_unavailable() {
+    let (net, store) = (Arc::new(Network::default()), store());
     let a = join(&net, &store, 1, &[1, 2]);
     a.node.apply(&set(&[("faults", "1")])).await;
-    down(&store);
+    make_unavailable(&store);
     let clock = Monotonic::start();
     let b = join(&net, &store, 2, &[1, 2]);
     b.node.in_force(1).await;
@@ -140,28 +140,28 @@
     assert_eq!(theirs.digest, ours.digest);
 }
 
-/// A node that starts while nobody answers keeps trying until a peer does.
+/// A node that starts while no peer responds keeps trying until one does.
 #[tokio::test(start_paused = true)]
-async fn fresh_node_alone_keeps_trying() {
-    let (net, store) = (Arc::new(Net::default()), store());
+async fn new_node_without_peers_keeps_trying() {
+    let (net, store) = (Arc::new(Network::default()), store());
     let a = join(&net, &store, 1, &[1]);
     a.node.apply(&set(&[])).await;
-    down(&store);
-    let served = net.nodes.lock().unwrap().remove(&peer(1).address);
+    make_unavailable(&store);
+    let endpoint = net.nodes.lock().unwrap().remove(&peer(1).address);
     let b = join(&net, &store, 2, &[1, 2]);
     tokio::time::sleep(Duration::from_mins(5)).await;
     assert_eq!(b.node.revision(), 0, "not ready");
     let address = peer(1).address;
-    net.nodes.lock().unwrap().insert(address, served.unwrap());
+    net.nodes.lock().unwrap().insert(address, endpoint.unwrap());
     b.node.in_force(1).await;
 }
 
-/// A change seen by a watcher goes on to peers at once, without waiting for the next exchange.
+/// A change that a watcher sees is pushed to peers at once, not at the next regular exchange.
 #[tokio::test(start_paused = true)]
-async fn news_goes_on_at_once() {
-    let (net, store) = (Arc::new(Net::default()), store());
+async fn changes_are_pushed_at_once() {
+    let (net, store) = (Arc::new(Network::default()), store());
     let numbers: Vec<u16> = (1..=12).collect();
-    let nodes: Vec<Joined> = numbers
+    let nodes: Vec<GossipNode> = numbers
         .iter()
         .map(|number| join(&net, &store, *number, &numbers))
         .collect();
@@ -177,30 +177,30 @@
     assert!(clock.now().0 < 2_000, "{}", clock.now());
 }
 
-/// A peer that takes connections and never answers is asked ever less often.
+/// A peer that accepts connections and never responds is tried less and less often.
 #[tokio::test(start_paused = true)]
-async fn silent_peer_costs_little() {
-    let (net, store) = (Arc::new(Net::default()), store());
+async fn unresponsive_peer_costs_little() {
+    let (net, store) = (Arc::new(Network::default()), store());
     let a = join(&net, &store, 1, &[1, 2, 3]);
     let b = join(&net, &store, 2, &[1, 2, 3]);
-    net.silent.lock().unwrap().push(peer(3).address);
+    net.unresponsive.lock().unwrap().push(peer(3).address);
     a.node.apply(&set(&[])).await;
     b.node.in_force(1).await;
     tokio::time::sleep(Duration::from_mins(10)).await;
     let calls = net.calls.lock().unwrap();
-    let silent = calls.iter().filter(|to| **to == peer(3).address).count();
-    assert!(silent < 100, "{silent} of {} calls", calls.len());
+    let attempts = calls.iter().filter(|to| **to == peer(3).address).count();
+    assert!(attempts < 100, "{attempts} of {} calls", calls.len());
 }
 
-/// A digest that was read late doesn't make an old revision look confirmed just now.
+/// A digest that was read late doesn't make an old revision look recently confirmed.
 #[tokio::test(start_paused = true)]
-async fn ages_of_requests_arent_believed() {
-    let (net, store) = (Arc::new(Net::default()), store());
+async fn confirmed_age_of_a_request_is_ignored() {
+    let (net, store) = (Arc::new(Network::default()), store());
     let a = join(&net, &store, 1, &[1]);
     a.node.apply(&set(&[])).await;
     let mut digest = Digest::default();
     chivevalve::gossip::GossipState::fill_digest(&*a.node.keeper, &mut digest);
-    down(&store);
+    make_unavailable(&store);
     tokio::time::sleep(Duration::from_mins(1)).await;
     let before = a.node.keeper.status().confirmed_age_ms.unwrap();
     digest.confirmed_age_ms = 1;
@@ -208,10 +208,10 @@
     assert!(a.node.keeper.status().confirmed_age_ms.unwrap() >= before);
 }
 
-/// A peer that was cut off for long is told what is new, and its old revision changes nothing.
+/// A peer that was partitioned for long gets what it lacks, and its old revision changes nothing.
 #[tokio::test(start_paused = true)]
-async fn old_peer_changes_nothing() {
-    let (net, store) = (Arc::new(Net::default()), store());
+async fn outdated_peer_changes_nothing() {
+    let (net, store) = (Arc::new(Network::default()), store());
     let a = join(&net, &store, 1, &[1, 2]);
     let b = join(&net, &store, 2, &[1, 2]);
     a.node.apply(&set(&[("faults", "1")])).await;
@@ -220,15 +220,15 @@
     chivevalve::gossip::GossipState::fill_digest(&*b.node.keeper, &mut old);
     a.node.apply(&set(&[("plans", "1")])).await;
     b.node.in_force(2).await;
-    let answer = b.gossip.handle_exchange(old).await;
-    assert_eq!(answer.operations.len(), 1, "the old peer is told");
+    let delta = b.gossip.handle_exchange(old).await;
+    assert_eq!(delta.operations.len(), 1, "the outdated peer gets it");
     assert_eq!((a.node.revision(), b.node.revision()), (2, 2));
 }
 
-/// An operation that can't be read is tried and logged once, not at each exchange.
+/// An operation that can't be decoded is tried and logged once, not at each exchange.
 #[tokio::test(start_paused = true)]
-async fn refused_operation_is_tried_once() {
-    let (net, store) = (Arc::new(Net::default()), store());
+async fn rejected_operation_is_tried_once() {
+    let (net, store) = (Arc::new(Network::default()), store());
     let a = join(&net, &store, 1, &[1]);
     a.node.apply(&set(&[])).await;
     let newer = Operation {
@@ -252,7 +252,7 @@
     assert!(a.node.keeper.status().refused.is_some());
 }
 
-/// A picture of the fleet with one upstream.
+/// A fleet with one upstream.
 fn fleet(state: State) -> Arc<Fleet> {
     let vm = Vm {
         name: "e1".into(),
@@ -265,12 +265,12 @@
     Arc::new(Fleet::new(vec![Upstream { vm, state }], HashMap::new()))
 }
 
-/// What one node saw of upstreams' ends is known to all within a second.
+/// Crashes of upstreams that one node saw are known to all nodes within a second.
 #[tokio::test(start_paused = true)]
-async fn ends_reach_all_nodes() {
-    let (net, store) = (Arc::new(Net::default()), store());
+async fn crashes_reach_all_nodes() {
+    let (net, store) = (Arc::new(Network::default()), store());
     let numbers: Vec<u16> = (1..=8).collect();
-    let nodes: Vec<Joined> = numbers
+    let nodes: Vec<GossipNode> = numbers
         .iter()
         .map(|number| join(&net, &store, *number, &numbers))
         .collect();
@@ -282,11 +282,11 @@
         path: "/v1/chat/completions",
         body: b"poison",
     });
-    let seen = &nodes[0].quarantine;
-    let (sender, followed) = tokio::sync::watch::channel(fleet(State::Usable));
-    tokio::spawn(Arc::clone(seen).follow(followed));
+    let observer = &nodes[0].quarantine;
+    let (sender, fleets) = tokio::sync::watch::channel(fleet(State::Usable));
+    tokio::spawn(Arc::clone(observer).follow(fleets));
     for _ in 0..3 {
-        seen.lost(
+        observer.lost(
             &fleet(State::Usable),
             &"e1".into(),
             &poison,
@@ -298,6 +298,6 @@
         }
     }
     tokio::time::sleep(Duration::from_secs(1)).await;
-    let knows = |node: &Joined| node.quarantine.check(&poison).is_err();
+    let knows = |node: &GossipNode| node.quarantine.check(&poison).is_err();
     assert!(nodes.iter().all(knows));
 }
