--- a/lib/src/membership/fleet.rs
+++ b/lib/src/membership/fleet.rs
@@ -1,7 +1,6 @@
-//! What a node knows of upstreams and their owners, immutable.
+//! Immutable snapshot of what a node knows of upstreams and their owners.
 //!
-//! Membership replaces it as a whole through a watch channel; requests read it
-//! without a lock.
+//! Membership publishes a new snapshot through a watch channel; requests read it without a lock.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -13,11 +12,11 @@
 /// Whether an upstream may get new work.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum State {
-    /// It may.
+    /// It may get new work.
     Usable,
-    /// It failed of late and is held out for a while.
+    /// It gets no new work for a while, because it failed recently or a rejected list lacks it.
     Suspended,
-    /// It is about to go: in-flight work finishes, nothing new starts.
+    /// It is about to leave: in-flight work finishes, nothing new starts.
     Leaving,
 }
 
@@ -35,15 +34,15 @@
 pub struct Owner {
     /// The node's name.
     pub node: Name,
-    /// Which start of the node; a restarted node owns nothing of its previous start.
+    /// Incarnation of the node; a restarted node owns nothing of its previous incarnation.
     pub incarnation: u64,
-    /// The claim's fencing token; the larger one is the newer.
+    /// The claim's fencing token; newer claims have larger tokens.
     pub token: u64,
     /// Where the node listens for peers.
     pub peer: SocketAddr,
 }
 
-/// Upstreams by pool, and the owner of each.
+/// Snapshot of the upstreams by pool, and of the owner of each.
 #[derive(Debug, Clone, Default)]
 pub struct Fleet {
     pools: HashMap<Name, Vec<Arc<Upstream>>>,
@@ -51,7 +50,7 @@
 }
 
 impl Fleet {
-    /// Makes the picture of these upstreams and owners.
+    /// Builds a snapshot of these upstreams and owners.
     #[must_use]
     pub fn new(upstreams: Vec<Upstream>, owners: HashMap<Name, Arc<Owner>>) -> Self {
         let mut pools: HashMap<Name, Vec<Arc<Upstream>>> = HashMap::new();
@@ -78,7 +77,7 @@
         self.pools.values().flatten()
     }
 
-    /// Finds who owns an upstream.
+    /// Returns the owner of an upstream.
     #[must_use]
     pub fn owner(&self, upstream: &str) -> Option<&Arc<Owner>> {
         self.owners.get(upstream)
--- a/lib/src/membership/gossip_state.rs
+++ b/lib/src/membership/gossip_state.rs
@@ -1,7 +1,7 @@
-//! Spreading claims, node records and signs of leaving from peer to peer.
+//! Replication of claims, node records and leave notices by gossip.
 //!
-//! A node that can't reach the key-value service learns owners this way, and
-//! nodes that don't watch it hear of changes within a few exchanges.
+//! It tells a node that can't reach the key-value service who owns which upstream, and nodes
+//! that don't watch the service of changes within a few exchanges.
 
 use bytes::Bytes;
 
@@ -13,31 +13,31 @@
 use crate::name::Name;
 use crate::schema::peer::{self, Delta, Digest};
 
-/// Exchanges that find the tables unequal before the whole table is asked for.
-const UNEQUAL: u32 = 3;
-/// A node whose record ended stays a peer if it was heard of this lately.
-const HEARD: Millis = Millis::from_secs(30);
+/// Consecutive exchanges with differing tables after which the whole table is requested.
+const MISMATCHES_BEFORE_FULL_SYNC: u32 = 3;
+/// A node whose record ended stays a peer while its last heartbeat is younger than this.
+const ENDED_PEER_TTL: Millis = Millis::from_secs(30);
 
-/// How the tables compared with peers' of late.
+/// Results of comparing this node's table with those of peers.
 #[derive(Debug, Default)]
-pub(super) struct Progress {
-    unequal: u32,
+pub(super) struct SyncProgress {
+    consecutive_mismatches: u32,
 }
 
-/// A node as operators see it.
+/// A node as shown to operators.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct NodeStatus {
-    /// Its record.
+    /// The node's record.
     pub record: Record,
-    /// How long ago it was last heard of, if ever.
+    /// Age of its latest heartbeat; `None` if there was none.
     pub last_heard_age: Option<Millis>,
 }
 
 impl MembershipManager {
-    /// Lists the nodes that are known, this one included.
+    /// Lists the live nodes that are known, including this one.
     #[must_use]
     pub fn nodes(&self) -> Vec<NodeStatus> {
-        let now = self.parts.clock.now();
+        let now = self.deps.clock.now();
         let core = self.lock();
         core.machine
             .table()
@@ -46,7 +46,7 @@
                 record: record.clone(),
                 last_heard_age: core
                     .last_seen
-                    .of(&record.identity.name)
+                    .get(&record.identity.name)
                     .map(|heartbeat| now.since(heartbeat.at)),
             })
             .collect()
@@ -55,19 +55,19 @@
 
 impl PeerSource for MembershipManager {
     fn peers(&self) -> Vec<Peer> {
-        let now = self.parts.clock.now();
-        let own = &self.parts.identity;
+        let now = self.deps.clock.now();
+        let own = &self.deps.identity;
         let core = self.lock();
-        let heard = |record: &Record| {
-            let heartbeat = core.last_seen.of(&record.identity.name);
-            heartbeat.is_some_and(|heartbeat| now.since(heartbeat.at) < HEARD)
+        let heard_recently = |record: &Record| {
+            let heartbeat = core.last_seen.get(&record.identity.name);
+            heartbeat.is_some_and(|heartbeat| now.since(heartbeat.at) < ENDED_PEER_TTL)
         };
         let peers: Vec<Peer> = core
             .machine
             .table()
             .records()
             .filter(|record| record.identity.name != own.name)
-            .filter(|record| !record.gone || heard(record))
+            .filter(|record| !record.gone || heard_recently(record))
             .map(|record| Peer {
                 name: record.identity.name.clone(),
                 address: record.identity.peer,
@@ -77,7 +77,7 @@
         if !peers.is_empty() {
             return peers;
         }
-        let seeds = self.parts.seed_peers.iter();
+        let seeds = self.deps.seed_peers.iter();
         seeds
             .filter(|address| **address != own.peer)
             .map(|address| Peer {
@@ -91,8 +91,8 @@
 
 impl GossipState for MembershipManager {
     fn fill_digest(&self, digest: &mut Digest) {
-        let now = self.parts.clock.now();
-        let own = &self.parts.identity;
+        let now = self.deps.clock.now();
+        let own = &self.deps.identity;
         let mut core = self.lock();
         digest.node = own.name.to_string();
         digest.incarnation = own.incarnation;
@@ -101,8 +101,8 @@
         digest.claims_token = table.newest();
         let age = core.machine.service_age(now);
         digest.service_age_ms = age.map_or(u64::MAX, |age| age.0);
-        digest.full_claims = core.gossip.unequal >= UNEQUAL;
-        digest.heard = core.last_seen.tell(now);
+        digest.full_claims = core.sync.consecutive_mismatches >= MISMATCHES_BEFORE_FULL_SYNC;
+        digest.heard = core.last_seen.next_batch(now);
         digest.leaving = core
             .upstreams
             .leave_notices(now)
@@ -111,10 +111,10 @@
                 age_ms: u32::try_from(age.0).unwrap_or(u32::MAX),
             })
             .collect();
-        // Told by the node itself until its record can be read at the service, so that
-        // a node which starts while the service is down is known to its peers.
+        // Until its record can be read from the service, the node announces itself, so that
+        // peers know a node that started while the service is unavailable.
         if core.machine.table().live_record(&own.name).is_none() {
-            digest.nodes = vec![unregistered(self)];
+            digest.nodes = vec![unregistered_record(self)];
         }
     }
 
@@ -142,32 +142,36 @@
     }
 
     fn merge_delta(&self, delta: &Delta) -> bool {
-        let now = self.parts.clock.now();
+        let now = self.deps.clock.now();
         let mut guard = self.lock();
         let core = &mut *guard;
-        let mut news = false;
+        let mut changed = false;
         for claim in delta.claims.iter().filter_map(Claim::from_message) {
-            news |= core.machine.learn(now, |table| table.learn_claim(claim));
+            changed |= core.machine.learn(now, |table| table.learn_claim(claim));
         }
         let records = delta.nodes.iter().filter(|node| node.revision > 0);
         for record in records.filter_map(Record::from_message) {
-            news |= core.machine.learn(now, |table| table.learn_record(record));
+            changed |= core.machine.learn(now, |table| table.learn_record(record));
         }
         if let Some(digest) = &delta.digest {
-            learn_digest(core, now, digest);
+            merge_digest(core, now, digest);
         }
         self.publish(core, now);
-        news
+        changed
     }
 }
 
-fn learn_digest(core: &mut Core, now: Millis, digest: &Digest) {
+fn merge_digest(core: &mut Core, now: Millis, digest: &Digest) {
     let equal = *digest.claims_digest == core.machine.table().digest().to_le_bytes();
-    core.gossip.unequal = if equal { 0 } else { core.gossip.unequal + 1 };
-    if core.gossip.unequal > UNEQUAL {
-        core.gossip.unequal = 0;
+    core.sync.consecutive_mismatches = if equal {
+        0
+    } else {
+        core.sync.consecutive_mismatches + 1
+    };
+    if core.sync.consecutive_mismatches > MISMATCHES_BEFORE_FULL_SYNC {
+        core.sync.consecutive_mismatches = 0;
     }
-    core.last_seen.note(
+    core.last_seen.record(
         &digest.node,
         last_seen::Heartbeat {
             incarnation: digest.incarnation,
@@ -176,7 +180,7 @@
         },
     );
     for heard in &digest.heard {
-        core.last_seen.note(
+        core.last_seen.record(
             &heard.node,
             last_seen::Heartbeat {
                 incarnation: heard.incarnation,
@@ -191,8 +195,8 @@
     }
 }
 
-fn unregistered(keeper: &MembershipManager) -> peer::NodeRecord {
-    let own = &keeper.parts.identity;
+fn unregistered_record(manager: &MembershipManager) -> peer::NodeRecord {
+    let own = &manager.deps.identity;
     peer::NodeRecord {
         node: own.name.to_string(),
         incarnation: own.incarnation,
--- a/lib/src/membership/guard.rs
+++ b/lib/src/membership/guard.rs
@@ -1,47 +1,48 @@
-//! The guards of ownership and membership, by name.
+//! Names of the safety checks of ownership and membership.
 //!
-//! Each guard prevents one way to break a promise. The fuzz harness leaves one
-//! out at a time and shows that its oracle notices; docs/reliability.md lists
-//! them. A node always runs with all of them: no setting reaches this.
+//! Each guard prevents one way to violate an invariant. The fuzz harness disables one at a time
+//! and shows that its oracle detects the violation; docs/reliability.md lists them. A node always
+//! runs with all of them: no setting disables one.
 
-/// One guard.
+/// A safety check of ownership or membership.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Guard {
-    /// The bound of a lease counts from before the renewal was sent.
+    /// The local expiry of a lease counts from before the renewal was sent.
     BoundFromSend,
-    /// A claim is written only over the claim that was read.
+    /// A claim is written only if the claim that was read is still the current one.
     ClaimUnchanged,
-    /// A claim is taken over only if the owner hasn't registered again meanwhile.
+    /// A claim is taken over only if its owner hasn't registered again in the meantime.
     OwnerUnregistered,
     /// A majority of the owner's witnesses must withdraw before a takeover.
     WithdrawMajority,
-    /// Support counts only from a majority of the witnesses.
+    /// Support requires a majority of the witnesses.
     SupportMajority,
-    /// Support counts from before it was asked for.
+    /// The term of support counts from before it was requested.
     SupportFromSend,
-    /// A witness doesn't withdraw while its support may be counted on.
+    /// A witness doesn't withdraw while an owner may still rely on its support.
     WitnessWaits,
     /// A witness that withdrew never supports that registration again.
     WitnessRemembers,
-    /// A restarted witness is silent for a while.
+    /// A restarted witness doesn't vote for a while.
     WitnessQuiet,
-    /// An owner whose bound has passed is no owner until it has read its claims again.
+    /// An owner whose lease expired locally stays without ownership until it has read its claims
+    /// again.
     LapseFinal,
-    /// A lost answer to a claim is settled by reading the claim back.
+    /// If the response to a claim's write is lost, the outcome is determined by reading the claim.
     SettleClaim,
-    /// An upstream is handed over only after it was released.
+    /// An upstream is handed over only after its release.
     ReleaseFirst,
-    /// A restarted node waits until its previous start's record is gone.
+    /// A restarted node waits until the record of its previous incarnation is gone.
     PreviousStart,
-    /// Witnesses change only while no support is counted on.
+    /// Witnesses change only while the node doesn't rely on support.
     WitnessesFixed,
-    /// What was read at an older revision of the service changes nothing.
+    /// Data read at an older revision of the service is ignored.
     StaleRead,
-    /// A list of VMs that lacks many at once is rejected.
+    /// A list of VMs that suddenly lacks many is rejected.
     PanicThreshold,
     /// A leaving upstream gets no new work.
     LeavingStops,
-    /// An upstream that failed again and again is held out.
+    /// An upstream that fails repeatedly is suspended for increasing times.
     FlapBackoff,
 }
 
@@ -69,30 +70,30 @@
     ];
 }
 
-/// The guards that are on.
+/// The guards that are enabled.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Guards {
-    without: Option<Guard>,
+    disabled: Option<Guard>,
 }
 
 impl Guards {
-    /// All guards, as every node runs.
+    /// All guards; every node runs with these.
     #[must_use]
     pub const fn all() -> Self {
-        Self { without: None }
+        Self { disabled: None }
     }
 
-    /// All guards but one, for the fuzz harness.
+    /// All guards except one, for the fuzz harness.
     #[must_use]
     pub const fn without(guard: Guard) -> Self {
         Self {
-            without: Some(guard),
+            disabled: Some(guard),
         }
     }
 
-    /// Whether a guard is on.
+    /// Whether a guard is enabled.
     #[must_use]
     pub fn is_enabled(self, guard: Guard) -> bool {
-        self.without != Some(guard)
+        self.disabled != Some(guard)
     }
 }
--- a/lib/src/membership/last_seen.rs
+++ b/lib/src/membership/last_seen.rs
@@ -1,7 +1,7 @@
-//! When this node last heard of others, for routing exchanges and for operators.
+//! When this node last heard of each other node, to choose peers and to show to operators.
 //!
-//! Nothing of ownership rests on it: ages pass through other nodes and may be
-//! too young by the time that messages took.
+//! Ownership doesn't depend on it: ages are relayed through other nodes and may be too low by
+//! the transit time of the messages.
 
 use std::collections::BTreeMap;
 
@@ -9,32 +9,32 @@
 use crate::name::Name;
 use crate::schema::peer;
 
-/// Nodes whose ages go into one message; the next message goes on from there.
-const TOLD: usize = 24;
-/// After this time a silent node is forgotten.
-const FORGOTTEN: Millis = Millis::from_secs(600);
+/// Heartbeats in one message; the next message continues after them.
+const MAX_HEARTBEATS_PER_MESSAGE: usize = 24;
+/// Age at which a node's last heartbeat is dropped.
+const HEARTBEAT_TTL: Millis = Millis::from_secs(600);
 
-/// The latest heartbeat of a node, heard first-hand or through another node.
+/// The latest heartbeat of a node, received from it or relayed by another node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Heartbeat {
-    /// Which start of the node.
+    /// The node's incarnation.
     pub incarnation: u64,
     /// When the node was alive, on this node's clock.
     pub at: Millis,
-    /// Whether it is stopping.
+    /// Whether it is draining.
     pub draining: bool,
 }
 
-/// When each node was last heard of, by this node or by one that told it.
+/// The latest heartbeat of each node.
 #[derive(Debug, Default)]
 pub struct LastSeen {
     heartbeats: BTreeMap<Name, Heartbeat>,
-    told_up_to: Option<Name>,
+    last_shared: Option<Name>,
 }
 
 impl LastSeen {
-    /// Takes a heartbeat; one that is no newer than the last changes nothing.
-    pub fn note(&mut self, node: &str, heartbeat: Heartbeat) {
+    /// Records a heartbeat, unless a newer one is known.
+    pub fn record(&mut self, node: &str, heartbeat: Heartbeat) {
         if self
             .heartbeats
             .get(node)
@@ -45,28 +45,29 @@
         self.heartbeats.insert(Name::from(node), heartbeat);
     }
 
-    /// Returns the last heartbeat of a node.
+    /// Returns the latest heartbeat of a node.
     #[must_use]
-    pub fn of(&self, node: &str) -> Option<Heartbeat> {
+    pub fn get(&self, node: &str) -> Option<Heartbeat> {
         self.heartbeats.get(node).copied()
     }
 
-    /// Picks the nodes to tell of, in turns.
-    pub fn tell(&mut self, now: Millis) -> Vec<peer::Heard> {
+    /// Returns the next heartbeats to send to a peer, in rotation over all nodes.
+    pub fn next_batch(&mut self, now: Millis) -> Vec<peer::Heard> {
         self.heartbeats
-            .retain(|_, heartbeat| now.since(heartbeat.at) < FORGOTTEN);
-        let from = self.told_up_to.clone();
+            .retain(|_, heartbeat| now.since(heartbeat.at) < HEARTBEAT_TTL);
+        let previous = self.last_shared.clone();
         let after = self
             .heartbeats
             .iter()
-            .filter(|(name, _)| Some(*name) > from.as_ref());
-        let told: Vec<(&Name, &Heartbeat)> = after.take(TOLD).collect();
-        self.told_up_to = if told.len() < TOLD {
+            .filter(|(name, _)| Some(*name) > previous.as_ref());
+        let batch: Vec<(&Name, &Heartbeat)> = after.take(MAX_HEARTBEATS_PER_MESSAGE).collect();
+        self.last_shared = if batch.len() < MAX_HEARTBEATS_PER_MESSAGE {
             None
         } else {
-            told.last().map(|(name, _)| (*name).clone())
+            batch.last().map(|(name, _)| (*name).clone())
         };
-        told.into_iter()
+        batch
+            .into_iter()
             .map(|(name, heartbeat)| peer::Heard {
                 node: name.to_string(),
                 incarnation: heartbeat.incarnation,
--- a/lib/src/membership/manager/mod.rs
+++ b/lib/src/membership/manager/mod.rs
@@ -1,8 +1,7 @@
-//! Drives membership in a node: carries out what the machine wants and tells it
-//! what came of it.
+//! Runs the membership state machine of a node: executes its actions and feeds the results back.
 //!
-//! The state stands behind one lock that is held for a step of the machine and
-//! never over an await; the calls run as tasks of their own.
+//! One lock guards the state. It is held for one step of the machine and never across an await;
+//! calls run in tasks of their own.
 
 mod publish;
 
@@ -32,148 +31,151 @@
 use crate::name::Name;
 use crate::ports::{Directory, Error, Lease, Store, Vm, Watch};
 
-/// Time between two steps of the machine when nothing happens.
-const TICK: Millis = Millis(100);
-/// A peer renews for others only if the service answered it this lately.
-const REACHED: Millis = Millis(2000);
-/// Wait before a broken watch is begun again.
-const REWATCH: Millis = Millis(1000);
+/// Time between two steps of the machine without other events.
+const TICK_INTERVAL: Millis = Millis(100);
+/// A witness renews the lease of others only if the service answered it this recently.
+const SERVICE_REACHABLE_WITHIN: Millis = Millis(2000);
+/// Pause before a watch that ended is started again.
+const WATCH_RETRY_PAUSE: Millis = Millis(1000);
 
-/// What a keeper works with.
+/// What a [`MembershipManager`] needs.
 #[derive(Debug)]
 pub struct Dependencies {
-    /// This start of this node.
+    /// Identity of this node.
     pub identity: Identity,
     /// The key-value service.
     pub store: Arc<dyn Store>,
-    /// Its leases.
+    /// Leases of the key-value service.
     pub lease: Arc<dyn Lease>,
-    /// Its watches.
+    /// Watches of the key-value service.
     pub watch: Arc<dyn Watch>,
-    /// The list of VMs.
+    /// The platform's list of VMs.
     pub directory: Arc<dyn Directory>,
-    /// Takes charge of upstreams.
+    /// Serves the upstreams that this node owns.
     pub adopter: Arc<dyn Adopter>,
-    /// The configuration in force, for the pools.
+    /// The configuration in effect, for the pools.
     pub view: watch::Receiver<Arc<View>>,
-    /// Reaches peers as witnesses.
+    /// Sends vote requests to witnesses.
     pub vote_client: Arc<dyn VoteClient>,
     /// The node's monotonic clock.
     pub clock: Arc<dyn Clock>,
-    /// Where rare events are counted.
+    /// Metrics of the node.
     pub metrics: Arc<Metrics>,
-    /// Times and budgets.
+    /// Timing and rate limits.
     pub limits: Limits,
     /// Prefix of all keys of this deployment.
     pub prefix: Name,
-    /// Seed of the jitter.
+    /// Seed of jitter.
     pub seed: u64,
-    /// Peers to hear from while nothing else is known.
+    /// Peers to contact while no other node is known.
     pub seed_peers: Vec<SocketAddr>,
 }
 
-/// Membership of one node.
+/// Manages the membership of one node.
 #[derive(Debug)]
 pub struct MembershipManager {
     pub(super) core: Mutex<Core>,
-    pub(super) parts: Dependencies,
+    pub(super) deps: Dependencies,
     keys: Keys,
     fleet: watch::Sender<Arc<Fleet>>,
-    adoptions: mpsc::UnboundedSender<Adoption>,
+    adopter_calls: mpsc::UnboundedSender<AdopterCall>,
     drained: watch::Sender<bool>,
     stop: CancellationToken,
 }
 
-/// What the lock guards.
+/// State behind the lock.
 #[derive(Debug)]
 pub(super) struct Core {
     pub machine: Machine,
     pub upstreams: Upstreams,
     pub last_seen: LastSeen,
-    pub gossip: crate::membership::gossip_state::Progress,
+    pub sync: crate::membership::gossip_state::SyncProgress,
+    /// Versions of the upstreams and of the table that were published last.
     published: (u64, u64),
     next_readmission: Option<Millis>,
+    /// State and fencing token with which the adopter was last called, by upstream.
     adopted: BTreeMap<Name, (State, u64)>,
 }
 
-/// What the adopter is told, in order.
+/// Calls to the adopter, started in order.
 #[derive(Debug)]
-enum Adoption {
+enum AdopterCall {
     Adopt(fleet::Upstream, Arc<Pool>, Hold),
+    /// Number of the call, upstream and time limit.
     Release(u64, Name, Millis),
 }
 
 impl MembershipManager {
-    /// Starts membership; its tasks end with `stop`.
+    /// Starts the background tasks; they end with `stop`.
     #[must_use]
-    pub fn start(parts: Dependencies, stop: CancellationToken) -> Arc<Self> {
-        let now = parts.clock.now();
+    pub fn start(deps: Dependencies, stop: CancellationToken) -> Arc<Self> {
+        let now = deps.clock.now();
         let core = Core {
             machine: Machine::new(
-                parts.identity.clone(),
-                parts.limits.clone(),
-                &parts.prefix,
-                parts.seed,
+                deps.identity.clone(),
+                deps.limits.clone(),
+                &deps.prefix,
+                deps.seed,
                 now,
             ),
             upstreams: Upstreams::new(Guards::all()),
             last_seen: LastSeen::default(),
-            gossip: crate::membership::gossip_state::Progress::default(),
+            sync: crate::membership::gossip_state::SyncProgress::default(),
             published: (0, 0),
             next_readmission: None,
             adopted: BTreeMap::new(),
         };
-        let (adoptions, queue) = mpsc::unbounded_channel();
-        let keeper = Arc::new(Self {
+        let (adopter_calls, queue) = mpsc::unbounded_channel();
+        let manager = Arc::new(Self {
             core: Mutex::new(core),
-            keys: Keys::new(&parts.prefix),
+            keys: Keys::new(&deps.prefix),
             fleet: watch::Sender::new(Arc::new(Fleet::default())),
-            adoptions,
+            adopter_calls,
             drained: watch::Sender::new(false),
             stop,
-            parts,
+            deps,
         });
-        keeper.spawn(Arc::clone(&keeper).tick_all());
-        keeper.spawn(Arc::clone(&keeper).read_directory());
-        keeper.spawn(Arc::clone(&keeper).watch_keys());
-        keeper.spawn(Arc::clone(&keeper).follow_view());
-        keeper.spawn(Arc::clone(&keeper).tell_adopter(queue));
-        keeper
+        manager.spawn(Arc::clone(&manager).tick_loop());
+        manager.spawn(Arc::clone(&manager).directory_loop());
+        manager.spawn(Arc::clone(&manager).watch_loop());
+        manager.spawn(Arc::clone(&manager).view_loop());
+        manager.spawn(Arc::clone(&manager).run_adopter_calls(queue));
+        manager
     }
 
-    /// Returns where the picture of upstreams and owners is found.
+    /// Returns a channel with the latest snapshot of upstreams and owners.
     #[must_use]
     pub fn fleet(&self) -> watch::Receiver<Arc<Fleet>> {
         self.fleet.subscribe()
     }
 
-    /// Returns who this node is.
+    /// Returns the identity of this node.
     #[must_use]
     pub fn identity(&self) -> &Identity {
-        &self.parts.identity
+        &self.deps.identity
     }
 
-    /// Tells all nodes that an upstream leaves, ahead of the platform's list.
+    /// Announces to all nodes that an upstream is about to leave, ahead of the platform's list.
     ///
-    /// The sign stands for a minute, within which the list has to say so too;
-    /// what is to last is kept by the platform. Returns whether the upstream is
-    /// known and the sign was taken.
+    /// The notice expires after a minute unless the platform's list confirms it: the list is
+    /// authoritative. Returns whether the notice was accepted.
     pub fn drain_upstream(&self, upstream: &str) -> bool {
-        let now = self.parts.clock.now();
+        let now = self.deps.clock.now();
         let mut core = self.lock();
-        let taken = core.upstreams.record_leave_notice(now, upstream);
+        let accepted = core.upstreams.record_leave_notice(now, upstream);
         self.publish(&mut core, now);
-        taken
+        accepted
     }
 
-    /// Hands all upstreams over and ends the lease; returns when done, or after `limit`.
+    /// Hands over all upstreams and revokes the lease. Returns when this is done, or soon after
+    /// `limit`.
     pub async fn drain(self: &Arc<Self>, limit: Millis) {
         let mut drained = self.drained.subscribe();
         self.step(|core, now| core.machine.drain(now, limit));
-        let longest = limit + self.parts.limits.call_timeout;
+        let deadline = limit + self.deps.limits.call_timeout;
         let done = drained.wait_for(|done| *done);
-        if timeout(longest.duration(), done).await.is_err() {
-            warn!("membership: the planned stop took longer than {limit}");
+        if timeout(deadline.duration(), done).await.is_err() {
+            warn!("membership: draining took longer than {limit}");
         }
     }
 
@@ -185,20 +187,20 @@
     }
 
     pub(super) fn lock(&self) -> MutexGuard<'_, Core> {
-        // A panic inside a step leaves the state as the step before left it in the
-        // worst case; going on beats taking the node's requests down.
+        // After a panic the state is at worst what the previous step left. Continuing with it is
+        // better than failing all requests of the node.
         self.core.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Lets `step` change the state, then carries out what follows from it.
+    /// Applies `step` to the state, then executes the resulting actions.
     pub(super) fn step<T>(self: &Arc<Self>, step: impl FnOnce(&mut Core, Millis) -> T) -> T {
-        let now = self.parts.clock.now();
+        let now = self.deps.clock.now();
         let mut core = self.lock();
         let result = step(&mut core, now);
-        // The adopter must be told in the order of the machine's steps, so this
-        // happens under the lock; nothing here waits.
+        // Calls to the adopter must be queued in the order of the machine's steps, so actions are
+        // executed under the lock; none of them blocks.
         for action in core.machine.actions() {
-            self.carry_out(&mut core, now, action);
+            self.execute(&mut core, now, action);
         }
         self.publish(&mut core, now);
         if core.machine.drained() {
@@ -207,172 +209,173 @@
         result
     }
 
-    fn carry_out(self: &Arc<Self>, core: &mut Core, now: Millis, action: Action) {
+    fn execute(self: &Arc<Self>, core: &mut Core, now: Millis, action: Action) {
         match action {
-            Action::Note(event) => self.note(event),
+            Action::Note(event) => self.record_event(event),
             Action::Adopt {
                 upstream,
                 token,
                 until,
             } => {
-                let hold = Hold::new(token, until, Arc::clone(&self.parts.clock));
+                let hold = Hold::new(token, until, Arc::clone(&self.deps.clock));
                 self.adopt(core, now, &upstream, hold);
             }
             Action::Call(number, Call::Release(upstream, limit)) => {
-                self.send(Adoption::Release(number, upstream, limit));
+                self.queue_adopter_call(AdopterCall::Release(number, upstream, limit));
             }
             Action::Call(number, call) => {
-                let keeper = Arc::clone(self);
+                let manager = Arc::clone(self);
                 self.spawn(async move {
-                    let answer = keeper.make(call).await;
-                    keeper.step(|core, now| core.machine.answer(now, number, answer));
+                    let answer = manager.perform(call).await;
+                    manager.step(|core, now| core.machine.answer(now, number, answer));
                 });
             }
         }
     }
 
-    fn send(&self, adoption: Adoption) {
-        // Bounded by the number of upstreams; the receiver ends only with the keeper.
-        if self.adoptions.send(adoption).is_err() {
-            warn!("membership: the adopter's queue is closed");
+    fn queue_adopter_call(&self, call: AdopterCall) {
+        // The queue is bounded by the number of upstreams; its receiver lives as long as the manager.
+        if self.adopter_calls.send(call).is_err() {
+            warn!("membership: the queue of calls to the adopter is closed");
         }
     }
 
-    fn note(&self, event: &'static str) {
-        self.parts.metrics.events.with_label_values(&[event]).inc();
+    fn record_event(&self, event: &'static str) {
+        self.deps.metrics.events.with_label_values(&[event]).inc();
         info!("membership: {event}");
     }
 
-    async fn make(&self, call: Call) -> Answer {
-        let limit = self.parts.limits.call_timeout.duration();
-        let lost = || Error::NoAnswer("no answer in time".to_owned());
+    async fn perform(&self, call: Call) -> Answer {
+        let limit = self.deps.limits.call_timeout.duration();
+        let timed_out = || Error::NoAnswer("no response within the call timeout".to_owned());
         let Dependencies {
             store,
             lease,
             vote_client,
             ..
-        } = &self.parts;
+        } = &self.deps;
         match call {
             Call::Grant(span) => Answer::Granted(
                 timeout(limit, lease.grant(span))
                     .await
-                    .unwrap_or_else(|_| Err(lost())),
+                    .unwrap_or_else(|_| Err(timed_out())),
             ),
             Call::Renew(id) => Answer::Renewed(
                 timeout(limit, lease.renew(id))
                     .await
-                    .unwrap_or_else(|_| Err(lost())),
+                    .unwrap_or_else(|_| Err(timed_out())),
             ),
             Call::Revoke(id) => {
                 if !matches!(timeout(limit, lease.revoke(id)).await, Ok(Ok(()))) {
-                    warn!("membership: the lease ends by its time, as revoking it failed");
+                    warn!("membership: revoking the lease failed; it ends when it expires");
                 }
                 Answer::Revoked
             }
             Call::Commit(transaction) => Answer::Committed(
                 timeout(limit, store.commit(transaction))
                     .await
-                    .unwrap_or_else(|_| Err(lost())),
+                    .unwrap_or_else(|_| Err(timed_out())),
             ),
             Call::Read(key) => Answer::Read(
                 timeout(limit, store.get(&key))
                     .await
-                    .unwrap_or_else(|_| Err(lost())),
+                    .unwrap_or_else(|_| Err(timed_out())),
             ),
             Call::List => Answer::Listed(
                 timeout(limit, store.list(self.keys.prefix()))
                     .await
-                    .unwrap_or_else(|_| Err(lost())),
+                    .unwrap_or_else(|_| Err(timed_out())),
             ),
-            Call::Ask(peer, ask) => {
-                let vote = timeout(limit, vote_client.request_vote(peer, ask)).await;
+            Call::Ask(peer, request) => {
+                let vote = timeout(limit, vote_client.request_vote(peer, request)).await;
                 Answer::Voted(vote.ok().flatten())
             }
             Call::Release(..) => Answer::Released,
         }
     }
 
-    async fn tick_all(self: Arc<Self>) {
+    async fn tick_loop(self: Arc<Self>) {
         loop {
             self.step(|core, now| core.machine.tick(now));
-            tokio::time::sleep(TICK.duration()).await;
+            tokio::time::sleep(TICK_INTERVAL.duration()).await;
         }
     }
 
-    async fn tell_adopter(self: Arc<Self>, mut queue: mpsc::UnboundedReceiver<Adoption>) {
-        while let Some(adoption) = queue.recv().await {
-            match adoption {
-                Adoption::Adopt(upstream, pool, hold) => {
-                    self.parts.adopter.adopt(upstream, pool, hold).await;
+    async fn run_adopter_calls(self: Arc<Self>, mut queue: mpsc::UnboundedReceiver<AdopterCall>) {
+        while let Some(call) = queue.recv().await {
+            match call {
+                AdopterCall::Adopt(upstream, pool, hold) => {
+                    self.deps.adopter.adopt(upstream, pool, hold).await;
                 }
-                Adoption::Release(number, upstream, limit) if limit == Millis::ZERO => {
-                    self.parts.adopter.release(&upstream, limit).await;
-                    self.released(number);
+                AdopterCall::Release(number, upstream, limit) if limit == Millis::ZERO => {
+                    self.deps.adopter.release(&upstream, limit).await;
+                    self.record_release(number);
                 }
-                // The machine adopts an upstream again only after its release ended.
-                Adoption::Release(number, upstream, limit) => {
-                    let keeper = Arc::clone(&self);
+                // May overlap with later calls: the machine adopts an upstream again only after its
+                // release has ended.
+                AdopterCall::Release(number, upstream, limit) => {
+                    let manager = Arc::clone(&self);
                     self.spawn(async move {
-                        keeper.parts.adopter.release(&upstream, limit).await;
-                        keeper.released(number);
+                        manager.deps.adopter.release(&upstream, limit).await;
+                        manager.record_release(number);
                     });
                 }
             }
         }
     }
 
-    fn released(self: &Arc<Self>, number: u64) {
+    fn record_release(self: &Arc<Self>, number: u64) {
         self.step(|core, now| core.machine.answer(now, number, Answer::Released));
     }
 
-    async fn read_directory(self: Arc<Self>) {
-        let poll = self.parts.limits.directory_poll;
-        let limit = self.parts.limits.call_timeout.duration();
+    async fn directory_loop(self: Arc<Self>) {
+        let poll = self.deps.limits.directory_poll;
+        let limit = self.deps.limits.call_timeout.duration();
         loop {
-            match timeout(limit, self.parts.directory.vms()).await {
-                Ok(Ok(vms)) => self.list_read(vms),
-                Ok(Err(error)) => self.list_failed(&error.to_string()),
-                Err(_) => self.list_failed("no answer in time"),
+            match timeout(limit, self.deps.directory.vms()).await {
+                Ok(Ok(vms)) => self.handle_list(vms),
+                Ok(Err(error)) => self.record_list_failure(&error.to_string()),
+                Err(_) => self.record_list_failure("no response within the call timeout"),
             }
             tokio::time::sleep(poll.duration()).await;
         }
     }
 
-    fn list_failed(&self, reason: &str) {
-        // The last good list stays in force; its age shows in `status`.
-        log::debug!("membership: the list of VMs can't be read: {reason}");
-        let events = &self.parts.metrics.events;
+    fn record_list_failure(&self, reason: &str) {
+        // The last accepted list stays in effect; `status` shows its age.
+        log::debug!("membership: cannot read the list of VMs: {reason}");
+        let events = &self.deps.metrics.events;
         events.with_label_values(&["list_failed"]).inc();
     }
 
-    fn list_read(self: &Arc<Self>, vms: Vec<Vm>) {
-        let listed = vms.len();
-        let verdict = self.step(|core, now| core.upstreams.apply_list(now, vms));
-        if let ListOutcome::Rejected { missing } = verdict {
-            let events = &self.parts.metrics.events;
+    fn handle_list(self: &Arc<Self>, vms: Vec<Vm>) {
+        let count = vms.len();
+        let outcome = self.step(|core, now| core.upstreams.apply_list(now, vms));
+        if let ListOutcome::Rejected { missing } = outcome {
+            let events = &self.deps.metrics.events;
             events.with_label_values(&["list_rejected"]).inc();
-            warn!("membership: the list of VMs ({listed}) lacks {missing} at once and is rejected");
+            warn!("membership: rejected a list of {count} VMs that lacks {missing} known ones");
         }
     }
 
-    async fn watch_keys(self: Arc<Self>) {
+    async fn watch_loop(self: Arc<Self>) {
         loop {
-            let (watcher, from) = {
+            let (is_watcher, from) = {
                 let core = self.lock();
                 let table = core.machine.table();
-                let watcher = core.machine.watcher() && table.has_read();
-                (watcher, table.read_up_to())
+                let is_watcher = core.machine.watcher() && table.has_read();
+                (is_watcher, table.read_up_to())
             };
-            if watcher {
+            if is_watcher {
                 self.watch_from(from).await;
                 self.step(|core, _| core.machine.read_again());
             }
-            tokio::time::sleep(REWATCH.duration()).await;
+            tokio::time::sleep(WATCH_RETRY_PAUSE.duration()).await;
         }
     }
 
     async fn watch_from(self: &Arc<Self>, from: u64) {
-        let watch = self.parts.watch.watch(self.keys.prefix(), from).await;
+        let watch = self.deps.watch.watch(self.keys.prefix(), from).await;
         let Ok(mut events) = watch else {
             return;
         };
@@ -381,8 +384,8 @@
         }
     }
 
-    async fn follow_view(self: Arc<Self>) {
-        let mut view = self.parts.view.clone();
+    async fn view_loop(self: Arc<Self>) {
+        let mut view = self.deps.view.clone();
         while view.changed().await.is_ok() {
             view.mark_unchanged();
             self.step(|core, _| {
@@ -395,17 +398,17 @@
 
 #[async_trait::async_trait]
 impl VoteHandler for MembershipManager {
-    async fn handle_vote_request(&self, ask: VoteRequest) -> Vote {
-        let now = self.parts.clock.now();
-        let (mut vote, reached) = {
+    async fn handle_vote_request(&self, request: VoteRequest) -> Vote {
+        let now = self.deps.clock.now();
+        let (mut vote, is_reachable) = {
             let mut core = self.lock();
             let age = core.machine.service_age(now);
-            let reached = age.is_some_and(|age| age < REACHED);
-            (core.machine.vote(now, &ask), reached)
+            let is_reachable = age.is_some_and(|age| age < SERVICE_REACHABLE_WITHIN);
+            (core.machine.vote(now, &request), is_reachable)
         };
-        if ask.withdraw_before.is_none() && reached {
-            let half = Millis(self.parts.limits.call_timeout.0 / 2);
-            let renewed = timeout(half.duration(), self.parts.lease.renew(ask.lease)).await;
+        if request.withdraw_before.is_none() && is_reachable {
+            let half = Millis(self.deps.limits.call_timeout.0 / 2);
+            let renewed = timeout(half.duration(), self.deps.lease.renew(request.lease)).await;
             vote.renewed = matches!(renewed, Ok(Ok(span)) if span > Millis::ZERO);
         }
         vote
@@ -414,14 +417,14 @@
 
 impl FailureDetector for MembershipManager {
     fn record_failure(&self, upstream: &str) {
-        let now = self.parts.clock.now();
+        let now = self.deps.clock.now();
         let mut core = self.lock();
         core.upstreams.record_failure(now, upstream);
         self.publish(&mut core, now);
     }
 
     fn record_success(&self, upstream: &str) {
-        let now = self.parts.clock.now();
+        let now = self.deps.clock.now();
         self.lock().upstreams.record_success(now, upstream);
     }
 }
--- a/lib/src/membership/manager/publish.rs
+++ b/lib/src/membership/manager/publish.rs
@@ -1,11 +1,11 @@
-//! What a step of the machine changes for others: the fleet that requests read, what there
-//! is to own, and what the adopter is told of the upstreams that are held.
+//! Publishes the effects of a step of the machine: the fleet that requests read, the upstreams
+//! that the machine may own, and calls to the adopter for upstreams that this node owns.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-use super::{Adoption, Core, MembershipManager};
+use super::{AdopterCall, Core, MembershipManager};
 use crate::clock::Millis;
 use crate::declaration::{Kind, Pool};
 use crate::loads::WEIGHTS;
@@ -16,42 +16,42 @@
 
 impl MembershipManager {
     pub(super) fn adopt(&self, core: &mut Core, now: Millis, upstream: &Name, hold: Hold) {
-        let Some((found, pool)) = self.describe(core, now, upstream) else {
+        let Some((found, pool)) = self.upstream_and_pool(core, now, upstream) else {
             core.adopted.remove(upstream);
             return;
         };
-        let mark = (found.state, hold.token());
-        core.adopted.insert(upstream.clone(), mark);
-        self.send(Adoption::Adopt(found, pool, hold));
+        let seen = (found.state, hold.token());
+        core.adopted.insert(upstream.clone(), seen);
+        self.queue_adopter_call(AdopterCall::Adopt(found, pool, hold));
     }
 
-    fn describe(
+    fn upstream_and_pool(
         &self,
         core: &Core,
         now: Millis,
         upstream: &Name,
     ) -> Option<(fleet::Upstream, Arc<Pool>)> {
         if **upstream == *WEIGHTS {
-            return Some(weights());
+            return Some(weight_store());
         }
         let found = core.upstreams.get(now, upstream)?;
-        let pool = self.parts.view.borrow().pool(&found.vm.pool).cloned()?;
+        let pool = self.deps.view.borrow().pool(&found.vm.pool).cloned()?;
         Some((found, pool))
     }
 
-    // Publishes the picture when it changed, tells the machine what there is to own,
-    // and tells the adopter of upstreams whose state or pool changed.
+    // If anything changed: publishes a new fleet, passes the machine the upstreams that may be
+    // owned, and calls the adopter for upstreams whose state or pool changed.
     pub(in crate::membership) fn publish(&self, core: &mut Core, now: Millis) {
         let version = (core.upstreams.version(), core.machine.table().version());
-        let released = core.next_readmission.is_some_and(|at| now >= at);
-        if core.published == version && !released {
+        let suspension_ended = core.next_readmission.is_some_and(|at| now >= at);
+        if core.published == version && !suspension_ended {
             return;
         }
-        let renewed = core.published.0 != version.0 || released;
+        let upstreams_changed = core.published.0 != version.0 || suspension_ended;
         core.published = version;
         core.next_readmission = core.upstreams.next_readmission(now);
-        if renewed {
-            let regions = self.regions(core, now);
+        if upstreams_changed {
+            let regions = self.regions_by_upstream(core, now);
             core.machine.upstreams(now, regions);
         }
         let owners = core
@@ -61,14 +61,15 @@
             .filter(|claim| !claim.is_free())
             .map(|claim| (claim.upstream.clone(), Arc::new(claim.owner())))
             .collect();
-        let all = core.upstreams.all(now);
-        self.count(core, &all);
-        self.readopt(core, now);
-        self.fleet.send_replace(Arc::new(Fleet::new(all, owners)));
+        let upstreams = core.upstreams.all(now);
+        self.update_gauges(core, &upstreams);
+        self.adopt_changed(core, now);
+        self.fleet
+            .send_replace(Arc::new(Fleet::new(upstreams, owners)));
     }
 
-    fn regions(&self, core: &Core, now: Millis) -> BTreeMap<Name, Name> {
-        let view = self.parts.view.borrow();
+    fn regions_by_upstream(&self, core: &Core, now: Millis) -> BTreeMap<Name, Name> {
+        let view = self.deps.view.borrow();
         let mut regions: BTreeMap<Name, Name> = core
             .upstreams
             .all(now)
@@ -82,14 +83,14 @@
         regions
     }
 
-    fn count(&self, core: &Core, all: &[fleet::Upstream]) {
-        let metrics = &self.parts.metrics;
+    fn update_gauges(&self, core: &Core, upstreams: &[fleet::Upstream]) {
+        let metrics = &self.deps.metrics;
         for (state, name) in [
             (State::Usable, "usable"),
             (State::Suspended, "held"),
             (State::Leaving, "leaving"),
         ] {
-            let count = all
+            let count = upstreams
                 .iter()
                 .filter(|upstream| upstream.state == state)
                 .count();
@@ -100,17 +101,19 @@
         metrics.owned.set(i64::try_from(owned).unwrap_or(i64::MAX));
     }
 
-    fn readopt(&self, core: &mut Core, now: Millis) {
+    fn adopt_changed(&self, core: &mut Core, now: Millis) {
         let held: Vec<(Name, Hold)> = core
             .machine
-            .holds(&self.parts.clock)
+            .holds(&self.deps.clock)
             .map(|(name, hold)| (name.clone(), hold))
             .collect();
         for (upstream, hold) in held {
             let state = core.upstreams.get(now, &upstream).map(|found| found.state);
-            let told = core.adopted.get(&upstream).copied();
-            let changed = match told {
-                Some((told, token)) => token != hold.token() || state.is_some_and(|s| s != told),
+            let adopted = core.adopted.get(&upstream).copied();
+            let changed = match adopted {
+                Some((adopted, token)) => {
+                    token != hold.token() || state.is_some_and(|state| state != adopted)
+                }
                 None => true,
             };
             if changed {
@@ -120,8 +123,8 @@
     }
 }
 
-/// The weight store's queue is owned like an upstream, though it has no address.
-fn weights() -> (fleet::Upstream, Arc<Pool>) {
+/// Describes the weight store's load queue, which is owned like an upstream but has no address.
+fn weight_store() -> (fleet::Upstream, Arc<Pool>) {
     let name = Name::from(WEIGHTS);
     let vm = Vm {
         name: name.clone(),
--- a/lib/src/membership/mod.rs
+++ b/lib/src/membership/mod.rs
@@ -1,4 +1,4 @@
-//! Who is there: nodes, upstreams, and which node owns which upstream.
+//! Membership: which nodes and upstreams exist, and which node owns each upstream.
 
 pub mod fleet;
 pub mod gossip_state;
@@ -31,29 +31,30 @@
 use crate::clock::Millis;
 use crate::declaration::Pool;
 
-/// Takes charge of upstreams as this node gains and loses them.
+/// Starts and stops to serve upstreams as this node gains and loses their ownership.
 #[async_trait]
 pub trait Adopter: fmt::Debug + Send + Sync {
-    /// Starts to serve an upstream under a hold. Adopting again replaces the hold or the pool.
+    /// Starts to serve an upstream under an ownership. A second call replaces the ownership and the
+    /// pool.
     async fn adopt(&self, upstream: fleet::Upstream, pool: Arc<Pool>, hold: Hold);
 
-    /// Stops to serve an upstream: waiting requests end as not run, running ones finish.
+    /// Stops to serve an upstream: queued requests fail as not run, running ones finish.
     ///
-    /// Returns when nothing runs any more, or when `limit` has passed.
+    /// Returns when no request runs any more, or when `limit` has passed.
     async fn release(&self, upstream: &str, limit: Millis);
 }
 
-/// Votes for peers that ask this node as their witness.
+/// Answers vote requests from peers that have this node as a witness.
 #[async_trait]
 pub trait VoteHandler: fmt::Debug + Send + Sync {
-    /// Renews the asking node's lease if this node can, and supports it or withdraws.
+    /// Votes to support or withdraw an owner; for support, also tries to renew its lease.
     async fn handle_vote_request(&self, ask: witness::VoteRequest) -> witness::Vote;
 }
 
-/// Asks a peer as a witness, over the peer's connection.
+/// Sends vote requests to witnesses.
 #[async_trait]
 pub trait VoteClient: fmt::Debug + Send + Sync {
-    /// Returns the peer's vote, or none when no answer came in time.
+    /// Returns the peer's vote, or `None` if no response came in time.
     async fn request_vote(
         &self,
         peer: SocketAddr,
@@ -61,11 +62,12 @@
     ) -> Option<witness::Vote>;
 }
 
-/// Detects failed upstreams from what their owners meet, so that one which fails is held out.
+/// Collects the failures that owners see at their upstreams, so that failing upstreams are
+/// suspended.
 pub trait FailureDetector: fmt::Debug + Send + Sync {
-    /// An upstream couldn't be reached, or broke a connection.
+    /// Records that an upstream couldn't be reached or broke a connection.
     fn record_failure(&self, upstream: &str);
 
-    /// An upstream answered.
+    /// Records that an upstream responded.
     fn record_success(&self, upstream: &str);
 }
--- a/lib/src/membership/node.rs
+++ b/lib/src/membership/node.rs
@@ -1,4 +1,4 @@
-//! Nodes and claims, and how the key-value service holds them.
+//! Nodes and claims, and their representation in the key-value service.
 
 use std::net::SocketAddr;
 
@@ -13,12 +13,12 @@
 /// Names of a node's witnesses.
 pub type Witnesses = SmallVec<[Name; 9]>;
 
-/// Who a node is and where it listens; fixed for one start of it.
+/// Identity and addresses of a node; constant for one incarnation.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Identity {
     /// The node's name.
     pub name: Name,
-    /// Which start of the node it is; no two starts share one.
+    /// Number of this start of the node; unique among its starts.
     pub incarnation: u64,
     /// Its region.
     pub region: Name,
@@ -30,25 +30,25 @@
     pub operators: SocketAddr,
 }
 
-/// A node's record at the service, or the trace of one that has ended.
+/// A node's record in the key-value service, or the tombstone of one that has ended.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Record {
     /// The node.
     pub identity: Identity,
-    /// The lease that the record lives with.
+    /// The lease that the record is attached to.
     pub lease: LeaseId,
-    /// Who may keep the node an owner while the service can't be reached.
+    /// Peers that may extend the node's ownership while the service is unavailable.
     pub witnesses: Witnesses,
-    /// Whether it takes no upstreams.
+    /// Whether the node is draining and takes no upstreams.
     pub draining: bool,
-    /// The service's revision of the record's write, or of its end.
+    /// Revision of the service at which the record was written, or ended.
     pub revision: u64,
-    /// Whether the record has ended.
+    /// Whether this is a tombstone.
     pub gone: bool,
 }
 
 impl Record {
-    /// Reads a record from its message.
+    /// Decodes a record from its message; `None` if an address is invalid.
     #[must_use]
     pub fn from_message(message: &peer::NodeRecord) -> Option<Self> {
         Some(Self {
@@ -72,7 +72,7 @@
         })
     }
 
-    /// Writes the record as a message.
+    /// Encodes the record as a message.
     #[must_use]
     pub fn to_message(&self) -> peer::NodeRecord {
         peer::NodeRecord {
@@ -90,7 +90,7 @@
         }
     }
 
-    /// Reads a record from a value of the service, last written at `revision`.
+    /// Decodes a record from a stored value that was written at `revision`.
     #[must_use]
     pub fn from_value(value: &[u8], revision: u64) -> Option<Self> {
         let message = peer::NodeRecord::decode(value).ok()?;
@@ -99,30 +99,30 @@
         Some(record)
     }
 
-    /// Writes the record as a value of the service.
+    /// Encodes the record as a value to store.
     #[must_use]
     pub fn to_value(&self) -> bytes::Bytes {
         self.to_message().encode_to_vec().into()
     }
 }
 
-/// Who owns an upstream.
+/// A node's claim to own an upstream.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Claim {
     /// The upstream.
     pub upstream: Name,
     /// The owner's name.
     pub node: Name,
-    /// Which start of the owner.
+    /// The owner's incarnation.
     pub incarnation: u64,
-    /// The service's revision of the claim's write: the fencing token.
+    /// Fencing token: the revision of the service at which the claim was written.
     pub token: u64,
     /// Where the owner listens for peers.
     pub peer: SocketAddr,
 }
 
 impl Claim {
-    /// Reads a claim from its message.
+    /// Decodes a claim from its message; `None` if the address is invalid.
     #[must_use]
     pub fn from_message(message: &peer::Claim) -> Option<Self> {
         Some(Self {
@@ -134,7 +134,7 @@
         })
     }
 
-    /// Writes the claim as a message.
+    /// Encodes the claim as a message.
     #[must_use]
     pub fn to_message(&self) -> peer::Claim {
         peer::Claim {
@@ -146,7 +146,7 @@
         }
     }
 
-    /// Reads a claim from a value of the service, last written at `revision`.
+    /// Decodes a claim from a stored value that was written at `revision`.
     #[must_use]
     pub fn from_value(value: &[u8], revision: u64) -> Option<Self> {
         let message = peer::Claim::decode(value).ok()?;
@@ -155,13 +155,13 @@
         Some(claim)
     }
 
-    /// Writes the claim as a value of the service.
+    /// Encodes the claim as a value to store.
     #[must_use]
     pub fn to_value(&self) -> bytes::Bytes {
         self.to_message().encode_to_vec().into()
     }
 
-    /// Returns the claim that its owner leaves behind: nobody's.
+    /// Returns the claim without an owner, as written on release.
     #[must_use]
     pub fn into_free(self) -> Self {
         Self {
@@ -171,19 +171,19 @@
         }
     }
 
-    /// Whether nobody owns the upstream.
+    /// Whether the upstream has no owner.
     #[must_use]
     pub fn is_free(&self) -> bool {
         self.node.is_empty()
     }
 
-    /// Whether it names this start of a node.
+    /// Whether it belongs to this incarnation of a node.
     #[must_use]
     pub fn is_owned_by(&self, identity: &Identity) -> bool {
         self.node == identity.name && self.incarnation == identity.incarnation
     }
 
-    /// Returns the owner, as requests are routed to it.
+    /// Returns the owner in the form that requests are routed by.
     #[must_use]
     pub fn owner(&self) -> Owner {
         Owner {
@@ -195,7 +195,7 @@
     }
 }
 
-/// Keys of membership at the service, below the deployment's prefix.
+/// Keys of membership in the key-value service, below the deployment's prefix.
 #[derive(Debug, Clone)]
 pub struct Keys {
     prefix: Name,
@@ -204,16 +204,16 @@
 /// What a key of membership holds.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Key<'a> {
-    /// A live node's record; it ends with the node's lease.
+    /// A live node's record; deleted when the node's lease ends.
     Node(&'a str),
-    /// The record as last written by one start of a node; it outlives the lease.
+    /// The record as last written by one incarnation of a node; outlives the lease.
     Registration(&'a str, u64),
     /// The claim on an upstream.
     Claim(&'a str),
 }
 
 impl Keys {
-    /// Makes the keys of a deployment.
+    /// Creates the keys below a deployment's prefix.
     #[must_use]
     pub fn new(prefix: &str) -> Self {
         Self {
@@ -221,7 +221,7 @@
         }
     }
 
-    /// Returns what all keys begin with, so that one call reads or watches them.
+    /// Returns the common prefix, by which one call reads or watches all keys.
     #[must_use]
     pub fn prefix(&self) -> &Name {
         &self.prefix
@@ -233,7 +233,7 @@
         format!("{}nodes/{name}", self.prefix)
     }
 
-    /// Returns the key of the last registration of one start of a node.
+    /// Returns the key of the registration of one incarnation of a node.
     #[must_use]
     pub fn registration(&self, name: &str, incarnation: u64) -> String {
         format!("{}registrations/{name}/{incarnation}", self.prefix)
@@ -245,7 +245,7 @@
         format!("{}claims/{upstream}", self.prefix)
     }
 
-    /// Returns what a key holds.
+    /// Parses a key; `None` if it isn't one of membership.
     #[must_use]
     pub fn parse<'a>(&self, key: &'a str) -> Option<Key<'a>> {
         let (kind, name) = key.strip_prefix(&*self.prefix)?.split_once('/')?;
--- a/lib/src/membership/witness.rs
+++ b/lib/src/membership/witness.rs
@@ -1,13 +1,12 @@
-//! Support of owners by their peers while the key-value service can't be reached.
+//! Witnesses: peers that extend ownership while the key-value service is unavailable.
 //!
-//! An owner whose lease can't be renewed would have to stop, although nobody
-//! may take its upstreams over while the service is down. Each node therefore
-//! names a few peers as its witnesses, in its record at the service. While a
-//! majority of them supports it, it goes on; a successor must have a majority
-//! of the same witnesses withdraw first. A witness that has supported an owner
-//! within the support span refuses to withdraw, and one that has withdrawn never
-//! supports that registration again, so the two majorities can't both exist.
-//! Witnesses agree on nothing and keep nothing: the claim itself is made only at
+//! An owner that can't renew its lease would have to stop, although no node can take its
+//! upstreams over while the service is unavailable. Therefore each node names a few peers as its
+//! witnesses in its record at the service. It stays owner while a majority of them supports it,
+//! and a successor needs a majority of the same witnesses to withdraw first. A witness that
+//! supported an owner within the support term refuses to withdraw, and one that has withdrawn
+//! never supports that registration again, so both majorities can't exist at the same time.
+//! Witnesses reach no consensus and store nothing durably: the claim itself is written only at
 //! the service. See docs/design/0004-ownership.md.
 
 use std::collections::HashMap;
@@ -18,149 +17,149 @@
 use crate::name::Name;
 use crate::ports::LeaseId;
 
-/// What is asked of a witness.
+/// Request for a witness's vote.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct VoteRequest {
-    /// The node whose ownership is asked about.
+    /// The node whose ownership is voted on.
     pub node: Name,
-    /// Which start of it.
+    /// Its incarnation.
     pub incarnation: u64,
     /// Its lease at the service, which the witness renews if it can.
     pub lease: LeaseId,
-    /// The service's revision of its record's write.
+    /// Revision of the service at which its record was written.
     pub registration: u64,
-    /// None when the node asks for support. Else a successor read, at this
-    /// revision of the service, that the record is gone, and asks to withdraw.
+    /// `None` if the node itself requests support. Otherwise a successor requests to withdraw
+    /// it, having read at this revision of the service that its record is gone.
     pub withdraw_before: Option<u64>,
 }
 
-/// How a witness votes: on a longer lease for an owner, or on its end.
+/// A witness's vote: on extending an owner's term, or on ending it.
 ///
-/// A vote counts for one registration and one span only. Nothing is agreed on among the
-/// witnesses, so this is no consensus.
+/// A vote is valid for one registration and one support term only. Witnesses don't coordinate
+/// with each other, so this is not a consensus protocol.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct Vote {
-    /// It reached the service and renewed the lease.
+    /// The witness renewed the node's lease at the service.
     pub renewed: bool,
-    /// It supports the node for one support span from when it was asked.
+    /// The witness supports the node for one support term from when it was asked.
     pub supported: bool,
-    /// It supports no such registration now and never will again.
+    /// The witness doesn't support the registration and never will again.
     pub withdrawn: bool,
 }
 
-/// How many other nodes a witness keeps in mind; the quietest are forgotten first.
-const REMEMBERED: usize = 4096;
+/// Incarnations of nodes that a witness remembers; the least recently used are evicted first.
+const MAX_REMEMBERED: usize = 4096;
 
-/// What a witness remembers of one start of a node.
+/// Votes of a witness on one incarnation of a node.
 #[derive(Debug, Clone, Copy, Default)]
-struct Memory {
+struct VoteRecord {
     supported_at: Option<Millis>,
     withdrawn_before: u64,
-    touched: Millis,
+    last_used: Millis,
 }
 
-/// The memory of one node as a witness of others.
+/// This node as a witness of others: its past votes, kept in memory only.
 #[derive(Debug)]
 pub struct Witness {
-    speaks_from: Millis,
-    quiet: Millis,
-    /// Revision of the service after which nothing can have been promised and forgotten.
-    forgot_nothing_after: Option<u64>,
+    silent_until: Millis,
+    silence: Millis,
+    /// Revision of the service: for registrations after it, no vote can have been forgotten.
+    no_votes_lost_after: Option<u64>,
     overflowed: bool,
-    memories: HashMap<(Name, u64), Memory>,
+    records: HashMap<(Name, u64), VoteRecord>,
     guards: Guards,
 }
 
 impl Witness {
-    /// Makes a witness that just started.
+    /// Creates a witness that just started.
     ///
-    /// A restart forgets what was promised, so a fresh witness says nothing for
-    /// `quiet`, longer than any round of asking plus a support span. Without it
-    /// a witness could withdraw, restart, and support the same owner again.
+    /// A restart loses all past votes, so a new witness doesn't vote for `silence`, which is longer
+    /// than any round of voting plus a support term. Otherwise a witness could withdraw, restart,
+    /// and support the same owner again.
     #[must_use]
-    pub fn new(now: Millis, quiet: Millis) -> Self {
-        Self::with_guards(now, quiet, Guards::all())
+    pub fn new(now: Millis, silence: Millis) -> Self {
+        Self::with_guards(now, silence, Guards::all())
     }
 
-    /// Makes a witness that may lack a guard, for the fuzz harness.
+    /// Creates a witness for which a guard may be disabled, for the fuzz harness.
     #[must_use]
-    pub fn with_guards(now: Millis, quiet: Millis, guards: Guards) -> Self {
-        let quiet = if guards.is_enabled(Guard::WitnessQuiet) {
-            quiet
+    pub fn with_guards(now: Millis, silence: Millis, guards: Guards) -> Self {
+        let silence = if guards.is_enabled(Guard::WitnessQuiet) {
+            silence
         } else {
             Millis::ZERO
         };
         Self {
-            speaks_from: now + quiet,
-            quiet,
-            forgot_nothing_after: None,
+            silent_until: now + silence,
+            silence,
+            no_votes_lost_after: None,
             overflowed: false,
-            memories: HashMap::new(),
+            records: HashMap::new(),
             guards,
         }
     }
 
-    /// Notes the revision of this node's own registration, which is a write of this start.
+    /// Records the revision of this node's own registration, written by this incarnation.
     ///
-    /// A registration with a higher revision is younger than this witness, so no previous
-    /// start of it can have withdrawn it. Without this, nodes that started together would
-    /// vote for nobody in an outage that begins within [`Limits::quiet`] of the start: their
-    /// leases would lapse before the first vote, and callers be refused at every upstream.
+    /// A registration with a higher revision is newer than this witness, so no previous
+    /// incarnation of it can have withdrawn it. Otherwise, nodes that started together wouldn't
+    /// vote in an outage of the service that begins within [`Limits::quiet`] of the start: their
+    /// leases would expire before the first vote, and every upstream would reject requests.
     ///
     /// [`Limits::quiet`]: crate::membership::limits::Limits::quiet
     pub fn record_own_registration(&mut self, revision: u64) {
         if !self.overflowed {
-            self.forgot_nothing_after.get_or_insert(revision);
+            self.no_votes_lost_after.get_or_insert(revision);
         }
     }
 
-    /// Votes on an owner that asks for support, or on a successor that asks to withdraw it.
-    pub fn vote(&mut self, now: Millis, ask: &VoteRequest) -> Vote {
-        if now < self.speaks_from && !self.surely_new(ask) {
+    /// Votes on an owner's request for support, or on a successor's request to withdraw it.
+    pub fn vote(&mut self, now: Millis, request: &VoteRequest) -> Vote {
+        if now < self.silent_until && !self.is_surely_new(request) {
             return Vote::default();
         }
-        self.forget(now);
-        let memory = self
-            .memories
-            .entry((ask.node.clone(), ask.incarnation))
+        self.evict_oldest(now);
+        let record = self
+            .records
+            .entry((request.node.clone(), request.incarnation))
             .or_default();
-        memory.touched = now;
+        record.last_used = now;
         let guards = self.guards;
-        match ask.withdraw_before {
-            None => memory.support(now, ask.registration, guards),
-            Some(revision) => memory.withdraw(now, revision, guards),
+        match request.withdraw_before {
+            None => record.support(now, request.registration, guards),
+            Some(revision) => record.withdraw(now, revision, guards),
         }
     }
 
-    // To withdraw, the witness must also know that no older registration of the node was
-    // supported, which only time tells.
-    fn surely_new(&self, ask: &VoteRequest) -> bool {
-        let younger = self
-            .forgot_nothing_after
-            .is_some_and(|revision| ask.registration > revision);
-        ask.withdraw_before.is_none() && younger
+    // This covers support only. To withdraw, the witness must also be sure that it doesn't
+    // support an older registration of the node, which only the silence ensures.
+    fn is_surely_new(&self, request: &VoteRequest) -> bool {
+        let newer = self
+            .no_votes_lost_after
+            .is_some_and(|revision| request.registration > revision);
+        request.withdraw_before.is_none() && newer
     }
 
-    // Bounded, so that names made up by a broken peer can't fill the memory.
-    // Forgetting a promise is like a restart, and is followed by the same silence.
-    fn forget(&mut self, now: Millis) {
-        if self.memories.len() < REMEMBERED {
+    // The number of records is bounded, so that a faulty peer that makes up names can't exhaust
+    // the memory. Losing a vote is like a restart, and is followed by the same silence.
+    fn evict_oldest(&mut self, now: Millis) {
+        if self.records.len() < MAX_REMEMBERED {
             return;
         }
-        let mut touched: Vec<Millis> = self.memories.values().map(|m| m.touched).collect();
-        touched.sort_unstable();
-        let oldest = touched[touched.len() / 4];
-        self.memories.retain(|_, memory| memory.touched > oldest);
-        self.speaks_from = now + self.quiet;
-        // What was forgotten may be younger than this node's registration.
-        self.forgot_nothing_after = None;
+        let mut last_used: Vec<Millis> = self.records.values().map(|r| r.last_used).collect();
+        last_used.sort_unstable();
+        let oldest = last_used[last_used.len() / 4];
+        self.records.retain(|_, record| record.last_used > oldest);
+        self.silent_until = now + self.silence;
+        // An evicted record may concern a registration that is newer than this node's.
+        self.no_votes_lost_after = None;
         self.overflowed = true;
     }
 }
 
-impl Memory {
+impl VoteRecord {
     fn support(&mut self, now: Millis, registration: u64, guards: Guards) -> Vote {
-        // A withdrawn registration may have a successor already.
+        // The upstreams of a withdrawn registration may already have new owners.
         let withdrawn = registration < self.withdrawn_before;
         let supported = !withdrawn || !guards.is_enabled(Guard::WitnessRemembers);
         if supported {
@@ -173,12 +172,12 @@
     }
 
     fn withdraw(&mut self, now: Millis, revision: u64, guards: Guards) -> Vote {
-        // The owner counts on support for a span from when it asked, which was before
-        // this witness heard it. The drift allows for clocks of different rates.
-        let counted_on = self
+        // The owner relies on support for a term from when it sent the request, which was before
+        // this witness received it. The margin allows for drift between the clocks.
+        let relied_on = self
             .supported_at
             .is_some_and(|at| now <= at + SUPPORT_SPAN + drift(SUPPORT_SPAN));
-        let withdrawn = !counted_on || !guards.is_enabled(Guard::WitnessWaits);
+        let withdrawn = !relied_on || !guards.is_enabled(Guard::WitnessWaits);
         if withdrawn {
             self.withdrawn_before = self.withdrawn_before.max(revision);
         }
--- a/lib/tests/test_membership.rs
+++ b/lib/tests/test_membership.rs
@@ -1,4 +1,4 @@
-//! Membership's parts: what is learned, who supports whom, which lists are accepted.
+//! Parts of membership: the table of claims, witnesses' votes, placement, and lists of upstreams.
 
 use std::net::SocketAddr;
 
@@ -60,9 +60,9 @@
     }
 }
 
-/// A read that arrives late doesn't put an older claim in place of the node's own newer one.
+/// A read whose response arrives late doesn't replace the node's own newer claim by an older one.
 #[test]
-fn read_late_answer() {
+fn read_late_response() {
     let keys = Keys::new("/p/");
     let mut table = Table::new(keys.clone(), Guards::all());
     assert!(table.read(&listing(&keys, 3, 5)));
@@ -71,7 +71,7 @@
     assert_eq!(table.claim("u").map(|claim| claim.token), Some(7));
 }
 
-/// A read from a replica that is behind doesn't bring an old claim back.
+/// A read from a replica that lags doesn't restore an old claim.
 #[test]
 fn read_stale_replica() {
     let keys = Keys::new("/p/");
@@ -81,7 +81,7 @@
     assert_eq!(table.claim("u").map(|claim| claim.token), Some(6));
 }
 
-/// A claim that a complete read no longer has isn't taken from a peer again.
+/// A claim that a full read no longer contains isn't merged from a peer again.
 #[test]
 fn learn_claim_removed() {
     let keys = Keys::new("/p/");
@@ -95,7 +95,7 @@
     assert!(table.learn_claim(claim(10)));
 }
 
-fn ask(registration: u64, withdraw_before: Option<u64>) -> VoteRequest {
+fn vote_request(registration: u64, withdraw_before: Option<u64>) -> VoteRequest {
     VoteRequest {
         node: Name::from("n"),
         incarnation: 1,
@@ -106,71 +106,71 @@
 }
 
 fn witness() -> (Witness, Millis) {
-    let quiet = Limits::default().quiet();
-    (Witness::new(Millis::ZERO, quiet), quiet)
+    let silence = Limits::default().quiet();
+    (Witness::new(Millis::ZERO, silence), silence)
 }
 
-/// A witness that voted for an owner doesn't withdraw while its vote may be counted on.
+/// A witness that supports an owner doesn't withdraw while the owner may rely on its vote.
 #[test]
-fn hear_supported_of_late() {
+fn vote_recently_supported() {
     let (mut witness, now) = witness();
-    assert!(witness.vote(now, &ask(4, None)).supported);
+    assert!(witness.vote(now, &vote_request(4, None)).supported);
     let second = now + Millis(1000);
-    assert!(!witness.vote(second, &ask(4, Some(5))).withdrawn);
+    assert!(!witness.vote(second, &vote_request(4, Some(5))).withdrawn);
     let later = now + Millis(3500);
-    assert!(witness.vote(later, &ask(4, Some(5))).withdrawn);
+    assert!(witness.vote(later, &vote_request(4, Some(5))).withdrawn);
 }
 
-/// A witness that withdrew never votes for that registration again.
+/// A witness that withdrew never supports that registration again.
 #[test]
-fn hear_withdrawn() {
+fn vote_withdrawn() {
     let (mut witness, now) = witness();
-    assert!(witness.vote(now, &ask(4, Some(5))).withdrawn);
-    assert!(!witness.vote(now, &ask(4, None)).supported);
-    assert!(witness.vote(now, &ask(6, None)).supported);
+    assert!(witness.vote(now, &vote_request(4, Some(5))).withdrawn);
+    assert!(!witness.vote(now, &vote_request(4, None)).supported);
+    assert!(witness.vote(now, &vote_request(6, None)).supported);
 }
 
-/// A witness that restarted is silent until every vote that it may have forgotten has ended.
+/// A restarted witness doesn't vote until every vote that it may have lost has expired.
 #[test]
-fn hear_restarted() {
-    let (mut witness, quiet) = witness();
-    let before = Millis(quiet.0 - 1);
-    assert!(!witness.vote(before, &ask(4, None)).supported);
-    assert!(!witness.vote(before, &ask(4, Some(5))).withdrawn);
-    assert!(witness.vote(quiet, &ask(4, None)).supported);
+fn vote_restarted() {
+    let (mut witness, silence) = witness();
+    let before = Millis(silence.0 - 1);
+    assert!(!witness.vote(before, &vote_request(4, None)).supported);
+    assert!(!witness.vote(before, &vote_request(4, Some(5))).withdrawn);
+    assert!(witness.vote(silence, &vote_request(4, None)).supported);
 }
 
-/// A restarted witness votes at once for a registration that is younger than its own.
+/// A restarted witness supports a registration that is newer than its own at once.
 #[test]
-fn hear_restarted_younger_registration() {
+fn vote_restarted_newer_registration() {
     let (mut witness, _) = witness();
     let soon = Millis(100);
-    assert!(!witness.vote(soon, &ask(8, None)).supported);
+    assert!(!witness.vote(soon, &vote_request(8, None)).supported);
     witness.record_own_registration(7);
     witness.record_own_registration(9);
-    assert!(!witness.vote(soon, &ask(7, None)).supported);
-    assert!(!witness.vote(soon, &ask(8, Some(10))).withdrawn);
-    assert!(witness.vote(soon, &ask(8, None)).supported);
+    assert!(!witness.vote(soon, &vote_request(7, None)).supported);
+    assert!(!witness.vote(soon, &vote_request(8, Some(10))).withdrawn);
+    assert!(witness.vote(soon, &vote_request(8, None)).supported);
 }
 
-/// A witness whose memory overflowed doesn't vote as if it had never withdrawn.
+/// A witness that evicted its votes doesn't vote as if it had never withdrawn.
 #[test]
-fn hear_forgot_younger_registration() {
-    let (mut witness, quiet) = witness();
+fn vote_evicted_newer_registration() {
+    let (mut witness, silence) = witness();
     witness.record_own_registration(7);
-    assert!(witness.vote(quiet, &ask(8, Some(10))).withdrawn);
+    assert!(witness.vote(silence, &vote_request(8, Some(10))).withdrawn);
     for other in 0..4096 {
         let other = VoteRequest {
             node: Name::from(format!("other-{other}")),
-            ..ask(8, None)
+            ..vote_request(8, None)
         };
-        witness.vote(quiet + Millis(1), &other);
+        witness.vote(silence + Millis(1), &other);
     }
-    let later = quiet + Millis(2);
-    witness.vote(later, &ask(8, None));
-    assert!(!witness.vote(later, &ask(8, None)).supported);
+    let later = silence + Millis(2);
+    witness.vote(later, &vote_request(8, None));
+    assert!(!witness.vote(later, &vote_request(8, None)).supported);
     witness.record_own_registration(20);
-    assert!(!witness.vote(later, &ask(21, None)).supported);
+    assert!(!witness.vote(later, &vote_request(21, None)).supported);
 }
 
 #[test]
@@ -235,7 +235,7 @@
         .collect()
 }
 
-/// A list that lacks most upstreams is rejected at first, as its source may have restarted.
+/// A list that lacks most upstreams is rejected at first, because its source may have restarted.
 #[test]
 fn list_lacks_many() {
     let mut upstreams = Upstreams::new(Guards::all());
@@ -255,7 +255,8 @@
     assert_eq!(upstreams.all(Millis(62_000)).len(), 4);
 }
 
-/// Upstreams that left while this node was away get new work for as long as the list is doubted.
+/// Upstreams that left while this node couldn't read the list would get new work for as long as
+/// the list without them is rejected. They are suspended instead.
 #[test]
 fn list_lacks_many_gets_no_new_work_there() {
     let mut upstreams = Upstreams::new(Guards::all());
@@ -266,13 +267,13 @@
     };
     let short = upstreams.apply_list(Millis(1_000), vms(3));
     assert_eq!(short, ListOutcome::Rejected { missing: 2 });
-    let (usable, held) = (State::Usable, State::Suspended);
-    let expected = [usable, usable, usable, held, held];
+    let (usable, suspended) = (State::Usable, State::Suspended);
+    let expected = [usable, usable, usable, suspended, suspended];
     assert_eq!(states(&upstreams, Millis(1_000)), expected);
-    // Most of a pool at once is more likely a fault of the list: refusing all would be worse.
+    // If most of a pool is missing, the list is more likely wrong; rejecting all requests is worse.
     upstreams.apply_list(Millis(2_000), vms(2));
     assert_eq!(states(&upstreams, Millis(2_000)), [usable; 5]);
-    // They are back.
+    // The missing upstreams are listed again.
     assert_eq!(
         upstreams.apply_list(Millis(3_000), vms(5)),
         ListOutcome::Accepted
@@ -290,7 +291,7 @@
     );
 }
 
-/// An upstream that fails again soon after it answered is held out for longer.
+/// An upstream that fails again soon after it responded is suspended for longer.
 #[test]
 fn failed_flapping() {
     let mut upstreams = Upstreams::new(Guards::all());
@@ -308,7 +309,7 @@
     assert_eq!(state(&upstreams, 1900), Some(State::Usable));
 }
 
-/// Where most of a pool fails at once the node itself may be at fault, and no upstream is held out.
+/// When most of a pool fails at once, the node itself may be at fault, so no upstream is suspended.
 #[test]
 fn failed_most_of_pool() {
     let mut upstreams = Upstreams::new(Guards::all());
@@ -324,7 +325,7 @@
 }
 
 #[test]
-fn sign_stops_new_work() {
+fn leave_notice_stops_new_work() {
     let mut upstreams = Upstreams::new(Guards::all());
     upstreams.apply_list(Millis(0), vms(9));
     assert!(upstreams.record_leave_notice(Millis(10), "u3"));
@@ -332,20 +333,20 @@
     assert_eq!(state, Some(State::Leaving));
 }
 
-/// Whether a witness without a guard breaks what the tests above hold.
-fn witness_breaks(guard: Guard) -> bool {
-    let quiet = Limits::default().quiet();
-    let mut witness = Witness::with_guards(Millis::ZERO, quiet, Guards::without(guard));
+/// Whether a witness without a guard violates what the tests above check.
+fn violates_without(guard: Guard) -> bool {
+    let silence = Limits::default().quiet();
+    let mut witness = Witness::with_guards(Millis::ZERO, silence, Guards::without(guard));
     match guard {
-        Guard::WitnessQuiet => witness.vote(Millis(1), &ask(4, None)).supported,
+        Guard::WitnessQuiet => witness.vote(Millis(1), &vote_request(4, None)).supported,
         Guard::WitnessRemembers => {
-            witness.vote(quiet, &ask(4, Some(5)));
-            witness.vote(quiet, &ask(4, None)).supported
+            witness.vote(silence, &vote_request(4, Some(5)));
+            witness.vote(silence, &vote_request(4, None)).supported
         }
         _ => {
-            witness.vote(quiet, &ask(4, None));
+            witness.vote(silence, &vote_request(4, None));
             witness
-                .vote(quiet + Millis(1000), &ask(4, Some(5)))
+                .vote(silence + Millis(1000), &vote_request(4, Some(5)))
                 .withdrawn
         }
     }
@@ -358,27 +359,27 @@
         Guard::WitnessRemembers,
         Guard::WitnessWaits,
     ] {
-        assert!(witness_breaks(guard), "{guard:?}");
+        assert!(violates_without(guard), "{guard:?}");
     }
 }
 
 #[test]
 fn guards_of_lists() {
-    let made = |guard| {
+    let without = |guard| {
         let mut upstreams = Upstreams::new(Guards::without(guard));
         upstreams.apply_list(Millis(0), vms(9));
         upstreams
     };
-    let mut panicking = made(Guard::PanicThreshold);
+    let mut panicking = without(Guard::PanicThreshold);
     assert_eq!(
         panicking.apply_list(Millis(1), Vec::new()),
         ListOutcome::Accepted
     );
-    let mut leaving = made(Guard::LeavingStops);
+    let mut leaving = without(Guard::LeavingStops);
     leaving.record_leave_notice(Millis(1), "u0");
     let state = leaving.get(Millis(2), "u0").map(|found| found.state);
     assert_eq!(state, Some(State::Usable));
-    let mut flapping = made(Guard::FlapBackoff);
+    let mut flapping = without(Guard::FlapBackoff);
     flapping.record_failure(Millis(1000), "u0");
     flapping.record_failure(Millis(1400), "u0");
     let state = flapping.get(Millis(1700), "u0").map(|found| found.state);
