--- a/lib/src/membership/manager/mod.rs
+++ b/lib/src/membership/manager/mod.rs
@@ -388,6 +388,7 @@
         let mut view = self.deps.view.clone();
         while view.changed().await.is_ok() {
             view.mark_unchanged();
+            // Pools may have changed: publish the fleet again and call the adopter anew.
             self.step(|core, _| {
                 core.published = (u64::MAX, u64::MAX);
                 core.adopted.clear();
@@ -407,8 +408,12 @@
             (core.machine.vote(now, &request), is_reachable)
         };
         if request.withdraw_before.is_none() && is_reachable {
-            let half = Millis(self.deps.limits.call_timeout.0 / 2);
-            let renewed = timeout(half.duration(), self.deps.lease.renew(request.lease)).await;
+            let renewal_timeout = Millis(self.deps.limits.call_timeout.0 / 2);
+            let renewed = timeout(
+                renewal_timeout.duration(),
+                self.deps.lease.renew(request.lease),
+            )
+            .await;
             vote.renewed = matches!(renewed, Ok(Ok(span)) if span > Millis::ZERO);
         }
         vote
--- a/lib/src/membership/upstreams.rs
+++ b/lib/src/membership/upstreams.rs
@@ -21,7 +21,7 @@
 /// Upper bound of a suspension.
 const MAX_SUSPENSION: Millis = Millis::from_secs(60);
 /// Time without a failure after which an upstream's failure count is reset.
-const FAILURE_RESET: Millis = Millis::from_secs(90);
+const FAILURE_RESET_AFTER: Millis = Millis::from_secs(90);
 /// Lifetime of a leave notice that the list doesn't confirm.
 const LEAVE_NOTICE_TTL: Millis = Millis::from_secs(60);
 /// Leave notices that are kept and relayed.
@@ -161,7 +161,7 @@
             // In-flight requests fail together; they count as one failure.
             return;
         }
-        if now.since(health.failed_at) >= FAILURE_RESET
+        if now.since(health.failed_at) >= FAILURE_RESET_AFTER
             || !self.guards.is_enabled(Guard::FlapBackoff)
         {
             health.recent_failures = 0;
@@ -179,7 +179,7 @@
     /// responses is suspended for longer each time.
     pub fn record_success(&mut self, now: Millis, upstream: &str) {
         if let Some(health) = self.health.get(upstream)
-            && now.since(health.failed_at) >= FAILURE_RESET
+            && now.since(health.failed_at) >= FAILURE_RESET_AFTER
         {
             self.health.remove(upstream);
         }
--- a/lib/src/membership/witness.rs
+++ b/lib/src/membership/witness.rs
@@ -63,7 +63,7 @@
 pub struct Witness {
     silent_until: Millis,
     silence: Millis,
-    /// Revision of the service: for registrations after it, no vote can have been forgotten.
+    /// Revision of the service; no vote on a later registration can have been lost.
     no_votes_lost_after: Option<u64>,
     overflowed: bool,
     records: HashMap<(Name, u64), VoteRecord>,
@@ -102,9 +102,9 @@
     /// Records the revision of this node's own registration, written by this incarnation.
     ///
     /// A registration with a higher revision is newer than this witness, so no previous
-    /// incarnation of it can have withdrawn it. Otherwise, nodes that started together wouldn't
-    /// vote in an outage of the service that begins within [`Limits::quiet`] of the start: their
-    /// leases would expire before the first vote, and every upstream would reject requests.
+    /// incarnation of it can have withdrawn it. Without this exception, nodes that started together
+    /// wouldn't vote in an outage of the service that begins within [`Limits::quiet`] of the start:
+    /// their leases would expire before the first vote, and requests to every upstream be rejected.
     ///
     /// [`Limits::quiet`]: crate::membership::limits::Limits::quiet
     pub fn record_own_registration(&mut self, revision: u64) {
