--- a/lib/src/membership/manager/publish.rs
+++ b/lib/src/membership/manager/publish.rs
@@ -1,18 +1,18 @@
-//! What a step of the machine changes for others: the fleet that requests read, what there
-//! is to own, and what the adopter is told of the upstreams that are held.
+//! Publishes the effects of a step of the machine: the fleet that requests read, the upstreams
+//! that the machine may own, and calls to the adopter for upstreams that this node owns.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-use super::{Adoption, Core, MembershipManager};
 use crate::clock::Millis;
 use crate::declaration::{Kind, Pool};
 use crate::loads::WEIGHT_STORE;
 use crate::membership::UpstreamOwnership;
-use crate::membership::fleet::{self, Fleet, State};
+use crate::membership::fleet::{Fleet, State, self};
 use crate::name::Name;
 use crate::ports::Vm;
+use super::{AdopterCall, Core, MembershipManager};
 
 impl MembershipManager {
     pub(super) fn adopt(
@@ -22,42 +22,42 @@
         upstream: &Name,
         ownership: UpstreamOwnership,
     ) {
-        let Some((found, pool)) = self.describe(core, now, upstream) else {
+        let Some((found, pool)) = self.upstream_and_pool(core, now, upstream) else {
             core.adopted.remove(upstream);
             return;
         };
-        let mark = (found.state, ownership.token());
-        core.adopted.insert(upstream.clone(), mark);
-        self.send(Adoption::Adopt(found, pool, ownership));
+        let seen = (found.state, ownership.token());
+        core.adopted.insert(upstream.clone(), seen);
+        self.queue_adopter_call(AdopterCall::Adopt(found, pool, ownership));
     }
 
-    fn describe(
+    fn upstream_and_pool(
         &self,
         core: &Core,
         now: Millis,
         upstream: &Name,
     ) -> Option<(fleet::Upstream, Arc<Pool>)> {
         if **upstream == *WEIGHT_STORE {
-            return Some(weights());
+            return Some(weight_store());
         }
         let found = core.upstreams.get(now, upstream)?;
-        let pool = self.parts.view.borrow().pool(&found.vm.pool).cloned()?;
+        let pool = self.deps.view.borrow().pool(&found.vm.pool).cloned()?;
         Some((found, pool))
     }
 
-    // Publishes the picture when it changed, tells the machine what there is to own,
-    // and tells the adopter of upstreams whose state or pool changed.
+    // If anything changed: publishes a new fleet, passes the machine the upstreams that may be
+    // owned, and calls the adopter for upstreams whose state or pool changed.
     pub(in crate::membership) fn publish(&self, core: &mut Core, now: Millis) {
         let version = (core.upstreams.version(), core.machine.table().version());
-        let released = core.next_readmission.is_some_and(|at| now >= at);
-        if core.published == version && !released {
+        let suspension_ended = core.next_readmission.is_some_and(|at| now >= at);
+        if core.published == version && !suspension_ended {
             return;
         }
-        let renewed = core.published.0 != version.0 || released;
+        let upstreams_changed = core.published.0 != version.0 || suspension_ended;
         core.published = version;
         core.next_readmission = core.upstreams.next_readmission(now);
-        if renewed {
-            let regions = self.regions(core, now);
+        if upstreams_changed {
+            let regions = self.regions_by_upstream(core, now);
             core.machine.set_upstreams(now, regions);
         }
         let owners = core
@@ -67,14 +67,15 @@
             .filter(|claim| !claim.is_free())
             .map(|claim| (claim.upstream.clone(), Arc::new(claim.owner())))
             .collect();
-        let all = core.upstreams.all(now);
-        self.count(core, &all);
-        self.readopt(core, now);
-        self.fleet.send_replace(Arc::new(Fleet::new(all, owners)));
+        let upstreams = core.upstreams.all(now);
+        self.update_gauges(core, &upstreams);
+        self.adopt_changed(core, now);
+        self.fleet
+            .send_replace(Arc::new(Fleet::new(upstreams, owners)));
     }
 
-    fn regions(&self, core: &Core, now: Millis) -> BTreeMap<Name, Name> {
-        let view = self.parts.view.borrow();
+    fn regions_by_upstream(&self, core: &Core, now: Millis) -> BTreeMap<Name, Name> {
+        let view = self.deps.view.borrow();
         let mut regions: BTreeMap<Name, Name> = core
             .upstreams
             .all(now)
@@ -88,14 +89,14 @@
         regions
     }
 
-    fn count(&self, core: &Core, all: &[fleet::Upstream]) {
-        let metrics = &self.parts.metrics;
+    fn update_gauges(&self, core: &Core, upstreams: &[fleet::Upstream]) {
+        let metrics = &self.deps.metrics;
         for (state, name) in [
             (State::Usable, "usable"),
             (State::Suspended, "held"),
             (State::Leaving, "leaving"),
         ] {
-            let count = all
+            let count = upstreams
                 .iter()
                 .filter(|upstream| upstream.state == state)
                 .count();
@@ -106,18 +107,18 @@
         metrics.owned.set(i64::try_from(owned).unwrap_or(i64::MAX));
     }
 
-    fn readopt(&self, core: &mut Core, now: Millis) {
+    fn adopt_changed(&self, core: &mut Core, now: Millis) {
         let held: Vec<(Name, UpstreamOwnership)> = core
             .machine
-            .ownerships(&self.parts.clock)
+            .ownerships(&self.deps.clock)
             .map(|(name, ownership)| (name.clone(), ownership))
             .collect();
         for (upstream, ownership) in held {
             let state = core.upstreams.get(now, &upstream).map(|found| found.state);
-            let told = core.adopted.get(&upstream).copied();
-            let changed = match told {
-                Some((told, token)) => {
-                    token != ownership.token() || state.is_some_and(|s| s != told)
+            let adopted = core.adopted.get(&upstream).copied();
+            let changed = match adopted {
+                Some((adopted, token)) => {
+                    token != ownership.token() || state.is_some_and(|state| state != adopted)
                 }
                 None => true,
             };
@@ -128,8 +129,8 @@
     }
 }
 
-/// The weight store's queue is owned like an upstream, though it has no address.
-fn weights() -> (fleet::Upstream, Arc<Pool>) {
+/// Describes the weight store's load queue, which is owned like an upstream but has no address.
+fn weight_store() -> (fleet::Upstream, Arc<Pool>) {
     let name = Name::from(WEIGHT_STORE);
     let vm = Vm {
         name: name.clone(),
