--- a/lib/src/membership/manager/publish.rs
+++ b/lib/src/membership/manager/publish.rs
@@ -5,14 +5,14 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
+use super::{AdopterCall, Core, MembershipManager};
 use crate::clock::Millis;
 use crate::declaration::{Kind, Pool};
 use crate::loads::WEIGHT_STORE;
 use crate::membership::UpstreamOwnership;
-use crate::membership::fleet::{Fleet, State, self};
+use crate::membership::fleet::{self, Fleet, State};
 use crate::name::Name;
 use crate::ports::Vm;
-use super::{AdopterCall, Core, MembershipManager};
 
 impl MembershipManager {
     pub(super) fn adopt(
--- a/lib/src/owner/actor.rs
+++ b/lib/src/owner/actor.rs
@@ -12,17 +12,17 @@
 use kameo::message::{Context, Message};
 use tokio::sync::{mpsc, oneshot, watch};
 
+use super::driver::Driver;
+use super::registry::Dependencies;
+use super::run::Grant;
+use super::status::Status;
+use super::task_event::TaskEvent;
 use crate::adapter::Adapter;
 use crate::declaration::{Kind, Pool};
 use crate::error::Failure;
 use crate::membership::{UpstreamOwnership, fleet};
 use crate::request::{Id, Ticket};
 use crate::runner::Share;
-use super::driver::Driver;
-use super::registry::Dependencies;
-use super::run::Grant;
-use super::status::Status;
-use super::task_event::TaskEvent;
 
 /// An upstream with the pool and the lease under which it is owned.
 #[derive(Debug, Clone)]
--- a/lib/src/owner/driver/load.rs
+++ b/lib/src/owner/driver/load.rs
@@ -1,5 +1,6 @@
 //! Requests for load permits, and the loads under them.
 
+use super::Driver;
 use crate::adapter::Adapter;
 use crate::clock::Millis;
 use crate::error::Failure;
@@ -7,7 +8,6 @@
 use crate::owner::load::{LoadTask, PendingPermit};
 use crate::owner::run::Target;
 use crate::policy::upstream::{Action, Demand};
-use super::Driver;
 
 impl Driver {
     /// Uses a granted permit, or returns it if it isn't needed.
--- a/lib/src/owner/load.rs
+++ b/lib/src/owner/load.rs
@@ -5,6 +5,7 @@
 use tokio::sync::{mpsc, watch};
 use tokio_util::task::AbortOnDropHandle;
 
+use super::task_event::TaskEvent;
 use crate::adapter::Adapter;
 use crate::clock::{Clock, Millis};
 use crate::error::{Code, Failure};
@@ -12,7 +13,6 @@
 use crate::membership::UpstreamOwnership;
 use crate::metrics::Metrics;
 use crate::ports::Engine;
-use super::task_event::TaskEvent;
 
 /// Pause before a permit is requested again after the permit queue failed.
 const PERMIT_RETRY_PAUSE: Millis = Millis(500);
