--- a/lib/src/claim/actor.rs
+++ b/lib/src/claim/actor.rs
@@ -2,7 +2,7 @@
 //!
 //! Requests that arrive while a batch is in flight share the next transaction,
 //! so that a burst costs the key-value service few calls. A request whose key
-//! this node has claimed recently is refused without a call.
+//! this node is claiming, or has claimed recently, is refused without a call.
 
 use std::collections::{HashMap, HashSet, VecDeque};
 use std::sync::Arc;
@@ -57,7 +57,7 @@
     pub request: Name,
     /// The service's revision at which the claim was written.
     pub revision: u64,
-    /// Notified when the release has been attempted.
+    /// Notified when the release has been attempted, whatever its outcome.
     pub reply: Option<oneshot::Sender<()>>,
 }
 
--- a/lib/src/claim/record.rs
+++ b/lib/src/claim/record.rs
@@ -23,7 +23,7 @@
     pub request: Name,
     /// The node that acquired the claim; informational.
     pub node: Name,
-    /// When it was acquired, in milliseconds since the Unix epoch by that node's clock; informational.
+    /// When it was acquired, in Unix milliseconds by that node's clock; informational.
     pub time_ms: u64,
 }
 
--- a/lib/src/owner/driver/mod.rs
+++ b/lib/src/owner/driver/mod.rs
@@ -334,7 +334,7 @@
                     self.permits.remove(&adapter);
                 }
                 Action::Load { adapter, evict } => {
-                    remaining.extend(self.start_load(adapter, evict))
+                    remaining.extend(self.start_load(adapter, evict));
                 }
             }
         }
--- a/lib/src/owner/registry.rs
+++ b/lib/src/owner/registry.rs
@@ -57,7 +57,7 @@
 pub trait RoutingCheck: fmt::Debug + Send + Sync {
     /// Whether the configuration in force routes the request as its ticket says.
     ///
-    /// True if the ticket was made from a newer revision than this node knows.
+    /// A ticket made from a newer revision than this node's counts as current.
     fn is_current(&self, ticket: &Ticket) -> bool;
 }
 
--- a/lib/src/owner/response_check.rs
+++ b/lib/src/owner/response_check.rs
@@ -57,7 +57,9 @@
 }
 
 impl CheckError {
-    /// Returns the metric label of responses dropped for this reason; `None` if they aren't counted.
+    /// Returns the metric label of responses dropped for this reason.
+    ///
+    /// `None` if they aren't counted as dropped.
     pub(super) const fn drop_label(self) -> Option<&'static str> {
         match self {
             Self::WrongRequest => Some("request"),
