--- a/lib/src/owner/driver/mod.rs
+++ b/lib/src/owner/driver/mod.rs
@@ -1,7 +1,7 @@
 //! Feeds an upstream's events to its state machine and executes the resulting actions.
 
+mod correct;
 mod load;
-mod reconcile;
 
 use std::collections::{HashMap, VecDeque};
 use std::sync::Arc;
