--- a/lib/src/gossip/gossiper.rs
+++ b/lib/src/gossip/gossiper.rs
@@ -154,7 +154,7 @@
         loop {
             tokio::select! {
                 () = self.deps.stop.cancelled() => return,
-                changed = changes.changed() => match changed {
+                result = changes.changed() => match result {
                     Ok(()) => self.push_changes(),
                     Err(_) => return,
                 },
--- a/lib/src/owner/driver/mod.rs
+++ b/lib/src/owner/driver/mod.rs
@@ -307,7 +307,7 @@
 
     fn record_failure(&mut self, now: Millis) {
         if self.health.record_failure(now) {
-            log::warn!("owner: {} is unreachable and gets no requests", self.name());
+            log::warn!("owner: {} can't be reached; it gets no work", self.name());
         }
         if let Some(detector) = &self.dependencies.detector {
             detector.record_failure(self.name());
