--- a/bench/src/spread/loopback.rs
+++ b/bench/src/spread/loopback.rs
@@ -137,7 +137,7 @@
     let own = peers[number].clone();
     ground.links.add(&own);
     let clock = Arc::new(Monotonic::start());
-    let clients = Clients::new(client::Parts {
+    let clients = Clients::new(client::Dependencies {
         node: Arc::clone(&own.name),
         local: Arc::new(Unused),
         security: Security::Plaintext,
--- a/lib/src/node/assembly.rs
+++ b/lib/src/node/assembly.rs
@@ -193,8 +193,8 @@
         }
     }
 
-    fn clients(&self, registry: &Arc<Registry>, security: &Security) -> client::Parts {
-        client::Parts {
+    fn clients(&self, registry: &Arc<Registry>, security: &Security) -> client::Dependencies {
+        client::Dependencies {
             node: Arc::clone(&self.identity.name),
             local: Arc::clone(registry) as _,
             security: security.clone(),
--- a/lib/src/peer/client.rs
+++ b/lib/src/peer/client.rs
@@ -32,7 +32,7 @@
 
 /// What the clients work with.
 #[derive(Debug, Clone)]
-pub struct Parts {
+pub struct Dependencies {
     /// This node's name.
     pub node: Name,
     /// Runs attempts at the upstreams that this node owns.
@@ -50,23 +50,23 @@
 /// The ways to all peers.
 #[derive(Debug)]
 pub struct Clients {
-    parts: Parts,
+    deps: Dependencies,
     links: RwLock<HashMap<SocketAddr, Arc<Link>>>,
 }
 
 impl Clients {
     /// Starts without a connection; each is opened by its first use.
     #[must_use]
-    pub fn new(parts: Parts) -> Arc<Self> {
+    pub fn new(deps: Dependencies) -> Arc<Self> {
         Arc::new(Self {
-            parts,
+            deps,
             links: RwLock::default(),
         })
     }
 
     /// Returns the node's metrics.
     pub(super) fn metrics(&self) -> Arc<Metrics> {
-        Arc::clone(&self.parts.metrics)
+        Arc::clone(&self.deps.metrics)
     }
 
     /// Returns the way to a peer.
@@ -78,17 +78,17 @@
         drop(links);
         let mut links = self.links.write().unwrap_or_else(PoisonError::into_inner);
         if links.len() >= LINKS {
-            let now = self.parts.clock.now();
+            let now = self.deps.clock.now();
             links.retain(|_, link| now.since(link.used()) < IDLE);
         }
         let made = || {
-            let Parts {
+            let Dependencies {
                 node,
                 security,
                 clock,
                 limits,
                 ..
-            } = &self.parts;
+            } = &self.deps;
             Arc::new(Link::new(node, address, security, limits, clock))
         };
         Arc::clone(links.entry(address).or_insert_with(made))
@@ -103,7 +103,7 @@
     }
 
     fn count(&self, direction: &str, message: &impl Message) {
-        call::count(&self.parts.metrics, direction, message);
+        call::count(&self.deps.metrics, direction, message);
     }
 
     async fn timed<T>(
@@ -112,7 +112,7 @@
         way: &Arc<Way>,
         call: impl Future<Output = Result<tonic::Response<T>, tonic::Status>>,
     ) -> Result<T, Failure> {
-        let answer = tokio::time::timeout(self.parts.limits.call_timeout.duration(), call)
+        let answer = tokio::time::timeout(self.deps.limits.call_timeout.duration(), call)
             .await
             .unwrap_or_else(|_| {
                 link.unanswered(way);
@@ -126,12 +126,12 @@
 
 impl Reach for Clients {
     fn runner(&self, owner: &Owner) -> Arc<dyn Runner> {
-        if owner.node == self.parts.node {
-            return Arc::clone(&self.parts.local);
+        if owner.node == self.deps.node {
+            return Arc::clone(&self.deps.local);
         }
         Arc::new(Forwarder {
             link: self.link(owner.peer),
-            clock: Arc::clone(&self.parts.clock),
+            clock: Arc::clone(&self.deps.clock),
         })
     }
 }
@@ -156,7 +156,7 @@
         let way = link.way()?;
         let mut client = way.client();
         let request = SnapshotRequest {
-            node: self.parts.node.to_string(),
+            node: self.deps.node.to_string(),
         };
         let parts = self.timed(&link, &way, client.snapshot(request)).await?;
         let read = parts.map(move |part| part.map_err(|status| link.failed(&status)));
--- a/lib/tests/peer_fakes/mod.rs
+++ b/lib/tests/peer_fakes/mod.rs
@@ -148,7 +148,7 @@
 }
 
 fn made(security: Security, limits: Limits) -> Arc<Clients> {
-    Clients::new(client::Parts {
+    Clients::new(client::Dependencies {
         node: "a".into(),
         local: Arc::new(Nobody),
         security,
