--- a/lib/src/loads/shared.rs
+++ b/lib/src/loads/shared.rs
@@ -20,7 +20,7 @@
 use crate::membership::Fleet;
 use crate::membership::fleet::Owner;
 use crate::name::Name;
-use crate::peer::{Clients, Remote};
+use crate::peer::{Clients, RemotePermitSource};
 use crate::policy;
 
 /// Timeout of a permit whose holder is lost, in loads at the store's rate.
@@ -94,7 +94,7 @@
         match self.owner() {
             Some(owner) if owner.node == self.deps.node => self.queue.acquire(request).await,
             Some(owner) => {
-                let remote = Remote {
+                let remote = RemotePermitSource {
                     clients: Arc::clone(&self.deps.clients),
                     address: owner.peer,
                 };
--- a/lib/src/peer/mod.rs
+++ b/lib/src/peer/mod.rs
@@ -14,7 +14,7 @@
 mod witness;
 
 pub use client::Clients;
-pub(crate) use permit::Remote;
+pub(crate) use permit::RemotePermitSource;
 
 use crate::clock::Millis;
 
--- a/lib/src/peer/permit.rs
+++ b/lib/src/peer/permit.rs
@@ -112,7 +112,7 @@
 
 /// Asks a peer for leave to load.
 #[derive(Debug)]
-pub(crate) struct Remote {
+pub(crate) struct RemotePermitSource {
     /// The ways to all peers.
     pub(crate) clients: Arc<Clients>,
     /// Where the owner of the queue listens.
@@ -120,7 +120,7 @@
 }
 
 #[async_trait]
-impl PermitSource for Remote {
+impl PermitSource for RemotePermitSource {
     async fn acquire(
         &self,
         ask: watch::Receiver<PermitRequest>,
