--- a/cli/src/daemon/mod.rs
+++ b/cli/src/daemon/mod.rs
@@ -11,7 +11,7 @@
 use std::path::Path;
 use std::process::ExitCode;
 
-use chivevalve::peer::tls::{Keys, Paths};
+use chivevalve::peer::tls::{Paths, TlsCredentials};
 use chivevalve::settings::{self, Settings, Tls};
 
 use args::Action;
@@ -52,7 +52,7 @@
         key,
         authority,
     } = settings.tls
-        && let Err(error) = Keys::load(Paths {
+        && let Err(error) = TlsCredentials::load(Paths {
             certificate,
             key,
             authority,
--- a/lib/src/node/mod.rs
+++ b/lib/src/node/mod.rs
@@ -22,7 +22,7 @@
 use crate::name::Name;
 use crate::owner::Registry;
 use crate::peer::server;
-use crate::peer::tls::{Keys, Paths, Security};
+use crate::peer::tls::{Paths, Security, TlsCredentials};
 use crate::settings::{self, Settings, Tls};
 use crate::{config, entry, membership, operators};
 
@@ -248,12 +248,12 @@
         log::warn!("node: connections between nodes are not protected, as the settings say");
         return Ok(Security::Plaintext);
     };
-    let keys = Keys::load(Paths {
+    let keys = TlsCredentials::load(Paths {
         certificate: certificate.clone(),
         key: key.clone(),
         authority: authority.clone(),
     })?;
-    tokio::spawn(keys.clone().follow(CERTIFICATES, stop.clone()));
+    tokio::spawn(keys.clone().reload_periodically(CERTIFICATES, stop.clone()));
     Ok(Security::Mutual(keys))
 }
 
--- a/lib/src/peer/tls.rs
+++ b/lib/src/peer/tls.rs
@@ -68,17 +68,17 @@
     /// Not at all; an operator has set this explicitly.
     Plaintext,
     /// Both sides show a certificate of the authority.
-    Mutual(Keys),
+    Mutual(TlsCredentials),
 }
 
 /// Certificates that are read again when they change.
 #[derive(Debug, Clone)]
-pub struct Keys {
+pub struct TlsCredentials {
     paths: Paths,
     current: watch::Sender<Arc<Configs>>,
 }
 
-impl Keys {
+impl TlsCredentials {
     /// Reads the files.
     ///
     /// # Errors
@@ -96,7 +96,7 @@
     ///
     /// # Errors
     ///
-    /// As [`Keys::load`]; what was read before stays in force.
+    /// As [`TlsCredentials::load`]; what was read before stays in force.
     pub fn reload(&self) -> Result<(), Error> {
         let configs = Configs::read(&self.paths)?;
         self.current.send_replace(Arc::new(configs));
@@ -104,7 +104,7 @@
     }
 
     /// Reads the files again each period until `stop`.
-    pub async fn follow(self, period: Millis, stop: CancellationToken) {
+    pub async fn reload_periodically(self, period: Millis, stop: CancellationToken) {
         while stop
             .run_until_cancelled(tokio::time::sleep(period.duration()))
             .await
--- a/lib/tests/test_peer_tls.rs
+++ b/lib/tests/test_peer_tls.rs
@@ -9,7 +9,7 @@
 use std::sync::atomic::{AtomicU32, Ordering};
 
 use chivevalve::error::Code;
-use chivevalve::peer::tls::{Error, Keys, NODE_NAME, Paths, Security};
+use chivevalve::peer::tls::{Error, NODE_NAME, Paths, Security, TlsCredentials};
 use chivevalve::runner::Reach;
 use owner_fakes::{Bench, attempt, text};
 use peer_fakes::{Nobody, Node, clients, secured};
@@ -68,8 +68,8 @@
         }
     }
 
-    fn keys(&self) -> Keys {
-        Keys::load(self.paths()).unwrap()
+    fn keys(&self) -> TlsCredentials {
+        TlsCredentials::load(self.paths()).unwrap()
     }
 }
 
@@ -168,9 +168,9 @@
         Files::new(&authority, NODE_NAME),
     );
     fs::copy(there.paths().key, here.paths().key).unwrap();
-    let error = Keys::load(here.paths()).unwrap_err();
+    let error = TlsCredentials::load(here.paths()).unwrap_err();
     assert!(matches!(error, Error::Content(_)), "{error}");
     fs::remove_file(here.paths().authority).unwrap();
-    let error = Keys::load(here.paths()).unwrap_err();
+    let error = TlsCredentials::load(here.paths()).unwrap_err();
     assert!(error.to_string().contains("authority.pem"), "{error}");
 }
