--- a/lib/src/node/limits.rs
+++ b/lib/src/node/limits.rs
@@ -78,7 +78,7 @@
 pub fn peer(settings: &Settings) -> peer::Limits {
     let entry = entry(settings);
     peer::Limits {
-        body_bytes: entry.max_body_bytes.max(entry.body_bytes),
+        max_body_bytes: entry.max_body_bytes.max(entry.body_bytes),
         ..peer::Limits::default()
     }
 }
--- a/lib/src/peer/link.rs
+++ b/lib/src/peer/link.rs
@@ -31,8 +31,8 @@
         let endpoint = endpoint(connector.address, limits);
         let channel = endpoint.connect_with_connector_lazy(connector.clone());
         let client = PeerClient::new(channel)
-            .max_decoding_message_size(limits.message_bytes)
-            .max_encoding_message_size(limits.message_bytes);
+            .max_decoding_message_size(limits.max_message_bytes)
+            .max_encoding_message_size(limits.max_message_bytes);
         Arc::new(Self {
             probe: Probe::new(client.clone(), limits),
             client,
@@ -118,7 +118,7 @@
     /// Notes that a call had no answer in its time.
     pub(super) fn unanswered(&self, way: &Arc<Way>) {
         let heard = Millis(self.heard.load(Ordering::Relaxed));
-        let trusted = self.limits.ping_after + self.limits.ping_timeout;
+        let trusted = self.limits.ping_interval + self.limits.ping_timeout;
         if self.clock.now().since(heard) >= trusted {
             self.leave(way);
         }
@@ -170,7 +170,7 @@
         if is_connect(status) {
             self.back_off();
             let failure = Failure::new(Code::PeerUnreachable, "the peer can't be reached");
-            return failure.retry_after(self.limits.backoff_from);
+            return failure.retry_after(self.limits.min_backoff);
         }
         Failure::new(
             Code::PeerLost,
@@ -186,8 +186,8 @@
         }
         let failures = self.failures.fetch_add(1, Ordering::Relaxed);
         let Limits {
-            backoff_from: from,
-            backoff_to: to,
+            min_backoff: from,
+            max_backoff: to,
             ..
         } = self.limits;
         let span = Millis(from.0 << failures.min(16)).min(to);
@@ -210,15 +210,15 @@
     Endpoint::from_shared(format!("http://{address}"))
         .expect("an address by IP number and port is an authority")
         .connect_timeout(limits.connect_timeout.duration())
-        .initial_stream_window_size(limits.window_bytes)
+        .initial_stream_window_size(limits.stream_window_bytes)
         .initial_connection_window_size(limits.connection_window())
         // The library counts each piece that comes after its caller went away as a
         // fault of the peer, over the connection's whole life, and ends it at a
         // bound, with the answers of all callers that share it. A peer that is
         // known by its certificate needs no such bound.
         .http2_max_local_error_reset_streams(None)
-        .http2_keep_alive_interval(limits.ping_after.duration())
-        .keep_alive_timeout(limits.patience.duration())
+        .http2_keep_alive_interval(limits.ping_interval.duration())
+        .keep_alive_timeout(limits.keepalive_timeout.duration())
 }
 
 fn is_connect(status: &Status) -> bool {
--- a/lib/src/peer/probe.rs
+++ b/lib/src/peer/probe.rs
@@ -38,7 +38,7 @@
     pub(super) fn new(client: PeerClient<Channel>, limits: &Limits) -> Self {
         Self {
             client,
-            after: limits.ping_after,
+            after: limits.ping_interval,
             timeout: limits.ping_timeout,
             round: Mutex::default(),
         }
--- a/lib/src/peer/server.rs
+++ b/lib/src/peer/server.rs
@@ -65,23 +65,23 @@
         listener,
         security,
         timeout: limits.connect_timeout,
-        connections: limits.connections,
+        connections: limits.max_connections,
     };
     let incoming = acceptor.start(stop.clone());
     let service = PeerServer::new(handlers)
-        .max_decoding_message_size(limits.message_bytes)
-        .max_encoding_message_size(limits.message_bytes);
+        .max_decoding_message_size(limits.max_message_bytes)
+        .max_encoding_message_size(limits.max_message_bytes);
     Server::builder()
-        .initial_stream_window_size(limits.window_bytes)
+        .initial_stream_window_size(limits.stream_window_bytes)
         .initial_connection_window_size(limits.connection_window())
-        .max_concurrent_streams(limits.streams)
+        .max_concurrent_streams(limits.max_concurrent_streams)
         // The library takes some tens of requests that are reset before it has seen
         // them for an attack, and ends the connection. Between nodes they are the
         // callers that went away while this node paused for a moment, and with the
         // connection all other callers of that node would lose their answers.
-        .http2_max_pending_accept_reset_streams(Some(limits.streams as usize))
-        .http2_keepalive_interval(Some(limits.idle_ping.duration()))
-        .http2_keepalive_timeout(Some(limits.patience.duration()))
+        .http2_max_pending_accept_reset_streams(Some(limits.max_concurrent_streams as usize))
+        .http2_keepalive_interval(Some(limits.server_ping_interval.duration()))
+        .http2_keepalive_timeout(Some(limits.keepalive_timeout.duration()))
         .add_service(service)
         .serve_with_incoming_shutdown(incoming, stop.cancelled_owned())
         .await
@@ -166,7 +166,7 @@
             match message.part {
                 Some(up::Part::Head(part)) => head = Some((part, self.clock.now())),
                 Some(up::Part::Body(piece)) => {
-                    if body.len() + piece.len() > self.limits.body_bytes {
+                    if body.len() + piece.len() > self.limits.max_body_bytes {
                         return Err(Failure::new(Code::BodyTooLarge, "the body is too large"));
                     }
                     body.extend_from_slice(&piece);
--- a/lib/tests/peer_fakes/mod.rs
+++ b/lib/tests/peer_fakes/mod.rs
@@ -133,9 +133,9 @@
     made(
         Security::Plaintext,
         Limits {
-            ping_after: Millis(100),
+            ping_interval: Millis(100),
             ping_timeout: Millis::from_secs(1),
-            patience: span,
+            keepalive_timeout: span,
             call_timeout: Millis(200),
             ..Limits::default()
         },
