--- a/lib/src/direct/attempt.rs
+++ b/lib/src/direct/attempt.rs
@@ -15,7 +15,7 @@
 use crate::clock::Millis;
 use crate::error::Code;
 use crate::poison::fingerprint::{Fingerprint, Identity};
-use crate::ports::link::{Connection, Lost};
+use crate::ports::connection_pool::{Connection, Lost};
 
 /// Maximum length in bytes of a response that is buffered completely.
 const MAX_BUFFERED_BODY_BYTES: usize = 16 << 20;
@@ -156,18 +156,18 @@
             MAX_IDLE_NOT_RETRYABLE
         };
         let mut connection = upstream
-            .link
-            .take(max_idle)
+            .connection_pool
+            .acquire(max_idle)
             .await
             .map_err(|lost| send_error(&lost))?;
         // The request may have waited seconds for its adapter or a connection since this upstream
         // was selected. An upstream that is leaving gets no new requests.
         if !upstream.is_ready() {
-            upstream.link.keep(connection, None);
+            upstream.connection_pool.release(connection, None);
             return Err(SendError::Unsent("the upstream leaves".to_owned()));
         }
         if watch.as_ref().is_some_and(VersionWatch::has_expired) {
-            upstream.link.keep(connection, None);
+            upstream.connection_pool.release(connection, None);
             return Err(SendError::Withdrawn { sent: false });
         }
         let request = self.request(dialect, dispatch);
@@ -241,7 +241,9 @@
             .map_err(|error| SendError::Lost(Code::AnswerCut, error.to_string()))?
             .to_bytes();
         if !self.reply.closes {
-            self.upstream.link.keep(self.connection, self.reply.keep);
+            self.upstream
+                .connection_pool
+                .release(self.connection, self.reply.keep);
         }
         Ok((self.head, body))
     }
@@ -257,7 +259,7 @@
     let rest = Limited::new(body, MAX_REJECTION_BODY_BYTES).collect();
     let rest = tokio::time::timeout(REJECTION_BODY_TIMEOUT.duration(), rest).await;
     if matches!(rest, Ok(Ok(_))) && !reply.closes {
-        upstream.link.keep(connection, reply.keep);
+        upstream.connection_pool.release(connection, reply.keep);
     }
 }
 
--- a/lib/src/direct/control_call.rs
+++ b/lib/src/direct/control_call.rs
@@ -26,8 +26,8 @@
     request: Request<Full<Bytes>>,
 ) -> Result<(response::Parts, Bytes), String> {
     let mut connection = upstream
-        .link
-        .take(MAX_CONNECTION_IDLE)
+        .connection_pool
+        .acquire(MAX_CONNECTION_IDLE)
         .await
         .map_err(|lost| format!("{lost:?}"))?;
     let response = connection
@@ -42,7 +42,7 @@
         .to_bytes();
     let reply = dialect.response_metadata(&head);
     if !reply.closes {
-        upstream.link.keep(connection, reply.keep);
+        upstream.connection_pool.release(connection, reply.keep);
     }
     Ok((head, body))
 }
--- a/lib/src/direct/controllers/mod.rs
+++ b/lib/src/direct/controllers/mod.rs
@@ -366,7 +366,7 @@
         };
         let now = self.clock.now();
         for upstream in upstreams {
-            upstream.link.sweep();
+            upstream.connection_pool.close_expired();
             if self.ownership.owns(upstream.address) {
                 let running = self.table.running(&upstream.incarnation);
                 upstream.record_remote_load(running.saturating_sub(upstream.running()), now);
--- a/lib/src/direct/node.rs
+++ b/lib/src/direct/node.rs
@@ -31,7 +31,7 @@
 use crate::clock::{Boot, Clock, Millis};
 use crate::metrics::Metrics;
 use crate::name::Name;
-use crate::ports::link::guard;
+use crate::ports::connection_pool::enable_dead_peer_detection;
 use crate::ports::metered::Metered;
 use crate::ports::poll::Poll;
 use crate::ports::{Error, Lease, Store};
@@ -453,7 +453,7 @@
 async fn accept(listener: &TcpListener) -> Option<TcpStream> {
     let accepted = listener.accept().await;
     let error = match accepted {
-        Ok((stream, _)) => match guard(&stream) {
+        Ok((stream, _)) => match enable_dead_peer_detection(&stream) {
             Ok(()) => return Some(stream),
             Err(error) => error,
         },
--- a/lib/src/direct/orders/client.rs
+++ b/lib/src/direct/orders/client.rs
@@ -14,7 +14,7 @@
 use crate::direct::view::View;
 use crate::metrics::Metrics;
 use crate::name::Name;
-use crate::ports::link::Lost;
+use crate::ports::connection_pool::Lost;
 
 /// Timeout of an order or a status request.
 ///
@@ -55,11 +55,14 @@
     /// Sends an order if this node may do so at this moment.
     pub(super) async fn send_order(&self, mut order: Order) -> Result<OrderOutcome, Lost> {
         let upstream = &self.upstream;
-        let mut connection = upstream.link.take(MAX_CONNECTION_IDLE).await?;
+        let mut connection = upstream
+            .connection_pool
+            .acquire(MAX_CONNECTION_IDLE)
+            .await?;
         // A VM can be suspended at any point, so ownership is checked last, by a clock that
         // includes the time of the suspension.
         let Some(token) = self.ownership.fencing_token(upstream.address) else {
-            upstream.link.keep(connection, None);
+            upstream.connection_pool.release(connection, None);
             return Err(Lost::Unsent("this node may send no orders".to_owned()));
         };
         order.fencing_token = token;
@@ -74,7 +77,7 @@
         if let Ok(Ok(_)) = tokio::time::timeout(RESPONSE_TIMEOUT.duration(), rest).await {
             let reply = self.dialect.response_metadata(&head);
             if !reply.closes {
-                upstream.link.keep(connection, reply.keep);
+                upstream.connection_pool.release(connection, reply.keep);
             }
         }
         Ok(self.dialect.order_outcome(&head))
--- a/lib/src/direct/orders/send.rs
+++ b/lib/src/direct/orders/send.rs
@@ -5,7 +5,7 @@
 use crate::clock::Millis;
 use crate::direct::dialect::{Action, Order, OrderOutcome};
 use crate::name::Name;
-use crate::ports::link::Lost;
+use crate::ports::connection_pool::Lost;
 
 /// Attempts to send an order that gets no response.
 const ORDER_ATTEMPTS: u32 = 3;
--- a/lib/src/direct/quarantine.rs
+++ b/lib/src/direct/quarantine.rs
@@ -23,7 +23,7 @@
 use crate::poison::fingerprint::Fingerprint;
 use crate::poison::harmless::HarmlessRequests;
 use crate::poison::ledger::{CrashReport, REPORT_TTL, Suspect, Suspicion};
-use crate::ports::link::Listening;
+use crate::ports::connection_pool::ProbeResult;
 
 /// Key prefix of crash reports; the upstream's start and the reporting node follow it.
 pub const CRASH_REPORT_PREFIX: &str = "end/";
@@ -226,7 +226,7 @@
     /// key-value service is silent or this node is suspended doesn't count, since the list can't
     /// show a crash in it.
     async fn has_crashed(self: &Arc<Self>, upstream: &Upstream) -> bool {
-        if upstream.link.probe().await == Listening::Refused {
+        if upstream.connection_pool.probe().await == ProbeResult::Refused {
             return true;
         }
         self.broadcast_unconfirmed(&upstream.start_id());
--- a/lib/src/direct/relay.rs
+++ b/lib/src/direct/relay.rs
@@ -376,8 +376,8 @@
             if !response.reply.closes {
                 response
                     .upstream
-                    .link
-                    .keep(response.connection, response.reply.keep);
+                    .connection_pool
+                    .release(response.connection, response.reply.keep);
             }
         }
     }
--- a/lib/src/direct/upstream.rs
+++ b/lib/src/direct/upstream.rs
@@ -11,7 +11,7 @@
 use super::presence::{EntryRevision, Presence, Stage};
 use crate::clock::Millis;
 use crate::name::Name;
-use crate::ports::link::{Bounds, Link};
+use crate::ports::connection_pool::{ConnectionPool, PoolLimits};
 
 /// Timeout for connecting to an upstream.
 ///
@@ -90,7 +90,7 @@
     /// When this node first saw it in the list of upstreams.
     pub first_seen: Millis,
     /// Connections to it.
-    pub link: Link,
+    pub connection_pool: ConnectionPool,
     /// Whether it takes new requests. This is read for all upstreams in each selection.
     takes_work: AtomicBool,
     presence: Mutex<Presence>,
@@ -144,10 +144,10 @@
         connections: usize,
         now: Millis,
     ) -> Self {
-        let bounds = Bounds {
-            connect: CONNECT_TIMEOUT,
-            idle: IDLE_TIMEOUT,
-            open: connections,
+        let bounds = PoolLimits {
+            connect_timeout: CONNECT_TIMEOUT,
+            idle_timeout: IDLE_TIMEOUT,
+            max_open: connections,
         };
         let upstream = Self {
             incarnation: Name::clone(&entry.incarnation),
@@ -158,7 +158,7 @@
             slots: entry.slots.max(1),
             started_at_ms: entry.held.started_at_ms,
             first_seen: now,
-            link: Link::new(entry.address, bounds),
+            connection_pool: ConnectionPool::new(entry.address, bounds),
             takes_work: AtomicBool::new(entry.ready),
             presence: Mutex::new(Presence::new(entry_revision, entry.ready)),
             running: AtomicU32::new(0),
@@ -290,7 +290,7 @@
     /// Stops new requests to an upstream that is no longer listed, and closes its idle connections.
     pub fn retire(&self) {
         self.update_presence(Presence::mark_gone);
-        self.link.clear();
+        self.connection_pool.close_idle();
     }
 
     /// Whether the upstream vanished from the list, or started again, without announcing that it
--- a/lib/src/direct/view.rs
+++ b/lib/src/direct/view.rs
@@ -445,7 +445,9 @@
     fn update_connection_shares(&mut self) {
         self.share_node_count = self.max_nodes_seen;
         for upstream in self.upstreams.values() {
-            upstream.link.limit(self.connection_share(&upstream.pool));
+            upstream
+                .connection_pool
+                .set_max_open(self.connection_share(&upstream.pool));
         }
     }
 }
--- a/lib/src/ports/link.rs
+++ b/lib/src/ports/connection_pool.rs
@@ -47,7 +47,7 @@
 
 /// Whether somebody listens at an address.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Listening {
+pub enum ProbeResult {
     /// A connection could be made.
     Accepted,
     /// The VM lives, and no process listens there.
@@ -58,13 +58,13 @@
 
 /// Bounds of the connections to one address.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Bounds {
+pub struct PoolLimits {
     /// Longest time to connect.
-    pub connect: Millis,
+    pub connect_timeout: Millis,
     /// How long an unused connection is kept.
-    pub idle: Millis,
+    pub idle_timeout: Millis,
     /// Most connections open at once.
-    pub open: usize,
+    pub max_open: usize,
 }
 
 /// Counts an open connection until it is dropped.
@@ -93,17 +93,17 @@
 
 /// Connections to one address.
 #[derive(Debug)]
-pub struct Link {
+pub struct ConnectionPool {
     address: SocketAddr,
-    bounds: Mutex<Bounds>,
+    bounds: Mutex<PoolLimits>,
     idle: Mutex<Vec<Idle>>,
     open: Arc<AtomicUsize>,
 }
 
-impl Link {
+impl ConnectionPool {
     /// Makes a link without connections.
     #[must_use]
-    pub fn new(address: SocketAddr, bounds: Bounds) -> Self {
+    pub fn new(address: SocketAddr, bounds: PoolLimits) -> Self {
         Self {
             address,
             bounds: Mutex::new(bounds),
@@ -113,20 +113,20 @@
     }
 
     /// Changes how many connections may be open at once.
-    pub fn limit(&self, open: usize) {
+    pub fn set_max_open(&self, open: usize) {
         self.bounds
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
-            .open = open;
+            .max_open = open;
     }
 
     /// Closes all connections that nobody uses.
-    pub fn clear(&self) {
+    pub fn close_idle(&self) {
         self.kept().clear();
     }
 
     /// Closes the connections that were unused too long or have ended.
-    pub fn sweep(&self) {
+    pub fn close_expired(&self) {
         let now = Instant::now();
         self.kept()
             .retain(|idle| idle.until > now && !idle.connection.sender.is_closed());
@@ -137,14 +137,14 @@
     /// # Errors
     ///
     /// [`Lost::Unsent`] when the limit is reached or connecting fails.
-    pub async fn take(&self, freshness: Millis) -> Result<Connection, Lost> {
-        match self.reuse(freshness) {
+    pub async fn acquire(&self, freshness: Millis) -> Result<Connection, Lost> {
+        match self.take_idle(freshness) {
             Some(connection) => Ok(connection),
             None => self.connect().await,
         }
     }
 
-    fn reuse(&self, freshness: Millis) -> Option<Connection> {
+    fn take_idle(&self, freshness: Millis) -> Option<Connection> {
         let now = Instant::now();
         let mut kept = self.kept();
         while let Some(idle) = kept.pop() {
@@ -162,15 +162,15 @@
     }
 
     /// Looks whether somebody listens at the address.
-    pub async fn probe(&self) -> Listening {
+    pub async fn probe(&self) -> ProbeResult {
         let bounds = *self.bounds.lock().unwrap_or_else(PoisonError::into_inner);
         let connecting = TcpStream::connect(self.address);
-        match tokio::time::timeout(bounds.connect.duration(), connecting).await {
-            Ok(Ok(_)) => Listening::Accepted,
+        match tokio::time::timeout(bounds.connect_timeout.duration(), connecting).await {
+            Ok(Ok(_)) => ProbeResult::Accepted,
             Ok(Err(error)) if error.kind() == std::io::ErrorKind::ConnectionRefused => {
-                Listening::Refused
+                ProbeResult::Refused
             }
-            Ok(Err(_)) | Err(_) => Listening::Unknown,
+            Ok(Err(_)) | Err(_) => ProbeResult::Unknown,
         }
     }
 
@@ -179,18 +179,20 @@
         let open = Open(Arc::clone(&self.open));
         let before = self.open.fetch_add(1, Ordering::Relaxed);
         // An unused connection that is too old for this request makes room.
-        if before >= bounds.open && self.kept().pop().is_none() {
+        if before >= bounds.max_open && self.kept().pop().is_none() {
             return Err(Lost::Unsent(format!(
                 "{before} connections are open, the limit is {}",
-                bounds.open
+                bounds.max_open
             )));
         }
-        let stream =
-            tokio::time::timeout(bounds.connect.duration(), TcpStream::connect(self.address))
-                .await
-                .map_err(|_| Lost::Unsent(format!("no connection within {}", bounds.connect)))?
-                .map_err(|error| Lost::Unsent(error.to_string()))?;
-        guard(&stream).map_err(|error| Lost::Unsent(error.to_string()))?;
+        let stream = tokio::time::timeout(
+            bounds.connect_timeout.duration(),
+            TcpStream::connect(self.address),
+        )
+        .await
+        .map_err(|_| Lost::Unsent(format!("no connection within {}", bounds.connect_timeout)))?
+        .map_err(|error| Lost::Unsent(error.to_string()))?;
+        enable_dead_peer_detection(&stream).map_err(|error| Lost::Unsent(error.to_string()))?;
         let (sender, connection) = http1::Builder::new()
             .max_buf_size(READ_BUFFER)
             .handshake(TokioIo::new(stream))
@@ -208,13 +210,13 @@
     ///
     /// `span` is how long the server keeps it, if it said so. The connection is
     /// closed a second earlier, so that no request crosses the server's close.
-    pub fn keep(&self, connection: Connection, span: Option<Millis>) {
+    pub fn release(&self, connection: Connection, span: Option<Millis>) {
         if connection.sender.is_closed() {
             return;
         }
         let bounds = *self.bounds.lock().unwrap_or_else(PoisonError::into_inner);
-        let span = span.map_or(bounds.idle, |span| {
-            bounds.idle.min(span - Millis::from_secs(1))
+        let span = span.map_or(bounds.idle_timeout, |span| {
+            bounds.idle_timeout.min(span - Millis::from_secs(1))
         });
         if span == Millis::ZERO {
             return;
@@ -266,7 +268,7 @@
 /// # Errors
 ///
 /// When the system refuses the socket's options.
-pub fn guard(stream: &TcpStream) -> std::io::Result<()> {
+pub fn enable_dead_peer_detection(stream: &TcpStream) -> std::io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
     let probe = Duration::from_millis(PROBE_AFTER.0);
--- a/lib/src/ports/mod.rs
+++ b/lib/src/ports/mod.rs
@@ -5,10 +5,10 @@
 //! otherwise adds one file with another client; docs/design/0006-platform.md
 //! says what each protocol has to promise.
 
+pub mod connection_pool;
 pub mod directory;
 pub mod etcd;
 pub(crate) mod http;
-pub mod link;
 pub mod metered;
 pub mod poll;
 pub mod upstream;
