--- a/bench/src/spread/loopback.rs
+++ b/bench/src/spread/loopback.rs
@@ -16,7 +16,7 @@
 use chivevalve::name::Name;
 use chivevalve::peer::tls::Security;
 use chivevalve::peer::{self, Clients, client, server};
-use chivevalve::ports::Answer;
+use chivevalve::ports::UpstreamResponse;
 use chivevalve::runner::{Attempt, Runner};
 use eyre::Result;
 use futures::future::join_all;
@@ -74,7 +74,7 @@
 
 #[async_trait]
 impl Runner for Unused {
-    async fn run(&self, _attempt: Attempt) -> Result<Answer, Failure> {
+    async fn run(&self, _attempt: Attempt) -> Result<UpstreamResponse, Failure> {
         Err(Failure::new(Code::NoUpstream, "nothing runs here"))
     }
 }
--- a/lib/src/direct/attempt.rs
+++ b/lib/src/direct/attempt.rs
@@ -15,7 +15,7 @@
 use crate::clock::Millis;
 use crate::error::Code;
 use crate::poison::fingerprint::{Fingerprint, Identity};
-use crate::ports::connection_pool::{Connection, Lost};
+use crate::ports::connection_pool::{Connection, TransportError};
 
 /// Maximum length in bytes of a response that is buffered completely.
 const MAX_BUFFERED_BODY_BYTES: usize = 16 << 20;
@@ -263,9 +263,9 @@
     }
 }
 
-fn send_error(lost: &Lost) -> SendError {
+fn send_error(lost: &TransportError) -> SendError {
     match lost {
-        Lost::Unsent(cause) => SendError::Unsent(cause.clone()),
-        Lost::Sent(cause) => SendError::Lost(Code::UpstreamLost, cause.clone()),
+        TransportError::Unsent(cause) => SendError::Unsent(cause.clone()),
+        TransportError::Sent(cause) => SendError::Lost(Code::UpstreamLost, cause.clone()),
     }
 }
--- a/lib/src/direct/entry/gauges.rs
+++ b/lib/src/direct/entry/gauges.rs
@@ -15,7 +15,10 @@
     #[must_use]
     pub fn render_metrics(&self) -> String {
         let metrics = &self.metrics;
-        let age = self.service.age().map_or(-1, |age| gauge_value(age.0));
+        let age = self
+            .service
+            .changes_age()
+            .map_or(-1, |age| gauge_value(age.0));
         metrics.revision_age_ms.set(age);
         metrics.in_flight.set(gauge_value(self.active_requests()));
         metrics
--- a/lib/src/direct/orders/client.rs
+++ b/lib/src/direct/orders/client.rs
@@ -14,7 +14,7 @@
 use crate::direct::view::View;
 use crate::metrics::Metrics;
 use crate::name::Name;
-use crate::ports::connection_pool::Lost;
+use crate::ports::connection_pool::TransportError;
 
 /// Timeout of an order or a status request.
 ///
@@ -53,7 +53,10 @@
 
 impl EngineClient {
     /// Sends an order if this node may do so at this moment.
-    pub(super) async fn send_order(&self, mut order: Order) -> Result<OrderOutcome, Lost> {
+    pub(super) async fn send_order(
+        &self,
+        mut order: Order,
+    ) -> Result<OrderOutcome, TransportError> {
         let upstream = &self.upstream;
         let mut connection = upstream
             .connection_pool
@@ -63,7 +66,9 @@
         // includes the time of the suspension.
         let Some(token) = self.ownership.fencing_token(upstream.address) else {
             upstream.connection_pool.release(connection, None);
-            return Err(Lost::Unsent("this node may send no orders".to_owned()));
+            return Err(TransportError::Unsent(
+                "this node may send no orders".to_owned(),
+            ));
         };
         order.fencing_token = token;
         let request = self.dialect.order_request(&upstream.incarnation, &order);
@@ -71,7 +76,7 @@
         let sent =
             tokio::time::timeout(RESPONSE_TIMEOUT.duration(), connection.send(request)).await;
         let (head, body) = sent
-            .map_err(|_| Lost::Sent(format!("no response within {RESPONSE_TIMEOUT}")))??
+            .map_err(|_| TransportError::Sent(format!("no response within {RESPONSE_TIMEOUT}")))??
             .into_parts();
         let rest = Limited::new(body, MAX_RESPONSE_BYTES).collect();
         if let Ok(Ok(_)) = tokio::time::timeout(RESPONSE_TIMEOUT.duration(), rest).await {
--- a/lib/src/direct/orders/send.rs
+++ b/lib/src/direct/orders/send.rs
@@ -5,7 +5,7 @@
 use crate::clock::Millis;
 use crate::direct::dialect::{Action, Order, OrderOutcome};
 use crate::name::Name;
-use crate::ports::connection_pool::Lost;
+use crate::ports::connection_pool::TransportError;
 
 /// Attempts to send an order that gets no response.
 const ORDER_ATTEMPTS: u32 = 3;
@@ -95,14 +95,14 @@
             fencing_token: 0,
         };
         let result = self.client.send_order(order).await;
-        self.is_last_order_unanswered = matches!(result, Err(Lost::Sent(_)));
+        self.is_last_order_unanswered = matches!(result, Err(TransportError::Sent(_)));
         match result {
             Ok(outcome) => Some(outcome),
-            Err(Lost::Unsent(reason)) => {
+            Err(TransportError::Unsent(reason)) => {
                 log::debug!("orders: not sent: {reason}");
                 None
             }
-            Err(Lost::Sent(reason)) => {
+            Err(TransportError::Sent(reason)) => {
                 log::info!(
                     "orders: no answer from {}: {reason}",
                     self.client.upstream.incarnation
--- a/lib/src/entry/dispatch.rs
+++ b/lib/src/entry/dispatch.rs
@@ -21,7 +21,7 @@
 use crate::poison::fingerprint::Fingerprint;
 use crate::poison::ledger::Suspicion;
 use crate::policy::placement::Pool;
-use crate::ports::Answer;
+use crate::ports::UpstreamResponse;
 use crate::request::Ticket;
 use crate::retry::{FailureContext, RequestState, RetryDecision};
 use crate::runner::{Attempt, Share, Work};
@@ -360,10 +360,10 @@
     gateway: &Gateway,
     reserve: &mut Reserve,
     form: Form,
-    answer: Answer,
+    answer: UpstreamResponse,
     run: Run,
 ) -> Result<Outcome, Failure> {
-    let Answer { mut head, mut body } = answer;
+    let UpstreamResponse { mut head, mut body } = answer;
     let limit = gateway.parts.limits.answer_bytes;
     // An engine answers a streamed request that it won't run with one JSON error.
     if !form.is_service() && !head.status.is_success() {
--- a/lib/src/owner/driver/correct.rs
+++ b/lib/src/owner/driver/correct.rs
@@ -7,11 +7,11 @@
 use crate::name::Name;
 use crate::owner::actor::base_model;
 use crate::policy::upstream::Action;
-use crate::ports::Report;
+use crate::ports::EngineStatus;
 
 impl Driver {
     /// Applies a report, or records that there was none.
-    pub(super) fn handle_report(&mut self, as_of: Millis, result: Result<Report, Failure>) {
+    pub(super) fn handle_report(&mut self, as_of: Millis, result: Result<EngineStatus, Failure>) {
         let now = self.now();
         match result {
             Ok(report) => {
@@ -27,7 +27,7 @@
         self.publish_status();
     }
 
-    fn apply_report(&mut self, report: &Report, as_of: Millis, now: Millis) {
+    fn apply_report(&mut self, report: &EngineStatus, as_of: Millis, now: Millis) {
         let has_restarted = self
             .boot_id
             .as_ref()
@@ -57,7 +57,7 @@
     }
 
     /// Updates the foreign requests and pins the adapters that running requests use.
-    fn pin_foreign(&mut self, report: &Report, now: Millis) -> Vec<Action> {
+    fn pin_foreign(&mut self, report: &EngineStatus, now: Millis) -> Vec<Action> {
         let own = |name: &str| {
             self.requests
                 .values()
@@ -81,7 +81,7 @@
     ///
     /// When the owner learns of a restart, requests that it started after the restart
     /// lose their pins, and their adapters could be evicted while they run.
-    fn pin_own(&mut self, report: &Report, now: Millis) {
+    fn pin_own(&mut self, report: &EngineStatus, now: Millis) {
         let base = base_model(&self.assignment.pool).cloned();
         for (name, model) in &report.running {
             let running = self
--- a/lib/src/owner/registry.rs
+++ b/lib/src/owner/registry.rs
@@ -27,7 +27,7 @@
 use crate::membership::{Adopter, FailureDetector, UpstreamOwnership, fleet};
 use crate::metrics::Metrics;
 use crate::name::Name;
-use crate::ports::{Answer, Connector};
+use crate::ports::{Connector, UpstreamResponse};
 use crate::request::{Id, Ticket};
 use crate::runner::{Attempt, Runner};
 
@@ -242,7 +242,7 @@
 
 #[async_trait]
 impl Runner for Registry {
-    async fn run(&self, attempt: Attempt) -> Result<Answer, Failure> {
+    async fn run(&self, attempt: Attempt) -> Result<UpstreamResponse, Failure> {
         let request = run::PreparedRequest::new(&attempt)?;
         let (guard, grant) = self.admit(&attempt).await?;
         request.run(guard, grant, &self.dependencies).await
--- a/lib/src/owner/report_poller.rs
+++ b/lib/src/owner/report_poller.rs
@@ -10,7 +10,7 @@
 use super::task_event::TaskEvent;
 use crate::clock::Millis;
 use crate::error::{Code, Failure};
-use crate::ports::{Engine, Report};
+use crate::ports::{Engine, EngineStatus};
 
 /// A polling task, which ends when it is dropped.
 #[derive(Debug)]
@@ -60,7 +60,7 @@
     }
 }
 
-async fn fetch_report(engine: &dyn Engine, timeout: Millis) -> Result<Report, Failure> {
+async fn fetch_report(engine: &dyn Engine, timeout: Millis) -> Result<EngineStatus, Failure> {
     tokio::time::timeout(timeout.duration(), engine.report())
         .await
         .unwrap_or_else(|_| Err(Failure::new(Code::UpstreamLost, "no report in time")))
--- a/lib/src/owner/run.rs
+++ b/lib/src/owner/run.rs
@@ -18,7 +18,7 @@
 use crate::clock::Millis;
 use crate::error::{Code, Failure};
 use crate::membership::UpstreamOwnership;
-use crate::ports::{Answer, Call, Engine, Service};
+use crate::ports::{CompletionCall, Engine, Service, UpstreamResponse};
 use crate::request::{Id, Ticket};
 use crate::runner::{Attempt, Work};
 
@@ -64,7 +64,7 @@
 #[derive(Debug)]
 enum Payload {
     Completion {
-        call: Box<Call>,
+        call: Box<CompletionCall>,
         check: ResponseCheck,
         stream: bool,
     },
@@ -95,7 +95,7 @@
         guard: RequestGuard,
         grant: Grant,
         dependencies: &Dependencies,
-    ) -> Result<Answer, Failure> {
+    ) -> Result<UpstreamResponse, Failure> {
         let remaining = self.deadline.since(dependencies.clock.now());
         let running = RunningRequest {
             guard,
@@ -157,8 +157,8 @@
     adapter: &Adapter,
     path: &Arc<str>,
     body: &Bytes,
-) -> Result<Call, Failure> {
-    Ok(Call {
+) -> Result<CompletionCall, Failure> {
+    Ok(CompletionCall {
         id: ticket.id.clone(),
         adapter: adapter.clone(),
         path: Arc::clone(path),
@@ -170,9 +170,9 @@
 /// Checks the lease and sends a completion, with no await point in between.
 async fn send_completion(
     engine: &dyn Engine,
-    call: Call,
+    call: CompletionCall,
     ownership: &UpstreamOwnership,
-) -> Result<Answer, Failure> {
+) -> Result<UpstreamResponse, Failure> {
     let fence = ownership.fence()?;
     engine.run(call, fence).await
 }
@@ -183,7 +183,7 @@
     head: http::request::Parts,
     body: Bytes,
     ownership: &UpstreamOwnership,
-) -> Result<Answer, Failure> {
+) -> Result<UpstreamResponse, Failure> {
     ownership.fence()?;
     service.call(head, body).await
 }
@@ -200,10 +200,10 @@
     /// Runs a completion and checks its response.
     async fn run_completion(
         self,
-        call: impl Future<Output = Result<Answer, Failure>>,
+        call: impl Future<Output = Result<UpstreamResponse, Failure>>,
         check: ResponseCheck,
         stream: bool,
-    ) -> Result<Answer, Failure> {
+    ) -> Result<UpstreamResponse, Failure> {
         let (running, response) = self.await_head(call).await?;
         if !response.head.status.is_success() {
             return Err(running.read_error(response).await);
@@ -211,7 +211,7 @@
         if !stream {
             return running.read_checked(response, &check).await;
         }
-        let Answer { mut head, body } = response;
+        let UpstreamResponse { mut head, body } = response;
         // Rewriting the model name changes the length.
         head.headers.remove(CONTENT_LENGTH);
         let format = BodyFormat::Events(Box::new(EventRewriter::new(check)));
@@ -221,9 +221,9 @@
     /// Runs a call to a plain service.
     async fn run_call(
         self,
-        call: impl Future<Output = Result<Answer, Failure>>,
+        call: impl Future<Output = Result<UpstreamResponse, Failure>>,
         is_head: bool,
-    ) -> Result<Answer, Failure> {
+    ) -> Result<UpstreamResponse, Failure> {
         let (running, response) = self.await_head(call).await?;
         // The length in such a head is that of a body that isn't sent; expecting it
         // would make each of these responses look truncated.
@@ -236,8 +236,8 @@
     /// Waits for the response's head until the deadline.
     async fn await_head(
         self,
-        call: impl Future<Output = Result<Answer, Failure>>,
-    ) -> Result<(Self, Answer), Failure> {
+        call: impl Future<Output = Result<UpstreamResponse, Failure>>,
+    ) -> Result<(Self, UpstreamResponse), Failure> {
         let response = tokio::time::timeout_at(self.deadline, call)
             .await
             .unwrap_or_else(|_| Err(expired()));
@@ -256,10 +256,10 @@
         head: response::Parts,
         body: BoxStream<'static, Result<Bytes, Failure>>,
         format: BodyFormat,
-    ) -> Answer {
+    ) -> UpstreamResponse {
         let deadline = tokio::time::sleep_until(self.deadline);
         let metrics = Arc::clone(&self.dependencies.metrics);
-        Answer {
+        UpstreamResponse {
             head,
             body: Body::new(body, self.guard, format, deadline, metrics).boxed(),
         }
@@ -271,10 +271,10 @@
     /// response was truncated or belonged to another request.
     async fn read_checked(
         self,
-        response: Answer,
+        response: UpstreamResponse,
         check: &ResponseCheck,
-    ) -> Result<Answer, Failure> {
-        let Answer { mut head, mut body } = response;
+    ) -> Result<UpstreamResponse, Failure> {
+        let UpstreamResponse { mut head, mut body } = response;
         let limit = self.dependencies.limits.max_response_bytes;
         let read = read_body(&mut body, limit, content_length(&head));
         let read = tokio::time::timeout_at(self.deadline, read)
@@ -287,7 +287,7 @@
                 self.guard.finish(Outcome::Completed);
                 head.headers
                     .insert(CONTENT_LENGTH, HeaderValue::from(bytes.len()));
-                Ok(Answer {
+                Ok(UpstreamResponse {
                     head,
                     body: stream::once(std::future::ready(Ok(bytes))).boxed(),
                 })
@@ -306,8 +306,8 @@
     }
 
     /// Reads an engine's error response and returns the failure that it stands for.
-    async fn read_error(self, response: Answer) -> Failure {
-        let Answer { head, mut body } = response;
+    async fn read_error(self, response: UpstreamResponse) -> Failure {
+        let UpstreamResponse { head, mut body } = response;
         let read = read_body(&mut body, MAX_ERROR_BYTES, None);
         let read = tokio::time::timeout_at(self.deadline, read).await;
         drop(body);
--- a/lib/src/owner/task_event.rs
+++ b/lib/src/owner/task_event.rs
@@ -7,7 +7,7 @@
 use crate::clock::Millis;
 use crate::error::Failure;
 use crate::loads::Permit;
-use crate::ports::Report;
+use crate::ports::EngineStatus;
 
 /// An event from a task.
 ///
@@ -37,7 +37,7 @@
         /// When the report was requested.
         as_of: Millis,
         /// The report.
-        result: Result<Report, Failure>,
+        result: Result<EngineStatus, Failure>,
     },
     /// The polling interval of a plain service has passed.
     Tick,
--- a/lib/src/peer/forward.rs
+++ b/lib/src/peer/forward.rs
@@ -12,7 +12,7 @@
 use super::wire;
 use crate::clock::{Clock, Millis};
 use crate::error::{Code, Failure};
-use crate::ports::Answer;
+use crate::ports::UpstreamResponse;
 use crate::runner::{Attempt, Runner};
 use crate::schema::peer::{Down, Up, down, up};
 
@@ -28,7 +28,7 @@
 
 #[async_trait]
 impl Runner for Forwarder {
-    async fn run(&self, attempt: Attempt) -> Result<Answer, Failure> {
+    async fn run(&self, attempt: Attempt) -> Result<UpstreamResponse, Failure> {
         let way = self.link.way()?;
         let mut client = way.client();
         let up = stream::iter(messages(&attempt, &*self.clock));
@@ -46,7 +46,7 @@
                 part: Some(down::Part::Head(head)),
             }) => {
                 self.link.answered();
-                Ok(Answer {
+                Ok(UpstreamResponse {
                     head: wire::response(&head)?,
                     body: body(down),
                 })
--- a/lib/src/peer/server.rs
+++ b/lib/src/peer/server.rs
@@ -20,7 +20,7 @@
 use crate::loads::PermitSource;
 use crate::membership::VoteHandler;
 use crate::metrics::Metrics;
-use crate::ports::Answer;
+use crate::ports::UpstreamResponse;
 use crate::runner::{Attempt, Runner};
 use crate::schema::peer::peer_server::{Peer, PeerServer};
 use crate::schema::peer::{
@@ -183,7 +183,7 @@
 }
 
 /// Returns the messages of an answer; the last says how it ended.
-fn answered(answer: Answer) -> BoxStream<'static, Result<Down, Status>> {
+fn answered(answer: UpstreamResponse) -> BoxStream<'static, Result<Down, Status>> {
     let head = wire::answer_head(&answer.head);
     let pieces = stream::unfold(Some(answer.body), |body| async move {
         let mut body = body?;
--- a/lib/src/ports/connection_pool.rs
+++ b/lib/src/ports/connection_pool.rs
@@ -38,7 +38,7 @@
 
 /// Why a request has no answer.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Lost {
+pub enum TransportError {
     /// No byte of the request left, so the other side can't have seen it.
     Unsent(String),
     /// The request, or part of it, may have arrived.
@@ -136,8 +136,8 @@
     ///
     /// # Errors
     ///
-    /// [`Lost::Unsent`] when the limit is reached or connecting fails.
-    pub async fn acquire(&self, freshness: Millis) -> Result<Connection, Lost> {
+    /// [`TransportError::Unsent`] when the limit is reached or connecting fails.
+    pub async fn acquire(&self, freshness: Millis) -> Result<Connection, TransportError> {
         match self.take_idle(freshness) {
             Some(connection) => Ok(connection),
             None => self.connect().await,
@@ -174,13 +174,13 @@
         }
     }
 
-    async fn connect(&self) -> Result<Connection, Lost> {
+    async fn connect(&self) -> Result<Connection, TransportError> {
         let bounds = *self.bounds.lock().unwrap_or_else(PoisonError::into_inner);
         let open = Open(Arc::clone(&self.open));
         let before = self.open.fetch_add(1, Ordering::Relaxed);
         // An unused connection that is too old for this request makes room.
         if before >= bounds.max_open && self.kept().pop().is_none() {
-            return Err(Lost::Unsent(format!(
+            return Err(TransportError::Unsent(format!(
                 "{before} connections are open, the limit is {}",
                 bounds.max_open
             )));
@@ -190,14 +190,17 @@
             TcpStream::connect(self.address),
         )
         .await
-        .map_err(|_| Lost::Unsent(format!("no connection within {}", bounds.connect_timeout)))?
-        .map_err(|error| Lost::Unsent(error.to_string()))?;
-        enable_dead_peer_detection(&stream).map_err(|error| Lost::Unsent(error.to_string()))?;
+        .map_err(|_| {
+            TransportError::Unsent(format!("no connection within {}", bounds.connect_timeout))
+        })?
+        .map_err(|error| TransportError::Unsent(error.to_string()))?;
+        enable_dead_peer_detection(&stream)
+            .map_err(|error| TransportError::Unsent(error.to_string()))?;
         let (sender, connection) = http1::Builder::new()
             .max_buf_size(READ_BUFFER)
             .handshake(TokioIo::new(stream))
             .await
-            .map_err(|error| Lost::Unsent(describe(&error)))?;
+            .map_err(|error| TransportError::Unsent(describe(&error)))?;
         tokio::spawn(async move {
             if let Err(error) = connection.await {
                 log::debug!("link: a connection ended: {}", describe(&error));
@@ -239,14 +242,14 @@
     ///
     /// # Errors
     ///
-    /// [`Lost::Unsent`] only when the request was handed back unwritten.
+    /// [`TransportError::Unsent`] only when the request was handed back unwritten.
     pub async fn send(
         &mut self,
         request: Request<Full<Bytes>>,
-    ) -> Result<Response<Incoming>, Lost> {
+    ) -> Result<Response<Incoming>, TransportError> {
         debug_assert!(self.open.0.load(Ordering::Relaxed) > 0);
         if let Err(error) = self.sender.ready().await {
-            return Err(Lost::Unsent(describe(&error)));
+            return Err(TransportError::Unsent(describe(&error)));
         }
         self.sender
             .try_send_request(request)
@@ -255,9 +258,9 @@
                 let unsent = error.take_message().is_some();
                 let told = describe(error.error());
                 if unsent {
-                    Lost::Unsent(told)
+                    TransportError::Unsent(told)
                 } else {
-                    Lost::Sent(told)
+                    TransportError::Sent(told)
                 }
             })
     }
--- a/lib/src/ports/directory.rs
+++ b/lib/src/ports/directory.rs
@@ -21,14 +21,14 @@
 
 /// The document.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
-pub struct List {
+pub struct VmList {
     /// In any order.
-    pub vms: Vec<Item>,
+    pub vms: Vec<VmEntry>,
 }
 
 /// A VM in the document.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct Item {
+pub struct VmEntry {
     /// Unique in the deployment.
     pub name: Name,
     /// IP number and port.
@@ -46,8 +46,8 @@
     pub leaving: bool,
 }
 
-impl From<Item> for Vm {
-    fn from(item: Item) -> Self {
+impl From<VmEntry> for Vm {
+    fn from(item: VmEntry) -> Self {
         Self {
             name: item.name,
             address: item.address,
@@ -59,7 +59,7 @@
     }
 }
 
-impl From<&Vm> for Item {
+impl From<&Vm> for VmEntry {
     fn from(vm: &Vm) -> Self {
         Self {
             name: Name::clone(&vm.name),
@@ -96,7 +96,7 @@
         let body = whole(response.into_body(), LIST_BYTES)
             .await
             .map_err(Error::NoAnswer)?;
-        let list: List =
+        let list: VmList =
             serde_json::from_slice(&body).map_err(|error| Error::Malformed(error.to_string()))?;
         Ok(list.vms.into_iter().map(Vm::from).collect())
     }
--- a/lib/src/ports/http.rs
+++ b/lib/src/ports/http.rs
@@ -39,7 +39,7 @@
 
 /// Why a call has no answer.
 #[derive(Debug)]
-pub(super) enum Lost {
+pub(super) enum TransportError {
     /// No byte of the request left, so the other side can't have seen it.
     Unsent(String),
     /// The request, or part of it, may have arrived.
@@ -82,13 +82,13 @@
     pub(super) async fn send(
         &self,
         request: Request<Full<Bytes>>,
-    ) -> Result<Response<Incoming>, Lost> {
+    ) -> Result<Response<Incoming>, TransportError> {
         self.inner.request(request).await.map_err(|error| {
             let told = describe(&error);
             if error.is_connect() || is_unstarted(&error) {
-                Lost::Unsent(told)
+                TransportError::Unsent(told)
             } else {
-                Lost::Sent(told)
+                TransportError::Sent(told)
             }
         })
     }
@@ -199,11 +199,11 @@
     }
 }
 
-impl From<Lost> for Error {
-    fn from(lost: Lost) -> Self {
+impl From<TransportError> for Error {
+    fn from(lost: TransportError) -> Self {
         match lost {
-            Lost::Unsent(told) => Self::Unreachable(told),
-            Lost::Sent(told) => Self::NoAnswer(told),
+            TransportError::Unsent(told) => Self::Unreachable(told),
+            TransportError::Sent(told) => Self::NoAnswer(told),
         }
     }
 }
--- a/lib/src/ports/metered.rs
+++ b/lib/src/ports/metered.rs
@@ -50,7 +50,7 @@
 
     /// Returns the time since a call last told of changes, or that there are none.
     #[must_use]
-    pub fn age(&self) -> Option<Millis> {
+    pub fn changes_age(&self) -> Option<Millis> {
         let told = self.told.load(Ordering::Relaxed);
         (told != NEVER).then(|| self.clock.now().since(Millis(told)))
     }
--- a/lib/src/ports/mod.rs
+++ b/lib/src/ports/mod.rs
@@ -230,7 +230,7 @@
 
 /// A completion for an engine to run.
 #[derive(Debug, Clone)]
-pub struct Call {
+pub struct CompletionCall {
     /// The request's identity, which the engine returns in its answer.
     pub id: Id,
     /// The adapter and version to run on.
@@ -245,7 +245,7 @@
 
 /// What an engine says of itself; it lags.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
-pub struct Report {
+pub struct EngineStatus {
     /// Identity of the engine process; a new one means a cold start.
     pub boot: Name,
     /// Names of the adapters in its slots, as [`Adapter::engine_name`] gives them.
@@ -259,14 +259,14 @@
 /// The head and body of an upstream's answer.
 ///
 /// The body is whole only if its stream ends without an error.
-pub struct Answer {
+pub struct UpstreamResponse {
     /// Status and headers, hop-by-hop headers removed.
     pub head: ::http::response::Parts,
     /// Pieces of the body as they come.
     pub body: BoxStream<'static, Result<Bytes, Failure>>,
 }
 
-impl fmt::Debug for Answer {
+impl fmt::Debug for UpstreamResponse {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.debug_struct("Answer")
             .field("status", &self.head.status)
@@ -281,7 +281,7 @@
 #[async_trait]
 pub trait Engine: fmt::Debug + Send + Sync {
     /// Runs a completion. Dropping the answer cancels it at the engine.
-    async fn run(&self, call: Call, fence: Fence) -> Result<Answer, Failure>;
+    async fn run(&self, call: CompletionCall, fence: Fence) -> Result<UpstreamResponse, Failure>;
 
     /// Loads an adapter into a slot; returns when it can be used.
     async fn load(&self, adapter: &Adapter, fence: Fence) -> Result<(), Failure>;
@@ -290,7 +290,7 @@
     async fn unload(&self, adapter: &Adapter, fence: Fence) -> Result<(), Failure>;
 
     /// Asks what is resident and what runs.
-    async fn report(&self) -> Result<Report, Failure>;
+    async fn report(&self) -> Result<EngineStatus, Failure>;
 }
 
 /// The weight store's listing.
@@ -307,7 +307,11 @@
     ///
     /// The body is bounded and held whole by the caller's node, so that a call
     /// that was not run can be tried elsewhere.
-    async fn call(&self, head: ::http::request::Parts, body: Bytes) -> Result<Answer, Failure>;
+    async fn call(
+        &self,
+        head: ::http::request::Parts,
+        body: Bytes,
+    ) -> Result<UpstreamResponse, Failure>;
 }
 
 /// Makes clients for upstreams as the list of VMs names them.
--- a/lib/src/ports/upstream/engine.rs
+++ b/lib/src/ports/upstream/engine.rs
@@ -19,7 +19,7 @@
 use crate::ports::http::{Client as Http, uri, whole};
 use crate::ports::upstream::answer;
 use crate::ports::weights;
-use crate::ports::{Answer, Call, Engine, Fence, Report};
+use crate::ports::{CompletionCall, Engine, EngineStatus, Fence, UpstreamResponse};
 
 /// Header that names the request, in both directions.
 pub const REQUEST_ID: HeaderName = HeaderName::from_static("x-request-id");
@@ -64,7 +64,7 @@
     pub adapter: Name,
 }
 
-impl From<Status> for Report {
+impl From<Status> for EngineStatus {
     fn from(status: Status) -> Self {
         Self {
             boot: status.boot,
@@ -135,7 +135,7 @@
 
 #[async_trait]
 impl Engine for Client {
-    async fn run(&self, call: Call, fence: Fence) -> Result<Answer, Failure> {
+    async fn run(&self, call: CompletionCall, fence: Fence) -> Result<UpstreamResponse, Failure> {
         let path = PathAndQuery::try_from(&*call.path)
             .map_err(|error| Failure::new(Code::UnknownPath, error.to_string()))?;
         let id = HeaderValue::from_str(&call.id.0)
@@ -190,7 +190,7 @@
         ))
     }
 
-    async fn report(&self) -> Result<Report, Failure> {
+    async fn report(&self) -> Result<EngineStatus, Failure> {
         let read = async {
             let path = PathAndQuery::from_static(STATUS_PATH);
             let request = Request::get(uri(self.address, path))
@@ -207,7 +207,7 @@
                 .await
                 .map_err(|told| Failure::new(Code::UpstreamLost, told))?;
             serde_json::from_slice::<Status>(&body)
-                .map(Report::from)
+                .map(EngineStatus::from)
                 .map_err(|error| Failure::new(Code::UpstreamError, error.to_string()))
         };
         tokio::time::timeout(self.report.duration(), read)
--- a/lib/src/ports/upstream/mod.rs
+++ b/lib/src/ports/upstream/mod.rs
@@ -14,8 +14,8 @@
 
 use crate::clock::Millis;
 use crate::error::{Code, Failure};
-use crate::ports::http::{Bounds, Client as Http, Lost, describe, remove_hop_by_hop};
-use crate::ports::{Answer, Connector as Border, Engine, Service, Vm};
+use crate::ports::http::{Bounds, Client as Http, TransportError, describe, remove_hop_by_hop};
+use crate::ports::{Connector as Border, Engine, Service, UpstreamResponse, Vm};
 
 /// Bounds of calls to upstreams.
 ///
@@ -81,20 +81,20 @@
     }
 }
 
-impl From<Lost> for Failure {
-    fn from(lost: Lost) -> Self {
+impl From<TransportError> for Failure {
+    fn from(lost: TransportError) -> Self {
         match lost {
-            Lost::Unsent(told) => Self::new(Code::ConnectFailed, told),
-            Lost::Sent(told) => Self::new(Code::UpstreamLost, told),
+            TransportError::Unsent(told) => Self::new(Code::ConnectFailed, told),
+            TransportError::Sent(told) => Self::new(Code::UpstreamLost, told),
         }
     }
 }
 
 /// Makes an answer of a response.
-fn answer(response: http::Response<Incoming>) -> Answer {
+fn answer(response: http::Response<Incoming>) -> UpstreamResponse {
     let (mut head, body) = response.into_parts();
     remove_hop_by_hop(&mut head.headers);
-    Answer {
+    UpstreamResponse {
         head,
         body: pieces(body),
     }
--- a/lib/src/ports/upstream/service.rs
+++ b/lib/src/ports/upstream/service.rs
@@ -12,7 +12,7 @@
 use crate::error::Failure;
 use crate::ports::http::{Client as Http, remove_hop_by_hop, uri};
 use crate::ports::upstream::answer;
-use crate::ports::{Answer, Service};
+use crate::ports::{Service, UpstreamResponse};
 
 /// A client of one service.
 #[derive(Debug)]
@@ -29,7 +29,11 @@
 
 #[async_trait]
 impl Service for Client {
-    async fn call(&self, mut head: request::Parts, body: Bytes) -> Result<Answer, Failure> {
+    async fn call(
+        &self,
+        mut head: request::Parts,
+        body: Bytes,
+    ) -> Result<UpstreamResponse, Failure> {
         let path = head
             .uri
             .path_and_query()
--- a/lib/src/runner.rs
+++ b/lib/src/runner.rs
@@ -13,7 +13,7 @@
 use crate::error::Failure;
 use crate::membership::fleet::Owner;
 use crate::name::Name;
-use crate::ports::Answer;
+use crate::ports::UpstreamResponse;
 use crate::request::Ticket;
 
 /// The bytes of a request.
@@ -94,7 +94,7 @@
 #[async_trait]
 pub trait Runner: fmt::Debug + Send + Sync {
     /// Runs an attempt; returns when the upstream's answer begins.
-    async fn run(&self, attempt: Attempt) -> Result<Answer, Failure>;
+    async fn run(&self, attempt: Attempt) -> Result<UpstreamResponse, Failure>;
 }
 
 /// Finds the runner of an upstream's owner: this node's own, or a peer's connection.
--- a/lib/tests/entry_support/mod.rs
+++ b/lib/tests/entry_support/mod.rs
@@ -19,7 +19,7 @@
 use chivevalve::membership::fleet::{Owner, State, Upstream};
 use chivevalve::metrics::Metrics;
 use chivevalve::name::Name;
-use chivevalve::ports::{Answer, Vm};
+use chivevalve::ports::{UpstreamResponse, Vm};
 use chivevalve::request::Class;
 use chivevalve::runner::{Attempt, Reach, Runner, Share, Work};
 use futures::StreamExt;
@@ -122,7 +122,7 @@
 
 #[async_trait]
 impl Runner for Script {
-    async fn run(&self, attempt: Attempt) -> Result<Answer, Failure> {
+    async fn run(&self, attempt: Attempt) -> Result<UpstreamResponse, Failure> {
         self.runs.lock().unwrap().push(attempt);
         self.open.fetch_add(1, Ordering::SeqCst);
         let open = Open(Arc::clone(&self.open));
@@ -161,7 +161,7 @@
                         .chain(futures::stream::poll_fn(|_| panic!("as scripted")))
                         .boxed(),
                 };
-                Ok(Answer { head, body })
+                Ok(UpstreamResponse { head, body })
             }
         }
     }
--- a/lib/tests/owner_fakes/mod.rs
+++ b/lib/tests/owner_fakes/mod.rs
@@ -17,7 +17,9 @@
 use chivevalve::membership::{Adopter, FailureDetector, UpstreamOwnership};
 use chivevalve::metrics::Metrics;
 use chivevalve::owner::{Dependencies, Limits, Registry, RoutingCheck};
-use chivevalve::ports::{Answer, Call, Connector, Engine, Fence, Report, Service, Vm};
+use chivevalve::ports::{
+    CompletionCall, Connector, Engine, EngineStatus, Fence, Service, UpstreamResponse, Vm,
+};
 use chivevalve::request::{Class, Id, Ticket};
 use chivevalve::runner::{Attempt, Share, Work};
 use futures::{StreamExt, stream};
@@ -155,7 +157,7 @@
 
 #[async_trait]
 impl Engine for FakeEngine {
-    async fn run(&self, call: Call, _: Fence) -> Result<Answer, Failure> {
+    async fn run(&self, call: CompletionCall, _: Fence) -> Result<UpstreamResponse, Failure> {
         let knobs = self.connect()?;
         assert!(knobs.fault != Fault::Panic, "the client panics");
         {
@@ -170,7 +172,7 @@
         if knobs.status != 200 {
             let said =
                 "{\"error\":{\"message\":\"the prompt\",\"code\":\"context_length_exceeded\"}}";
-            return Ok(Answer {
+            return Ok(UpstreamResponse {
                 head: head(knobs.status),
                 body: stream::once(async move { Ok(Bytes::from(said)) }).boxed(),
             });
@@ -190,7 +192,7 @@
                 json.len()
             };
             let bytes = Bytes::from(json[..end].to_owned());
-            return Ok(Answer {
+            return Ok(UpstreamResponse {
                 head: head(200),
                 body: stream::once(async { Ok(bytes) }).boxed(),
             });
@@ -211,7 +213,7 @@
             _ => body.boxed(),
         };
         let head = head(200);
-        Ok(Answer { head, body })
+        Ok(UpstreamResponse { head, body })
     }
 
     async fn load(&self, adapter: &Adapter, _: Fence) -> Result<(), Failure> {
@@ -235,13 +237,13 @@
         Ok(())
     }
 
-    async fn report(&self) -> Result<Report, Failure> {
+    async fn report(&self) -> Result<EngineStatus, Failure> {
         let knobs = self.connect()?;
         tokio::time::sleep(knobs.report_ms.duration()).await;
         let seen = self.seen.lock().unwrap();
         let names =
             |(id, adapter): &(String, String)| (id.as_str().into(), adapter.as_str().into());
-        Ok(Report {
+        Ok(EngineStatus {
             boot: knobs.boot.into(),
             resident: seen
                 .resident
@@ -271,7 +273,7 @@
 /// As a plain service it echoes the request.
 #[async_trait]
 impl Service for FakeEngine {
-    async fn call(&self, called: request::Parts, body: Bytes) -> Result<Answer, Failure> {
+    async fn call(&self, called: request::Parts, body: Bytes) -> Result<UpstreamResponse, Failure> {
         let knobs = self.connect()?;
         let line = format!("{} {}", called.method, called.uri);
         self.seen.lock().unwrap().runs.push(line);
@@ -283,7 +285,7 @@
             _ if called.method == http::Method::HEAD => 0,
             _ => body.len(),
         };
-        Ok(Answer {
+        Ok(UpstreamResponse {
             head,
             body: stream::once(async move { Ok(body.slice(..end)) }).boxed(),
         })
@@ -534,7 +536,7 @@
 }
 
 /// Reads a response to its end.
-pub async fn text(mut answer: Answer) -> Result<String, Failure> {
+pub async fn text(mut answer: UpstreamResponse) -> Result<String, Failure> {
     let mut all = String::new();
     while let Some(piece) = answer.body.next().await {
         all.push_str(std::str::from_utf8(&piece?).unwrap());
--- a/lib/tests/peer_fakes/mod.rs
+++ b/lib/tests/peer_fakes/mod.rs
@@ -17,7 +17,7 @@
 use chivevalve::peer::client::{self, Clients};
 use chivevalve::peer::server::{self, Handlers};
 use chivevalve::peer::tls::Security;
-use chivevalve::ports::Answer;
+use chivevalve::ports::UpstreamResponse;
 use chivevalve::runner::{Attempt, Runner};
 use chivevalve::schema::peer::{Delta, Digest, SnapshotPart};
 use tokio::net::TcpListener;
@@ -60,7 +60,7 @@
 
 #[async_trait]
 impl Runner for Nobody {
-    async fn run(&self, _: Attempt) -> Result<Answer, Failure> {
+    async fn run(&self, _: Attempt) -> Result<UpstreamResponse, Failure> {
         Err(Failure::new(Code::NotOwner, "nothing is owned here"))
     }
 }
--- a/lib/tests/test_owner_failures.rs
+++ b/lib/tests/test_owner_failures.rs
@@ -8,13 +8,17 @@
 use chivevalve::declaration::Kind;
 use chivevalve::error::{Code, Failure, Fate};
 use chivevalve::membership::Adopter;
-use chivevalve::ports::Answer;
+use chivevalve::ports::UpstreamResponse;
 use chivevalve::runner::Runner;
 use owner_fakes::{Bench, Fault, adapter, attempt, text};
 use tokio::task::JoinHandle;
 
 /// Starts an attempt and lets it proceed until it waits.
-async fn start_attempt(bench: &Bench, id: &str, name: &str) -> JoinHandle<Result<Answer, Failure>> {
+async fn start_attempt(
+    bench: &Bench,
+    id: &str,
+    name: &str,
+) -> JoinHandle<Result<UpstreamResponse, Failure>> {
     let registry = Arc::clone(&bench.registry);
     let attempt = attempt(id, name, true);
     let started = tokio::spawn(async move { registry.run(attempt).await });
@@ -27,7 +31,7 @@
 }
 
 /// Returns an attempt's failure and checks that the request wasn't run.
-async fn refusal(started: JoinHandle<Result<Answer, Failure>>) -> Failure {
+async fn refusal(started: JoinHandle<Result<UpstreamResponse, Failure>>) -> Failure {
     let failure = started.await.unwrap().unwrap_err();
     assert_eq!(failure.fate(), Fate::NotRun);
     failure
--- a/lib/tests/test_ports_upstream.rs
+++ b/lib/tests/test_ports_upstream.rs
@@ -10,8 +10,8 @@
 use chivevalve::error::{Code, Failure};
 use chivevalve::ports::upstream::{Connector, Limits};
 use chivevalve::ports::{
-    Answer, Call, Connector as _, Directory as _, Engine, Fence, Service, Vm, Weights as _,
-    directory, weights,
+    CompletionCall, Connector as _, Directory as _, Engine, Fence, Service, UpstreamResponse, Vm,
+    Weights as _, directory, weights,
 };
 use chivevalve::request::Id;
 use chivevalve_standins::directory::Directory;
@@ -68,14 +68,14 @@
     }
 }
 
-fn call(id: &str, adapter: &Adapter, tokens: u32, stream: bool) -> Call {
+fn call(id: &str, adapter: &Adapter, tokens: u32, stream: bool) -> CompletionCall {
     let body = serde_json::json!({
         "model": adapter.engine_name(),
         "prompt": "a prompt of mark-9",
         "max_tokens": tokens,
         "stream": stream,
     });
-    Call {
+    CompletionCall {
         id: Id(id.into()),
         adapter: adapter.clone(),
         path: "/v1/completions".into(),
@@ -84,7 +84,7 @@
     }
 }
 
-async fn read(answer: Answer) -> Result<String, Failure> {
+async fn read(answer: UpstreamResponse) -> Result<String, Failure> {
     let mut text = Vec::new();
     let mut body = answer.body;
     while let Some(piece) = body.next().await {
--- a/standins/src/directory.rs
+++ b/standins/src/directory.rs
@@ -4,7 +4,7 @@
 
 use async_trait::async_trait;
 use chivevalve::clock::{Clock, Millis, Monotonic};
-use chivevalve::ports::directory::{Item, List, PATH};
+use chivevalve::ports::directory::{PATH, VmEntry, VmList};
 use chivevalve::ports::{Directory as Border, Error, Vm};
 use http::{Request, Response, StatusCode};
 use hyper::body::Incoming;
@@ -122,7 +122,7 @@
             return Ok(text(StatusCode::NOT_FOUND, "no such list"));
         }
         let vms = self.read().ok_or(Reset)?;
-        let vms = vms.iter().map(Item::from).collect();
-        Ok(json(&List { vms }))
+        let vms = vms.iter().map(VmEntry::from).collect();
+        Ok(json(&VmList { vms }))
     }
 }
--- a/standins/src/engine/direct.rs
+++ b/standins/src/engine/direct.rs
@@ -5,7 +5,7 @@
 use chivevalve::error::{Code, Failure};
 use chivevalve::ports::upstream::Status;
 use chivevalve::ports::weights::path;
-use chivevalve::ports::{Answer, Call, Engine as Border, Fence, Report};
+use chivevalve::ports::{CompletionCall, Engine as Border, EngineStatus, Fence, UpstreamResponse};
 use futures::StreamExt;
 use http::{Response, StatusCode};
 
@@ -13,7 +13,7 @@
 
 #[async_trait]
 impl Border for Engine {
-    async fn run(&self, call: Call, fence: Fence) -> Result<Answer, Failure> {
+    async fn run(&self, call: CompletionCall, fence: Fence) -> Result<UpstreamResponse, Failure> {
         let chat = call.path.contains("chat");
         let completion = self
             .complete(&call.id.0, chat, &call.body, fence.token)
@@ -23,7 +23,7 @@
             })?;
         let cut = |_| Failure::new(Code::AnswerCut, "the engine broke the answer off");
         let body = completion.body.map(move |piece| piece.map_err(cut));
-        Ok(Answer {
+        Ok(UpstreamResponse {
             head: Response::new(()).into_parts().0,
             body: body.boxed(),
         })
@@ -45,9 +45,9 @@
         }
     }
 
-    async fn report(&self) -> Result<Report, Failure> {
+    async fn report(&self) -> Result<EngineStatus, Failure> {
         serde_json::from_slice::<Status>(&self.status())
-            .map(Report::from)
+            .map(EngineStatus::from)
             .map_err(|error| Failure::new(Code::UpstreamError, error.to_string()))
     }
 }
