--- a/lib/src/direct/orders/client.rs
+++ b/lib/src/direct/orders/client.rs
@@ -14,7 +14,7 @@
 use crate::direct::view::View;
 use crate::metrics::Metrics;
 use crate::name::Name;
-use crate::ports::link::Lost;
+use crate::ports::connection_pool::TransportError;
 
 /// Timeout of an order or a status request.
 ///
@@ -53,14 +53,22 @@
 
 impl EngineClient {
     /// Sends an order if this node may do so at this moment.
-    pub(super) async fn send_order(&self, mut order: Order) -> Result<OrderOutcome, Lost> {
+    pub(super) async fn send_order(
+        &self,
+        mut order: Order,
+    ) -> Result<OrderOutcome, TransportError> {
         let upstream = &self.upstream;
-        let mut connection = upstream.link.take(MAX_CONNECTION_IDLE).await?;
+        let mut connection = upstream
+            .connection_pool
+            .acquire(MAX_CONNECTION_IDLE)
+            .await?;
         // A VM can be suspended at any point, so ownership is checked last, by a clock that
         // includes the time of the suspension.
         let Some(token) = self.ownership.fencing_token(upstream.address) else {
-            upstream.link.keep(connection, None);
-            return Err(Lost::Unsent("this node may send no orders".to_owned()));
+            upstream.connection_pool.release(connection, None);
+            return Err(TransportError::Unsent(
+                "this node may send no orders".to_owned(),
+            ));
         };
         order.fencing_token = token;
         let request = self.dialect.order_request(&upstream.incarnation, &order);
@@ -68,13 +76,13 @@
         let sent =
             tokio::time::timeout(RESPONSE_TIMEOUT.duration(), connection.send(request)).await;
         let (head, body) = sent
-            .map_err(|_| Lost::Sent(format!("no response within {RESPONSE_TIMEOUT}")))??
+            .map_err(|_| TransportError::Sent(format!("no response within {RESPONSE_TIMEOUT}")))??
             .into_parts();
         let rest = Limited::new(body, MAX_RESPONSE_BYTES).collect();
         if let Ok(Ok(_)) = tokio::time::timeout(RESPONSE_TIMEOUT.duration(), rest).await {
             let reply = self.dialect.response_metadata(&head);
             if !reply.closes {
-                upstream.link.keep(connection, reply.keep);
+                upstream.connection_pool.release(connection, reply.keep);
             }
         }
         Ok(self.dialect.order_outcome(&head))
--- a/lib/src/ports/link.rs
+++ b/lib/src/ports/connection_pool.rs
@@ -38,7 +38,7 @@
 
 /// Why a request has no answer.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Lost {
+pub enum TransportError {
     /// No byte of the request left, so the other side can't have seen it.
     Unsent(String),
     /// The request, or part of it, may have arrived.
@@ -47,7 +47,7 @@
 
 /// Whether somebody listens at an address.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Listening {
+pub enum ProbeResult {
     /// A connection could be made.
     Accepted,
     /// The VM lives, and no process listens there.
@@ -58,13 +58,13 @@
 
 /// Bounds of the connections to one address.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Bounds {
+pub struct PoolLimits {
     /// Longest time to connect.
-    pub connect: Millis,
+    pub connect_timeout: Millis,
     /// How long an unused connection is kept.
-    pub idle: Millis,
+    pub idle_timeout: Millis,
     /// Most connections open at once.
-    pub open: usize,
+    pub max_open: usize,
 }
 
 /// Counts an open connection until it is dropped.
@@ -93,17 +93,17 @@
 
 /// Connections to one address.
 #[derive(Debug)]
-pub struct Link {
+pub struct ConnectionPool {
     address: SocketAddr,
-    bounds: Mutex<Bounds>,
+    bounds: Mutex<PoolLimits>,
     idle: Mutex<Vec<Idle>>,
     open: Arc<AtomicUsize>,
 }
 
-impl Link {
+impl ConnectionPool {
     /// Makes a link without connections.
     #[must_use]
-    pub fn new(address: SocketAddr, bounds: Bounds) -> Self {
+    pub fn new(address: SocketAddr, bounds: PoolLimits) -> Self {
         Self {
             address,
             bounds: Mutex::new(bounds),
@@ -113,20 +113,20 @@
     }
 
     /// Changes how many connections may be open at once.
-    pub fn limit(&self, open: usize) {
+    pub fn set_max_open(&self, open: usize) {
         self.bounds
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
-            .open = open;
+            .max_open = open;
     }
 
     /// Closes all connections that nobody uses.
-    pub fn clear(&self) {
+    pub fn close_idle(&self) {
         self.kept().clear();
     }
 
     /// Closes the connections that were unused too long or have ended.
-    pub fn sweep(&self) {
+    pub fn close_expired(&self) {
         let now = Instant::now();
         self.kept()
             .retain(|idle| idle.until > now && !idle.connection.sender.is_closed());
@@ -136,15 +136,15 @@
     ///
     /// # Errors
     ///
-    /// [`Lost::Unsent`] when the limit is reached or connecting fails.
-    pub async fn take(&self, freshness: Millis) -> Result<Connection, Lost> {
-        match self.reuse(freshness) {
+    /// [`TransportError::Unsent`] when the limit is reached or connecting fails.
+    pub async fn acquire(&self, freshness: Millis) -> Result<Connection, TransportError> {
+        match self.take_idle(freshness) {
             Some(connection) => Ok(connection),
             None => self.connect().await,
         }
     }
 
-    fn reuse(&self, freshness: Millis) -> Option<Connection> {
+    fn take_idle(&self, freshness: Millis) -> Option<Connection> {
         let now = Instant::now();
         let mut kept = self.kept();
         while let Some(idle) = kept.pop() {
@@ -162,40 +162,45 @@
     }
 
     /// Looks whether somebody listens at the address.
-    pub async fn probe(&self) -> Listening {
+    pub async fn probe(&self) -> ProbeResult {
         let bounds = *self.bounds.lock().unwrap_or_else(PoisonError::into_inner);
         let connecting = TcpStream::connect(self.address);
-        match tokio::time::timeout(bounds.connect.duration(), connecting).await {
-            Ok(Ok(_)) => Listening::Accepted,
+        match tokio::time::timeout(bounds.connect_timeout.duration(), connecting).await {
+            Ok(Ok(_)) => ProbeResult::Accepted,
             Ok(Err(error)) if error.kind() == std::io::ErrorKind::ConnectionRefused => {
-                Listening::Refused
+                ProbeResult::Refused
             }
-            Ok(Err(_)) | Err(_) => Listening::Unknown,
+            Ok(Err(_)) | Err(_) => ProbeResult::Unknown,
         }
     }
 
-    async fn connect(&self) -> Result<Connection, Lost> {
+    async fn connect(&self) -> Result<Connection, TransportError> {
         let bounds = *self.bounds.lock().unwrap_or_else(PoisonError::into_inner);
         let open = Open(Arc::clone(&self.open));
         let before = self.open.fetch_add(1, Ordering::Relaxed);
         // An unused connection that is too old for this request makes room.
-        if before >= bounds.open && self.kept().pop().is_none() {
-            return Err(Lost::Unsent(format!(
+        if before >= bounds.max_open && self.kept().pop().is_none() {
+            return Err(TransportError::Unsent(format!(
                 "{before} connections are open, the limit is {}",
-                bounds.open
+                bounds.max_open
             )));
         }
-        let stream =
-            tokio::time::timeout(bounds.connect.duration(), TcpStream::connect(self.address))
-                .await
-                .map_err(|_| Lost::Unsent(format!("no connection within {}", bounds.connect)))?
-                .map_err(|error| Lost::Unsent(error.to_string()))?;
-        guard(&stream).map_err(|error| Lost::Unsent(error.to_string()))?;
+        let stream = tokio::time::timeout(
+            bounds.connect_timeout.duration(),
+            TcpStream::connect(self.address),
+        )
+        .await
+        .map_err(|_| {
+            TransportError::Unsent(format!("no connection within {}", bounds.connect_timeout))
+        })?
+        .map_err(|error| TransportError::Unsent(error.to_string()))?;
+        enable_dead_peer_detection(&stream)
+            .map_err(|error| TransportError::Unsent(error.to_string()))?;
         let (sender, connection) = http1::Builder::new()
             .max_buf_size(READ_BUFFER)
             .handshake(TokioIo::new(stream))
             .await
-            .map_err(|error| Lost::Unsent(describe(&error)))?;
+            .map_err(|error| TransportError::Unsent(describe(&error)))?;
         tokio::spawn(async move {
             if let Err(error) = connection.await {
                 log::debug!("link: a connection ended: {}", describe(&error));
@@ -208,13 +213,13 @@
     ///
     /// `span` is how long the server keeps it, if it said so. The connection is
     /// closed a second earlier, so that no request crosses the server's close.
-    pub fn keep(&self, connection: Connection, span: Option<Millis>) {
+    pub fn release(&self, connection: Connection, span: Option<Millis>) {
         if connection.sender.is_closed() {
             return;
         }
         let bounds = *self.bounds.lock().unwrap_or_else(PoisonError::into_inner);
-        let span = span.map_or(bounds.idle, |span| {
-            bounds.idle.min(span - Millis::from_secs(1))
+        let span = span.map_or(bounds.idle_timeout, |span| {
+            bounds.idle_timeout.min(span - Millis::from_secs(1))
         });
         if span == Millis::ZERO {
             return;
@@ -237,14 +242,14 @@
     ///
     /// # Errors
     ///
-    /// [`Lost::Unsent`] only when the request was handed back unwritten.
+    /// [`TransportError::Unsent`] only when the request was handed back unwritten.
     pub async fn send(
         &mut self,
         request: Request<Full<Bytes>>,
-    ) -> Result<Response<Incoming>, Lost> {
+    ) -> Result<Response<Incoming>, TransportError> {
         debug_assert!(self.open.0.load(Ordering::Relaxed) > 0);
         if let Err(error) = self.sender.ready().await {
-            return Err(Lost::Unsent(describe(&error)));
+            return Err(TransportError::Unsent(describe(&error)));
         }
         self.sender
             .try_send_request(request)
@@ -253,9 +258,9 @@
                 let unsent = error.take_message().is_some();
                 let told = describe(error.error());
                 if unsent {
-                    Lost::Unsent(told)
+                    TransportError::Unsent(told)
                 } else {
-                    Lost::Sent(told)
+                    TransportError::Sent(told)
                 }
             })
     }
@@ -266,7 +271,7 @@
 /// # Errors
 ///
 /// When the system refuses the socket's options.
-pub fn guard(stream: &TcpStream) -> std::io::Result<()> {
+pub fn enable_dead_peer_detection(stream: &TcpStream) -> std::io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
     let probe = Duration::from_millis(PROBE_AFTER.0);
