--- a/lib/src/entry/gateway.rs
+++ b/lib/src/entry/gateway.rs
@@ -18,7 +18,7 @@
 use super::relay;
 use super::route::{self, Completion, Route};
 use super::session::Session;
-use super::{Parts, body, idempotency, key, models, service};
+use super::{Dependencies, body, idempotency, key, models, service};
 use crate::adapter::Adapter;
 use crate::claim::{self, Claim, ClaimManager};
 use crate::clock::Millis;
@@ -45,7 +45,7 @@
 #[derive(Debug)]
 pub struct Gateway {
     /// The node's other parts.
-    pub parts: Arc<Parts>,
+    pub parts: Arc<Dependencies>,
     /// Requests in progress.
     pub gate: Arc<Gate>,
     /// Bytes of bodies.
@@ -74,7 +74,7 @@
 impl Gateway {
     /// Makes the state of a node that has served nobody yet.
     #[must_use]
-    pub fn new(parts: Arc<Parts>) -> Arc<Self> {
+    pub fn new(parts: Arc<Dependencies>) -> Arc<Self> {
         let limits = &parts.limits;
         let quarantine = Arc::clone(&parts.quarantine);
         tokio::spawn(quarantine.follow(parts.fleet.clone()));
@@ -426,7 +426,7 @@
     }
 }
 
-fn claims(parts: &Parts) -> claim::Dependencies {
+fn claims(parts: &Dependencies) -> claim::Dependencies {
     claim::Dependencies {
         store: Arc::clone(&parts.store),
         lease: Arc::clone(&parts.lease),
--- a/lib/src/entry/mod.rs
+++ b/lib/src/entry/mod.rs
@@ -41,7 +41,7 @@
 
 /// What the entry needs of the node's other parts.
 #[derive(Debug)]
-pub struct Parts {
+pub struct Dependencies {
     /// The configuration in force.
     pub view: watch::Receiver<Arc<View>>,
     /// Upstreams and their owners.
--- a/lib/src/entry/server.rs
+++ b/lib/src/entry/server.rs
@@ -8,7 +8,7 @@
 use tokio_util::sync::CancellationToken;
 use tokio_util::task::TaskTracker;
 
-use super::Parts;
+use super::Dependencies;
 use super::connection::{self, Rest};
 use super::gateway::Gateway;
 
@@ -18,7 +18,7 @@
 /// Serves callers until `stop` is cancelled and every request in progress has ended.
 ///
 /// Whoever stops the node bounds how long it waits for this to return.
-pub async fn serve(listener: TcpListener, parts: Arc<Parts>, stop: CancellationToken) {
+pub async fn serve(listener: TcpListener, parts: Arc<Dependencies>, stop: CancellationToken) {
     let server = Server {
         places: Arc::new(Semaphore::new(parts.limits.connections)),
         gateway: Gateway::new(parts),
--- a/lib/src/node/assembly.rs
+++ b/lib/src/node/assembly.rs
@@ -121,9 +121,9 @@
     }
 
     /// Returns what the listener for callers works with.
-    pub(super) fn entry(&self) -> entry::Parts {
+    pub(super) fn entry(&self) -> entry::Dependencies {
         let base = &self.base;
-        entry::Parts {
+        entry::Dependencies {
             view: self.config.view(),
             fleet: self.membership.fleet(),
             reach: Arc::clone(&self.clients) as _,
--- a/lib/tests/entry_support/mod.rs
+++ b/lib/tests/entry_support/mod.rs
@@ -13,7 +13,7 @@
 use chivevalve::clock::{Clock, Millis, Monotonic};
 use chivevalve::config::View;
 use chivevalve::declaration::{Account, Kind, Pool, Template};
-use chivevalve::entry::{self, Limits, Parts, Quarantine};
+use chivevalve::entry::{self, Dependencies, Limits, Quarantine};
 use chivevalve::error::{Code, Failure};
 use chivevalve::membership::Fleet;
 use chivevalve::membership::fleet::{Owner, State, Upstream};
@@ -221,7 +221,7 @@
     let stop = CancellationToken::new();
     let clock: Arc<dyn Clock> = Arc::new(Monotonic::start());
     let quarantine = Quarantine::new("n1".into(), Arc::clone(&clock), Arc::clone(&metrics));
-    let parts = Parts {
+    let parts = Dependencies {
         quarantine: Arc::new(quarantine),
         view: view_seen,
         fleet: fleet_seen,
