--- a/lib/src/entry/gate.rs
+++ b/lib/src/entry/admission.rs
@@ -20,7 +20,7 @@
 /// When the node is nearly full, an account that holds more than its even part
 /// gets no more, so that one account's burst leaves room for the others.
 #[derive(Debug)]
-pub struct Gate {
+pub struct InFlightLimiter {
     limit: usize,
     held: Mutex<Held>,
 }
@@ -43,7 +43,7 @@
     }
 }
 
-impl Gate {
+impl InFlightLimiter {
     /// Makes a gate for this many requests.
     #[must_use]
     pub fn new(limit: usize) -> Arc<Self> {
@@ -58,14 +58,14 @@
     /// # Errors
     ///
     /// [`Code::NodeFull`] when the node or the account's part of it is full.
-    pub fn enter(self: &Arc<Self>, account: &Name) -> Result<Place, Failure> {
+    pub fn admit(self: &Arc<Self>, account: &Name) -> Result<InFlightGuard, Failure> {
         let mut held = self.held.lock().unwrap_or_else(PoisonError::into_inner);
         if held.refuses(self.limit, account) {
             return Err(full("the node holds all the requests that it can"));
         }
         held.all += 1;
         *held.accounts.entry(Arc::clone(account)).or_default() += 1;
-        Ok(Place {
+        Ok(InFlightGuard {
             gate: Arc::clone(self),
             account: Arc::clone(account),
         })
@@ -74,12 +74,12 @@
 
 /// A request's place at the node; dropping it makes room.
 #[derive(Debug)]
-pub struct Place {
-    gate: Arc<Gate>,
+pub struct InFlightGuard {
+    gate: Arc<InFlightLimiter>,
     account: Name,
 }
 
-impl Drop for Place {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
         let mut held = self
             .gate
@@ -98,11 +98,11 @@
 
 /// Bytes that bodies and held-back answers may take up together.
 #[derive(Debug, Clone)]
-pub struct Buffer {
+pub struct BufferLimiter {
     blocks: Arc<Semaphore>,
 }
 
-impl Buffer {
+impl BufferLimiter {
     /// Makes a buffer of this many bytes.
     #[must_use]
     pub fn new(bytes: usize) -> Self {
@@ -113,8 +113,8 @@
 
     /// Starts with nothing reserved.
     #[must_use]
-    pub fn reserve(&self) -> Reserve {
-        Reserve {
+    pub fn reserve(&self) -> BufferReservation {
+        BufferReservation {
             buffer: self.clone(),
             permit: None,
         }
@@ -123,12 +123,12 @@
 
 /// Bytes reserved for one request; dropping it gives them back.
 #[derive(Debug)]
-pub struct Reserve {
-    buffer: Buffer,
+pub struct BufferReservation {
+    buffer: BufferLimiter,
     permit: Option<OwnedSemaphorePermit>,
 }
 
-impl Reserve {
+impl BufferReservation {
     /// Returns the bytes that are covered.
     #[must_use]
     pub fn bytes(&self) -> usize {
@@ -142,7 +142,7 @@
     /// # Errors
     ///
     /// [`Code::NodeFull`] when other requests hold too much.
-    pub fn cover(&mut self, bytes: usize) -> Result<(), Failure> {
+    pub fn grow_to(&mut self, bytes: usize) -> Result<(), Failure> {
         let missing = bytes.saturating_sub(self.bytes()).div_ceil(BLOCK);
         if missing == 0 {
             return Ok(());
@@ -171,34 +171,34 @@
     /// Sequence: an account sends more requests than the node holds.
     /// Cause: places were given out in order of arrival alone.
     #[test]
-    fn enter_burst_leaves_room() {
-        let gate = Gate::new(100);
+    fn admit_burst_leaves_room() {
+        let gate = InFlightLimiter::new(100);
         let (greedy, modest) = (Name::from("greedy"), Name::from("modest"));
-        let _one = gate.enter(&modest).unwrap();
-        let held: Vec<_> = std::iter::from_fn(|| gate.enter(&greedy).ok()).collect();
+        let _one = gate.admit(&modest).unwrap();
+        let held: Vec<_> = std::iter::from_fn(|| gate.admit(&greedy).ok()).collect();
         assert_eq!(held.len(), 74);
-        assert!(gate.enter(&modest).is_ok());
+        assert!(gate.admit(&modest).is_ok());
     }
 
     #[test]
-    fn enter_alone_takes_all() {
-        let gate = Gate::new(8);
+    fn admit_alone_takes_all() {
+        let gate = InFlightLimiter::new(8);
         let name = Name::from("a");
-        let held: Vec<_> = std::iter::from_fn(|| gate.enter(&name).ok()).collect();
+        let held: Vec<_> = std::iter::from_fn(|| gate.admit(&name).ok()).collect();
         assert_eq!(held.len(), 8);
         drop(held);
-        assert!(gate.enter(&name).is_ok());
+        assert!(gate.admit(&name).is_ok());
     }
 
     #[test]
-    fn cover_gives_back() {
-        let buffer = Buffer::new(4 * BLOCK);
+    fn grow_to_gives_back() {
+        let buffer = BufferLimiter::new(4 * BLOCK);
         let mut first = buffer.reserve();
-        first.cover(1).unwrap();
-        first.cover(3 * BLOCK).unwrap();
+        first.grow_to(1).unwrap();
+        first.grow_to(3 * BLOCK).unwrap();
         let mut second = buffer.reserve();
-        assert_eq!(second.cover(2 * BLOCK).unwrap_err().code, Code::NodeFull);
+        assert_eq!(second.grow_to(2 * BLOCK).unwrap_err().code, Code::NodeFull);
         drop(first);
-        assert!(second.cover(4 * BLOCK).is_ok());
+        assert!(second.grow_to(4 * BLOCK).is_ok());
     }
 }
--- a/lib/src/entry/body.rs
+++ b/lib/src/entry/body.rs
@@ -4,7 +4,7 @@
 use http_body::Body;
 use http_body_util::BodyExt;
 
-use super::gate::Reserve;
+use super::admission::BufferReservation;
 use crate::clock::Millis;
 use crate::error::{Code, Failure};
 
@@ -21,7 +21,7 @@
     body: B,
     limit: usize,
     timeout: Millis,
-    reserve: &mut Reserve,
+    reserve: &mut BufferReservation,
 ) -> Result<Bytes, Failure>
 where
     B: Body<Data = Bytes> + Unpin,
@@ -38,7 +38,11 @@
         })
 }
 
-async fn collect<B>(mut body: B, limit: usize, reserve: &mut Reserve) -> Result<Bytes, Failure>
+async fn collect<B>(
+    mut body: B,
+    limit: usize,
+    reserve: &mut BufferReservation,
+) -> Result<Bytes, Failure>
 where
     B: Body<Data = Bytes> + Unpin,
 {
@@ -52,7 +56,7 @@
         if bytes > limit {
             return Err(too_large(limit));
         }
-        reserve.cover(bytes)?;
+        reserve.grow_to(bytes)?;
         whole.push(data);
     }
     Ok(whole.freeze())
--- a/lib/src/entry/dispatch.rs
+++ b/lib/src/entry/dispatch.rs
@@ -9,8 +9,8 @@
 use http::header::{CONTENT_LENGTH, HeaderValue};
 use http::{StatusCode, response};
 
+use super::admission::BufferReservation;
 use super::body::Joined;
-use super::gate::Reserve;
 use super::gateway::{Gateway, lock};
 use super::session::Session;
 use crate::claim::Claim;
@@ -342,7 +342,7 @@
         let answer = runner.run(attempt).await?;
         session.machine().record_response_start();
         let run = order.run_at(target);
-        receive(gateway, &mut session.reserve, order.form, answer, run).await
+        receive(gateway, &mut session.buffered, order.form, answer, run).await
     };
     tokio::time::timeout(left.duration(), begin)
         .await
@@ -358,7 +358,7 @@
 /// upstream that breaks before it still leaves the way open for another try.
 async fn receive(
     gateway: &Gateway,
-    reserve: &mut Reserve,
+    reserve: &mut BufferReservation,
     form: Form,
     answer: Answer,
     run: Run,
@@ -399,7 +399,7 @@
 async fn collect(
     mut body: BoxStream<'static, Result<Bytes, Failure>>,
     limit: usize,
-    reserve: &mut Reserve,
+    reserve: &mut BufferReservation,
 ) -> Result<Bytes, Failure> {
     let mut whole = Joined::default();
     let held = reserve.bytes();
@@ -411,7 +411,7 @@
         }
         // The upstream has run it, so a full node can't call it not run.
         reserve
-            .cover(held + bytes)
+            .grow_to(held + bytes)
             .map_err(|failure| Failure::new(Code::AnswerCut, failure.detail))?;
         whole.push(piece);
     }
--- a/lib/src/entry/gateway.rs
+++ b/lib/src/entry/gateway.rs
@@ -10,10 +10,10 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
+use super::admission::{BufferLimiter, InFlightLimiter};
 use super::answer::{self, Body, Problem};
 use super::completion::Asked;
 use super::dispatch::{self, Form, Order, Run};
-use super::gate::{Buffer, Gate};
 use super::quarantine::Quarantine;
 use super::relay;
 use super::route::{self, Completion, Route};
@@ -47,9 +47,9 @@
     /// The node's other parts.
     pub parts: Arc<Dependencies>,
     /// Requests in progress.
-    pub gate: Arc<Gate>,
+    pub gate: Arc<InFlightLimiter>,
     /// Bytes of bodies.
-    pub buffer: Buffer,
+    pub buffer: BufferLimiter,
     /// Retries left.
     pub budget: Mutex<RetryBudget>,
     claims: ClaimManager,
@@ -79,8 +79,8 @@
         let quarantine = Arc::clone(&parts.quarantine);
         tokio::spawn(quarantine.follow(parts.fleet.clone()));
         Arc::new(Self {
-            gate: Gate::new(limits.in_flight),
-            buffer: Buffer::new(limits.buffered_bytes),
+            gate: InFlightLimiter::new(limits.in_flight),
+            buffer: BufferLimiter::new(limits.buffered_bytes),
             budget: Mutex::new(RetryBudget::new(limits.retry_percent, parts.clock.now())),
             claims: ClaimManager::start(claims(&parts)),
             jitter: Mutex::new(Pcg64Mcg::seed_from_u64(parts.seed)),
@@ -205,7 +205,7 @@
         let account = key::account(&view, &head.headers)?;
         let caller = Caller { view, account };
         let route = route::route(&head.method, &head.uri)?;
-        session.enter(&caller.account.name)?;
+        session.admit(&caller.account.name)?;
         match route {
             Route::Models => Ok(Reply::Text(models::list(&caller.view, &caller.account))),
             Route::Model(name) => {
@@ -240,7 +240,7 @@
             body,
             limits.max_body_bytes,
             limits.body_timeout,
-            &mut session.reserve,
+            &mut session.buffered,
         )
         .await?;
         let asked = Asked::read(completion, &body)?;
@@ -296,7 +296,7 @@
         let head = service::outward(head, path, session.id())?;
         let timeout = self.parts.limits.body_timeout;
         let limit = self.body_limit(template);
-        let body = body::read(body, limit, timeout, &mut session.reserve).await?;
+        let body = body::read(body, limit, timeout, &mut session.buffered).await?;
         let ticket = caller.ticket(session, template, span);
         let work = Work::Call {
             head: Box::new(head),
--- a/lib/src/entry/mod.rs
+++ b/lib/src/entry/mod.rs
@@ -3,12 +3,12 @@
 //! docs/callers.md is the callers' side of this module; docs/errors.md lists
 //! the codes; docs/design/0003-outcomes.md says how each request ends.
 
+mod admission;
 mod answer;
 mod body;
 mod completion;
 mod connection;
 mod dispatch;
-mod gate;
 mod gateway;
 mod idempotency;
 mod json;
--- a/lib/src/entry/session.rs
+++ b/lib/src/entry/session.rs
@@ -8,8 +8,8 @@
 use crate::request::{Class, Id, Ticket};
 use crate::retry::{RequestState, RetryStateMachine};
 
+use super::admission::{BufferReservation, InFlightGuard};
 use super::answer::{self, Body, Problem};
-use super::gate::{Place, Reserve};
 use super::gateway::Gateway;
 use super::key;
 
@@ -32,9 +32,9 @@
     template: Option<Name>,
     class: Option<Class>,
     machine: Option<RetryStateMachine>,
-    place: Option<Place>,
+    place: Option<InFlightGuard>,
     /// Covers the request's body and, if it is held back, its answer.
-    pub reserve: Reserve,
+    pub buffered: BufferReservation,
     open: bool,
 }
 
@@ -51,7 +51,7 @@
             class: None,
             machine: None,
             place: None,
-            reserve: gateway.buffer.reserve(),
+            buffered: gateway.buffer.reserve(),
             open: true,
             gateway: Arc::clone(gateway),
         }
@@ -86,9 +86,9 @@
     /// # Errors
     ///
     /// [`Code::NodeFull`].
-    pub fn enter(&mut self, account: &Name) -> Result<(), Failure> {
+    pub fn admit(&mut self, account: &Name) -> Result<(), Failure> {
         self.account = Some(Name::clone(account));
-        self.place = Some(self.gateway.gate.enter(account)?);
+        self.place = Some(self.gateway.gate.admit(account)?);
         Ok(())
     }
 
