--- a/lib/src/entry/gateway.rs
+++ b/lib/src/entry/gateway.rs
@@ -191,7 +191,7 @@
                 response
             }
             Ok(Reply::Outcome(outcome, deadline)) => relay::respond(session, outcome, deadline),
-            Err(problem) => session.refuse(&problem),
+            Err(problem) => session.reject(&problem),
         }
     }
 
@@ -315,7 +315,7 @@
         form: Form,
         key: Option<&[u8]>,
     ) -> Result<Reply, Problem> {
-        session.decide(&ticket);
+        session.set_ticket(&ticket);
         let mut claim = self.claim(session, &ticket, &work, key).await?;
         let mut order = Order {
             fingerprint: fingerprint(&ticket, &work),
@@ -418,7 +418,7 @@
             class: template.class,
             weight: template.weight,
             idempotent: template.idempotent,
-            deadline: session.arrived() + span,
+            deadline: session.arrived_at() + span,
             prompt_tokens: 0,
             max_output_tokens: 0,
             revision: self.view.revision(),
--- a/lib/src/entry/relay.rs
+++ b/lib/src/entry/relay.rs
@@ -262,7 +262,7 @@
             None => metrics
                 .first_token
                 .with_label_values(&[self.session.class_name()])
-                .observe(seconds(now.since(self.session.arrived()))),
+                .observe(seconds(now.since(self.session.arrived_at()))),
         }
         self.last = Some(now);
         let first = *self.first.get_or_insert(now);
--- a/lib/src/entry/session.rs
+++ b/lib/src/entry/session.rs
@@ -27,7 +27,7 @@
 pub struct Session {
     gateway: Arc<Gateway>,
     id: Id,
-    arrived: Millis,
+    arrived_at: Millis,
     account: Option<Name>,
     template: Option<Name>,
     class: Option<Class>,
@@ -45,7 +45,7 @@
         gateway.parts.metrics.in_flight.inc();
         Self {
             id: key::fresh_id(),
-            arrived: gateway.parts.clock.now(),
+            arrived_at: gateway.parts.clock.now(),
             account: None,
             template: None,
             class: None,
@@ -77,8 +77,8 @@
 
     /// Returns when the request arrived.
     #[must_use]
-    pub fn arrived(&self) -> Millis {
-        self.arrived
+    pub fn arrived_at(&self) -> Millis {
+        self.arrived_at
     }
 
     /// Notes whose request it is, and takes its place.
@@ -93,7 +93,7 @@
     }
 
     /// Notes what the request was decided to be.
-    pub fn decide(&mut self, ticket: &Ticket) {
+    pub fn set_ticket(&mut self, ticket: &Ticket) {
         self.template = Some(Name::clone(&ticket.template));
         self.class = Some(ticket.class);
         let rules = self.gateway.parts.limits.rules;
@@ -108,7 +108,7 @@
     ///
     /// # Panics
     ///
-    /// Before [`Session::decide`].
+    /// Before [`Session::set_ticket`].
     pub fn machine(&mut self) -> &mut RetryStateMachine {
         self.machine.as_mut().expect("the request was decided")
     }
@@ -127,7 +127,7 @@
     }
 
     /// Ends the request and makes the caller's answer of the problem.
-    pub fn refuse(mut self, problem: &Problem) -> http::Response<Body> {
+    pub fn reject(mut self, problem: &Problem) -> http::Response<Body> {
         self.fail(&problem.failure);
         let mut response = problem.respond(&self.id);
         answer::name(&mut response, &self.id);
