--- a/lib/src/entry/dispatch.rs
+++ b/lib/src/entry/dispatch.rs
@@ -37,9 +37,9 @@
 
 /// How the answer is handed to the caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Form {
+pub enum ResponseMode {
     /// Held back until it is whole.
-    Whole,
+    Buffered,
     /// Passed on event by event.
     Events,
     /// Passed on as it comes.
@@ -48,19 +48,19 @@
     ///
     /// To a caller of HTTP/1.0 an answer without a length ends when the connection
     /// closes, and so does one that is cut; it would take the one for the other.
-    Sized,
+    BufferedUnlessSized,
 }
 
-impl Form {
+impl ResponseMode {
     /// Whether it is the form of a plain service's answer.
     fn is_service(self) -> bool {
-        matches!(self, Self::Bytes | Self::Sized)
+        matches!(self, Self::Bytes | Self::BufferedUnlessSized)
     }
 }
 
 /// A request to be run.
 #[derive(Debug)]
-pub struct Order {
+pub struct DispatchRequest {
     /// What the decisions know.
     pub ticket: Ticket,
     /// The account's limits.
@@ -68,7 +68,7 @@
     /// The bytes.
     pub work: Work,
     /// How the answer is handed on.
-    pub form: Form,
+    pub mode: ResponseMode,
     /// When the answer must be whole.
     pub deadline: Millis,
     /// What identifies the request over its attempts.
@@ -77,7 +77,7 @@
 
 /// A run of a request at an upstream, whose connection can break.
 #[derive(Debug, Clone)]
-pub struct Run {
+pub struct UpstreamRun {
     /// Where it runs.
     pub upstream: Name,
     /// The request.
@@ -85,17 +85,17 @@
 }
 
 /// An upstream's answer.
-pub enum Outcome {
+pub enum DispatchOutcome {
     /// It is all here.
-    Whole(response::Parts, Bytes),
+    Complete(response::Parts, Bytes),
     /// It is an engine's own error.
-    Error(StatusCode, Bytes),
+    EngineError(StatusCode, Bytes),
     /// Its first piece is here.
-    Flow(Flow),
+    Streaming(StreamingResponse),
 }
 
 /// An answer that is still coming.
-pub struct Flow {
+pub struct StreamingResponse {
     /// Status and headers.
     pub head: response::Parts,
     /// The first piece; none when the body is empty.
@@ -103,9 +103,9 @@
     /// The rest.
     pub rest: BoxStream<'static, Result<Bytes, Failure>>,
     /// Whether the pieces are events.
-    pub form: Form,
+    pub mode: ResponseMode,
     /// The run that the pieces come from.
-    pub run: Run,
+    pub run: UpstreamRun,
 }
 
 /// Upstreams that this request was tried on, and how often.
@@ -131,9 +131,9 @@
 pub async fn run(
     gateway: &Gateway,
     session: &mut Session,
-    order: &mut Order,
+    order: &mut DispatchRequest,
     claim: &mut Option<Claim>,
-) -> Result<Outcome, Failure> {
+) -> Result<DispatchOutcome, Failure> {
     let now = gateway.parts.clock.now();
     lock(&gateway.budget).record_first_try(now);
     let mut tried = Tried::new();
@@ -150,7 +150,7 @@
         spend(claim, true);
         match attempt(gateway, session, order, &target).await {
             Ok(outcome) => {
-                if !matches!(outcome, Outcome::Flow(_)) {
+                if !matches!(outcome, DispatchOutcome::Streaming(_)) {
                     gateway.quarantine().record_harmless_run(&order.fingerprint);
                 }
                 return Ok(outcome);
@@ -171,9 +171,9 @@
     }
 }
 
-impl Order {
-    fn run_at(&self, target: &Target) -> Run {
-        Run {
+impl DispatchRequest {
+    fn run_at(&self, target: &Target) -> UpstreamRun {
+        UpstreamRun {
             upstream: Name::clone(&target.upstream),
             request: self.fingerprint.clone(),
         }
@@ -181,7 +181,7 @@
 }
 
 /// Notes that an upstream may have ended under a request that has brought nothing yet.
-fn note_lost(gateway: &Gateway, session: &mut Session, run: &Run, failure: &Failure) {
+fn note_lost(gateway: &Gateway, session: &mut Session, run: &UpstreamRun, failure: &Failure) {
     let sign = match session.machine().state() {
         RequestState::Running => Suspicion::Begun,
         _ => Suspicion::Possible,
@@ -206,7 +206,7 @@
 fn settle(
     gateway: &Gateway,
     session: &mut Session,
-    order: &Order,
+    order: &DispatchRequest,
     target: &Target,
     failure: Failure,
 ) -> Result<Millis, Failure> {
@@ -264,7 +264,11 @@
 /// # Errors
 ///
 /// [`Code::NoUpstream`] or [`Code::ExpiredWaiting`]; this try has not begun.
-async fn choose(gateway: &Gateway, order: &Order, tried: &Tried) -> Result<Target, Failure> {
+async fn choose(
+    gateway: &Gateway,
+    order: &DispatchRequest,
+    tried: &Tried,
+) -> Result<Target, Failure> {
     let mut fleet = gateway.parts.fleet.clone();
     let clock = &gateway.parts.clock;
     let patience = clock.now() + gateway.parts.limits.patience;
@@ -294,7 +298,12 @@
 /// The last one of the order is where the request waits when no other takes it,
 /// whether it was tried there before or not: a broken picture must not leave a
 /// request without any.
-fn target(gateway: &Gateway, order: &Order, tried: &Tried, now: Millis) -> Option<Target> {
+fn target(
+    gateway: &Gateway,
+    order: &DispatchRequest,
+    tried: &Tried,
+    now: Millis,
+) -> Option<Target> {
     let fleet = Arc::clone(&gateway.parts.fleet.borrow());
     let pool = gateway.pool(&fleet, &order.ticket.pool);
     let upstreams = fleet.pool(&order.ticket.pool);
@@ -323,9 +332,9 @@
 async fn attempt(
     gateway: &Gateway,
     session: &mut Session,
-    order: &Order,
+    order: &DispatchRequest,
     target: &Target,
-) -> Result<Outcome, Failure> {
+) -> Result<DispatchOutcome, Failure> {
     let left = (order.deadline + GRACE).since(gateway.parts.clock.now());
     let last = !target.others || session.machine().is_last_try();
     session.machine().record_send();
@@ -342,7 +351,7 @@
         let answer = runner.run(attempt).await?;
         session.machine().record_response_start();
         let run = order.run_at(target);
-        receive(gateway, &mut session.buffered, order.form, answer, run).await
+        receive(gateway, &mut session.buffered, order.mode, answer, run).await
     };
     tokio::time::timeout(left.duration(), begin)
         .await
@@ -359,22 +368,22 @@
 async fn receive(
     gateway: &Gateway,
     reserve: &mut BufferReservation,
-    form: Form,
+    mode: ResponseMode,
     answer: Answer,
-    run: Run,
-) -> Result<Outcome, Failure> {
+    run: UpstreamRun,
+) -> Result<DispatchOutcome, Failure> {
     let Answer { mut head, mut body } = answer;
     let limit = gateway.parts.limits.answer_bytes;
     // An engine answers a streamed request that it won't run with one JSON error.
-    if !form.is_service() && !head.status.is_success() {
+    if !mode.is_service() && !head.status.is_success() {
         let error = collect(body, limit, reserve).await?;
-        return Ok(Outcome::Error(head.status, error));
+        return Ok(DispatchOutcome::EngineError(head.status, error));
     }
-    if form == Form::Whole {
+    if mode == ResponseMode::Buffered {
         let whole = collect(body, limit, reserve).await?;
-        return Ok(Outcome::Whole(head, whole));
+        return Ok(DispatchOutcome::Complete(head, whole));
     }
-    if form == Form::Sized && !head.headers.contains_key(CONTENT_LENGTH) {
+    if mode == ResponseMode::BufferedUnlessSized && !head.headers.contains_key(CONTENT_LENGTH) {
         let whole = collect(body, limit, reserve).await?;
         // The answer to HEAD has no body, and a length of its own.
         if !whole.is_empty() {
@@ -384,14 +393,14 @@
         body = stream::once(std::future::ready(Ok(whole))).boxed();
     }
     let first = body.next().await.transpose()?;
-    if first.is_none() && form == Form::Events {
+    if first.is_none() && mode == ResponseMode::Events {
         return Err(Failure::new(Code::AnswerCut, "the answer has no events"));
     }
-    Ok(Outcome::Flow(Flow {
+    Ok(DispatchOutcome::Streaming(StreamingResponse {
         head,
         first,
         rest: body,
-        form,
+        mode,
         run,
     }))
 }
--- a/lib/src/entry/gateway.rs
+++ b/lib/src/entry/gateway.rs
@@ -13,7 +13,7 @@
 use super::admission::{BufferLimiter, InFlightLimiter};
 use super::answer::{self, Body, Problem};
 use super::completion::Asked;
-use super::dispatch::{self, Form, Order, Run};
+use super::dispatch::{self, DispatchRequest, ResponseMode, UpstreamRun};
 use super::quarantine::Quarantine;
 use super::relay;
 use super::route::{self, Completion, Route};
@@ -97,7 +97,7 @@
     }
 
     /// Notes that the connection to an upstream broke under a request, if that is what failed.
-    pub fn note_lost(&self, run: &Run, code: Code, sign: Suspicion) {
+    pub fn note_lost(&self, run: &UpstreamRun, code: Code, sign: Suspicion) {
         if matches!(code, Code::UpstreamLost | Code::AnswerCut) {
             let fleet = Arc::clone(&self.parts.fleet.borrow());
             let quarantine = self.quarantine();
@@ -263,12 +263,12 @@
             body: asked.bounded(completion, body, allowed),
             stream: asked.stream,
         };
-        let form = if asked.stream {
-            Form::Events
+        let mode = if asked.stream {
+            ResponseMode::Events
         } else {
-            Form::Whole
+            ResponseMode::Buffered
         };
-        self.run(session, caller, ticket, work, form, key).await
+        self.run(session, caller, ticket, work, mode, key).await
     }
 
     async fn call<B>(
@@ -288,10 +288,10 @@
         }
         let span = self.deadline(template, &head.headers)?;
         let key = idempotency::key(&head.headers)?.map(<[u8]>::to_vec);
-        let form = if head.version < Version::HTTP_11 {
-            Form::Sized
+        let mode = if head.version < Version::HTTP_11 {
+            ResponseMode::BufferedUnlessSized
         } else {
-            Form::Bytes
+            ResponseMode::Bytes
         };
         let head = service::outward(head, path, session.id())?;
         let timeout = self.parts.limits.body_timeout;
@@ -302,7 +302,7 @@
             head: Box::new(head),
             body,
         };
-        self.run(session, caller, ticket, work, form, key.as_deref())
+        self.run(session, caller, ticket, work, mode, key.as_deref())
             .await
     }
 
@@ -312,18 +312,18 @@
         caller: &Caller,
         ticket: Ticket,
         work: Work,
-        form: Form,
+        mode: ResponseMode,
         key: Option<&[u8]>,
     ) -> Result<Reply, Problem> {
         session.set_ticket(&ticket);
         let mut claim = self.claim(session, &ticket, &work, key).await?;
-        let mut order = Order {
+        let mut order = DispatchRequest {
             fingerprint: fingerprint(&ticket, &work),
             deadline: ticket.deadline,
             share: caller.account.share,
             ticket,
             work,
-            form,
+            mode,
         };
         let failure = match dispatch::run(self, session, &mut order, &mut claim).await {
             Ok(outcome) => return Ok(Reply::Outcome(outcome, order.deadline)),
@@ -394,7 +394,7 @@
     /// JSON of this node's own.
     Text(String),
     /// An upstream's answer, and until when it must be whole.
-    Outcome(dispatch::Outcome, Millis),
+    Outcome(dispatch::DispatchOutcome, Millis),
 }
 
 impl Caller {
--- a/lib/src/entry/relay.rs
+++ b/lib/src/entry/relay.rs
@@ -10,7 +10,7 @@
 use tokio_stream::wrappers::ReceiverStream;
 
 use super::answer::{self, Body, Problem};
-use super::dispatch::{Flow, Form, Outcome};
+use super::dispatch::{DispatchOutcome, ResponseMode, StreamingResponse};
 use super::quarantine::HARMLESS_AFTER;
 use super::service;
 use super::session::Session;
@@ -29,19 +29,19 @@
 const BUFFERING: HeaderName = HeaderName::from_static("x-accel-buffering");
 
 /// Makes the caller's answer of an upstream's.
-pub fn respond(mut session: Session, outcome: Outcome, deadline: Millis) -> Response<Body> {
+pub fn respond(mut session: Session, outcome: DispatchOutcome, deadline: Millis) -> Response<Body> {
     let id = session.id().clone();
     let mut response = match outcome {
-        Outcome::Whole(head, bytes) => {
+        DispatchOutcome::Complete(head, bytes) => {
             session.finish();
             completion(&head, answer::whole(bytes))
         }
-        Outcome::Error(status, error) => {
+        DispatchOutcome::EngineError(status, error) => {
             let detail = format!("the engine answered with status {}", status.as_u16());
             session.fail(&Failure::new(Code::UpstreamError, detail));
             answer::upstream_error(status, &error, &id)
         }
-        Outcome::Flow(flow) if flow.form == Form::Events => {
+        DispatchOutcome::Streaming(flow) if flow.mode == ResponseMode::Events => {
             let head = flow.head.clone();
             let mut response = completion(&head, passed_on(session, flow, deadline));
             let headers = response.headers_mut();
@@ -49,7 +49,7 @@
             headers.insert(BUFFERING, HeaderValue::from_static("no"));
             response
         }
-        Outcome::Flow(flow) => {
+        DispatchOutcome::Streaming(flow) => {
             let mut head = flow.head.clone();
             service::inward(&mut head.headers);
             Response::from_parts(head, passed_on(session, flow, deadline))
@@ -70,7 +70,7 @@
 }
 
 /// Starts to pass an answer on.
-fn passed_on(session: Session, flow: Flow, deadline: Millis) -> Body {
+fn passed_on(session: Session, flow: StreamingResponse, deadline: Millis) -> Body {
     let (sender, receiver) = mpsc::channel(PIECES);
     let (end, ended) = oneshot::channel();
     tokio::spawn(Relay::new(session, flow, deadline, sender).run(end));
@@ -128,7 +128,7 @@
 /// for pieces only as the caller takes them, so nobody else would wake up.
 struct Relay {
     session: Session,
-    flow: Flow,
+    flow: StreamingResponse,
     deadline: Millis,
     splitter: Option<Splitter>,
     sender: mpsc::Sender<Bytes>,
@@ -142,10 +142,15 @@
 }
 
 impl Relay {
-    fn new(session: Session, flow: Flow, deadline: Millis, sender: mpsc::Sender<Bytes>) -> Self {
+    fn new(
+        session: Session,
+        flow: StreamingResponse,
+        deadline: Millis,
+        sender: mpsc::Sender<Bytes>,
+    ) -> Self {
         let limit = session.gateway().parts.limits.event_bytes;
         Self {
-            splitter: (flow.form == Form::Events).then(|| Splitter::new(limit)),
+            splitter: (flow.mode == ResponseMode::Events).then(|| Splitter::new(limit)),
             session,
             flow,
             deadline,
