--- a/lib/src/entry/dispatch.rs
+++ b/lib/src/entry/dispatch.rs
@@ -271,7 +271,7 @@
 ) -> Result<Target, Failure> {
     let mut fleet = gateway.parts.fleet.clone();
     let clock = &gateway.parts.clock;
-    let patience = clock.now() + gateway.parts.limits.patience;
+    let upstream_wait = clock.now() + gateway.parts.limits.upstream_wait;
     loop {
         fleet.mark_unchanged();
         let now = clock.now();
@@ -284,7 +284,7 @@
         if let Some(target) = target(gateway, order, tried, now) {
             return Ok(target);
         }
-        let left = patience.min(order.deadline).since(now);
+        let left = upstream_wait.min(order.deadline).since(now);
         let changed = tokio::time::timeout(left.duration(), fleet.changed()).await;
         if !matches!(changed, Ok(Ok(()))) {
             let detail = format!("pool {} has no usable upstream", order.ticket.pool);
@@ -313,7 +313,7 @@
     let made: u32 = tried.values().sum();
     // A request that came to rest wherever the walk happens to end would cost a
     // load there, at each upstream in turn under overload.
-    let walks_on = made + 1 < gateway.parts.limits.rules.max_redirects;
+    let walks_on = made + 1 < gateway.parts.limits.retry_policy.max_redirects;
     let mut untried = replicas.iter().filter(|index| times(**index) == 0);
     let untried = untried.next().filter(|_| walks_on);
     let index = *untried.unwrap_or(wait);
@@ -373,7 +373,7 @@
     run: UpstreamRun,
 ) -> Result<DispatchOutcome, Failure> {
     let Answer { mut head, mut body } = answer;
-    let limit = gateway.parts.limits.answer_bytes;
+    let limit = gateway.parts.limits.max_response_bytes;
     // An engine answers a streamed request that it won't run with one JSON error.
     if !mode.is_service() && !head.status.is_success() {
         let error = collect(body, limit, reserve).await?;
--- a/lib/src/entry/gateway.rs
+++ b/lib/src/entry/gateway.rs
@@ -80,7 +80,7 @@
         tokio::spawn(quarantine.follow(parts.fleet.clone()));
         Arc::new(Self {
             gate: InFlightLimiter::new(limits.in_flight),
-            buffer: BufferLimiter::new(limits.buffered_bytes),
+            buffer: BufferLimiter::new(limits.max_buffered_bytes),
             budget: Mutex::new(RetryBudget::new(limits.retry_percent, parts.clock.now())),
             claims: ClaimManager::start(claims(&parts)),
             jitter: Mutex::new(Pcg64Mcg::seed_from_u64(parts.seed)),
@@ -117,8 +117,8 @@
         let revision = ticket.revision;
         let mut views = self.parts.view.clone();
         let newer = views.wait_for(|view| view.revision() > revision);
-        let patience = self.parts.limits.patience.duration();
-        let view = match tokio::time::timeout(patience, newer).await {
+        let upstream_wait = self.parts.limits.upstream_wait.duration();
+        let view = match tokio::time::timeout(upstream_wait, newer).await {
             Ok(Ok(view)) => Arc::clone(&view),
             _ => return Err(outdated("this node doesn't know the change yet")),
         };
--- a/lib/src/entry/limits.rs
+++ b/lib/src/entry/limits.rs
@@ -17,11 +17,11 @@
     /// Largest request body in bytes that a template can allow.
     pub max_body_bytes: usize,
     /// Largest answer in bytes that is held back until it is whole.
-    pub answer_bytes: usize,
+    pub max_response_bytes: usize,
     /// Largest event of a stream in bytes.
-    pub event_bytes: usize,
+    pub max_event_bytes: usize,
     /// Bytes of bodies and held-back answers of all requests together.
-    pub buffered_bytes: usize,
+    pub max_buffered_bytes: usize,
     /// Most connections.
     pub connections: usize,
     /// Most requests in progress.
@@ -43,13 +43,13 @@
     /// Most tokens of an answer where the template sets none.
     pub default_output_tokens: u32,
     /// Longest wait for an upstream to become usable.
-    pub patience: Millis,
+    pub upstream_wait: Millis,
     /// How upstreams are ordered.
     pub placement: placement::Limits,
     /// Retries for each hundred first tries.
     pub retry_percent: u32,
     /// Tries of one request.
-    pub rules: retry::RetryPolicy,
+    pub retry_policy: retry::RetryPolicy,
     /// How claims on idempotency keys are written and kept.
     pub claims: claim::Limits,
 }
@@ -61,9 +61,9 @@
             headers: 100,
             body_bytes: 1 << 20,
             max_body_bytes: 16 << 20,
-            answer_bytes: 8 << 20,
-            event_bytes: 1 << 20,
-            buffered_bytes: 64 << 20,
+            max_response_bytes: 8 << 20,
+            max_event_bytes: 1 << 20,
+            max_buffered_bytes: 64 << 20,
             connections: 8_192,
             in_flight: 4_096,
             streams: 256,
@@ -74,10 +74,10 @@
             default_deadline: Millis::from_secs(60),
             max_deadline: Millis::from_secs(600),
             default_output_tokens: 1_024,
-            patience: Millis::from_secs(6),
+            upstream_wait: Millis::from_secs(6),
             placement: placement::Limits::default(),
             retry_percent: 20,
-            rules: retry::RetryPolicy::default(),
+            retry_policy: retry::RetryPolicy::default(),
             claims: claim::Limits::default(),
         }
     }
--- a/lib/src/entry/relay.rs
+++ b/lib/src/entry/relay.rs
@@ -148,7 +148,7 @@
         deadline: Millis,
         sender: mpsc::Sender<Bytes>,
     ) -> Self {
-        let limit = session.gateway().parts.limits.event_bytes;
+        let limit = session.gateway().parts.limits.max_event_bytes;
         Self {
             splitter: (flow.mode == ResponseMode::Events).then(|| Splitter::new(limit)),
             session,
--- a/lib/src/entry/session.rs
+++ b/lib/src/entry/session.rs
@@ -96,9 +96,9 @@
     pub fn set_ticket(&mut self, ticket: &Ticket) {
         self.template = Some(Name::clone(&ticket.template));
         self.class = Some(ticket.class);
-        let rules = self.gateway.parts.limits.rules;
+        let retry_policy = self.gateway.parts.limits.retry_policy;
         self.machine = Some(RetryStateMachine::new(
-            rules,
+            retry_policy,
             ticket.idempotent,
             ticket.deadline,
         ));
--- a/lib/src/node/limits.rs
+++ b/lib/src/node/limits.rs
@@ -25,7 +25,7 @@
         retry_percent: limits.retry_percent,
         ..entry::Limits::default()
     };
-    entry.rules.max_attempts = limits.attempts;
+    entry.retry_policy.max_attempts = limits.attempts;
     entry.placement.max_replicas = settings.policy.max_replicas;
     entry
 }
--- a/lib/tests/entry_support/mod.rs
+++ b/lib/tests/entry_support/mod.rs
@@ -206,9 +206,9 @@
 /// Limits for tests: no pauses between tries that a test would wait for.
 pub fn limits() -> Limits {
     let mut limits = Limits::default();
-    limits.rules.backoff.base = Millis(2);
-    limits.rules.backoff.cap = Millis(2);
-    limits.patience = Millis(20);
+    limits.retry_policy.backoff.base = Millis(2);
+    limits.retry_policy.backoff.cap = Millis(2);
+    limits.upstream_wait = Millis(20);
     limits
 }
 
--- a/lib/tests/test_entry_claims.rs
+++ b/lib/tests/test_entry_claims.rs
@@ -155,8 +155,8 @@
 #[tokio::test]
 async fn claim_released_when_caller_leaves_unsent() {
     let mut limits = limits();
-    limits.rules.backoff.base = chivevalve::clock::Millis::from_secs(600);
-    limits.rules.backoff.cap = chivevalve::clock::Millis::from_secs(600);
+    limits.retry_policy.backoff.base = chivevalve::clock::Millis::from_secs(600);
+    limits.retry_policy.backoff.cap = chivevalve::clock::Millis::from_secs(600);
     limits.default_deadline = chivevalve::clock::Millis::from_secs(600);
     limits.max_deadline = chivevalve::clock::Millis::from_secs(10_000);
     let world = world_with(limits, Arc::default(), Arc::default()).await;
--- a/lib/tests/test_entry_http2.rs
+++ b/lib/tests/test_entry_http2.rs
@@ -172,8 +172,8 @@
     let mut limits = limits();
     limits.idle_timeout = Millis(300);
     limits.head_timeout = Millis(300);
-    limits.answer_bytes = 2 * BYTES;
-    limits.buffered_bytes = 4 * BYTES;
+    limits.max_response_bytes = 2 * BYTES;
+    limits.max_buffered_bytes = 4 * BYTES;
     let world = world_with(limits, Arc::default(), Arc::default()).await;
     let caller = connect(&world).await;
     world.script.then(json(&"a".repeat(BYTES)));
--- a/lib/tests/test_entry_limits.rs
+++ b/lib/tests/test_entry_limits.rs
@@ -233,7 +233,7 @@
 /// Cause: each body had a bound, all together had none.
 #[tokio::test]
 async fn limit_buffered_bytes() {
-    let world = small(|limits| limits.buffered_bytes = 8 << 10).await;
+    let world = small(|limits| limits.max_buffered_bytes = 8 << 10).await;
     let body = "a".repeat(4_000);
     for _ in 0..2 {
         world.script.then(Step::Hang);
@@ -287,8 +287,8 @@
     let world = small(|limits| {
         limits.idle_timeout = Millis(300);
         limits.head_timeout = Millis(300);
-        limits.answer_bytes = 2 * BYTES;
-        limits.buffered_bytes = 4 * BYTES;
+        limits.max_response_bytes = 2 * BYTES;
+        limits.max_buffered_bytes = 4 * BYTES;
     })
     .await;
     world.script.then(json(&"a".repeat(BYTES)));
--- a/lib/tests/test_entry_outcomes.rs
+++ b/lib/tests/test_entry_outcomes.rs
@@ -317,7 +317,7 @@
 #[tokio::test]
 async fn outcome_upstream_comes_back() {
     let mut limits = limits();
-    limits.patience = Millis::from_secs(600);
+    limits.upstream_wait = Millis::from_secs(600);
     let world = world_with(limits, Arc::default(), Arc::default()).await;
     world.fleet.send(Arc::default()).unwrap();
     let call = world.chat("summary", "");
@@ -466,7 +466,7 @@
 #[tokio::test]
 async fn outcome_version_replaced_while_it_waits() {
     let mut patient = limits();
-    patient.patience = Millis(5_000);
+    patient.upstream_wait = Millis(5_000);
     let world = world_with(patient, Arc::default(), Arc::default()).await;
     world.script.then(fail(Code::Outdated));
     let replaced = async {
