--- a/lib/src/entry/dispatch.rs
+++ b/lib/src/entry/dispatch.rs
@@ -162,7 +162,7 @@
                 spend(claim, maybe_run(session, &settled));
                 let pause = settled?;
                 if is_outdated {
-                    let decided = gateway.decide_again(&mut order.ticket).await;
+                    let decided = gateway.reroute(&mut order.ticket).await;
                     decided.map_err(|failure| session.machine().end(failure))?;
                 }
                 tokio::time::sleep(pause.duration()).await;
@@ -186,7 +186,7 @@
         RequestState::Running => Suspicion::Begun,
         _ => Suspicion::Possible,
     };
-    gateway.note_lost(run, failure.code, sign);
+    gateway.record_broken_connection(run, failure.code, sign);
 }
 
 fn spend(claim: &mut Option<Claim>, spent: bool) {
@@ -213,7 +213,7 @@
     let now = gateway.parts.clock.now();
     let adapter = order.ticket.adapter.as_ref();
     if blames_upstream(failure.code) {
-        gateway.refused(&target.pool, target.index, adapter, failure.code, now);
+        gateway.record_refusal(&target.pool, target.index, adapter, failure.code, now);
     }
     let context = FailureContext {
         now,
@@ -307,7 +307,7 @@
     let fleet = Arc::clone(&gateway.parts.fleet.borrow());
     let pool = gateway.pool(&fleet, &order.ticket.pool);
     let upstreams = fleet.pool(&order.ticket.pool);
-    let ranked = gateway.order(&pool, order.ticket.adapter.as_ref(), now);
+    let ranked = gateway.candidates(&pool, order.ticket.adapter.as_ref(), now);
     let times = |index: usize| tried.get(&upstreams[index].vm.name).copied().unwrap_or(0);
     let (wait, replicas) = ranked.split_last()?;
     let made: u32 = tried.values().sum();
--- a/lib/src/entry/gateway.rs
+++ b/lib/src/entry/gateway.rs
@@ -97,11 +97,11 @@
     }
 
     /// Notes that the connection to an upstream broke under a request, if that is what failed.
-    pub fn note_lost(&self, run: &UpstreamRun, code: Code, sign: Suspicion) {
+    pub fn record_broken_connection(&self, run: &UpstreamRun, code: Code, sign: Suspicion) {
         if matches!(code, Code::UpstreamLost | Code::AnswerCut) {
             let fleet = Arc::clone(&self.parts.fleet.borrow());
             let quarantine = self.quarantine();
-            quarantine.lost(&fleet, &run.upstream, &run.request, sign);
+            quarantine.record_broken_connection(&fleet, &run.upstream, &run.request, sign);
         }
     }
 
@@ -113,7 +113,7 @@
     ///
     /// [`Code::Outdated`] when this node doesn't hear of it in time, or the template is gone or of
     /// another kind; the request has not run.
-    pub async fn decide_again(&self, ticket: &mut Ticket) -> Result<(), Failure> {
+    pub async fn reroute(&self, ticket: &mut Ticket) -> Result<(), Failure> {
         let revision = ticket.revision;
         let mut views = self.parts.view.clone();
         let newer = views.wait_for(|view| view.revision() > revision);
@@ -156,7 +156,7 @@
 
     /// Orders a pool's upstreams for one try.
     #[must_use]
-    pub fn order(
+    pub fn candidates(
         &self,
         pool: &Pool,
         adapter: Option<&Adapter>,
@@ -166,7 +166,7 @@
     }
 
     /// Remembers for a short while that an upstream refused or broke.
-    pub fn refused(
+    pub fn record_refusal(
         &self,
         pool: &Pool,
         index: usize,
--- a/lib/src/entry/quarantine.rs
+++ b/lib/src/entry/quarantine.rs
@@ -6,7 +6,7 @@
 //! [`ledger`](crate::poison::ledger)'s; they spread from node to node with everything else that
 //! nodes tell each other. See docs/design/0011-poison-requests.md.
 
-mod share;
+mod gossip_state;
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -122,7 +122,7 @@
 
     /// Changes when there is something to tell other nodes.
     #[must_use]
-    pub fn news(&self) -> watch::Receiver<u64> {
+    pub fn changes(&self) -> watch::Receiver<u64> {
         self.news.subscribe()
     }
 
@@ -168,7 +168,7 @@
     }
 
     /// Takes in that the connection to an upstream broke while a request stood there.
-    pub fn lost(
+    pub fn record_broken_connection(
         &self,
         fleet: &Fleet,
         upstream: &Name,
--- a/lib/src/entry/relay.rs
+++ b/lib/src/entry/relay.rs
@@ -288,7 +288,7 @@
     fn note_lost(&self, code: Code) {
         if !self.settled {
             let gateway = self.session.gateway();
-            gateway.note_lost(&self.flow.run, code, Suspicion::Possible);
+            gateway.record_broken_connection(&self.flow.run, code, Suspicion::Possible);
         }
     }
 
--- a/lib/src/node/assembly.rs
+++ b/lib/src/node/assembly.rs
@@ -287,7 +287,7 @@
                 Arc::clone(membership) as _,
                 Arc::clone(quarantine) as _,
             ],
-            changes: vec![config.news(), quarantine.news()],
+            changes: vec![config.news(), quarantine.changes()],
             installer: Arc::clone(config) as _,
             peers: Arc::clone(membership) as _,
             transport: Arc::clone(clients) as _,
--- a/lib/tests/test_entry_quarantine.rs
+++ b/lib/tests/test_entry_quarantine.rs
@@ -72,7 +72,8 @@
 
     fn lose(&self, request: &Fingerprint, sign: Suspicion) {
         let fleet = Arc::clone(&self.fleet.borrow());
-        self.quarantine.lost(&fleet, &"e1".into(), request, sign);
+        self.quarantine
+            .record_broken_connection(&fleet, &"e1".into(), request, sign);
     }
 
     /// Has an upstream end under requests that this node sent, and come back.
@@ -264,7 +265,7 @@
 #[tokio::test(start_paused = true)]
 async fn news_of_an_end() {
     let node = Node::start("n1");
-    let news = node.quarantine.news();
+    let news = node.quarantine.changes();
     node.end_under(&[&request("poison")]).await;
     assert!(news.has_changed().unwrap());
 }
--- a/lib/tests/test_gossip.rs
+++ b/lib/tests/test_gossip.rs
@@ -100,7 +100,7 @@
         incarnation: 1,
         region: own.region,
         states: vec![Arc::clone(&node.keeper) as _, Arc::clone(&quarantine) as _],
-        changes: vec![node.keeper.news(), quarantine.news()],
+        changes: vec![node.keeper.news(), quarantine.changes()],
         installer: Arc::clone(&node.keeper) as _,
         peers: Arc::clone(&node.peers) as Arc<dyn PeerSource>,
         transport: Arc::clone(net) as _,
@@ -286,7 +286,7 @@
     let (sender, fleets) = tokio::sync::watch::channel(fleet(State::Usable));
     tokio::spawn(Arc::clone(observer).follow(fleets));
     for _ in 0..3 {
-        observer.lost(
+        observer.record_broken_connection(
             &fleet(State::Usable),
             &"e1".into(),
             &poison,
