--- a/lib/src/entry/gateway.rs
+++ b/lib/src/entry/gateway.rs
@@ -10,15 +10,15 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
+use super::admission::{BufferLimiter, InFlightLimiter};
 use super::answer::{self, Body, Problem};
 use super::completion::Asked;
-use super::dispatch::{self, Form, Order, Run};
-use super::gate::{Buffer, Gate};
+use super::dispatch::{self, DispatchRequest, ResponseMode, UpstreamRun};
 use super::quarantine::Quarantine;
 use super::relay;
 use super::route::{self, Completion, Route};
 use super::session::Session;
-use super::{Parts, body, idempotency, key, models, service};
+use super::{Dependencies, body, idempotency, key, models, service};
 use crate::adapter::Adapter;
 use crate::claim::{self, Claim, ClaimManager};
 use crate::clock::Millis;
@@ -45,11 +45,11 @@
 #[derive(Debug)]
 pub struct Gateway {
     /// The node's other parts.
-    pub parts: Arc<Parts>,
+    pub parts: Arc<Dependencies>,
     /// Requests in progress.
-    pub gate: Arc<Gate>,
+    pub gate: Arc<InFlightLimiter>,
     /// Bytes of bodies.
-    pub buffer: Buffer,
+    pub buffer: BufferLimiter,
     /// Retries left.
     pub budget: Mutex<RetryBudget>,
     claims: ClaimManager,
@@ -74,13 +74,13 @@
 impl Gateway {
     /// Makes the state of a node that has served nobody yet.
     #[must_use]
-    pub fn new(parts: Arc<Parts>) -> Arc<Self> {
+    pub fn new(parts: Arc<Dependencies>) -> Arc<Self> {
         let limits = &parts.limits;
         let quarantine = Arc::clone(&parts.quarantine);
         tokio::spawn(quarantine.follow(parts.fleet.clone()));
         Arc::new(Self {
-            gate: Gate::new(limits.in_flight),
-            buffer: Buffer::new(limits.buffered_bytes),
+            gate: InFlightLimiter::new(limits.in_flight),
+            buffer: BufferLimiter::new(limits.max_buffered_bytes),
             budget: Mutex::new(RetryBudget::new(limits.retry_percent, parts.clock.now())),
             claims: ClaimManager::start(claims(&parts)),
             jitter: Mutex::new(Pcg64Mcg::seed_from_u64(parts.seed)),
@@ -97,11 +97,11 @@
     }
 
     /// Notes that the connection to an upstream broke under a request, if that is what failed.
-    pub fn note_lost(&self, run: &Run, code: Code, sign: Suspicion) {
+    pub fn record_broken_connection(&self, run: &UpstreamRun, code: Code, sign: Suspicion) {
         if matches!(code, Code::UpstreamLost | Code::AnswerCut) {
             let fleet = Arc::clone(&self.parts.fleet.borrow());
             let quarantine = self.quarantine();
-            quarantine.lost(&fleet, &run.upstream, &run.request, sign);
+            quarantine.record_broken_connection(&fleet, &run.upstream, &run.request, sign);
         }
     }
 
@@ -113,12 +113,12 @@
     ///
     /// [`Code::Outdated`] when this node doesn't hear of it in time, or the template is gone or of
     /// another kind; the request has not run.
-    pub async fn decide_again(&self, ticket: &mut Ticket) -> Result<(), Failure> {
+    pub async fn reroute(&self, ticket: &mut Ticket) -> Result<(), Failure> {
         let revision = ticket.revision;
         let mut views = self.parts.view.clone();
         let newer = views.wait_for(|view| view.revision() > revision);
-        let patience = self.parts.limits.patience.duration();
-        let view = match tokio::time::timeout(patience, newer).await {
+        let upstream_wait = self.parts.limits.upstream_wait.duration();
+        let view = match tokio::time::timeout(upstream_wait, newer).await {
             Ok(Ok(view)) => Arc::clone(&view),
             _ => return Err(outdated("this node doesn't know the change yet")),
         };
@@ -156,7 +156,7 @@
 
     /// Orders a pool's upstreams for one try.
     #[must_use]
-    pub fn order(
+    pub fn candidates(
         &self,
         pool: &Pool,
         adapter: Option<&Adapter>,
@@ -166,7 +166,7 @@
     }
 
     /// Remembers for a short while that an upstream refused or broke.
-    pub fn refused(
+    pub fn record_refusal(
         &self,
         pool: &Pool,
         index: usize,
@@ -191,7 +191,7 @@
                 response
             }
             Ok(Reply::Outcome(outcome, deadline)) => relay::respond(session, outcome, deadline),
-            Err(problem) => session.refuse(&problem),
+            Err(problem) => session.reject(&problem),
         }
     }
 
@@ -205,7 +205,7 @@
         let account = key::account(&view, &head.headers)?;
         let caller = Caller { view, account };
         let route = route::route(&head.method, &head.uri)?;
-        session.enter(&caller.account.name)?;
+        session.admit(&caller.account.name)?;
         match route {
             Route::Models => Ok(Reply::Text(models::list(&caller.view, &caller.account))),
             Route::Model(name) => {
@@ -240,7 +240,7 @@
             body,
             limits.max_body_bytes,
             limits.body_timeout,
-            &mut session.reserve,
+            &mut session.buffered,
         )
         .await?;
         let asked = Asked::read(completion, &body)?;
@@ -263,12 +263,12 @@
             body: asked.bounded(completion, body, allowed),
             stream: asked.stream,
         };
-        let form = if asked.stream {
-            Form::Events
+        let mode = if asked.stream {
+            ResponseMode::Events
         } else {
-            Form::Whole
+            ResponseMode::Buffered
         };
-        self.run(session, caller, ticket, work, form, key).await
+        self.run(session, caller, ticket, work, mode, key).await
     }
 
     async fn call<B>(
@@ -288,21 +288,21 @@
         }
         let span = self.deadline(template, &head.headers)?;
         let key = idempotency::key(&head.headers)?.map(<[u8]>::to_vec);
-        let form = if head.version < Version::HTTP_11 {
-            Form::Sized
+        let mode = if head.version < Version::HTTP_11 {
+            ResponseMode::BufferedUnlessSized
         } else {
-            Form::Bytes
+            ResponseMode::Bytes
         };
         let head = service::outward(head, path, session.id())?;
         let timeout = self.parts.limits.body_timeout;
         let limit = self.body_limit(template);
-        let body = body::read(body, limit, timeout, &mut session.reserve).await?;
+        let body = body::read(body, limit, timeout, &mut session.buffered).await?;
         let ticket = caller.ticket(session, template, span);
         let work = Work::Call {
             head: Box::new(head),
             body,
         };
-        self.run(session, caller, ticket, work, form, key.as_deref())
+        self.run(session, caller, ticket, work, mode, key.as_deref())
             .await
     }
 
@@ -312,18 +312,18 @@
         caller: &Caller,
         ticket: Ticket,
         work: Work,
-        form: Form,
+        mode: ResponseMode,
         key: Option<&[u8]>,
     ) -> Result<Reply, Problem> {
-        session.decide(&ticket);
+        session.set_ticket(&ticket);
         let mut claim = self.claim(session, &ticket, &work, key).await?;
-        let mut order = Order {
+        let mut order = DispatchRequest {
             fingerprint: fingerprint(&ticket, &work),
             deadline: ticket.deadline,
             share: caller.account.share,
             ticket,
             work,
-            form,
+            mode,
         };
         let failure = match dispatch::run(self, session, &mut order, &mut claim).await {
             Ok(outcome) => return Ok(Reply::Outcome(outcome, order.deadline)),
@@ -394,7 +394,7 @@
     /// JSON of this node's own.
     Text(String),
     /// An upstream's answer, and until when it must be whole.
-    Outcome(dispatch::Outcome, Millis),
+    Outcome(dispatch::DispatchOutcome, Millis),
 }
 
 impl Caller {
@@ -418,7 +418,7 @@
             class: template.class,
             weight: template.weight,
             idempotent: template.idempotent,
-            deadline: session.arrived() + span,
+            deadline: session.arrived_at() + span,
             prompt_tokens: 0,
             max_output_tokens: 0,
             revision: self.view.revision(),
@@ -426,7 +426,7 @@
     }
 }
 
-fn claims(parts: &Parts) -> claim::Dependencies {
+fn claims(parts: &Dependencies) -> claim::Dependencies {
     claim::Dependencies {
         store: Arc::clone(&parts.store),
         lease: Arc::clone(&parts.lease),
--- a/lib/src/entry/session.rs
+++ b/lib/src/entry/session.rs
@@ -8,8 +8,8 @@
 use crate::request::{Class, Id, Ticket};
 use crate::retry::{RequestState, RetryStateMachine};
 
+use super::admission::{BufferReservation, InFlightGuard};
 use super::answer::{self, Body, Problem};
-use super::gate::{Place, Reserve};
 use super::gateway::Gateway;
 use super::key;
 
@@ -27,14 +27,14 @@
 pub struct Session {
     gateway: Arc<Gateway>,
     id: Id,
-    arrived: Millis,
+    arrived_at: Millis,
     account: Option<Name>,
     template: Option<Name>,
     class: Option<Class>,
     machine: Option<RetryStateMachine>,
-    place: Option<Place>,
+    place: Option<InFlightGuard>,
     /// Covers the request's body and, if it is held back, its answer.
-    pub reserve: Reserve,
+    pub buffered: BufferReservation,
     open: bool,
 }
 
@@ -45,13 +45,13 @@
         gateway.parts.metrics.in_flight.inc();
         Self {
             id: key::fresh_id(),
-            arrived: gateway.parts.clock.now(),
+            arrived_at: gateway.parts.clock.now(),
             account: None,
             template: None,
             class: None,
             machine: None,
             place: None,
-            reserve: gateway.buffer.reserve(),
+            buffered: gateway.buffer.reserve(),
             open: true,
             gateway: Arc::clone(gateway),
         }
@@ -77,8 +77,8 @@
 
     /// Returns when the request arrived.
     #[must_use]
-    pub fn arrived(&self) -> Millis {
-        self.arrived
+    pub fn arrived_at(&self) -> Millis {
+        self.arrived_at
     }
 
     /// Notes whose request it is, and takes its place.
@@ -86,19 +86,19 @@
     /// # Errors
     ///
     /// [`Code::NodeFull`].
-    pub fn enter(&mut self, account: &Name) -> Result<(), Failure> {
+    pub fn admit(&mut self, account: &Name) -> Result<(), Failure> {
         self.account = Some(Name::clone(account));
-        self.place = Some(self.gateway.gate.enter(account)?);
+        self.place = Some(self.gateway.gate.admit(account)?);
         Ok(())
     }
 
     /// Notes what the request was decided to be.
-    pub fn decide(&mut self, ticket: &Ticket) {
+    pub fn set_ticket(&mut self, ticket: &Ticket) {
         self.template = Some(Name::clone(&ticket.template));
         self.class = Some(ticket.class);
-        let rules = self.gateway.parts.limits.rules;
+        let retry_policy = self.gateway.parts.limits.retry_policy;
         self.machine = Some(RetryStateMachine::new(
-            rules,
+            retry_policy,
             ticket.idempotent,
             ticket.deadline,
         ));
@@ -108,7 +108,7 @@
     ///
     /// # Panics
     ///
-    /// Before [`Session::decide`].
+    /// Before [`Session::set_ticket`].
     pub fn machine(&mut self) -> &mut RetryStateMachine {
         self.machine.as_mut().expect("the request was decided")
     }
@@ -127,7 +127,7 @@
     }
 
     /// Ends the request and makes the caller's answer of the problem.
-    pub fn refuse(mut self, problem: &Problem) -> http::Response<Body> {
+    pub fn reject(mut self, problem: &Problem) -> http::Response<Body> {
         self.fail(&problem.failure);
         let mut response = problem.respond(&self.id);
         answer::name(&mut response, &self.id);
--- a/lib/src/node/assembly.rs
+++ b/lib/src/node/assembly.rs
@@ -121,9 +121,9 @@
     }
 
     /// Returns what the listener for callers works with.
-    pub(super) fn entry(&self) -> entry::Parts {
+    pub(super) fn entry(&self) -> entry::Dependencies {
         let base = &self.base;
-        entry::Parts {
+        entry::Dependencies {
             view: self.config.view(),
             fleet: self.membership.fleet(),
             reach: Arc::clone(&self.clients) as _,
@@ -287,7 +287,7 @@
                 Arc::clone(membership) as _,
                 Arc::clone(quarantine) as _,
             ],
-            changes: vec![config.news(), quarantine.news()],
+            changes: vec![config.news(), quarantine.changes()],
             installer: Arc::clone(config) as _,
             peers: Arc::clone(membership) as _,
             transport: Arc::clone(clients) as _,
