--- a/lib/src/entry/completion.rs
+++ b/lib/src/entry/completion.rs
@@ -29,7 +29,7 @@
 
 /// What the layer must know of a completion.
 #[derive(Debug, PartialEq, Eq)]
-pub struct Asked {
+pub struct CompletionRequest {
     /// The template that `model` names.
     pub model: Name,
     /// Whether the answer is to be streamed.
@@ -42,13 +42,13 @@
     pub prompt_tokens: u32,
 }
 
-impl Asked {
+impl CompletionRequest {
     /// Reads a body.
     ///
     /// # Errors
     ///
     /// [`Code::BadRequest`] with the field at fault.
-    pub fn read(completion: Completion, body: &[u8]) -> Result<Self, Problem> {
+    pub fn parse(completion: Completion, body: &[u8]) -> Result<Self, Problem> {
         let fields = Fields::read(body).map_err(|(line, column)| {
             let detail =
                 format!("the body isn't a valid JSON object: line {line}, column {column}");
@@ -115,7 +115,7 @@
     /// Without it an engine would go on to the end of its context, beyond what
     /// the template allows and what the queue reckoned with.
     #[must_use]
-    pub fn bounded(&self, completion: Completion, body: Bytes, allowed: u32) -> Bytes {
+    pub fn with_token_limit(&self, completion: Completion, body: Bytes, allowed: u32) -> Bytes {
         if self.output_tokens.is_some() || completion == Completion::Text {
             return body;
         }
@@ -194,8 +194,8 @@
 mod tests {
     use super::*;
 
-    fn read(body: &str) -> Result<Asked, (Code, Option<&'static str>)> {
-        Asked::read(Completion::Chat, body.as_bytes())
+    fn read(body: &str) -> Result<CompletionRequest, (Code, Option<&'static str>)> {
+        CompletionRequest::parse(Completion::Chat, body.as_bytes())
             .map_err(|problem| (problem.failure.code, problem.param))
     }
 
@@ -241,8 +241,8 @@
     #[test]
     fn bounded_open_chat() {
         let body = Bytes::from_static(b"{\"model\":\"t\",\"messages\":[]} \n");
-        let asked = Asked::read(Completion::Chat, &body).unwrap();
-        let bounded = asked.bounded(Completion::Chat, body, 64);
+        let asked = CompletionRequest::parse(Completion::Chat, &body).unwrap();
+        let bounded = asked.with_token_limit(Completion::Chat, body, 64);
         assert_eq!(
             &bounded[..],
             b"{\"model\":\"t\",\"messages\":[],\"max_tokens\":64}"
--- a/lib/src/entry/gateway.rs
+++ b/lib/src/entry/gateway.rs
@@ -11,7 +11,7 @@
 use rand_pcg::Pcg64Mcg;
 
 use super::answer::{self, Body, Problem};
-use super::completion::Asked;
+use super::completion::CompletionRequest;
 use super::dispatch::{self, Form, Order, Run};
 use super::gate::{Buffer, Gate};
 use super::quarantine::Quarantine;
@@ -243,7 +243,7 @@
             &mut session.reserve,
         )
         .await?;
-        let asked = Asked::read(completion, &body)?;
+        let asked = CompletionRequest::parse(completion, &body)?;
         let template = caller.template(&asked.model)?;
         if template.adapter.is_none() {
             return Err(wrong_kind("call it under /services/"));
@@ -260,7 +260,7 @@
         ticket.max_output_tokens = allowed;
         let work = Work::Completion {
             path: completion.path().into(),
-            body: asked.bounded(completion, body, allowed),
+            body: asked.with_token_limit(completion, body, allowed),
             stream: asked.stream,
         };
         let form = if asked.stream {
