--- a/lib/src/entry/body.rs
+++ b/lib/src/entry/body.rs
@@ -42,7 +42,7 @@
 where
     B: Body<Data = Bytes> + Unpin,
 {
-    let mut whole = Joined::default();
+    let mut whole = BodyBuffer::default();
     while let Some(frame) = body.frame().await {
         let frame = frame.map_err(|_| Failure::new(Code::BadRequest, "the body broke off"))?;
         let Ok(data) = frame.into_data() else {
@@ -66,12 +66,12 @@
 
 /// Pieces joined into one; a single piece, which is the usual case, isn't copied.
 #[derive(Debug, Default)]
-pub struct Joined {
+pub struct BodyBuffer {
     first: Bytes,
     rest: BytesMut,
 }
 
-impl Joined {
+impl BodyBuffer {
     /// Returns the length so far.
     #[must_use]
     pub fn len(&self) -> usize {
--- a/lib/src/entry/dispatch.rs
+++ b/lib/src/entry/dispatch.rs
@@ -9,7 +9,7 @@
 use http::header::{CONTENT_LENGTH, HeaderValue};
 use http::{StatusCode, response};
 
-use super::body::Joined;
+use super::body::BodyBuffer;
 use super::gate::Reserve;
 use super::gateway::{Gateway, lock};
 use super::session::Session;
@@ -401,7 +401,7 @@
     limit: usize,
     reserve: &mut Reserve,
 ) -> Result<Bytes, Failure> {
-    let mut whole = Joined::default();
+    let mut whole = BodyBuffer::default();
     let held = reserve.bytes();
     while let Some(piece) = body.next().await.transpose()? {
         let bytes = whole.len() + piece.len();
