--- a/lib/src/entry/answer.rs
+++ b/lib/src/entry/answer.rs
@@ -176,7 +176,7 @@
 /// Makes a successful answer of JSON text.
 #[must_use]
 pub fn json(text: String) -> Response<Body> {
-    let mut response = Response::new(whole(text.into()));
+    let mut response = Response::new(full(text.into()));
     let headers = response.headers_mut();
     headers.insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
     headers.insert(CACHE_CONTROL, HeaderValue::from_static("no-store"));
@@ -185,7 +185,7 @@
 
 /// Makes a body of bytes that are all there.
 #[must_use]
-pub fn whole(bytes: Bytes) -> Body {
+pub fn full(bytes: Bytes) -> Body {
     Whole(bytes).boxed_unsync()
 }
 
@@ -222,7 +222,7 @@
 }
 
 /// Names the request in the answer's head.
-pub fn name(response: &mut Response<Body>, id: &Id) {
+pub fn set_request_id(response: &mut Response<Body>, id: &Id) {
     if let Ok(value) = HeaderValue::from_str(&id.0) {
         response.headers_mut().insert(REQUEST_ID, value);
     }
--- a/lib/src/entry/gateway.rs
+++ b/lib/src/entry/gateway.rs
@@ -187,7 +187,7 @@
             Ok(Reply::Text(text)) => {
                 session.finish();
                 let mut response = answer::json(text);
-                answer::name(&mut response, session.id());
+                answer::set_request_id(&mut response, session.id());
                 response
             }
             Ok(Reply::Outcome(outcome, deadline)) => relay::respond(session, outcome, deadline),
--- a/lib/src/entry/relay.rs
+++ b/lib/src/entry/relay.rs
@@ -34,7 +34,7 @@
     let mut response = match outcome {
         Outcome::Whole(head, bytes) => {
             session.finish();
-            completion(&head, answer::whole(bytes))
+            completion(&head, answer::full(bytes))
         }
         Outcome::Error(status, error) => {
             let detail = format!("the engine answered with status {}", status.as_u16());
@@ -55,7 +55,7 @@
             Response::from_parts(head, passed_on(session, flow, deadline))
         }
     };
-    answer::name(&mut response, &id);
+    answer::set_request_id(&mut response, &id);
     response
 }
 
--- a/lib/src/entry/session.rs
+++ b/lib/src/entry/session.rs
@@ -130,7 +130,7 @@
     pub fn refuse(mut self, problem: &Problem) -> http::Response<Body> {
         self.fail(&problem.failure);
         let mut response = problem.respond(&self.id);
-        answer::name(&mut response, &self.id);
+        answer::set_request_id(&mut response, &self.id);
         response
     }
 
