--- a/lib/src/entry/gateway.rs
+++ b/lib/src/entry/gateway.rs
@@ -293,7 +293,7 @@
         } else {
             Form::Bytes
         };
-        let head = service::outward(head, path, session.id())?;
+        let head = service::upstream_request_head(head, path, session.id())?;
         let timeout = self.parts.limits.body_timeout;
         let limit = self.body_limit(template);
         let body = body::read(body, limit, timeout, &mut session.reserve).await?;
--- a/lib/src/entry/relay.rs
+++ b/lib/src/entry/relay.rs
@@ -51,7 +51,7 @@
         }
         Outcome::Flow(flow) => {
             let mut head = flow.head.clone();
-            service::inward(&mut head.headers);
+            service::to_caller_headers(&mut head.headers);
             Response::from_parts(head, passed_on(session, flow, deadline))
         }
     };
--- a/lib/src/entry/service.rs
+++ b/lib/src/entry/service.rs
@@ -30,7 +30,7 @@
 ];
 
 /// Removes the headers that concern one connection only, those that `Connection` lists included.
-pub fn strip(headers: &mut HeaderMap) {
+pub fn remove_hop_by_hop(headers: &mut HeaderMap) {
     let listed: Vec<HeaderName> = headers
         .get_all(CONNECTION)
         .iter()
@@ -48,8 +48,8 @@
 /// # Errors
 ///
 /// [`Code::BadRequest`] when the path can't be passed on.
-pub fn outward(mut head: request::Parts, path: &str, id: &Id) -> Result<request::Parts, Failure> {
-    strip(&mut head.headers);
+pub fn upstream_request_head(mut head: request::Parts, path: &str, id: &Id) -> Result<request::Parts, Failure> {
+    remove_hop_by_hop(&mut head.headers);
     // The key is for this layer; a service that got it could call in the
     // account's name.
     head.headers.remove(AUTHORIZATION);
@@ -64,8 +64,8 @@
 }
 
 /// Prepares the service's headers for the caller.
-pub fn inward(headers: &mut HeaderMap) {
-    strip(headers);
+pub fn to_caller_headers(headers: &mut HeaderMap) {
+    remove_hop_by_hop(headers);
     if let Some(own) = headers.remove(REQUEST_ID) {
         headers.insert(UPSTREAM_REQUEST_ID, own);
     }
@@ -96,7 +96,7 @@
             .body(())
             .unwrap()
             .into_parts();
-        let head = outward(head, "/a?b", &Id("r1".into())).unwrap();
+        let head = upstream_request_head(head, "/a?b", &Id("r1".into())).unwrap();
         let mut names: Vec<_> = head
             .headers
             .iter()
