--- a/lib/src/entry/gateway.rs
+++ b/lib/src/entry/gateway.rs
@@ -202,7 +202,7 @@
         let (head, body) = request.into_parts();
         // The view is taken once: the request is decided on it from start to end.
         let view = Arc::clone(&self.parts.view.borrow());
-        let account = key::account(&view, &head.headers)?;
+        let account = key::authenticate(&view, &head.headers)?;
         let caller = Caller { view, account };
         let route = route::route(&head.method, &head.uri)?;
         session.enter(&caller.account.name)?;
--- a/lib/src/entry/key.rs
+++ b/lib/src/entry/key.rs
@@ -23,7 +23,7 @@
 /// # Errors
 ///
 /// [`Code::NotReady`] before the first configuration, [`Code::UnknownKey`] otherwise.
-pub fn account(view: &View, headers: &HeaderMap) -> Result<Arc<Account>, Failure> {
+pub fn authenticate(view: &View, headers: &HeaderMap) -> Result<Arc<Account>, Failure> {
     if view.revision() == 0 {
         return Err(Failure::new(
             Code::NotReady,
@@ -60,7 +60,7 @@
 /// The bits come from the system's generator and never from the node's seed, so
 /// that two nodes or two starts with the same settings don't repeat them.
 #[must_use]
-pub fn fresh_id() -> Id {
+pub fn new_request_id() -> Id {
     let bits: u128 = rand::rng().random();
     let version = (bits & !(0xf << 76)) | (0x4 << 76);
     let variant = (version & !(0x3 << 62)) | (0x2 << 62);
@@ -99,10 +99,10 @@
 
     #[test]
     fn fresh_id_is_version_4() {
-        let id = fresh_id();
+        let id = new_request_id();
         assert_eq!(id.0.len(), 36);
         assert_eq!(&id.0[14..15], "4");
         assert!(matches!(&id.0[19..20], "8" | "9" | "a" | "b"));
-        assert_ne!(id, fresh_id());
+        assert_ne!(id, new_request_id());
     }
 }
--- a/lib/src/entry/session.rs
+++ b/lib/src/entry/session.rs
@@ -44,7 +44,7 @@
     pub fn start(gateway: &Arc<Gateway>) -> Self {
         gateway.parts.metrics.in_flight.inc();
         Self {
-            id: key::fresh_id(),
+            id: key::new_request_id(),
             arrived: gateway.parts.clock.now(),
             account: None,
             template: None,
