--- a/lib/src/entry/gateway.rs
+++ b/lib/src/entry/gateway.rs
@@ -403,7 +403,7 @@
             .template(&self.account.name, name)
             .map(Arc::clone)
             .ok_or_else(|| Problem {
-                failure: models::unknown(),
+                failure: models::unknown_template(),
                 param: Some("model"),
             })
     }
--- a/lib/src/entry/models.rs
+++ b/lib/src/entry/models.rs
@@ -57,13 +57,13 @@
 ///
 /// [`Code::UnknownTemplate`].
 pub fn describe(view: &View, account: &Account, name: &str) -> Result<String, Failure> {
-    let template = view.template(&account.name, name).ok_or_else(unknown)?;
+    let template = view.template(&account.name, name).ok_or_else(unknown_template)?;
     Ok(serde_json::to_string(&Model::of(template)).unwrap_or_default())
 }
 
 /// Returns the one answer for templates that don't exist and for those of other accounts.
 #[must_use]
-pub fn unknown() -> Failure {
+pub fn unknown_template() -> Failure {
     Failure::new(
         Code::UnknownTemplate,
         "the client account has no such template",
