--- a/lib/src/entry/connection.rs
+++ b/lib/src/entry/connection.rs
@@ -35,14 +35,14 @@
 
 /// Times in which a connection may rest.
 #[derive(Debug, Clone, Copy)]
-pub struct Rest {
+pub struct IdleTimeouts {
     /// Until the first request's head is whole.
     pub first: Duration,
     /// Between requests.
     pub idle: Duration,
 }
 
-impl Rest {
+impl IdleTimeouts {
     /// Returns the times of a connection that is being closed: its caller has as
     /// long to agree as for a head.
     fn closing(self) -> Self {
@@ -54,7 +54,7 @@
 }
 
 /// Serves a connection until it ends, rests too long, or the node stops.
-pub async fn serve(gateway: Arc<Gateway>, stream: TcpStream, rest: Rest, stop: CancellationToken) {
+pub async fn serve(gateway: Arc<Gateway>, stream: TcpStream, rest: IdleTimeouts, stop: CancellationToken) {
     let limits = &gateway.parts.limits;
     let stream = Guarded::new(stream, limits.write_timeout.duration());
     let busy = Arc::new(Busy::default());
@@ -138,7 +138,7 @@
     ///
     /// Bytes alone are no sign of life: a caller that sends a byte of a head now
     /// and then would hold the connection for ever.
-    async fn rested(&self, rest: Rest) {
+    async fn rested(&self, rest: IdleTimeouts) {
         loop {
             let idle = self.count.load(Ordering::Acquire) == 0;
             let span = match self.served.load(Ordering::Acquire) {
--- a/lib/src/entry/relay.rs
+++ b/lib/src/entry/relay.rs
@@ -14,7 +14,7 @@
 use super::quarantine::HARMLESS_AFTER;
 use super::service;
 use super::session::Session;
-use super::sse::Splitter;
+use super::sse::EventSplitter;
 use crate::clock::Millis;
 use crate::error::{Code, Failure};
 use crate::poison::ledger::Suspicion;
@@ -130,7 +130,7 @@
     session: Session,
     flow: Flow,
     deadline: Millis,
-    splitter: Option<Splitter>,
+    splitter: Option<EventSplitter>,
     sender: mpsc::Sender<Bytes>,
     first: Option<Millis>,
     last: Option<Millis>,
@@ -145,7 +145,7 @@
     fn new(session: Session, flow: Flow, deadline: Millis, sender: mpsc::Sender<Bytes>) -> Self {
         let limit = session.gateway().parts.limits.event_bytes;
         Self {
-            splitter: (flow.form == Form::Events).then(|| Splitter::new(limit)),
+            splitter: (flow.form == Form::Events).then(|| EventSplitter::new(limit)),
             session,
             flow,
             deadline,
--- a/lib/src/entry/server.rs
+++ b/lib/src/entry/server.rs
@@ -9,7 +9,7 @@
 use tokio_util::task::TaskTracker;
 
 use super::Parts;
-use super::connection::{self, Rest};
+use super::connection::{self, IdleTimeouts};
 use super::gateway::Gateway;
 
 /// Pause after the system refused to accept, as it does without free descriptors.
@@ -76,11 +76,11 @@
     }
 
     /// Returns how long a new connection may rest: less when most places are taken.
-    fn rest(&self) -> Rest {
+    fn rest(&self) -> IdleTimeouts {
         let limits = &self.gateway.parts.limits;
         let crowded = self.places.available_permits() < limits.connections / 4;
         let first = limits.head_timeout.duration();
-        Rest {
+        IdleTimeouts {
             first,
             idle: if crowded {
                 first.min(limits.idle_timeout.duration())
@@ -93,7 +93,7 @@
     async fn run(
         gateway: Arc<Gateway>,
         stream: TcpStream,
-        rest: Rest,
+        rest: IdleTimeouts,
         stop: CancellationToken,
         place: OwnedSemaphorePermit,
     ) {
--- a/lib/src/entry/sse.rs
+++ b/lib/src/entry/sse.rs
@@ -13,13 +13,13 @@
 
 /// Cuts pieces of an answer into whole events.
 #[derive(Debug)]
-pub struct Splitter {
+pub struct EventSplitter {
     rest: BytesMut,
     done: bool,
     limit: usize,
 }
 
-impl Splitter {
+impl EventSplitter {
     /// Makes a splitter for events of at most `limit` bytes.
     #[must_use]
     pub fn new(limit: usize) -> Self {
@@ -128,13 +128,13 @@
 mod tests {
     use super::*;
 
-    fn push(splitter: &mut Splitter, piece: &'static str) -> Option<Bytes> {
+    fn push(splitter: &mut EventSplitter, piece: &'static str) -> Option<Bytes> {
         splitter.push(Bytes::from_static(piece.as_bytes())).unwrap()
     }
 
     #[test]
     fn push_whole_event_unchanged() {
-        let mut splitter = Splitter::new(100);
+        let mut splitter = EventSplitter::new(100);
         assert_eq!(
             push(&mut splitter, "data: 1\n\n").as_deref(),
             Some(&b"data: 1\n\n"[..])
@@ -143,7 +143,7 @@
 
     #[test]
     fn push_split_event() {
-        let mut splitter = Splitter::new(100);
+        let mut splitter = EventSplitter::new(100);
         assert_eq!(push(&mut splitter, "data: 1\n"), None);
         assert_eq!(
             push(&mut splitter, "\ndata: 2").as_deref(),
@@ -157,7 +157,7 @@
 
     #[test]
     fn push_done_held_back() {
-        let mut splitter = Splitter::new(100);
+        let mut splitter = EventSplitter::new(100);
         assert_eq!(
             push(&mut splitter, "data: 1\n\ndata: [DONE]\n\n").as_deref(),
             Some(&b"data: 1\n\n"[..])
@@ -171,21 +171,21 @@
     /// Cause: the end of the body was taken for the end of the answer.
     #[test]
     fn finish_without_done() {
-        let mut splitter = Splitter::new(100);
+        let mut splitter = EventSplitter::new(100);
         push(&mut splitter, "data: 1\n\n");
         assert_eq!(splitter.finish().unwrap_err().code, Code::AnswerCut);
     }
 
     #[test]
     fn push_text_that_looks_like_done() {
-        let mut splitter = Splitter::new(100);
+        let mut splitter = EventSplitter::new(100);
         push(&mut splitter, "data: {\"text\":\"data: [DONE]\"}\n\n");
         assert!(splitter.finish().is_err());
     }
 
     #[test]
     fn push_endless_event() {
-        let mut splitter = Splitter::new(8);
+        let mut splitter = EventSplitter::new(8);
         let piece = Bytes::from_static(b"data: 123456789");
         assert_eq!(splitter.push(piece).unwrap_err().code, Code::AnswerCut);
     }
