--- a/lib/src/entry/connection.rs
+++ b/lib/src/entry/connection.rs
@@ -54,7 +54,12 @@
 }
 
 /// Serves a connection until it ends, rests too long, or the node stops.
-pub async fn serve(gateway: Arc<Gateway>, stream: TcpStream, rest: IdleTimeouts, stop: CancellationToken) {
+pub async fn serve(
+    gateway: Arc<Gateway>,
+    stream: TcpStream,
+    rest: IdleTimeouts,
+    stop: CancellationToken,
+) {
     let limits = &gateway.parts.limits;
     let stream = Guarded::new(stream, limits.write_timeout.duration());
     let busy = Arc::new(Busy::default());
--- a/lib/src/entry/models.rs
+++ b/lib/src/entry/models.rs
@@ -57,7 +57,9 @@
 ///
 /// [`Code::UnknownTemplate`].
 pub fn describe(view: &View, account: &Account, name: &str) -> Result<String, Failure> {
-    let template = view.template(&account.name, name).ok_or_else(unknown_template)?;
+    let template = view
+        .template(&account.name, name)
+        .ok_or_else(unknown_template)?;
     Ok(serde_json::to_string(&Model::of(template)).unwrap_or_default())
 }
 
--- a/lib/src/entry/service.rs
+++ b/lib/src/entry/service.rs
@@ -48,7 +48,11 @@
 /// # Errors
 ///
 /// [`Code::BadRequest`] when the path can't be passed on.
-pub fn upstream_request_head(mut head: request::Parts, path: &str, id: &Id) -> Result<request::Parts, Failure> {
+pub fn upstream_request_head(
+    mut head: request::Parts,
+    path: &str,
+    id: &Id,
+) -> Result<request::Parts, Failure> {
     remove_hop_by_hop(&mut head.headers);
     // The key is for this layer; a service that got it could call in the
     // account's name.
