--- a/lib/src/entry/dispatch.rs
+++ b/lib/src/entry/dispatch.rs
@@ -22,7 +22,7 @@
 use crate::retry::{FailureContext, RequestState, RetryDecision};
 use crate::runner::{Attempt, Share, Work};
 use super::admission::BufferReservation;
-use super::body::Joined;
+use super::body::BodyBuffer;
 use super::gateway::{Gateway, lock};
 use super::session::Session;
 
@@ -410,7 +410,7 @@
     limit: usize,
     reserve: &mut BufferReservation,
 ) -> Result<Bytes, Failure> {
-    let mut whole = Joined::default();
+    let mut whole = BodyBuffer::default();
     let held = reserve.bytes();
     while let Some(piece) = body.next().await.transpose()? {
         let bytes = whole.len() + piece.len();
--- a/lib/src/entry/gateway.rs
+++ b/lib/src/entry/gateway.rs
@@ -10,17 +10,8 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-use super::admission::{BufferLimiter, InFlightLimiter};
-use super::answer::{self, Body, Problem};
-use super::completion::Asked;
-use super::dispatch::{self, DispatchRequest, ResponseMode, UpstreamRun};
-use super::quarantine::Quarantine;
-use super::relay;
-use super::route::{self, Completion, Route};
-use super::session::Session;
-use super::{Dependencies, body, idempotency, key, models, service};
 use crate::adapter::Adapter;
-use crate::claim::{self, Claim, ClaimManager};
+use crate::claim::{Claim, ClaimManager, self};
 use crate::clock::Millis;
 use crate::config::View;
 use crate::declaration::{Account, Template};
@@ -30,10 +21,18 @@
 use crate::name::Name;
 use crate::poison::fingerprint::{Fingerprint, Identity};
 use crate::poison::ledger::Suspicion;
-use crate::policy::placement::{self, Pool, Router};
+use crate::policy::placement::{Pool, Router, self};
 use crate::request::Ticket;
 use crate::retry::RetryBudget;
 use crate::runner::Work;
+use super::{Dependencies, body, idempotency, key, models, relay, service};
+use super::admission::{BufferLimiter, InFlightLimiter};
+use super::answer::{Body, Problem, self};
+use super::completion::CompletionRequest;
+use super::dispatch::{DispatchRequest, ResponseMode, UpstreamRun, self};
+use super::quarantine::Quarantine;
+use super::route::{Completion, Route, self};
+use super::session::Session;
 
 /// When a request may be decided on the configuration that its owner knows.
 const RETRY_AFTER: Millis = Millis::from_secs(1);
@@ -187,7 +186,7 @@
             Ok(Reply::Text(text)) => {
                 session.finish();
                 let mut response = answer::json(text);
-                answer::name(&mut response, session.id());
+                answer::set_request_id(&mut response, session.id());
                 response
             }
             Ok(Reply::Outcome(outcome, deadline)) => relay::respond(session, outcome, deadline),
@@ -202,7 +201,7 @@
         let (head, body) = request.into_parts();
         // The view is taken once: the request is decided on it from start to end.
         let view = Arc::clone(&self.parts.view.borrow());
-        let account = key::account(&view, &head.headers)?;
+        let account = key::authenticate(&view, &head.headers)?;
         let caller = Caller { view, account };
         let route = route::route(&head.method, &head.uri)?;
         session.admit(&caller.account.name)?;
@@ -243,7 +242,7 @@
             &mut session.buffered,
         )
         .await?;
-        let asked = Asked::read(completion, &body)?;
+        let asked = CompletionRequest::parse(completion, &body)?;
         let template = caller.template(&asked.model)?;
         if template.adapter.is_none() {
             return Err(wrong_kind("call it under /services/"));
@@ -260,7 +259,7 @@
         ticket.max_output_tokens = allowed;
         let work = Work::Completion {
             path: completion.path().into(),
-            body: asked.bounded(completion, body, allowed),
+            body: asked.with_token_limit(completion, body, allowed),
             stream: asked.stream,
         };
         let mode = if asked.stream {
@@ -293,7 +292,7 @@
         } else {
             ResponseMode::Bytes
         };
-        let head = service::outward(head, path, session.id())?;
+        let head = service::upstream_request_head(head, path, session.id())?;
         let timeout = self.parts.limits.body_timeout;
         let limit = self.body_limit(template);
         let body = body::read(body, limit, timeout, &mut session.buffered).await?;
@@ -403,7 +402,7 @@
             .template(&self.account.name, name)
             .map(Arc::clone)
             .ok_or_else(|| Problem {
-                failure: models::unknown(),
+                failure: models::unknown_template(),
                 param: Some("model"),
             })
     }
--- a/lib/src/entry/relay.rs
+++ b/lib/src/entry/relay.rs
@@ -9,15 +9,15 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio_stream::wrappers::ReceiverStream;
 
-use super::answer::{self, Body, Problem};
-use super::dispatch::{DispatchOutcome, ResponseMode, StreamingResponse};
-use super::quarantine::HARMLESS_AFTER;
-use super::service;
-use super::session::Session;
-use super::sse::Splitter;
 use crate::clock::Millis;
 use crate::error::{Code, Failure};
 use crate::poison::ledger::Suspicion;
+use super::service;
+use super::answer::{Body, Problem, self};
+use super::dispatch::{DispatchOutcome, ResponseMode, StreamingResponse};
+use super::quarantine::HARMLESS_AFTER;
+use super::session::Session;
+use super::sse::EventSplitter;
 
 /// Frames that wait for a caller before its upstream is slowed down.
 const PIECES: usize = 4;
@@ -34,7 +34,7 @@
     let mut response = match outcome {
         DispatchOutcome::Complete(head, bytes) => {
             session.finish();
-            completion(&head, answer::whole(bytes))
+            completion(&head, answer::full(bytes))
         }
         DispatchOutcome::EngineError(status, error) => {
             let detail = format!("the engine answered with status {}", status.as_u16());
@@ -51,11 +51,11 @@
         }
         DispatchOutcome::Streaming(flow) => {
             let mut head = flow.head.clone();
-            service::inward(&mut head.headers);
+            service::to_caller_headers(&mut head.headers);
             Response::from_parts(head, passed_on(session, flow, deadline))
         }
     };
-    answer::name(&mut response, &id);
+    answer::set_request_id(&mut response, &id);
     response
 }
 
@@ -130,7 +130,7 @@
     session: Session,
     flow: StreamingResponse,
     deadline: Millis,
-    splitter: Option<Splitter>,
+    splitter: Option<EventSplitter>,
     sender: mpsc::Sender<Bytes>,
     first: Option<Millis>,
     last: Option<Millis>,
@@ -150,7 +150,7 @@
     ) -> Self {
         let limit = session.gateway().parts.limits.max_event_bytes;
         Self {
-            splitter: (flow.mode == ResponseMode::Events).then(|| Splitter::new(limit)),
+            splitter: (flow.mode == ResponseMode::Events).then(|| EventSplitter::new(limit)),
             session,
             flow,
             deadline,
--- a/lib/src/entry/session.rs
+++ b/lib/src/entry/session.rs
@@ -44,7 +44,7 @@
     pub fn start(gateway: &Arc<Gateway>) -> Self {
         gateway.parts.metrics.in_flight.inc();
         Self {
-            id: key::fresh_id(),
+            id: key::new_request_id(),
             arrived_at: gateway.parts.clock.now(),
             account: None,
             template: None,
@@ -130,7 +130,7 @@
     pub fn reject(mut self, problem: &Problem) -> http::Response<Body> {
         self.fail(&problem.failure);
         let mut response = problem.respond(&self.id);
-        answer::name(&mut response, &self.id);
+        answer::set_request_id(&mut response, &self.id);
         response
     }
 
