--- a/lib/src/entry/dispatch.rs
+++ b/lib/src/entry/dispatch.rs
@@ -9,6 +9,10 @@
 use http::header::{CONTENT_LENGTH, HeaderValue};
 use http::{StatusCode, response};
 
+use super::admission::BufferReservation;
+use super::body::BodyBuffer;
+use super::gateway::{Gateway, lock};
+use super::session::Session;
 use crate::claim::Claim;
 use crate::clock::Millis;
 use crate::error::{Code, Failure, Fate};
@@ -21,10 +25,6 @@
 use crate::request::Ticket;
 use crate::retry::{FailureContext, RequestState, RetryDecision};
 use crate::runner::{Attempt, Share, Work};
-use super::admission::BufferReservation;
-use super::body::BodyBuffer;
-use super::gateway::{Gateway, lock};
-use super::session::Session;
 
 /// How long after the deadline the owner's own word on the request is awaited.
 ///
--- a/lib/src/entry/gateway.rs
+++ b/lib/src/entry/gateway.rs
@@ -10,8 +10,16 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
+use super::admission::{BufferLimiter, InFlightLimiter};
+use super::answer::{self, Body, Problem};
+use super::completion::CompletionRequest;
+use super::dispatch::{self, DispatchRequest, ResponseMode, UpstreamRun};
+use super::quarantine::Quarantine;
+use super::route::{self, Completion, Route};
+use super::session::Session;
+use super::{Dependencies, body, idempotency, key, models, relay, service};
 use crate::adapter::Adapter;
-use crate::claim::{Claim, ClaimManager, self};
+use crate::claim::{self, Claim, ClaimManager};
 use crate::clock::Millis;
 use crate::config::View;
 use crate::declaration::{Account, Template};
@@ -21,18 +29,10 @@
 use crate::name::Name;
 use crate::poison::fingerprint::{Fingerprint, Identity};
 use crate::poison::ledger::Suspicion;
-use crate::policy::placement::{Pool, Router, self};
+use crate::policy::placement::{self, Pool, Router};
 use crate::request::Ticket;
 use crate::retry::RetryBudget;
 use crate::runner::Work;
-use super::{Dependencies, body, idempotency, key, models, relay, service};
-use super::admission::{BufferLimiter, InFlightLimiter};
-use super::answer::{Body, Problem, self};
-use super::completion::CompletionRequest;
-use super::dispatch::{DispatchRequest, ResponseMode, UpstreamRun, self};
-use super::quarantine::Quarantine;
-use super::route::{Completion, Route, self};
-use super::session::Session;
 
 /// When a request may be decided on the configuration that its owner knows.
 const RETRY_AFTER: Millis = Millis::from_secs(1);
--- a/lib/src/entry/relay.rs
+++ b/lib/src/entry/relay.rs
@@ -9,15 +9,15 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio_stream::wrappers::ReceiverStream;
 
-use crate::clock::Millis;
-use crate::error::{Code, Failure};
-use crate::poison::ledger::Suspicion;
-use super::service;
-use super::answer::{Body, Problem, self};
+use super::answer::{self, Body, Problem};
 use super::dispatch::{DispatchOutcome, ResponseMode, StreamingResponse};
 use super::quarantine::HARMLESS_AFTER;
+use super::service;
 use super::session::Session;
 use super::sse::EventSplitter;
+use crate::clock::Millis;
+use crate::error::{Code, Failure};
+use crate::poison::ledger::Suspicion;
 
 /// Frames that wait for a caller before its upstream is slowed down.
 const PIECES: usize = 4;
--- a/lib/src/entry/server.rs
+++ b/lib/src/entry/server.rs
@@ -9,7 +9,7 @@
 use tokio_util::task::TaskTracker;
 
 use super::Dependencies;
-use super::connection::{IdleTimeouts, self};
+use super::connection::{self, IdleTimeouts};
 use super::gateway::Gateway;
 
 /// Pause after the system refused to accept, as it does without free descriptors.
