--- a/bench/src/spread/site.rs
+++ b/bench/src/spread/site.rs
@@ -145,7 +145,7 @@
 #[derive(Debug)]
 pub struct Site {
     pub peer: Peer,
-    pub config: Arc<config::Keeper>,
+    pub config: Arc<config::ConfigManager>,
     pub gossip: Option<Arc<gossip::Keeper>>,
     pub transport: Arc<dyn Transport>,
     pub stop: CancellationToken,
@@ -208,7 +208,7 @@
         let stop = CancellationToken::new();
         let clock: Arc<dyn Clock> = Arc::new(Monotonic::start());
         let seed = ground.seed ^ u64::from(peer.address.port()) << 20 ^ incarnation;
-        let config = config::Keeper::start(config::Parts {
+        let config = config::ConfigManager::start(config::Parts {
             node: Arc::clone(&peer.name),
             region: Arc::clone(&peer.region),
             store,
--- a/cli/tests/common/mod.rs
+++ b/cli/tests/common/mod.rs
@@ -20,7 +20,7 @@
 
 use async_trait::async_trait;
 use chivevalve::clock::{Millis, Monotonic};
-use chivevalve::config::{self, Keeper, prefetch};
+use chivevalve::config::{self, ConfigManager, prefetch};
 use chivevalve::gossip::{Peer, Peers};
 use chivevalve::membership::Fleet;
 use chivevalve::membership::fleet::{Owner, State, Upstream};
@@ -47,7 +47,7 @@
 /// A node's operators' interface with its configuration.
 pub struct Site {
     pub address: SocketAddr,
-    pub keeper: Arc<Keeper>,
+    pub manager: Arc<ConfigManager>,
     fleet: watch::Sender<Arc<Fleet>>,
     stop: CancellationToken,
 }
@@ -121,7 +121,7 @@
 pub async fn start(name: &str, store: &Arc<Store>, weights: &Arc<Weights>) -> Site {
     let stop = CancellationToken::new();
     let metrics = Arc::new(Metrics::new());
-    let keeper = Keeper::start(config::Parts {
+    let manager = ConfigManager::start(config::Parts {
         node: name.into(),
         region: "north".into(),
         store: Arc::clone(store) as _,
@@ -152,9 +152,9 @@
                 token("looker", READ, Role::Read),
             ],
         },
-        view: keeper.view(),
+        view: manager.view(),
         fleet: receiver,
-        configuration: Arc::clone(&keeper) as _,
+        configuration: Arc::clone(&manager) as _,
         membership: Arc::new(Only::default()),
         ownership: Arc::new(Alone),
         placement: placement::Limits::default(),
@@ -166,7 +166,7 @@
     tokio::spawn(operators::serve(listener, parts, stop.clone()));
     Site {
         address,
-        keeper,
+        manager,
         fleet,
         stop,
     }
@@ -221,7 +221,7 @@
 
 /// Waits until a node has a revision in force.
 pub async fn in_force(site: &Site, revision: u64) {
-    let mut view = site.keeper.view();
+    let mut view = site.manager.view();
     let reached = view.wait_for(|view| view.revision() >= revision);
     tokio::time::timeout(Duration::from_secs(20), reached)
         .await
--- a/lib/src/config/follower.rs
+++ b/lib/src/config/follower.rs
@@ -13,7 +13,7 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg32;
 
-use super::keeper::Keeper;
+use super::manager::ConfigManager;
 use super::source::{Failure, HeadAt};
 use super::state::Origin;
 use crate::clock::Millis;
@@ -31,11 +31,11 @@
 const PEER_TIMEOUT: Millis = Millis(3_000);
 
 /// Follows the service until the keeper stops.
-pub(super) async fn run(keeper: Arc<Keeper>) {
-    let stop = keeper.parts.stop.clone();
-    let rng = Pcg32::seed_from_u64(keeper.parts.seed);
+pub(super) async fn run(manager: Arc<ConfigManager>) {
+    let stop = manager.parts.stop.clone();
+    let rng = Pcg32::seed_from_u64(manager.parts.seed);
     let mut follower = Follower {
-        keeper,
+        manager,
         rng,
         wait: FIRST_WAIT,
         failing: false,
@@ -47,7 +47,7 @@
 }
 
 struct Follower {
-    keeper: Arc<Keeper>,
+    manager: Arc<ConfigManager>,
     rng: Pcg32,
     wait: Millis,
     failing: bool,
@@ -57,7 +57,7 @@
     async fn run(&mut self) {
         loop {
             let watcher = self.watcher();
-            self.keeper.watching.store(watcher, Ordering::Relaxed);
+            self.manager.watching.store(watcher, Ordering::Relaxed);
             let ended = if watcher {
                 self.watch().await
             } else {
@@ -71,7 +71,7 @@
     }
 
     fn watcher(&self) -> bool {
-        let parts = &self.keeper.parts;
+        let parts = &self.manager.parts;
         rank::is_among(
             &parts.node,
             &parts.region,
@@ -82,16 +82,16 @@
 
     /// Watches the service until the watch breaks or others watch.
     async fn watch(&mut self) -> Result<(), Failure> {
-        let keeper = Arc::clone(&self.keeper);
-        let head = keeper.catch_up().await?;
+        let manager = Arc::clone(&self.manager);
+        let head = manager.catch_up().await?;
         self.succeeded();
-        let mut changes = keeper
+        let mut changes = manager
             .parts
             .watch
-            .watch(&keeper.source.layout().watched(), head.read)
+            .watch(&manager.source.layout().watched(), head.read)
             .await?;
         let mut confirm = Box::pin(tokio::time::sleep(
-            keeper
+            manager
                 .parts
                 .limits
                 .confirm
@@ -106,12 +106,12 @@
                     None => return Err(broken().into()),
                 },
                 () = &mut confirm => {
-                    keeper.catch_up().await?;
-                    let next = keeper.parts.limits.confirm.jittered(&mut self.rng);
+                    manager.catch_up().await?;
+                    let next = manager.parts.limits.confirm.jittered(&mut self.rng);
                     confirm.set(tokio::time::sleep(next.duration()));
                 }
-                () = keeper.behind.notified() => {
-                    keeper.catch_up().await?;
+                () = manager.behind.notified() => {
+                    manager.catch_up().await?;
                 }
                 _ = role.tick() => if !self.watcher() {
                     return Ok(());
@@ -126,12 +126,12 @@
             // Nobody removes the head; operations go when they are old.
             return Ok(());
         };
-        let asked = self.keeper.now();
+        let asked = self.manager.now();
         let malformed =
             |error| Failure::from(ports::Error::Malformed(format!("{}: {error}", entry.key)));
-        if entry.key != self.keeper.source.layout().head() {
+        if entry.key != self.manager.source.layout().head() {
             let operation = Operation::decode(entry.value.clone()).map_err(malformed)?;
-            self.keeper.offer(&[Arc::new(operation)]);
+            self.manager.offer(&[Arc::new(operation)]);
             return Ok(());
         }
         let head = HeadAt {
@@ -139,31 +139,31 @@
             written: Some(entry.revision),
             read: event.revision,
         };
-        self.keeper.take_head(&head, asked).await
+        self.manager.take_head(&head, asked).await
     }
 
     /// Leaves the service alone while peers keep this node fresh.
     async fn listen(&mut self) -> Result<(), Failure> {
-        let keeper = Arc::clone(&self.keeper);
+        let manager = Arc::clone(&self.manager);
         let pause = ROLE_CHECK.jittered(&mut self.rng);
         tokio::select! {
             () = tokio::time::sleep(pause.duration()) => {}
-            () = keeper.behind.notified() => {
+            () = manager.behind.notified() => {
                 let pause = PEER_TIMEOUT.jittered(&mut self.rng);
                 tokio::time::sleep(pause.duration()).await;
             }
         }
         if self.needs_service() {
-            keeper.catch_up().await?;
+            manager.catch_up().await?;
         }
         Ok(())
     }
 
     /// Whether peers don't keep this node fresh.
     fn needs_service(&mut self) -> bool {
-        let poll = self.keeper.parts.limits.poll.jittered(&mut self.rng);
-        let now = self.keeper.now();
-        let state = self.keeper.state();
+        let poll = self.manager.parts.limits.poll.jittered(&mut self.rng);
+        let now = self.manager.now();
+        let state = self.manager.state();
         let (learned, heard) = (state.learned().revision(), state.heard());
         if state.is_refused(heard, Origin::Service, now) {
             return false;
--- a/lib/src/config/keeper.rs
+++ b/lib/src/config/manager.rs
@@ -121,7 +121,7 @@
 
 /// Keeps a node's configuration.
 #[derive(Debug)]
-pub struct Keeper {
+pub struct ConfigManager {
     pub(super) parts: Parts,
     pub(super) source: Source,
     state: Mutex<State>,
@@ -136,14 +136,14 @@
     events: IntCounterVec,
 }
 
-impl Keeper {
+impl ConfigManager {
     /// Starts the tasks that follow the service and put revisions in force.
     #[must_use]
     pub fn start(parts: Parts) -> Arc<Self> {
-        let keeper = Arc::new(Self::new(parts));
-        tokio::spawn(Arc::clone(&keeper).put_in_force());
-        tokio::spawn(super::follower::run(Arc::clone(&keeper)));
-        keeper
+        let manager = Arc::new(Self::new(parts));
+        tokio::spawn(Arc::clone(&manager).put_in_force());
+        tokio::spawn(super::follower::run(Arc::clone(&manager)));
+        manager
     }
 
     fn new(parts: Parts) -> Self {
@@ -427,7 +427,7 @@
     events
 }
 
-impl Decisions for Keeper {
+impl Decisions for ConfigManager {
     fn holds(&self, ticket: &Ticket) -> bool {
         let view = self.in_force.borrow();
         if view.revision() <= ticket.revision {
--- a/lib/src/config/mod.rs
+++ b/lib/src/config/mod.rs
@@ -11,8 +11,8 @@
 mod follower;
 mod heavy;
 pub mod history;
-pub mod keeper;
 pub mod layout;
+pub mod manager;
 pub mod operator;
 pub mod plan;
 pub mod prefetch;
@@ -23,7 +23,7 @@
 pub mod writer;
 
 pub use error::Error;
-pub use keeper::{Keeper, Limits, Parts, Status};
+pub use manager::{ConfigManager, Limits, Parts, Status};
 pub use operator::{Accepted, Order, new_id};
 pub use plan::Plan;
 pub use view::View;
--- a/lib/src/config/operator.rs
+++ b/lib/src/config/operator.rs
@@ -9,8 +9,8 @@
 use super::error::Error;
 use super::heavy;
 use super::history;
-use super::keeper::Keeper;
 use super::layout::BLOCK;
+use super::manager::ConfigManager;
 use super::plan::{self, Plan};
 use super::source::{Failure, HeadAt};
 use super::state::Origin;
@@ -61,7 +61,7 @@
     Arc::from(format!("{bits:032x}"))
 }
 
-impl Keeper {
+impl ConfigManager {
     /// Says what a set of declarations would change and break.
     ///
     /// The service is asked for the newest revision; without its answer the plan
@@ -133,7 +133,7 @@
     ///
     /// # Errors
     ///
-    /// As [`Keeper::apply`], and when the revision isn't kept any more.
+    /// As [`ConfigManager::apply`], and when the revision isn't kept any more.
     pub async fn rollback(&self, order: &Order, to: u64) -> Result<Accepted, Error> {
         self.catch_up().await.map_err(unavailable)?;
         let set = self.declared_at(to).await?;
--- a/lib/src/config/share.rs
+++ b/lib/src/config/share.rs
@@ -3,8 +3,8 @@
 use std::sync::Arc;
 
 use super::heavy;
-use super::keeper::Keeper;
 use super::layout;
+use super::manager::ConfigManager;
 use super::state::Origin;
 use super::view::View;
 use crate::clock::Millis;
@@ -13,7 +13,7 @@
 use crate::schema::declaration::{Bucket, Head};
 use crate::schema::peer::{Delta, Digest, SnapshotPart};
 
-impl Share for Keeper {
+impl Share for ConfigManager {
     fn digest(&self, digest: &mut Digest) {
         let now = self.now();
         let state = self.state();
@@ -66,7 +66,7 @@
     }
 }
 
-impl Snapshot for Keeper {
+impl Snapshot for ConfigManager {
     fn parts(&self) -> Box<dyn Iterator<Item = SnapshotPart> + Send> {
         let view = self.learned();
         let head = Head {
@@ -87,7 +87,7 @@
     }
 }
 
-impl Install for Keeper {
+impl Install for ConfigManager {
     fn is_wanted(&self, revision: u64) -> bool {
         let now = self.now();
         let state = self.state();
--- a/lib/src/node/assembly.rs
+++ b/lib/src/node/assembly.rs
@@ -40,7 +40,7 @@
 
 /// Parts whose state is spread between nodes.
 struct Shares<'a> {
-    config: &'a Arc<config::Keeper>,
+    config: &'a Arc<config::ConfigManager>,
     membership: &'a Arc<membership::Keeper>,
     quarantine: &'a Arc<entry::Quarantine>,
 }
@@ -62,7 +62,7 @@
     clients: Arc<Clients>,
     loads: Arc<loads::Shared>,
     gossip: Arc<gossip::Keeper>,
-    pub(super) config: Arc<config::Keeper>,
+    pub(super) config: Arc<config::ConfigManager>,
     pub(super) membership: Arc<membership::Keeper>,
     quarantine: Arc<entry::Quarantine>,
 }
@@ -90,7 +90,7 @@
         let decisions = Deferred::<dyn owner::Decisions>::default();
         let registry = Registry::start(base.owner(&permits, &detector, &decisions));
         let clients = Clients::new(base.clients(&registry, security));
-        let config = config::Keeper::start(base.config(&registry, &peers));
+        let config = config::ConfigManager::start(base.config(&registry, &peers));
         let membership = base.membership(&config, &registry, &clients);
         let loads = loads::Shared::start(base.loads(&membership, &clients));
         decisions.get_or_init(|| Arc::clone(&config) as _);
@@ -228,7 +228,7 @@
 
     fn membership(
         &self,
-        config: &Arc<config::Keeper>,
+        config: &Arc<config::ConfigManager>,
         registry: &Arc<Registry>,
         clients: &Arc<Clients>,
     ) -> Arc<membership::Keeper> {
--- a/lib/src/node/mod.rs
+++ b/lib/src/node/mod.rs
@@ -72,7 +72,7 @@
 pub struct Node {
     limits: settings::Limits,
     membership: Arc<membership::Keeper>,
-    config: Arc<config::Keeper>,
+    config: Arc<config::ConfigManager>,
     registry: Arc<Registry>,
     metrics: Arc<Metrics>,
     callers: SocketAddr,
@@ -174,7 +174,7 @@
 
     /// Returns the configuration's keeper.
     #[must_use]
-    pub fn config(&self) -> &Arc<config::Keeper> {
+    pub fn config(&self) -> &Arc<config::ConfigManager> {
         &self.config
     }
 
--- a/lib/src/operators/configuration.rs
+++ b/lib/src/operators/configuration.rs
@@ -7,12 +7,12 @@
 use super::port::Configuration;
 use super::refusal::{Cause, Refusal};
 use super::wire;
-use crate::config::{self, Error, Keeper, Order};
+use crate::config::{self, ConfigManager, Error, Order};
 use crate::declaration::{Mistake, Set, Source, check_sources, diff, export};
 use crate::name::Name;
 
 #[async_trait]
-impl Configuration for Keeper {
+impl Configuration for ConfigManager {
     fn rollout(&self) -> wire::Rollout {
         let status = self.status();
         wire::Rollout {
@@ -37,7 +37,7 @@
 
     async fn plan(&self, files: Vec<wire::File>) -> Result<wire::Plan, Refusal> {
         let set = read(files).await?;
-        Ok(Keeper::plan(self, &set).await.into())
+        Ok(ConfigManager::plan(self, &set).await.into())
     }
 
     async fn apply(&self, change: wire::Apply, author: Name) -> Result<wire::Accepted, Refusal> {
@@ -48,7 +48,7 @@
             change.reason,
             change.expected_revision,
         );
-        let accepted = Keeper::apply(self, &order, &set).await;
+        let accepted = ConfigManager::apply(self, &order, &set).await;
         accepted
             .map(|accepted| answer(accepted, change.change_id))
             .map_err(Into::into)
@@ -65,14 +65,14 @@
             change.reason,
             change.expected_revision,
         );
-        let accepted = Keeper::rollback(self, &order, change.to_revision).await;
+        let accepted = ConfigManager::rollback(self, &order, change.to_revision).await;
         accepted
             .map(|accepted| answer(accepted, change.change_id))
             .map_err(Into::into)
     }
 
     async fn history(&self, limit: usize) -> Result<wire::History, Refusal> {
-        let operations = Keeper::history(self, None, limit).await?;
+        let operations = ConfigManager::history(self, None, limit).await?;
         Ok(wire::History {
             operations: operations
                 .iter()
--- a/lib/tests/config_setup/mod.rs
+++ b/lib/tests/config_setup/mod.rs
@@ -11,7 +11,7 @@
 use chivevalve::adapter::Adapter;
 use chivevalve::clock::Monotonic;
 use chivevalve::config::prefetch::{Prefetch, Upcoming};
-use chivevalve::config::{self, Accepted, Keeper, Limits, Order, Parts};
+use chivevalve::config::{self, Accepted, ConfigManager, Limits, Order, Parts};
 use chivevalve::declaration::{self, Set, Source};
 use chivevalve::gossip::{Peer, Peers};
 use chivevalve::metrics::Metrics;
@@ -54,7 +54,7 @@
 }
 
 pub struct Node {
-    pub keeper: Arc<Keeper>,
+    pub manager: Arc<ConfigManager>,
     pub peers: Arc<Listed>,
     pub fetched: Arc<Fetched>,
     pub metrics: Arc<Metrics>,
@@ -70,7 +70,7 @@
         let stop = CancellationToken::new();
         let mut shelf = Shelf::default();
         shelf.missing.insert("faults@9".to_owned());
-        let keeper = Keeper::start(Parts {
+        let manager = ConfigManager::start(Parts {
             node: Arc::from(name),
             region: Arc::from("north"),
             store: Arc::clone(store) as Arc<dyn Border>,
@@ -86,7 +86,7 @@
             stop: stop.clone(),
         });
         Self {
-            keeper,
+            manager,
             peers,
             fetched,
             metrics,
@@ -96,18 +96,18 @@
 
     /// Returns the revision in force.
     pub fn revision(&self) -> u64 {
-        self.keeper.view().borrow().revision()
+        self.manager.view().borrow().revision()
     }
 
     /// Applies declarations on top of what this node has learned.
     pub async fn apply(&self, declared: &Set) -> Accepted {
-        let order = order("ana", self.keeper.status().learned);
-        self.keeper.apply(&order, declared).await.unwrap()
+        let order = order("ana", self.manager.status().learned);
+        self.manager.apply(&order, declared).await.unwrap()
     }
 
     /// Waits until a revision is in force.
     pub async fn in_force(&self, revision: u64) {
-        let mut view = self.keeper.view();
+        let mut view = self.manager.view();
         let reached = view.wait_for(|view| view.revision() >= revision);
         tokio::time::timeout(Duration::from_mins(2), reached)
             .await
--- a/lib/tests/test_config.rs
+++ b/lib/tests/test_config.rs
@@ -23,7 +23,7 @@
 use prost::Message;
 
 fn version(node: &Node, template: &str) -> String {
-    let view = node.keeper.view().borrow().clone();
+    let view = node.manager.view().borrow().clone();
     let template = view.template("depot", template).unwrap();
     template.adapter.as_ref().unwrap().version.to_string()
 }
@@ -51,7 +51,7 @@
         (1, 0),
         "nothing differs"
     );
-    assert_eq!(a.keeper.status().digest, b.keeper.status().digest);
+    assert_eq!(a.manager.status().digest, b.manager.status().digest);
 }
 
 /// A change whose write had no answer is found to be accepted, and isn't applied twice.
@@ -70,7 +70,7 @@
         let accepted = node.apply(&declared).await;
         assert_eq!(accepted.revision, u64::from(lost) + 1);
     }
-    let history = node.keeper.history(None, 10).await.unwrap();
+    let history = node.manager.history(None, 10).await.unwrap();
     assert_eq!(history.len(), 4);
 }
 
@@ -82,9 +82,9 @@
     let b = Node::start("b", &store);
     let first = order("ana", 0);
     let declared = set(&[("faults", "1")]);
-    a.keeper.apply(&first, &declared).await.unwrap();
+    a.manager.apply(&first, &declared).await.unwrap();
     a.apply(&set(&[("faults", "2")])).await;
-    let again = b.keeper.apply(&first, &declared).await.unwrap();
+    let again = b.manager.apply(&first, &declared).await.unwrap();
     assert_eq!((again.revision, again.already), (1, true));
     b.in_force(2).await;
     assert_eq!(version(&b, "faults"), "2");
@@ -103,7 +103,7 @@
         slow_ms: 5,
         ..Knobs::default()
     });
-    let (first, second) = tokio::join!(a.keeper.apply(&ana, &one), b.keeper.apply(&ben, &two));
+    let (first, second) = tokio::join!(a.manager.apply(&ana, &one), b.manager.apply(&ben, &two));
     let lost = match (first, second) {
         (Ok(_), Err(error)) | (Err(error), Ok(_)) => error,
         other => panic!("{other:?}"),
@@ -113,21 +113,21 @@
     };
     assert_eq!(theirs.revision, 2);
     assert_eq!(theirs.differences.len(), 1);
-    assert_eq!(a.keeper.history(None, 10).await.unwrap().len(), 2);
+    assert_eq!(a.manager.history(None, 10).await.unwrap().len(), 2);
 }
 
 #[tokio::test(start_paused = true)]
 async fn apply_plan_is_stale() {
     let store = store();
     let node = Node::start("a", &store);
-    let plan = node.keeper.plan(&set(&[("faults", "9")])).await;
+    let plan = node.manager.plan(&set(&[("faults", "9")])).await;
     assert_eq!(plan.revision, 0);
     assert_eq!(plan.warnings.len(), 1, "{:?}", plan.warnings);
     assert!(plan.warnings[0].contains("faults@9"));
     node.apply(&set(&[])).await;
     let planned = order("ana", plan.revision);
     let error = node
-        .keeper
+        .manager
         .apply(&planned, &set(&[("faults", "9")]))
         .await
         .unwrap_err();
@@ -149,12 +149,12 @@
     });
     let ana = order("ana", 1);
     let declared = set(&[("faults", "1")]);
-    let error = node.keeper.apply(&ana, &declared).await.unwrap_err();
+    let error = node.manager.apply(&ana, &declared).await.unwrap_err();
     assert!(matches!(error, Error::Unavailable(_)), "{error:?}");
     assert!(error.is_certain());
     assert_eq!(node.revision(), 1, "what is in force stays");
     store.set(Knobs::default());
-    let accepted = node.keeper.apply(&ana, &declared).await.unwrap();
+    let accepted = node.manager.apply(&ana, &declared).await.unwrap();
     assert_eq!(accepted.revision, 2);
 }
 
@@ -168,17 +168,21 @@
         node.apply(&declared).await;
     }
     for back in [149, 130, 64, 63, 1] {
-        let declared = node.keeper.declared_at(back).await.unwrap();
+        let declared = node.manager.declared_at(back).await.unwrap();
         assert_eq!(declared, set(&[("faults", &back.to_string())]), "{back}");
     }
-    let accepted = node.keeper.rollback(&order("ben", 150), 100).await.unwrap();
+    let accepted = node
+        .manager
+        .rollback(&order("ben", 150), 100)
+        .await
+        .unwrap();
     assert_eq!(accepted.revision, 151);
     node.in_force(151).await;
     assert_eq!(version(&node, "faults"), "100");
-    let newest = &node.keeper.history(None, 1).await.unwrap()[0];
+    let newest = &node.manager.history(None, 1).await.unwrap()[0];
     assert_eq!(newest.reason, "rollback to revision 100: test");
     assert!(matches!(
-        node.keeper.declared_at(900).await,
+        node.manager.declared_at(900).await,
         Err(Error::UnknownRevision(900))
     ));
 }
@@ -212,7 +216,7 @@
     put(&store, old.key, old.value.to_vec()).await;
     tokio::time::sleep(Duration::from_secs(30)).await;
     assert_eq!((node.revision(), &*version(&node, "faults")), (2, "2"));
-    assert!(node.keeper.status().stale > 0);
+    assert!(node.manager.status().stale > 0);
     // The next change is above what the nodes have, and whole for fresh ones.
     let accepted = node.apply(&set(&[("faults", "3")])).await;
     assert_eq!(accepted.revision, 3);
@@ -241,12 +245,12 @@
     let reads = store.counts().reads - before;
     assert!(reads < 100, "{reads} reads of what is refused already");
     assert_eq!((node.revision(), &*version(&node, "faults")), (1, "1"));
-    let status = node.keeper.status();
+    let status = node.manager.status();
     assert_eq!(status.heard, 2);
     assert!(status.refused.unwrap().starts_with("revision 2:"));
     // A change on top of what this node can't read would take it back.
     let order = order("ana", 1);
-    let error = node.keeper.apply(&order, &set(&[])).await.unwrap_err();
+    let error = node.manager.apply(&order, &set(&[])).await.unwrap_err();
     assert!(matches!(error, Error::Unreadable(_)), "{error:?}");
     let head = store.get(&keys.head()).await.unwrap().unwrap();
     assert_eq!(Head::decode(head.value).unwrap(), newer);
@@ -263,7 +267,7 @@
     a.apply(&set(&[("faults", "2"), ("plans", "1")])).await;
     assert_eq!(*a.fetched.0.lock().unwrap(), ["faults@2"]);
     assert_eq!(version(&a, "faults"), "1", "not yet in force");
-    assert_eq!(a.keeper.status().learned, 2);
+    assert_eq!(a.manager.status().learned, 2);
     // A change behind it waits for it, so that revisions come in order.
     a.apply(&set(&[("faults", "2")])).await;
     assert_eq!(a.revision(), 1);
@@ -296,11 +300,11 @@
     assert_eq!(accepted.differences, 10_002);
     let fresh = Node::start("b", &store);
     fresh.in_force(1).await;
-    assert_eq!(fresh.keeper.status().templates, 10_000);
-    assert_eq!(fresh.keeper.status().digest, node.keeper.status().digest);
+    assert_eq!(fresh.manager.status().templates, 10_000);
+    assert_eq!(fresh.manager.status().digest, node.manager.status().digest);
     node.apply(&set(&[])).await;
-    assert_eq!(node.keeper.declared_at(1).await.unwrap(), declared);
-    assert_eq!(node.keeper.declared_at(0).await.unwrap(), Set::default());
+    assert_eq!(node.manager.declared_at(1).await.unwrap(), declared);
+    assert_eq!(node.manager.declared_at(0).await.unwrap(), Set::default());
     assert_eq!(export::export(&declared).len(), 3);
 }
 
@@ -310,19 +314,19 @@
     let node = Node::start("a", &store);
     node.apply(&set(&[])).await;
     tokio::time::sleep(Duration::from_secs(10)).await;
-    assert!(node.keeper.status().confirmed_age_ms.unwrap() < 8_000);
+    assert!(node.manager.status().confirmed_age_ms.unwrap() < 8_000);
     store.set(Knobs {
         down: true,
         ..Knobs::default()
     });
     tokio::time::sleep(Duration::from_hours(1)).await;
-    let status = node.keeper.status();
+    let status = node.manager.status();
     assert_eq!(status.revision, 1);
     assert!(status.confirmed_age_ms.unwrap() > 3_590_000);
-    assert!(Arc::strong_count(&node.keeper) > 0);
+    assert!(Arc::strong_count(&node.manager) > 0);
     store.set(Knobs::default());
     tokio::time::sleep(Duration::from_secs(30)).await;
-    assert!(node.keeper.status().confirmed_age_ms.unwrap() < 10_000);
+    assert!(node.manager.status().confirmed_age_ms.unwrap() < 10_000);
 }
 
 /// Buckets that only old snapshots have are removed, so that the service doesn't fill up.
@@ -342,7 +346,7 @@
     assert!(buckets < collect::SNAPSHOTS + 6, "{buckets} buckets");
     let fresh = Node::start("b", &store);
     fresh.in_force(blocks * BLOCK).await;
-    assert_eq!(fresh.keeper.status().digest, node.keeper.status().digest);
+    assert_eq!(fresh.manager.status().digest, node.manager.status().digest);
 }
 
 /// One change asked for at several nodes at once is accepted for all, and loses no race to itself.
@@ -363,7 +367,7 @@
             let (order, declared) = (&order, &declared);
             async move {
                 tokio::time::sleep(Duration::from_millis(index as u64 * round)).await;
-                node.keeper.apply(order, declared).await
+                node.manager.apply(order, declared).await
             }
         });
         for answer in futures::future::join_all(calls).await {
@@ -419,7 +423,7 @@
     let node = Node::start("a", &lagging);
     let first = order("ana", 0);
     let declared = set(&[("faults", "1")]);
-    node.keeper.apply(&first, &declared).await.unwrap();
+    node.manager.apply(&first, &declared).await.unwrap();
     node.apply(&set(&[("faults", "2")])).await;
     for hidden in 1..4 {
         lagging.hidden.store(hidden, Relaxed);
@@ -427,8 +431,8 @@
             expected: 2,
             ..first.clone()
         };
-        let answer = node.keeper.apply(&again, &declared).await.unwrap();
+        let answer = node.manager.apply(&again, &declared).await.unwrap();
         assert_eq!((answer.revision, answer.already), (1, true));
     }
-    assert_eq!(node.keeper.history(None, 9).await.unwrap().len(), 2);
+    assert_eq!(node.manager.history(None, 9).await.unwrap().len(), 2);
 }
--- a/lib/tests/test_gossip.rs
+++ b/lib/tests/test_gossip.rs
@@ -25,7 +25,7 @@
 use futures::stream::{self, BoxStream};
 
 /// What answers for a node: its exchange and its configuration.
-type Served = (Weak<Keeper>, Arc<chivevalve::config::Keeper>);
+type Served = (Weak<Keeper>, Arc<chivevalve::config::ConfigManager>);
 
 /// Nodes by address; a node that isn't there can't be reached.
 #[derive(Debug, Default)]
@@ -40,7 +40,7 @@
     async fn reach(
         &self,
         peer: &Peer,
-    ) -> Result<(Arc<Keeper>, Arc<chivevalve::config::Keeper>), Failure> {
+    ) -> Result<(Arc<Keeper>, Arc<chivevalve::config::ConfigManager>), Failure> {
         self.calls.lock().unwrap().push(peer.address);
         if self.silent.lock().unwrap().contains(&peer.address) {
             std::future::pending::<()>().await;
@@ -97,9 +97,9 @@
         node: own.name,
         incarnation: 1,
         region: own.region,
-        shares: vec![Arc::clone(&node.keeper) as _, Arc::clone(&quarantine) as _],
-        news: vec![node.keeper.news(), quarantine.news()],
-        install: Arc::clone(&node.keeper) as _,
+        shares: vec![Arc::clone(&node.manager) as _, Arc::clone(&quarantine) as _],
+        news: vec![node.manager.news(), quarantine.news()],
+        install: Arc::clone(&node.manager) as _,
         peers: Arc::clone(&node.peers) as Arc<dyn Peers>,
         transport: Arc::clone(net) as _,
         clock: Arc::new(Monotonic::start()),
@@ -107,7 +107,7 @@
         seed: u64::from(number),
         stop: node.stop.clone(),
     });
-    let served = (Arc::downgrade(&gossip), Arc::clone(&node.keeper));
+    let served = (Arc::downgrade(&gossip), Arc::clone(&node.manager));
     net.nodes.lock().unwrap().insert(own.address, served);
     Joined {
         node,
@@ -134,7 +134,7 @@
     let b = join(&net, &store, 2, &[1, 2]);
     b.node.in_force(1).await;
     assert!(clock.now().0 < 5_000, "{}", clock.now());
-    let (theirs, ours) = (a.node.keeper.status(), b.node.keeper.status());
+    let (theirs, ours) = (a.node.manager.status(), b.node.manager.status());
     assert_eq!(theirs.digest, ours.digest);
 }
 
@@ -165,7 +165,7 @@
         .collect();
     nodes[0].node.apply(&set(&[])).await;
     tokio::time::sleep(Duration::from_secs(10)).await;
-    let watchers = nodes.iter().filter(|n| n.node.keeper.status().watcher);
+    let watchers = nodes.iter().filter(|n| n.node.manager.status().watcher);
     assert_eq!(watchers.count(), 3);
     let clock = Monotonic::start();
     nodes[5].node.apply(&set(&[("faults", "1")])).await;
@@ -197,13 +197,13 @@
     let a = join(&net, &store, 1, &[1]);
     a.node.apply(&set(&[])).await;
     let mut digest = Digest::default();
-    chivevalve::gossip::Share::digest(&*a.node.keeper, &mut digest);
+    chivevalve::gossip::Share::digest(&*a.node.manager, &mut digest);
     down(&store);
     tokio::time::sleep(Duration::from_mins(1)).await;
-    let before = a.node.keeper.status().confirmed_age_ms.unwrap();
+    let before = a.node.manager.status().confirmed_age_ms.unwrap();
     digest.confirmed_age_ms = 1;
     a.gossip.exchange(digest).await;
-    assert!(a.node.keeper.status().confirmed_age_ms.unwrap() >= before);
+    assert!(a.node.manager.status().confirmed_age_ms.unwrap() >= before);
 }
 
 /// A peer that was cut off for long is told what is new, and its old revision changes nothing.
@@ -215,7 +215,7 @@
     a.node.apply(&set(&[("faults", "1")])).await;
     b.node.in_force(1).await;
     let mut old = Digest::default();
-    chivevalve::gossip::Share::digest(&*b.node.keeper, &mut old);
+    chivevalve::gossip::Share::digest(&*b.node.manager, &mut old);
     a.node.apply(&set(&[("plans", "1")])).await;
     b.node.in_force(2).await;
     let answer = b.gossip.exchange(old).await;
@@ -247,7 +247,7 @@
     let line = "chivevalve_config_events_total{kind=\"refused\"} 1\n";
     assert!(page.contains(line), "{page}");
     assert_eq!(a.node.revision(), 1);
-    assert!(a.node.keeper.status().refused.is_some());
+    assert!(a.node.manager.status().refused.is_some());
 }
 
 /// A picture of the fleet with one upstream.
