--- a/bench/src/spread/site.rs
+++ b/bench/src/spread/site.rs
@@ -208,7 +208,7 @@
         let stop = CancellationToken::new();
         let clock: Arc<dyn Clock> = Arc::new(Monotonic::start());
         let seed = ground.seed ^ u64::from(peer.address.port()) << 20 ^ incarnation;
-        let config = config::ConfigManager::start(config::Parts {
+        let config = config::ConfigManager::start(config::Dependencies {
             node: Arc::clone(&peer.name),
             region: Arc::clone(&peer.region),
             store,
--- a/cli/tests/common/mod.rs
+++ b/cli/tests/common/mod.rs
@@ -121,7 +121,7 @@
 pub async fn start(name: &str, store: &Arc<Store>, weights: &Arc<Weights>) -> Site {
     let stop = CancellationToken::new();
     let metrics = Arc::new(Metrics::new());
-    let manager = ConfigManager::start(config::Parts {
+    let manager = ConfigManager::start(config::Dependencies {
         node: name.into(),
         region: "north".into(),
         store: Arc::clone(store) as _,
--- a/lib/src/config/manager.rs
+++ b/lib/src/config/manager.rs
@@ -63,7 +63,7 @@
 
 /// What the keeper is made of.
 #[derive(Debug)]
-pub struct Parts {
+pub struct Dependencies {
     /// This node's name.
     pub node: Name,
     /// This node's region.
@@ -122,7 +122,7 @@
 /// Keeps a node's configuration.
 #[derive(Debug)]
 pub struct ConfigManager {
-    pub(super) parts: Parts,
+    pub(super) parts: Dependencies,
     pub(super) source: Source,
     state: Mutex<State>,
     in_force: watch::Sender<Arc<View>>,
@@ -139,14 +139,14 @@
 impl ConfigManager {
     /// Starts the tasks that follow the service and put revisions in force.
     #[must_use]
-    pub fn start(parts: Parts) -> Arc<Self> {
+    pub fn start(parts: Dependencies) -> Arc<Self> {
         let manager = Arc::new(Self::new(parts));
         tokio::spawn(Arc::clone(&manager).put_in_force());
         tokio::spawn(super::follower::run(Arc::clone(&manager)));
         manager
     }
 
-    fn new(parts: Parts) -> Self {
+    fn new(parts: Dependencies) -> Self {
         let layout = Layout::new(&parts.prefix);
         let source = Source::new(Arc::clone(&parts.store), layout, parts.limits.call_timeout);
         let events = counters(&parts.metrics);
--- a/lib/src/config/mod.rs
+++ b/lib/src/config/mod.rs
@@ -23,7 +23,7 @@
 pub mod writer;
 
 pub use error::Error;
-pub use manager::{ConfigManager, Limits, Parts, Status};
+pub use manager::{ConfigManager, Dependencies, Limits, Status};
 pub use operator::{Accepted, Order, new_id};
 pub use plan::Plan;
 pub use view::View;
--- a/lib/src/node/assembly.rs
+++ b/lib/src/node/assembly.rs
@@ -208,8 +208,8 @@
         &self,
         registry: &Arc<Registry>,
         peers: &Deferred<dyn gossip::Peers>,
-    ) -> config::Parts {
-        config::Parts {
+    ) -> config::Dependencies {
+        config::Dependencies {
             node: Arc::clone(&self.identity.name),
             region: Arc::clone(&self.identity.region),
             store: Arc::clone(&self.platform.store) as _,
--- a/lib/tests/config_setup/mod.rs
+++ b/lib/tests/config_setup/mod.rs
@@ -11,7 +11,7 @@
 use chivevalve::adapter::Adapter;
 use chivevalve::clock::Monotonic;
 use chivevalve::config::prefetch::{Prefetch, Upcoming};
-use chivevalve::config::{self, Accepted, ConfigManager, Limits, Order, Parts};
+use chivevalve::config::{self, Accepted, ConfigManager, Dependencies, Limits, Order};
 use chivevalve::declaration::{self, Set, Source};
 use chivevalve::gossip::{Peer, Peers};
 use chivevalve::metrics::Metrics;
@@ -70,7 +70,7 @@
         let stop = CancellationToken::new();
         let mut shelf = Shelf::default();
         shelf.missing.insert("faults@9".to_owned());
-        let manager = ConfigManager::start(Parts {
+        let manager = ConfigManager::start(Dependencies {
             node: Arc::from(name),
             region: Arc::from("north"),
             store: Arc::clone(store) as Arc<dyn Border>,
