--- a/bench/src/fuzz_config/world.rs
+++ b/bench/src/fuzz_config/world.rs
@@ -206,7 +206,7 @@
         let kept = self.oracle.asked.entry(id.clone());
         kept.or_insert_with(|| asked.clone()).calls += 1;
         self.answers.spawn(async move {
-            let order = Site::order("operator", &id, asked.expected);
+            let order = Site::change_request("operator", &id, asked.expected);
             let answer = config.apply(&order, &asked.set).await;
             (id, answer)
         });
--- a/bench/src/spread/site.rs
+++ b/bench/src/spread/site.rs
@@ -9,7 +9,7 @@
 use chivevalve::adapter::Adapter;
 use chivevalve::clock::{Clock, Millis, Monotonic};
 use chivevalve::config::prefetch::Idle;
-use chivevalve::config::{self, Accepted, Error as Refused, Order};
+use chivevalve::config::{self, Accepted, ChangeRequest, Error as Refused};
 use chivevalve::declaration::Set;
 use chivevalve::gossip::{self, Peer, Peers, Share, Snapshot, Transport};
 use chivevalve::metrics::Metrics;
@@ -269,8 +269,8 @@
     }
 
     /// Makes an order on top of a revision.
-    pub fn order(author: &str, id: &str, expected: u64) -> Order {
-        Order {
+    pub fn change_request(author: &str, id: &str, expected: u64) -> ChangeRequest {
+        ChangeRequest {
             id: Arc::from(id),
             author: Arc::from(author),
             reason: "bench".to_owned(),
@@ -281,8 +281,8 @@
 
     /// Applies declarations that were planned on a revision.
     pub async fn apply(&self, id: &str, expected: u64, set: &Set) -> Result<Accepted, Refused> {
-        let order = Self::order(&self.peer.name, id, expected);
-        self.config.apply(&order, set).await
+        let change_request = Self::change_request(&self.peer.name, id, expected);
+        self.config.apply(&change_request, set).await
     }
 }
 
--- a/lib/src/config/mod.rs
+++ b/lib/src/config/mod.rs
@@ -24,6 +24,6 @@
 
 pub use error::Error;
 pub use manager::{ConfigManager, Dependencies, Limits, Status};
-pub use operator::{Accepted, Order, new_id};
+pub use operator::{Accepted, ChangeRequest, new_id};
 pub use plan::Plan;
 pub use view::View;
--- a/lib/src/config/operator.rs
+++ b/lib/src/config/operator.rs
@@ -28,7 +28,7 @@
 
 /// Who changes the configuration, and why.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Order {
+pub struct ChangeRequest {
     /// Identity of the change, chosen by the caller and used again when the
     /// caller asks again after an answer was lost; [`new_id`] makes one.
     pub id: Name,
@@ -87,14 +87,18 @@
     /// # Errors
     ///
     /// Each says whether the change is certainly not accepted.
-    pub async fn apply(&self, order: &Order, set: &Set) -> Result<Accepted, Error> {
-        let ended = self.settle(order, set).await;
+    pub async fn apply(
+        &self,
+        change_request: &ChangeRequest,
+        set: &Set,
+    ) -> Result<Accepted, Error> {
+        let ended = self.settle(change_request, set).await;
         match &ended {
             Ok(accepted) => {
                 self.count("accepted");
                 info!(
                     "config: {} changed the configuration to revision {}",
-                    order.author, accepted.revision
+                    change_request.author, accepted.revision
                 );
             }
             Err(error) => {
@@ -105,7 +109,7 @@
                 });
                 warn!(
                     "config: a change by {} wasn't accepted: {error}",
-                    order.author
+                    change_request.author
                 );
             }
         }
@@ -134,12 +138,16 @@
     /// # Errors
     ///
     /// As [`ConfigManager::apply`], and when the revision isn't kept any more.
-    pub async fn rollback(&self, order: &Order, to: u64) -> Result<Accepted, Error> {
+    pub async fn rollback(
+        &self,
+        change_request: &ChangeRequest,
+        to: u64,
+    ) -> Result<Accepted, Error> {
         self.catch_up().await.map_err(unavailable)?;
         let set = self.declared_at(to).await?;
-        let mut order = order.clone();
-        order.reason = format!("rollback to revision {to}: {}", order.reason);
-        self.apply(&order, &set).await
+        let mut change_request = change_request.clone();
+        change_request.reason = format!("rollback to revision {to}: {}", change_request.reason);
+        self.apply(&change_request, &set).await
     }
 
     /// Returns what was declared at a revision.
@@ -158,10 +166,10 @@
         export::export(&self.learned().set())
     }
 
-    async fn settle(&self, order: &Order, set: &Set) -> Result<Accepted, Error> {
+    async fn settle(&self, change_request: &ChangeRequest, set: &Set) -> Result<Accepted, Error> {
         for _ in 0..ROUNDS {
             let base = self.catch_up().await.map_err(unavailable)?;
-            if let Some(accepted) = self.earlier(order).await? {
+            if let Some(accepted) = self.earlier(change_request).await? {
                 return Ok(accepted);
             }
             let before = self.learned();
@@ -169,15 +177,15 @@
                 // Following what this node has would take back what it can't read.
                 return Err(self.unreadable(base.head.revision));
             }
-            if before.revision() < order.expected {
+            if before.revision() < change_request.expected {
                 // The service's answer is older than what the caller has seen.
                 tokio::time::sleep(BEHIND_WAIT.duration()).await;
                 continue;
             }
-            if let Some(accepted) = self.expected(order, &before).await? {
+            if let Some(accepted) = self.expected(change_request, &before).await? {
                 return Ok(accepted);
             }
-            let Some(proposal) = heavy::run(|| propose(order, set, base, &before))? else {
+            let Some(proposal) = heavy::run(|| propose(change_request, set, base, &before))? else {
                 return Ok(Accepted {
                     revision: before.revision(),
                     differences: 0,
@@ -208,8 +216,8 @@
     }
 
     /// Looks whether an earlier call with this identity was accepted.
-    async fn earlier(&self, order: &Order) -> Result<Option<Accepted>, Error> {
-        let revision = self.source.change(&order.id).await;
+    async fn earlier(&self, change_request: &ChangeRequest) -> Result<Option<Accepted>, Error> {
+        let revision = self.source.change(&change_request.id).await;
         Ok(revision.map_err(Error::Unavailable)?.map(already))
     }
 
@@ -217,18 +225,22 @@
     ///
     /// If it moved on, it may have been by this very order, in a call whose
     /// answer was lost and whose trace a stale replica doesn't show yet.
-    async fn expected(&self, order: &Order, before: &View) -> Result<Option<Accepted>, Error> {
+    async fn expected(
+        &self,
+        change_request: &ChangeRequest,
+        before: &View,
+    ) -> Result<Option<Accepted>, Error> {
         let now = before.revision();
-        if order.expected == now {
+        if change_request.expected == now {
             return Ok(None);
         }
-        let used = writer::used(&self.source, &order.id).await;
+        let used = writer::used(&self.source, &change_request.id).await;
         if let Some(revision) = used.map_err(Error::Unavailable)? {
             return Ok(Some(already(revision)));
         }
         let newest = self.source.operation(now).await.ok().flatten();
         Err(Error::Moved {
-            expected: order.expected,
+            expected: change_request.expected,
             now,
             newest,
         })
@@ -269,7 +281,7 @@
 }
 
 fn propose(
-    order: &Order,
+    change_request: &ChangeRequest,
     set: &Set,
     base: HeadAt,
     before: &View,
@@ -286,10 +298,10 @@
         .map_err(|error| Error::Invalid(error.to_string()))?;
     let operation = Operation {
         revision,
-        change_id: order.id.to_string(),
-        author: order.author.to_string(),
-        reason: order.reason.clone(),
-        time_ms: order.time_ms,
+        change_id: change_request.id.to_string(),
+        author: change_request.author.to_string(),
+        reason: change_request.reason.clone(),
+        time_ms: change_request.time_ms,
         view_digest: after.digest().bytes(),
         difference_count: u32::try_from(differences.len()).unwrap_or(u32::MAX),
         differences,
--- a/lib/src/operators/configuration.rs
+++ b/lib/src/operators/configuration.rs
@@ -7,7 +7,7 @@
 use super::port::Configuration;
 use super::refusal::{Cause, Refusal};
 use super::wire;
-use crate::config::{self, ConfigManager, Error, Order};
+use crate::config::{self, ChangeRequest, ConfigManager, Error};
 use crate::declaration::{Mistake, Set, Source, check_sources, diff, export};
 use crate::name::Name;
 
@@ -42,13 +42,13 @@
 
     async fn apply(&self, change: wire::Apply, author: Name) -> Result<wire::Accepted, Refusal> {
         let set = read(change.files).await?;
-        let order = order(
+        let change_request = change_request(
             &change.change_id,
             author,
             change.reason,
             change.expected_revision,
         );
-        let accepted = ConfigManager::apply(self, &order, &set).await;
+        let accepted = ConfigManager::apply(self, &change_request, &set).await;
         accepted
             .map(|accepted| answer(accepted, change.change_id))
             .map_err(Into::into)
@@ -59,13 +59,13 @@
         change: wire::Rollback,
         author: Name,
     ) -> Result<wire::Accepted, Refusal> {
-        let order = order(
+        let change_request = change_request(
             &change.change_id,
             author,
             change.reason,
             change.expected_revision,
         );
-        let accepted = ConfigManager::rollback(self, &order, change.to_revision).await;
+        let accepted = ConfigManager::rollback(self, &change_request, change.to_revision).await;
         accepted
             .map(|accepted| answer(accepted, change.change_id))
             .map_err(Into::into)
@@ -82,11 +82,11 @@
     }
 }
 
-fn order(id: &str, author: Name, reason: String, expected: u64) -> Order {
+fn change_request(id: &str, author: Name, reason: String, expected: u64) -> ChangeRequest {
     let now = SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .unwrap_or_default();
-    Order {
+    ChangeRequest {
         id: Name::from(id),
         author,
         reason,
--- a/lib/tests/config_setup/mod.rs
+++ b/lib/tests/config_setup/mod.rs
@@ -11,7 +11,7 @@
 use chivevalve::adapter::Adapter;
 use chivevalve::clock::Monotonic;
 use chivevalve::config::prefetch::{Prefetch, Upcoming};
-use chivevalve::config::{self, Accepted, ConfigManager, Dependencies, Limits, Order};
+use chivevalve::config::{self, Accepted, ChangeRequest, ConfigManager, Dependencies, Limits};
 use chivevalve::declaration::{self, Set, Source};
 use chivevalve::gossip::{Peer, Peers};
 use chivevalve::metrics::Metrics;
@@ -101,8 +101,8 @@
 
     /// Applies declarations on top of what this node has learned.
     pub async fn apply(&self, declared: &Set) -> Accepted {
-        let order = order("ana", self.manager.status().learned);
-        self.manager.apply(&order, declared).await.unwrap()
+        let change_request = change_request("ana", self.manager.status().learned);
+        self.manager.apply(&change_request, declared).await.unwrap()
     }
 
     /// Waits until a revision is in force.
@@ -122,8 +122,8 @@
 }
 
 /// An order by an operator who planned on a revision.
-pub fn order(author: &str, expected: u64) -> Order {
-    Order {
+pub fn change_request(author: &str, expected: u64) -> ChangeRequest {
+    ChangeRequest {
         id: config::new_id(),
         author: Arc::from(author),
         reason: "test".to_owned(),
--- a/lib/tests/test_config.rs
+++ b/lib/tests/test_config.rs
@@ -11,14 +11,14 @@
 use bytes::Bytes;
 use chivevalve::config::collect;
 use chivevalve::config::layout::{BLOCK, Layout};
-use chivevalve::config::{Error, Order};
+use chivevalve::config::{ChangeRequest, Error};
 use chivevalve::declaration::{Set, export};
 use chivevalve::ports::{
     self, Commit, Entry, Event, Listing, Store as Border, Transaction, Watch, Write,
 };
 use chivevalve::schema::declaration::{Head, Template};
 use chivevalve_standins::store::{Knobs, Store};
-use config_setup::{Node, order, set, store};
+use config_setup::{Node, change_request, set, store};
 use futures::stream::BoxStream;
 use prost::Message;
 
@@ -80,7 +80,7 @@
     let store = store();
     let a = Node::start("a", &store);
     let b = Node::start("b", &store);
-    let first = order("ana", 0);
+    let first = change_request("ana", 0);
     let declared = set(&[("faults", "1")]);
     a.manager.apply(&first, &declared).await.unwrap();
     a.apply(&set(&[("faults", "2")])).await;
@@ -98,7 +98,7 @@
     let b = Node::start("b", &store);
     a.apply(&set(&[])).await;
     let (one, two) = (set(&[("faults", "1")]), set(&[("plans", "1")]));
-    let (ana, ben) = (order("ana", 1), order("ben", 1));
+    let (ana, ben) = (change_request("ana", 1), change_request("ben", 1));
     store.set(Knobs {
         slow_ms: 5,
         ..Knobs::default()
@@ -125,7 +125,7 @@
     assert_eq!(plan.warnings.len(), 1, "{:?}", plan.warnings);
     assert!(plan.warnings[0].contains("faults@9"));
     node.apply(&set(&[])).await;
-    let planned = order("ana", plan.revision);
+    let planned = change_request("ana", plan.revision);
     let error = node
         .manager
         .apply(&planned, &set(&[("faults", "9")]))
@@ -147,7 +147,7 @@
         down: true,
         ..Knobs::default()
     });
-    let ana = order("ana", 1);
+    let ana = change_request("ana", 1);
     let declared = set(&[("faults", "1")]);
     let error = node.manager.apply(&ana, &declared).await.unwrap_err();
     assert!(matches!(error, Error::Unavailable(_)), "{error:?}");
@@ -173,7 +173,7 @@
     }
     let accepted = node
         .manager
-        .rollback(&order("ben", 150), 100)
+        .rollback(&change_request("ben", 150), 100)
         .await
         .unwrap();
     assert_eq!(accepted.revision, 151);
@@ -249,8 +249,12 @@
     assert_eq!(status.heard, 2);
     assert!(status.refused.unwrap().starts_with("revision 2:"));
     // A change on top of what this node can't read would take it back.
-    let order = order("ana", 1);
-    let error = node.manager.apply(&order, &set(&[])).await.unwrap_err();
+    let change_request = change_request("ana", 1);
+    let error = node
+        .manager
+        .apply(&change_request, &set(&[]))
+        .await
+        .unwrap_err();
     assert!(matches!(error, Error::Unreadable(_)), "{error:?}");
     let head = store.get(&keys.head()).await.unwrap().unwrap();
     assert_eq!(Head::decode(head.value).unwrap(), newer);
@@ -362,12 +366,12 @@
             slow_ms: 10 * (round % 5 + 1),
             ..Knobs::default()
         });
-        let (order, declared) = (order("ana", 0), set(&[("faults", "1")]));
+        let (change_request, declared) = (change_request("ana", 0), set(&[("faults", "1")]));
         let calls = nodes.iter().enumerate().map(|(index, node)| {
-            let (order, declared) = (&order, &declared);
+            let (change_request, declared) = (&change_request, &declared);
             async move {
                 tokio::time::sleep(Duration::from_millis(index as u64 * round)).await;
-                node.manager.apply(order, declared).await
+                node.manager.apply(change_request, declared).await
             }
         });
         for answer in futures::future::join_all(calls).await {
@@ -421,13 +425,13 @@
         hidden: AtomicU32::new(0),
     });
     let node = Node::start("a", &lagging);
-    let first = order("ana", 0);
+    let first = change_request("ana", 0);
     let declared = set(&[("faults", "1")]);
     node.manager.apply(&first, &declared).await.unwrap();
     node.apply(&set(&[("faults", "2")])).await;
     for hidden in 1..4 {
         lagging.hidden.store(hidden, Relaxed);
-        let again = Order {
+        let again = ChangeRequest {
             expected: 2,
             ..first.clone()
         };
