--- a/bench/src/fuzz_config/world.rs
+++ b/bench/src/fuzz_config/world.rs
@@ -91,7 +91,7 @@
         let way = Way {
             config: Limits {
                 // One watcher a region: more nodes depend on the exchange.
-                watchers: 1,
+                watchers_per_region: 1,
                 call_timeout: Millis(1_000),
                 ..Limits::default()
             },
--- a/bench/src/spread/site.rs
+++ b/bench/src/spread/site.rs
@@ -182,7 +182,7 @@
             links: Arc::clone(&ground.links),
             own: peer.clone(),
         });
-        let peers: Arc<dyn Peers> = if way.gossip.is_some() || way.config.watchers > 0 {
+        let peers: Arc<dyn Peers> = if way.gossip.is_some() || way.config.watchers_per_region > 0 {
             Arc::new(Everyone {
                 links: Arc::clone(&ground.links),
                 own: Arc::clone(&peer.name),
--- a/bench/src/spread/ways.rs
+++ b/bench/src/spread/ways.rs
@@ -41,15 +41,15 @@
         match self {
             Self::Watch => Way {
                 config: config::Limits {
-                    watchers: usize::MAX,
+                    watchers_per_region: usize::MAX,
                     ..config
                 },
                 gossip: None,
             },
             Self::Poll => Way {
                 config: config::Limits {
-                    watchers: 0,
-                    poll: Millis::from_secs(1),
+                    watchers_per_region: 0,
+                    max_unconfirmed_age: Millis::from_secs(1),
                     ..config
                 },
                 gossip: None,
--- a/cli/tests/common/mod.rs
+++ b/cli/tests/common/mod.rs
@@ -133,7 +133,7 @@
         clock: Arc::new(Monotonic::start()),
         metrics: Arc::clone(&metrics),
         limits: config::Limits {
-            grace: Millis::ZERO,
+            prefetch_grace: Millis::ZERO,
             ..config::Limits::default()
         },
         seed: 7,
--- a/lib/src/config/follower.rs
+++ b/lib/src/config/follower.rs
@@ -76,7 +76,7 @@
             &parts.node,
             &parts.region,
             &parts.peers.peers(),
-            parts.limits.watchers,
+            parts.limits.watchers_per_region,
         )
     }
 
@@ -94,7 +94,7 @@
             manager
                 .parts
                 .limits
-                .confirm
+                .confirm_interval
                 .jittered(&mut self.rng)
                 .duration(),
         ));
@@ -107,7 +107,7 @@
                 },
                 () = &mut confirm => {
                     manager.catch_up().await?;
-                    let next = manager.parts.limits.confirm.jittered(&mut self.rng);
+                    let next = manager.parts.limits.confirm_interval.jittered(&mut self.rng);
                     confirm.set(tokio::time::sleep(next.duration()));
                 }
                 () = manager.behind.notified() => {
@@ -161,7 +161,12 @@
 
     /// Whether peers don't keep this node fresh.
     fn needs_service(&mut self) -> bool {
-        let poll = self.manager.parts.limits.poll.jittered(&mut self.rng);
+        let poll = self
+            .manager
+            .parts
+            .limits
+            .max_unconfirmed_age
+            .jittered(&mut self.rng);
         let now = self.manager.now();
         let state = self.manager.state();
         let (learned, heard) = (state.learned().revision(), state.heard());
--- a/lib/src/config/manager.rs
+++ b/lib/src/config/manager.rs
@@ -37,26 +37,26 @@
     /// How long a call to the service may take.
     pub call_timeout: Millis,
     /// Nodes that watch the service, in each region.
-    pub watchers: usize,
+    pub watchers_per_region: usize,
     /// Time between a watcher's reads of the head, by which all nodes know that they are fresh.
-    pub confirm: Millis,
+    pub confirm_interval: Millis,
     /// A node that heard nothing fresh for so long asks the service itself.
-    pub poll: Millis,
+    pub max_unconfirmed_age: Millis,
     /// How long a revision waits for the adapters that its templates move to.
-    pub grace: Millis,
+    pub prefetch_grace: Millis,
     /// Most bytes of operations handed to a peer in one answer.
-    pub answer_bytes: usize,
+    pub max_delta_bytes: usize,
 }
 
 impl Default for Limits {
     fn default() -> Self {
         Self {
             call_timeout: Millis(2_000),
-            watchers: 3,
-            confirm: Millis(5_000),
-            poll: Millis(20_000),
-            grace: GRACE,
-            answer_bytes: 256 * 1024,
+            watchers_per_region: 3,
+            confirm_interval: Millis(5_000),
+            max_unconfirmed_age: Millis(20_000),
+            prefetch_grace: GRACE,
+            max_delta_bytes: 256 * 1024,
         }
     }
 }
@@ -350,7 +350,7 @@
             return now;
         }
         upcoming.extend(moved);
-        now + self.parts.limits.grace
+        now + self.parts.limits.prefetch_grace
     }
 
     fn announce(&self, upcoming: &[Upcoming]) {
--- a/lib/src/config/share.rs
+++ b/lib/src/config/share.rs
@@ -27,7 +27,7 @@
         if theirs.revision >= state.learned().revision() {
             return;
         }
-        match state.since(theirs.revision, self.parts.limits.answer_bytes) {
+        match state.since(theirs.revision, self.parts.limits.max_delta_bytes) {
             Some(operations) => delta
                 .operations
                 .extend(operations.iter().map(|operation| (**operation).clone())),
