--- a/bench/src/fuzz_config/oracle.rs
+++ b/bench/src/fuzz_config/oracle.rs
@@ -66,9 +66,9 @@
         let now = match answer {
             Ok(accepted) if accepted.differences == 0 && !accepted.already => Told::Unchanged,
             Ok(accepted) => Told::Accepted(accepted.revision),
-            Err(error) if error.is_final() => Told::Rejected,
+            Err(error) if error.is_permanently_rejected() => Told::Rejected,
             // The only call so far wrote nothing, so nothing is written.
-            Err(error) if error.is_certain() && asked.calls == 1 => Told::Rejected,
+            Err(error) if error.wrote_nothing() && asked.calls == 1 => Told::Rejected,
             Err(_) => Told::Open,
         };
         match (before, now) {
--- a/lib/src/config/error.rs
+++ b/lib/src/config/error.rs
@@ -14,18 +14,18 @@
     #[error("revision {} by {} was accepted first: {}", .0.revision, .0.author, .0.reason)]
     LostRace(Arc<Operation>),
     /// The configuration moved on since the caller looked. Nothing was written.
-    #[error("the configuration is at revision {now}, not at {expected}")]
-    Moved {
+    #[error("the configuration is at revision {actual}, not at {expected}")]
+    RevisionMismatch {
         /// What the caller looked at.
         expected: u64,
         /// What is newest.
-        now: u64,
+        actual: u64,
         /// The newest change, where it is known.
         newest: Option<Arc<Operation>>,
     },
     /// The service didn't answer in time; the change may or may not be accepted.
     #[error("it isn't known whether change {id} was accepted: {cause}")]
-    Unsettled {
+    OutcomeUnknown {
         /// The change's identity.
         id: String,
         /// The last error of the service.
@@ -58,10 +58,10 @@
     #[must_use]
     pub fn hint(&self) -> &'static str {
         match self {
-            Self::LostRace(_) | Self::Moved { .. } => {
+            Self::LostRace(_) | Self::RevisionMismatch { .. } => {
                 "look at the other change, merge it into your declarations, and plan again"
             }
-            Self::Unsettled { .. } => {
+            Self::OutcomeUnknown { .. } => {
                 "apply the same change with the same identity again; it is never applied twice"
             }
             Self::Unavailable(_) => "try again when the service is back; what is in force stays",
@@ -75,10 +75,10 @@
 
     /// Whether this call certainly wrote nothing.
     ///
-    /// An earlier call with the same identity may have; see [`Error::is_final`].
+    /// An earlier call with the same identity may have; see [`Error::is_permanently_rejected`].
     #[must_use]
-    pub fn is_certain(&self) -> bool {
-        !matches!(self, Self::Unsettled { .. })
+    pub fn wrote_nothing(&self) -> bool {
+        !matches!(self, Self::OutcomeUnknown { .. })
     }
 
     /// Whether no call with this identity was or ever will be accepted.
@@ -86,7 +86,7 @@
     /// A caller whose first call stayed unsettled has its answer only then, or
     /// when a later call is accepted.
     #[must_use]
-    pub fn is_final(&self) -> bool {
-        matches!(self, Self::LostRace(_) | Self::Moved { .. })
+    pub fn is_permanently_rejected(&self) -> bool {
+        matches!(self, Self::LostRace(_) | Self::RevisionMismatch { .. })
     }
 }
--- a/lib/src/config/operator.rs
+++ b/lib/src/config/operator.rs
@@ -102,7 +102,7 @@
                 );
             }
             Err(error) => {
-                self.count(if error.is_certain() {
+                self.count(if error.wrote_nothing() {
                     "rejected"
                 } else {
                     "unsettled"
@@ -239,9 +239,9 @@
             return Ok(Some(already(revision)));
         }
         let newest = self.source.operation(now).await.ok().flatten();
-        Err(Error::Moved {
+        Err(Error::RevisionMismatch {
             expected: change_request.expected,
-            now,
+            actual: now,
             newest,
         })
     }
--- a/lib/src/config/writer.rs
+++ b/lib/src/config/writer.rs
@@ -61,7 +61,7 @@
 ///
 /// # Errors
 ///
-/// [`Error::Unsettled`] when the service stays silent; then nobody can say
+/// [`Error::OutcomeUnknown`] when the service stays silent; then nobody can say
 /// whether it was accepted until the service answers again.
 pub async fn write(source: &Source, proposal: &Proposal) -> Result<Ending, Error> {
     let revision = proposal.operation.revision;
@@ -234,7 +234,7 @@
         tokio::time::sleep(wait.duration()).await;
         wait = (wait + wait).min(MAX_WAIT);
     }
-    Err(Error::Unsettled {
+    Err(Error::OutcomeUnknown {
         id: operation.change_id.clone(),
         cause: last,
     })
--- a/lib/src/operators/configuration.rs
+++ b/lib/src/operators/configuration.rs
@@ -164,8 +164,8 @@
 impl From<Error> for Refusal {
     fn from(error: Error) -> Self {
         let cause = match &error {
-            Error::LostRace(_) | Error::Moved { .. } => Cause::LostRace,
-            Error::Unsettled { .. } => Cause::Unknown,
+            Error::LostRace(_) | Error::RevisionMismatch { .. } => Cause::LostRace,
+            Error::OutcomeUnknown { .. } => Cause::Unknown,
             Error::Unavailable(_) => Cause::Unavailable,
             Error::Contended => Cause::Busy,
             Error::Invalid(_) | Error::Unreadable(_) => Cause::Invalid,
@@ -174,7 +174,7 @@
         };
         let winner = match &error {
             Error::LostRace(winner) => Some(winner),
-            Error::Moved { newest, .. } => newest.as_ref(),
+            Error::RevisionMismatch { newest, .. } => newest.as_ref(),
             _ => None,
         };
         let winners = winner.map(|winner| winner.as_ref().clone().into());
--- a/lib/tests/test_config.rs
+++ b/lib/tests/test_config.rs
@@ -131,10 +131,10 @@
         .apply(&planned, &set(&[("faults", "9")]))
         .await
         .unwrap_err();
-    let Error::Moved { now, newest, .. } = error else {
+    let Error::RevisionMismatch { actual, newest, .. } = error else {
         panic!("{error:?}");
     };
-    assert_eq!((now, &*newest.unwrap().author), (1, "ana"));
+    assert_eq!((actual, &*newest.unwrap().author), (1, "ana"));
 }
 
 /// A change during an outage is surely not accepted, and can be applied again afterwards.
@@ -151,7 +151,7 @@
     let declared = set(&[("faults", "1")]);
     let error = node.manager.apply(&ana, &declared).await.unwrap_err();
     assert!(matches!(error, Error::Unavailable(_)), "{error:?}");
-    assert!(error.is_certain());
+    assert!(error.wrote_nothing());
     assert_eq!(node.revision(), 1, "what is in force stays");
     store.set(Knobs::default());
     let accepted = node.manager.apply(&ana, &declared).await.unwrap();
