--- a/bench/src/spread/site.rs
+++ b/bench/src/spread/site.rs
@@ -8,7 +8,7 @@
 use async_trait::async_trait;
 use chivevalve::adapter::Adapter;
 use chivevalve::clock::{Clock, Millis, Monotonic};
-use chivevalve::config::prefetch::Idle;
+use chivevalve::config::prefetch::NoPrefetch;
 use chivevalve::config::{self, Accepted, ChangeRequest, Error as Refused};
 use chivevalve::declaration::Set;
 use chivevalve::gossip::{self, Peer, Peers, Share, Snapshot, Transport};
@@ -215,7 +215,7 @@
             watch,
             weights: Arc::new(Full),
             peers: Arc::clone(&peers),
-            prefetch: Arc::new(Idle),
+            prefetch: Arc::new(NoPrefetch),
             prefix: String::new(),
             clock: Arc::clone(&clock),
             metrics: Arc::new(Metrics::new()),
--- a/cli/tests/common/mod.rs
+++ b/cli/tests/common/mod.rs
@@ -128,7 +128,7 @@
         watch: Arc::clone(store) as _,
         weights: Arc::clone(weights) as _,
         peers: Arc::new(Alone),
-        prefetch: Arc::new(prefetch::Idle),
+        prefetch: Arc::new(prefetch::NoPrefetch),
         prefix: "/test/".to_owned(),
         clock: Arc::new(Monotonic::start()),
         metrics: Arc::clone(&metrics),
--- a/lib/src/config/manager.rs
+++ b/lib/src/config/manager.rs
@@ -14,7 +14,7 @@
 use tokio_util::sync::CancellationToken;
 
 use super::layout::Layout;
-use super::prefetch::{self, GRACE, Prefetch, Upcoming};
+use super::prefetch::{self, PREFETCH_GRACE, Prefetch, UpcomingAdapter};
 use super::source::{HeadAt, Missing, Source};
 use super::state::{Origin, State, Taken};
 use super::view::{self, View};
@@ -55,7 +55,7 @@
             watchers_per_region: 3,
             confirm_interval: Millis(5_000),
             max_unconfirmed_age: Millis(20_000),
-            prefetch_grace: GRACE,
+            prefetch_grace: PREFETCH_GRACE,
             max_delta_bytes: 256 * 1024,
         }
     }
@@ -339,13 +339,13 @@
         old: &View,
         new: &View,
         differences: &[Difference],
-        upcoming: &mut Vec<Upcoming>,
+        upcoming: &mut Vec<UpcomingAdapter>,
     ) -> Millis {
         let now = self.now();
         if old.revision() == 0 {
             return now;
         }
-        let moved = prefetch::moved(old, new, differences);
+        let moved = prefetch::changed_adapters(old, new, differences);
         if moved.is_empty() {
             return now;
         }
@@ -353,9 +353,9 @@
         now + self.parts.limits.prefetch_grace
     }
 
-    fn announce(&self, upcoming: &[Upcoming]) {
+    fn announce(&self, upcoming: &[UpcomingAdapter]) {
         if !upcoming.is_empty() {
-            self.parts.prefetch.upcoming(upcoming);
+            self.parts.prefetch.prefetch(upcoming);
         }
         self.due.notify_one();
     }
--- a/lib/src/config/prefetch.rs
+++ b/lib/src/config/prefetch.rs
@@ -22,11 +22,11 @@
 ///
 /// Two loads one after the other at the weight store's rate of 3 a second, with
 /// room; the spread takes under 2 s of the 8 s.
-pub const GRACE: Millis = Millis(3_000);
+pub const PREFETCH_GRACE: Millis = Millis(3_000);
 
 /// An adapter that requests will name soon.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub struct Upcoming {
+pub struct UpcomingAdapter {
     /// The pool whose engines will run it.
     pub pool: Name,
     /// Adapter and version.
@@ -38,20 +38,24 @@
 /// Hears of adapters before requests name them.
 pub trait Prefetch: fmt::Debug + Send + Sync {
     /// Starts to fetch what belongs on this node's upstreams, with what the weight store has to spare.
-    fn upcoming(&self, adapters: &[Upcoming]);
+    fn prefetch(&self, adapters: &[UpcomingAdapter]);
 }
 
 /// Fetches nothing, for a node without owners.
 #[derive(Debug)]
-pub struct Idle;
+pub struct NoPrefetch;
 
-impl Prefetch for Idle {
-    fn upcoming(&self, _adapters: &[Upcoming]) {}
+impl Prefetch for NoPrefetch {
+    fn prefetch(&self, _adapters: &[UpcomingAdapter]) {}
 }
 
 /// Finds the templates that move from one adapter to another.
 #[must_use]
-pub fn moved(old: &View, new: &View, differences: &[Difference]) -> Vec<Upcoming> {
+pub fn changed_adapters(
+    old: &View,
+    new: &View,
+    differences: &[Difference],
+) -> Vec<UpcomingAdapter> {
     if differences.is_empty() {
         return between(old, new);
     }
@@ -69,7 +73,7 @@
 }
 
 /// Compares two whole views, for a revision that came as a snapshot.
-fn between(old: &View, new: &View) -> Vec<Upcoming> {
+fn between(old: &View, new: &View) -> Vec<UpcomingAdapter> {
     collect(new.templates().filter_map(|after| {
         let before = old.template(&after.account, &after.name)?;
         Some((before, after))
@@ -78,13 +82,13 @@
 
 fn collect<'a>(
     pairs: impl Iterator<Item = (&'a Arc<Template>, &'a Arc<Template>)>,
-) -> Vec<Upcoming> {
+) -> Vec<UpcomingAdapter> {
     let mut seen = HashSet::new();
     pairs
         .filter_map(|(before, after)| {
             let replaces = before.adapter.clone()?;
             let adapter = after.adapter.clone()?;
-            (adapter != replaces).then(|| Upcoming {
+            (adapter != replaces).then(|| UpcomingAdapter {
                 pool: Arc::clone(&after.pool),
                 adapter,
                 replaces,
--- a/lib/src/owner/registry.rs
+++ b/lib/src/owner/registry.rs
@@ -18,7 +18,7 @@
 use super::run::{self, Grant};
 use super::{Limits, Status};
 use crate::clock::{Clock, Millis};
-use crate::config::prefetch::{Prefetch, Upcoming};
+use crate::config::prefetch::{Prefetch, UpcomingAdapter};
 use crate::declaration::Pool;
 use crate::error::{Code, Failure};
 use crate::loads::{Permits, WEIGHTS};
@@ -288,7 +288,7 @@
 }
 
 impl Prefetch for Registry {
-    fn upcoming(&self, adapters: &[Upcoming]) {
+    fn prefetch(&self, adapters: &[UpcomingAdapter]) {
         let owned = self.owned.read().unwrap_or_else(PoisonError::into_inner);
         for upcoming in adapters {
             let pool = owned
--- a/lib/tests/config_setup/mod.rs
+++ b/lib/tests/config_setup/mod.rs
@@ -10,7 +10,7 @@
 use async_trait::async_trait;
 use chivevalve::adapter::Adapter;
 use chivevalve::clock::Monotonic;
-use chivevalve::config::prefetch::{Prefetch, Upcoming};
+use chivevalve::config::prefetch::{Prefetch, UpcomingAdapter};
 use chivevalve::config::{self, Accepted, ChangeRequest, ConfigManager, Dependencies, Limits};
 use chivevalve::declaration::{self, Set, Source};
 use chivevalve::gossip::{Peer, Peers};
@@ -47,7 +47,7 @@
 pub struct Fetched(pub Mutex<Vec<String>>);
 
 impl Prefetch for Fetched {
-    fn upcoming(&self, adapters: &[Upcoming]) {
+    fn prefetch(&self, adapters: &[UpcomingAdapter]) {
         let names = adapters.iter().map(|upcoming| upcoming.adapter.to_string());
         self.0.lock().unwrap().extend(names);
     }
--- a/lib/tests/test_owner.rs
+++ b/lib/tests/test_owner.rs
@@ -6,7 +6,7 @@
 
 use chivevalve::adapter::Adapter;
 use chivevalve::clock::Millis;
-use chivevalve::config::prefetch::{Prefetch, Upcoming};
+use chivevalve::config::prefetch::{Prefetch, UpcomingAdapter};
 use chivevalve::declaration::Kind;
 use chivevalve::error::{Code, Fate};
 use chivevalve::runner::{Runner, Work};
@@ -188,7 +188,7 @@
         version: "4".into(),
         ..adapter("plans")
     };
-    bench.registry.upcoming(&[Upcoming {
+    bench.registry.prefetch(&[UpcomingAdapter {
         pool: "engines".into(),
         adapter: next.clone(),
         replaces: adapter("plans"),
