--- a/bench/src/spread/sizes.rs
+++ b/bench/src/spread/sizes.rs
@@ -59,7 +59,7 @@
     let change_ms = (0..CHANGES)
         .map(|_| timed(|| view.change(2, &differences)).0)
         .fold(f64::MAX, f64::min);
-    let buckets = layout::buckets(&checked);
+    let buckets = layout::encode_buckets(&checked);
     let operation = Operation {
         differences,
         ..Operation::default()
--- a/lib/src/config/collect.rs
+++ b/lib/src/config/collect.rs
@@ -8,7 +8,7 @@
 
 use std::collections::HashSet;
 
-use super::layout::BLOCK;
+use super::layout::BLOCK_REVISIONS;
 use super::source::{HeadAt, Source};
 use crate::ports::{self, Condition, Transaction, Write};
 use crate::schema::declaration::Operation;
@@ -76,7 +76,7 @@
 
 /// Lists the block of operations that just became too old.
 async fn old_operations(source: &Source, head: &HeadAt) -> Result<Vec<String>, ports::Error> {
-    let Some(old) = head.head.revision.checked_sub(OPERATIONS + BLOCK) else {
+    let Some(old) = head.head.revision.checked_sub(OPERATIONS + BLOCK_REVISIONS) else {
         return Ok(Vec::new());
     };
     let keys = source.layout();
--- a/lib/src/config/history.rs
+++ b/lib/src/config/history.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use super::error::Error;
-use super::layout::BLOCK;
+use super::layout::BLOCK_REVISIONS;
 use super::source::Source;
 use super::state::is_omitted;
 use super::view::View;
@@ -22,9 +22,9 @@
     limit: usize,
 ) -> Result<Vec<Arc<Operation>>, ports::Error> {
     let mut found: Vec<Arc<Operation>> = Vec::new();
-    let mut block = last / BLOCK;
+    let mut block = last / BLOCK_REVISIONS;
     loop {
-        let listed = source.block(block * BLOCK).await?;
+        let listed = source.block(block * BLOCK_REVISIONS).await?;
         // Older blocks are cleared away first, so an empty one ends the history.
         let ended = block == 0 || listed.is_empty();
         let older = listed.into_iter().rev();
--- a/lib/src/config/layout.rs
+++ b/lib/src/config/layout.rs
@@ -7,7 +7,7 @@
 //! | `changes/<change id>` | the revision | once, in the change's transaction |
 //! | `buckets/<digest>` | [`Bucket`] | before a change that makes a snapshot |
 //!
-//! A block holds the operations of [`BLOCK`] revisions, and its first one makes
+//! A block holds the operations of [`BLOCK_REVISIONS`] revisions, and its first one makes
 //! a snapshot, so that a fresh node reads the head, one block and the buckets.
 //! docs/design/0005-configuration.md has the sizes.
 
@@ -22,13 +22,13 @@
 use crate::schema::declaration::{Head, Operation};
 
 /// Revisions between two snapshots, and in one block of operations.
-pub const BLOCK: u64 = 64;
+pub const BLOCK_REVISIONS: u64 = 64;
 /// Parts of a snapshot. Three times the target's templates make buckets of about 150 kB.
-pub const BUCKETS: usize = 64;
+pub const BUCKET_COUNT: usize = 64;
 /// Largest encoded operation that carries its differences, in bytes.
-pub const MAX_INLINE: usize = 128 * 1024;
+pub const MAX_INLINE_BYTES: usize = 128 * 1024;
 /// Largest value that the service holds, in bytes.
-pub const MAX_VALUE: usize = 1_000_000;
+pub const MAX_VALUE_BYTES: usize = 1_000_000;
 
 /// Seed of the hash that spreads declarations over buckets. Changing it rewrites all of them.
 const BUCKET_SEED: u64 = 0x6275_636b_6574_7331;
@@ -69,7 +69,11 @@
     /// Returns the prefix of the operations of a revision's block.
     #[must_use]
     pub fn block(&self, revision: u64) -> String {
-        format!("{}config/ops/{:016}/", self.prefix, revision / BLOCK)
+        format!(
+            "{}config/ops/{:016}/",
+            self.prefix,
+            revision / BLOCK_REVISIONS
+        )
     }
 
     /// Returns the prefix of all operations.
@@ -93,7 +97,7 @@
 
 /// A bucket as it is stored.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Stored {
+pub struct EncodedBucket {
     /// SHA-256 of the value.
     pub digest: Vec<u8>,
     /// The encoded [`Bucket`].
@@ -102,14 +106,14 @@
 
 /// Cuts a set into its buckets as they are stored. Equal sets give equal bytes.
 #[must_use]
-pub fn buckets(set: &Set) -> Vec<Stored> {
-    cut(set).into_iter().map(stored).collect()
+pub fn encode_buckets(set: &Set) -> Vec<EncodedBucket> {
+    partition(set).into_iter().map(stored).collect()
 }
 
 /// Cuts a set into its buckets.
 #[must_use]
-pub fn cut(set: &Set) -> Vec<File> {
-    let mut files = vec![File::default(); BUCKETS];
+pub fn partition(set: &Set) -> Vec<File> {
+    let mut files = vec![File::default(); BUCKET_COUNT];
     for account in set.accounts.values() {
         files[of_account(account)].accounts.push(account.clone());
     }
@@ -130,9 +134,9 @@
     Sha256::digest(value).to_vec()
 }
 
-fn stored(file: File) -> Stored {
+fn stored(file: File) -> EncodedBucket {
     let value = Bucket { file: Some(file) }.encode_to_vec();
-    Stored {
+    EncodedBucket {
         digest: digest(&value),
         value,
     }
@@ -155,5 +159,5 @@
     let hash = parts.iter().fold(BUCKET_SEED, |seed, part| {
         xxh3_64_with_seed(part.as_bytes(), seed)
     });
-    usize::try_from(hash % BUCKETS as u64).unwrap_or_default()
+    usize::try_from(hash % BUCKET_COUNT as u64).unwrap_or_default()
 }
--- a/lib/src/config/operator.rs
+++ b/lib/src/config/operator.rs
@@ -9,7 +9,7 @@
 use super::error::Error;
 use super::heavy;
 use super::history;
-use super::layout::BLOCK;
+use super::layout::BLOCK_REVISIONS;
 use super::manager::ConfigManager;
 use super::plan::{self, Plan};
 use super::source::{Failure, HeadAt};
@@ -248,7 +248,7 @@
 
     /// Clears away old snapshots once a block, after the answer to the operator.
     fn tidy(&self, revision: u64) {
-        if !revision.is_multiple_of(BLOCK) {
+        if !revision.is_multiple_of(BLOCK_REVISIONS) {
             return;
         }
         let source = self.source.clone();
--- a/lib/src/config/source.rs
+++ b/lib/src/config/source.rs
@@ -8,7 +8,7 @@
 use thiserror::Error;
 
 use super::heavy;
-use super::layout::{self, BLOCK, Layout};
+use super::layout::{self, BLOCK_REVISIONS, Layout};
 use super::state::is_omitted;
 use super::view::{self, View};
 use crate::clock::Millis;
@@ -150,7 +150,7 @@
     /// head came from a newer replica than the rest, or a snapshot was just
     /// replaced. Reading the head again settles both.
     pub async fn missing(&self, have: u64, head: &Head) -> Result<Missing, Failure> {
-        if head.revision.saturating_sub(have) <= BLOCK {
+        if head.revision.saturating_sub(have) <= BLOCK_REVISIONS {
             match self.operations(have, head.revision).await {
                 Ok(operations) if !operations.iter().any(|o| is_omitted(o)) => {
                     return Ok(Missing::Operations(operations));
@@ -240,8 +240,8 @@
 
     async fn blocks(&self, have: u64, last: u64) -> Result<Vec<Arc<Operation>>, ports::Error> {
         let mut operations = Vec::new();
-        for block in (have + 1) / BLOCK..=last / BLOCK {
-            let listed = self.block(block * BLOCK).await?;
+        for block in (have + 1) / BLOCK_REVISIONS..=last / BLOCK_REVISIONS {
+            let listed = self.block(block * BLOCK_REVISIONS).await?;
             operations.extend(
                 listed
                     .into_iter()
--- a/lib/src/config/writer.rs
+++ b/lib/src/config/writer.rs
@@ -15,7 +15,7 @@
 
 use super::error::Error;
 use super::heavy;
-use super::layout::{self, BLOCK, MAX_INLINE, MAX_VALUE, Stored};
+use super::layout::{self, BLOCK_REVISIONS, EncodedBucket, MAX_INLINE_BYTES, MAX_VALUE_BYTES};
 use super::source::{HeadAt, Source};
 use super::view::View;
 use crate::clock::Millis;
@@ -66,10 +66,10 @@
 pub async fn write(source: &Source, proposal: &Proposal) -> Result<Ending, Error> {
     let revision = proposal.operation.revision;
     let encoded = proposal.operation.encoded_len();
-    let snapshot = encoded > MAX_INLINE
-        || revision.is_multiple_of(BLOCK)
+    let snapshot = encoded > MAX_INLINE_BYTES
+        || revision.is_multiple_of(BLOCK_REVISIONS)
         || proposal.base.head.snapshot_revision == 0
-        || revision / BLOCK != proposal.base.head.revision / BLOCK
+        || revision / BLOCK_REVISIONS != proposal.base.head.revision / BLOCK_REVISIONS
         // The service lost revisions that the nodes have: operations between are gone.
         || revision != proposal.base.head.revision + 1;
     let mut operation = proposal.operation.clone();
@@ -82,10 +82,10 @@
     operation.previous_snapshot = proposal.base.head.snapshot_revision;
     let mut guards = Vec::new();
     if snapshot {
-        if encoded > MAX_INLINE {
+        if encoded > MAX_INLINE_BYTES {
             operation.differences.clear();
         }
-        let buckets = heavy::run(|| layout::buckets(&proposal.after.set()));
+        let buckets = heavy::run(|| layout::encode_buckets(&proposal.after.set()));
         guards = put_buckets(source, &proposal.base.head, &buckets).await?;
         head.snapshot_revision = revision;
         head.bucket_digests = buckets.into_iter().map(|bucket| bucket.digest).collect();
@@ -122,7 +122,7 @@
 }
 
 fn value(bytes: Vec<u8>) -> Result<Bytes, Error> {
-    if bytes.len() > MAX_VALUE {
+    if bytes.len() > MAX_VALUE_BYTES {
         return Err(Error::TooLarge(bytes.len()));
     }
     Ok(bytes.into())
@@ -136,7 +136,7 @@
 async fn put_buckets(
     source: &Source,
     head: &Head,
-    buckets: &[Stored],
+    buckets: &[EncodedBucket],
 ) -> Result<Vec<Condition>, Error> {
     let keys = source.layout();
     let mut guards = Vec::new();
--- a/lib/tests/test_config.rs
+++ b/lib/tests/test_config.rs
@@ -10,7 +10,7 @@
 use async_trait::async_trait;
 use bytes::Bytes;
 use chivevalve::config::collect;
-use chivevalve::config::layout::{BLOCK, Layout};
+use chivevalve::config::layout::{BLOCK_REVISIONS, Layout};
 use chivevalve::config::{ChangeRequest, Error};
 use chivevalve::declaration::{Set, export};
 use chivevalve::ports::{
@@ -339,17 +339,17 @@
     let store = store();
     let node = Node::start("a", &store);
     let blocks = collect::SNAPSHOTS as u64 + 8;
-    for number in 1..=blocks * BLOCK {
+    for number in 1..=blocks * BLOCK_REVISIONS {
         let version = number.to_string();
         node.apply(&set(&[("faults", &version)])).await;
-        if number.is_multiple_of(BLOCK) {
+        if number.is_multiple_of(BLOCK_REVISIONS) {
             tokio::time::sleep(Duration::from_secs(1)).await;
         }
     }
     let buckets = store.list("t/buckets/").await.unwrap().entries.len();
     assert!(buckets < collect::SNAPSHOTS + 6, "{buckets} buckets");
     let fresh = Node::start("b", &store);
-    fresh.in_force(blocks * BLOCK).await;
+    fresh.in_force(blocks * BLOCK_REVISIONS).await;
     assert_eq!(fresh.manager.status().digest, node.manager.status().digest);
 }
 
--- a/lib/tests/test_config_view.rs
+++ b/lib/tests/test_config_view.rs
@@ -138,7 +138,7 @@
     fn property(before: Declared, _after: Declared) -> bool {
         let mut read = Set::default();
         let mut count = 0;
-        for stored in layout::buckets(&before.0) {
+        for stored in layout::encode_buckets(&before.0) {
             assert_eq!(stored.digest, layout::digest(&stored.value));
             let file = Bucket::decode(stored.value.as_slice()).unwrap().file;
             let file = file.unwrap();
