--- a/lib/src/config/collect.rs
+++ b/lib/src/config/garbage.rs
@@ -14,9 +14,9 @@
 use crate::schema::declaration::Operation;
 
 /// Snapshots that are kept, so that rollbacks over very large changes stay possible for a while.
-pub const SNAPSHOTS: usize = 16;
+pub const KEPT_SNAPSHOTS: usize = 16;
 /// Revisions whose operations are kept at least: 16 days at the target's rate of changes.
-pub const OPERATIONS: u64 = 20_000;
+pub const MIN_KEPT_REVISIONS: u64 = 20_000;
 
 /// How often clearing away is begun anew when a change comes between.
 const ROUNDS: usize = 3;
@@ -44,7 +44,7 @@
 async fn unused_buckets(source: &Source, head: &HeadAt) -> Result<Vec<String>, ports::Error> {
     let mut kept: HashSet<Vec<u8>> = HashSet::new();
     let mut revision = head.head.snapshot_revision;
-    for _ in 0..SNAPSHOTS {
+    for _ in 0..KEPT_SNAPSHOTS {
         let Some(operation) = snapshot(source, revision).await? else {
             return Ok(Vec::new());
         };
@@ -76,7 +76,11 @@
 
 /// Lists the block of operations that just became too old.
 async fn old_operations(source: &Source, head: &HeadAt) -> Result<Vec<String>, ports::Error> {
-    let Some(old) = head.head.revision.checked_sub(OPERATIONS + BLOCK_REVISIONS) else {
+    let Some(old) = head
+        .head
+        .revision
+        .checked_sub(MIN_KEPT_REVISIONS + BLOCK_REVISIONS)
+    else {
         return Ok(Vec::new());
     };
     let keys = source.layout();
--- a/lib/src/config/mod.rs
+++ b/lib/src/config/mod.rs
@@ -5,10 +5,10 @@
 //! service or from one another (`follower`, `share`) and never go back
 //! ([`state`]). docs/design/0005-configuration.md has the ways weighed.
 
-pub mod collect;
 pub mod digest;
 pub mod error;
 mod follower;
+pub mod garbage;
 mod heavy;
 pub mod history;
 pub mod layout;
--- a/lib/src/config/operator.rs
+++ b/lib/src/config/operator.rs
@@ -5,8 +5,8 @@
 use log::{info, warn};
 use serde::{Deserialize, Serialize};
 
-use super::collect;
 use super::error::Error;
+use super::garbage;
 use super::heavy;
 use super::history;
 use super::layout::BLOCK_REVISIONS;
@@ -256,7 +256,7 @@
         tokio::spawn(async move {
             tokio::select! {
                 () = stop.cancelled() => {}
-                done = collect::run(&source) => if let Err(error) = done {
+                done = garbage::run(&source) => if let Err(error) = done {
                     warn!("config: old snapshots weren't cleared away: {error}");
                 },
             }
--- a/lib/tests/test_config.rs
+++ b/lib/tests/test_config.rs
@@ -9,7 +9,7 @@
 
 use async_trait::async_trait;
 use bytes::Bytes;
-use chivevalve::config::collect;
+use chivevalve::config::garbage;
 use chivevalve::config::layout::{BLOCK_REVISIONS, Layout};
 use chivevalve::config::{ChangeRequest, Error};
 use chivevalve::declaration::{Set, export};
@@ -338,7 +338,7 @@
 async fn old_snapshots_are_cleared_away() {
     let store = store();
     let node = Node::start("a", &store);
-    let blocks = collect::SNAPSHOTS as u64 + 8;
+    let blocks = garbage::KEPT_SNAPSHOTS as u64 + 8;
     for number in 1..=blocks * BLOCK_REVISIONS {
         let version = number.to_string();
         node.apply(&set(&[("faults", &version)])).await;
@@ -347,7 +347,7 @@
         }
     }
     let buckets = store.list("t/buckets/").await.unwrap().entries.len();
-    assert!(buckets < collect::SNAPSHOTS + 6, "{buckets} buckets");
+    assert!(buckets < garbage::KEPT_SNAPSHOTS + 6, "{buckets} buckets");
     let fresh = Node::start("b", &store);
     fresh.in_force(blocks * BLOCK_REVISIONS).await;
     assert_eq!(fresh.manager.status().digest, node.manager.status().digest);
