--- a/bench/src/fuzz_config/world.rs
+++ b/bench/src/fuzz_config/world.rs
@@ -190,7 +190,7 @@
     /// Asks for a change on top of what the node has learned.
     fn apply(&mut self, number: usize, edit: Edit) {
         let learned = self.nodes[number].site.config.learned();
-        let mut set = learned.set();
+        let mut set = learned.to_set();
         if set.is_empty() {
             set = base();
             set.templates.clear();
@@ -234,7 +234,7 @@
         };
         let id = id.clone();
         let learned = self.nodes[number].site.config.learned();
-        let mut set = learned.set();
+        let mut set = learned.to_set();
         self.asked += 1;
         change(&mut set, edit, self.asked);
         let asked = Asked::new(learned.revision(), set);
--- a/bench/src/spread/sizes.rs
+++ b/bench/src/spread/sizes.rs
@@ -55,9 +55,9 @@
     let (view_ms, view) = timed(|| View::from_set(1, &checked));
     let view = view?;
     let next = changed(&checked);
-    let (diff_ms, differences) = timed(|| diff::diff(&view.set(), &next));
+    let (diff_ms, differences) = timed(|| diff::diff(&view.to_set(), &next));
     let change_ms = (0..CHANGES)
-        .map(|_| timed(|| view.change(2, &differences)).0)
+        .map(|_| timed(|| view.apply_differences(2, &differences)).0)
         .fold(f64::MAX, f64::min);
     let buckets = layout::encode_buckets(&checked);
     let operation = Operation {
--- a/lib/src/config/history.rs
+++ b/lib/src/config/history.rs
@@ -49,7 +49,7 @@
     if revision > newest.revision() {
         return Err(Error::UnknownRevision(revision));
     }
-    let mut set = newest.set();
+    let mut set = newest.to_set();
     let mut at = newest.revision();
     while at > revision {
         let operations = source.block(at).await.map_err(Error::Unavailable)?;
--- a/lib/src/config/operator.rs
+++ b/lib/src/config/operator.rs
@@ -163,7 +163,7 @@
     /// Writes the newest revision as files that can be applied elsewhere.
     #[must_use]
     pub fn export(&self) -> Vec<File> {
-        export::export(&self.learned().set())
+        export::export(&self.learned().to_set())
     }
 
     async fn settle(&self, change_request: &ChangeRequest, set: &Set) -> Result<Accepted, Error> {
@@ -286,7 +286,7 @@
     base: HeadAt,
     before: &View,
 ) -> Result<Option<Proposal>, Error> {
-    let differences = diff::diff(&before.set(), set);
+    let differences = diff::diff(&before.to_set(), set);
     if differences.is_empty() {
         return Ok(None);
     }
@@ -294,7 +294,7 @@
     // above what they have, or none of them would take it.
     let revision = before.revision().max(base.head.revision) + 1;
     let after = before
-        .change(revision, &differences)
+        .apply_differences(revision, &differences)
         .map_err(|error| Error::Invalid(error.to_string()))?;
     let operation = Operation {
         revision,
--- a/lib/src/config/plan.rs
+++ b/lib/src/config/plan.rs
@@ -39,7 +39,7 @@
 
 /// Compares a set of declarations with a view.
 pub async fn plan(view: &View, set: &Set, weights: &dyn Weights) -> Plan {
-    let differences = heavy::run(|| diff::diff(&view.set(), set));
+    let differences = heavy::run(|| diff::diff(&view.to_set(), set));
     let mut warnings = missing(set, &differences, weights).await;
     warnings.extend(vanished(&differences));
     warnings.extend(limits(set));
--- a/lib/src/config/share.rs
+++ b/lib/src/config/share.rs
@@ -78,7 +78,7 @@
             head: Some(head),
             ..SnapshotPart::default()
         };
-        let files = heavy::run(|| layout::partition(&view.set()));
+        let files = heavy::run(|| layout::partition(&view.to_set()));
         let buckets = files.into_iter().map(|file| SnapshotPart {
             bucket: Some(Bucket { file: Some(file) }),
             ..SnapshotPart::default()
--- a/lib/src/config/source.rs
+++ b/lib/src/config/source.rs
@@ -174,7 +174,7 @@
             .operations(head.snapshot_revision, head.revision)
             .await?;
         for operation in later {
-            view = view.change(operation.revision, &operation.differences)?;
+            view = view.apply_differences(operation.revision, &operation.differences)?;
         }
         Ok(Missing::Whole(Box::new(view), head.view_digest.clone()))
     }
--- a/lib/src/config/state.rs
+++ b/lib/src/config/state.rs
@@ -164,7 +164,9 @@
         if revision != self.learned.revision() + 1 || is_omitted(operation) {
             return Taken::Gap;
         }
-        let changed = self.learned.change(revision, &operation.differences);
+        let changed = self
+            .learned
+            .apply_differences(revision, &operation.differences);
         let next = match changed {
             Ok(view) if view.digest().bytes() == operation.view_digest => view,
             Ok(_) => return self.refuse(revision, view::Error::Digest, Origin::Peer, now),
--- a/lib/src/config/view.rs
+++ b/lib/src/config/view.rs
@@ -104,7 +104,7 @@
 
     /// Returns all declarations in canonical form.
     #[must_use]
-    pub fn set(&self) -> Set {
+    pub fn to_set(&self) -> Set {
         let mut set = Set::default();
         set.extend(schema::File {
             accounts: self
@@ -128,7 +128,11 @@
     /// # Errors
     ///
     /// When the differences don't start from this view, or can't be read.
-    pub fn change(&self, revision: u64, differences: &[schema::Difference]) -> Result<Self, Error> {
+    pub fn apply_differences(
+        &self,
+        revision: u64,
+        differences: &[schema::Difference],
+    ) -> Result<Self, Error> {
         let mut next = self.clone();
         next.revision = revision;
         for difference in differences {
@@ -182,7 +186,7 @@
 
     /// Finds the client account of a key's digest.
     #[must_use]
-    pub fn account_of_digest(&self, digest: &[u8; 32]) -> Option<&Arc<Account>> {
+    pub fn account_by_key_digest(&self, digest: &[u8; 32]) -> Option<&Arc<Account>> {
         // The table's own comparison stops at the first different byte; it only
         // ever sees digests, and the answer rests on the comparison below.
         let account = self.by_digest.get(digest)?;
--- a/lib/src/config/writer.rs
+++ b/lib/src/config/writer.rs
@@ -85,7 +85,7 @@
         if encoded > MAX_INLINE_BYTES {
             operation.differences.clear();
         }
-        let buckets = heavy::run(|| layout::encode_buckets(&proposal.after.set()));
+        let buckets = heavy::run(|| layout::encode_buckets(&proposal.after.to_set()));
         guards = put_buckets(source, &proposal.base.head, &buckets).await?;
         head.snapshot_revision = revision;
         head.bucket_digests = buckets.into_iter().map(|bucket| bucket.digest).collect();
--- a/lib/src/entry/key.rs
+++ b/lib/src/entry/key.rs
@@ -37,7 +37,7 @@
         )
     })?;
     let digest: [u8; 32] = Sha256::digest(key).into();
-    view.account_of_digest(&digest)
+    view.account_by_key_digest(&digest)
         .map(Arc::clone)
         .ok_or_else(|| Failure::new(Code::UnknownKey, "the key belongs to no client account"))
 }
--- a/lib/src/operators/configuration.rs
+++ b/lib/src/operators/configuration.rs
@@ -27,7 +27,7 @@
         let view = self.learned();
         apart(move || wire::Export {
             revision: view.revision(),
-            files: export::export(&view.set())
+            files: export::export(&view.to_set())
                 .into_iter()
                 .map(Into::into)
                 .collect(),
--- a/lib/tests/test_config_view.rs
+++ b/lib/tests/test_config_view.rs
@@ -100,14 +100,17 @@
         let accounts = view.accounts();
         let digests = accounts.flat_map(|account| account.key_digests.clone());
         let mut found: Vec<_> = digests
-            .map(|digest| (digest, view.account_of_digest(&digest).cloned()))
+            .map(|digest| (digest, view.account_by_key_digest(&digest).cloned()))
             .collect();
         found.sort_by_key(|(digest, _)| *digest);
         found
     };
     let mut adapters: Vec<_> = a.templates().cloned().collect();
     adapters.retain(|template| b.template(&template.account, &template.name) != Some(template));
-    a.set() == b.set() && a.digest() == b.digest() && keys(a) == keys(b) && adapters.is_empty()
+    a.to_set() == b.to_set()
+        && a.digest() == b.digest()
+        && keys(a) == keys(b)
+        && adapters.is_empty()
 }
 
 #[test]
@@ -116,8 +119,10 @@
         let old = View::from_set(1, &before.0).unwrap();
         let whole = View::from_set(2, &after.0).unwrap();
         let differences = diff::diff(&before.0, &after.0);
-        let next = old.change(2, &differences).unwrap();
-        let back = next.change(3, &diff::reverse(&differences)).unwrap();
+        let next = old.apply_differences(2, &differences).unwrap();
+        let back = next
+            .apply_differences(3, &diff::reverse(&differences))
+            .unwrap();
         same(&next, &whole) && same(&back, &old)
     }
     check(property, 1);
@@ -128,7 +133,7 @@
     fn property(before: Declared, after: Declared) -> bool {
         let differences = diff::diff(&before.0, &after.0);
         let elsewhere = View::from_set(1, &after.0).unwrap();
-        differences.is_empty() || elsewhere.change(2, &differences).is_err()
+        differences.is_empty() || elsewhere.apply_differences(2, &differences).is_err()
     }
     check(property, 2);
 }
