--- a/bench/src/spread/site.rs
+++ b/bench/src/spread/site.rs
@@ -229,7 +229,7 @@
                 incarnation,
                 region: Arc::clone(&peer.region),
                 shares: vec![Arc::clone(&config) as Arc<dyn Share>],
-                news: vec![config.news()],
+                news: vec![config.learned_revision()],
                 install: Arc::clone(&config) as _,
                 peers,
                 transport: Arc::clone(&transport),
--- a/lib/src/config/manager.rs
+++ b/lib/src/config/manager.rs
@@ -173,7 +173,7 @@
 
     /// Returns the channel of the newest revision learned, which peers should hear of at once.
     #[must_use]
-    pub fn news(&self) -> watch::Receiver<u64> {
+    pub fn learned_revision(&self) -> watch::Receiver<u64> {
         self.news.subscribe()
     }
 
--- a/lib/src/node/assembly.rs
+++ b/lib/src/node/assembly.rs
@@ -283,7 +283,7 @@
                 Arc::clone(membership) as _,
                 Arc::clone(quarantine) as _,
             ],
-            news: vec![config.news(), quarantine.news()],
+            news: vec![config.learned_revision(), quarantine.news()],
             install: Arc::clone(config) as _,
             peers: Arc::clone(membership) as _,
             transport: Arc::clone(clients) as _,
--- a/lib/tests/test_gossip.rs
+++ b/lib/tests/test_gossip.rs
@@ -98,7 +98,7 @@
         incarnation: 1,
         region: own.region,
         shares: vec![Arc::clone(&node.manager) as _, Arc::clone(&quarantine) as _],
-        news: vec![node.manager.news(), quarantine.news()],
+        news: vec![node.manager.learned_revision(), quarantine.news()],
         install: Arc::clone(&node.manager) as _,
         peers: Arc::clone(&node.peers) as Arc<dyn Peers>,
         transport: Arc::clone(net) as _,
