--- a/lib/src/config/plan.rs
+++ b/lib/src/config/plan.rs
@@ -8,7 +8,7 @@
 use super::heavy;
 use super::view::View;
 use crate::adapter::Adapter;
-use crate::declaration::{Kind, Pool, Set, convert, diff};
+use crate::declaration::{Pool, PoolKind, Set, convert, diff};
 use crate::ports::Weights;
 use crate::schema::declaration::Difference;
 use crate::schema::declaration::difference::{After, Before};
@@ -117,7 +117,7 @@
         .filter_map(|pool| convert::pool(pool).ok())
         .collect();
     let wasted = pools.iter().filter_map(|pool| match pool.kind {
-        Kind::Engine { slots, .. } if slots > pool.batch => Some(format!(
+        PoolKind::Engine { slots, .. } if slots > pool.batch => Some(format!(
             "pool {}: {slots} slots exceed the batch of {}; at most {} adapters can run at a time",
             pool.name, pool.batch, pool.batch
         )),
--- a/lib/src/declaration/convert.rs
+++ b/lib/src/declaration/convert.rs
@@ -4,7 +4,7 @@
 
 use thiserror::Error;
 
-use super::{Account, Kind, Pool, Template};
+use super::{Account, Pool, PoolKind, Template};
 use crate::adapter::Adapter;
 use crate::clock::Millis;
 use crate::request::Class;
@@ -87,11 +87,11 @@
         ENGINE if message.base_model.is_empty() => {
             return Err(unreadable("base_model is missing"));
         }
-        ENGINE => Kind::Engine {
+        ENGINE => PoolKind::Engine {
             base_model: Arc::from(message.base_model.as_str()),
             slots: message.slots,
         },
-        SERVICE => Kind::Service,
+        SERVICE => PoolKind::Service,
         other => return Err(unreadable(&format!("kind {other} isn't known"))),
     };
     if message.batch == 0 {
@@ -109,8 +109,8 @@
 #[must_use]
 pub fn pool_message(pool: &Pool) -> schema::Pool {
     let (kind, base_model, slots) = match &pool.kind {
-        Kind::Engine { base_model, slots } => (ENGINE, base_model.to_string(), *slots),
-        Kind::Service => (SERVICE, String::new(), 0),
+        PoolKind::Engine { base_model, slots } => (ENGINE, base_model.to_string(), *slots),
+        PoolKind::Service => (SERVICE, String::new(), 0),
     };
     schema::Pool {
         name: pool.name.to_string(),
@@ -140,14 +140,14 @@
     let class = class(&message.class).ok_or_else(|| unreadable("its class isn't known"))?;
     let named = !message.adapter.is_empty() && !message.version.is_empty();
     let adapter = match &pool.kind {
-        Kind::Engine { base_model, .. } if named => Some(Adapter {
+        PoolKind::Engine { base_model, .. } if named => Some(Adapter {
             base_model: Arc::clone(base_model),
             name: Arc::from(message.adapter.as_str()),
             version: Arc::from(message.version.as_str()),
         }),
-        Kind::Engine { .. } => return Err(unreadable("adapter or version is missing")),
-        Kind::Service if message.adapter.is_empty() && message.version.is_empty() => None,
-        Kind::Service => return Err(unreadable("a plain service takes no adapter")),
+        PoolKind::Engine { .. } => return Err(unreadable("adapter or version is missing")),
+        PoolKind::Service if message.adapter.is_empty() && message.version.is_empty() => None,
+        PoolKind::Service => return Err(unreadable("a plain service takes no adapter")),
     };
     Ok(Template {
         account: Arc::from(message.account.as_str()),
--- a/lib/src/declaration/mod.rs
+++ b/lib/src/declaration/mod.rs
@@ -39,7 +39,7 @@
 
 /// What the upstreams of a pool are.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Kind {
+pub enum PoolKind {
     /// Model engines with slots for adapters.
     Engine {
         /// The base model that they serve.
@@ -57,7 +57,7 @@
     /// Unique in the deployment; the platform's list of VMs refers to it.
     pub name: Name,
     /// Engines or services.
-    pub kind: Kind,
+    pub kind: PoolKind,
     /// Most requests running at a time on one upstream, at least 1.
     pub batch: u32,
     /// Whether the upstreams refuse an order that carries an old fencing token.
--- a/lib/src/membership/keeper/publish.rs
+++ b/lib/src/membership/keeper/publish.rs
@@ -7,7 +7,7 @@
 
 use super::{Adoption, Core, Keeper};
 use crate::clock::Millis;
-use crate::declaration::{Kind, Pool};
+use crate::declaration::{Pool, PoolKind};
 use crate::loads::WEIGHTS;
 use crate::membership::Hold;
 use crate::membership::fleet::{self, Fleet, State};
@@ -133,7 +133,7 @@
     };
     let pool = Pool {
         name,
-        kind: Kind::Service,
+        kind: PoolKind::Service,
         batch: 1,
         checks_fencing: false,
     };
--- a/lib/src/owner/actor.rs
+++ b/lib/src/owner/actor.rs
@@ -18,7 +18,7 @@
 use super::run::Grant;
 use super::status::Status;
 use crate::adapter::Adapter;
-use crate::declaration::{Kind, Pool};
+use crate::declaration::{Pool, PoolKind};
 use crate::error::Failure;
 use crate::membership::{Hold, fleet};
 use crate::request::{Id, Ticket};
@@ -44,8 +44,8 @@
 /// Returns a pool's base model, or none for plain services.
 pub(super) fn base_model(pool: &Pool) -> Option<&Arc<str>> {
     match &pool.kind {
-        Kind::Engine { base_model, .. } => Some(base_model),
-        Kind::Service => None,
+        PoolKind::Engine { base_model, .. } => Some(base_model),
+        PoolKind::Service => None,
     }
 }
 
--- a/lib/src/owner/driver/mod.rs
+++ b/lib/src/owner/driver/mod.rs
@@ -21,7 +21,7 @@
 use super::status::{Slot, Status};
 use crate::adapter::Adapter;
 use crate::clock::Millis;
-use crate::declaration::Kind;
+use crate::declaration::PoolKind;
 use crate::error::{Code, Failure};
 use crate::loads::Permit;
 use crate::membership::fleet::State;
@@ -80,8 +80,8 @@
     ) -> Self {
         let vm = &args.upstream.vm;
         let target = match &args.pool.kind {
-            Kind::Engine { .. } => Target::Engine(parts.connector.engine(vm)),
-            Kind::Service => Target::Service(parts.connector.service(vm)),
+            PoolKind::Engine { .. } => Target::Engine(parts.connector.engine(vm)),
+            PoolKind::Service => Target::Service(parts.connector.service(vm)),
         };
         let machine = Machine::new(limits(&parts, &args));
         let reports = Reports::start(&target, &parts, events.clone());
@@ -432,8 +432,8 @@
 
 fn limits(parts: &Parts, args: &Args) -> Limits {
     let slots = match args.pool.kind {
-        Kind::Engine { slots, .. } => Some(slots),
-        Kind::Service => None,
+        PoolKind::Engine { slots, .. } => Some(slots),
+        PoolKind::Service => None,
     };
     Limits {
         slots,
--- a/lib/tests/entry_support/mod.rs
+++ b/lib/tests/entry_support/mod.rs
@@ -12,7 +12,7 @@
 use chivevalve::adapter::Adapter;
 use chivevalve::clock::{Clock, Millis, Monotonic};
 use chivevalve::config::View;
-use chivevalve::declaration::{Account, Kind, Pool, Template};
+use chivevalve::declaration::{Account, Pool, PoolKind, Template};
 use chivevalve::entry::{self, Limits, Parts, Quarantine};
 use chivevalve::error::{Code, Failure};
 use chivevalve::membership::Fleet;
@@ -263,7 +263,7 @@
     let pools = vec![
         Pool {
             name: "gpu".into(),
-            kind: Kind::Engine {
+            kind: PoolKind::Engine {
                 base_model: "base".into(),
                 slots: 4,
             },
@@ -272,7 +272,7 @@
         },
         Pool {
             name: "stock".into(),
-            kind: Kind::Service,
+            kind: PoolKind::Service,
             batch: 8,
             checks_fencing: false,
         },
--- a/lib/tests/owner_fakes/mod.rs
+++ b/lib/tests/owner_fakes/mod.rs
@@ -10,7 +10,7 @@
 use bytes::Bytes;
 use chivevalve::adapter::Adapter;
 use chivevalve::clock::{Clock, Millis, Monotonic};
-use chivevalve::declaration::{Kind, Pool};
+use chivevalve::declaration::{Pool, PoolKind};
 use chivevalve::error::{Code, Failure};
 use chivevalve::loads::{Ask, Permit, Permits};
 use chivevalve::membership::fleet::{State, Upstream};
@@ -427,7 +427,7 @@
 
     /// Takes the engine over with a token.
     pub async fn adopt(&self, batch: u32, token: u64) {
-        let kind = Kind::Engine {
+        let kind = PoolKind::Engine {
             base_model: "base".into(),
             slots: 2,
         };
@@ -435,7 +435,7 @@
     }
 
     /// Takes it over as something else.
-    pub async fn adopt_as(&self, kind: Kind, batch: u32, token: u64) {
+    pub async fn adopt_as(&self, kind: PoolKind, batch: u32, token: u64) {
         let pool = Pool {
             name: "engines".into(),
             kind,
--- a/lib/tests/test_operators.rs
+++ b/lib/tests/test_operators.rs
@@ -7,7 +7,7 @@
 use async_trait::async_trait;
 use bytes::Bytes;
 use chivevalve::config::View;
-use chivevalve::declaration::{Kind, Pool, Template};
+use chivevalve::declaration::{Pool, PoolKind, Template};
 use chivevalve::membership::Fleet;
 use chivevalve::membership::fleet::{Owner, State, Upstream};
 use chivevalve::metrics::Metrics;
@@ -134,7 +134,7 @@
     };
     let pool = Pool {
         name: "engines".into(),
-        kind: Kind::Engine {
+        kind: PoolKind::Engine {
             base_model: "base".into(),
             slots: 4,
         },
--- a/lib/tests/test_owner.rs
+++ b/lib/tests/test_owner.rs
@@ -7,7 +7,7 @@
 use chivevalve::adapter::Adapter;
 use chivevalve::clock::Millis;
 use chivevalve::config::prefetch::{Prefetch, UpcomingAdapter};
-use chivevalve::declaration::Kind;
+use chivevalve::declaration::PoolKind;
 use chivevalve::error::{Code, Fate};
 use chivevalve::runner::{Runner, Work};
 use http::Method;
@@ -208,7 +208,7 @@
 #[tokio::test(start_paused = true)]
 async fn call_passes_whole() {
     let bench = Bench::unowned();
-    bench.adopt_as(Kind::Service, 4, 1).await;
+    bench.adopt_as(PoolKind::Service, 4, 1).await;
     let answer = bench
         .registry
         .run(push("r1", "{\"sum\":12}"))
@@ -226,7 +226,7 @@
 #[tokio::test(start_paused = true)]
 async fn call_cut() {
     let bench = Bench::unowned();
-    bench.adopt_as(Kind::Service, 4, 1).await;
+    bench.adopt_as(PoolKind::Service, 4, 1).await;
     bench.engine.set(|knobs| knobs.fault = Fault::Cut);
     let answer = bench
         .registry
@@ -244,7 +244,7 @@
 #[tokio::test(start_paused = true)]
 async fn call_head() {
     let bench = Bench::unowned();
-    bench.adopt_as(Kind::Service, 4, 1).await;
+    bench.adopt_as(PoolKind::Service, 4, 1).await;
     let mut head = push("r1", "{\"sum\":12}");
     if let Work::Call { head, .. } = &mut head.work {
         head.method = Method::HEAD;
@@ -260,7 +260,7 @@
 #[tokio::test(start_paused = true)]
 async fn call_service_down() {
     let bench = Bench::unowned();
-    bench.adopt_as(Kind::Service, 4, 1).await;
+    bench.adopt_as(PoolKind::Service, 4, 1).await;
     bench.engine.set(|knobs| knobs.fault = Fault::Down);
     for number in 0..5 {
         let id = format!("r{number}");
--- a/lib/tests/test_owner_failures.rs
+++ b/lib/tests/test_owner_failures.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 
 use chivevalve::clock::Millis;
-use chivevalve::declaration::Kind;
+use chivevalve::declaration::PoolKind;
 use chivevalve::error::{Code, Failure, Fate};
 use chivevalve::membership::Adopter;
 use chivevalve::ports::Answer;
@@ -121,7 +121,7 @@
     bench.engine.set(|knobs| knobs.pieces = 100);
     let running = begin(&bench, "r1", "plans").await.await.unwrap().unwrap();
     bench.adopt(1, 1).await;
-    bench.adopt_as(Kind::Service, 1, 1).await;
+    bench.adopt_as(PoolKind::Service, 1, 1).await;
     bench.registry.release("engine-1", Millis::ZERO).await;
     let seen = text(running).await.unwrap();
     assert!(seen.ends_with("data: [DONE]\n\n"), "{seen}");
--- a/lib/tests/test_peer.rs
+++ b/lib/tests/test_peer.rs
@@ -8,7 +8,7 @@
 
 use async_trait::async_trait;
 use chivevalve::clock::{Millis, Monotonic};
-use chivevalve::declaration::Kind;
+use chivevalve::declaration::PoolKind;
 use chivevalve::error::{Code, Fate};
 use chivevalve::gossip::{Peer, Transport};
 use chivevalve::loads;
@@ -142,7 +142,7 @@
 #[tokio::test]
 async fn call_at_peer() {
     let bench = Bench::unowned();
-    bench.adopt_as(Kind::Service, 4, 1).await;
+    bench.adopt_as(PoolKind::Service, 4, 1).await;
     let node = Node::start(bench.registry.clone()).await;
     let runner = clients().runner(&node.owner);
     let answer = runner.run(push("r1", "{\"sum\":12}")).await.unwrap();
