--- a/bench/src/faults/mod.rs
+++ b/bench/src/faults/mod.rs
@@ -11,7 +11,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use chivevalve::declaration::Set;
+use chivevalve::declaration::DeclarationSet;
 use chivevalve_standins::engine;
 use chivevalve_standins::fleet;
 use chivevalve_standins::judge::{self, Deal};
@@ -203,7 +203,7 @@
 /// Starts the load; it ends when told.
 fn load(
     site: &Arc<Site>,
-    set: &Set,
+    set: &DeclarationSet,
     options: &Options,
 ) -> (
     tokio::sync::watch::Sender<bool>,
--- a/bench/src/fuzz_config/oracle.rs
+++ b/bench/src/fuzz_config/oracle.rs
@@ -7,7 +7,7 @@
 
 use chivevalve::config::layout::Layout;
 use chivevalve::config::{Accepted, Error};
-use chivevalve::declaration::Set;
+use chivevalve::declaration::DeclarationSet;
 use chivevalve::ports::Store as _;
 use chivevalve::schema::declaration::Operation;
 use chivevalve_standins::store::Store;
@@ -30,7 +30,7 @@
 #[derive(Debug, Clone)]
 pub struct Asked {
     pub expected: u64,
-    pub set: Set,
+    pub set: DeclarationSet,
     pub told: Told,
     /// How often it was asked for, with one identity.
     pub calls: u32,
@@ -38,7 +38,7 @@
 
 impl Asked {
     /// Makes a change that is to be asked for, on top of the revision that is expected.
-    pub fn new(expected: u64, set: Set) -> Self {
+    pub fn new(expected: u64, set: DeclarationSet) -> Self {
         Self {
             expected,
             set,
--- a/bench/src/fuzz_config/world.rs
+++ b/bench/src/fuzz_config/world.rs
@@ -5,7 +5,7 @@
 
 use chivevalve::clock::Millis;
 use chivevalve::config::{Accepted, Error, Limits};
-use chivevalve::declaration::Set;
+use chivevalve::declaration::DeclarationSet;
 use chivevalve::gossip;
 use chivevalve::schema::declaration::Template;
 use chivevalve_standins::store::Knobs;
@@ -320,7 +320,7 @@
 }
 
 /// Makes a change in a set of declarations.
-fn change(set: &mut Set, edit: Edit, number: u64) {
+fn change(set: &mut DeclarationSet, edit: Edit, number: u64) {
     match edit {
         Edit::Weight(template) => {
             let weight = u32::try_from(number % 1_000).unwrap_or_default() + 1;
@@ -350,7 +350,7 @@
     ("shop".to_owned(), format!("t{template}"))
 }
 
-fn put(set: &mut Set, template: usize) -> &mut Template {
+fn put(set: &mut DeclarationSet, template: usize) -> &mut Template {
     let name = format!("t{template}");
     set.templates
         .entry(key(template))
--- a/bench/src/spread/run.rs
+++ b/bench/src/spread/run.rs
@@ -3,7 +3,7 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-use chivevalve::declaration::Set;
+use chivevalve::declaration::DeclarationSet;
 use chivevalve::schema::declaration::{Account, Pool, Template};
 use chivevalve::schema::peer::Digest;
 use chivevalve_standins::store::{Counts, Knobs};
@@ -122,7 +122,7 @@
     sites: Vec<Site>,
     trouble: Trouble,
     rng: Pcg32,
-    set: Set,
+    set: DeclarationSet,
     revision: u64,
 }
 
@@ -335,8 +335,8 @@
 }
 
 /// Declarations that changes are made to.
-pub fn base() -> Set {
-    let mut set = Set::default();
+pub fn base() -> DeclarationSet {
+    let mut set = DeclarationSet::default();
     let account = Account {
         name: "shop".to_owned(),
         weight: 1,
--- a/bench/src/spread/site.rs
+++ b/bench/src/spread/site.rs
@@ -10,7 +10,7 @@
 use chivevalve::clock::{Clock, Millis, Monotonic};
 use chivevalve::config::prefetch::NoPrefetch;
 use chivevalve::config::{self, Accepted, ChangeRequest, Error as Refused};
-use chivevalve::declaration::Set;
+use chivevalve::declaration::DeclarationSet;
 use chivevalve::gossip::{self, Peer, Peers, Share, Snapshot, Transport};
 use chivevalve::metrics::Metrics;
 use chivevalve::ports::{
@@ -280,7 +280,12 @@
     }
 
     /// Applies declarations that were planned on a revision.
-    pub async fn apply(&self, id: &str, expected: u64, set: &Set) -> Result<Accepted, Refused> {
+    pub async fn apply(
+        &self,
+        id: &str,
+        expected: u64,
+        set: &DeclarationSet,
+    ) -> Result<Accepted, Refused> {
         let change_request = Self::change_request(&self.peer.name, id, expected);
         self.config.apply(&change_request, set).await
     }
--- a/bench/src/spread/sizes.rs
+++ b/bench/src/spread/sizes.rs
@@ -5,7 +5,7 @@
 
 use chivevalve::config::View;
 use chivevalve::config::layout;
-use chivevalve::declaration::{self, Set, diff, export};
+use chivevalve::declaration::{self, DeclarationSet, diff, export};
 use chivevalve::schema::declaration::{Operation, Template};
 use eyre::{Result, eyre};
 use prost::Message;
@@ -85,7 +85,7 @@
 }
 
 /// Counts the calls of a first change, a small change and a fresh node.
-fn calls(first: &Set, next: &Set, seed: u64) -> Result<[u64; 3]> {
+fn calls(first: &DeclarationSet, next: &DeclarationSet, seed: u64) -> Result<[u64; 3]> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_time()
         .start_paused(true)
@@ -121,7 +121,7 @@
     (start.elapsed().as_secs_f64() * 1_000.0, done)
 }
 
-fn changed(set: &Set) -> Set {
+fn changed(set: &DeclarationSet) -> DeclarationSet {
     let mut next = set.clone();
     if let Some(template) = next.templates.values_mut().next() {
         template.weight = 7;
@@ -130,7 +130,7 @@
 }
 
 /// Makes declarations with so many templates of 200 accounts.
-fn declarations(templates: usize) -> Set {
+fn declarations(templates: usize) -> DeclarationSet {
     let mut set = base();
     set.templates.clear();
     for number in 0..templates {
--- a/cli/src/commands/check.rs
+++ b/cli/src/commands/check.rs
@@ -2,7 +2,7 @@
 
 use std::path::Path;
 
-use chivevalve::declaration::{self, Mistake, Set, Source};
+use chivevalve::declaration::{self, DeclarationSet, Mistake, Source};
 use chivevalve::operators::wire::File;
 
 use super::Command;
@@ -53,7 +53,7 @@
 /// # Errors
 ///
 /// All its mistakes.
-pub(super) fn files(args: &Args) -> Result<(Vec<File>, Set), Failure> {
+pub(super) fn files(args: &Args) -> Result<(Vec<File>, DeclarationSet), Failure> {
     let sources = declaration::load_dir(Path::new(&args.values[0])).map_err(|all| listed(&all))?;
     let set = declaration::check_sources(&sources).map_err(|all| listed(&all))?;
     Ok((sources.iter().map(file).collect(), set))
--- a/cli/src/commands/get.rs
+++ b/cli/src/commands/get.rs
@@ -1,6 +1,6 @@
 //! `get`: what is in force?
 
-use chivevalve::declaration::{Set, Source, check_sources};
+use chivevalve::declaration::{DeclarationSet, Source, check_sources};
 use chivevalve::operators::wire::Export;
 use serde::Serialize;
 use serde_json::Value;
@@ -63,7 +63,7 @@
     })
 }
 
-fn read(export: Export) -> Result<Set, Failure> {
+fn read(export: Export) -> Result<DeclarationSet, Failure> {
     let sources: Vec<Source> = export
         .files
         .into_iter()
@@ -73,14 +73,14 @@
         })
         .collect();
     if sources.is_empty() {
-        return Ok(Set::default());
+        return Ok(DeclarationSet::default());
     }
     check_sources(&sources).map_err(|_| {
         Failure::Other("the node's declarations can't be read; use its version".to_owned())
     })
 }
 
-fn entries(set: &Set) -> Vec<Entry> {
+fn entries(set: &DeclarationSet) -> Vec<Entry> {
     let accounts = set
         .accounts
         .iter()
--- a/lib/src/config/history.rs
+++ b/lib/src/config/history.rs
@@ -7,7 +7,7 @@
 use super::source::Source;
 use super::state::is_omitted;
 use super::view::View;
-use crate::declaration::{Set, diff};
+use crate::declaration::{DeclarationSet, diff};
 use crate::ports;
 use crate::schema::declaration::Operation;
 
@@ -45,7 +45,7 @@
 /// # Errors
 ///
 /// [`Error::UnknownRevision`] when what is needed isn't kept any more.
-pub async fn at(source: &Source, newest: &View, revision: u64) -> Result<Set, Error> {
+pub async fn at(source: &Source, newest: &View, revision: u64) -> Result<DeclarationSet, Error> {
     if revision > newest.revision() {
         return Err(Error::UnknownRevision(revision));
     }
@@ -72,7 +72,7 @@
 }
 
 /// Starts from the newest snapshot that isn't newer than the revision.
-async fn forward(source: &Source, snapshot: u64, revision: u64) -> Result<Set, Error> {
+async fn forward(source: &Source, snapshot: u64, revision: u64) -> Result<DeclarationSet, Error> {
     let mut snapshot = snapshot;
     let unknown = |_| Error::UnknownRevision(revision);
     while snapshot > revision {
@@ -83,7 +83,7 @@
         let operation = operation.ok_or(Error::UnknownRevision(revision))?;
         snapshot = operation.previous_snapshot;
     }
-    let mut set = Set::default();
+    let mut set = DeclarationSet::default();
     if snapshot > 0 {
         let operation = source
             .operation(snapshot)
--- a/lib/src/config/layout.rs
+++ b/lib/src/config/layout.rs
@@ -15,7 +15,7 @@
 use sha2::{Digest as _, Sha256};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-use crate::declaration::{Set, convert};
+use crate::declaration::{DeclarationSet, convert};
 use crate::schema::declaration::{Account, Bucket, File, Pool, Template};
 
 #[cfg(doc)]
@@ -106,13 +106,13 @@
 
 /// Cuts a set into its buckets as they are stored. Equal sets give equal bytes.
 #[must_use]
-pub fn encode_buckets(set: &Set) -> Vec<EncodedBucket> {
+pub fn encode_buckets(set: &DeclarationSet) -> Vec<EncodedBucket> {
     partition(set).into_iter().map(stored).collect()
 }
 
 /// Cuts a set into its buckets.
 #[must_use]
-pub fn partition(set: &Set) -> Vec<File> {
+pub fn partition(set: &DeclarationSet) -> Vec<File> {
     let mut files = vec![File::default(); BUCKET_COUNT];
     for account in set.accounts.values() {
         files[of_account(account)].accounts.push(account.clone());
--- a/lib/src/config/operator.rs
+++ b/lib/src/config/operator.rs
@@ -17,7 +17,7 @@
 use super::view::View;
 use super::writer::{self, Ending, Proposal};
 use crate::clock::Millis;
-use crate::declaration::{Set, Source as File, diff, export};
+use crate::declaration::{DeclarationSet, Source as File, diff, export};
 use crate::name::Name;
 use crate::schema::declaration::Operation;
 
@@ -66,7 +66,7 @@
     ///
     /// The service is asked for the newest revision; without its answer the plan
     /// rests on what this node has.
-    pub async fn plan(&self, set: &Set) -> Plan {
+    pub async fn plan(&self, set: &DeclarationSet) -> Plan {
         let known = self.catch_up().await;
         let view = self.learned();
         let mut plan = plan::plan(&view, set, &*self.parts.weights).await;
@@ -90,7 +90,7 @@
     pub async fn apply(
         &self,
         change_request: &ChangeRequest,
-        set: &Set,
+        set: &DeclarationSet,
     ) -> Result<Accepted, Error> {
         let ended = self.settle(change_request, set).await;
         match &ended {
@@ -155,7 +155,7 @@
     /// # Errors
     ///
     /// When the service doesn't answer or the revision isn't kept any more.
-    pub async fn declared_at(&self, revision: u64) -> Result<Set, Error> {
+    pub async fn declared_at(&self, revision: u64) -> Result<DeclarationSet, Error> {
         let newest = self.learned();
         history::at(&self.source, &newest, revision).await
     }
@@ -166,7 +166,11 @@
         export::export(&self.learned().to_set())
     }
 
-    async fn settle(&self, change_request: &ChangeRequest, set: &Set) -> Result<Accepted, Error> {
+    async fn settle(
+        &self,
+        change_request: &ChangeRequest,
+        set: &DeclarationSet,
+    ) -> Result<Accepted, Error> {
         for _ in 0..ROUNDS {
             let base = self.catch_up().await.map_err(unavailable)?;
             if let Some(accepted) = self.earlier(change_request).await? {
@@ -282,7 +286,7 @@
 
 fn propose(
     change_request: &ChangeRequest,
-    set: &Set,
+    set: &DeclarationSet,
     base: HeadAt,
     before: &View,
 ) -> Result<Option<Proposal>, Error> {
--- a/lib/src/config/plan.rs
+++ b/lib/src/config/plan.rs
@@ -8,7 +8,7 @@
 use super::heavy;
 use super::view::View;
 use crate::adapter::Adapter;
-use crate::declaration::{Pool, PoolKind, Set, convert, diff};
+use crate::declaration::{DeclarationSet, Pool, PoolKind, convert, diff};
 use crate::ports::Weights;
 use crate::schema::declaration::Difference;
 use crate::schema::declaration::difference::{After, Before};
@@ -38,7 +38,7 @@
 }
 
 /// Compares a set of declarations with a view.
-pub async fn plan(view: &View, set: &Set, weights: &dyn Weights) -> Plan {
+pub async fn plan(view: &View, set: &DeclarationSet, weights: &dyn Weights) -> Plan {
     let differences = heavy::run(|| diff::diff(&view.to_set(), set));
     let mut warnings = missing(set, &differences, weights).await;
     warnings.extend(vanished(&differences));
@@ -51,7 +51,11 @@
 }
 
 /// Names the adapter versions that the weight store doesn't have.
-async fn missing(set: &Set, differences: &[Difference], weights: &dyn Weights) -> Vec<String> {
+async fn missing(
+    set: &DeclarationSet,
+    differences: &[Difference],
+    weights: &dyn Weights,
+) -> Vec<String> {
     let wanted: BTreeSet<Adapter> = differences
         .iter()
         .filter_map(|difference| match &difference.after {
@@ -110,7 +114,7 @@
 }
 
 /// Names limits that can't be reached or that waste slots.
-fn limits(set: &Set) -> Vec<String> {
+fn limits(set: &DeclarationSet) -> Vec<String> {
     let pools: Vec<Pool> = set
         .pools
         .values()
--- a/lib/src/config/share.rs
+++ b/lib/src/config/share.rs
@@ -8,7 +8,7 @@
 use super::state::Origin;
 use super::view::View;
 use crate::clock::Millis;
-use crate::declaration::Set;
+use crate::declaration::DeclarationSet;
 use crate::gossip::{Install, Share, Snapshot};
 use crate::schema::declaration::{Bucket, Head};
 use crate::schema::peer::{Delta, Digest, SnapshotPart};
@@ -96,7 +96,7 @@
 
     fn install(&self, parts: Vec<SnapshotPart>) -> bool {
         let mut head = Head::default();
-        let mut set = Set::default();
+        let mut set = DeclarationSet::default();
         for part in parts {
             if let Some(theirs) = part.head {
                 head = theirs;
--- a/lib/src/config/source.rs
+++ b/lib/src/config/source.rs
@@ -12,7 +12,7 @@
 use super::state::is_omitted;
 use super::view::{self, View};
 use crate::clock::Millis;
-use crate::declaration::Set;
+use crate::declaration::DeclarationSet;
 use crate::ports::{self, Entry, Store};
 use crate::schema::declaration::{Bucket, Head, Operation};
 
@@ -184,13 +184,13 @@
     /// # Errors
     ///
     /// When the service doesn't answer, or a bucket is missing or damaged.
-    pub async fn set(&self, digests: &[Vec<u8>]) -> Result<Set, ports::Error> {
+    pub async fn set(&self, digests: &[Vec<u8>]) -> Result<DeclarationSet, ports::Error> {
         // Buckets that are alike, such as empty ones, are read once.
         let different: BTreeSet<Vec<u8>> = digests.iter().cloned().collect();
         let mut buckets = stream::iter(different)
             .map(|digest| async move { self.bucket(&digest).await })
             .buffer_unordered(PARALLEL);
-        let mut set = Set::default();
+        let mut set = DeclarationSet::default();
         while let Some(bucket) = buckets.try_next().await? {
             set.extend(bucket.file.unwrap_or_default());
         }
--- a/lib/src/config/view.rs
+++ b/lib/src/config/view.rs
@@ -11,7 +11,7 @@
 
 use super::digest::Digest;
 use crate::declaration::convert::{self, Unreadable};
-use crate::declaration::{Account, Pool, Set, Template};
+use crate::declaration::{Account, DeclarationSet, Pool, Template};
 use crate::name::Name;
 use crate::schema::declaration as schema;
 use crate::schema::declaration::difference::{After, Before};
@@ -81,7 +81,7 @@
     /// # Errors
     ///
     /// When a declaration can't be read.
-    pub fn from_set(revision: u64, set: &Set) -> Result<Self, Error> {
+    pub fn from_set(revision: u64, set: &DeclarationSet) -> Result<Self, Error> {
         let mut view = Self {
             revision,
             ..Self::default()
@@ -104,8 +104,8 @@
 
     /// Returns all declarations in canonical form.
     #[must_use]
-    pub fn to_set(&self) -> Set {
-        let mut set = Set::default();
+    pub fn to_set(&self) -> DeclarationSet {
+        let mut set = DeclarationSet::default();
         set.extend(schema::File {
             accounts: self
                 .accounts()
--- a/lib/src/declaration/diff.rs
+++ b/lib/src/declaration/diff.rs
@@ -6,13 +6,13 @@
 use serde::Serialize;
 use serde_json::Value;
 
-use super::set::Set;
+use super::set::DeclarationSet;
 use crate::schema::declaration::difference::{After, Before};
 use crate::schema::declaration::{Account, Difference, Pool, Template};
 
 /// Lists the declarations that differ: accounts, then pools, then templates, each by name.
 #[must_use]
-pub fn diff(before: &Set, after: &Set) -> Vec<Difference> {
+pub fn diff(before: &DeclarationSet, after: &DeclarationSet) -> Vec<Difference> {
     let accounts = changed(&before.accounts, &after.accounts).map(|(old, new)| Difference {
         before: old.cloned().map(Before::AccountBefore),
         after: new.cloned().map(After::AccountAfter),
@@ -35,7 +35,7 @@
 }
 
 /// Makes the differences in a set.
-pub fn patch(set: &mut Set, differences: &[Difference]) {
+pub fn patch(set: &mut DeclarationSet, differences: &[Difference]) {
     for difference in differences {
         if let Some(before) = &difference.before {
             match before {
--- a/lib/src/declaration/export.rs
+++ b/lib/src/declaration/export.rs
@@ -8,11 +8,11 @@
 
 use super::diff::is_default;
 use super::load::Source;
-use super::set::Set;
+use super::set::DeclarationSet;
 
 /// Writes a set as YAML files: accounts, pools, and one file for each account's templates.
 #[must_use]
-pub fn export(set: &Set) -> Vec<Source> {
+pub fn export(set: &DeclarationSet) -> Vec<Source> {
     let mut files = Vec::new();
     if !set.accounts.is_empty() {
         files.push(file(
--- a/lib/src/declaration/load.rs
+++ b/lib/src/declaration/load.rs
@@ -7,7 +7,7 @@
 use super::mistake::{Mistake, Place};
 use super::read::{self, Raw};
 use super::rules;
-use super::set::Set;
+use super::set::DeclarationSet;
 use super::tree;
 use crate::name::Name;
 
@@ -55,7 +55,7 @@
 /// # Errors
 ///
 /// Every mistake in all files, ordered by file and line.
-pub fn check(dir: &Path) -> Result<Set, Vec<Mistake>> {
+pub fn check(dir: &Path) -> Result<DeclarationSet, Vec<Mistake>> {
     check_sources(&load_dir(dir)?)
 }
 
@@ -64,7 +64,7 @@
 /// # Errors
 ///
 /// Every mistake in all files, ordered by file and line.
-pub fn check_sources(sources: &[Source]) -> Result<Set, Vec<Mistake>> {
+pub fn check_sources(sources: &[Source]) -> Result<DeclarationSet, Vec<Mistake>> {
     let mut raw = Raw::default();
     let mut mistakes = Vec::new();
     for source in sources {
--- a/lib/src/declaration/mod.rs
+++ b/lib/src/declaration/mod.rs
@@ -18,7 +18,7 @@
 pub use load::{Source, check, check_sources, load_dir};
 pub use mistake::{Mistake, Place};
 pub use rules::{MAX_NAME, MAX_TEMPLATES};
-pub use set::Set;
+pub use set::DeclarationSet;
 
 use crate::adapter::Adapter;
 use crate::clock::Millis;
--- a/lib/src/declaration/rules.rs
+++ b/lib/src/declaration/rules.rs
@@ -6,7 +6,7 @@
 use super::mistake::{Mistake, Place};
 use super::nearest::nearest;
 use super::read::{Placed, Raw};
-use super::set::Set;
+use super::set::DeclarationSet;
 use crate::request::Class;
 use crate::schema::declaration::{Account, Pool, Template};
 
@@ -41,10 +41,10 @@
 ];
 
 /// Checks everything together and makes the canonical set of it.
-pub(super) fn apply(raw: &Raw, directory: &Place, mistakes: &mut Vec<Mistake>) -> Set {
+pub(super) fn apply(raw: &Raw, directory: &Place, mistakes: &mut Vec<Mistake>) -> DeclarationSet {
     let mut checker = Checker {
         mistakes,
-        set: Set::default(),
+        set: DeclarationSet::default(),
     };
     checker.amounts(raw, directory);
     checker.pools(&raw.pools);
@@ -55,7 +55,7 @@
 
 struct Checker<'a> {
     mistakes: &'a mut Vec<Mistake>,
-    set: Set,
+    set: DeclarationSet,
 }
 
 impl Checker<'_> {
--- a/lib/src/declaration/set.rs
+++ b/lib/src/declaration/set.rs
@@ -13,7 +13,7 @@
 
 /// All declarations, by name.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
-pub struct Set {
+pub struct DeclarationSet {
     /// Client accounts by name.
     pub accounts: BTreeMap<String, Account>,
     /// Pools by name.
@@ -22,7 +22,7 @@
     pub templates: BTreeMap<TemplateKey, Template>,
 }
 
-impl Set {
+impl DeclarationSet {
     /// Takes declarations that are in canonical form; of two with one name the later stays.
     pub fn extend(&mut self, file: File) {
         for account in file.accounts {
@@ -50,7 +50,7 @@
     }
 }
 
-impl From<File> for Set {
+impl From<File> for DeclarationSet {
     fn from(file: File) -> Self {
         let mut set = Self::default();
         set.extend(file);
--- a/lib/src/operators/configuration.rs
+++ b/lib/src/operators/configuration.rs
@@ -8,7 +8,7 @@
 use super::refusal::{Cause, Refusal};
 use super::wire;
 use crate::config::{self, ChangeRequest, ConfigManager, Error};
-use crate::declaration::{Mistake, Set, Source, check_sources, diff, export};
+use crate::declaration::{DeclarationSet, Mistake, Source, check_sources, diff, export};
 use crate::name::Name;
 
 #[async_trait]
@@ -105,7 +105,7 @@
 }
 
 /// Checks files by this node's rules.
-async fn read(files: Vec<wire::File>) -> Result<Set, Refusal> {
+async fn read(files: Vec<wire::File>) -> Result<DeclarationSet, Refusal> {
     let checked = apart(move || {
         let sources: Vec<Source> = files.into_iter().map(Into::into).collect();
         check_sources(&sources)
--- a/lib/tests/config_setup/mod.rs
+++ b/lib/tests/config_setup/mod.rs
@@ -12,7 +12,7 @@
 use chivevalve::clock::Monotonic;
 use chivevalve::config::prefetch::{Prefetch, UpcomingAdapter};
 use chivevalve::config::{self, Accepted, ChangeRequest, ConfigManager, Dependencies, Limits};
-use chivevalve::declaration::{self, Set, Source};
+use chivevalve::declaration::{self, DeclarationSet, Source};
 use chivevalve::gossip::{Peer, Peers};
 use chivevalve::metrics::Metrics;
 use chivevalve::ports::{Error, Store as Border, Watch, Weights};
@@ -100,7 +100,7 @@
     }
 
     /// Applies declarations on top of what this node has learned.
-    pub async fn apply(&self, declared: &Set) -> Accepted {
+    pub async fn apply(&self, declared: &DeclarationSet) -> Accepted {
         let change_request = change_request("ana", self.manager.status().learned);
         self.manager.apply(&change_request, declared).await.unwrap()
     }
@@ -133,7 +133,7 @@
 }
 
 /// Declarations of one account with these templates, as name and version.
-pub fn set(templates: &[(&str, &str)]) -> Set {
+pub fn set(templates: &[(&str, &str)]) -> DeclarationSet {
     let mut text = String::from(
         "accounts: [{name: depot}]\n\
          pools: [{name: llama, kind: engine, base_model: l, slots: 4, batch: 16}]\n\
--- a/lib/tests/test_config.rs
+++ b/lib/tests/test_config.rs
@@ -12,7 +12,7 @@
 use chivevalve::config::garbage;
 use chivevalve::config::layout::{BLOCK_REVISIONS, Layout};
 use chivevalve::config::{ChangeRequest, Error};
-use chivevalve::declaration::{Set, export};
+use chivevalve::declaration::{DeclarationSet, export};
 use chivevalve::ports::{
     self, Commit, Entry, Event, Listing, Store as Border, Transaction, Watch, Write,
 };
@@ -308,7 +308,10 @@
     assert_eq!(fresh.manager.status().digest, node.manager.status().digest);
     node.apply(&set(&[])).await;
     assert_eq!(node.manager.declared_at(1).await.unwrap(), declared);
-    assert_eq!(node.manager.declared_at(0).await.unwrap(), Set::default());
+    assert_eq!(
+        node.manager.declared_at(0).await.unwrap(),
+        DeclarationSet::default()
+    );
     assert_eq!(export::export(&declared).len(), 3);
 }
 
--- a/lib/tests/test_config_view.rs
+++ b/lib/tests/test_config_view.rs
@@ -6,18 +6,18 @@
 )]
 
 use chivevalve::config::{View, layout};
-use chivevalve::declaration::{Set, diff};
+use chivevalve::declaration::{DeclarationSet, diff};
 use chivevalve::schema::declaration::{Account, Bucket, Pool, Template};
 use prost::Message;
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 
 /// Small sets, so that two of them often share names.
 #[derive(Debug, Clone)]
-struct Declared(Set);
+struct Declared(DeclarationSet);
 
 impl Arbitrary for Declared {
     fn arbitrary(g: &mut Gen) -> Self {
-        let mut set = Set::default();
+        let mut set = DeclarationSet::default();
         for (index, engine) in [("p0", true), ("p1", bool::arbitrary(g))] {
             let pool = pool(g, index, engine);
             set.pools.insert(pool.name.clone(), pool);
@@ -72,7 +72,7 @@
     }
 }
 
-fn template(g: &mut Gen, account: &str, name: &str, set: &Set) -> Template {
+fn template(g: &mut Gen, account: &str, name: &str, set: &DeclarationSet) -> Template {
     let pool = if bool::arbitrary(g) { "p0" } else { "p1" };
     let engine = set.pools[pool].kind == "engine";
     Template {
@@ -141,7 +141,7 @@
 #[test]
 fn buckets_hold_everything_once() {
     fn property(before: Declared, _after: Declared) -> bool {
-        let mut read = Set::default();
+        let mut read = DeclarationSet::default();
         let mut count = 0;
         for stored in layout::encode_buckets(&before.0) {
             assert_eq!(stored.digest, layout::digest(&stored.value));
--- a/standins/src/demo/main.rs
+++ b/standins/src/demo/main.rs
@@ -10,7 +10,7 @@
 use std::process::ExitCode;
 use std::time::Duration;
 
-use chivevalve::declaration::Set;
+use chivevalve::declaration::DeclarationSet;
 use chivevalve::node::{Listeners, Node};
 use chivevalve::settings;
 use chivevalve_standins::fleet::{self, Node as Place};
@@ -115,7 +115,7 @@
     platform: Platform,
     places: Vec<Place>,
     nodes: Vec<Node>,
-    declared: Set,
+    declared: DeclarationSet,
 }
 
 impl Demo {
@@ -183,7 +183,7 @@
 }
 
 /// Makes engines check fencing tokens where their pool is declared to.
-fn check_fencing(platform: &Platform, declared: &Set, plan: &Plan) {
+fn check_fencing(platform: &Platform, declared: &DeclarationSet, plan: &Plan) {
     let checks = |pool: &&platform::Pool| {
         let declared = declared.pools.get(&*pool.name);
         declared.is_some_and(|pool| pool.checks_fencing)
--- a/standins/src/fleet.rs
+++ b/standins/src/fleet.rs
@@ -4,7 +4,7 @@
 use std::path::Path;
 use std::time::Duration;
 
-use chivevalve::declaration::{Mistake, Set, Source, load};
+use chivevalve::declaration::{DeclarationSet, Mistake, Source, load};
 use http::Method;
 use serde_json::{Value, json};
 use tokio::net::TcpListener;
@@ -119,7 +119,7 @@
 /// # Errors
 ///
 /// All mistakes, one a line.
-pub fn declarations(directory: &Path) -> Result<(Vec<Source>, Set), String> {
+pub fn declarations(directory: &Path) -> Result<(Vec<Source>, DeclarationSet), String> {
     let sources = load::load_dir(directory).map_err(|mistakes| lines(&mistakes))?;
     let set = load::check_sources(&sources).map_err(|mistakes| lines(&mistakes))?;
     Ok((sources, set))
--- a/standins/src/mix.rs
+++ b/standins/src/mix.rs
@@ -1,6 +1,6 @@
 //! A mix of requests over the templates of a set of declarations.
 
-use chivevalve::declaration::Set;
+use chivevalve::declaration::DeclarationSet;
 use chivevalve::schema::declaration::Template;
 use http::Method;
 use rand::{RngExt, SeedableRng};
@@ -57,7 +57,7 @@
     ///
     /// When there is no template.
     #[must_use]
-    pub fn new(declarations: &Set, seed: u64) -> Self {
+    pub fn new(declarations: &DeclarationSet, seed: u64) -> Self {
         let mut random = Pcg64::seed_from_u64(seed);
         let mut templates = declarations.templates.values().cloned().collect::<Vec<_>>();
         assert!(!templates.is_empty(), "a mix needs templates");
