--- a/bench/src/latency/mod.rs
+++ b/bench/src/latency/mod.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 use chivevalve::adapter::Adapter;
-use chivevalve::declaration::Source;
+use chivevalve::declaration::SourceFile;
 use chivevalve::ports::{Engine, Fence};
 use chivevalve_standins::caller::Caller;
 use chivevalve_standins::engine;
@@ -367,7 +367,7 @@
     Ok(sender)
 }
 
-fn declarations() -> Source {
+fn declarations() -> SourceFile {
     let digest = chivevalve::secret::digest(key(ACCOUNT).as_bytes());
     let digest = chivevalve::secret::digest_to_hex(&digest);
     let mut text = format!(
@@ -382,7 +382,7 @@
              version: '1', class: normal, idempotent: true}}"
         );
     }
-    Source {
+    SourceFile {
         name: "bench.yaml".into(),
         text,
     }
--- a/cli/src/commands/check.rs
+++ b/cli/src/commands/check.rs
@@ -2,7 +2,7 @@
 
 use std::path::Path;
 
-use chivevalve::declaration::{self, DeclarationSet, Mistake, Source};
+use chivevalve::declaration::{self, DeclarationSet, Mistake, SourceFile};
 use chivevalve::operators::wire::File;
 
 use super::Command;
@@ -59,7 +59,7 @@
     Ok((sources.iter().map(file).collect(), set))
 }
 
-fn file(source: &Source) -> File {
+fn file(source: &SourceFile) -> File {
     File {
         name: source.name.to_string(),
         text: source.text.clone(),
--- a/cli/src/commands/get.rs
+++ b/cli/src/commands/get.rs
@@ -1,6 +1,6 @@
 //! `get`: what is in force?
 
-use chivevalve::declaration::{DeclarationSet, Source, check_sources};
+use chivevalve::declaration::{DeclarationSet, SourceFile, check_sources};
 use chivevalve::operators::wire::Export;
 use serde::Serialize;
 use serde_json::Value;
@@ -64,10 +64,10 @@
 }
 
 fn read(export: Export) -> Result<DeclarationSet, Failure> {
-    let sources: Vec<Source> = export
+    let sources: Vec<SourceFile> = export
         .files
         .into_iter()
-        .map(|file| Source {
+        .map(|file| SourceFile {
             name: file.name.into(),
             text: file.text,
         })
--- a/lib/src/config/operator.rs
+++ b/lib/src/config/operator.rs
@@ -17,7 +17,7 @@
 use super::view::View;
 use super::writer::{self, Ending, Proposal};
 use crate::clock::Millis;
-use crate::declaration::{DeclarationSet, Source as File, diff, export};
+use crate::declaration::{DeclarationSet, SourceFile, diff, export};
 use crate::name::Name;
 use crate::schema::declaration::Operation;
 
@@ -162,7 +162,7 @@
 
     /// Writes the newest revision as files that can be applied elsewhere.
     #[must_use]
-    pub fn export(&self) -> Vec<File> {
+    pub fn export(&self) -> Vec<SourceFile> {
         export::export(&self.learned().to_set())
     }
 
--- a/lib/src/declaration/export.rs
+++ b/lib/src/declaration/export.rs
@@ -7,12 +7,12 @@
 use serde_json::{Map, Value};
 
 use super::diff::is_default;
-use super::load::Source;
+use super::load::SourceFile;
 use super::set::DeclarationSet;
 
 /// Writes a set as YAML files: accounts, pools, and one file for each account's templates.
 #[must_use]
-pub fn export(set: &DeclarationSet) -> Vec<Source> {
+pub fn export(set: &DeclarationSet) -> Vec<SourceFile> {
     let mut files = Vec::new();
     if !set.accounts.is_empty() {
         files.push(file(
@@ -38,13 +38,13 @@
     files
 }
 
-fn file<T: Serialize>(name: String, list: &str, items: impl IntoIterator<Item = T>) -> Source {
+fn file<T: Serialize>(name: String, list: &str, items: impl IntoIterator<Item = T>) -> SourceFile {
     let items: Vec<Value> = items.into_iter().map(|item| short(&item)).collect();
     let mut root = Map::new();
     root.insert(list.to_owned(), Value::Array(items));
     let text = serde_saphyr::to_string(&root)
         .expect("a tree of texts, numbers and truth values can be written");
-    Source {
+    SourceFile {
         name: Arc::from(name),
         text,
     }
--- a/lib/src/declaration/load.rs
+++ b/lib/src/declaration/load.rs
@@ -18,7 +18,7 @@
 
 /// A file's name, relative to the directory, and its text.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Source {
+pub struct SourceFile {
     /// Such as `templates/orders.yaml`.
     pub name: Name,
     /// YAML.
@@ -30,7 +30,7 @@
 /// # Errors
 ///
 /// Every directory and file that can't be read, or that is too large.
-pub fn load_dir(dir: &Path) -> Result<Vec<Source>, Vec<Mistake>> {
+pub fn load_dir(dir: &Path) -> Result<Vec<SourceFile>, Vec<Mistake>> {
     let mut sources = Vec::new();
     let mut mistakes = Vec::new();
     visit(dir, dir, 0, &mut sources, &mut mistakes);
@@ -64,7 +64,7 @@
 /// # Errors
 ///
 /// Every mistake in all files, ordered by file and line.
-pub fn check_sources(sources: &[Source]) -> Result<DeclarationSet, Vec<Mistake>> {
+pub fn check_sources(sources: &[SourceFile]) -> Result<DeclarationSet, Vec<Mistake>> {
     let mut raw = Raw::default();
     let mut mistakes = Vec::new();
     for source in sources {
@@ -87,7 +87,7 @@
     root: &Path,
     dir: &Path,
     depth: usize,
-    sources: &mut Vec<Source>,
+    sources: &mut Vec<SourceFile>,
     mistakes: &mut Vec<Mistake>,
 ) {
     let place = Place::file(&name_of(root, dir));
@@ -124,7 +124,7 @@
         .is_some_and(|name| name.to_string_lossy().starts_with('.'))
 }
 
-fn file(root: &Path, path: &Path, sources: &mut Vec<Source>, mistakes: &mut Vec<Mistake>) {
+fn file(root: &Path, path: &Path, sources: &mut Vec<SourceFile>, mistakes: &mut Vec<Mistake>) {
     let yaml = path
         .extension()
         .is_some_and(|extension| extension == "yaml" || extension == "yml");
@@ -143,7 +143,7 @@
         return;
     }
     match fs::read_to_string(path) {
-        Ok(text) => sources.push(Source { name, text }),
+        Ok(text) => sources.push(SourceFile { name, text }),
         Err(error) => mistakes.push(unreadable(&place, &error)),
     }
 }
--- a/lib/src/declaration/mod.rs
+++ b/lib/src/declaration/mod.rs
@@ -15,7 +15,7 @@
 pub mod set;
 mod tree;
 
-pub use load::{Source, check, check_sources, load_dir};
+pub use load::{SourceFile, check, check_sources, load_dir};
 pub use mistake::{Mistake, Place};
 pub use rules::{MAX_NAME, MAX_TEMPLATES};
 pub use set::DeclarationSet;
--- a/lib/src/operators/configuration.rs
+++ b/lib/src/operators/configuration.rs
@@ -8,7 +8,7 @@
 use super::refusal::{Cause, Refusal};
 use super::wire;
 use crate::config::{self, ChangeRequest, ConfigManager, Error};
-use crate::declaration::{DeclarationSet, Mistake, Source, check_sources, diff, export};
+use crate::declaration::{DeclarationSet, Mistake, SourceFile, check_sources, diff, export};
 use crate::name::Name;
 
 #[async_trait]
@@ -107,7 +107,7 @@
 /// Checks files by this node's rules.
 async fn read(files: Vec<wire::File>) -> Result<DeclarationSet, Refusal> {
     let checked = apart(move || {
-        let sources: Vec<Source> = files.into_iter().map(Into::into).collect();
+        let sources: Vec<SourceFile> = files.into_iter().map(Into::into).collect();
         check_sources(&sources)
     });
     checked.await?.map_err(|mistakes| invalid(&mistakes))
@@ -132,8 +132,8 @@
     .mistakes(mistakes.iter().map(ToString::to_string).collect())
 }
 
-impl From<Source> for wire::File {
-    fn from(source: Source) -> Self {
+impl From<SourceFile> for wire::File {
+    fn from(source: SourceFile) -> Self {
         Self {
             name: source.name.to_string(),
             text: source.text,
@@ -141,7 +141,7 @@
     }
 }
 
-impl From<wire::File> for Source {
+impl From<wire::File> for SourceFile {
     fn from(file: wire::File) -> Self {
         Self {
             name: Name::from(file.name),
--- a/lib/tests/config_setup/mod.rs
+++ b/lib/tests/config_setup/mod.rs
@@ -12,7 +12,7 @@
 use chivevalve::clock::Monotonic;
 use chivevalve::config::prefetch::{Prefetch, UpcomingAdapter};
 use chivevalve::config::{self, Accepted, ChangeRequest, ConfigManager, Dependencies, Limits};
-use chivevalve::declaration::{self, DeclarationSet, Source};
+use chivevalve::declaration::{self, DeclarationSet, SourceFile};
 use chivevalve::gossip::{Peer, Peers};
 use chivevalve::metrics::Metrics;
 use chivevalve::ports::{Error, Store as Border, Watch, Weights};
@@ -146,7 +146,7 @@
         )
         .unwrap();
     }
-    declaration::check_sources(&[Source {
+    declaration::check_sources(&[SourceFile {
         name: Arc::from("all.yaml"),
         text,
     }])
--- a/lib/tests/test_declaration.rs
+++ b/lib/tests/test_declaration.rs
@@ -2,12 +2,12 @@
 
 use std::sync::Arc;
 
-use chivevalve::declaration::{self, Mistake, Source, diff, export};
+use chivevalve::declaration::{self, Mistake, SourceFile, diff, export};
 use chivevalve::schema::declaration::File;
 use insta::assert_snapshot;
 
-fn source(name: &str, text: &str) -> Source {
-    Source {
+fn source(name: &str, text: &str) -> SourceFile {
+    SourceFile {
         name: Arc::from(name),
         text: text.to_owned(),
     }
@@ -19,7 +19,7 @@
 }
 
 fn mistakes(files: &[(&str, &str)]) -> String {
-    let sources: Vec<Source> = files
+    let sources: Vec<SourceFile> = files
         .iter()
         .map(|(name, text)| source(name, text))
         .collect();
@@ -210,7 +210,7 @@
 #[test]
 fn page_examples_pass_the_check() {
     let page = include_str!("../../docs/operators/declarations.md");
-    let sources: Vec<Source> = page
+    let sources: Vec<SourceFile> = page
         .split("```yaml\n")
         .skip(1)
         .enumerate()
--- a/standins/src/fleet.rs
+++ b/standins/src/fleet.rs
@@ -4,7 +4,7 @@
 use std::path::Path;
 use std::time::Duration;
 
-use chivevalve::declaration::{DeclarationSet, Mistake, Source, load};
+use chivevalve::declaration::{DeclarationSet, Mistake, SourceFile, load};
 use http::Method;
 use serde_json::{Value, json};
 use tokio::net::TcpListener;
@@ -119,7 +119,7 @@
 /// # Errors
 ///
 /// All mistakes, one a line.
-pub fn declarations(directory: &Path) -> Result<(Vec<Source>, DeclarationSet), String> {
+pub fn declarations(directory: &Path) -> Result<(Vec<SourceFile>, DeclarationSet), String> {
     let sources = load::load_dir(directory).map_err(|mistakes| lines(&mistakes))?;
     let set = load::check_sources(&sources).map_err(|mistakes| lines(&mistakes))?;
     Ok((sources, set))
@@ -135,7 +135,7 @@
 /// # Errors
 ///
 /// When the node refuses.
-pub async fn apply(node: &Node, sources: &[Source], reason: &str) -> Result<u64, String> {
+pub async fn apply(node: &Node, sources: &[SourceFile], reason: &str) -> Result<u64, String> {
     let files: Vec<_> = sources
         .iter()
         .map(|source| json!({"name": &*source.name, "text": source.text}))
