--- a/lib/src/config/view.rs
+++ b/lib/src/config/view.rs
@@ -10,7 +10,7 @@
 use thiserror::Error;
 
 use super::digest::Digest;
-use crate::declaration::convert::{self, Unreadable};
+use crate::declaration::convert::{self, DecodeError};
 use crate::declaration::{Account, DeclarationSet, Pool, Template};
 use crate::name::Name;
 use crate::schema::declaration as schema;
@@ -38,7 +38,7 @@
 pub enum Error {
     /// A declaration can't be read by this version.
     #[error(transparent)]
-    Unreadable(#[from] Unreadable),
+    Unreadable(#[from] DecodeError),
     /// The change doesn't start from what this view holds.
     #[error("{0} isn't what the change starts from")]
     Unlike(String),
--- a/lib/src/declaration/convert.rs
+++ b/lib/src/declaration/convert.rs
@@ -16,14 +16,14 @@
 /// A newer version may have written it, or the service's data is damaged; the
 /// node keeps the revision that it has.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
-#[error("{what} {name}: {why}")]
-pub struct Unreadable {
+#[error("{what} {name}: {reason}")]
+pub struct DecodeError {
     /// Account, pool or template.
     pub what: &'static str,
     /// Its name.
     pub name: String,
     /// What can't be understood.
-    pub why: String,
+    pub reason: String,
 }
 
 const ENGINE: &str = "engine";
@@ -34,16 +34,16 @@
 /// # Errors
 ///
 /// When a digest isn't 64 hexadecimal digits.
-pub fn account(message: &schema::Account) -> Result<Account, Unreadable> {
+pub fn account(message: &schema::Account) -> Result<Account, DecodeError> {
     let digests: Option<Vec<[u8; 32]>> = message
         .key_digests
         .iter()
         .map(|text| digest(text))
         .collect();
-    let mut key_digests = digests.ok_or_else(|| Unreadable {
+    let mut key_digests = digests.ok_or_else(|| DecodeError {
         what: "account",
         name: message.name.clone(),
-        why: "a key digest isn't 64 hexadecimal digits".to_owned(),
+        reason: "a key digest isn't 64 hexadecimal digits".to_owned(),
     })?;
     // One order, so that declaring the same keys otherwise is no change.
     key_digests.sort_unstable();
@@ -76,11 +76,11 @@
 /// # Errors
 ///
 /// When its kind isn't known or a number that it needs is 0.
-pub fn pool(message: &schema::Pool) -> Result<Pool, Unreadable> {
-    let unreadable = |why: &str| Unreadable {
+pub fn pool(message: &schema::Pool) -> Result<Pool, DecodeError> {
+    let unreadable = |reason: &str| DecodeError {
         what: "pool",
         name: message.name.clone(),
-        why: why.to_owned(),
+        reason: reason.to_owned(),
     };
     let kind = match message.kind.as_str() {
         ENGINE if message.slots == 0 => return Err(unreadable("slots is 0")),
@@ -130,11 +130,11 @@
 pub fn template(
     message: &schema::Template,
     pool: Option<&Arc<Pool>>,
-) -> Result<Template, Unreadable> {
-    let unreadable = |why: &str| Unreadable {
+) -> Result<Template, DecodeError> {
+    let unreadable = |reason: &str| DecodeError {
         what: "template",
         name: format!("{}/{}", message.account, message.name),
-        why: why.to_owned(),
+        reason: reason.to_owned(),
     };
     let pool = pool.ok_or_else(|| unreadable("its pool is missing"))?;
     let class = class(&message.class).ok_or_else(|| unreadable("its class isn't known"))?;
