--- a/bench/src/fuzz_config/world.rs
+++ b/bench/src/fuzz_config/world.rs
@@ -265,7 +265,8 @@
                 .node(number, node.start, status.revision, status.learned)?;
             let view = node.site.config.learned();
             let written = operations.get(&view.revision());
-            let same = written.is_none_or(|written| written.view_digest == view.digest().bytes());
+            let same =
+                written.is_none_or(|written| written.view_digest == view.digest().to_bytes());
             if view.revision() > 0 && (written.is_none() || !same) {
                 return Err(format!(
                     "node {number} has a revision {} that nobody wrote",
--- a/lib/src/config/source.rs
+++ b/lib/src/config/config_store.rs
@@ -7,9 +7,9 @@
 use prost::Message;
 use thiserror::Error;
 
-use super::heavy;
+use super::blocking;
 use super::layout::{self, BLOCK_REVISIONS, Layout};
-use super::state::is_omitted;
+use super::state::omits_differences;
 use super::view::{self, View};
 use crate::clock::Millis;
 use crate::declaration::DeclarationSet;
@@ -17,33 +17,33 @@
 use crate::schema::declaration::{Bucket, Head, Operation};
 
 /// Calls in progress at a time while reading many values.
-const PARALLEL: usize = 8;
+const MAX_CONCURRENT_READS: usize = 8;
 /// Up to this many missing operations are read one by one; more come as whole blocks.
-const SINGLES: u64 = 8;
+const MAX_SINGLE_READS: u64 = 8;
 
 /// The head with the service's revision of its last write.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
-pub struct HeadAt {
+pub struct StoredHead {
     /// The head; revision 0 before any change.
     pub head: Head,
     /// The service's revision of the head's last write, or none when there is no head.
-    pub written: Option<u64>,
+    pub mod_revision: Option<u64>,
     /// The service's revision as of the read.
-    pub read: u64,
+    pub read_revision: u64,
 }
 
 /// What a node lacks.
 #[derive(Debug, Clone)]
-pub enum Missing {
+pub enum Update {
     /// Operations that follow what it has.
     Operations(Vec<Arc<Operation>>),
     /// The head's revision as a whole, with its writer's digest.
-    Whole(Box<View>, Vec<u8>),
+    Snapshot(Box<View>, Vec<u8>),
 }
 
 /// Why what a node lacks couldn't be had.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
-pub enum Failure {
+pub enum ReadError {
     /// The service failed.
     #[error(transparent)]
     Service(#[from] ports::Error),
@@ -54,13 +54,13 @@
 
 /// The configuration as the service holds it.
 #[derive(Debug, Clone)]
-pub struct Source {
+pub struct ConfigStore {
     store: Arc<dyn Store>,
     layout: Layout,
     timeout: Millis,
 }
 
-impl Source {
+impl ConfigStore {
     /// Reads through a store; a call without an answer fails after `timeout`.
     #[must_use]
     pub fn new(store: Arc<dyn Store>, layout: Layout, timeout: Millis) -> Self {
@@ -73,7 +73,7 @@
 
     /// Returns the store.
     #[must_use]
-    pub fn store(&self) -> &Arc<dyn Store> {
+    pub fn kv_store(&self) -> &Arc<dyn Store> {
         &self.store
     }
 
@@ -88,20 +88,20 @@
     /// # Errors
     ///
     /// When the service doesn't answer, or with something that isn't a head.
-    pub async fn head(&self) -> Result<HeadAt, ports::Error> {
+    pub async fn read_head(&self) -> Result<StoredHead, ports::Error> {
         let key = self.layout.head();
-        let listing = self.timed(self.store.list(&key)).await?;
+        let listing = self.with_timeout(self.store.list(&key)).await?;
         let entry = listing.entries.into_iter().find(|entry| entry.key == key);
         let Some(entry) = entry else {
-            return Ok(HeadAt {
-                read: listing.revision,
-                ..HeadAt::default()
+            return Ok(StoredHead {
+                read_revision: listing.revision,
+                ..StoredHead::default()
             });
         };
-        Ok(HeadAt {
+        Ok(StoredHead {
             head: decode(&entry)?,
-            written: Some(entry.revision),
-            read: listing.revision,
+            mod_revision: Some(entry.revision),
+            read_revision: listing.revision,
         })
     }
 
@@ -110,9 +110,12 @@
     /// # Errors
     ///
     /// When the service doesn't answer, or with something that isn't an operation.
-    pub async fn operation(&self, revision: u64) -> Result<Option<Arc<Operation>>, ports::Error> {
+    pub async fn read_operation(
+        &self,
+        revision: u64,
+    ) -> Result<Option<Arc<Operation>>, ports::Error> {
         let key = self.layout.operation(revision);
-        let entry = self.timed(self.store.get(&key)).await?;
+        let entry = self.with_timeout(self.store.get(&key)).await?;
         entry.map(|entry| decode(&entry).map(Arc::new)).transpose()
     }
 
@@ -121,9 +124,9 @@
     /// # Errors
     ///
     /// When the service doesn't answer.
-    pub async fn change(&self, id: &str) -> Result<Option<u64>, ports::Error> {
+    pub async fn revision_of_change(&self, id: &str) -> Result<Option<u64>, ports::Error> {
         let key = self.layout.change(id);
-        let entry = self.timed(self.store.get(&key)).await?;
+        let entry = self.with_timeout(self.store.get(&key)).await?;
         Ok(entry.and_then(|entry| String::from_utf8_lossy(&entry.value).parse().ok()))
     }
 
@@ -132,9 +135,9 @@
     /// # Errors
     ///
     /// When the service doesn't answer, or with something that isn't an operation.
-    pub async fn block(&self, revision: u64) -> Result<Vec<Arc<Operation>>, ports::Error> {
+    pub async fn read_block(&self, revision: u64) -> Result<Vec<Arc<Operation>>, ports::Error> {
         let prefix = self.layout.block(revision);
-        let listing = self.timed(self.store.list(&prefix)).await?;
+        let listing = self.with_timeout(self.store.list(&prefix)).await?;
         listing
             .entries
             .iter()
@@ -149,34 +152,34 @@
     /// When the service doesn't answer, or lacks what the head speaks of: the
     /// head came from a newer replica than the rest, or a snapshot was just
     /// replaced. Reading the head again settles both.
-    pub async fn missing(&self, have: u64, head: &Head) -> Result<Missing, Failure> {
+    pub async fn read_since(&self, have: u64, head: &Head) -> Result<Update, ReadError> {
         if head.revision.saturating_sub(have) <= BLOCK_REVISIONS {
-            match self.operations(have, head.revision).await {
-                Ok(operations) if !operations.iter().any(|o| is_omitted(o)) => {
-                    return Ok(Missing::Operations(operations));
+            match self.read_operations(have, head.revision).await {
+                Ok(operations) if !operations.iter().any(|o| omits_differences(o)) => {
+                    return Ok(Update::Operations(operations));
                 }
                 Ok(_) | Err(ports::Error::Malformed(_)) => {}
                 Err(error) => return Err(error.into()),
             }
         }
-        self.whole(head).await
+        self.read_full(head).await
     }
 
     /// Reads the head's revision as a whole: its snapshot and what followed.
     ///
     /// # Errors
     ///
-    /// As [`Source::missing`].
-    pub async fn whole(&self, head: &Head) -> Result<Missing, Failure> {
-        let set = self.set(&head.bucket_digests).await?;
-        let mut view = heavy::run(|| View::from_set(head.snapshot_revision, &set))?;
+    /// As [`ConfigStore::missing`].
+    pub async fn read_full(&self, head: &Head) -> Result<Update, ReadError> {
+        let set = self.read_buckets(&head.bucket_digests).await?;
+        let mut view = blocking::run(|| View::from_set(head.snapshot_revision, &set))?;
         let later = self
-            .operations(head.snapshot_revision, head.revision)
+            .read_operations(head.snapshot_revision, head.revision)
             .await?;
         for operation in later {
             view = view.apply_differences(operation.revision, &operation.differences)?;
         }
-        Ok(Missing::Whole(Box::new(view), head.view_digest.clone()))
+        Ok(Update::Snapshot(Box::new(view), head.view_digest.clone()))
     }
 
     /// Reads the declarations of a snapshot's buckets.
@@ -184,12 +187,12 @@
     /// # Errors
     ///
     /// When the service doesn't answer, or a bucket is missing or damaged.
-    pub async fn set(&self, digests: &[Vec<u8>]) -> Result<DeclarationSet, ports::Error> {
+    pub async fn read_buckets(&self, digests: &[Vec<u8>]) -> Result<DeclarationSet, ports::Error> {
         // Buckets that are alike, such as empty ones, are read once.
         let different: BTreeSet<Vec<u8>> = digests.iter().cloned().collect();
         let mut buckets = stream::iter(different)
-            .map(|digest| async move { self.bucket(&digest).await })
-            .buffer_unordered(PARALLEL);
+            .map(|digest| async move { self.read_bucket(&digest).await })
+            .buffer_unordered(MAX_CONCURRENT_READS);
         let mut set = DeclarationSet::default();
         while let Some(bucket) = buckets.try_next().await? {
             set.extend(bucket.file.unwrap_or_default());
@@ -197,11 +200,11 @@
         Ok(set)
     }
 
-    async fn bucket(&self, digest: &[u8]) -> Result<Bucket, ports::Error> {
+    async fn read_bucket(&self, digest: &[u8]) -> Result<Bucket, ports::Error> {
         let entry = self
-            .timed(self.store.get(&self.layout.bucket(digest)))
+            .with_timeout(self.store.get(&self.layout.bucket(digest)))
             .await?;
-        let entry = entry.ok_or_else(|| lacks("a bucket"))?;
+        let entry = entry.ok_or_else(|| missing_error("a bucket"))?;
         if layout::digest(&entry.value) != digest {
             return Err(ports::Error::Malformed(format!(
                 "{} isn't what its digest says",
@@ -212,36 +215,36 @@
     }
 
     /// Reads the operations after `have` up to `last`, all of them.
-    pub(super) async fn operations(
+    pub(super) async fn read_operations(
         &self,
         have: u64,
         last: u64,
     ) -> Result<Vec<Arc<Operation>>, ports::Error> {
-        let operations = if last.saturating_sub(have) <= SINGLES {
-            self.singles(have, last).await?
+        let operations = if last.saturating_sub(have) <= MAX_SINGLE_READS {
+            self.read_singly(have, last).await?
         } else {
-            self.blocks(have, last).await?
+            self.read_blocks(have, last).await?
         };
         let expected = usize::try_from(last.saturating_sub(have)).unwrap_or(usize::MAX);
         if operations.len() != expected {
-            return Err(lacks("an operation"));
+            return Err(missing_error("an operation"));
         }
         Ok(operations)
     }
 
-    async fn singles(&self, have: u64, last: u64) -> Result<Vec<Arc<Operation>>, ports::Error> {
+    async fn read_singly(&self, have: u64, last: u64) -> Result<Vec<Arc<Operation>>, ports::Error> {
         let found: Vec<Option<Arc<Operation>>> = stream::iter(have + 1..=last)
-            .map(|revision| self.operation(revision))
-            .buffered(PARALLEL)
+            .map(|revision| self.read_operation(revision))
+            .buffered(MAX_CONCURRENT_READS)
             .try_collect()
             .await?;
         Ok(found.into_iter().flatten().collect())
     }
 
-    async fn blocks(&self, have: u64, last: u64) -> Result<Vec<Arc<Operation>>, ports::Error> {
+    async fn read_blocks(&self, have: u64, last: u64) -> Result<Vec<Arc<Operation>>, ports::Error> {
         let mut operations = Vec::new();
         for block in (have + 1) / BLOCK_REVISIONS..=last / BLOCK_REVISIONS {
-            let listed = self.block(block * BLOCK_REVISIONS).await?;
+            let listed = self.read_block(block * BLOCK_REVISIONS).await?;
             operations.extend(
                 listed
                     .into_iter()
@@ -253,7 +256,7 @@
 
     /// Bounds a call: a service that takes connections but doesn't answer would
     /// otherwise hold up this part for ever.
-    pub(super) async fn timed<T>(
+    pub(super) async fn with_timeout<T>(
         &self,
         call: impl Future<Output = Result<T, ports::Error>>,
     ) -> Result<T, ports::Error> {
@@ -268,6 +271,6 @@
         .map_err(|error| ports::Error::Malformed(format!("{}: {error}", entry.key)))
 }
 
-fn lacks(what: &str) -> ports::Error {
+fn missing_error(what: &str) -> ports::Error {
     ports::Error::Malformed(format!("{what} that the head speaks of is missing"))
 }
--- a/lib/src/config/digest.rs
+++ b/lib/src/config/digest.rs
@@ -21,7 +21,7 @@
 
 /// What kind of declaration is added, so that equal bytes of two kinds differ.
 #[derive(Debug, Clone, Copy)]
-enum Kind {
+enum DeclarationKind {
     Account = 1,
     Pool = 2,
     Template = 3,
@@ -30,25 +30,29 @@
 impl Digest {
     /// Adds an account.
     pub fn add_account(&mut self, account: &Account) {
-        self.add(&lanes(Kind::Account, account));
+        self.add(&hash_lanes(DeclarationKind::Account, account));
     }
 
     /// Adds a pool.
     pub fn add_pool(&mut self, pool: &Pool) {
-        self.add(&lanes(Kind::Pool, pool));
+        self.add(&hash_lanes(DeclarationKind::Pool, pool));
     }
 
     /// Adds a template.
     pub fn add_template(&mut self, template: &Template) {
-        self.add(&lanes(Kind::Template, template));
+        self.add(&hash_lanes(DeclarationKind::Template, template));
     }
 
     /// Moves the digest over a difference.
-    pub fn change(&mut self, difference: &Difference) {
+    pub fn apply_difference(&mut self, difference: &Difference) {
         match &difference.before {
-            Some(Before::AccountBefore(old)) => self.take(&lanes(Kind::Account, old)),
-            Some(Before::PoolBefore(old)) => self.take(&lanes(Kind::Pool, old)),
-            Some(Before::TemplateBefore(old)) => self.take(&lanes(Kind::Template, old)),
+            Some(Before::AccountBefore(old)) => {
+                self.subtract(&hash_lanes(DeclarationKind::Account, old))
+            }
+            Some(Before::PoolBefore(old)) => self.subtract(&hash_lanes(DeclarationKind::Pool, old)),
+            Some(Before::TemplateBefore(old)) => {
+                self.subtract(&hash_lanes(DeclarationKind::Template, old))
+            }
             None => {}
         }
         match &difference.after {
@@ -61,35 +65,35 @@
 
     /// Returns the bytes that messages carry.
     #[must_use]
-    pub fn bytes(&self) -> Vec<u8> {
+    pub fn to_bytes(&self) -> Vec<u8> {
         self.0.iter().flat_map(|lane| lane.to_be_bytes()).collect()
     }
 
-    fn add(&mut self, lanes: &[u64; LANES]) {
-        for (sum, lane) in self.0.iter_mut().zip(lanes) {
+    fn add(&mut self, hash_lanes: &[u64; LANES]) {
+        for (sum, lane) in self.0.iter_mut().zip(hash_lanes) {
             *sum = sum.wrapping_add(*lane);
         }
     }
 
-    fn take(&mut self, lanes: &[u64; LANES]) {
-        for (sum, lane) in self.0.iter_mut().zip(lanes) {
+    fn subtract(&mut self, hash_lanes: &[u64; LANES]) {
+        for (sum, lane) in self.0.iter_mut().zip(hash_lanes) {
             *sum = sum.wrapping_sub(*lane);
         }
     }
 }
 
-fn lanes(kind: Kind, message: &impl Message) -> [u64; LANES] {
+fn hash_lanes(kind: DeclarationKind, message: &impl Message) -> [u64; LANES] {
     let hash = Sha256::new()
         .chain_update([kind as u8])
         .chain_update(message.encode_to_vec())
         .finalize();
-    let mut lanes = [0; LANES];
-    for (lane, bytes) in lanes.iter_mut().zip(hash.chunks_exact(8)) {
+    let mut hash_lanes = [0; LANES];
+    for (lane, bytes) in hash_lanes.iter_mut().zip(hash.chunks_exact(8)) {
         let mut word = [0; 8];
         word.copy_from_slice(bytes);
         *lane = u64::from_be_bytes(word);
     }
-    lanes
+    hash_lanes
 }
 
 #[cfg(test)]
@@ -110,7 +114,7 @@
         a.add_pool(&pool("y"));
         let mut b = Digest::default();
         b.add_pool(&pool("y"));
-        b.change(&Difference {
+        b.apply_difference(&Difference {
             before: Some(Before::PoolBefore(pool("y"))),
             after: Some(After::PoolAfter(pool("x"))),
         });
--- a/lib/src/config/follower.rs
+++ b/lib/src/config/follower.rs
@@ -13,8 +13,8 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg32;
 
+use super::config_store::{ReadError, StoredHead};
 use super::manager::ConfigManager;
-use super::source::{Failure, HeadAt};
 use super::state::Origin;
 use crate::clock::Millis;
 use crate::gossip::rank;
@@ -22,11 +22,11 @@
 use crate::schema::declaration::{Head, Operation};
 
 /// First wait after a failed call, in milliseconds.
-const FIRST_WAIT: Millis = Millis(500);
+const INITIAL_BACKOFF: Millis = Millis(500);
 /// Longest wait after failed calls, in milliseconds.
-const MAX_WAIT: Millis = Millis(15_000);
+const MAX_BACKOFF: Millis = Millis(15_000);
 /// How often a node looks whether it is to watch, in milliseconds.
-const ROLE_CHECK: Millis = Millis(2_000);
+const ROLE_CHECK_INTERVAL: Millis = Millis(2_000);
 /// How long peers may take to bring a revision that was heard of, in milliseconds.
 const PEER_TIMEOUT: Millis = Millis(3_000);
 
@@ -37,8 +37,8 @@
     let mut follower = Follower {
         manager,
         rng,
-        wait: FIRST_WAIT,
-        failing: false,
+        backoff: INITIAL_BACKOFF,
+        is_failing: false,
     };
     tokio::select! {
         () = stop.cancelled() => {}
@@ -49,28 +49,28 @@
 struct Follower {
     manager: Arc<ConfigManager>,
     rng: Pcg32,
-    wait: Millis,
-    failing: bool,
+    backoff: Millis,
+    is_failing: bool,
 }
 
 impl Follower {
     async fn run(&mut self) {
         loop {
-            let watcher = self.watcher();
-            self.manager.watching.store(watcher, Ordering::Relaxed);
+            let watcher = self.is_watcher();
+            self.manager.is_watcher.store(watcher, Ordering::Relaxed);
             let ended = if watcher {
                 self.watch().await
             } else {
-                self.listen().await
+                self.wait_for_peers().await
             };
             match ended {
-                Ok(()) => self.succeeded(),
+                Ok(()) => self.record_success(),
                 Err(failure) => self.back_off(&failure).await,
             }
         }
     }
 
-    fn watcher(&self) -> bool {
+    fn is_watcher(&self) -> bool {
         let parts = &self.manager.parts;
         rank::is_among(
             &parts.node,
@@ -81,14 +81,14 @@
     }
 
     /// Watches the service until the watch breaks or others watch.
-    async fn watch(&mut self) -> Result<(), Failure> {
+    async fn watch(&mut self) -> Result<(), ReadError> {
         let manager = Arc::clone(&self.manager);
         let head = manager.catch_up().await?;
-        self.succeeded();
+        self.record_success();
         let mut changes = manager
             .parts
             .watch
-            .watch(&manager.source.layout().watched(), head.read)
+            .watch(&manager.config_store.layout().watched(), head.read_revision)
             .await?;
         let mut confirm = Box::pin(tokio::time::sleep(
             manager
@@ -98,22 +98,22 @@
                 .jittered(&mut self.rng)
                 .duration(),
         ));
-        let mut role = tokio::time::interval(ROLE_CHECK.duration());
+        let mut role = tokio::time::interval(ROLE_CHECK_INTERVAL.duration());
         loop {
             tokio::select! {
                 change = changes.next() => match change {
-                    Some(event) => self.changed(&event?).await?,
-                    None => return Err(broken().into()),
+                    Some(event) => self.apply_event(&event?).await?,
+                    None => return Err(watch_ended().into()),
                 },
                 () = &mut confirm => {
                     manager.catch_up().await?;
                     let next = manager.parts.limits.confirm_interval.jittered(&mut self.rng);
                     confirm.set(tokio::time::sleep(next.duration()));
                 }
-                () = manager.behind.notified() => {
+                () = manager.service_wakeup.notified() => {
                     manager.catch_up().await?;
                 }
-                _ = role.tick() => if !self.watcher() {
+                _ = role.tick() => if !self.is_watcher() {
                     return Ok(());
                 },
             }
@@ -121,46 +121,46 @@
     }
 
     /// Takes over what a watch saw.
-    async fn changed(&self, event: &Event) -> Result<(), Failure> {
+    async fn apply_event(&self, event: &Event) -> Result<(), ReadError> {
         let Some(entry) = &event.entry else {
             // Nobody removes the head; operations go when they are old.
             return Ok(());
         };
         let asked = self.manager.now();
         let malformed =
-            |error| Failure::from(ports::Error::Malformed(format!("{}: {error}", entry.key)));
-        if entry.key != self.manager.source.layout().head() {
+            |error| ReadError::from(ports::Error::Malformed(format!("{}: {error}", entry.key)));
+        if entry.key != self.manager.config_store.layout().head() {
             let operation = Operation::decode(entry.value.clone()).map_err(malformed)?;
             self.manager.offer(&[Arc::new(operation)]);
             return Ok(());
         }
-        let head = HeadAt {
+        let head = StoredHead {
             head: Head::decode(entry.value.clone()).map_err(malformed)?,
-            written: Some(entry.revision),
-            read: event.revision,
+            mod_revision: Some(entry.revision),
+            read_revision: event.revision,
         };
-        self.manager.take_head(&head, asked).await
+        self.manager.apply_head(&head, asked).await
     }
 
     /// Leaves the service alone while peers keep this node fresh.
-    async fn listen(&mut self) -> Result<(), Failure> {
+    async fn wait_for_peers(&mut self) -> Result<(), ReadError> {
         let manager = Arc::clone(&self.manager);
-        let pause = ROLE_CHECK.jittered(&mut self.rng);
+        let pause = ROLE_CHECK_INTERVAL.jittered(&mut self.rng);
         tokio::select! {
             () = tokio::time::sleep(pause.duration()) => {}
-            () = manager.behind.notified() => {
+            () = manager.service_wakeup.notified() => {
                 let pause = PEER_TIMEOUT.jittered(&mut self.rng);
                 tokio::time::sleep(pause.duration()).await;
             }
         }
-        if self.needs_service() {
+        if self.should_poll_service() {
             manager.catch_up().await?;
         }
         Ok(())
     }
 
     /// Whether peers don't keep this node fresh.
-    fn needs_service(&mut self) -> bool {
+    fn should_poll_service(&mut self) -> bool {
         let poll = self
             .manager
             .parts
@@ -169,39 +169,39 @@
             .jittered(&mut self.rng);
         let now = self.manager.now();
         let state = self.manager.state();
-        let (learned, heard) = (state.learned().revision(), state.heard());
-        if state.is_refused(heard, Origin::Service, now) {
+        let (learned, heard) = (state.learned().revision(), state.newest_heard());
+        if state.is_rejected(heard, Origin::Service, now) {
             return false;
         }
-        let fresh = state.age(now).is_some_and(|age| age < poll);
+        let fresh = state.confirmed_age(now).is_some_and(|age| age < poll);
         learned == 0 || heard > learned || !fresh
     }
 
-    fn succeeded(&mut self) {
-        if self.failing {
+    fn record_success(&mut self) {
+        if self.is_failing {
             info!("config: the key-value service is reachable again");
         }
-        self.failing = false;
-        self.wait = FIRST_WAIT;
+        self.is_failing = false;
+        self.backoff = INITIAL_BACKOFF;
     }
 
     /// Waits before the next call, anywhere up to a bound that doubles.
     ///
     /// When the service comes back after an outage, all nodes want it at once;
     /// waits that are spread over their whole range keep them from calling in step.
-    async fn back_off(&mut self, failure: &Failure) {
-        if self.failing {
+    async fn back_off(&mut self, failure: &ReadError) {
+        if self.is_failing {
             debug!("config: {failure}");
         } else {
             warn!("config: {failure}");
         }
-        self.failing = true;
-        let wait = Millis(self.rng.random_range(self.wait.0 / 4..=self.wait.0));
-        tokio::time::sleep(wait.duration()).await;
-        self.wait = (self.wait + self.wait).min(MAX_WAIT);
+        self.is_failing = true;
+        let backoff = Millis(self.rng.random_range(self.backoff.0 / 4..=self.backoff.0));
+        tokio::time::sleep(backoff.duration()).await;
+        self.backoff = (self.backoff + self.backoff).min(MAX_BACKOFF);
     }
 }
 
-fn broken() -> ports::Error {
+fn watch_ended() -> ports::Error {
     ports::Error::NoAnswer("the watch ended".to_owned())
 }
--- a/lib/src/config/garbage.rs
+++ b/lib/src/config/garbage.rs
@@ -8,8 +8,8 @@
 
 use std::collections::HashSet;
 
+use super::config_store::{ConfigStore, StoredHead};
 use super::layout::BLOCK_REVISIONS;
-use super::source::{HeadAt, Source};
 use crate::ports::{self, Condition, Transaction, Write};
 use crate::schema::declaration::Operation;
 
@@ -19,7 +19,7 @@
 pub const MIN_KEPT_REVISIONS: u64 = 20_000;
 
 /// How often clearing away is begun anew when a change comes between.
-const ROUNDS: usize = 3;
+const MAX_ROUNDS: usize = 3;
 
 /// Clears away what fell out of the kept span when the head's snapshot was made.
 ///
@@ -27,12 +27,14 @@
 ///
 /// When the service doesn't answer; what is left is cleared away later or
 /// stays, and does no harm.
-pub async fn run(source: &Source) -> Result<(), ports::Error> {
-    for _ in 0..ROUNDS {
-        let head = source.head().await?;
-        let buckets = unused_buckets(source, &head).await?;
-        let operations = old_operations(source, &head).await?;
-        if remove(source, &head, buckets).await? && remove(source, &head, operations).await? {
+pub async fn collect(config_store: &ConfigStore) -> Result<(), ports::Error> {
+    for _ in 0..MAX_ROUNDS {
+        let head = config_store.read_head().await?;
+        let buckets = unused_buckets(config_store, &head).await?;
+        let operations = expired_operations(config_store, &head).await?;
+        if delete_if_head_unchanged(config_store, &head, buckets).await?
+            && delete_if_head_unchanged(config_store, &head, operations).await?
+        {
             return Ok(());
         }
     }
@@ -41,17 +43,20 @@
 
 /// Walks from the newest snapshot back to the first that isn't kept, and lists
 /// its buckets that no kept one has.
-async fn unused_buckets(source: &Source, head: &HeadAt) -> Result<Vec<String>, ports::Error> {
+async fn unused_buckets(
+    config_store: &ConfigStore,
+    head: &StoredHead,
+) -> Result<Vec<String>, ports::Error> {
     let mut kept: HashSet<Vec<u8>> = HashSet::new();
     let mut revision = head.head.snapshot_revision;
     for _ in 0..KEPT_SNAPSHOTS {
-        let Some(operation) = snapshot(source, revision).await? else {
+        let Some(operation) = snapshot_operation(config_store, revision).await? else {
             return Ok(Vec::new());
         };
         kept.extend(operation.bucket_digests.iter().cloned());
         revision = operation.previous_snapshot;
     }
-    let Some(old) = snapshot(source, revision).await? else {
+    let Some(old) = snapshot_operation(config_store, revision).await? else {
         return Ok(Vec::new());
     };
     let unused: HashSet<&Vec<u8>> = old
@@ -59,23 +64,29 @@
         .iter()
         .filter(|digest| !kept.contains(*digest))
         .collect();
-    let keys = source.layout();
+    let keys = config_store.layout();
     Ok(unused
         .into_iter()
         .map(|digest| keys.bucket(digest))
         .collect())
 }
 
-async fn snapshot(source: &Source, revision: u64) -> Result<Option<Operation>, ports::Error> {
+async fn snapshot_operation(
+    config_store: &ConfigStore,
+    revision: u64,
+) -> Result<Option<Operation>, ports::Error> {
     if revision == 0 {
         return Ok(None);
     }
-    let operation = source.operation(revision).await?;
+    let operation = config_store.read_operation(revision).await?;
     Ok(operation.map(|operation| (*operation).clone()))
 }
 
 /// Lists the block of operations that just became too old.
-async fn old_operations(source: &Source, head: &HeadAt) -> Result<Vec<String>, ports::Error> {
+async fn expired_operations(
+    config_store: &ConfigStore,
+    head: &StoredHead,
+) -> Result<Vec<String>, ports::Error> {
     let Some(old) = head
         .head
         .revision
@@ -83,8 +94,8 @@
     else {
         return Ok(Vec::new());
     };
-    let keys = source.layout();
-    let operations = source.block(old).await?;
+    let keys = config_store.layout();
+    let operations = config_store.read_block(old).await?;
     let removed = operations.iter().flat_map(|operation| {
         let change = keys.change(&operation.change_id);
         [keys.operation(operation.revision), change]
@@ -93,21 +104,26 @@
 }
 
 /// Removes keys while the head is what it was. Returns whether it was.
-async fn remove(
-    source: &Source,
-    head: &HeadAt,
+async fn delete_if_head_unchanged(
+    config_store: &ConfigStore,
+    head: &StoredHead,
     removed: Vec<String>,
 ) -> Result<bool, ports::Error> {
-    let Some(written) = head.written else {
+    let Some(mod_revision) = head.mod_revision else {
         return Ok(true);
     };
     if removed.is_empty() {
         return Ok(true);
     }
     let transaction = Transaction {
-        conditions: vec![Condition::Unchanged(source.layout().head(), written)],
+        conditions: vec![Condition::Unchanged(
+            config_store.layout().head(),
+            mod_revision,
+        )],
         writes: removed.into_iter().map(Write::Delete).collect(),
     };
-    let commit = source.timed(source.store().commit(transaction)).await?;
+    let commit = config_store
+        .with_timeout(config_store.kv_store().commit(transaction))
+        .await?;
     Ok(commit.done)
 }
--- a/lib/src/config/share.rs
+++ b/lib/src/config/gossip_state.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use super::heavy;
+use super::blocking;
 use super::layout;
 use super::manager::ConfigManager;
 use super::state::Origin;
@@ -18,8 +18,10 @@
         let now = self.now();
         let state = self.state();
         digest.revision = state.learned().revision();
-        digest.view_digest = state.learned().digest().bytes().into();
-        digest.confirmed_age_ms = state.age(now).map_or(0, |age| age.0.saturating_add(1));
+        digest.view_digest = state.learned().digest().to_bytes().into();
+        digest.confirmed_age_ms = state
+            .confirmed_age(now)
+            .map_or(0, |age| age.0.saturating_add(1));
     }
 
     fn answer(&self, theirs: &Digest, delta: &mut Delta) {
@@ -27,7 +29,7 @@
         if theirs.revision >= state.learned().revision() {
             return;
         }
-        match state.since(theirs.revision, self.parts.limits.max_delta_bytes) {
+        match state.operations_since(theirs.revision, self.parts.limits.max_delta_bytes) {
             Some(operations) => delta
                 .operations
                 .extend(operations.iter().map(|operation| (**operation).clone())),
@@ -37,32 +39,32 @@
 
     fn learn(&self, delta: &Delta) -> bool {
         let operations: Vec<_> = delta.operations.iter().cloned().map(Arc::new).collect();
-        let (news, _) = self.offer(&operations);
+        let (any_new, _) = self.offer(&operations);
         let Some(theirs) = &delta.digest else {
-            return news;
+            return any_new;
         };
         let now = self.now();
-        let behind = {
+        let is_behind = {
             let mut state = self.state();
-            state.hear(theirs.revision);
+            state.record_heard(theirs.revision);
             let learned = state.learned();
             let equal = theirs.revision == learned.revision();
-            let like = theirs.view_digest == learned.digest().bytes();
+            let like = theirs.view_digest == learned.digest().to_bytes();
             if equal && !like {
                 drop(state);
-                self.count("conflict");
-                return news;
+                self.count_event("conflict");
+                return any_new;
             }
             if equal && theirs.confirmed_age_ms > 0 {
                 let age = Millis(theirs.confirmed_age_ms - 1);
-                state.confirm(theirs.revision, now - age);
+                state.record_confirmed(theirs.revision, now - age);
             }
-            state.heard() > state.learned().revision()
+            state.newest_heard() > state.learned().revision()
         };
-        if behind {
-            self.behind.notify_one();
+        if is_behind {
+            self.service_wakeup.notify_one();
         }
-        news
+        any_new
     }
 }
 
@@ -71,14 +73,14 @@
         let view = self.learned();
         let head = Head {
             revision: view.revision(),
-            view_digest: view.digest().bytes(),
+            view_digest: view.digest().to_bytes(),
             ..Head::default()
         };
         let first = SnapshotPart {
             head: Some(head),
             ..SnapshotPart::default()
         };
-        let files = heavy::run(|| layout::partition(&view.to_set()));
+        let files = blocking::run(|| layout::partition(&view.to_set()));
         let buckets = files.into_iter().map(|file| SnapshotPart {
             bucket: Some(Bucket { file: Some(file) }),
             ..SnapshotPart::default()
@@ -91,7 +93,7 @@
     fn is_wanted(&self, revision: u64) -> bool {
         let now = self.now();
         let state = self.state();
-        state.learned().revision() < revision && !state.is_refused(revision, Origin::Peer, now)
+        state.learned().revision() < revision && !state.is_rejected(revision, Origin::Peer, now)
     }
 
     fn install(&self, parts: Vec<SnapshotPart>) -> bool {
@@ -110,11 +112,11 @@
         }
         match View::from_set(head.revision, &set) {
             Ok(view) => {
-                self.count("snapshot_peer");
-                Self::install(self, view, &head.view_digest, Origin::Peer)
+                self.count_event("snapshot_peer");
+                self.install_view(view, &head.view_digest, Origin::Peer)
             }
-            Err(why) => {
-                self.refuse(head.revision, why, Origin::Peer);
+            Err(reason) => {
+                self.reject(head.revision, reason, Origin::Peer);
                 false
             }
         }
--- a/lib/src/config/history.rs
+++ b/lib/src/config/history.rs
@@ -2,10 +2,10 @@
 
 use std::sync::Arc;
 
+use super::config_store::ConfigStore;
 use super::error::Error;
 use super::layout::BLOCK_REVISIONS;
-use super::source::Source;
-use super::state::is_omitted;
+use super::state::omits_differences;
 use super::view::View;
 use crate::declaration::{DeclarationSet, diff};
 use crate::ports;
@@ -16,15 +16,15 @@
 /// # Errors
 ///
 /// When the service doesn't answer.
-pub async fn operations(
-    source: &Source,
+pub async fn list(
+    config_store: &ConfigStore,
     last: u64,
     limit: usize,
 ) -> Result<Vec<Arc<Operation>>, ports::Error> {
     let mut found: Vec<Arc<Operation>> = Vec::new();
     let mut block = last / BLOCK_REVISIONS;
     loop {
-        let listed = source.block(block * BLOCK_REVISIONS).await?;
+        let listed = config_store.read_block(block * BLOCK_REVISIONS).await?;
         // Older blocks are cleared away first, so an empty one ends the history.
         let ended = block == 0 || listed.is_empty();
         let older = listed.into_iter().rev();
@@ -45,21 +45,29 @@
 /// # Errors
 ///
 /// [`Error::UnknownRevision`] when what is needed isn't kept any more.
-pub async fn at(source: &Source, newest: &View, revision: u64) -> Result<DeclarationSet, Error> {
+pub async fn declared_at(
+    config_store: &ConfigStore,
+    newest: &View,
+    revision: u64,
+) -> Result<DeclarationSet, Error> {
     if revision > newest.revision() {
         return Err(Error::UnknownRevision(revision));
     }
     let mut set = newest.to_set();
     let mut at = newest.revision();
     while at > revision {
-        let operations = source.block(at).await.map_err(Error::Unavailable)?;
+        let operations = config_store
+            .read_block(at)
+            .await
+            .map_err(Error::Unavailable)?;
         let before = at;
         for operation in operations.iter().rev() {
             if operation.revision != at || at == revision {
                 continue;
             }
-            if is_omitted(operation) {
-                return forward(source, operation.previous_snapshot, revision).await;
+            if omits_differences(operation) {
+                return replay_from_snapshot(config_store, operation.previous_snapshot, revision)
+                    .await;
             }
             diff::patch(&mut set, &diff::reverse(&operation.differences));
             at -= 1;
@@ -72,12 +80,16 @@
 }
 
 /// Starts from the newest snapshot that isn't newer than the revision.
-async fn forward(source: &Source, snapshot: u64, revision: u64) -> Result<DeclarationSet, Error> {
+async fn replay_from_snapshot(
+    config_store: &ConfigStore,
+    snapshot: u64,
+    revision: u64,
+) -> Result<DeclarationSet, Error> {
     let mut snapshot = snapshot;
     let unknown = |_| Error::UnknownRevision(revision);
     while snapshot > revision {
-        let operation = source
-            .operation(snapshot)
+        let operation = config_store
+            .read_operation(snapshot)
             .await
             .map_err(Error::Unavailable)?;
         let operation = operation.ok_or(Error::UnknownRevision(revision))?;
@@ -85,18 +97,18 @@
     }
     let mut set = DeclarationSet::default();
     if snapshot > 0 {
-        let operation = source
-            .operation(snapshot)
+        let operation = config_store
+            .read_operation(snapshot)
             .await
             .map_err(Error::Unavailable)?;
         let operation = operation.ok_or(Error::UnknownRevision(revision))?;
-        set = source
-            .set(&operation.bucket_digests)
+        set = config_store
+            .read_buckets(&operation.bucket_digests)
             .await
             .map_err(unknown)?;
     }
-    let later = source
-        .operations(snapshot, revision)
+    let later = config_store
+        .read_operations(snapshot, revision)
         .await
         .map_err(unknown)?;
     for operation in later {
--- a/lib/src/config/layout.rs
+++ b/lib/src/config/layout.rs
@@ -107,7 +107,7 @@
 /// Cuts a set into its buckets as they are stored. Equal sets give equal bytes.
 #[must_use]
 pub fn encode_buckets(set: &DeclarationSet) -> Vec<EncodedBucket> {
-    partition(set).into_iter().map(stored).collect()
+    partition(set).into_iter().map(encode_bucket).collect()
 }
 
 /// Cuts a set into its buckets.
@@ -115,13 +115,15 @@
 pub fn partition(set: &DeclarationSet) -> Vec<File> {
     let mut files = vec![File::default(); BUCKET_COUNT];
     for account in set.accounts.values() {
-        files[of_account(account)].accounts.push(account.clone());
+        files[bucket_of_account(account)]
+            .accounts
+            .push(account.clone());
     }
     for pool in set.pools.values() {
-        files[of_pool(pool)].pools.push(pool.clone());
+        files[bucket_of_pool(pool)].pools.push(pool.clone());
     }
     for template in set.templates.values() {
-        files[of_template(template)]
+        files[bucket_of_template(template)]
             .templates
             .push(template.clone());
     }
@@ -134,7 +136,7 @@
     Sha256::digest(value).to_vec()
 }
 
-fn stored(file: File) -> EncodedBucket {
+fn encode_bucket(file: File) -> EncodedBucket {
     let value = Bucket { file: Some(file) }.encode_to_vec();
     EncodedBucket {
         digest: digest(&value),
@@ -142,20 +144,20 @@
     }
 }
 
-fn of_account(account: &Account) -> usize {
-    index(&["a", &account.name])
+fn bucket_of_account(account: &Account) -> usize {
+    bucket_index(&["a", &account.name])
 }
 
-fn of_pool(pool: &Pool) -> usize {
-    index(&["p", &pool.name])
+fn bucket_of_pool(pool: &Pool) -> usize {
+    bucket_index(&["p", &pool.name])
 }
 
-fn of_template(template: &Template) -> usize {
-    index(&["t", &template.account, &template.name])
+fn bucket_of_template(template: &Template) -> usize {
+    bucket_index(&["t", &template.account, &template.name])
 }
 
 /// Spreads by the whole name: one account may have most of the templates.
-fn index(parts: &[&str]) -> usize {
+fn bucket_index(parts: &[&str]) -> usize {
     let hash = parts.iter().fold(BUCKET_SEED, |seed, part| {
         xxh3_64_with_seed(part.as_bytes(), seed)
     });
--- a/lib/src/config/manager.rs
+++ b/lib/src/config/manager.rs
@@ -13,10 +13,10 @@
 use tokio::sync::{Notify, watch};
 use tokio_util::sync::CancellationToken;
 
+use super::config_store::{ConfigStore, StoredHead, Update};
 use super::layout::Layout;
 use super::prefetch::{self, PREFETCH_GRACE, Prefetch, UpcomingAdapter};
-use super::source::{HeadAt, Missing, Source};
-use super::state::{Origin, State, Taken};
+use super::state::{ConfigState, OfferOutcome, Origin};
 use super::view::{self, View};
 use crate::clock::{Clock, Millis};
 use crate::declaration::convert;
@@ -29,7 +29,7 @@
 use crate::schema::declaration::{Difference, Operation};
 
 /// Longest time between two looks at what is due and at the age, in milliseconds.
-const TICK: Millis = Millis(1_000);
+const MAX_ACTIVATION_WAIT: Millis = Millis(1_000);
 
 /// How the keeper spends calls and time.
 #[derive(Debug, Clone)]
@@ -123,16 +123,16 @@
 #[derive(Debug)]
 pub struct ConfigManager {
     pub(super) parts: Dependencies,
-    pub(super) source: Source,
-    state: Mutex<State>,
+    pub(super) config_store: ConfigStore,
+    state: Mutex<ConfigState>,
     in_force: watch::Sender<Arc<View>>,
     /// The newest revision learned, for the exchange with peers.
-    news: watch::Sender<u64>,
+    learned_revision: watch::Sender<u64>,
     /// Wakes the task that puts due revisions in force.
-    due: Notify,
+    activation_wakeup: Notify,
     /// Wakes the task that asks the service.
-    pub(super) behind: Notify,
-    pub(super) watching: std::sync::atomic::AtomicBool,
+    pub(super) service_wakeup: Notify,
+    pub(super) is_watcher: std::sync::atomic::AtomicBool,
     events: IntCounterVec,
 }
 
@@ -141,26 +141,27 @@
     #[must_use]
     pub fn start(parts: Dependencies) -> Arc<Self> {
         let manager = Arc::new(Self::new(parts));
-        tokio::spawn(Arc::clone(&manager).put_in_force());
+        tokio::spawn(Arc::clone(&manager).run_activation());
         tokio::spawn(super::follower::run(Arc::clone(&manager)));
         manager
     }
 
     fn new(parts: Dependencies) -> Self {
         let layout = Layout::new(&parts.prefix);
-        let source = Source::new(Arc::clone(&parts.store), layout, parts.limits.call_timeout);
-        let events = counters(&parts.metrics);
+        let config_store =
+            ConfigStore::new(Arc::clone(&parts.store), layout, parts.limits.call_timeout);
+        let events = event_counter(&parts.metrics);
         let (in_force, _) = watch::channel(Arc::default());
-        let (news, _) = watch::channel(0);
+        let (learned_revision, _) = watch::channel(0);
         Self {
-            source,
+            config_store,
             events,
             in_force,
-            news,
+            learned_revision,
             state: Mutex::default(),
-            due: Notify::new(),
-            behind: Notify::new(),
-            watching: std::sync::atomic::AtomicBool::new(false),
+            activation_wakeup: Notify::new(),
+            service_wakeup: Notify::new(),
+            is_watcher: std::sync::atomic::AtomicBool::new(false),
             parts,
         }
     }
@@ -174,7 +175,7 @@
     /// Returns the channel of the newest revision learned, which peers should hear of at once.
     #[must_use]
     pub fn learned_revision(&self) -> watch::Receiver<u64> {
-        self.news.subscribe()
+        self.learned_revision.subscribe()
     }
 
     /// Returns what operators see.
@@ -186,14 +187,14 @@
         Status {
             revision: state.in_force().revision(),
             learned: learned.revision(),
-            heard: state.heard(),
-            confirmed_age_ms: state.age(now).map(|age| age.0),
-            watcher: self.watching.load(std::sync::atomic::Ordering::Relaxed),
+            heard: state.newest_heard(),
+            confirmed_age_ms: state.confirmed_age(now).map(|age| age.0),
+            watcher: self.is_watcher.load(std::sync::atomic::Ordering::Relaxed),
             refused: state
-                .refusal()
-                .map(|refusal| format!("revision {}: {}", refusal.revision, refusal.why)),
-            stale: state.stale(),
-            digest: convert::hex(&learned.digest().bytes()),
+                .newest_rejection()
+                .map(|rejection| format!("revision {}: {}", rejection.revision, rejection.reason)),
+            stale: state.stale_offers(),
+            digest: convert::hex(&learned.digest().to_bytes()),
             accounts: learned.accounts().count(),
             pools: learned.pools().count(),
             templates: learned.templates().count(),
@@ -210,131 +211,135 @@
         self.parts.clock.now()
     }
 
-    pub(super) fn state(&self) -> MutexGuard<'_, State> {
+    pub(super) fn state(&self) -> MutexGuard<'_, ConfigState> {
         // Every change of the state is one assignment after its checks, so a
         // panic elsewhere leaves it whole.
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    pub(super) fn count(&self, kind: &str) {
+    pub(super) fn count_event(&self, kind: &str) {
         self.events.with_label_values(&[kind]).inc();
     }
 
     /// Offers operations in order. Returns whether any was new, and whether some are missing.
     pub(super) fn offer(&self, operations: &[Arc<Operation>]) -> (bool, bool) {
         let mut upcoming = Vec::new();
-        let (mut news, mut gap) = (false, false);
+        let (mut any_new, mut gap) = (false, false);
         let now = self.now();
         {
             let mut state = self.state();
             for operation in operations {
-                let taken = state.offer(operation, now, |old, new| {
-                    self.due_of(old, new, &operation.differences, &mut upcoming)
+                let outcome = state.offer(operation, now, |old, new| {
+                    self.activation_time(old, new, &operation.differences, &mut upcoming)
                 });
-                news |= taken == Taken::New;
-                gap |= taken == Taken::Gap;
-                self.note(operation.revision, &taken);
+                any_new |= outcome == OfferOutcome::New;
+                gap |= outcome == OfferOutcome::Gap;
+                self.record_outcome(operation.revision, &outcome);
             }
             self.publish(&mut state);
         }
-        self.announce(&upcoming);
-        (news, gap)
+        self.start_prefetch(&upcoming);
+        (any_new, gap)
     }
 
     /// Offers a whole revision. Returns whether it was new.
-    pub(super) fn install(&self, view: View, digest: &[u8], origin: Origin) -> bool {
+    pub(super) fn install_view(&self, view: View, digest: &[u8], origin: Origin) -> bool {
         let mut upcoming = Vec::new();
         let revision = view.revision();
         let now = self.now();
-        let taken = {
+        let outcome = {
             let mut state = self.state();
-            let taken = state.install(view, digest, origin, now, |old, new| {
-                self.due_of(old, new, &[], &mut upcoming)
+            let outcome = state.install(view, digest, origin, now, |old, new| {
+                self.activation_time(old, new, &[], &mut upcoming)
             });
             self.publish(&mut state);
-            taken
+            outcome
         };
-        self.note(revision, &taken);
-        self.announce(&upcoming);
-        taken == Taken::New
+        self.record_outcome(revision, &outcome);
+        self.start_prefetch(&upcoming);
+        outcome == OfferOutcome::New
     }
 
     /// Notes that a revision can't be read.
-    pub(super) fn refuse(&self, revision: u64, why: view::Error, origin: Origin) {
+    pub(super) fn reject(&self, revision: u64, why: view::Error, origin: Origin) {
         let now = self.now();
-        let taken = self.state().refuse(revision, why, origin, now);
-        self.note(revision, &taken);
+        let outcome = self.state().reject(revision, why, origin, now);
+        self.record_outcome(revision, &outcome);
     }
 
     /// Notes what the service holds as the newest.
-    pub(super) fn confirm(&self, revision: u64, at: Millis) {
+    pub(super) fn confirm_revision(&self, revision: u64, at: Millis) {
         let mut state = self.state();
         let learned = state.learned().revision();
-        let first = state.stale() == 0;
-        if !state.confirm(revision, at) {
+        let first = state.stale_offers() == 0;
+        if !state.record_confirmed(revision, at) {
             return;
         }
         drop(state);
-        self.count("stale");
+        self.count_event("stale");
         if first {
             warn!("config: the service offers revision {revision}; revision {learned} stays");
         }
     }
 
     /// Reads the service's head and takes over what is newer.
-    pub(super) async fn catch_up(&self) -> Result<HeadAt, super::source::Failure> {
+    pub(super) async fn catch_up(&self) -> Result<StoredHead, super::config_store::ReadError> {
         let asked = self.now();
-        let head = self.source.head().await?;
-        self.take_head(&head, asked).await?;
+        let head = self.config_store.read_head().await?;
+        self.apply_head(&head, asked).await?;
         Ok(head)
     }
 
     /// Takes over what a head that was read at `asked` speaks of.
-    pub(super) async fn take_head(
+    pub(super) async fn apply_head(
         &self,
-        head: &HeadAt,
+        head: &StoredHead,
         asked: Millis,
-    ) -> Result<(), super::source::Failure> {
+    ) -> Result<(), super::config_store::ReadError> {
         let revision = head.head.revision;
         let have = {
             let state = self.state();
-            if state.is_refused(revision, Origin::Service, asked) {
+            if state.is_rejected(revision, Origin::Service, asked) {
                 return Ok(());
             }
             state.learned().revision()
         };
         if revision > have
-            && let Err(failure) = self.fetch(have, head).await
+            && let Err(failure) = self.fetch_updates(have, head).await
         {
-            if let super::source::Failure::Unreadable(why) = &failure {
-                self.refuse(revision, why.clone(), Origin::Service);
+            if let super::config_store::ReadError::Unreadable(why) = &failure {
+                self.reject(revision, why.clone(), Origin::Service);
             }
             return Err(failure);
         }
-        self.confirm(revision, asked);
+        self.confirm_revision(revision, asked);
         Ok(())
     }
 
-    async fn fetch(&self, have: u64, head: &HeadAt) -> Result<(), super::source::Failure> {
-        let missing = match self.source.missing(have, &head.head).await? {
-            Missing::Operations(operations) => {
+    async fn fetch_updates(
+        &self,
+        have: u64,
+        head: &StoredHead,
+    ) -> Result<(), super::config_store::ReadError> {
+        let missing = match self.config_store.read_since(have, &head.head).await? {
+            Update::Operations(operations) => {
                 let (_, gap) = self.offer(&operations);
                 if !gap {
                     return Ok(());
                 }
-                self.source.whole(&head.head).await?
+                self.config_store.read_full(&head.head).await?
             }
-            whole @ Missing::Whole(..) => whole,
+            whole @ Update::Snapshot(..) => whole,
         };
-        if let Missing::Whole(view, digest) = missing {
-            self.count("snapshot_service");
-            self.install(*view, &digest, Origin::Service);
+        if let Update::Snapshot(view, digest) = missing {
+            self.count_event("snapshot_service");
+            self.install_view(*view, &digest, Origin::Service);
         }
         Ok(())
     }
 
     /// Decides when a revision is in force, and collects what to fetch first.
-    fn due_of(
+    fn activation_time(
         &self,
         old: &View,
         new: &View,
@@ -353,21 +358,21 @@
         now + self.parts.limits.prefetch_grace
     }
 
-    fn announce(&self, upcoming: &[UpcomingAdapter]) {
+    fn start_prefetch(&self, upcoming: &[UpcomingAdapter]) {
         if !upcoming.is_empty() {
             self.parts.prefetch.prefetch(upcoming);
         }
-        self.due.notify_one();
+        self.activation_wakeup.notify_one();
     }
 
-    fn note(&self, revision: u64, taken: &Taken) {
-        match taken {
-            Taken::New => info!("config: learned revision {revision}"),
-            Taken::Known => {}
-            Taken::Gap => self.count("gap"),
-            Taken::Refused(why) => {
-                self.count("refused");
-                error!("config: revision {revision} can't be read and the old one stays: {why}");
+    fn record_outcome(&self, revision: u64, outcome: &OfferOutcome) {
+        match outcome {
+            OfferOutcome::New => info!("config: learned revision {revision}"),
+            OfferOutcome::Known => {}
+            OfferOutcome::Gap => self.count_event("gap"),
+            OfferOutcome::Rejected(reason) => {
+                self.count_event("refused");
+                error!("config: revision {revision} can't be read and the old one stays: {reason}");
             }
         }
     }
@@ -376,14 +381,14 @@
     ///
     /// The channel is written under the state's lock: two threads that wrote it
     /// one after the other could otherwise leave the older view in it.
-    fn publish(&self, state: &mut State) {
+    fn publish(&self, state: &mut ConfigState) {
         let learned = state.learned().revision();
-        self.news.send_if_modified(|known| {
+        self.learned_revision.send_if_modified(|known| {
             let newer = *known < learned;
             *known = learned;
             newer
         });
-        if let Some(view) = state.release(self.now()) {
+        if let Some(view) = state.activate_due(self.now()) {
             let metrics = &self.parts.metrics;
             metrics
                 .revision
@@ -392,30 +397,32 @@
         }
     }
 
-    async fn put_in_force(self: Arc<Self>) {
+    async fn run_activation(self: Arc<Self>) {
         loop {
             let next = {
                 let mut state = self.state();
                 self.publish(&mut state);
                 let now = self.now();
                 let age = state
-                    .age(now)
+                    .confirmed_age(now)
                     .map_or(-1, |age| i64::try_from(age.0).unwrap_or(i64::MAX));
                 self.parts.metrics.revision_age_ms.set(age);
                 state
-                    .next_due()
-                    .map_or(TICK, |due| due.since(now).min(TICK))
+                    .next_activation()
+                    .map_or(MAX_ACTIVATION_WAIT, |activate_at| {
+                        activate_at.since(now).min(MAX_ACTIVATION_WAIT)
+                    })
             };
             tokio::select! {
                 () = self.parts.stop.cancelled() => return,
-                () = self.due.notified() => {}
+                () = self.activation_wakeup.notified() => {}
                 () = tokio::time::sleep(next.duration()) => {}
             }
         }
     }
 }
 
-fn counters(metrics: &Metrics) -> IntCounterVec {
+fn event_counter(metrics: &Metrics) -> IntCounterVec {
     let opts = Opts::new(
         "chivevalve_config_events_total",
         "Rare events of the configuration, by kind.",
--- a/lib/src/config/mod.rs
+++ b/lib/src/config/mod.rs
@@ -5,19 +5,19 @@
 //! service or from one another (`follower`, `share`) and never go back
 //! ([`state`]). docs/design/0005-configuration.md has the ways weighed.
 
+mod blocking;
+pub mod config_store;
 pub mod digest;
 pub mod error;
 mod follower;
 pub mod garbage;
-mod heavy;
+mod gossip_state;
 pub mod history;
 pub mod layout;
 pub mod manager;
 pub mod operator;
 pub mod plan;
 pub mod prefetch;
-mod share;
-pub mod source;
 pub mod state;
 pub mod view;
 pub mod writer;
--- a/lib/src/config/operator.rs
+++ b/lib/src/config/operator.rs
@@ -5,26 +5,26 @@
 use log::{info, warn};
 use serde::{Deserialize, Serialize};
 
+use super::blocking;
+use super::config_store::{ReadError, StoredHead};
 use super::error::Error;
 use super::garbage;
-use super::heavy;
 use super::history;
 use super::layout::BLOCK_REVISIONS;
 use super::manager::ConfigManager;
 use super::plan::{self, Plan};
-use super::source::{Failure, HeadAt};
 use super::state::Origin;
 use super::view::View;
-use super::writer::{self, Ending, Proposal};
+use super::writer::{self, Proposal, WriteOutcome};
 use crate::clock::Millis;
 use crate::declaration::{DeclarationSet, SourceFile, diff, export};
 use crate::name::Name;
 use crate::schema::declaration::Operation;
 
 /// How often a change is begun anew because what it rests on moved.
-const ROUNDS: usize = 4;
+const MAX_ROUNDS: usize = 4;
 /// Wait for a replica of the service that is behind, in milliseconds.
-const BEHIND_WAIT: Millis = Millis(250);
+const STALE_REPLICA_PAUSE: Millis = Millis(250);
 
 /// Who changes the configuration, and why.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -92,17 +92,17 @@
         change_request: &ChangeRequest,
         set: &DeclarationSet,
     ) -> Result<Accepted, Error> {
-        let ended = self.settle(change_request, set).await;
+        let ended = self.apply_with_retries(change_request, set).await;
         match &ended {
             Ok(accepted) => {
-                self.count("accepted");
+                self.count_event("accepted");
                 info!(
                     "config: {} changed the configuration to revision {}",
                     change_request.author, accepted.revision
                 );
             }
             Err(error) => {
-                self.count(if error.wrote_nothing() {
+                self.count_event(if error.wrote_nothing() {
                     "rejected"
                 } else {
                     "unsettled"
@@ -126,9 +126,9 @@
         last: Option<u64>,
         limit: usize,
     ) -> Result<Vec<Arc<Operation>>, Error> {
-        let head = self.catch_up().await.map_err(unavailable)?;
+        let head = self.catch_up().await.map_err(read_failure)?;
         let last = last.unwrap_or(head.head.revision).min(head.head.revision);
-        history::operations(&self.source, last, limit)
+        history::list(&self.config_store, last, limit)
             .await
             .map_err(Error::Unavailable)
     }
@@ -143,7 +143,7 @@
         change_request: &ChangeRequest,
         to: u64,
     ) -> Result<Accepted, Error> {
-        self.catch_up().await.map_err(unavailable)?;
+        self.catch_up().await.map_err(read_failure)?;
         let set = self.declared_at(to).await?;
         let mut change_request = change_request.clone();
         change_request.reason = format!("rollback to revision {to}: {}", change_request.reason);
@@ -157,7 +157,7 @@
     /// When the service doesn't answer or the revision isn't kept any more.
     pub async fn declared_at(&self, revision: u64) -> Result<DeclarationSet, Error> {
         let newest = self.learned();
-        history::at(&self.source, &newest, revision).await
+        history::declared_at(&self.config_store, &newest, revision).await
     }
 
     /// Writes the newest revision as files that can be applied elsewhere.
@@ -166,70 +166,77 @@
         export::export(&self.learned().to_set())
     }
 
-    async fn settle(
+    async fn apply_with_retries(
         &self,
         change_request: &ChangeRequest,
         set: &DeclarationSet,
     ) -> Result<Accepted, Error> {
-        for _ in 0..ROUNDS {
-            let base = self.catch_up().await.map_err(unavailable)?;
-            if let Some(accepted) = self.earlier(change_request).await? {
+        for _ in 0..MAX_ROUNDS {
+            let base = self.catch_up().await.map_err(read_failure)?;
+            if let Some(accepted) = self.find_earlier(change_request).await? {
                 return Ok(accepted);
             }
             let before = self.learned();
             if before.revision() < base.head.revision {
                 // Following what this node has would take back what it can't read.
-                return Err(self.unreadable(base.head.revision));
+                return Err(self.unreadable_error(base.head.revision));
             }
             if before.revision() < change_request.expected {
                 // The service's answer is older than what the caller has seen.
-                tokio::time::sleep(BEHIND_WAIT.duration()).await;
+                tokio::time::sleep(STALE_REPLICA_PAUSE.duration()).await;
                 continue;
             }
-            if let Some(accepted) = self.expected(change_request, &before).await? {
+            if let Some(accepted) = self.check_expected(change_request, &before).await? {
                 return Ok(accepted);
             }
-            let Some(proposal) = heavy::run(|| propose(change_request, set, base, &before))? else {
+            let Some(proposal) = blocking::run(|| propose(change_request, set, base, &before))?
+            else {
                 return Ok(Accepted {
                     revision: before.revision(),
                     differences: 0,
                     already: false,
                 });
             };
-            match writer::write(&self.source, &proposal).await? {
-                Ending::Accepted => {
+            match writer::write(&self.config_store, &proposal).await? {
+                WriteOutcome::Accepted => {
                     let revision = proposal.operation.revision;
-                    let accepted = self.accepted(proposal);
-                    self.tidy(revision);
+                    let accepted = self.learn_accepted(proposal);
+                    self.collect_garbage(revision);
                     return Ok(accepted);
                 }
-                Ending::Already(revision) => return Ok(already(revision)),
-                Ending::Lost(theirs) => return Err(Error::LostRace(theirs)),
-                Ending::Again => {}
+                WriteOutcome::AlreadyAccepted(revision) => return Ok(already_accepted(revision)),
+                WriteOutcome::LostRace(theirs) => return Err(Error::LostRace(theirs)),
+                WriteOutcome::Conflict => {}
             }
         }
         Err(Error::Contended)
     }
 
-    fn unreadable(&self, revision: u64) -> Error {
+    fn unreadable_error(&self, revision: u64) -> Error {
         let status = self.status();
-        let why = status
+        let reason = status
             .refused
             .unwrap_or_else(|| format!("revision {revision}"));
-        Error::Unreadable(why)
+        Error::Unreadable(reason)
     }
 
     /// Looks whether an earlier call with this identity was accepted.
-    async fn earlier(&self, change_request: &ChangeRequest) -> Result<Option<Accepted>, Error> {
-        let revision = self.source.change(&change_request.id).await;
-        Ok(revision.map_err(Error::Unavailable)?.map(already))
+    async fn find_earlier(
+        &self,
+        change_request: &ChangeRequest,
+    ) -> Result<Option<Accepted>, Error> {
+        let revision = self
+            .config_store
+            .revision_of_change(&change_request.id)
+            .await;
+        Ok(revision.map_err(Error::Unavailable)?.map(already_accepted))
     }
 
     /// Checks that the configuration is still what the order was planned on.
     ///
     /// If it moved on, it may have been by this very order, in a call whose
     /// answer was lost and whose trace a stale replica doesn't show yet.
-    async fn expected(
+    async fn check_expected(
         &self,
         change_request: &ChangeRequest,
         before: &View,
@@ -238,11 +245,11 @@
         if change_request.expected == now {
             return Ok(None);
         }
-        let used = writer::used(&self.source, &change_request.id).await;
-        if let Some(revision) = used.map_err(Error::Unavailable)? {
-            return Ok(Some(already(revision)));
+        let accepted = writer::find_accepted(&self.config_store, &change_request.id).await;
+        if let Some(revision) = accepted.map_err(Error::Unavailable)? {
+            return Ok(Some(already_accepted(revision)));
         }
-        let newest = self.source.operation(now).await.ok().flatten();
+        let newest = self.config_store.read_operation(now).await.ok().flatten();
         Err(Error::RevisionMismatch {
             expected: change_request.expected,
             actual: now,
@@ -251,16 +258,16 @@
     }
 
     /// Clears away old snapshots once a block, after the answer to the operator.
-    fn tidy(&self, revision: u64) {
+    fn collect_garbage(&self, revision: u64) {
         if !revision.is_multiple_of(BLOCK_REVISIONS) {
             return;
         }
-        let source = self.source.clone();
+        let config_store = self.config_store.clone();
         let stop = self.parts.stop.clone();
         tokio::spawn(async move {
             tokio::select! {
                 () = stop.cancelled() => {}
-                done = garbage::run(&source) => if let Err(error) = done {
+                done = garbage::collect(&config_store) => if let Err(error) = done {
                     warn!("config: old snapshots weren't cleared away: {error}");
                 },
             }
@@ -268,7 +275,7 @@
     }
 
     /// Takes over a change that was just accepted, so that this node spreads it at once.
-    fn accepted(&self, proposal: Proposal) -> Accepted {
+    fn learn_accepted(&self, proposal: Proposal) -> Accepted {
         let operation = proposal.operation;
         let accepted = Accepted {
             revision: operation.revision,
@@ -278,7 +285,7 @@
         let digest = operation.view_digest.clone();
         let (_, gap) = self.offer(&[Arc::new(operation)]);
         if gap {
-            self.install(proposal.after, &digest, Origin::Service);
+            self.install_view(proposal.after, &digest, Origin::Service);
         }
         accepted
     }
@@ -287,7 +294,7 @@
 fn propose(
     change_request: &ChangeRequest,
     set: &DeclarationSet,
-    base: HeadAt,
+    base: StoredHead,
     before: &View,
 ) -> Result<Option<Proposal>, Error> {
     let differences = diff::diff(&before.to_set(), set);
@@ -306,7 +313,7 @@
         author: change_request.author.to_string(),
         reason: change_request.reason.clone(),
         time_ms: change_request.time_ms,
-        view_digest: after.digest().bytes(),
+        view_digest: after.digest().to_bytes(),
         difference_count: u32::try_from(differences.len()).unwrap_or(u32::MAX),
         differences,
         ..Operation::default()
@@ -318,7 +325,7 @@
     }))
 }
 
-fn already(revision: u64) -> Accepted {
+fn already_accepted(revision: u64) -> Accepted {
     Accepted {
         revision,
         differences: 0,
@@ -326,9 +333,9 @@
     }
 }
 
-fn unavailable(failure: Failure) -> Error {
+fn read_failure(failure: ReadError) -> Error {
     match failure {
-        Failure::Service(error) => Error::Unavailable(error),
-        Failure::Unreadable(error) => Error::Unreadable(error.to_string()),
+        ReadError::Service(error) => Error::Unavailable(error),
+        ReadError::Unreadable(error) => Error::Unreadable(error.to_string()),
     }
 }
--- a/lib/src/config/plan.rs
+++ b/lib/src/config/plan.rs
@@ -5,7 +5,7 @@
 
 use futures::{StreamExt, stream};
 
-use super::heavy;
+use super::blocking;
 use super::view::View;
 use crate::adapter::Adapter;
 use crate::declaration::{DeclarationSet, Pool, PoolKind, convert, diff};
@@ -14,7 +14,7 @@
 use crate::schema::declaration::difference::{After, Before};
 
 /// Adapter versions looked up in the weight store at a time.
-const PARALLEL: usize = 8;
+const MAX_CONCURRENT_LOOKUPS: usize = 8;
 /// Most adapter versions looked up for one plan.
 const MAX_LOOKUPS: usize = 2_000;
 
@@ -39,10 +39,10 @@
 
 /// Compares a set of declarations with a view.
 pub async fn plan(view: &View, set: &DeclarationSet, weights: &dyn Weights) -> Plan {
-    let differences = heavy::run(|| diff::diff(&view.to_set(), set));
-    let mut warnings = missing(set, &differences, weights).await;
-    warnings.extend(vanished(&differences));
-    warnings.extend(limits(set));
+    let differences = blocking::run(|| diff::diff(&view.to_set(), set));
+    let mut warnings = missing_adapters(set, &differences, weights).await;
+    warnings.extend(removal_warnings(&differences));
+    warnings.extend(limit_warnings(set));
     Plan {
         revision: view.revision(),
         differences,
@@ -51,7 +51,7 @@
 }
 
 /// Names the adapter versions that the weight store doesn't have.
-async fn missing(
+async fn missing_adapters(
     set: &DeclarationSet,
     differences: &[Difference],
     weights: &dyn Weights,
@@ -79,7 +79,7 @@
                 Err(error) => Some(format!("adapter {adapter} can't be looked up: {error}")),
             }
         })
-        .buffered(PARALLEL)
+        .buffered(MAX_CONCURRENT_LOOKUPS)
         .filter_map(|warning| async { warning })
         .collect()
         .await;
@@ -92,7 +92,7 @@
 }
 
 /// Names the templates and accounts whose callers would be refused.
-fn vanished(differences: &[Difference]) -> Vec<String> {
+fn removal_warnings(differences: &[Difference]) -> Vec<String> {
     differences
         .iter()
         .filter(|difference| difference.after.is_none())
@@ -114,13 +114,13 @@
 }
 
 /// Names limits that can't be reached or that waste slots.
-fn limits(set: &DeclarationSet) -> Vec<String> {
+fn limit_warnings(set: &DeclarationSet) -> Vec<String> {
     let pools: Vec<Pool> = set
         .pools
         .values()
         .filter_map(|pool| convert::pool(pool).ok())
         .collect();
-    let wasted = pools.iter().filter_map(|pool| match pool.kind {
+    let unusable_slots = pools.iter().filter_map(|pool| match pool.kind {
         PoolKind::Engine { slots, .. } if slots > pool.batch => Some(format!(
             "pool {}: {slots} slots exceed the batch of {}; at most {} adapters can run at a time",
             pool.name, pool.batch, pool.batch
@@ -128,7 +128,7 @@
         _ => None,
     });
     let largest = pools.iter().map(|pool| pool.batch).max().unwrap_or(0);
-    let beyond = set
+    let ineffective_limits = set
         .accounts
         .values()
         .filter(|account| largest > 0 && account.max_in_flight > largest)
@@ -139,5 +139,5 @@
                 account.name, account.max_in_flight
             )
         });
-    wasted.chain(beyond).collect()
+    unusable_slots.chain(ineffective_limits).collect()
 }
--- a/lib/src/config/prefetch.rs
+++ b/lib/src/config/prefetch.rs
@@ -57,7 +57,7 @@
     differences: &[Difference],
 ) -> Vec<UpcomingAdapter> {
     if differences.is_empty() {
-        return between(old, new);
+        return compare_views(old, new);
     }
     let keys =
         differences
@@ -66,21 +66,21 @@
                 (Some(Before::TemplateBefore(_)), Some(After::TemplateAfter(after))) => Some(after),
                 _ => None,
             });
-    collect(keys.filter_map(|key| {
+    collect_upcoming(keys.filter_map(|key| {
         let before = old.template(&key.account, &key.name)?;
         Some((before, new.template(&key.account, &key.name)?))
     }))
 }
 
 /// Compares two whole views, for a revision that came as a snapshot.
-fn between(old: &View, new: &View) -> Vec<UpcomingAdapter> {
-    collect(new.templates().filter_map(|after| {
+fn compare_views(old: &View, new: &View) -> Vec<UpcomingAdapter> {
+    collect_upcoming(new.templates().filter_map(|after| {
         let before = old.template(&after.account, &after.name)?;
         Some((before, after))
     }))
 }
 
-fn collect<'a>(
+fn collect_upcoming<'a>(
     pairs: impl Iterator<Item = (&'a Arc<Template>, &'a Arc<Template>)>,
 ) -> Vec<UpcomingAdapter> {
     let mut seen = HashSet::new();
--- a/lib/src/config/state.rs
+++ b/lib/src/config/state.rs
@@ -16,13 +16,13 @@
 use crate::schema::declaration::Operation;
 
 /// Most operations kept for peers that are a little behind.
-const KEPT: usize = 512;
+const MAX_KEPT_OPERATIONS: usize = 512;
 /// Most bytes of kept operations.
-const KEPT_BYTES: usize = 1024 * 1024;
+const MAX_KEPT_BYTES: usize = 1024 * 1024;
 
 /// What became of an offered revision.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Taken {
+pub enum OfferOutcome {
     /// It is the newest learned now.
     New,
     /// It isn't newer than what is known.
@@ -30,14 +30,14 @@
     /// Revisions between are missing; operations or a snapshot must be read.
     Gap,
     /// It can't be read; the old one stays in force.
-    Refused(view::Error),
+    Rejected(view::Error),
 }
 
 /// How long a revision that couldn't be read isn't read again, in milliseconds.
 ///
 /// During an upgrade all older nodes refuse the same revision; reading a whole
 /// snapshot at each sign of it would cost the service more than everything else.
-pub const REFUSAL_BACKOFF: Millis = Millis::from_secs(600);
+pub const REJECTION_BACKOFF: Millis = Millis::from_secs(600);
 
 /// Where a whole revision came from.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -50,59 +50,59 @@
 
 /// A revision that couldn't be read.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Refusal {
+pub struct Rejection {
     /// The revision.
     pub revision: u64,
     /// Why.
-    pub why: view::Error,
+    pub reason: view::Error,
     /// Where it came from; one damaged peer mustn't keep the service's revision away.
     pub origin: Origin,
     /// When it was refused.
-    pub at: Millis,
+    pub rejected_at: Millis,
 }
 
 /// A learned revision that waits for its adapters to be fetched.
 #[derive(Debug)]
-struct Waiting {
-    due: Millis,
+struct PendingView {
+    activate_at: Millis,
     view: Arc<View>,
 }
 
 /// A node's knowledge of the configuration.
 #[derive(Debug)]
-pub struct State {
+pub struct ConfigState {
     learned: Arc<View>,
     in_force: Arc<View>,
-    waiting: VecDeque<Waiting>,
+    pending: VecDeque<PendingView>,
     operations: VecDeque<Arc<Operation>>,
     operation_bytes: usize,
     /// Newest revision that anyone spoke of.
-    heard: u64,
+    newest_heard: u64,
     /// When the service last had nothing newer than what was learned by then.
-    confirmed: Option<Millis>,
+    confirmed_at: Option<Millis>,
     /// One for each origin, so that neither makes the other forgotten.
-    refusals: SmallVec<[Refusal; 2]>,
-    stale: u64,
+    rejections: SmallVec<[Rejection; 2]>,
+    stale_offers: u64,
 }
 
-impl Default for State {
+impl Default for ConfigState {
     fn default() -> Self {
         let empty = Arc::new(View::default());
         Self {
             learned: Arc::clone(&empty),
             in_force: empty,
-            waiting: VecDeque::new(),
+            pending: VecDeque::new(),
             operations: VecDeque::new(),
             operation_bytes: 0,
-            heard: 0,
-            confirmed: None,
-            refusals: SmallVec::new(),
-            stale: 0,
+            newest_heard: 0,
+            confirmed_at: None,
+            rejections: SmallVec::new(),
+            stale_offers: 0,
         }
     }
 }
 
-impl State {
+impl ConfigState {
     /// Returns the newest revision that this node holds whole.
     #[must_use]
     pub fn learned(&self) -> &Arc<View> {
@@ -117,68 +117,70 @@
 
     /// Returns the newest revision that anyone spoke of.
     #[must_use]
-    pub fn heard(&self) -> u64 {
-        self.heard.max(self.learned.revision())
+    pub fn newest_heard(&self) -> u64 {
+        self.newest_heard.max(self.learned.revision())
     }
 
     /// Returns the newest revision that couldn't be read, unless a later one could.
     #[must_use]
-    pub fn refusal(&self) -> Option<&Refusal> {
-        self.refusals.iter().max_by_key(|refusal| refusal.revision)
+    pub fn newest_rejection(&self) -> Option<&Rejection> {
+        self.rejections
+            .iter()
+            .max_by_key(|rejection| rejection.revision)
     }
 
     /// Whether a revision from there was refused so lately that reading it again is a waste.
     #[must_use]
-    pub fn is_refused(&self, revision: u64, origin: Origin, now: Millis) -> bool {
-        self.refusals.iter().any(|refusal| {
-            refusal.revision == revision
-                && refusal.origin == origin
-                && now.since(refusal.at) < REFUSAL_BACKOFF
+    pub fn is_rejected(&self, revision: u64, origin: Origin, now: Millis) -> bool {
+        self.rejections.iter().any(|rejection| {
+            rejection.revision == revision
+                && rejection.origin == origin
+                && now.since(rejection.rejected_at) < REJECTION_BACKOFF
         })
     }
 
     /// Returns how often something older than what is known was offered as the newest.
     #[must_use]
-    pub fn stale(&self) -> u64 {
-        self.stale
+    pub fn stale_offers(&self) -> u64 {
+        self.stale_offers
     }
 
     /// Returns the time since the learned revision was confirmed as the newest, if it ever was.
     #[must_use]
-    pub fn age(&self, now: Millis) -> Option<Millis> {
-        self.confirmed.map(|at| now.since(at))
+    pub fn confirmed_age(&self, now: Millis) -> Option<Millis> {
+        self.confirmed_at.map(|at| now.since(at))
     }
 
-    /// Takes an operation. The new revision waits until `due` before it is in force.
+    /// Takes an operation. The new revision waits until `activate_at` before it is in force.
     pub fn offer(
         &mut self,
         operation: &Arc<Operation>,
         now: Millis,
-        due: impl FnOnce(&View, &View) -> Millis,
-    ) -> Taken {
+        activate_at: impl FnOnce(&View, &View) -> Millis,
+    ) -> OfferOutcome {
         let revision = operation.revision;
-        self.heard = self.heard.max(revision);
-        if revision <= self.learned.revision() || self.is_refused(revision, Origin::Peer, now) {
-            return Taken::Known;
+        self.newest_heard = self.newest_heard.max(revision);
+        if revision <= self.learned.revision() || self.is_rejected(revision, Origin::Peer, now) {
+            return OfferOutcome::Known;
         }
-        if revision != self.learned.revision() + 1 || is_omitted(operation) {
-            return Taken::Gap;
+        if revision != self.learned.revision() + 1 || omits_differences(operation) {
+            return OfferOutcome::Gap;
         }
         let changed = self
             .learned
             .apply_differences(revision, &operation.differences);
         let next = match changed {
-            Ok(view) if view.digest().bytes() == operation.view_digest => view,
-            Ok(_) => return self.refuse(revision, view::Error::Digest, Origin::Peer, now),
+            Ok(view) if view.digest().to_bytes() == operation.view_digest => view,
+            Ok(_) => return self.reject(revision, view::Error::DigestMismatch, Origin::Peer, now),
             // A difference that doesn't start from here means that the two
             // histories differ; a snapshot settles it.
-            Err(view::Error::Unlike(_)) => return Taken::Gap,
-            Err(error) => return self.refuse(revision, error, Origin::Peer, now),
+            Err(view::Error::BaseMismatch(_)) => return OfferOutcome::Gap,
+            Err(error) => return self.reject(revision, error, Origin::Peer, now),
         };
-        self.keep(operation);
-        let due = due(&self.learned, &next);
-        self.advance(Arc::new(next), due);
-        Taken::New
+        self.keep_operation(operation);
+        let activate_at = activate_at(&self.learned, &next);
+        self.learn(Arc::new(next), activate_at);
+        OfferOutcome::New
     }
 
     /// Takes a whole revision, as a snapshot has it, with its writer's digest.
@@ -188,54 +190,54 @@
         digest: &[u8],
         origin: Origin,
         now: Millis,
-        due: impl FnOnce(&View, &View) -> Millis,
-    ) -> Taken {
+        activate_at: impl FnOnce(&View, &View) -> Millis,
+    ) -> OfferOutcome {
         let revision = view.revision();
-        self.heard = self.heard.max(revision);
+        self.newest_heard = self.newest_heard.max(revision);
         if revision <= self.learned.revision() {
-            return Taken::Known;
+            return OfferOutcome::Known;
         }
-        if view.digest().bytes() != digest {
-            return self.refuse(revision, view::Error::Digest, origin, now);
+        if view.digest().to_bytes() != digest {
+            return self.reject(revision, view::Error::DigestMismatch, origin, now);
         }
         // Operations before the snapshot aren't linked to those after it.
         self.operations.clear();
         self.operation_bytes = 0;
-        let due = due(&self.learned, &view);
-        self.advance(Arc::new(view), due);
-        Taken::New
+        let activate_at = activate_at(&self.learned, &view);
+        self.learn(Arc::new(view), activate_at);
+        OfferOutcome::New
     }
 
     /// Notes that the service or a peer spoke of a revision.
-    pub fn hear(&mut self, revision: u64) {
-        self.heard = self.heard.max(revision);
+    pub fn record_heard(&mut self, revision: u64) {
+        self.newest_heard = self.newest_heard.max(revision);
     }
 
     /// Notes that the service held this revision as the newest at a time.
     ///
     /// Returns whether it is older than what this node has: the answer of a
     /// stale replica, or a service that lost data.
-    pub fn confirm(&mut self, revision: u64, at: Millis) -> bool {
-        self.hear(revision);
+    pub fn record_confirmed(&mut self, revision: u64, at: Millis) -> bool {
+        self.record_heard(revision);
         if revision < self.learned.revision() {
-            self.stale += 1;
+            self.stale_offers += 1;
             return true;
         }
         if revision == self.learned.revision() {
-            self.confirmed = self.confirmed.max(Some(at));
+            self.confirmed_at = self.confirmed_at.max(Some(at));
         }
         false
     }
 
     /// Puts in force what is due. Returns the new view, if it changed.
-    pub fn release(&mut self, now: Millis) -> Option<Arc<View>> {
+    pub fn activate_due(&mut self, now: Millis) -> Option<Arc<View>> {
         let mut newest = None;
         while self
-            .waiting
+            .pending
             .front()
-            .is_some_and(|waiting| waiting.due <= now)
+            .is_some_and(|pending| pending.activate_at <= now)
         {
-            newest = self.waiting.pop_front();
+            newest = self.pending.pop_front();
         }
         let view = newest?.view;
         self.in_force = Arc::clone(&view);
@@ -244,13 +246,13 @@
 
     /// Returns when the next revision is to be in force.
     #[must_use]
-    pub fn next_due(&self) -> Option<Millis> {
-        self.waiting.front().map(|waiting| waiting.due)
+    pub fn next_activation(&self) -> Option<Millis> {
+        self.pending.front().map(|pending| pending.activate_at)
     }
 
     /// Returns the operations after a revision, or none when a snapshot is needed.
     #[must_use]
-    pub fn since(&self, revision: u64, most_bytes: usize) -> Option<Vec<Arc<Operation>>> {
+    pub fn operations_since(&self, revision: u64, max_bytes: usize) -> Option<Vec<Arc<Operation>>> {
         let first = self.operations.front()?.revision;
         if revision + 1 < first || revision >= self.learned.revision() {
             return None;
@@ -263,7 +265,7 @@
             .skip(skip)
             .take_while(|operation| {
                 bytes += operation.encoded_len();
-                bytes <= most_bytes
+                bytes <= max_bytes
             })
             .cloned()
             .collect();
@@ -271,28 +273,29 @@
     }
 
     /// Keeps the old revision because a newer one can't be read.
-    pub fn refuse(
+    pub fn reject(
         &mut self,
         revision: u64,
-        why: view::Error,
+        reason: view::Error,
         origin: Origin,
         now: Millis,
-    ) -> Taken {
-        self.heard = self.heard.max(revision);
-        self.refusals.retain(|refusal| refusal.origin != origin);
-        self.refusals.push(Refusal {
+    ) -> OfferOutcome {
+        self.newest_heard = self.newest_heard.max(revision);
+        self.rejections
+            .retain(|rejection| rejection.origin != origin);
+        self.rejections.push(Rejection {
             revision,
-            why: why.clone(),
+            reason: reason.clone(),
             origin,
-            at: now,
+            rejected_at: now,
         });
-        Taken::Refused(why)
+        OfferOutcome::Rejected(reason)
     }
 
-    fn keep(&mut self, operation: &Arc<Operation>) {
+    fn keep_operation(&mut self, operation: &Arc<Operation>) {
         self.operation_bytes += operation.encoded_len();
         self.operations.push_back(Arc::clone(operation));
-        while self.operations.len() > KEPT || self.operation_bytes > KEPT_BYTES {
+        while self.operations.len() > MAX_KEPT_OPERATIONS || self.operation_bytes > MAX_KEPT_BYTES {
             let Some(oldest) = self.operations.pop_front() else {
                 return;
             };
@@ -300,21 +303,25 @@
         }
     }
 
-    fn advance(&mut self, next: Arc<View>, due: Millis) {
+    fn learn(&mut self, next: Arc<View>, activate_at: Millis) {
         // A revision is in force no sooner than the one before it.
-        let due = self.waiting.back().map_or(due, |last| due.max(last.due));
-        self.waiting.push_back(Waiting {
-            due,
+        let activate_at = self
+            .pending
+            .back()
+            .map_or(activate_at, |last| activate_at.max(last.activate_at));
+        self.pending.push_back(PendingView {
+            activate_at,
             view: Arc::clone(&next),
         });
         self.learned = next;
         let learned = self.learned.revision();
-        self.refusals.retain(|refusal| refusal.revision > learned);
+        self.rejections
+            .retain(|rejection| rejection.revision > learned);
     }
 }
 
 /// Whether an operation leaves out its differences because they don't fit.
 #[must_use]
-pub fn is_omitted(operation: &Operation) -> bool {
+pub fn omits_differences(operation: &Operation) -> bool {
     operation.differences.is_empty() && operation.difference_count > 0
 }
--- a/lib/src/config/view.rs
+++ b/lib/src/config/view.rs
@@ -28,7 +28,7 @@
     revision: u64,
     digest: Digest,
     accounts: HashMap<Name, Arc<Account>>,
-    by_digest: HashMap<[u8; 32], Arc<Account>>,
+    by_key_digest: HashMap<[u8; 32], Arc<Account>>,
     pools: HashMap<Name, Arc<Pool>>,
     templates: HashMap<Name, Arc<Templates>>,
 }
@@ -41,10 +41,10 @@
     Unreadable(#[from] DecodeError),
     /// The change doesn't start from what this view holds.
     #[error("{0} isn't what the change starts from")]
-    Unlike(String),
+    BaseMismatch(String),
     /// The result isn't what its writer had: a field that this version doesn't know, or damage.
     #[error("the result differs from its writer's; a newer version may have written it")]
-    Digest,
+    DigestMismatch,
 }
 
 impl View {
@@ -62,16 +62,16 @@
         };
         for account in accounts {
             view.digest.add_account(&convert::account_message(&account));
-            view.put_account(account);
+            view.insert_account(account);
         }
         for pool in pools {
             view.digest.add_pool(&convert::pool_message(&pool));
-            view.put_pool(pool);
+            view.insert_pool(pool);
         }
         for template in templates {
             view.digest
                 .add_template(&convert::template_message(&template));
-            view.put_template(template);
+            view.insert_template(template);
         }
         view
     }
@@ -88,16 +88,16 @@
         };
         for message in set.accounts.values() {
             view.digest.add_account(message);
-            view.put_account(convert::account(message)?);
+            view.insert_account(convert::account(message)?);
         }
         for message in set.pools.values() {
             view.digest.add_pool(message);
-            view.put_pool(convert::pool(message)?);
+            view.insert_pool(convert::pool(message)?);
         }
         for message in set.templates.values() {
             view.digest.add_template(message);
             let template = convert::template(message, view.pools.get(message.pool.as_str()))?;
-            view.put_template(template);
+            view.insert_template(template);
         }
         Ok(view)
     }
@@ -136,8 +136,8 @@
         let mut next = self.clone();
         next.revision = revision;
         for difference in differences {
-            self.starts(difference)?;
-            next.digest.change(difference);
+            self.check_base(difference)?;
+            next.digest.apply_difference(difference);
         }
         // All that goes leaves first: a key that moves between accounts belongs
         // to the new one only then.
@@ -148,15 +148,15 @@
         let after = || differences.iter().filter_map(|d| d.after.as_ref());
         for new in after() {
             if let After::PoolAfter(pool) = new {
-                next.put_pool(convert::pool(pool)?);
+                next.insert_pool(convert::pool(pool)?);
             }
         }
         for new in after() {
             match new {
-                After::AccountAfter(account) => next.put_account(convert::account(account)?),
+                After::AccountAfter(account) => next.insert_account(convert::account(account)?),
                 After::TemplateAfter(template) => {
                     let pool = next.pools.get(template.pool.as_str());
-                    next.put_template(convert::template(template, pool)?);
+                    next.insert_template(convert::template(template, pool)?);
                 }
                 After::PoolAfter(_) => {}
             }
@@ -166,7 +166,7 @@
                 (&difference.before, &difference.after)
                 && (&old.kind, &old.base_model) != (&new.kind, &new.base_model)
             {
-                next.reread(&new.name)?;
+                next.rebuild_templates(&new.name)?;
             }
         }
         Ok(next)
@@ -189,7 +189,7 @@
     pub fn account_by_key_digest(&self, digest: &[u8; 32]) -> Option<&Arc<Account>> {
         // The table's own comparison stops at the first different byte; it only
         // ever sees digests, and the answer rests on the comparison below.
-        let account = self.by_digest.get(digest)?;
+        let account = self.by_key_digest.get(digest)?;
         let known = account
             .key_digests
             .iter()
@@ -240,16 +240,16 @@
         self.accounts.values()
     }
 
-    fn put_account(&mut self, account: Account) {
+    fn insert_account(&mut self, account: Account) {
         let account = Arc::new(account);
         for digest in &account.key_digests {
-            self.by_digest.insert(*digest, Arc::clone(&account));
+            self.by_key_digest.insert(*digest, Arc::clone(&account));
         }
         self.accounts.insert(Arc::clone(&account.name), account);
     }
 
     /// Checks that a difference starts from what this view holds.
-    fn starts(&self, difference: &schema::Difference) -> Result<(), Error> {
+    fn check_base(&self, difference: &schema::Difference) -> Result<(), Error> {
         let held = match (&difference.before, &difference.after) {
             (Some(Before::AccountBefore(old)), _) => {
                 self.account(&old.name)
@@ -277,7 +277,7 @@
         if held {
             return Ok(());
         }
-        Err(Error::Unlike(title(difference)))
+        Err(Error::BaseMismatch(describe(difference)))
     }
 
     fn remove(&mut self, old: &Before) {
@@ -291,7 +291,7 @@
     }
 
     /// Reads the templates of a pool again, whose base model is part of their adapters.
-    fn reread(&mut self, pool: &str) -> Result<(), Error> {
+    fn rebuild_templates(&mut self, pool: &str) -> Result<(), Error> {
         let pool = self.pools.get(pool).cloned();
         let of_pool: Vec<schema::Template> = self
             .templates()
@@ -299,7 +299,7 @@
             .map(|template| convert::template_message(template))
             .collect();
         for message in of_pool {
-            self.put_template(convert::template(&message, pool.as_ref())?);
+            self.insert_template(convert::template(&message, pool.as_ref())?);
         }
         Ok(())
     }
@@ -309,15 +309,15 @@
             return;
         };
         for digest in &account.key_digests {
-            self.by_digest.remove(digest);
+            self.by_key_digest.remove(digest);
         }
     }
 
-    fn put_pool(&mut self, pool: Pool) {
+    fn insert_pool(&mut self, pool: Pool) {
         self.pools.insert(Arc::clone(&pool.name), Arc::new(pool));
     }
 
-    fn put_template(&mut self, template: Template) {
+    fn insert_template(&mut self, template: Template) {
         let templates = self
             .templates
             .entry(Arc::clone(&template.account))
@@ -338,7 +338,7 @@
 }
 
 /// Names what a difference is about.
-fn title(difference: &schema::Difference) -> String {
+fn describe(difference: &schema::Difference) -> String {
     match (&difference.before, &difference.after) {
         (Some(Before::AccountBefore(a)), _) | (None, Some(After::AccountAfter(a))) => {
             format!("account {}", a.name)
--- a/lib/src/config/writer.rs
+++ b/lib/src/config/writer.rs
@@ -13,31 +13,31 @@
 use bytes::Bytes;
 use prost::Message;
 
+use super::blocking;
+use super::config_store::{ConfigStore, StoredHead};
 use super::error::Error;
-use super::heavy;
 use super::layout::{self, BLOCK_REVISIONS, EncodedBucket, MAX_INLINE_BYTES, MAX_VALUE_BYTES};
-use super::source::{HeadAt, Source};
 use super::view::View;
 use crate::clock::Millis;
 use crate::ports::{self, Commit, Condition, Transaction, Write};
 use crate::schema::declaration::{Head, Operation};
 
 /// Most bytes of buckets written in one call.
-const BATCH_BYTES: usize = 700_000;
+const MAX_BATCH_BYTES: usize = 700_000;
 /// Most buckets written in one call.
-const BATCH: usize = 32;
+const MAX_BATCH_BUCKETS: usize = 32;
 /// First wait before a call is made again, in milliseconds.
-const FIRST_WAIT: Millis = Millis(50);
+const INITIAL_BACKOFF: Millis = Millis(50);
 /// Longest wait before a call is made again, in milliseconds.
-const MAX_WAIT: Millis = Millis(1_000);
+const MAX_BACKOFF: Millis = Millis(1_000);
 /// How often one call is made while no answer comes.
-const TRIES: u32 = 12;
+const MAX_ATTEMPTS: u32 = 12;
 
 /// A change that is ready to be written.
 #[derive(Debug)]
 pub struct Proposal {
     /// The head that it follows.
-    pub base: HeadAt,
+    pub base: StoredHead,
     /// The configuration after it.
     pub after: View,
     /// The operation, with its differences.
@@ -46,15 +46,15 @@
 
 /// How a proposal that was answered ended.
 #[derive(Debug, Clone)]
-pub enum Ending {
+pub enum WriteOutcome {
     /// It is accepted and durable.
     Accepted,
     /// The same change was accepted earlier, as this revision.
-    Already(u64),
+    AlreadyAccepted(u64),
     /// Another change has the revision.
-    Lost(Arc<Operation>),
+    LostRace(Arc<Operation>),
     /// The head moved, or a bucket was replaced; everything must be read anew.
-    Again,
+    Conflict,
 }
 
 /// Writes a proposal.
@@ -63,7 +63,7 @@
 ///
 /// [`Error::OutcomeUnknown`] when the service stays silent; then nobody can say
 /// whether it was accepted until the service answers again.
-pub async fn write(source: &Source, proposal: &Proposal) -> Result<Ending, Error> {
+pub async fn write(config_store: &ConfigStore, proposal: &Proposal) -> Result<WriteOutcome, Error> {
     let revision = proposal.operation.revision;
     let encoded = proposal.operation.encoded_len();
     let snapshot = encoded > MAX_INLINE_BYTES
@@ -80,38 +80,39 @@
         ..proposal.base.head.clone()
     };
     operation.previous_snapshot = proposal.base.head.snapshot_revision;
-    let mut guards = Vec::new();
+    let mut bucket_conditions = Vec::new();
     if snapshot {
         if encoded > MAX_INLINE_BYTES {
             operation.differences.clear();
         }
-        let buckets = heavy::run(|| layout::encode_buckets(&proposal.after.to_set()));
-        guards = put_buckets(source, &proposal.base.head, &buckets).await?;
+        let buckets = blocking::run(|| layout::encode_buckets(&proposal.after.to_set()));
+        bucket_conditions = put_buckets(config_store, &proposal.base.head, &buckets).await?;
         head.snapshot_revision = revision;
         head.bucket_digests = buckets.into_iter().map(|bucket| bucket.digest).collect();
         operation.bucket_digests.clone_from(&head.bucket_digests);
     }
-    let transaction = transaction(source, proposal, &operation, &head, guards)?;
-    commit(source, &transaction, &operation).await
+    let transaction =
+        build_transaction(config_store, proposal, &operation, &head, bucket_conditions)?;
+    commit_until_known(config_store, &transaction, &operation).await
 }
 
-fn transaction(
-    source: &Source,
+fn build_transaction(
+    config_store: &ConfigStore,
     proposal: &Proposal,
     operation: &Operation,
     head: &Head,
-    guards: Vec<Condition>,
+    bucket_conditions: Vec<Condition>,
 ) -> Result<Transaction, Error> {
-    let keys = source.layout();
+    let keys = config_store.layout();
     let change = keys.change(&operation.change_id);
-    let unchanged = match proposal.base.written {
-        Some(written) => Condition::Unchanged(keys.head(), written),
+    let unchanged = match proposal.base.mod_revision {
+        Some(mod_revision) => Condition::Unchanged(keys.head(), mod_revision),
         None => Condition::Absent(keys.head()),
     };
     let mut conditions = vec![unchanged, Condition::Absent(change.clone())];
-    conditions.extend(guards);
-    let operation_value = value(operation.encode_to_vec())?;
-    let head_value = value(head.encode_to_vec())?;
+    conditions.extend(bucket_conditions);
+    let operation_value = checked_value(operation.encode_to_vec())?;
+    let head_value = checked_value(head.encode_to_vec())?;
     let revision = Bytes::from(operation.revision.to_string());
     let writes = vec![
         Write::Put(keys.operation(operation.revision), operation_value, None),
@@ -121,7 +122,7 @@
     Ok(Transaction { conditions, writes })
 }
 
-fn value(bytes: Vec<u8>) -> Result<Bytes, Error> {
+fn checked_value(bytes: Vec<u8>) -> Result<Bytes, Error> {
     if bytes.len() > MAX_VALUE_BYTES {
         return Err(Error::TooLarge(bytes.len()));
     }
@@ -134,12 +135,12 @@
 /// a node that clears away an older snapshot could otherwise remove a bucket
 /// that this change uses again, and fresh nodes would miss declarations.
 async fn put_buckets(
-    source: &Source,
+    config_store: &ConfigStore,
     head: &Head,
     buckets: &[EncodedBucket],
 ) -> Result<Vec<Condition>, Error> {
-    let keys = source.layout();
-    let mut guards = Vec::new();
+    let keys = config_store.layout();
+    let mut bucket_conditions = Vec::new();
     let mut batch = Vec::new();
     let mut bytes = 0;
     // Buckets that are alike, such as empty ones, share a key, which a
@@ -150,21 +151,21 @@
             continue;
         }
         let key = keys.bucket(&bucket.digest);
-        if batch.len() == BATCH || bytes + bucket.value.len() > BATCH_BYTES {
-            put_batch(source, &mut batch, &mut guards).await?;
+        if batch.len() == MAX_BATCH_BUCKETS || bytes + bucket.value.len() > MAX_BATCH_BYTES {
+            put_batch(config_store, &mut batch, &mut bucket_conditions).await?;
             bytes = 0;
         }
         bytes += bucket.value.len();
-        batch.push((key, value(bucket.value.clone())?));
+        batch.push((key, checked_value(bucket.value.clone())?));
     }
-    put_batch(source, &mut batch, &mut guards).await?;
-    Ok(guards)
+    put_batch(config_store, &mut batch, &mut bucket_conditions).await?;
+    Ok(bucket_conditions)
 }
 
 async fn put_batch(
-    source: &Source,
+    config_store: &ConfigStore,
     batch: &mut Vec<(String, Bytes)>,
-    guards: &mut Vec<Condition>,
+    bucket_conditions: &mut Vec<Condition>,
 ) -> Result<(), Error> {
     if batch.is_empty() {
         return Ok(());
@@ -177,21 +178,21 @@
         conditions: Vec::new(),
         writes,
     };
-    let mut wait = FIRST_WAIT;
-    let mut tries = 0;
+    let mut backoff = INITIAL_BACKOFF;
+    let mut attempts = 0;
     let done = loop {
         // Writing the same bucket twice changes nothing, so any failure may be tried again.
-        match attempt(source, &transaction).await {
+        match commit_once(config_store, &transaction).await {
             Ok(commit) => break commit,
-            Err(error) if tries + 1 == TRIES => return Err(Error::Unavailable(error)),
+            Err(error) if attempts + 1 == MAX_ATTEMPTS => return Err(Error::Unavailable(error)),
             Err(ports::Error::NoAnswer(_) | ports::Error::Malformed(_)) => {}
             Err(error) => return Err(Error::Unavailable(error)),
         }
-        tries += 1;
-        tokio::time::sleep(wait.duration()).await;
-        wait = (wait + wait).min(MAX_WAIT);
+        attempts += 1;
+        tokio::time::sleep(backoff.duration()).await;
+        backoff = (backoff + backoff).min(MAX_BACKOFF);
     };
-    guards.extend(
+    bucket_conditions.extend(
         batch
             .drain(..)
             .map(|(key, _)| Condition::Unchanged(key, done.revision)),
@@ -199,67 +200,75 @@
     Ok(())
 }
 
-async fn attempt(source: &Source, transaction: &Transaction) -> Result<Commit, ports::Error> {
-    source
-        .timed(source.store().commit(transaction.clone()))
+async fn commit_once(
+    config_store: &ConfigStore,
+    transaction: &Transaction,
+) -> Result<Commit, ports::Error> {
+    config_store
+        .with_timeout(config_store.kv_store().commit(transaction.clone()))
         .await
 }
 
 /// Commits until an answer is certain.
-async fn commit(
-    source: &Source,
+async fn commit_until_known(
+    config_store: &ConfigStore,
     transaction: &Transaction,
     operation: &Operation,
-) -> Result<Ending, Error> {
-    let mut wait = FIRST_WAIT;
+) -> Result<WriteOutcome, Error> {
+    let mut backoff = INITIAL_BACKOFF;
     // Whether an earlier try may have taken effect.
-    let mut open = false;
-    let mut last = ports::Error::NoAnswer("the service stayed silent".into());
-    for _ in 0..TRIES {
-        match attempt(source, transaction).await {
-            Ok(commit) if commit.done => return Ok(Ending::Accepted),
+    let mut may_be_applied = false;
+    let mut last_error = ports::Error::NoAnswer("the service stayed silent".into());
+    for _ in 0..MAX_ATTEMPTS {
+        match commit_once(config_store, transaction).await {
+            Ok(commit) if commit.done => return Ok(WriteOutcome::Accepted),
             // Conditions that fail once fail for ever: this or an earlier try
             // has taken effect, or none ever will.
-            Ok(_) => match verdict(source, operation).await {
-                Ok(ending) => return Ok(ending),
-                Err(error) => last = error,
+            Ok(_) => match resolve_conflict(config_store, operation).await {
+                Ok(outcome) => return Ok(outcome),
+                Err(error) => last_error = error,
             },
             Err(error @ (ports::Error::NoAnswer(_) | ports::Error::Malformed(_))) => {
-                open = true;
-                last = error;
+                may_be_applied = true;
+                last_error = error;
             }
-            Err(error) if !open => return Err(Error::Unavailable(error)),
-            Err(error) => last = error,
+            Err(error) if !may_be_applied => return Err(Error::Unavailable(error)),
+            Err(error) => last_error = error,
         }
-        tokio::time::sleep(wait.duration()).await;
-        wait = (wait + wait).min(MAX_WAIT);
+        tokio::time::sleep(backoff.duration()).await;
+        backoff = (backoff + backoff).min(MAX_BACKOFF);
     }
     Err(Error::OutcomeUnknown {
         id: operation.change_id.clone(),
-        cause: last,
+        cause: last_error,
     })
 }
 
 /// Finds out why the conditions failed.
-async fn verdict(source: &Source, operation: &Operation) -> Result<Ending, ports::Error> {
-    let used = used(source, &operation.change_id).await?;
-    let written = source.operation(operation.revision).await?;
-    match (used, written) {
-        (Some(revision), _) if revision != operation.revision => Ok(Ending::Already(revision)),
+async fn resolve_conflict(
+    config_store: &ConfigStore,
+    operation: &Operation,
+) -> Result<WriteOutcome, ports::Error> {
+    let accepted = find_accepted(config_store, &operation.change_id).await?;
+    let written = config_store.read_operation(operation.revision).await?;
+    match (accepted, written) {
+        (Some(revision), _) if revision != operation.revision => {
+            Ok(WriteOutcome::AlreadyAccepted(revision))
+        }
         // The identity alone doesn't tell: an operator may have used it for another change,
         // which a stale replica hid so far. Taking that for this one would put in force
         // at this node what was never written.
-        (_, Some(written)) if *written == *operation => Ok(Ending::Accepted),
+        (_, Some(written)) if *written == *operation => Ok(WriteOutcome::Accepted),
         (_, Some(written)) if written.change_id == operation.change_id => {
-            Ok(Ending::Already(written.revision))
+            Ok(WriteOutcome::AlreadyAccepted(written.revision))
         }
-        (Some(_), _) => Err(behind()),
-        (None, Some(written)) => Ok(Ending::Lost(written)),
-        (None, None) => Ok(Ending::Again),
+        (Some(_), _) => Err(stale_replica()),
+        (None, Some(written)) => Ok(WriteOutcome::LostRace(written)),
+        (None, None) => Ok(WriteOutcome::Conflict),
     }
 }
 
-fn behind() -> ports::Error {
+fn stale_replica() -> ports::Error {
     ports::Error::NoAnswer("a stale replica answered".to_owned())
 }
 
@@ -267,14 +276,17 @@
 ///
 /// Reads may come from a stale replica, so the first word has a commit that
 /// writes nothing: the service checks its condition against the newest data.
-pub(super) async fn used(source: &Source, id: &str) -> Result<Option<u64>, ports::Error> {
+pub(super) async fn find_accepted(
+    config_store: &ConfigStore,
+    id: &str,
+) -> Result<Option<u64>, ports::Error> {
     let probe = Transaction {
-        conditions: vec![Condition::Absent(source.layout().change(id))],
+        conditions: vec![Condition::Absent(config_store.layout().change(id))],
         writes: Vec::new(),
     };
-    if attempt(source, &probe).await?.done {
+    if commit_once(config_store, &probe).await?.done {
         return Ok(None);
     }
-    let revision = source.change(id).await?;
-    revision.map(Some).ok_or_else(behind)
+    let revision = config_store.revision_of_change(id).await?;
+    revision.map(Some).ok_or_else(stale_replica)
 }
