--- a/lib/src/config/config_store.rs
+++ b/lib/src/config/config_store.rs
@@ -16,43 +16,43 @@
 use crate::ports::{self, Entry, Store};
 use crate::schema::declaration::{Bucket, Head, Operation};
 
-/// Calls in progress at a time while reading many values.
+/// Concurrent calls while reading many values.
 const MAX_CONCURRENT_READS: usize = 8;
-/// Up to this many missing operations are read one by one; more come as whole blocks.
+/// Up to this many missing operations are read one by one; more are read as whole blocks.
 const MAX_SINGLE_READS: u64 = 8;
 
-/// The head with the service's revision of its last write.
+/// The head and the service's revisions of its last write and of the read.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct StoredHead {
     /// The head; revision 0 before any change.
     pub head: Head,
-    /// The service's revision of the head's last write, or none when there is no head.
+    /// The service's revision of the head's last write; none if there is no head.
     pub mod_revision: Option<u64>,
-    /// The service's revision as of the read.
+    /// The service's revision at which the head was read.
     pub read_revision: u64,
 }
 
-/// What a node lacks.
+/// What brings a node up to date with the head.
 #[derive(Debug, Clone)]
 pub enum Update {
-    /// Operations that follow what it has.
+    /// The operations after the node's revision.
     Operations(Vec<Arc<Operation>>),
-    /// The head's revision as a whole, with its writer's digest.
+    /// The complete head revision, with the digest that its writer computed.
     Snapshot(Box<View>, Vec<u8>),
 }
 
-/// Why what a node lacks couldn't be had.
+/// Why reading the configuration failed.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum ReadError {
-    /// The service failed.
+    /// The service failed or returned inconsistent data.
     #[error(transparent)]
     Service(#[from] ports::Error),
-    /// This version can't read it.
+    /// This version can't decode the revision.
     #[error(transparent)]
     Unreadable(#[from] view::Error),
 }
 
-/// The configuration as the service holds it.
+/// Access to the configuration in the key-value service.
 #[derive(Debug, Clone)]
 pub struct ConfigStore {
     store: Arc<dyn Store>,
@@ -61,7 +61,7 @@
 }
 
 impl ConfigStore {
-    /// Reads through a store; a call without an answer fails after `timeout`.
+    /// Uses `store`; a call without a response fails after `timeout`.
     #[must_use]
     pub fn new(store: Arc<dyn Store>, layout: Layout, timeout: Millis) -> Self {
         Self {
@@ -71,13 +71,13 @@
         }
     }
 
-    /// Returns the store.
+    /// Returns the key-value service.
     #[must_use]
     pub fn kv_store(&self) -> &Arc<dyn Store> {
         &self.store
     }
 
-    /// Returns the keys.
+    /// Returns the layout of the keys.
     #[must_use]
     pub fn layout(&self) -> &Layout {
         &self.layout
@@ -87,7 +87,7 @@
     ///
     /// # Errors
     ///
-    /// When the service doesn't answer, or with something that isn't a head.
+    /// When the service doesn't respond, or the value can't be decoded.
     pub async fn read_head(&self) -> Result<StoredHead, ports::Error> {
         let key = self.layout.head();
         let listing = self.with_timeout(self.store.list(&key)).await?;
@@ -109,7 +109,7 @@
     ///
     /// # Errors
     ///
-    /// When the service doesn't answer, or with something that isn't an operation.
+    /// When the service doesn't respond, or a value can't be decoded.
     pub async fn read_operation(
         &self,
         revision: u64,
@@ -119,22 +119,22 @@
         entry.map(|entry| decode(&entry).map(Arc::new)).transpose()
     }
 
-    /// Reads which revision a change became.
+    /// Reads the revision of a change; none if the change isn't known.
     ///
     /// # Errors
     ///
-    /// When the service doesn't answer.
+    /// When the service doesn't respond.
     pub async fn revision_of_change(&self, id: &str) -> Result<Option<u64>, ports::Error> {
         let key = self.layout.change(id);
         let entry = self.with_timeout(self.store.get(&key)).await?;
         Ok(entry.and_then(|entry| String::from_utf8_lossy(&entry.value).parse().ok()))
     }
 
-    /// Reads the operations of a revision's block, in order.
+    /// Reads the operations of the block that contains `revision`, in order.
     ///
     /// # Errors
     ///
-    /// When the service doesn't answer, or with something that isn't an operation.
+    /// When the service doesn't respond, or a value can't be decoded.
     pub async fn read_block(&self, revision: u64) -> Result<Vec<Arc<Operation>>, ports::Error> {
         let prefix = self.layout.block(revision);
         let listing = self.with_timeout(self.store.list(&prefix)).await?;
@@ -145,13 +145,13 @@
             .collect()
     }
 
-    /// Reads what lies between a revision and the head.
+    /// Reads what leads from revision `have` to the head.
     ///
     /// # Errors
     ///
-    /// When the service doesn't answer, or lacks what the head speaks of: the
-    /// head came from a newer replica than the rest, or a snapshot was just
-    /// replaced. Reading the head again settles both.
+    /// When the service doesn't respond, or lacks data that the head refers to:
+    /// the head came from a newer replica than the rest, or its snapshot was just
+    /// replaced. Reading the head again resolves both.
     pub async fn read_since(&self, have: u64, head: &Head) -> Result<Update, ReadError> {
         if head.revision.saturating_sub(have) <= BLOCK_REVISIONS {
             match self.read_operations(have, head.revision).await {
@@ -165,11 +165,11 @@
         self.read_full(head).await
     }
 
-    /// Reads the head's revision as a whole: its snapshot and what followed.
+    /// Reads the complete head revision: its snapshot and the operations since.
     ///
     /// # Errors
     ///
-    /// As [`ConfigStore::missing`].
+    /// As [`ConfigStore::read_since`].
     pub async fn read_full(&self, head: &Head) -> Result<Update, ReadError> {
         let set = self.read_buckets(&head.bucket_digests).await?;
         let mut view = blocking::run(|| View::from_set(head.snapshot_revision, &set))?;
@@ -186,11 +186,11 @@
     ///
     /// # Errors
     ///
-    /// When the service doesn't answer, or a bucket is missing or damaged.
+    /// When the service doesn't respond, or a bucket is missing or damaged.
     pub async fn read_buckets(&self, digests: &[Vec<u8>]) -> Result<DeclarationSet, ports::Error> {
-        // Buckets that are alike, such as empty ones, are read once.
-        let different: BTreeSet<Vec<u8>> = digests.iter().cloned().collect();
-        let mut buckets = stream::iter(different)
+        // Equal buckets, such as empty ones, share a key and are read once.
+        let distinct: BTreeSet<Vec<u8>> = digests.iter().cloned().collect();
+        let mut buckets = stream::iter(distinct)
             .map(|digest| async move { self.read_bucket(&digest).await })
             .buffer_unordered(MAX_CONCURRENT_READS);
         let mut set = DeclarationSet::default();
@@ -214,7 +214,7 @@
         decode(&entry)
     }
 
-    /// Reads the operations after `have` up to `last`, all of them.
+    /// Reads all operations after `have` up to `last`; a missing one is an error.
     pub(super) async fn read_operations(
         &self,
         have: u64,
@@ -254,8 +254,8 @@
         Ok(operations)
     }
 
-    /// Bounds a call: a service that takes connections but doesn't answer would
-    /// otherwise hold up this part for ever.
+    /// Bounds the time of a call. A service that accepts connections but doesn't
+    /// respond would otherwise block the caller forever.
     pub(super) async fn with_timeout<T>(
         &self,
         call: impl Future<Output = Result<T, ports::Error>>,
--- a/lib/src/config/digest.rs
+++ b/lib/src/config/digest.rs
@@ -1,10 +1,11 @@
-//! A digest of a whole revision that a change moves at the cost of the change.
+//! Incremental digest of all declarations of a revision.
 //!
-//! Each declaration's SHA-256 is added up, lane by lane. Adding and taking away
-//! commute, so a node that applied operations one by one and a node that read a
+//! The digest is the lane-wise sum of the declarations' SHA-256 hashes, so the
+//! cost of an update depends on the size of the change. Addition and subtraction
+//! commute: a node that applied operations one by one and a node that read a
 //! snapshot have the same digest exactly when they have the same declarations.
-//! It guards against faults and against versions that read a message
-//! differently, not against a forger: whoever writes revisions is authenticated.
+//! It detects faults and versions that decode a message differently. It doesn't
+//! protect against forgery: whoever writes revisions is authenticated.
 
 use prost::Message;
 use sha2::{Digest as _, Sha256};
@@ -12,14 +13,14 @@
 use crate::schema::declaration::difference::{After, Before};
 use crate::schema::declaration::{Account, Difference, Pool, Template};
 
-/// How many 64-bit lanes a digest has.
+/// 64-bit lanes of a digest.
 const LANES: usize = 4;
 
-/// Digest of a set of declarations.
+/// Order-independent digest of a set of declarations.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct Digest([u64; LANES]);
 
-/// What kind of declaration is added, so that equal bytes of two kinds differ.
+/// Kind of a declaration; it is hashed too, so that equal bytes of two kinds differ.
 #[derive(Debug, Clone, Copy)]
 enum DeclarationKind {
     Account = 1,
@@ -43,15 +44,15 @@
         self.add(&hash_lanes(DeclarationKind::Template, template));
     }
 
-    /// Moves the digest over a difference.
+    /// Updates the digest for a difference.
     pub fn apply_difference(&mut self, difference: &Difference) {
         match &difference.before {
             Some(Before::AccountBefore(old)) => {
-                self.subtract(&hash_lanes(DeclarationKind::Account, old))
+                self.subtract(&hash_lanes(DeclarationKind::Account, old));
             }
             Some(Before::PoolBefore(old)) => self.subtract(&hash_lanes(DeclarationKind::Pool, old)),
             Some(Before::TemplateBefore(old)) => {
-                self.subtract(&hash_lanes(DeclarationKind::Template, old))
+                self.subtract(&hash_lanes(DeclarationKind::Template, old));
             }
             None => {}
         }
@@ -63,20 +64,20 @@
         }
     }
 
-    /// Returns the bytes that messages carry.
+    /// Returns the digest as messages carry it.
     #[must_use]
     pub fn to_bytes(&self) -> Vec<u8> {
         self.0.iter().flat_map(|lane| lane.to_be_bytes()).collect()
     }
 
-    fn add(&mut self, hash_lanes: &[u64; LANES]) {
-        for (sum, lane) in self.0.iter_mut().zip(hash_lanes) {
+    fn add(&mut self, lanes: &[u64; LANES]) {
+        for (sum, lane) in self.0.iter_mut().zip(lanes) {
             *sum = sum.wrapping_add(*lane);
         }
     }
 
-    fn subtract(&mut self, hash_lanes: &[u64; LANES]) {
-        for (sum, lane) in self.0.iter_mut().zip(hash_lanes) {
+    fn subtract(&mut self, lanes: &[u64; LANES]) {
+        for (sum, lane) in self.0.iter_mut().zip(lanes) {
             *sum = sum.wrapping_sub(*lane);
         }
     }
@@ -87,13 +88,13 @@
         .chain_update([kind as u8])
         .chain_update(message.encode_to_vec())
         .finalize();
-    let mut hash_lanes = [0; LANES];
-    for (lane, bytes) in hash_lanes.iter_mut().zip(hash.chunks_exact(8)) {
+    let mut lanes = [0; LANES];
+    for (lane, bytes) in lanes.iter_mut().zip(hash.chunks_exact(8)) {
         let mut word = [0; 8];
         word.copy_from_slice(bytes);
         *lane = u64::from_be_bytes(word);
     }
-    hash_lanes
+    lanes
 }
 
 #[cfg(test)]
--- a/lib/src/config/follower.rs
+++ b/lib/src/config/follower.rs
@@ -1,8 +1,8 @@
-//! Follows the key-value service without a call for each node and change.
+//! Follows the key-value service without a call per node and change.
 //!
-//! A few nodes of each region watch the service; the others hear from them. A
-//! node that heard nothing fresh for a while asks the service itself, so that
-//! wrong pictures of who is there cost calls and not changes.
+//! A few nodes of each region watch the service; the others learn from them by
+//! gossip. A node without a recent confirmation reads the service itself, so
+//! that a wrong view of the membership costs calls and loses no changes.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -21,19 +21,19 @@
 use crate::ports::{self, Event};
 use crate::schema::declaration::{Head, Operation};
 
-/// First wait after a failed call, in milliseconds.
+/// Initial backoff after a failed call, in milliseconds.
 const INITIAL_BACKOFF: Millis = Millis(500);
-/// Longest wait after failed calls, in milliseconds.
+/// Maximum backoff after failed calls, in milliseconds.
 const MAX_BACKOFF: Millis = Millis(15_000);
-/// How often a node looks whether it is to watch, in milliseconds.
+/// How often a node checks whether it should watch the service, in milliseconds.
 const ROLE_CHECK_INTERVAL: Millis = Millis(2_000);
-/// How long peers may take to bring a revision that was heard of, in milliseconds.
+/// How long peers have to deliver a revision that this node has heard of, in milliseconds.
 const PEER_TIMEOUT: Millis = Millis(3_000);
 
-/// Follows the service until the keeper stops.
+/// Follows the service until the manager stops.
 pub(super) async fn run(manager: Arc<ConfigManager>) {
-    let stop = manager.parts.stop.clone();
-    let rng = Pcg32::seed_from_u64(manager.parts.seed);
+    let stop = manager.deps.stop.clone();
+    let rng = Pcg32::seed_from_u64(manager.deps.seed);
     let mut follower = Follower {
         manager,
         rng,
@@ -71,28 +71,28 @@
     }
 
     fn is_watcher(&self) -> bool {
-        let parts = &self.manager.parts;
+        let deps = &self.manager.deps;
         rank::is_among(
-            &parts.node,
-            &parts.region,
-            &parts.peers.peers(),
-            parts.limits.watchers_per_region,
+            &deps.node,
+            &deps.region,
+            &deps.peers.peers(),
+            deps.limits.watchers_per_region,
         )
     }
 
-    /// Watches the service until the watch breaks or others watch.
+    /// Watches the service until the watch fails or other nodes take the role.
     async fn watch(&mut self) -> Result<(), ReadError> {
         let manager = Arc::clone(&self.manager);
         let head = manager.catch_up().await?;
         self.record_success();
         let mut changes = manager
-            .parts
+            .deps
             .watch
             .watch(&manager.config_store.layout().watched(), head.read_revision)
             .await?;
         let mut confirm = Box::pin(tokio::time::sleep(
             manager
-                .parts
+                .deps
                 .limits
                 .confirm_interval
                 .jittered(&mut self.rng)
@@ -107,7 +107,7 @@
                 },
                 () = &mut confirm => {
                     manager.catch_up().await?;
-                    let next = manager.parts.limits.confirm_interval.jittered(&mut self.rng);
+                    let next = manager.deps.limits.confirm_interval.jittered(&mut self.rng);
                     confirm.set(tokio::time::sleep(next.duration()));
                 }
                 () = manager.service_wakeup.notified() => {
@@ -120,10 +120,10 @@
         }
     }
 
-    /// Takes over what a watch saw.
+    /// Applies an event of the watch.
     async fn apply_event(&self, event: &Event) -> Result<(), ReadError> {
         let Some(entry) = &event.entry else {
-            // Nobody removes the head; operations go when they are old.
+            // The head is never deleted, and deleted operations have left the retention range.
             return Ok(());
         };
         let asked = self.manager.now();
@@ -142,7 +142,7 @@
         self.manager.apply_head(&head, asked).await
     }
 
-    /// Leaves the service alone while peers keep this node fresh.
+    /// Waits for updates from peers, and reads the service when they don't come.
     async fn wait_for_peers(&mut self) -> Result<(), ReadError> {
         let manager = Arc::clone(&self.manager);
         let pause = ROLE_CHECK_INTERVAL.jittered(&mut self.rng);
@@ -159,11 +159,11 @@
         Ok(())
     }
 
-    /// Whether peers don't keep this node fresh.
+    /// Whether gossip doesn't keep this node up to date, so that it must read the service.
     fn should_poll_service(&mut self) -> bool {
         let poll = self
             .manager
-            .parts
+            .deps
             .limits
             .max_unconfirmed_age
             .jittered(&mut self.rng);
@@ -185,10 +185,10 @@
         self.backoff = INITIAL_BACKOFF;
     }
 
-    /// Waits before the next call, anywhere up to a bound that doubles.
+    /// Waits before the next call: exponential backoff with jitter.
     ///
-    /// When the service comes back after an outage, all nodes want it at once;
-    /// waits that are spread over their whole range keep them from calling in step.
+    /// When the service recovers from an outage, all nodes call it again. Jitter
+    /// over most of the range keeps them from calling in step.
     async fn back_off(&mut self, failure: &ReadError) {
         if self.is_failing {
             debug!("config: {failure}");
--- a/lib/src/config/garbage.rs
+++ b/lib/src/config/garbage.rs
@@ -1,10 +1,10 @@
-//! Clears away snapshots and operations that nobody needs any more.
+//! Deletes snapshot buckets and operations that are no longer needed.
 //!
-//! The service would otherwise fill up: 19 snapshots a day at the target's rate
-//! of changes. Removing a bucket that a change under way uses again would leave
-//! fresh nodes without its declarations. Two conditions prevent it: this part
-//! removes only while the head is unchanged, and a change writes its head only
-//! while its buckets are unchanged.
+//! Otherwise the key-value service would fill up: the target's rate of changes
+//! makes 19 snapshots a day. Deleting a bucket that a concurrent change reuses
+//! would leave new nodes without its declarations. Two conditions prevent that:
+//! keys are deleted only while the head is unchanged, and a change writes its
+//! head only while its buckets are unchanged.
 
 use std::collections::HashSet;
 
@@ -13,20 +13,20 @@
 use crate::ports::{self, Condition, Transaction, Write};
 use crate::schema::declaration::Operation;
 
-/// Snapshots that are kept, so that rollbacks over very large changes stay possible for a while.
+/// Snapshots that are kept, for rollbacks past changes too large to carry their differences.
 pub const KEPT_SNAPSHOTS: usize = 16;
-/// Revisions whose operations are kept at least: 16 days at the target's rate of changes.
+/// Minimum number of revisions whose operations are kept: 16 days at the target's rate of changes.
 pub const MIN_KEPT_REVISIONS: u64 = 20_000;
 
-/// How often clearing away is begun anew when a change comes between.
+/// Maximum attempts when concurrent changes move the head.
 const MAX_ROUNDS: usize = 3;
 
-/// Clears away what fell out of the kept span when the head's snapshot was made.
+/// Deletes what the head's latest snapshot moved out of the retention range.
 ///
 /// # Errors
 ///
-/// When the service doesn't answer; what is left is cleared away later or
-/// stays, and does no harm.
+/// When the service doesn't respond. What remains is deleted later or stays,
+/// which is harmless.
 pub async fn collect(config_store: &ConfigStore) -> Result<(), ports::Error> {
     for _ in 0..MAX_ROUNDS {
         let head = config_store.read_head().await?;
@@ -41,8 +41,8 @@
     Ok(())
 }
 
-/// Walks from the newest snapshot back to the first that isn't kept, and lists
-/// its buckets that no kept one has.
+/// Walks back from the newest snapshot to the first that isn't kept and returns
+/// the keys of its buckets that no kept snapshot uses.
 async fn unused_buckets(
     config_store: &ConfigStore,
     head: &StoredHead,
@@ -82,7 +82,7 @@
     Ok(operation.map(|operation| (*operation).clone()))
 }
 
-/// Lists the block of operations that just became too old.
+/// Returns the keys of the block of operations that just left the retention range.
 async fn expired_operations(
     config_store: &ConfigStore,
     head: &StoredHead,
@@ -103,7 +103,7 @@
     Ok(removed.collect())
 }
 
-/// Removes keys while the head is what it was. Returns whether it was.
+/// Deletes keys if the head is unchanged. Returns false if it has changed.
 async fn delete_if_head_unchanged(
     config_store: &ConfigStore,
     head: &StoredHead,
--- a/lib/src/config/gossip_state.rs
+++ b/lib/src/config/gossip_state.rs
@@ -1,4 +1,4 @@
-//! The configuration's part in the exchange between nodes.
+//! Spreads configuration revisions between nodes by gossip.
 
 use std::sync::Arc;
 
@@ -29,7 +29,7 @@
         if theirs.revision >= state.learned().revision() {
             return;
         }
-        match state.operations_since(theirs.revision, self.parts.limits.max_delta_bytes) {
+        match state.operations_since(theirs.revision, self.deps.limits.max_delta_bytes) {
             Some(operations) => delta
                 .operations
                 .extend(operations.iter().map(|operation| (**operation).clone())),
@@ -48,14 +48,14 @@
             let mut state = self.state();
             state.record_heard(theirs.revision);
             let learned = state.learned();
-            let equal = theirs.revision == learned.revision();
-            let like = theirs.view_digest == learned.digest().to_bytes();
-            if equal && !like {
+            let same_revision = theirs.revision == learned.revision();
+            let same_digest = theirs.view_digest == learned.digest().to_bytes();
+            if same_revision && !same_digest {
                 drop(state);
                 self.count_event("conflict");
                 return any_new;
             }
-            if equal && theirs.confirmed_age_ms > 0 {
+            if same_revision && theirs.confirmed_age_ms > 0 {
                 let age = Millis(theirs.confirmed_age_ms - 1);
                 state.record_confirmed(theirs.revision, now - age);
             }
--- a/lib/src/config/history.rs
+++ b/lib/src/config/history.rs
@@ -1,4 +1,4 @@
-//! Earlier revisions: who changed what, and what was declared then.
+//! Earlier revisions: their operations and declarations.
 
 use std::sync::Arc;
 
@@ -11,11 +11,11 @@
 use crate::ports;
 use crate::schema::declaration::Operation;
 
-/// Reads up to `limit` operations up to a revision, the newest first.
+/// Reads up to `limit` operations up to revision `last`, newest first.
 ///
 /// # Errors
 ///
-/// When the service doesn't answer.
+/// When the service doesn't respond.
 pub async fn list(
     config_store: &ConfigStore,
     last: u64,
@@ -25,7 +25,7 @@
     let mut block = last / BLOCK_REVISIONS;
     loop {
         let listed = config_store.read_block(block * BLOCK_REVISIONS).await?;
-        // Older blocks are cleared away first, so an empty one ends the history.
+        // The oldest blocks are deleted first, so an empty one ends the history.
         let ended = block == 0 || listed.is_empty();
         let older = listed.into_iter().rev();
         found.extend(older.filter(|operation| operation.revision <= last));
@@ -37,14 +37,14 @@
     }
 }
 
-/// Returns what was declared at a revision.
+/// Returns the declarations of a revision.
 ///
-/// Differences are taken back one by one from the newest revision; where an
-/// operation doesn't carry its own, the snapshot before it is read.
+/// Differences are reverted one by one from the newest revision. Where an
+/// operation omits them, the snapshot before it is read instead.
 ///
 /// # Errors
 ///
-/// [`Error::UnknownRevision`] when what is needed isn't kept any more.
+/// [`Error::UnknownRevision`] when a needed operation or snapshot is no longer kept.
 pub async fn declared_at(
     config_store: &ConfigStore,
     newest: &View,
@@ -79,7 +79,7 @@
     Ok(set)
 }
 
-/// Starts from the newest snapshot that isn't newer than the revision.
+/// Reads the newest snapshot at or before `revision` and applies the operations after it.
 async fn replay_from_snapshot(
     config_store: &ConfigStore,
     snapshot: u64,
--- a/lib/src/config/layout.rs
+++ b/lib/src/config/layout.rs
@@ -1,4 +1,4 @@
-//! Where the configuration lies in the key-value service.
+//! Keys and values of the configuration in the key-value service.
 //!
 //! | key | value | written |
 //! | --- | --- | --- |
@@ -7,9 +7,9 @@
 //! | `changes/<change id>` | the revision | once, in the change's transaction |
 //! | `buckets/<digest>` | [`Bucket`] | before a change that makes a snapshot |
 //!
-//! A block holds the operations of [`BLOCK_REVISIONS`] revisions, and its first one makes
-//! a snapshot, so that a fresh node reads the head, one block and the buckets.
-//! docs/design/0005-configuration.md has the sizes.
+//! A block holds the operations of [`BLOCK_REVISIONS`] revisions. Its first
+//! operation makes a snapshot, so that a new node reads only the head, one block
+//! and the buckets. docs/design/0005-configuration.md has the sizes.
 
 use prost::Message;
 use sha2::{Digest as _, Sha256};
@@ -21,26 +21,26 @@
 #[cfg(doc)]
 use crate::schema::declaration::{Head, Operation};
 
-/// Revisions between two snapshots, and in one block of operations.
+/// Revisions of a block of operations, and between two snapshots.
 pub const BLOCK_REVISIONS: u64 = 64;
-/// Parts of a snapshot. Three times the target's templates make buckets of about 150 kB.
+/// Number of buckets of a snapshot; three times the target's templates make buckets of about 150 kB.
 pub const BUCKET_COUNT: usize = 64;
-/// Largest encoded operation that carries its differences, in bytes.
+/// Maximum size of an encoded operation that carries its differences, in bytes.
 pub const MAX_INLINE_BYTES: usize = 128 * 1024;
-/// Largest value that the service holds, in bytes.
+/// Maximum size of a value in the service, in bytes.
 pub const MAX_VALUE_BYTES: usize = 1_000_000;
 
-/// Seed of the hash that spreads declarations over buckets. Changing it rewrites all of them.
+/// Seed of the hash that assigns declarations to buckets; changing it rewrites every bucket.
 const BUCKET_SEED: u64 = 0x6275_636b_6574_7331;
 
-/// Keys of one deployment.
+/// Keys of a deployment.
 #[derive(Debug, Clone)]
 pub struct Layout {
     prefix: String,
 }
 
 impl Layout {
-    /// Makes the keys under a deployment's prefix, which ends in a slash or is empty.
+    /// Uses the keys under a deployment's prefix, which ends in a slash or is empty.
     #[must_use]
     pub fn new(prefix: &str) -> Self {
         Self {
@@ -48,7 +48,7 @@
         }
     }
 
-    /// Returns the prefix of what watchers follow: head and operations.
+    /// Returns the prefix that is watched: the head and the operations.
     #[must_use]
     pub fn watched(&self) -> String {
         format!("{}config/", self.prefix)
@@ -82,7 +82,7 @@
         format!("{}config/ops/", self.prefix)
     }
 
-    /// Returns the key that says which revision a change became.
+    /// Returns the key that holds the revision of a change.
     #[must_use]
     pub fn change(&self, id: &str) -> String {
         format!("{}changes/{id}", self.prefix)
@@ -104,13 +104,13 @@
     pub value: Vec<u8>,
 }
 
-/// Cuts a set into its buckets as they are stored. Equal sets give equal bytes.
+/// Partitions a set into encoded buckets; equal sets give equal bytes.
 #[must_use]
 pub fn encode_buckets(set: &DeclarationSet) -> Vec<EncodedBucket> {
     partition(set).into_iter().map(encode_bucket).collect()
 }
 
-/// Cuts a set into its buckets.
+/// Partitions a set into buckets.
 #[must_use]
 pub fn partition(set: &DeclarationSet) -> Vec<File> {
     let mut files = vec![File::default(); BUCKET_COUNT];
@@ -130,7 +130,7 @@
     files
 }
 
-/// Returns a bucket's digest.
+/// Returns the digest of an encoded bucket.
 #[must_use]
 pub fn digest(value: &[u8]) -> Vec<u8> {
     Sha256::digest(value).to_vec()
@@ -156,9 +156,9 @@
     bucket_index(&["t", &template.account, &template.name])
 }
 
-/// Spreads by the whole name: one account may have most of the templates.
-fn bucket_index(parts: &[&str]) -> usize {
-    let hash = parts.iter().fold(BUCKET_SEED, |seed, part| {
+/// Hashes the whole name, because one account may own most of the templates.
+fn bucket_index(name: &[&str]) -> usize {
+    let hash = name.iter().fold(BUCKET_SEED, |seed, part| {
         xxh3_64_with_seed(part.as_bytes(), seed)
     });
     usize::try_from(hash % BUCKET_COUNT as u64).unwrap_or_default()
--- a/lib/src/config/manager.rs
+++ b/lib/src/config/manager.rs
@@ -1,9 +1,9 @@
-//! Keeps a node's configuration: learns it, puts it in force, hands it on.
+//! Manages a node's configuration: learns revisions, activates them, spreads them.
 //!
-//! What a node has learned stands behind a lock that is held for a moment and
-//! never over an await, because the exchange between nodes reads and fills it
-//! in passing. Requests don't touch it: they read the view's watch channel.
-//! What must be exact between nodes is decided by the service's compare-and-swap.
+//! The learned state is behind a mutex that is held briefly and never across an
+//! await, because gossip reads and updates it. Requests don't take the mutex:
+//! they read the view's watch channel. Decisions that must be exact between nodes
+//! rest on the service's compare-and-swap.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
@@ -13,7 +13,7 @@
 use tokio::sync::{Notify, watch};
 use tokio_util::sync::CancellationToken;
 
-use super::config_store::{ConfigStore, StoredHead, Update};
+use super::config_store::{ConfigStore, ReadError, StoredHead, Update};
 use super::layout::Layout;
 use super::prefetch::{self, PREFETCH_GRACE, Prefetch, UpcomingAdapter};
 use super::state::{ConfigState, OfferOutcome, Origin};
@@ -28,23 +28,23 @@
 use crate::request::Ticket;
 use crate::schema::declaration::{Difference, Operation};
 
-/// Longest time between two looks at what is due and at the age, in milliseconds.
+/// Maximum time between two checks for due revisions and updates of the age metric, in milliseconds.
 const MAX_ACTIVATION_WAIT: Millis = Millis(1_000);
 
-/// How the keeper spends calls and time.
+/// Timeouts, intervals and sizes of the manager.
 #[derive(Debug, Clone)]
 pub struct Limits {
-    /// How long a call to the service may take.
+    /// Timeout of a call to the service.
     pub call_timeout: Millis,
-    /// Nodes that watch the service, in each region.
+    /// Nodes of each region that watch the service.
     pub watchers_per_region: usize,
-    /// Time between a watcher's reads of the head, by which all nodes know that they are fresh.
+    /// Interval of a watcher's reads of the head, which confirm to all nodes that they are up to date.
     pub confirm_interval: Millis,
-    /// A node that heard nothing fresh for so long asks the service itself.
+    /// A node whose revision has been unconfirmed for this long reads the service itself.
     pub max_unconfirmed_age: Millis,
-    /// How long a revision waits for the adapters that its templates move to.
+    /// How long activation waits for the prefetch of adapters that templates change to.
     pub prefetch_grace: Millis,
-    /// Most bytes of operations handed to a peer in one answer.
+    /// Maximum bytes of operations in one reply to a peer.
     pub max_delta_bytes: usize,
 }
 
@@ -61,7 +61,7 @@
     }
 }
 
-/// What the keeper is made of.
+/// Dependencies and settings of the manager.
 #[derive(Debug)]
 pub struct Dependencies {
     /// This node's name.
@@ -70,44 +70,44 @@
     pub region: Name,
     /// The key-value service.
     pub store: Arc<dyn Store>,
-    /// Its watches.
+    /// Watches on the key-value service.
     pub watch: Arc<dyn Watch>,
-    /// The weight store's listing, for plans.
+    /// The weight store, in which plans look up adapters.
     pub weights: Arc<dyn Weights>,
-    /// The other nodes, by which it is known who watches.
+    /// The other nodes; they determine which nodes watch the service.
     pub peers: Arc<dyn Peers>,
-    /// Hears of adapters ahead of time.
+    /// Prefetches adapters before a revision is activated.
     pub prefetch: Arc<dyn Prefetch>,
-    /// Prefix of this deployment's keys; ends in a slash or is empty.
+    /// Prefix of this deployment's keys; it ends in a slash or is empty.
     pub prefix: String,
-    /// Time.
+    /// Monotonic clock.
     pub clock: Arc<dyn Clock>,
-    /// Counters.
+    /// Metrics of the node.
     pub metrics: Arc<Metrics>,
-    /// Calls and times.
+    /// Timeouts, intervals and sizes.
     pub limits: Limits,
-    /// Seed of jitter.
+    /// Seed of the jitter.
     pub seed: u64,
-    /// Ends the keeper's tasks.
+    /// Stops the manager's tasks.
     pub stop: CancellationToken,
 }
 
-/// What operators see of a node's configuration.
+/// Status of a node's configuration, for operators.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct Status {
-    /// Revision on which requests are decided.
+    /// Revision that requests use.
     pub revision: u64,
-    /// Newest revision learned; it is in force as soon as its adapters are fetched.
+    /// Newest revision learned; it is activated once its adapters had time to load.
     pub learned: u64,
-    /// Newest revision that anyone spoke of.
+    /// Newest revision that the service or a peer has reported.
     pub heard: u64,
-    /// Time since the service confirmed that nothing newer exists; none is never.
+    /// Time since the service confirmed that no newer revision exists; none if it never did.
     pub confirmed_age_ms: Option<u64>,
-    /// Whether this node watches the service for the others.
+    /// Whether this node watches the service on behalf of its region.
     pub watcher: bool,
-    /// The revision that this node can't read, and why.
+    /// The newest revision that this node rejected, and why.
     pub refused: Option<String>,
-    /// How often something older than what is known was offered.
+    /// How often the service reported a revision older than the learned one as the newest.
     pub stale: u64,
     /// Digest of the learned revision, in hexadecimal.
     pub digest: String,
@@ -119,38 +119,38 @@
     pub templates: usize,
 }
 
-/// Keeps a node's configuration.
+/// Learns, activates and spreads a node's configuration.
 #[derive(Debug)]
 pub struct ConfigManager {
-    pub(super) parts: Dependencies,
+    pub(super) deps: Dependencies,
     pub(super) config_store: ConfigStore,
     state: Mutex<ConfigState>,
     in_force: watch::Sender<Arc<View>>,
-    /// The newest revision learned, for the exchange with peers.
+    /// The newest learned revision; gossip subscribes to it.
     learned_revision: watch::Sender<u64>,
-    /// Wakes the task that puts due revisions in force.
+    /// Wakes the task that activates due revisions.
     activation_wakeup: Notify,
-    /// Wakes the task that asks the service.
+    /// Wakes the task that reads the service, when a newer revision is known to exist.
     pub(super) service_wakeup: Notify,
     pub(super) is_watcher: std::sync::atomic::AtomicBool,
     events: IntCounterVec,
 }
 
 impl ConfigManager {
-    /// Starts the tasks that follow the service and put revisions in force.
+    /// Starts the tasks that follow the service and activate revisions.
     #[must_use]
-    pub fn start(parts: Dependencies) -> Arc<Self> {
-        let manager = Arc::new(Self::new(parts));
+    pub fn start(deps: Dependencies) -> Arc<Self> {
+        let manager = Arc::new(Self::new(deps));
         tokio::spawn(Arc::clone(&manager).run_activation());
         tokio::spawn(super::follower::run(Arc::clone(&manager)));
         manager
     }
 
-    fn new(parts: Dependencies) -> Self {
-        let layout = Layout::new(&parts.prefix);
+    fn new(deps: Dependencies) -> Self {
+        let layout = Layout::new(&deps.prefix);
         let config_store =
-            ConfigStore::new(Arc::clone(&parts.store), layout, parts.limits.call_timeout);
-        let events = event_counter(&parts.metrics);
+            ConfigStore::new(Arc::clone(&deps.store), layout, deps.limits.call_timeout);
+        let events = event_counter(&deps.metrics);
         let (in_force, _) = watch::channel(Arc::default());
         let (learned_revision, _) = watch::channel(0);
         Self {
@@ -162,23 +162,23 @@
             activation_wakeup: Notify::new(),
             service_wakeup: Notify::new(),
             is_watcher: std::sync::atomic::AtomicBool::new(false),
-            parts,
+            deps,
         }
     }
 
-    /// Returns the channel of the view in force; revision 0 means that none is known yet.
+    /// Subscribes to the active view; revision 0 means that none is known yet.
     #[must_use]
     pub fn view(&self) -> watch::Receiver<Arc<View>> {
         self.in_force.subscribe()
     }
 
-    /// Returns the channel of the newest revision learned, which peers should hear of at once.
+    /// Subscribes to the newest learned revision, so that it can be pushed to peers at once.
     #[must_use]
     pub fn learned_revision(&self) -> watch::Receiver<u64> {
         self.learned_revision.subscribe()
     }
 
-    /// Returns what operators see.
+    /// Returns the status for operators.
     #[must_use]
     pub fn status(&self) -> Status {
         let now = self.now();
@@ -201,19 +201,19 @@
         }
     }
 
-    /// Returns the newest revision that this node holds whole.
+    /// Returns the newest revision whose declarations this node has, active or not.
     #[must_use]
     pub fn learned(&self) -> Arc<View> {
         Arc::clone(self.state().learned())
     }
 
     pub(super) fn now(&self) -> Millis {
-        self.parts.clock.now()
+        self.deps.clock.now()
     }
 
     pub(super) fn state(&self) -> MutexGuard<'_, ConfigState> {
-        // Every change of the state is one assignment after its checks, so a
-        // panic elsewhere leaves it whole.
+        // The state is modified only after all checks have passed, so it stays
+        // consistent when a thread panics while holding the lock.
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -221,7 +221,7 @@
         self.events.with_label_values(&[kind]).inc();
     }
 
-    /// Offers operations in order. Returns whether any was new, and whether some are missing.
+    /// Offers operations in order. Returns whether any was new, and whether there was a gap.
     pub(super) fn offer(&self, operations: &[Arc<Operation>]) -> (bool, bool) {
         let mut upcoming = Vec::new();
         let (mut any_new, mut gap) = (false, false);
@@ -242,7 +242,7 @@
         (any_new, gap)
     }
 
-    /// Offers a whole revision. Returns whether it was new.
+    /// Offers a complete revision. Returns whether it was new.
     pub(super) fn install_view(&self, view: View, digest: &[u8], origin: Origin) -> bool {
         let mut upcoming = Vec::new();
         let revision = view.revision();
@@ -260,42 +260,44 @@
         outcome == OfferOutcome::New
     }
 
-    /// Notes that a revision can't be read.
-    pub(super) fn reject(&self, revision: u64, why: view::Error, origin: Origin) {
+    /// Records that a revision can't be decoded.
+    pub(super) fn reject(&self, revision: u64, reason: view::Error, origin: Origin) {
         let now = self.now();
-        let outcome = self.state().reject(revision, why, origin, now);
+        let outcome = self.state().reject(revision, reason, origin, now);
         self.record_outcome(revision, &outcome);
     }
 
-    /// Notes what the service holds as the newest.
+    /// Records that `revision` was the service's newest at time `at`.
     pub(super) fn confirm_revision(&self, revision: u64, at: Millis) {
         let mut state = self.state();
         let learned = state.learned().revision();
-        let first = state.stale_offers() == 0;
+        let is_first = state.stale_offers() == 0;
         if !state.record_confirmed(revision, at) {
             return;
         }
         drop(state);
         self.count_event("stale");
-        if first {
-            warn!("config: the service offers revision {revision}; revision {learned} stays");
+        if is_first {
+            warn!(
+                "config: the service returned revision {revision}, older than the learned revision {learned}; it is ignored"
+            );
         }
     }
 
-    /// Reads the service's head and takes over what is newer.
-    pub(super) async fn catch_up(&self) -> Result<StoredHead, super::config_store::ReadError> {
+    /// Reads the service's head and learns any newer revision.
+    pub(super) async fn catch_up(&self) -> Result<StoredHead, ReadError> {
         let asked = self.now();
         let head = self.config_store.read_head().await?;
         self.apply_head(&head, asked).await?;
         Ok(head)
     }
 
-    /// Takes over what a head that was read at `asked` speaks of.
+    /// Learns the revision of a head; `asked` is when its read began.
     pub(super) async fn apply_head(
         &self,
         head: &StoredHead,
         asked: Millis,
-    ) -> Result<(), super::config_store::ReadError> {
+    ) -> Result<(), ReadError> {
         let revision = head.head.revision;
         let have = {
             let state = self.state();
@@ -307,8 +309,8 @@
         if revision > have
             && let Err(failure) = self.fetch_updates(have, head).await
         {
-            if let super::config_store::ReadError::Unreadable(why) = &failure {
-                self.reject(revision, why.clone(), Origin::Service);
+            if let ReadError::Unreadable(reason) = &failure {
+                self.reject(revision, reason.clone(), Origin::Service);
             }
             return Err(failure);
         }
@@ -316,12 +318,8 @@
         Ok(())
     }
 
-    async fn fetch_updates(
-        &self,
-        have: u64,
-        head: &StoredHead,
-    ) -> Result<(), super::config_store::ReadError> {
-        let missing = match self.config_store.read_since(have, &head.head).await? {
+    async fn fetch_updates(&self, have: u64, head: &StoredHead) -> Result<(), ReadError> {
+        let update = match self.config_store.read_since(have, &head.head).await? {
             Update::Operations(operations) => {
                 let (_, gap) = self.offer(&operations);
                 if !gap {
@@ -329,16 +327,16 @@
                 }
                 self.config_store.read_full(&head.head).await?
             }
-            whole @ Update::Snapshot(..) => whole,
+            snapshot @ Update::Snapshot(..) => snapshot,
         };
-        if let Update::Snapshot(view, digest) = missing {
+        if let Update::Snapshot(view, digest) = update {
             self.count_event("snapshot_service");
             self.install_view(*view, &digest, Origin::Service);
         }
         Ok(())
     }
 
-    /// Decides when a revision is in force, and collects what to fetch first.
+    /// Returns when to activate `new`, and adds the adapters to prefetch to `upcoming`.
     fn activation_time(
         &self,
         old: &View,
@@ -350,17 +348,17 @@
         if old.revision() == 0 {
             return now;
         }
-        let moved = prefetch::changed_adapters(old, new, differences);
-        if moved.is_empty() {
+        let changed = prefetch::changed_adapters(old, new, differences);
+        if changed.is_empty() {
             return now;
         }
-        upcoming.extend(moved);
-        now + self.parts.limits.prefetch_grace
+        upcoming.extend(changed);
+        now + self.deps.limits.prefetch_grace
     }
 
     fn start_prefetch(&self, upcoming: &[UpcomingAdapter]) {
         if !upcoming.is_empty() {
-            self.parts.prefetch.prefetch(upcoming);
+            self.deps.prefetch.prefetch(upcoming);
         }
         self.activation_wakeup.notify_one();
     }
@@ -372,15 +370,17 @@
             OfferOutcome::Gap => self.count_event("gap"),
             OfferOutcome::Rejected(reason) => {
                 self.count_event("refused");
-                error!("config: revision {revision} can't be read and the old one stays: {reason}");
+                error!(
+                    "config: revision {revision} was rejected and the previous one stays active: {reason}"
+                );
             }
         }
     }
 
-    /// Puts in force what is due.
+    /// Publishes the learned revision and activates the views that are due.
     ///
-    /// The channel is written under the state's lock: two threads that wrote it
-    /// one after the other could otherwise leave the older view in it.
+    /// The channels are written while the state's lock is held. Otherwise two
+    /// threads could send their views out of order and leave the older one active.
     fn publish(&self, state: &mut ConfigState) {
         let learned = state.learned().revision();
         self.learned_revision.send_if_modified(|known| {
@@ -389,7 +389,7 @@
             newer
         });
         if let Some(view) = state.activate_due(self.now()) {
-            let metrics = &self.parts.metrics;
+            let metrics = &self.deps.metrics;
             metrics
                 .revision
                 .set(i64::try_from(view.revision()).unwrap_or(i64::MAX));
@@ -406,7 +406,7 @@
                 let age = state
                     .confirmed_age(now)
                     .map_or(-1, |age| i64::try_from(age.0).unwrap_or(i64::MAX));
-                self.parts.metrics.revision_age_ms.set(age);
+                self.deps.metrics.revision_age_ms.set(age);
                 state
                     .next_activation()
                     .map_or(MAX_ACTIVATION_WAIT, |activate_at| {
@@ -414,7 +414,7 @@
                     })
             };
             tokio::select! {
-                () = self.parts.stop.cancelled() => return,
+                () = self.deps.stop.cancelled() => return,
                 () = self.activation_wakeup.notified() => {}
                 () = tokio::time::sleep(next.duration()) => {}
             }
@@ -428,8 +428,8 @@
         "Rare events of the configuration, by kind.",
     );
     let events = IntCounterVec::new(opts, &["kind"]).expect("name and label are constants");
-    // Registering fails only when a process keeps two configurations on one
-    // registry, as a test may; the counters then work unseen.
+    // Registering fails only when two managers of a process share a registry,
+    // as in tests; the second one's counters aren't exported then.
     let _ = metrics.registry().register(Box::new(events.clone()));
     events
 }
--- a/lib/src/config/mod.rs
+++ b/lib/src/config/mod.rs
@@ -1,9 +1,10 @@
-//! The configuration in force: read by every request, replaced as a whole.
+//! Distributes the operators' configuration and activates it on each node.
 //!
-//! Operators' changes go through the key-value service as immutable operations
-//! under a rising revision ([`layout`], [`writer`]); nodes learn them from the
-//! service or from one another (`follower`, `share`) and never go back
-//! ([`state`]). docs/design/0005-configuration.md has the ways weighed.
+//! A change is written to the key-value service as an immutable operation with
+//! the next revision number ([`layout`], [`writer`]). Nodes learn it from the
+//! service or from one another (`follower`, `gossip_state`) and never return to
+//! an older revision ([`state`]). Each request reads one immutable [`View`].
+//! docs/design/0005-configuration.md compares the alternatives.
 
 mod blocking;
 pub mod config_store;
--- a/lib/src/config/operator.rs
+++ b/lib/src/config/operator.rs
@@ -1,4 +1,4 @@
-//! What operators do with the configuration.
+//! Operators' calls: plan, apply, history, rollback and export.
 
 use std::sync::Arc;
 
@@ -21,40 +21,41 @@
 use crate::name::Name;
 use crate::schema::declaration::Operation;
 
-/// How often a change is begun anew because what it rests on moved.
+/// Maximum attempts of a change when its base revision changes or a replica is stale.
 const MAX_ROUNDS: usize = 4;
-/// Wait for a replica of the service that is behind, in milliseconds.
+/// Pause before a read that hit a stale replica is repeated, in milliseconds.
 const STALE_REPLICA_PAUSE: Millis = Millis(250);
 
-/// Who changes the configuration, and why.
+/// Metadata of a change to the configuration.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ChangeRequest {
-    /// Identity of the change, chosen by the caller and used again when the
-    /// caller asks again after an answer was lost; [`new_id`] makes one.
+    /// Id of the change, chosen by the caller; a retry after a lost response
+    /// uses the same id. [`new_id`] generates one.
     pub id: Name,
-    /// Who.
+    /// The operator who makes the change.
     pub author: Name,
-    /// Why.
+    /// Why the change is made.
     pub reason: String,
-    /// The revision that the caller's plan rests on. A change declares everything,
-    /// so following whatever is newest would take back what others changed since.
+    /// The revision that the caller's plan is based on. A change declares the whole
+    /// configuration, so applying it to a newer revision would revert what others
+    /// changed since.
     pub expected: u64,
-    /// Milliseconds since 1970, for people only.
+    /// Milliseconds since the Unix epoch, for display only.
     pub time_ms: u64,
 }
 
 /// An accepted change.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Accepted {
-    /// The revision that it became, or the newest one when nothing differed.
+    /// The revision that the change created, or the newest one if nothing differed.
     pub revision: u64,
-    /// How many declarations differ.
+    /// Number of declarations that differ.
     pub differences: u32,
-    /// Whether it had been accepted before this call.
+    /// Whether an earlier call had made the change.
     pub already: bool,
 }
 
-/// Makes the identity of a change.
+/// Generates the id of a change.
 #[must_use]
 pub fn new_id() -> Name {
     let bits: u128 = rand::random();
@@ -62,15 +63,15 @@
 }
 
 impl ConfigManager {
-    /// Says what a set of declarations would change and break.
+    /// Returns what a set of declarations would change, with warnings.
     ///
-    /// The service is asked for the newest revision; without its answer the plan
-    /// rests on what this node has.
+    /// The plan is based on the service's newest revision, or on the learned
+    /// one, with a warning, if the service doesn't respond.
     pub async fn plan(&self, set: &DeclarationSet) -> Plan {
-        let known = self.catch_up().await;
+        let confirmed = self.catch_up().await;
         let view = self.learned();
-        let mut plan = plan::plan(&view, set, &*self.parts.weights).await;
-        if let Err(failure) = known {
+        let mut plan = plan::plan(&view, set, &*self.deps.weights).await;
+        if let Err(failure) = confirmed {
             plan.warnings.push(format!(
                 "the newest revision can't be confirmed, and this plan rests on revision {}: {failure}",
                 view.revision()
@@ -81,19 +82,19 @@
 
     /// Applies a set of declarations as one change.
     ///
-    /// Returns only when the change is durable. A caller that got no answer may
-    /// call again with the same identity, at any node.
+    /// Returns once the change is durable. A caller that got no response may
+    /// call again with the same change id, at any node.
     ///
     /// # Errors
     ///
-    /// Each says whether the change is certainly not accepted.
+    /// [`Error::wrote_nothing`] tells whether the change certainly wasn't accepted by this call.
     pub async fn apply(
         &self,
         change_request: &ChangeRequest,
         set: &DeclarationSet,
     ) -> Result<Accepted, Error> {
-        let ended = self.apply_with_retries(change_request, set).await;
-        match &ended {
+        let result = self.apply_with_retries(change_request, set).await;
+        match &result {
             Ok(accepted) => {
                 self.count_event("accepted");
                 info!(
@@ -108,19 +109,19 @@
                     "unsettled"
                 });
                 warn!(
-                    "config: a change by {} wasn't accepted: {error}",
+                    "config: a change by {} failed: {error}",
                     change_request.author
                 );
             }
         }
-        ended
+        result
     }
 
-    /// Lists up to `limit` operations up to a revision, the newest first.
+    /// Returns up to `limit` operations up to a revision, newest first.
     ///
     /// # Errors
     ///
-    /// When the service doesn't answer.
+    /// When the service doesn't respond.
     pub async fn history(
         &self,
         last: Option<u64>,
@@ -133,11 +134,11 @@
             .map_err(Error::Unavailable)
     }
 
-    /// Declares again what was declared at a revision, as a new one.
+    /// Applies the declarations of an earlier revision as a new revision.
     ///
     /// # Errors
     ///
-    /// As [`ConfigManager::apply`], and when the revision isn't kept any more.
+    /// As [`ConfigManager::apply`], and when the revision is no longer kept.
     pub async fn rollback(
         &self,
         change_request: &ChangeRequest,
@@ -150,17 +151,17 @@
         self.apply(&change_request, &set).await
     }
 
-    /// Returns what was declared at a revision.
+    /// Returns the declarations of a revision.
     ///
     /// # Errors
     ///
-    /// When the service doesn't answer or the revision isn't kept any more.
+    /// When the service doesn't respond or the revision is no longer kept.
     pub async fn declared_at(&self, revision: u64) -> Result<DeclarationSet, Error> {
         let newest = self.learned();
         history::declared_at(&self.config_store, &newest, revision).await
     }
 
-    /// Writes the newest revision as files that can be applied elsewhere.
+    /// Exports the newest learned revision as files that can be applied elsewhere.
     #[must_use]
     pub fn export(&self) -> Vec<SourceFile> {
         export::export(&self.learned().to_set())
@@ -178,11 +179,11 @@
             }
             let before = self.learned();
             if before.revision() < base.head.revision {
-                // Following what this node has would take back what it can't read.
+                // A change based on the learned revision would revert the newer one, which this node rejected.
                 return Err(self.unreadable_error(base.head.revision));
             }
             if before.revision() < change_request.expected {
-                // The service's answer is older than what the caller has seen.
+                // A stale replica answered: the caller has seen a newer revision.
                 tokio::time::sleep(STALE_REPLICA_PAUSE.duration()).await;
                 continue;
             }
@@ -220,7 +221,7 @@
         Error::Unreadable(reason)
     }
 
-    /// Looks whether an earlier call with this identity was accepted.
+    /// Looks up whether an earlier call with the same change id was accepted.
     async fn find_earlier(
         &self,
         change_request: &ChangeRequest,
@@ -232,49 +233,54 @@
         Ok(revision.map_err(Error::Unavailable)?.map(already_accepted))
     }
 
-    /// Checks that the configuration is still what the order was planned on.
+    /// Checks that the configuration is still at the revision that the change expects.
     ///
-    /// If it moved on, it may have been by this very order, in a call whose
-    /// answer was lost and whose trace a stale replica doesn't show yet.
+    /// If it isn't, an earlier call with the same change id may have made the newer
+    /// revision, which a stale replica doesn't show yet; then its result is returned.
     async fn check_expected(
         &self,
         change_request: &ChangeRequest,
         before: &View,
     ) -> Result<Option<Accepted>, Error> {
-        let now = before.revision();
-        if change_request.expected == now {
+        let actual = before.revision();
+        if change_request.expected == actual {
             return Ok(None);
         }
         let accepted = writer::find_accepted(&self.config_store, &change_request.id).await;
         if let Some(revision) = accepted.map_err(Error::Unavailable)? {
             return Ok(Some(already_accepted(revision)));
         }
-        let newest = self.config_store.read_operation(now).await.ok().flatten();
+        let newest = self
+            .config_store
+            .read_operation(actual)
+            .await
+            .ok()
+            .flatten();
         Err(Error::RevisionMismatch {
             expected: change_request.expected,
-            actual: now,
+            actual,
             newest,
         })
     }
 
-    /// Clears away old snapshots once a block, after the answer to the operator.
+    /// Deletes old snapshots and operations once per block, without delaying the response.
     fn collect_garbage(&self, revision: u64) {
         if !revision.is_multiple_of(BLOCK_REVISIONS) {
             return;
         }
         let config_store = self.config_store.clone();
-        let stop = self.parts.stop.clone();
+        let stop = self.deps.stop.clone();
         tokio::spawn(async move {
             tokio::select! {
                 () = stop.cancelled() => {}
                 done = garbage::collect(&config_store) => if let Err(error) = done {
-                    warn!("config: old snapshots weren't cleared away: {error}");
+                    warn!("config: old snapshots and operations couldn't be deleted: {error}");
                 },
             }
         });
     }
 
-    /// Takes over a change that was just accepted, so that this node spreads it at once.
+    /// Learns a change that was just accepted, so that this node spreads it at once.
     fn learn_accepted(&self, proposal: Proposal) -> Accepted {
         let operation = proposal.operation;
         let accepted = Accepted {
@@ -301,8 +307,8 @@
     if differences.is_empty() {
         return Ok(None);
     }
-    // A service that lost data is behind the nodes: the new revision must be
-    // above what they have, or none of them would take it.
+    // If the service lost data, its head is behind the nodes. The new revision must
+    // be above theirs, or they would ignore it.
     let revision = before.revision().max(base.head.revision) + 1;
     let after = before
         .apply_differences(revision, &differences)
--- a/lib/src/config/plan.rs
+++ b/lib/src/config/plan.rs
@@ -1,4 +1,4 @@
-//! What a change would do, and what it would break.
+//! Plans: what a change would do and what it would break.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -13,31 +13,31 @@
 use crate::schema::declaration::Difference;
 use crate::schema::declaration::difference::{After, Before};
 
-/// Adapter versions looked up in the weight store at a time.
+/// Concurrent lookups of adapter versions in the weight store.
 const MAX_CONCURRENT_LOOKUPS: usize = 8;
-/// Most adapter versions looked up for one plan.
+/// Maximum adapter versions looked up for one plan.
 const MAX_LOOKUPS: usize = 2_000;
 
-/// What a change would do.
+/// The effects of a change that isn't applied yet.
 #[derive(Debug, Clone)]
 pub struct Plan {
-    /// The revision that the change would follow; apply takes it as the expected one.
+    /// The revision that the change is based on; apply takes it as the expected revision.
     pub revision: u64,
-    /// What would differ.
+    /// The declarations that would change.
     pub differences: Vec<Difference>,
-    /// What would break, in sentences.
+    /// What would break, one sentence each.
     pub warnings: Vec<String>,
 }
 
 impl Plan {
-    /// Writes the differences for people.
+    /// Formats the differences for people.
     #[must_use]
     pub fn render(&self) -> String {
         diff::render(&self.differences)
     }
 }
 
-/// Compares a set of declarations with a view.
+/// Compares a set of declarations with a view and collects warnings.
 pub async fn plan(view: &View, set: &DeclarationSet, weights: &dyn Weights) -> Plan {
     let differences = blocking::run(|| diff::diff(&view.to_set(), set));
     let mut warnings = missing_adapters(set, &differences, weights).await;
@@ -50,7 +50,7 @@
     }
 }
 
-/// Names the adapter versions that the weight store doesn't have.
+/// Warns of adapter versions that aren't in the weight store.
 async fn missing_adapters(
     set: &DeclarationSet,
     differences: &[Difference],
@@ -91,7 +91,7 @@
     warnings
 }
 
-/// Names the templates and accounts whose callers would be refused.
+/// Warns of removed templates, accounts and pools, whose requests would be refused.
 fn removal_warnings(differences: &[Difference]) -> Vec<String> {
     differences
         .iter()
@@ -113,7 +113,7 @@
         .collect()
 }
 
-/// Names limits that can't be reached or that waste slots.
+/// Warns of limits that can never apply and of slots that can't be used.
 fn limit_warnings(set: &DeclarationSet) -> Vec<String> {
     let pools: Vec<Pool> = set
         .pools
--- a/lib/src/config/prefetch.rs
+++ b/lib/src/config/prefetch.rs
@@ -1,10 +1,11 @@
-//! Fetches adapters ahead of the revision that needs them.
+//! Prefetches adapters before the revision that needs them is activated.
 //!
-//! A template that moves to another version would stall its first requests
-//! while the version loads. A node that learns such a revision tells the owners
-//! of upstreams at once and puts it in force a little later, when the loads of
-//! an ordinary change are done. The wait is bounded, because a change must be
-//! in force everywhere within 8 s whatever the weight store does.
+//! Without it, the first requests of a template that changes its adapter version
+//! would stall while the version loads. A node that learns such a revision
+//! notifies the owners of upstreams at once and activates the revision after a
+//! delay in which the loads of an ordinary change complete. The delay is
+//! bounded, because a change must be active on all nodes within 8 s whatever the
+//! weight store does.
 
 use std::collections::HashSet;
 use std::fmt;
@@ -18,30 +19,30 @@
 use crate::schema::declaration::Difference;
 use crate::schema::declaration::difference::{After, Before};
 
-/// How long a revision that moves templates to other adapters waits, in milliseconds.
+/// Delay before a revision that changes templates' adapters is activated, in milliseconds.
 ///
-/// Two loads one after the other at the weight store's rate of 3 a second, with
-/// room; the spread takes under 2 s of the 8 s.
+/// Covers two consecutive loads at the weight store's rate of 3 per second, with
+/// a margin; spreading the revision takes less than 2 s of the 8 s.
 pub const PREFETCH_GRACE: Millis = Millis(3_000);
 
-/// An adapter that requests will name soon.
+/// An adapter that requests will use once a revision is activated.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct UpcomingAdapter {
-    /// The pool whose engines will run it.
+    /// The pool whose engines will serve it.
     pub pool: Name,
-    /// Adapter and version.
+    /// The adapter and its version.
     pub adapter: Adapter,
-    /// The version that it takes the place of.
+    /// The adapter version that it replaces.
     pub replaces: Adapter,
 }
 
-/// Hears of adapters before requests name them.
+/// Loads adapters before requests use them.
 pub trait Prefetch: fmt::Debug + Send + Sync {
-    /// Starts to fetch what belongs on this node's upstreams, with what the weight store has to spare.
+    /// Starts to load the adapters that belong on this node's upstreams, with spare weight store capacity.
     fn prefetch(&self, adapters: &[UpcomingAdapter]);
 }
 
-/// Fetches nothing, for a node without owners.
+/// Prefetches nothing, for a node that owns no upstreams.
 #[derive(Debug)]
 pub struct NoPrefetch;
 
@@ -49,7 +50,7 @@
     fn prefetch(&self, _adapters: &[UpcomingAdapter]) {}
 }
 
-/// Finds the templates that move from one adapter to another.
+/// Returns the adapters to which templates change, each once per pool and replaced adapter.
 #[must_use]
 pub fn changed_adapters(
     old: &View,
@@ -72,7 +73,7 @@
     }))
 }
 
-/// Compares two whole views, for a revision that came as a snapshot.
+/// Compares all templates of two views, for a revision that was learned as a snapshot.
 fn compare_views(old: &View, new: &View) -> Vec<UpcomingAdapter> {
     collect_upcoming(new.templates().filter_map(|after| {
         let before = old.template(&after.account, &after.name)?;
--- a/lib/src/config/state.rs
+++ b/lib/src/config/state.rs
@@ -1,9 +1,9 @@
-//! What a node has learned of the configuration, and what of it is in force.
+//! State machine of the configuration revisions that a node has learned and activated.
 //!
-//! A pure state machine: service, peers and this node's own changes offer
-//! revisions, and it only ever goes forward. A stale replica, an old peer or a
-//! service that came back with older data offers what is older; taking it would
-//! bring back a template that operators had replaced. It is counted instead.
+//! It does no I/O. The service, peers and this node's own changes offer revisions,
+//! and the learned revision only increases. A stale replica, an outdated peer or a
+//! service restored from a backup offers older revisions; accepting one would bring
+//! back a template that operators had replaced, so it is only counted.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -15,60 +15,60 @@
 use crate::clock::Millis;
 use crate::schema::declaration::Operation;
 
-/// Most operations kept for peers that are a little behind.
+/// Maximum number of operations kept for peers that are slightly behind.
 const MAX_KEPT_OPERATIONS: usize = 512;
-/// Most bytes of kept operations.
+/// Maximum size of the kept operations, in bytes.
 const MAX_KEPT_BYTES: usize = 1024 * 1024;
 
-/// What became of an offered revision.
+/// Outcome of offering a revision.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum OfferOutcome {
-    /// It is the newest learned now.
+    /// It is now the newest learned revision.
     New,
-    /// It isn't newer than what is known.
+    /// It isn't newer than the learned revision, or was rejected recently.
     Known,
-    /// Revisions between are missing; operations or a snapshot must be read.
+    /// It doesn't follow the learned revision; the operations between or a snapshot must be read.
     Gap,
-    /// It can't be read; the old one stays in force.
+    /// It can't be decoded; the previous revision stays active.
     Rejected(view::Error),
 }
 
-/// How long a revision that couldn't be read isn't read again, in milliseconds.
+/// How long a rejected revision isn't read again, in milliseconds.
 ///
-/// During an upgrade all older nodes refuse the same revision; reading a whole
-/// snapshot at each sign of it would cost the service more than everything else.
+/// During an upgrade all older nodes reject the same revision. Reading a whole
+/// snapshot each time it is offered would be the largest load on the service.
 pub const REJECTION_BACKOFF: Millis = Millis::from_secs(600);
 
-/// Where a whole revision came from.
+/// Where a revision came from.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Origin {
     /// The key-value service.
     Service,
-    /// Another node, or the exchange between nodes.
+    /// Another node; single operations count as a peer's wherever they came from.
     Peer,
 }
 
-/// A revision that couldn't be read.
+/// A revision that couldn't be decoded or whose digest didn't match.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Rejection {
     /// The revision.
     pub revision: u64,
-    /// Why.
+    /// Why it was rejected.
     pub reason: view::Error,
-    /// Where it came from; one damaged peer mustn't keep the service's revision away.
+    /// Where it came from; a faulty peer must not block the service's revision.
     pub origin: Origin,
-    /// When it was refused.
+    /// When it was rejected.
     pub rejected_at: Millis,
 }
 
-/// A learned revision that waits for its adapters to be fetched.
+/// A learned revision that isn't active yet, because its adapters are being prefetched.
 #[derive(Debug)]
 struct PendingView {
     activate_at: Millis,
     view: Arc<View>,
 }
 
-/// A node's knowledge of the configuration.
+/// The revisions that a node has learned and activated.
 #[derive(Debug)]
 pub struct ConfigState {
     learned: Arc<View>,
@@ -76,11 +76,11 @@
     pending: VecDeque<PendingView>,
     operations: VecDeque<Arc<Operation>>,
     operation_bytes: usize,
-    /// Newest revision that anyone spoke of.
+    /// Newest revision that the service or a peer reported.
     newest_heard: u64,
-    /// When the service last had nothing newer than what was learned by then.
+    /// When the service last confirmed the revision learned by then as its newest.
     confirmed_at: Option<Millis>,
-    /// One for each origin, so that neither makes the other forgotten.
+    /// The latest rejection of each origin, so that neither origin's replaces the other's.
     rejections: SmallVec<[Rejection; 2]>,
     stale_offers: u64,
 }
@@ -103,25 +103,25 @@
 }
 
 impl ConfigState {
-    /// Returns the newest revision that this node holds whole.
+    /// Returns the newest learned revision, active or not.
     #[must_use]
     pub fn learned(&self) -> &Arc<View> {
         &self.learned
     }
 
-    /// Returns the revision on which requests are decided.
+    /// Returns the active revision, which requests use.
     #[must_use]
     pub fn in_force(&self) -> &Arc<View> {
         &self.in_force
     }
 
-    /// Returns the newest revision that anyone spoke of.
+    /// Returns the newest revision that the service or a peer reported.
     #[must_use]
     pub fn newest_heard(&self) -> u64 {
         self.newest_heard.max(self.learned.revision())
     }
 
-    /// Returns the newest revision that couldn't be read, unless a later one could.
+    /// Returns the newest rejection, unless a later revision was learned.
     #[must_use]
     pub fn newest_rejection(&self) -> Option<&Rejection> {
         self.rejections
@@ -129,7 +129,7 @@
             .max_by_key(|rejection| rejection.revision)
     }
 
-    /// Whether a revision from there was refused so lately that reading it again is a waste.
+    /// Whether a revision from this origin was rejected less than [`REJECTION_BACKOFF`] ago.
     #[must_use]
     pub fn is_rejected(&self, revision: u64, origin: Origin, now: Millis) -> bool {
         self.rejections.iter().any(|rejection| {
@@ -139,19 +139,19 @@
         })
     }
 
-    /// Returns how often something older than what is known was offered as the newest.
+    /// Returns how often a revision older than the learned one was reported as the newest.
     #[must_use]
     pub fn stale_offers(&self) -> u64 {
         self.stale_offers
     }
 
-    /// Returns the time since the learned revision was confirmed as the newest, if it ever was.
+    /// Returns the time since a learned revision was confirmed as the newest, if one ever was.
     #[must_use]
     pub fn confirmed_age(&self, now: Millis) -> Option<Millis> {
         self.confirmed_at.map(|at| now.since(at))
     }
 
-    /// Takes an operation. The new revision waits until `activate_at` before it is in force.
+    /// Applies an operation that follows the learned revision; `activate_at` gives the activation time.
     pub fn offer(
         &mut self,
         operation: &Arc<Operation>,
@@ -172,8 +172,8 @@
         let next = match changed {
             Ok(view) if view.digest().to_bytes() == operation.view_digest => view,
             Ok(_) => return self.reject(revision, view::Error::DigestMismatch, Origin::Peer, now),
-            // A difference that doesn't start from here means that the two
-            // histories differ; a snapshot settles it.
+            // The operation is based on another history than the learned one;
+            // a snapshot resolves it.
             Err(view::Error::BaseMismatch(_)) => return OfferOutcome::Gap,
             Err(error) => return self.reject(revision, error, Origin::Peer, now),
         };
@@ -183,7 +183,7 @@
         OfferOutcome::New
     }
 
-    /// Takes a whole revision, as a snapshot has it, with its writer's digest.
+    /// Installs a complete revision, such as one from a snapshot, after checking its writer's digest.
     pub fn install(
         &mut self,
         view: View,
@@ -200,7 +200,7 @@
         if view.digest().to_bytes() != digest {
             return self.reject(revision, view::Error::DigestMismatch, origin, now);
         }
-        // Operations before the snapshot aren't linked to those after it.
+        // The kept operations must be contiguous, and they don't reach this revision.
         self.operations.clear();
         self.operation_bytes = 0;
         let activate_at = activate_at(&self.learned, &view);
@@ -208,15 +208,15 @@
         OfferOutcome::New
     }
 
-    /// Notes that the service or a peer spoke of a revision.
+    /// Records that the service or a peer reported a revision.
     pub fn record_heard(&mut self, revision: u64) {
         self.newest_heard = self.newest_heard.max(revision);
     }
 
-    /// Notes that the service held this revision as the newest at a time.
+    /// Records that `revision` was the service's newest at time `at`.
     ///
-    /// Returns whether it is older than what this node has: the answer of a
-    /// stale replica, or a service that lost data.
+    /// Returns whether it is older than the learned revision, which means a
+    /// stale replica or a service that lost data.
     pub fn record_confirmed(&mut self, revision: u64, at: Millis) -> bool {
         self.record_heard(revision);
         if revision < self.learned.revision() {
@@ -229,7 +229,7 @@
         false
     }
 
-    /// Puts in force what is due. Returns the new view, if it changed.
+    /// Activates the newest pending view that is due and returns it, if there is one.
     pub fn activate_due(&mut self, now: Millis) -> Option<Arc<View>> {
         let mut newest = None;
         while self
@@ -244,13 +244,13 @@
         Some(view)
     }
 
-    /// Returns when the next revision is to be in force.
+    /// Returns when the next pending view is due.
     #[must_use]
     pub fn next_activation(&self) -> Option<Millis> {
         self.pending.front().map(|pending| pending.activate_at)
     }
 
-    /// Returns the operations after a revision, or none when a snapshot is needed.
+    /// Returns operations after a revision within `max_bytes`, or none if a snapshot is needed.
     #[must_use]
     pub fn operations_since(&self, revision: u64, max_bytes: usize) -> Option<Vec<Arc<Operation>>> {
         let first = self.operations.front()?.revision;
@@ -272,7 +272,7 @@
         (!operations.is_empty()).then_some(operations)
     }
 
-    /// Keeps the old revision because a newer one can't be read.
+    /// Records that a revision was rejected; the learned one stays.
     pub fn reject(
         &mut self,
         revision: u64,
@@ -304,7 +304,7 @@
     }
 
     fn learn(&mut self, next: Arc<View>, activate_at: Millis) {
-        // A revision is in force no sooner than the one before it.
+        // Revisions are activated in order.
         let activate_at = self
             .pending
             .back()
@@ -320,7 +320,7 @@
     }
 }
 
-/// Whether an operation leaves out its differences because they don't fit.
+/// Whether an operation omits its differences because they exceed the inline size.
 #[must_use]
 pub fn omits_differences(operation: &Operation) -> bool {
     operation.differences.is_empty() && operation.difference_count > 0
--- a/lib/src/config/view.rs
+++ b/lib/src/config/view.rs
@@ -1,7 +1,7 @@
-//! One revision of the configuration, immutable.
+//! Immutable view of one revision of the configuration.
 //!
-//! A request takes the view once and is decided on it from start to end, so
-//! that a change under way never mixes two revisions in one request.
+//! A request takes the view once and uses it from start to end, so that a
+//! concurrent change never mixes two revisions in one request.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -21,8 +21,8 @@
 
 /// All declarations of one revision.
 ///
-/// A later revision shares what it has in common with the earlier one, so that
-/// a change costs what it changes, not what there is.
+/// A later revision shares unchanged declarations with the earlier one, so that
+/// applying a change doesn't copy every declaration.
 #[derive(Debug, Clone, Default)]
 pub struct View {
     revision: u64,
@@ -33,22 +33,22 @@
     templates: HashMap<Name, Arc<Templates>>,
 }
 
-/// Why a change can't be made on a view.
+/// Why differences can't be applied to a view.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum Error {
-    /// A declaration can't be read by this version.
+    /// This version can't decode a declaration.
     #[error(transparent)]
     Unreadable(#[from] DecodeError),
-    /// The change doesn't start from what this view holds.
+    /// The differences are based on other declarations than this view's.
     #[error("{0} isn't what the change starts from")]
     BaseMismatch(String),
-    /// The result isn't what its writer had: a field that this version doesn't know, or damage.
+    /// The digest isn't the writer's: the data is damaged, or has a field that this version doesn't know.
     #[error("the result differs from its writer's; a newer version may have written it")]
     DigestMismatch,
 }
 
 impl View {
-    /// Makes the view of a revision; revision 0 is the empty one before any change.
+    /// Creates the view of a revision; revision 0 is the empty one before any change.
     #[must_use]
     pub fn new(
         revision: u64,
@@ -76,11 +76,11 @@
         view
     }
 
-    /// Makes the view of a revision from declarations in canonical form.
+    /// Creates the view of a revision from declarations in canonical form.
     ///
     /// # Errors
     ///
-    /// When a declaration can't be read.
+    /// When a declaration can't be decoded.
     pub fn from_set(revision: u64, set: &DeclarationSet) -> Result<Self, Error> {
         let mut view = Self {
             revision,
@@ -123,11 +123,11 @@
         set
     }
 
-    /// Makes the view of the revision that follows from differences to this one.
+    /// Returns the view of `revision`, which results from applying differences to this view.
     ///
     /// # Errors
     ///
-    /// When the differences don't start from this view, or can't be read.
+    /// When the differences aren't based on this view, or can't be decoded.
     pub fn apply_differences(
         &self,
         revision: u64,
@@ -139,12 +139,12 @@
             self.check_base(difference)?;
             next.digest.apply_difference(difference);
         }
-        // All that goes leaves first: a key that moves between accounts belongs
-        // to the new one only then.
+        // Remove everything first: a key that moves between accounts would otherwise
+        // be removed after it was inserted for its new account.
         for old in differences.iter().filter_map(|d| d.before.as_ref()) {
             next.remove(old);
         }
-        // Pools come before the templates that are read by them.
+        // Insert pools before the templates, which are decoded with their pool.
         let after = || differences.iter().filter_map(|d| d.after.as_ref());
         for new in after() {
             if let After::PoolAfter(pool) = new {
@@ -172,23 +172,23 @@
         Ok(next)
     }
 
-    /// Returns the revision; it only rises at a node.
+    /// Returns the revision; on a node it only increases.
     #[must_use]
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// Returns the digest over all declarations.
+    /// Returns the digest of all declarations.
     #[must_use]
     pub fn digest(&self) -> Digest {
         self.digest
     }
 
-    /// Finds the client account of a key's digest.
+    /// Returns the client account with this key digest.
     #[must_use]
     pub fn account_by_key_digest(&self, digest: &[u8; 32]) -> Option<&Arc<Account>> {
-        // The table's own comparison stops at the first different byte; it only
-        // ever sees digests, and the answer rests on the comparison below.
+        // The map's comparison isn't constant-time, but it compares only digests;
+        // the result depends on the constant-time comparison below.
         let account = self.by_key_digest.get(digest)?;
         let known = account
             .key_digests
@@ -197,13 +197,13 @@
         known.then_some(account)
     }
 
-    /// Finds a template of a client account.
+    /// Returns a template of a client account.
     #[must_use]
     pub fn template(&self, account: &str, name: &str) -> Option<&Arc<Template>> {
         self.templates.get(account)?.get(name)
     }
 
-    /// Lists a client account's templates, in no order.
+    /// Iterates over a client account's templates, in no particular order.
     pub fn templates_of(&self, account: &str) -> impl Iterator<Item = &Arc<Template>> {
         self.templates
             .get(account)
@@ -211,31 +211,31 @@
             .flat_map(|templates| templates.values())
     }
 
-    /// Lists all templates, in no order.
+    /// Iterates over all templates, in no particular order.
     pub fn templates(&self) -> impl Iterator<Item = &Arc<Template>> {
         self.templates
             .values()
             .flat_map(|templates| templates.values())
     }
 
-    /// Finds a pool.
+    /// Returns a pool by name.
     #[must_use]
     pub fn pool(&self, name: &str) -> Option<&Arc<Pool>> {
         self.pools.get(name)
     }
 
-    /// Lists all pools, in no order.
+    /// Iterates over all pools, in no particular order.
     pub fn pools(&self) -> impl Iterator<Item = &Arc<Pool>> {
         self.pools.values()
     }
 
-    /// Finds a client account by name.
+    /// Returns a client account by name.
     #[must_use]
     pub fn account(&self, name: &str) -> Option<&Arc<Account>> {
         self.accounts.get(name)
     }
 
-    /// Lists all client accounts, in no order.
+    /// Iterates over all client accounts, in no particular order.
     pub fn accounts(&self) -> impl Iterator<Item = &Arc<Account>> {
         self.accounts.values()
     }
@@ -248,9 +248,9 @@
         self.accounts.insert(Arc::clone(&account.name), account);
     }
 
-    /// Checks that a difference starts from what this view holds.
+    /// Checks that a difference is based on this view's declarations.
     fn check_base(&self, difference: &schema::Difference) -> Result<(), Error> {
-        let held = match (&difference.before, &difference.after) {
+        let matches = match (&difference.before, &difference.after) {
             (Some(Before::AccountBefore(old)), _) => {
                 self.account(&old.name)
                     .map(|a| convert::account_message(a))
@@ -274,7 +274,7 @@
             }
             (None, None) => false,
         };
-        if held {
+        if matches {
             return Ok(());
         }
         Err(Error::BaseMismatch(describe(difference)))
@@ -290,7 +290,7 @@
         }
     }
 
-    /// Reads the templates of a pool again, whose base model is part of their adapters.
+    /// Decodes a pool's templates again, because its base model is part of their adapters.
     fn rebuild_templates(&mut self, pool: &str) -> Result<(), Error> {
         let pool = self.pools.get(pool).cloned();
         let of_pool: Vec<schema::Template> = self
@@ -337,7 +337,7 @@
     }
 }
 
-/// Names what a difference is about.
+/// Names the declaration that a difference changes, for error messages.
 fn describe(difference: &schema::Difference) -> String {
     match (&difference.before, &difference.after) {
         (Some(Before::AccountBefore(a)), _) | (None, Some(After::AccountAfter(a))) => {
--- a/lib/src/config/writer.rs
+++ b/lib/src/config/writer.rs
@@ -1,11 +1,11 @@
-//! Writes a change to the key-value service: once, and with a certain answer.
+//! Writes a change to the key-value service at most once, and determines the outcome.
 //!
-//! What can go wrong: a write takes effect and its answer never comes. Taking
-//! that for a failure would report a change as lost that is in force; sending it
-//! again blindly could apply it twice. The transaction's conditions prevent both:
-//! the head is unchanged and the change's identity is unused, so it takes effect
-//! at most once and may be sent again. Conditions that failed once fail for
-//! ever; whether the identity is used then says whose change won.
+//! A write can take effect although its response is lost. Treating that as a
+//! failure would report an accepted change as lost, and retrying without a check
+//! could apply it twice. The transaction's conditions prevent both: the head is
+//! unchanged and the change id is unused, so the transaction takes effect at most
+//! once and can be retried. Conditions that failed once keep failing; a lookup of
+//! the change id then shows whose change was accepted.
 
 use std::collections::HashSet;
 use std::sync::Arc;
@@ -22,21 +22,21 @@
 use crate::ports::{self, Commit, Condition, Transaction, Write};
 use crate::schema::declaration::{Head, Operation};
 
-/// Most bytes of buckets written in one call.
+/// Maximum bytes of buckets written in one call.
 const MAX_BATCH_BYTES: usize = 700_000;
-/// Most buckets written in one call.
+/// Maximum number of buckets written in one call.
 const MAX_BATCH_BUCKETS: usize = 32;
-/// First wait before a call is made again, in milliseconds.
+/// Initial backoff before a call is retried, in milliseconds.
 const INITIAL_BACKOFF: Millis = Millis(50);
-/// Longest wait before a call is made again, in milliseconds.
+/// Maximum backoff before a call is retried, in milliseconds.
 const MAX_BACKOFF: Millis = Millis(1_000);
-/// How often one call is made while no answer comes.
+/// Maximum attempts of a call that gets no response.
 const MAX_ATTEMPTS: u32 = 12;
 
 /// A change that is ready to be written.
 #[derive(Debug)]
 pub struct Proposal {
-    /// The head that it follows.
+    /// The head that it is based on.
     pub base: StoredHead,
     /// The configuration after it.
     pub after: View,
@@ -44,16 +44,16 @@
     pub operation: Operation,
 }
 
-/// How a proposal that was answered ended.
+/// Known outcome of writing a proposal.
 #[derive(Debug, Clone)]
 pub enum WriteOutcome {
-    /// It is accepted and durable.
+    /// It was accepted and is durable.
     Accepted,
-    /// The same change was accepted earlier, as this revision.
+    /// A change with the same id was accepted earlier, as this revision.
     AlreadyAccepted(u64),
-    /// Another change has the revision.
+    /// Another change was accepted as this revision.
     LostRace(Arc<Operation>),
-    /// The head moved, or a bucket was replaced; everything must be read anew.
+    /// The head or a bucket changed; the proposal must be rebuilt from a new read.
     Conflict,
 }
 
@@ -61,8 +61,8 @@
 ///
 /// # Errors
 ///
-/// [`Error::OutcomeUnknown`] when the service stays silent; then nobody can say
-/// whether it was accepted until the service answers again.
+/// [`Error::OutcomeUnknown`] when the service doesn't respond; whether the change
+/// was accepted can't be determined until it does.
 pub async fn write(config_store: &ConfigStore, proposal: &Proposal) -> Result<WriteOutcome, Error> {
     let revision = proposal.operation.revision;
     let encoded = proposal.operation.encoded_len();
@@ -70,7 +70,7 @@
         || revision.is_multiple_of(BLOCK_REVISIONS)
         || proposal.base.head.snapshot_revision == 0
         || revision / BLOCK_REVISIONS != proposal.base.head.revision / BLOCK_REVISIONS
-        // The service lost revisions that the nodes have: operations between are gone.
+        // The service lost revisions that the nodes have, so the operations between are gone.
         || revision != proposal.base.head.revision + 1;
     let mut operation = proposal.operation.clone();
     let mut head = Head {
@@ -129,11 +129,11 @@
     Ok(bytes.into())
 }
 
-/// Writes the buckets that the head doesn't have yet.
+/// Writes the buckets that the head's snapshot doesn't have.
 ///
-/// Returns the conditions that they are still there when the head is written:
-/// a node that clears away an older snapshot could otherwise remove a bucket
-/// that this change uses again, and fresh nodes would miss declarations.
+/// Returns conditions that they are unchanged when the head is written. A node
+/// that deletes an older snapshot could otherwise delete a bucket that this
+/// change reuses, and new nodes would miss declarations.
 async fn put_buckets(
     config_store: &ConfigStore,
     head: &Head,
@@ -143,8 +143,8 @@
     let mut bucket_conditions = Vec::new();
     let mut batch = Vec::new();
     let mut bytes = 0;
-    // Buckets that are alike, such as empty ones, share a key, which a
-    // transaction may write only once.
+    // Equal buckets, such as empty ones, share a key, and a transaction may write
+    // a key only once.
     let mut written: HashSet<&[u8]> = head.bucket_digests.iter().map(Vec::as_slice).collect();
     for bucket in buckets {
         if !written.insert(&bucket.digest) {
@@ -181,7 +181,7 @@
     let mut backoff = INITIAL_BACKOFF;
     let mut attempts = 0;
     let done = loop {
-        // Writing the same bucket twice changes nothing, so any failure may be tried again.
+        // Writing a bucket is idempotent, so it can be retried whether or not it took effect.
         match commit_once(config_store, &transaction).await {
             Ok(commit) => break commit,
             Err(error) if attempts + 1 == MAX_ATTEMPTS => return Err(Error::Unavailable(error)),
@@ -209,21 +209,21 @@
         .await
 }
 
-/// Commits until an answer is certain.
+/// Commits the transaction, with retries, until its outcome is known.
 async fn commit_until_known(
     config_store: &ConfigStore,
     transaction: &Transaction,
     operation: &Operation,
 ) -> Result<WriteOutcome, Error> {
     let mut backoff = INITIAL_BACKOFF;
-    // Whether an earlier try may have taken effect.
+    // Whether an earlier attempt may have taken effect.
     let mut may_be_applied = false;
     let mut last_error = ports::Error::NoAnswer("the service stayed silent".into());
     for _ in 0..MAX_ATTEMPTS {
         match commit_once(config_store, transaction).await {
             Ok(commit) if commit.done => return Ok(WriteOutcome::Accepted),
-            // Conditions that fail once fail for ever: this or an earlier try
-            // has taken effect, or none ever will.
+            // Conditions that failed once keep failing: an earlier attempt has taken
+            // effect, or none ever will.
             Ok(_) => match resolve_conflict(config_store, operation).await {
                 Ok(outcome) => return Ok(outcome),
                 Err(error) => last_error = error,
@@ -244,7 +244,7 @@
     })
 }
 
-/// Finds out why the conditions failed.
+/// Determines the outcome after the conditions failed.
 async fn resolve_conflict(
     config_store: &ConfigStore,
     operation: &Operation,
@@ -255,9 +255,9 @@
         (Some(revision), _) if revision != operation.revision => {
             Ok(WriteOutcome::AlreadyAccepted(revision))
         }
-        // The identity alone doesn't tell: an operator may have used it for another change,
-        // which a stale replica hid so far. Taking that for this one would put in force
-        // at this node what was never written.
+        // The change id alone isn't enough: it may have been used for another change that
+        // a stale replica hid so far. Treating that change as this one would activate
+        // declarations on this node that were never written.
         (_, Some(written)) if *written == *operation => Ok(WriteOutcome::Accepted),
         (_, Some(written)) if written.change_id == operation.change_id => {
             Ok(WriteOutcome::AlreadyAccepted(written.revision))
@@ -272,10 +272,10 @@
     ports::Error::NoAnswer("a stale replica answered".to_owned())
 }
 
-/// Returns which revision a change became, if it was accepted.
+/// Returns the revision of a change, if it was accepted.
 ///
-/// Reads may come from a stale replica, so the first word has a commit that
-/// writes nothing: the service checks its condition against the newest data.
+/// Reads may come from a stale replica, so the change id is checked first by a
+/// transaction without writes, whose condition is evaluated on the newest data.
 pub(super) async fn find_accepted(
     config_store: &ConfigStore,
     id: &str,
--- a/lib/tests/config_setup/mod.rs
+++ b/lib/tests/config_setup/mod.rs
@@ -1,4 +1,4 @@
-//! Nodes' configuration over the stand-in of the key-value service.
+//! Configuration managers of several nodes over a stand-in of the key-value service.
 
 #![allow(dead_code, reason = "each test file uses a part")]
 
@@ -15,38 +15,38 @@
 use chivevalve::declaration::{self, DeclarationSet, SourceFile};
 use chivevalve::gossip::{Peer, Peers};
 use chivevalve::metrics::Metrics;
-use chivevalve::ports::{Error, Store as Border, Watch, Weights};
+use chivevalve::ports::{Error, Store as StorePort, Watch, Weights};
 use chivevalve_standins::store::Store;
 use tokio_util::sync::CancellationToken;
 
-/// Peers as a test sets them.
+/// Peers set by the test.
 #[derive(Debug, Default)]
-pub struct Listed(pub Mutex<Vec<Peer>>);
+pub struct FakePeers(pub Mutex<Vec<Peer>>);
 
-impl Peers for Listed {
+impl Peers for FakePeers {
     fn peers(&self) -> Vec<Peer> {
         self.0.lock().unwrap().clone()
     }
 }
 
-/// A weight store without the versions that a test names.
+/// A weight store that has every adapter version but `missing`.
 #[derive(Debug, Default)]
-pub struct Shelf {
+pub struct FakeWeights {
     pub missing: HashSet<String>,
 }
 
 #[async_trait]
-impl Weights for Shelf {
+impl Weights for FakeWeights {
     async fn has(&self, adapter: &Adapter) -> Result<bool, Error> {
         Ok(!self.missing.contains(&adapter.to_string()))
     }
 }
 
-/// Notes what was to be fetched.
+/// Records the adapters that were to be preprefetched.
 #[derive(Debug, Default)]
-pub struct Fetched(pub Mutex<Vec<String>>);
+pub struct RecordingPrefetch(pub Mutex<Vec<String>>);
 
-impl Prefetch for Fetched {
+impl Prefetch for RecordingPrefetch {
     fn prefetch(&self, adapters: &[UpcomingAdapter]) {
         let names = adapters.iter().map(|upcoming| upcoming.adapter.to_string());
         self.0.lock().unwrap().extend(names);
@@ -55,29 +55,29 @@
 
 pub struct Node {
     pub manager: Arc<ConfigManager>,
-    pub peers: Arc<Listed>,
-    pub fetched: Arc<Fetched>,
+    pub peers: Arc<FakePeers>,
+    pub prefetched: Arc<RecordingPrefetch>,
     pub metrics: Arc<Metrics>,
     pub stop: CancellationToken,
 }
 
 impl Node {
-    /// Starts a node's keeper on a service.
-    pub fn start<S: Border + Watch + 'static>(name: &str, store: &Arc<S>) -> Self {
-        let peers = Arc::new(Listed::default());
-        let fetched = Arc::new(Fetched::default());
+    /// Starts a node's configuration manager on a key-value service.
+    pub fn start<S: StorePort + Watch + 'static>(name: &str, store: &Arc<S>) -> Self {
+        let peers = Arc::new(FakePeers::default());
+        let prefetched = Arc::new(RecordingPrefetch::default());
         let metrics = Arc::new(Metrics::new());
         let stop = CancellationToken::new();
-        let mut shelf = Shelf::default();
-        shelf.missing.insert("faults@9".to_owned());
+        let mut weights = FakeWeights::default();
+        weights.missing.insert("faults@9".to_owned());
         let manager = ConfigManager::start(Dependencies {
             node: Arc::from(name),
             region: Arc::from("north"),
-            store: Arc::clone(store) as Arc<dyn Border>,
+            store: Arc::clone(store) as Arc<dyn StorePort>,
             watch: Arc::clone(store) as Arc<dyn Watch>,
-            weights: Arc::new(shelf),
+            weights: Arc::new(weights),
             peers: Arc::clone(&peers) as Arc<dyn Peers>,
-            prefetch: Arc::clone(&fetched) as Arc<dyn Prefetch>,
+            prefetch: Arc::clone(&prefetched) as Arc<dyn Prefetch>,
             prefix: "t/".to_owned(),
             clock: Arc::new(Monotonic::start()),
             metrics: Arc::clone(&metrics),
@@ -88,40 +88,40 @@
         Self {
             manager,
             peers,
-            fetched,
+            prefetched,
             metrics,
             stop,
         }
     }
 
-    /// Returns the revision in force.
+    /// Returns the active revision.
     pub fn revision(&self) -> u64 {
         self.manager.view().borrow().revision()
     }
 
-    /// Applies declarations on top of what this node has learned.
+    /// Applies declarations, based on the revision that this node has learned.
     pub async fn apply(&self, declared: &DeclarationSet) -> Accepted {
         let change_request = change_request("ana", self.manager.status().learned);
         self.manager.apply(&change_request, declared).await.unwrap()
     }
 
-    /// Waits until a revision is in force.
+    /// Waits until at least `revision` is active.
     pub async fn in_force(&self, revision: u64) {
         let mut view = self.manager.view();
         let reached = view.wait_for(|view| view.revision() >= revision);
         tokio::time::timeout(Duration::from_mins(2), reached)
             .await
-            .expect("the revision isn't in force in two minutes")
+            .expect("the revision isn't active within two minutes")
             .unwrap();
     }
 }
 
-/// A new store.
+/// Starts an empty key-value service.
 pub fn store() -> Arc<Store> {
     Store::start()
 }
 
-/// An order by an operator who planned on a revision.
+/// A change request by `author`, based on revision `expected`.
 pub fn change_request(author: &str, expected: u64) -> ChangeRequest {
     ChangeRequest {
         id: config::new_id(),
@@ -132,7 +132,7 @@
     }
 }
 
-/// Declarations of one account with these templates, as name and version.
+/// Declarations of one account with these templates, each a name and an adapter version.
 pub fn set(templates: &[(&str, &str)]) -> DeclarationSet {
     let mut text = String::from(
         "accounts: [{name: depot}]\n\
--- a/lib/tests/test_config.rs
+++ b/lib/tests/test_config.rs
@@ -1,4 +1,4 @@
-//! One node's configuration through changes, races, lost answers and lost data.
+//! Configuration changes under races, lost responses, outages and lost data.
 
 mod config_setup;
 
@@ -14,7 +14,7 @@
 use chivevalve::config::{ChangeRequest, Error};
 use chivevalve::declaration::{DeclarationSet, export};
 use chivevalve::ports::{
-    self, Commit, Entry, Event, Listing, Store as Border, Transaction, Watch, Write,
+    self, Commit, Entry, Event, Listing, Store as StorePort, Transaction, Watch, Write,
 };
 use chivevalve::schema::declaration::{Head, Template};
 use chivevalve_standins::store::{Knobs, Store};
@@ -37,7 +37,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn apply_is_in_force_everywhere() {
+async fn apply_reaches_all_nodes() {
     let store = store();
     let a = Node::start("a", &store);
     let b = Node::start("b", &store);
@@ -54,9 +54,9 @@
     assert_eq!(a.manager.status().digest, b.manager.status().digest);
 }
 
-/// A change whose write had no answer is found to be accepted, and isn't applied twice.
+/// Guards against reporting a change as failed, or applying it twice, when the response to its write is lost.
 #[tokio::test(start_paused = true)]
-async fn apply_answer_lost() {
+async fn apply_lost_response() {
     let store = store();
     let node = Node::start("a", &store);
     node.apply(&set(&[])).await;
@@ -74,7 +74,7 @@
     assert_eq!(history.len(), 4);
 }
 
-/// A change asked for again with its identity isn't applied over a newer one.
+/// Guards against a retry with the same change id overwriting a newer change.
 #[tokio::test(start_paused = true)]
 async fn apply_same_identity_again() {
     let store = store();
@@ -90,7 +90,7 @@
     assert_eq!(version(&b, "faults"), "2");
 }
 
-/// Of two changes planned on one revision one is refused, and learns of the other.
+/// Of two changes based on one revision, one loses the race, and its error holds the winner.
 #[tokio::test(start_paused = true)]
 async fn apply_two_operators_at_once() {
     let store = store();
@@ -137,7 +137,7 @@
     assert_eq!((actual, &*newest.unwrap().author), (1, "ana"));
 }
 
-/// A change during an outage is surely not accepted, and can be applied again afterwards.
+/// A change during an outage certainly writes nothing, and can be retried with the same id afterwards.
 #[tokio::test(start_paused = true)]
 async fn apply_service_down() {
     let store = store();
@@ -152,7 +152,7 @@
     let error = node.manager.apply(&ana, &declared).await.unwrap_err();
     assert!(matches!(error, Error::Unavailable(_)), "{error:?}");
     assert!(error.wrote_nothing());
-    assert_eq!(node.revision(), 1, "what is in force stays");
+    assert_eq!(node.revision(), 1, "the revision stays active");
     store.set(Knobs::default());
     let accepted = node.manager.apply(&ana, &declared).await.unwrap();
     assert_eq!(accepted.revision, 2);
@@ -204,9 +204,9 @@
     assert_eq!(version(&fresh, "faults"), "100");
 }
 
-/// A key-value service restored to older data doesn't take nodes back to an older revision.
+/// Guards against nodes returning to an older revision when the key-value service is restored from a backup.
 #[tokio::test(start_paused = true)]
-async fn node_never_goes_back() {
+async fn restored_service_does_not_roll_nodes_back() {
     let store = store();
     let node = Node::start("a", &store);
     node.apply(&set(&[("faults", "1")])).await;
@@ -217,7 +217,7 @@
     tokio::time::sleep(Duration::from_secs(30)).await;
     assert_eq!((node.revision(), &*version(&node, "faults")), (2, "2"));
     assert!(node.manager.status().stale > 0);
-    // The next change is above what the nodes have, and whole for fresh ones.
+    // The next change gets a revision above the nodes' and a snapshot for new nodes.
     let accepted = node.apply(&set(&[("faults", "3")])).await;
     assert_eq!(accepted.revision, 3);
     let fresh = Node::start("b", &store);
@@ -225,9 +225,9 @@
     assert_eq!(version(&fresh, "faults"), "3");
 }
 
-/// A revision that this release can't read is refused whole, and the old one stays in force.
+/// A revision with an unexpected digest, as a newer release may write it, is rejected; the previous one stays active.
 #[tokio::test(start_paused = true)]
-async fn unreadable_revision_leaves_the_old() {
+async fn unreadable_revision_is_rejected() {
     let store = store();
     let node = Node::start("a", &store);
     node.apply(&set(&[("faults", "1")])).await;
@@ -241,14 +241,14 @@
     tokio::time::sleep(Duration::from_secs(30)).await;
     let before = store.counts().reads;
     tokio::time::sleep(Duration::from_mins(5)).await;
-    // Reading the whole snapshot again and again would cost thousands.
+    // Reading the snapshot on each poll would cost thousands of reads.
     let reads = store.counts().reads - before;
-    assert!(reads < 100, "{reads} reads of what is refused already");
+    assert!(reads < 100, "{reads} reads of a rejected revision");
     assert_eq!((node.revision(), &*version(&node, "faults")), (1, "1"));
     let status = node.manager.status();
     assert_eq!(status.heard, 2);
     assert!(status.refused.unwrap().starts_with("revision 2:"));
-    // A change on top of what this node can't read would take it back.
+    // A change by this node would revert the revision that it can't decode.
     let change_request = change_request("ana", 1);
     let error = node
         .manager
@@ -260,19 +260,19 @@
     assert_eq!(Head::decode(head.value).unwrap(), newer);
 }
 
-/// A changed version is fetched before it is in force, so that first requests don't stall.
+/// Guards against stalls of the first requests: a changed adapter version is prefetched before its revision is activated.
 #[tokio::test(start_paused = true)]
-async fn version_change_is_fetched_ahead() {
+async fn version_change_is_prefetched() {
     let store = store();
     let a = Node::start("a", &store);
     a.apply(&set(&[("faults", "1"), ("plans", "1")])).await;
     a.in_force(1).await;
-    assert!(a.fetched.0.lock().unwrap().is_empty());
+    assert!(a.prefetched.0.lock().unwrap().is_empty());
     a.apply(&set(&[("faults", "2"), ("plans", "1")])).await;
-    assert_eq!(*a.fetched.0.lock().unwrap(), ["faults@2"]);
-    assert_eq!(version(&a, "faults"), "1", "not yet in force");
+    assert_eq!(*a.prefetched.0.lock().unwrap(), ["faults@2"]);
+    assert_eq!(version(&a, "faults"), "1", "not active yet");
     assert_eq!(a.manager.status().learned, 2);
-    // A change behind it waits for it, so that revisions come in order.
+    // A later revision waits for it, so that revisions are activated in order.
     a.apply(&set(&[("faults", "2")])).await;
     assert_eq!(a.revision(), 1);
     tokio::time::sleep(Duration::from_secs(4)).await;
@@ -316,7 +316,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn outage_leaves_what_is_in_force() {
+async fn outage_leaves_configuration_active() {
     let store = store();
     let node = Node::start("a", &store);
     node.apply(&set(&[])).await;
@@ -336,9 +336,9 @@
     assert!(node.manager.status().confirmed_age_ms.unwrap() < 10_000);
 }
 
-/// Buckets that only old snapshots have are removed, so that the service doesn't fill up.
+/// Guards against the service filling up: buckets that only old snapshots use are deleted.
 #[tokio::test(start_paused = true)]
-async fn old_snapshots_are_cleared_away() {
+async fn old_snapshots_are_deleted() {
     let store = store();
     let node = Node::start("a", &store);
     let blocks = garbage::KEPT_SNAPSHOTS as u64 + 8;
@@ -356,7 +356,7 @@
     assert_eq!(fresh.manager.status().digest, node.manager.status().digest);
 }
 
-/// One change asked for at several nodes at once is accepted for all, and loses no race to itself.
+/// Guards against a change losing a race to itself when it is sent to several nodes at once.
 #[tokio::test(start_paused = true)]
 async fn apply_same_identity_at_once() {
     for round in 1..40_u64 {
@@ -383,18 +383,23 @@
     }
 }
 
-/// The service behind a replica that doesn't show the identities of changes for some reads.
+/// A key-value service with a stale replica: the next `hidden` reads of change ids find nothing.
 #[derive(Debug)]
-struct Lagging {
+struct LaggingReplica {
     store: Arc<Store>,
     hidden: AtomicU32,
 }
 
 #[async_trait]
-impl Border for Lagging {
+impl StorePort for LaggingReplica {
     async fn get(&self, key: &str) -> Result<Option<Entry>, ports::Error> {
-        let less = |hidden: u32| hidden.checked_sub(1);
-        if key.contains("changes/") && self.hidden.fetch_update(Relaxed, Relaxed, less).is_ok() {
+        let decrement = |hidden: u32| hidden.checked_sub(1);
+        if key.contains("changes/")
+            && self
+                .hidden
+                .fetch_update(Relaxed, Relaxed, decrement)
+                .is_ok()
+        {
             return Ok(None);
         }
         self.store.get(key).await
@@ -410,7 +415,7 @@
 }
 
 #[async_trait]
-impl Watch for Lagging {
+impl Watch for LaggingReplica {
     async fn watch(
         &self,
         prefix: &str,
@@ -420,10 +425,10 @@
     }
 }
 
-/// A change isn't applied again where the replica asked for its identity is behind.
+/// Guards against applying a change twice when a stale replica doesn't show its id.
 #[tokio::test(start_paused = true)]
 async fn apply_same_identity_behind_a_replica() {
-    let lagging = Arc::new(Lagging {
+    let lagging = Arc::new(LaggingReplica {
         store: store(),
         hidden: AtomicU32::new(0),
     });
--- a/lib/tests/test_config_view.rs
+++ b/lib/tests/test_config_view.rs
@@ -1,4 +1,4 @@
-//! A view that follows from differences is the view that is read whole.
+//! A view made by applying differences equals the view of the complete set.
 
 #![allow(
     clippy::needless_pass_by_value,
@@ -22,10 +22,10 @@
             let pool = pool(g, index, engine);
             set.pools.insert(pool.name.clone(), pool);
         }
-        let mut spare: Vec<u8> = (0..6).collect();
+        let mut unused_keys: Vec<u8> = (0..6).collect();
         for index in 0..3 {
             if bool::arbitrary(g) {
-                let account = account(g, &format!("a{index}"), &mut spare);
+                let account = account(g, &format!("a{index}"), &mut unused_keys);
                 set.accounts.insert(account.name.clone(), account);
             }
         }
@@ -54,13 +54,14 @@
     }
 }
 
-/// Keys move between accounts from one set to the next.
-fn account(g: &mut Gen, name: &str, spare: &mut Vec<u8>) -> Account {
+/// Takes keys from a common supply, so that they move between accounts from one set to the next.
+fn account(g: &mut Gen, name: &str, unused_keys: &mut Vec<u8>) -> Account {
     let count = usize::arbitrary(g) % 3;
     let mut key_digests: Vec<String> = (0..count)
         .filter_map(|_| {
-            let index = usize::arbitrary(g) % spare.len().max(1);
-            (index < spare.len()).then(|| format!("{:02x}", spare.swap_remove(index)).repeat(32))
+            let index = usize::arbitrary(g) % unused_keys.len().max(1);
+            (index < unused_keys.len())
+                .then(|| format!("{:02x}", unused_keys.swap_remove(index)).repeat(32))
         })
         .collect();
     key_digests.sort();
@@ -114,22 +115,22 @@
 }
 
 #[test]
-fn view_change_equals_whole() {
+fn view_apply_differences_equals_full() {
     fn property(before: Declared, after: Declared) -> bool {
         let old = View::from_set(1, &before.0).unwrap();
-        let whole = View::from_set(2, &after.0).unwrap();
+        let full = View::from_set(2, &after.0).unwrap();
         let differences = diff::diff(&before.0, &after.0);
         let next = old.apply_differences(2, &differences).unwrap();
         let back = next
             .apply_differences(3, &diff::reverse(&differences))
             .unwrap();
-        same(&next, &whole) && same(&back, &old)
+        same(&next, &full) && same(&back, &old)
     }
     check(property, 1);
 }
 
 #[test]
-fn view_change_refuses_another_start() {
+fn view_apply_differences_rejects_other_base() {
     fn property(before: Declared, after: Declared) -> bool {
         let differences = diff::diff(&before.0, &after.0);
         let elsewhere = View::from_set(1, &after.0).unwrap();
@@ -139,7 +140,7 @@
 }
 
 #[test]
-fn buckets_hold_everything_once() {
+fn buckets_hold_each_declaration_once() {
     fn property(before: Declared, _after: Declared) -> bool {
         let mut read = DeclarationSet::default();
         let mut count = 0;
