--- a/lib/src/declaration/convert.rs
+++ b/lib/src/declaration/convert.rs
@@ -1,4 +1,4 @@
-//! Between the messages that are kept and the types that requests read.
+//! Converts between stored messages and the types that requests use.
 
 use std::sync::Arc;
 
@@ -11,25 +11,25 @@
 use crate::runner::Share;
 use crate::schema::declaration as schema;
 
-/// A kept declaration that this version can't read.
+/// A stored declaration that this version can't decode.
 ///
-/// A newer version may have written it, or the service's data is damaged; the
-/// node keeps the revision that it has.
+/// A newer version may have written it, or the stored data is damaged. The node
+/// keeps its current revision.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 #[error("{what} {name}: {reason}")]
 pub struct DecodeError {
-    /// Account, pool or template.
+    /// Kind of declaration: account, pool or template.
     pub what: &'static str,
     /// Its name.
     pub name: String,
-    /// What can't be understood.
+    /// Why it can't be decoded.
     pub reason: String,
 }
 
 const ENGINE: &str = "engine";
 const SERVICE: &str = "service";
 
-/// Reads an account.
+/// Decodes an account.
 ///
 /// # Errors
 ///
@@ -45,7 +45,7 @@
         name: message.name.clone(),
         reason: "a key digest isn't 64 hexadecimal digits".to_owned(),
     })?;
-    // One order, so that declaring the same keys otherwise is no change.
+    // Sorted, so that declaring the same keys in another order isn't a change.
     key_digests.sort_unstable();
     key_digests.dedup();
     Ok(Account {
@@ -59,7 +59,7 @@
     })
 }
 
-/// Writes an account in canonical form.
+/// Encodes an account in canonical form.
 #[must_use]
 pub fn account_message(account: &Account) -> schema::Account {
     schema::Account {
@@ -71,11 +71,11 @@
     }
 }
 
-/// Reads a pool.
+/// Decodes a pool.
 ///
 /// # Errors
 ///
-/// When its kind isn't known or a number that it needs is 0.
+/// When its kind is unknown or a required field is missing.
 pub fn pool(message: &schema::Pool) -> Result<Pool, DecodeError> {
     let unreadable = |reason: &str| DecodeError {
         what: "pool",
@@ -105,7 +105,7 @@
     })
 }
 
-/// Writes a pool in canonical form.
+/// Encodes a pool in canonical form.
 #[must_use]
 pub fn pool_message(pool: &Pool) -> schema::Pool {
     let (kind, base_model, slots) = match &pool.kind {
@@ -122,11 +122,11 @@
     }
 }
 
-/// Reads a template; its pool gives the adapter's base model.
+/// Decodes a template; its pool determines the adapter's base model.
 ///
 /// # Errors
 ///
-/// When the pool is missing, the class isn't known, or adapter and pool don't fit.
+/// When the pool is missing, the class is unknown, or the adapter doesn't match the kind of pool.
 pub fn template(
     message: &schema::Template,
     pool: Option<&Arc<Pool>>,
@@ -157,13 +157,13 @@
         class,
         weight: message.weight.max(1),
         idempotent: message.idempotent,
-        deadline: some(message.deadline_ms).map(Millis),
-        max_output_tokens: some(message.max_output_tokens),
-        max_body_bytes: some(message.max_body_bytes),
+        deadline: nonzero(message.deadline_ms).map(Millis),
+        max_output_tokens: nonzero(message.max_output_tokens),
+        max_body_bytes: nonzero(message.max_body_bytes),
     })
 }
 
-/// Writes a template in canonical form.
+/// Encodes a template in canonical form.
 #[must_use]
 pub fn template_message(template: &Template) -> schema::Template {
     let (adapter, version) = template
@@ -186,7 +186,7 @@
     }
 }
 
-/// Reads a class; none written is the ordinary one.
+/// Decodes a class; an empty text means the normal class.
 pub(super) fn class(name: &str) -> Option<Class> {
     if name.is_empty() {
         return Some(Class::default());
@@ -194,7 +194,7 @@
     Class::ALL.into_iter().find(|class| class.name() == name)
 }
 
-/// Reads a digest of 64 hexadecimal digits.
+/// Decodes a digest of 64 hexadecimal digits.
 pub(super) fn digest(text: &str) -> Option<[u8; 32]> {
     let bytes = text.as_bytes();
     if bytes.len() != 64 || !bytes.iter().all(u8::is_ascii_hexdigit) {
@@ -208,7 +208,7 @@
     Some(digest)
 }
 
-/// Writes bytes in hexadecimal digits.
+/// Formats bytes as hexadecimal digits.
 #[must_use]
 pub fn hex(bytes: &[u8]) -> String {
     use std::fmt::Write as _;
@@ -219,7 +219,7 @@
     })
 }
 
-/// Reads 0 as none.
-fn some<N: PartialEq + From<u8>>(number: N) -> Option<N> {
+/// Returns none for 0, which means that the field isn't set.
+fn nonzero<N: PartialEq + From<u8>>(number: N) -> Option<N> {
     (number != N::from(0)).then_some(number)
 }
--- a/lib/src/declaration/diff.rs
+++ b/lib/src/declaration/diff.rs
@@ -1,4 +1,4 @@
-//! What differs between two sets of declarations.
+//! Differences between two sets of declarations.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::{self, Write as _};
@@ -10,66 +10,67 @@
 use crate::schema::declaration::difference::{After, Before};
 use crate::schema::declaration::{Account, Difference, Pool, Template};
 
-/// Lists the declarations that differ: accounts, then pools, then templates, each by name.
+/// Returns the declarations that differ: accounts, then pools, then templates, each sorted by name.
 #[must_use]
 pub fn diff(before: &DeclarationSet, after: &DeclarationSet) -> Vec<Difference> {
-    let accounts = changed(&before.accounts, &after.accounts).map(|(old, new)| Difference {
+    let accounts = changed_pairs(&before.accounts, &after.accounts).map(|(old, new)| Difference {
         before: old.cloned().map(Before::AccountBefore),
         after: new.cloned().map(After::AccountAfter),
     });
-    let pools = changed(&before.pools, &after.pools).map(|(old, new)| Difference {
+    let pools = changed_pairs(&before.pools, &after.pools).map(|(old, new)| Difference {
         before: old.cloned().map(Before::PoolBefore),
         after: new.cloned().map(After::PoolAfter),
     });
-    let templates = changed(&before.templates, &after.templates).map(|(old, new)| Difference {
-        before: old.cloned().map(Before::TemplateBefore),
-        after: new.cloned().map(After::TemplateAfter),
-    });
+    let templates =
+        changed_pairs(&before.templates, &after.templates).map(|(old, new)| Difference {
+            before: old.cloned().map(Before::TemplateBefore),
+            after: new.cloned().map(After::TemplateAfter),
+        });
     accounts.chain(pools).chain(templates).collect()
 }
 
-/// Takes differences back: what was after becomes what was before.
+/// Returns the inverse of differences: before and after are swapped.
 #[must_use]
 pub fn reverse(differences: &[Difference]) -> Vec<Difference> {
-    differences.iter().map(reversed).collect()
+    differences.iter().map(reverse_one).collect()
 }
 
-/// Makes the differences in a set.
+/// Applies differences to a set.
 pub fn patch(set: &mut DeclarationSet, differences: &[Difference]) {
     for difference in differences {
         if let Some(before) = &difference.before {
             match before {
                 Before::AccountBefore(old) => drop(set.accounts.remove(&old.name)),
                 Before::PoolBefore(old) => drop(set.pools.remove(&old.name)),
-                Before::TemplateBefore(old) => drop(set.templates.remove(&key(old))),
+                Before::TemplateBefore(old) => drop(set.templates.remove(&template_key(old))),
             }
         }
         if let Some(after) = &difference.after {
             match after.clone() {
                 After::AccountAfter(new) => drop(set.accounts.insert(new.name.clone(), new)),
                 After::PoolAfter(new) => drop(set.pools.insert(new.name.clone(), new)),
-                After::TemplateAfter(new) => drop(set.templates.insert(key(&new), new)),
+                After::TemplateAfter(new) => drop(set.templates.insert(template_key(&new), new)),
             }
         }
     }
 }
 
-/// Writes differences for people: one line for each declaration, and one for each changed field.
+/// Formats differences for people: a line for each declaration and each changed field.
 #[must_use]
 pub fn render(differences: &[Difference]) -> String {
     let mut text = String::new();
     for difference in differences {
         // Writing to a string can't fail.
-        let _ = write!(text, "{}", Line(difference));
+        let _ = write!(text, "{}", DifferenceDisplay(difference));
     }
     text
 }
 
-fn key(template: &Template) -> (String, String) {
+fn template_key(template: &Template) -> (String, String) {
     (template.account.clone(), template.name.clone())
 }
 
-fn changed<'a, K: Ord, T: PartialEq>(
+fn changed_pairs<'a, K: Ord, T: PartialEq>(
     before: &'a BTreeMap<K, T>,
     after: &'a BTreeMap<K, T>,
 ) -> impl Iterator<Item = (Option<&'a T>, Option<&'a T>)> {
@@ -79,7 +80,7 @@
         .filter(|(old, new)| old != new)
 }
 
-fn reversed(difference: &Difference) -> Difference {
+fn reverse_one(difference: &Difference) -> Difference {
     let before = difference.after.clone().map(|after| match after {
         After::AccountAfter(account) => Before::AccountBefore(account),
         After::PoolAfter(pool) => Before::PoolBefore(pool),
@@ -93,35 +94,35 @@
     Difference { before, after }
 }
 
-/// A difference as it is shown.
-struct Line<'a>(&'a Difference);
+/// Displays a difference.
+struct DifferenceDisplay<'a>(&'a Difference);
 
-impl fmt::Display for Line<'_> {
+impl fmt::Display for DifferenceDisplay<'_> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let old = self.0.before.as_ref().map(Item::before);
-        let new = self.0.after.as_ref().map(Item::after);
+        let old = self.0.before.as_ref().map(DeclarationFields::before);
+        let new = self.0.after.as_ref().map(DeclarationFields::after);
         match (old, new) {
             (None, Some(new)) => {
                 writeln!(f, "+ {}", new.title)?;
-                new.fields(f, '+')
+                new.write_fields(f, '+')
             }
             (Some(old), None) => writeln!(f, "- {}", old.title),
             (Some(old), Some(new)) => {
                 writeln!(f, "~ {}", new.title)?;
-                old.against(&new, f)
+                old.write_changes(&new, f)
             }
             (None, None) => Ok(()),
         }
     }
 }
 
-/// A declaration as named fields.
-struct Item {
+/// A declaration's title and its fields as JSON values.
+struct DeclarationFields {
     title: String,
     fields: serde_json::Map<String, Value>,
 }
 
-impl Item {
+impl DeclarationFields {
     fn before(before: &Before) -> Self {
         match before {
             Before::AccountBefore(account) => Self::account(account),
@@ -159,28 +160,33 @@
         Self { title, fields }
     }
 
-    /// Writes the fields that aren't at their default and not in the title.
-    fn fields(&self, f: &mut fmt::Formatter<'_>, sign: char) -> fmt::Result {
+    /// Writes the fields that have a non-default value and aren't part of the title.
+    fn write_fields(&self, f: &mut fmt::Formatter<'_>, sign: char) -> fmt::Result {
         for (name, value) in &self.fields {
             if name != "name" && name != "account" && !is_default(value) {
-                writeln!(f, "  {sign} {name}: {}", shown(value))?;
+                writeln!(f, "  {sign} {name}: {}", format_value(value))?;
             }
         }
         Ok(())
     }
 
-    fn against(&self, new: &Self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+    fn write_changes(&self, new: &Self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         for (name, value) in &new.fields {
             let old = self.fields.get(name).unwrap_or(&Value::Null);
             if old != value {
-                writeln!(f, "    {name}: {} -> {}", shown(old), shown(value))?;
+                writeln!(
+                    f,
+                    "    {name}: {} -> {}",
+                    format_value(old),
+                    format_value(value)
+                )?;
             }
         }
         Ok(())
     }
 }
 
-/// Whether leaving the field out means the same.
+/// Whether omitting the field has the same meaning.
 pub(super) fn is_default(value: &Value) -> bool {
     match value {
         Value::Null | Value::Bool(false) => true,
@@ -191,11 +197,11 @@
     }
 }
 
-fn shown(value: &Value) -> String {
+fn format_value(value: &Value) -> String {
     match value {
         Value::String(text) if text.is_empty() => "(none)".to_owned(),
         Value::String(text) => text.clone(),
-        // Digests are long and alike at first sight; their first digits tell them apart.
+        // Arrays hold digests; their first 12 digits are enough to tell them apart.
         Value::Array(items) => {
             let short: Vec<&str> = items
                 .iter()
--- a/lib/src/declaration/export.rs
+++ b/lib/src/declaration/export.rs
@@ -1,4 +1,4 @@
-//! Writes a set of declarations as files that can be applied elsewhere.
+//! Exports a set of declarations as files that can be applied elsewhere.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -10,19 +10,23 @@
 use super::load::SourceFile;
 use super::set::DeclarationSet;
 
-/// Writes a set as YAML files: accounts, pools, and one file for each account's templates.
+/// Renders a set as YAML files: accounts, pools, and one file for each account's templates.
 #[must_use]
 pub fn export(set: &DeclarationSet) -> Vec<SourceFile> {
     let mut files = Vec::new();
     if !set.accounts.is_empty() {
-        files.push(file(
+        files.push(render_file(
             "accounts.yaml".into(),
             "accounts",
             set.accounts.values(),
         ));
     }
     if !set.pools.is_empty() {
-        files.push(file("pools.yaml".into(), "pools", set.pools.values()));
+        files.push(render_file(
+            "pools.yaml".into(),
+            "pools",
+            set.pools.values(),
+        ));
     }
     let mut by_account: BTreeMap<&str, Vec<_>> = BTreeMap::new();
     for template in set.templates.values() {
@@ -33,13 +37,20 @@
     }
     for (account, templates) in by_account {
         let name = format!("templates/{account}.yaml");
-        files.push(file(name, "templates", templates));
+        files.push(render_file(name, "templates", templates));
     }
     files
 }
 
-fn file<T: Serialize>(name: String, list: &str, items: impl IntoIterator<Item = T>) -> SourceFile {
-    let items: Vec<Value> = items.into_iter().map(|item| short(&item)).collect();
+fn render_file<T: Serialize>(
+    name: String,
+    list: &str,
+    items: impl IntoIterator<Item = T>,
+) -> SourceFile {
+    let items: Vec<Value> = items
+        .into_iter()
+        .map(|item| without_defaults(&item))
+        .collect();
     let mut root = Map::new();
     root.insert(list.to_owned(), Value::Array(items));
     let text = serde_saphyr::to_string(&root)
@@ -50,8 +61,8 @@
     }
 }
 
-/// Leaves out what is at its default.
-fn short(item: &impl Serialize) -> Value {
+/// Serializes an item without the fields that have their default value.
+fn without_defaults(item: &impl Serialize) -> Value {
     let Ok(Value::Object(fields)) = serde_json::to_value(item) else {
         return Value::Null;
     };
--- a/lib/src/declaration/load.rs
+++ b/lib/src/declaration/load.rs
@@ -1,43 +1,43 @@
-//! Reads a directory of declarations as one whole.
+//! Loads and checks a directory of declarations.
 
 use std::fs;
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
 
 use super::mistake::{Mistake, Place};
-use super::read::{self, Raw};
+use super::read::{self, RawDeclarations};
 use super::rules;
 use super::set::DeclarationSet;
 use super::tree;
 use crate::name::Name;
 
-/// Largest file, in bytes.
-pub const MAX_FILE: u64 = 32 * 1024 * 1024;
-/// Deepest directory below the one that is loaded.
+/// Maximum size of a file, in bytes.
+pub const MAX_FILE_BYTES: u64 = 32 * 1024 * 1024;
+/// Maximum depth of directories below the one that is loaded.
 const MAX_DEPTH: usize = 8;
 
-/// A file's name, relative to the directory, and its text.
+/// A file of declarations.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SourceFile {
-    /// Such as `templates/orders.yaml`.
+    /// Path relative to the directory, such as `templates/orders.yaml`.
     pub name: Name,
-    /// YAML.
+    /// Contents, as YAML.
     pub text: String,
 }
 
-/// Reads the `.yaml` and `.yml` files below a directory, in order of their names.
+/// Reads the `.yaml` and `.yml` files below a directory, sorted by name.
 ///
 /// # Errors
 ///
-/// Every directory and file that can't be read, or that is too large.
+/// A mistake for each directory or file that can't be read or is too large.
 pub fn load_dir(dir: &Path) -> Result<Vec<SourceFile>, Vec<Mistake>> {
     let mut sources = Vec::new();
     let mut mistakes = Vec::new();
-    visit(dir, dir, 0, &mut sources, &mut mistakes);
+    visit_dir(dir, dir, 0, &mut sources, &mut mistakes);
     sources.sort_by(|a, b| a.name.cmp(&b.name));
     if sources.is_empty() && mistakes.is_empty() {
-        // An empty directory would remove everything: most likely a wrong path.
-        let place = Place::file(&name_of(dir, dir));
+        // Applying an empty directory would remove every declaration; most likely the path is wrong.
+        let place = Place::file(&relative_name(dir, dir));
         mistakes.push(Mistake::new(
             &place,
             "there is no .yaml or .yml file",
@@ -50,7 +50,7 @@
     Err(mistakes)
 }
 
-/// Checks a directory as one change.
+/// Loads a directory and checks all its files together.
 ///
 /// # Errors
 ///
@@ -59,13 +59,13 @@
     check_sources(&load_dir(dir)?)
 }
 
-/// Checks files that were read already as one change.
+/// Checks files that are already loaded, all together.
 ///
 /// # Errors
 ///
 /// Every mistake in all files, ordered by file and line.
 pub fn check_sources(sources: &[SourceFile]) -> Result<DeclarationSet, Vec<Mistake>> {
-    let mut raw = Raw::default();
+    let mut raw = RawDeclarations::default();
     let mut mistakes = Vec::new();
     for source in sources {
         match tree::parse(&source.name, &source.text) {
@@ -74,7 +74,7 @@
         }
     }
     let whole = Place::file(&Arc::from("."));
-    let set = rules::apply(&raw, &whole, &mut mistakes);
+    let set = rules::check(&raw, &whole, &mut mistakes);
     if mistakes.is_empty() {
         return Ok(set);
     }
@@ -83,14 +83,14 @@
     Err(mistakes)
 }
 
-fn visit(
+fn visit_dir(
     root: &Path,
     dir: &Path,
     depth: usize,
     sources: &mut Vec<SourceFile>,
     mistakes: &mut Vec<Mistake>,
 ) {
-    let place = Place::file(&name_of(root, dir));
+    let place = Place::file(&relative_name(root, dir));
     if depth > MAX_DEPTH {
         mistakes.push(Mistake::new(
             &place,
@@ -102,53 +102,53 @@
     let entries = match fs::read_dir(dir) {
         Ok(entries) => entries,
         Err(error) => {
-            mistakes.push(unreadable(&place, &error));
+            mistakes.push(read_mistake(&place, &error));
             return;
         }
     };
     for entry in entries {
         match entry {
-            Ok(entry) if hidden(&entry.path()) => {}
+            Ok(entry) if is_hidden(&entry.path()) => {}
             Ok(entry) if entry.path().is_dir() => {
-                visit(root, &entry.path(), depth + 1, sources, mistakes);
+                visit_dir(root, &entry.path(), depth + 1, sources, mistakes);
             }
-            Ok(entry) => file(root, &entry.path(), sources, mistakes),
-            Err(error) => mistakes.push(unreadable(&place, &error)),
+            Ok(entry) => read_file(root, &entry.path(), sources, mistakes),
+            Err(error) => mistakes.push(read_mistake(&place, &error)),
         }
     }
 }
 
-/// Version control keeps its own files behind a dot.
-fn hidden(path: &Path) -> bool {
+/// Whether a name starts with a dot, such as version control's files.
+fn is_hidden(path: &Path) -> bool {
     path.file_name()
         .is_some_and(|name| name.to_string_lossy().starts_with('.'))
 }
 
-fn file(root: &Path, path: &Path, sources: &mut Vec<SourceFile>, mistakes: &mut Vec<Mistake>) {
+fn read_file(root: &Path, path: &Path, sources: &mut Vec<SourceFile>, mistakes: &mut Vec<Mistake>) {
     let yaml = path
         .extension()
         .is_some_and(|extension| extension == "yaml" || extension == "yml");
     if !yaml {
         return;
     }
-    let name = name_of(root, path);
+    let name = relative_name(root, path);
     let place = Place::file(&name);
     let size = fs::metadata(path).map_or(0, |metadata| metadata.len());
-    if size > MAX_FILE {
+    if size > MAX_FILE_BYTES {
         mistakes.push(Mistake::new(
             &place,
             format!("the file has {size} bytes"),
-            format!("split it into files of at most {MAX_FILE} bytes"),
+            format!("split it into files of at most {MAX_FILE_BYTES} bytes"),
         ));
         return;
     }
     match fs::read_to_string(path) {
         Ok(text) => sources.push(SourceFile { name, text }),
-        Err(error) => mistakes.push(unreadable(&place, &error)),
+        Err(error) => mistakes.push(read_mistake(&place, &error)),
     }
 }
 
-fn unreadable(place: &Place, error: &std::io::Error) -> Mistake {
+fn read_mistake(place: &Place, error: &std::io::Error) -> Mistake {
     Mistake::new(
         place,
         format!("this can't be read: {error}"),
@@ -156,7 +156,7 @@
     )
 }
 
-fn name_of(root: &Path, path: &Path) -> Name {
+fn relative_name(root: &Path, path: &Path) -> Name {
     let relative: PathBuf = path.strip_prefix(root).unwrap_or(path).into();
     if relative.as_os_str().is_empty() {
         return Arc::from(".");
--- a/lib/src/declaration/mistake.rs
+++ b/lib/src/declaration/mistake.rs
@@ -1,4 +1,4 @@
-//! What is wrong with a declaration, where, and what would be right.
+//! Mistakes in declarations, with their place and a hint.
 
 use std::fmt;
 use std::sync::Arc;
@@ -12,14 +12,14 @@
 pub struct Place {
     /// The file, relative to the directory of declarations.
     pub file: Name,
-    /// From 1; 0 when the whole file is meant.
+    /// Line, from 1; 0 for the whole file.
     pub line: u64,
-    /// From 1; 0 when the whole line is meant.
+    /// Column, from 1; 0 for the whole line.
     pub column: u64,
 }
 
 impl Place {
-    /// Names a whole file.
+    /// Returns the place that stands for a whole file.
     #[must_use]
     pub fn file(file: &Name) -> Self {
         Self {
@@ -39,7 +39,7 @@
     }
 }
 
-/// One mistake in the declarations.
+/// A mistake in the declarations.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 pub struct Mistake {
     /// Where it is.
@@ -47,12 +47,12 @@
     pub place: Place,
     /// What is wrong.
     pub what: String,
-    /// What would be right.
+    /// How to correct it.
     pub hint: String,
 }
 
 impl Mistake {
-    /// Makes a mistake.
+    /// Creates a mistake.
     #[must_use]
     pub fn new(place: &Place, what: impl Into<String>, hint: impl Into<String>) -> Self {
         Self {
--- a/lib/src/declaration/mod.rs
+++ b/lib/src/declaration/mod.rs
@@ -1,8 +1,8 @@
-//! What operators declare: client accounts, pools of upstreams, and templates.
+//! The operators' declarations: client accounts, pools of upstreams, and templates.
 //!
-//! A directory of YAML files is read as one whole ([`load`]), checked as one
-//! whole ([`check()`]), and compared with what is in force ([`mod@diff`]).
-//! docs/operators/declarations.md is the operators' page.
+//! All YAML files of a directory are read ([`load`]) and checked ([`check()`])
+//! together, and compared with the active revision ([`mod@diff`]).
+//! docs/operators/declarations.md describes them for operators.
 
 pub mod convert;
 pub mod diff;
@@ -17,7 +17,7 @@
 
 pub use load::{SourceFile, check, check_sources, load_dir};
 pub use mistake::{Mistake, Place};
-pub use rules::{MAX_NAME, MAX_TEMPLATES};
+pub use rules::{MAX_NAME_CHARS, MAX_TEMPLATES};
 pub use set::DeclarationSet;
 
 use crate::adapter::Adapter;
@@ -26,65 +26,65 @@
 use crate::request::Class;
 use crate::runner::Share;
 
-/// A client account that may call.
+/// A client account, which may send requests.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Account {
     /// Unique in the deployment.
     pub name: Name,
-    /// SHA-256 digests of its keys.
+    /// SHA-256 digests of its API keys.
     pub key_digests: Vec<[u8; 32]>,
-    /// How much of an upstream it may hold.
+    /// Its share of an upstream's capacity.
     pub share: Share,
 }
 
-/// What the upstreams of a pool are.
+/// Kind of a pool's upstreams.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum PoolKind {
-    /// Model engines with slots for adapters.
+    /// Inference engines with slots for adapters.
     Engine {
         /// The base model that they serve.
         base_model: Name,
-        /// Adapters that fit at a time, at least 1.
+        /// Adapters that an engine can hold at a time, at least 1.
         slots: u32,
     },
-    /// Plain services.
+    /// Services without adapters.
     Service,
 }
 
-/// A group of upstreams that are alike.
+/// A group of interchangeable upstreams.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Pool {
     /// Unique in the deployment; the platform's list of VMs refers to it.
     pub name: Name,
     /// Engines or services.
     pub kind: PoolKind,
-    /// Most requests running at a time on one upstream, at least 1.
+    /// Maximum number of concurrent requests on an upstream, at least 1.
     pub batch: u32,
-    /// Whether the upstreams refuse an order that carries an old fencing token.
+    /// Whether the upstreams reject orders with an outdated fencing token.
     pub checks_fencing: bool,
 }
 
-/// How requests that name it are run.
+/// How requests that name the template are served.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Template {
-    /// The client account that may name it.
+    /// The client account that may use it.
     pub account: Name,
     /// Unique within the account; callers send it as `model`.
     pub name: Name,
-    /// The pool whose upstreams run it.
+    /// The pool whose upstreams serve it.
     pub pool: Name,
-    /// Adapter and version, or none for a plain service.
+    /// Adapter and version; none for a service.
     pub adapter: Option<Adapter>,
-    /// How urgent its requests are.
+    /// Priority class of its requests.
     pub class: Class,
-    /// Worth within the class, at least 1.
+    /// Weight within the class, at least 1.
     pub weight: u32,
-    /// Whether running a request twice does no harm.
+    /// Whether a request may safely run twice.
     pub idempotent: bool,
-    /// Longest time to a whole answer; none takes the node's default.
+    /// Deadline for the complete response; none uses the node's default.
     pub deadline: Option<Millis>,
-    /// Most tokens that one request may ask for; none takes the node's default.
+    /// Maximum output tokens of a request; none uses the node's default.
     pub max_output_tokens: Option<u32>,
-    /// Largest request body in bytes; none takes the node's default.
+    /// Maximum size of a request body in bytes; none uses the node's default.
     pub max_body_bytes: Option<u64>,
 }
--- a/lib/src/declaration/nearest.rs
+++ b/lib/src/declaration/nearest.rs
@@ -1,22 +1,22 @@
-//! The nearest known name to one that isn't known, for hints.
+//! Suggests a known name for a misspelled one.
 
-/// Largest distance at which a name is still taken for a slip of the fingers.
+/// Maximum edit distance at which a name is taken for a misspelling.
 const MAX_DISTANCE: usize = 3;
 
-/// Finds the known name that differs least from `name`, if any is near.
+/// Returns the known name with the smallest edit distance to `name`, if it is small enough.
 #[must_use]
 pub fn nearest<'a>(name: &str, known: impl IntoIterator<Item = &'a str>) -> Option<&'a str> {
     let limit = MAX_DISTANCE.min(name.chars().count() / 2);
     known
         .into_iter()
-        .map(|candidate| (distance(name, candidate), candidate))
-        .filter(|(distance, _)| *distance <= limit)
+        .map(|candidate| (edit_distance(name, candidate), candidate))
+        .filter(|(edit_distance, _)| *edit_distance <= limit)
         .min()
         .map(|(_, candidate)| candidate)
 }
 
-/// Counts the insertions, removals, replacements and swaps of neighbours between two names.
-fn distance(a: &str, b: &str) -> usize {
+/// Returns the optimal string alignment distance: insertions, deletions, substitutions and swaps of neighbors.
+fn edit_distance(a: &str, b: &str) -> usize {
     let a: Vec<char> = a.chars().collect();
     let b: Vec<char> = b.chars().collect();
     if a.len().abs_diff(b.len()) > MAX_DISTANCE {
@@ -47,7 +47,7 @@
     use super::*;
 
     #[test]
-    fn nearest_slips() {
+    fn nearest_misspellings() {
         let known = ["idempotent", "weight", "version"];
         assert_eq!(nearest("idempotant", known), Some("idempotent"));
         assert_eq!(nearest("wieght", known), Some("weight"));
--- a/lib/src/declaration/read.rs
+++ b/lib/src/declaration/read.rs
@@ -1,4 +1,4 @@
-//! From a file's tree to messages, with every mistake of form.
+//! Decodes a file's tree into messages and collects all structural mistakes.
 
 use std::borrow::Cow;
 
@@ -7,16 +7,16 @@
 use super::tree::{Content, Node};
 use crate::schema::declaration::{Account, Pool, Template};
 
-/// A message with the places of its fields.
+/// A message with its place and those of its fields.
 #[derive(Debug)]
-pub(super) struct Placed<T> {
+pub(super) struct Located<T> {
     pub(super) place: Place,
     pub(super) value: T,
     fields: Vec<(&'static str, Place)>,
 }
 
-impl<T> Placed<T> {
-    /// Returns the place of a field, or of the whole message when the field is absent.
+impl<T> Located<T> {
+    /// Returns the place of a field, or of the whole message if the field is absent.
     pub(super) fn field(&self, name: &str) -> &Place {
         self.fields
             .iter()
@@ -24,72 +24,72 @@
             .map_or(&self.place, |(_, place)| place)
     }
 
-    /// Whether the field stands in the file.
+    /// Whether the file has the field.
     pub(super) fn has(&self, name: &str) -> bool {
         self.fields.iter().any(|(field, _)| *field == name)
     }
 }
 
-/// What the files of one directory declare.
+/// Declarations of a directory's files, before they are checked against one another.
 #[derive(Debug, Default)]
-pub(super) struct Raw {
-    pub(super) accounts: Vec<Placed<Account>>,
-    pub(super) pools: Vec<Placed<Pool>>,
-    pub(super) templates: Vec<Placed<Template>>,
+pub(super) struct RawDeclarations {
+    pub(super) accounts: Vec<Located<Account>>,
+    pub(super) pools: Vec<Located<Pool>>,
+    pub(super) templates: Vec<Located<Template>>,
 }
 
-/// A field of a message and where its value goes.
+/// A field of a message and how to set it.
 struct Field<T> {
     name: &'static str,
-    slot: Slot<T>,
+    access: FieldAccess<T>,
 }
 
-enum Slot<T> {
+enum FieldAccess<T> {
     Text(fn(&mut T) -> &mut String),
     Texts(fn(&mut T) -> &mut Vec<String>),
-    Small(fn(&mut T) -> &mut u32),
-    Large(fn(&mut T) -> &mut u64),
-    Flag(fn(&mut T) -> &mut bool),
+    U32(fn(&mut T) -> &mut u32),
+    U64(fn(&mut T) -> &mut u64),
+    Bool(fn(&mut T) -> &mut bool),
 }
 
-/// A message that can be read from a mapping.
-trait Form: Default + 'static {
-    /// The word for it in messages.
-    const WORD: &'static str;
+/// A message that can be decoded from a mapping.
+trait MessageFields: Default + 'static {
+    /// The message's kind with its article, for mistakes.
+    const DESCRIPTION: &'static str;
     const FIELDS: &'static [Field<Self>];
 }
 
-macro_rules! form {
-    ($message:ident, $word:literal, $($slot:ident $field:ident),+ $(,)?) => {
-        impl Form for $message {
-            const WORD: &'static str = $word;
+macro_rules! message_fields {
+    ($message:ident, $word:literal, $($access:ident $field:ident),+ $(,)?) => {
+        impl MessageFields for $message {
+            const DESCRIPTION: &'static str = $word;
             const FIELDS: &'static [Field<Self>] = &[
-                $(Field { name: stringify!($field), slot: Slot::$slot(|message| &mut message.$field) },)+
+                $(Field { name: stringify!($field), access: FieldAccess::$access(|message| &mut message.$field) },)+
             ];
         }
     };
 }
 
-form!(Account, "an account",
-    Text name, Texts key_digests, Small weight, Small max_in_flight, Small max_queued);
-form!(Pool, "a pool",
-    Text name, Text kind, Text base_model, Small slots, Small batch, Flag checks_fencing);
-form!(Template, "a template",
-    Text account, Text name, Text pool, Text adapter, Text version, Text class, Small weight,
-    Flag idempotent, Large deadline_ms, Small max_output_tokens, Large max_body_bytes);
+message_fields!(Account, "an account",
+    Text name, Texts key_digests, U32 weight, U32 max_in_flight, U32 max_queued);
+message_fields!(Pool, "a pool",
+    Text name, Text kind, Text base_model, U32 slots, U32 batch, Bool checks_fencing);
+message_fields!(Template, "a template",
+    Text account, Text name, Text pool, Text adapter, Text version, Text class, U32 weight,
+    Bool idempotent, U64 deadline_ms, U32 max_output_tokens, U64 max_body_bytes);
 
-/// The lists of a file.
-const LISTS: [&str; 3] = ["accounts", "pools", "templates"];
+/// Top-level fields of a file.
+const FILE_FIELDS: [&str; 3] = ["accounts", "pools", "templates"];
 
-/// Reads a file's tree into `raw`.
-pub(super) fn read(root: Node, raw: &mut Raw, mistakes: &mut Vec<Mistake>) {
+/// Adds a file's declarations to `raw`.
+pub(super) fn read(root: Node, raw: &mut RawDeclarations, mistakes: &mut Vec<Mistake>) {
     let entries = match root.content {
         Content::Empty => return,
         Content::Map(entries) => entries,
         other => {
             mistakes.push(Mistake::new(
                 &root.place,
-                format!("a file of declarations holds {}", other.kind()),
+                format!("a file of declarations holds {}", other.describe()),
                 "begin with one of accounts:, pools: or templates:",
             ));
             return;
@@ -97,35 +97,38 @@
     };
     let mut seen = Vec::new();
     for (key, value) in entries {
-        let Some(name) = key_of(&key, mistakes) else {
+        let Some(name) = field_name(&key, mistakes) else {
             continue;
         };
-        if already(&mut seen, name, &key.place, mistakes) {
+        if is_duplicate(&mut seen, name, &key.place, mistakes) {
             continue;
         }
         match name {
-            "accounts" => list(value, &mut raw.accounts, mistakes),
-            "pools" => list(value, &mut raw.pools, mistakes),
-            "templates" => list(value, &mut raw.templates, mistakes),
-            _ => mistakes.push(unknown(&key.place, name, "a file", &LISTS)),
+            "accounts" => read_list(value, &mut raw.accounts, mistakes),
+            "pools" => read_list(value, &mut raw.pools, mistakes),
+            "templates" => read_list(value, &mut raw.templates, mistakes),
+            _ => mistakes.push(unknown_field(&key.place, name, "a file", &FILE_FIELDS)),
         }
     }
 }
 
-fn key_of<'a>(key: &'a Node, mistakes: &mut Vec<Mistake>) -> Option<&'a str> {
+fn field_name<'a>(key: &'a Node, mistakes: &mut Vec<Mistake>) -> Option<&'a str> {
     if let Content::Text(name) = &key.content {
         return Some(name);
     }
     mistakes.push(Mistake::new(
         &key.place,
-        format!("{} stands where a field's name is due", key.content.kind()),
+        format!(
+            "{} stands where a field's name is due",
+            key.content.describe()
+        ),
         "write field: value",
     ));
     None
 }
 
-/// Notes a key; says whether it stood in this mapping before.
-fn already(
+/// Records a key and returns whether the mapping already had it.
+fn is_duplicate(
     seen: &mut Vec<(String, u64)>,
     name: &str,
     place: &Place,
@@ -143,7 +146,7 @@
     false
 }
 
-fn unknown(place: &Place, name: &str, of: &str, known: &[&str]) -> Mistake {
+fn unknown_field(place: &Place, name: &str, of: &str, known: &[&str]) -> Mistake {
     let hint: Cow<'_, str> = match nearest(name, known.iter().copied()) {
         Some(near) => format!("did you mean {near}?").into(),
         None => format!("known are {}", known.join(", ")).into(),
@@ -151,67 +154,81 @@
     Mistake::new(place, format!("{of} has no field {name}"), hint)
 }
 
-fn list<T: Form>(node: Node, into: &mut Vec<Placed<T>>, mistakes: &mut Vec<Mistake>) {
+fn read_list<T: MessageFields>(
+    node: Node,
+    into: &mut Vec<Located<T>>,
+    mistakes: &mut Vec<Mistake>,
+) {
     match node.content {
         Content::Empty => {}
         Content::List(items) => {
-            into.extend(items.into_iter().filter_map(|item| one(item, mistakes)));
+            into.extend(
+                items
+                    .into_iter()
+                    .filter_map(|item| read_message(item, mistakes)),
+            );
         }
         other => mistakes.push(Mistake::new(
             &node.place,
-            format!("here stands {}", other.kind()),
+            format!("here stands {}", other.describe()),
             "write a list, each item behind a dash",
         )),
     }
 }
 
-fn one<T: Form>(node: Node, mistakes: &mut Vec<Mistake>) -> Option<Placed<T>> {
+fn read_message<T: MessageFields>(node: Node, mistakes: &mut Vec<Mistake>) -> Option<Located<T>> {
     let Content::Map(entries) = node.content else {
         mistakes.push(Mistake::new(
             &node.place,
-            format!("{} stands where {} is due", node.content.kind(), T::WORD),
+            format!(
+                "{} stands where {} is due",
+                node.content.describe(),
+                T::DESCRIPTION
+            ),
             "write its fields as field: value",
         ));
         return None;
     };
-    let mut placed = Placed {
+    let mut located = Located {
         place: node.place,
         value: T::default(),
         fields: Vec::with_capacity(entries.len()),
     };
     let mut seen = Vec::with_capacity(entries.len());
     for (key, value) in entries {
-        let Some(name) = key_of(&key, mistakes) else {
+        let Some(name) = field_name(&key, mistakes) else {
             continue;
         };
-        if already(&mut seen, name, &key.place, mistakes) {
+        if is_duplicate(&mut seen, name, &key.place, mistakes) {
             continue;
         }
         let Some(field) = T::FIELDS.iter().find(|field| field.name == name) else {
             let known: Vec<&str> = T::FIELDS.iter().map(|field| field.name).collect();
-            mistakes.push(unknown(&key.place, name, T::WORD, &known));
+            mistakes.push(unknown_field(&key.place, name, T::DESCRIPTION, &known));
             continue;
         };
-        placed.fields.push((field.name, value.place.clone()));
-        if let Err(mistake) = fill(&mut placed.value, field, value) {
+        located.fields.push((field.name, value.place.clone()));
+        if let Err(mistake) = set_field(&mut located.value, field, value) {
             mistakes.push(mistake);
         }
     }
-    Some(placed)
+    Some(located)
 }
 
-fn fill<T>(message: &mut T, field: &Field<T>, node: Node) -> Result<(), Mistake> {
-    match field.slot {
-        Slot::Text(slot) => *slot(message) = text(field.name, node)?,
-        Slot::Texts(slot) => *slot(message) = texts(field.name, node)?,
-        Slot::Small(slot) => *slot(message) = number(field.name, node, u32::MAX.into())?,
-        Slot::Large(slot) => *slot(message) = number(field.name, node, u64::MAX)?,
-        Slot::Flag(slot) => *slot(message) = flag(field.name, node)?,
+fn set_field<T>(message: &mut T, field: &Field<T>, node: Node) -> Result<(), Mistake> {
+    match field.access {
+        FieldAccess::Text(access) => *access(message) = parse_text(field.name, node)?,
+        FieldAccess::Texts(access) => *access(message) = parse_texts(field.name, node)?,
+        FieldAccess::U32(access) => {
+            *access(message) = parse_number(field.name, node, u32::MAX.into())?;
+        }
+        FieldAccess::U64(access) => *access(message) = parse_number(field.name, node, u64::MAX)?,
+        FieldAccess::Bool(access) => *access(message) = parse_flag(field.name, node)?,
     }
     Ok(())
 }
 
-fn text(name: &str, node: Node) -> Result<String, Mistake> {
+fn parse_text(name: &str, node: Node) -> Result<String, Mistake> {
     match node.content {
         Content::Text(text) => Ok(text),
         Content::Empty => Err(Mistake::new(
@@ -221,27 +238,30 @@
         )),
         other => Err(Mistake::new(
             &node.place,
-            format!("{name} is {}", other.kind()),
+            format!("{name} is {}", other.describe()),
             "give a single value",
         )),
     }
 }
 
-fn texts(name: &str, node: Node) -> Result<Vec<String>, Mistake> {
+fn parse_texts(name: &str, node: Node) -> Result<Vec<String>, Mistake> {
     match node.content {
         Content::Empty => Ok(Vec::new()),
-        Content::List(items) => items.into_iter().map(|item| text(name, item)).collect(),
+        Content::List(items) => items
+            .into_iter()
+            .map(|item| parse_text(name, item))
+            .collect(),
         other => Err(Mistake::new(
             &node.place,
-            format!("{name} is {}", other.kind()),
+            format!("{name} is {}", other.describe()),
             "write a list, each item behind a dash",
         )),
     }
 }
 
-fn number<N: TryFrom<u64>>(name: &str, node: Node, most: u64) -> Result<N, Mistake> {
+fn parse_number<N: TryFrom<u64>>(name: &str, node: Node, max: u64) -> Result<N, Mistake> {
     let place = node.place.clone();
-    let text = text(name, node)?;
+    let text = parse_text(name, node)?;
     text.parse::<u64>()
         .ok()
         .and_then(|number| N::try_from(number).ok())
@@ -249,14 +269,14 @@
             Mistake::new(
                 &place,
                 format!("{name} is {text}"),
-                format!("give a whole number from 0 to {most}"),
+                format!("give a whole number from 0 to {max}"),
             )
         })
 }
 
-fn flag(name: &str, node: Node) -> Result<bool, Mistake> {
+fn parse_flag(name: &str, node: Node) -> Result<bool, Mistake> {
     let place = node.place.clone();
-    let text = text(name, node)?;
+    let text = parse_text(name, node)?;
     match text.as_str() {
         "true" => Ok(true),
         "false" => Ok(false),
--- a/lib/src/declaration/rules.rs
+++ b/lib/src/declaration/rules.rs
@@ -1,36 +1,36 @@
-//! What the declarations of a directory must fulfil together.
+//! Rules that the declarations of a directory must satisfy together.
 
 use std::collections::{HashMap, HashSet};
 
 use super::convert;
 use super::mistake::{Mistake, Place};
 use super::nearest::nearest;
-use super::read::{Placed, Raw};
+use super::read::{Located, RawDeclarations};
 use super::set::DeclarationSet;
 use crate::request::Class;
 use crate::schema::declaration::{Account, Pool, Template};
 
-/// Longest name, in characters.
-pub const MAX_NAME: usize = 128;
-/// Most keys of one client account.
+/// Maximum length of a name, in characters.
+pub const MAX_NAME_CHARS: usize = 128;
+/// Maximum number of keys of a client account.
 pub const MAX_KEYS: usize = 32;
-/// Largest weight.
+/// Maximum weight.
 pub const MAX_WEIGHT: u32 = 1_000;
-/// Most adapter slots of an engine.
+/// Maximum number of adapter slots of an engine.
 pub const MAX_SLOTS: u32 = 4_096;
-/// Most requests running at a time on one upstream.
+/// Maximum number of concurrent requests on an upstream.
 pub const MAX_BATCH: u32 = 65_536;
-/// Longest deadline: a day, in milliseconds.
+/// Maximum deadline: one day, in milliseconds.
 pub const MAX_DEADLINE_MS: u64 = 24 * 60 * 60 * 1_000;
-/// Largest request body, in bytes.
-pub const MAX_BODY: u64 = 64 * 1024 * 1024;
-/// Most tokens of one request.
-pub const MAX_TOKENS: u32 = 10_000_000;
-/// Most client accounts.
+/// Maximum size of a request body, in bytes.
+pub const MAX_BODY_BYTES: u64 = 64 * 1024 * 1024;
+/// Maximum output tokens of a request.
+pub const MAX_OUTPUT_TOKENS: u32 = 10_000_000;
+/// Maximum number of client accounts.
 pub const MAX_ACCOUNTS: usize = 20_000;
-/// Most pools.
+/// Maximum number of pools.
 pub const MAX_POOLS: usize = 1_000;
-/// Most templates: three times the adapters of the target, with room.
+/// Maximum number of templates: three times the target's adapters, with a margin.
 pub const MAX_TEMPLATES: usize = 100_000;
 
 const KINDS: [&str; 2] = ["engine", "service"];
@@ -40,16 +40,20 @@
     Class::Bulk.name(),
 ];
 
-/// Checks everything together and makes the canonical set of it.
-pub(super) fn apply(raw: &Raw, directory: &Place, mistakes: &mut Vec<Mistake>) -> DeclarationSet {
+/// Checks all declarations together and returns the valid ones in canonical form.
+pub(super) fn check(
+    raw: &RawDeclarations,
+    directory: &Place,
+    mistakes: &mut Vec<Mistake>,
+) -> DeclarationSet {
     let mut checker = Checker {
         mistakes,
         set: DeclarationSet::default(),
     };
-    checker.amounts(raw, directory);
-    checker.pools(&raw.pools);
-    checker.accounts(&raw.accounts);
-    checker.templates(raw);
+    checker.check_counts(raw, directory);
+    checker.check_pools(&raw.pools);
+    checker.check_accounts(&raw.accounts);
+    checker.check_templates(raw);
     checker.set
 }
 
@@ -59,35 +63,35 @@
 }
 
 impl Checker<'_> {
-    fn add(&mut self, place: &Place, what: impl Into<String>, hint: impl Into<String>) {
+    fn report(&mut self, place: &Place, what: impl Into<String>, hint: impl Into<String>) {
         self.mistakes.push(Mistake::new(place, what, hint));
     }
 
-    fn amounts(&mut self, raw: &Raw, directory: &Place) {
-        for (word, count, most) in [
+    fn check_counts(&mut self, raw: &RawDeclarations, directory: &Place) {
+        for (kind, count, max) in [
             ("accounts", raw.accounts.len(), MAX_ACCOUNTS),
             ("pools", raw.pools.len(), MAX_POOLS),
             ("templates", raw.templates.len(), MAX_TEMPLATES),
         ] {
-            if count > most {
-                self.add(
+            if count > max {
+                self.report(
                     directory,
-                    format!("there are {count} {word}"),
-                    format!("declare at most {most}"),
+                    format!("there are {count} {kind}"),
+                    format!("declare at most {max}"),
                 );
             }
         }
     }
 
-    fn pools(&mut self, pools: &[Placed<Pool>]) {
+    fn check_pools(&mut self, pools: &[Located<Pool>]) {
         let mut seen = HashMap::new();
         for pool in pools {
             let value = &pool.value;
-            let named = self.name(pool, "name", &value.name);
-            if named && !self.first(&mut seen, &value.name, "pool", pool.field("name")) {
+            let named = self.check_name(pool, "name", &value.name);
+            if named && !self.check_unique(&mut seen, &value.name, "pool", pool.field("name")) {
                 continue;
             }
-            if self.pool(pool)
+            if self.check_pool(pool)
                 && named
                 && let Ok(read) = convert::pool(value)
             {
@@ -97,19 +101,19 @@
         }
     }
 
-    fn pool(&mut self, pool: &Placed<Pool>) -> bool {
+    fn check_pool(&mut self, pool: &Located<Pool>) -> bool {
         let before = self.mistakes.len();
         let value = &pool.value;
-        self.known(pool, "kind", &value.kind, &KINDS);
-        self.within(pool, "batch", value.batch.into(), 1, MAX_BATCH.into());
+        self.check_choice(pool, "kind", &value.kind, &KINDS);
+        self.check_range(pool, "batch", value.batch.into(), 1, MAX_BATCH.into());
         if value.kind == "engine" {
-            self.name(pool, "base_model", &value.base_model);
-            self.within(pool, "slots", value.slots.into(), 1, MAX_SLOTS.into());
+            self.check_name(pool, "base_model", &value.base_model);
+            self.check_range(pool, "slots", value.slots.into(), 1, MAX_SLOTS.into());
         }
         if value.kind == "service" {
             for field in ["base_model", "slots"] {
                 if pool.has(field) {
-                    self.add(
+                    self.report(
                         pool.field(field),
                         format!("{field} is set for a pool of plain services"),
                         "leave it out, or write kind: engine",
@@ -120,17 +124,18 @@
         self.mistakes.len() == before
     }
 
-    fn accounts(&mut self, accounts: &[Placed<Account>]) {
+    fn check_accounts(&mut self, accounts: &[Located<Account>]) {
         let mut seen = HashMap::new();
         let mut keys: HashMap<[u8; 32], &str> = HashMap::new();
         for account in accounts {
             let value = &account.value;
-            let named = self.name(account, "name", &value.name);
-            if named && !self.first(&mut seen, &value.name, "account", account.field("name")) {
+            let named = self.check_name(account, "name", &value.name);
+            if named && !self.check_unique(&mut seen, &value.name, "account", account.field("name"))
+            {
                 continue;
             }
-            self.within(account, "weight", value.weight.into(), 0, MAX_WEIGHT.into());
-            self.digests(account, &mut keys);
+            self.check_range(account, "weight", value.weight.into(), 0, MAX_WEIGHT.into());
+            self.check_key_digests(account, &mut keys);
             if named && let Ok(read) = convert::account(value) {
                 let message = convert::account_message(&read);
                 self.set.accounts.insert(message.name.clone(), message);
@@ -138,11 +143,15 @@
         }
     }
 
-    fn digests<'a>(&mut self, account: &'a Placed<Account>, keys: &mut HashMap<[u8; 32], &'a str>) {
+    fn check_key_digests<'a>(
+        &mut self,
+        account: &'a Located<Account>,
+        keys: &mut HashMap<[u8; 32], &'a str>,
+    ) {
         let value = &account.value;
         let place = account.field("key_digests");
         if value.key_digests.len() > MAX_KEYS {
-            self.add(
+            self.report(
                 place,
                 format!("{} key digests are listed", value.key_digests.len()),
                 format!("keep at most {MAX_KEYS}; remove keys that aren't used any more"),
@@ -151,8 +160,8 @@
         for (index, text) in value.key_digests.iter().enumerate() {
             let number = index + 1;
             let Some(digest) = convert::digest(text) else {
-                // The text isn't shown: it may be the key itself.
-                self.add(
+                // The text isn't printed: it may be the key itself.
+                self.report(
                     place,
                     format!("key digest {number} isn't a SHA-256 digest"),
                     "give 64 hexadecimal digits, as chivevalve digest prints them; never the key",
@@ -160,12 +169,12 @@
                 continue;
             };
             match keys.insert(digest, &value.name) {
-                Some(other) if other == value.name => self.add(
+                Some(other) if other == value.name => self.report(
                     place,
                     format!("key digest {number} stands twice"),
                     "keep one of them",
                 ),
-                Some(other) => self.add(
+                Some(other) => self.report(
                     place,
                     format!("key digest {number} also belongs to account {other}"),
                     "give each account keys of its own",
@@ -175,7 +184,7 @@
         }
     }
 
-    fn templates(&mut self, raw: &Raw) {
+    fn check_templates(&mut self, raw: &RawDeclarations) {
         let mut seen = HashMap::new();
         let accounts: HashSet<&str> = raw
             .accounts
@@ -190,21 +199,24 @@
         let pool_names: HashSet<&str> = pools.keys().copied().collect();
         for template in &raw.templates {
             let value = &template.value;
-            let owned = self.refers(template, "account", &value.account, &accounts);
-            let named = self.name(template, "name", &value.name);
+            let owned = self.check_reference(template, "account", &value.account, &accounts);
+            let named = self.check_name(template, "name", &value.name);
             let full = format!("{}/{}", value.account, value.name);
-            if owned && named && !self.first(&mut seen, &full, "template", template.field("name")) {
+            if owned
+                && named
+                && !self.check_unique(&mut seen, &full, "template", template.field("name"))
+            {
                 continue;
             }
-            if self.refers(template, "pool", &value.pool, &pool_names) {
-                self.adapter(template, pools[value.pool.as_str()]);
+            if self.check_reference(template, "pool", &value.pool, &pool_names) {
+                self.check_adapter(template, pools[value.pool.as_str()]);
             }
-            self.template(template);
-            self.keep(value, owned && named);
+            self.check_template(template);
+            self.insert_template(value, owned && named);
         }
     }
 
-    fn keep(&mut self, value: &Template, named: bool) {
+    fn insert_template(&mut self, value: &Template, named: bool) {
         let pool = self.set.pools.get(&value.pool);
         let Some(pool) = pool.and_then(|pool| convert::pool(pool).ok()) else {
             return;
@@ -216,47 +228,47 @@
         }
     }
 
-    fn template(&mut self, template: &Placed<Template>) {
+    fn check_template(&mut self, template: &Located<Template>) {
         let value = &template.value;
         if template.has("class") {
-            self.known(template, "class", &value.class, &CLASSES);
+            self.check_choice(template, "class", &value.class, &CLASSES);
         }
-        self.within(
+        self.check_range(
             template,
             "weight",
             value.weight.into(),
             0,
             MAX_WEIGHT.into(),
         );
-        self.within(
+        self.check_range(
             template,
             "deadline_ms",
             value.deadline_ms,
             0,
             MAX_DEADLINE_MS,
         );
-        self.within(
+        self.check_range(
             template,
             "max_body_bytes",
             value.max_body_bytes,
             0,
-            MAX_BODY,
+            MAX_BODY_BYTES,
         );
-        self.within(
+        self.check_range(
             template,
             "max_output_tokens",
             value.max_output_tokens.into(),
             0,
-            MAX_TOKENS.into(),
+            MAX_OUTPUT_TOKENS.into(),
         );
     }
 
-    fn adapter(&mut self, template: &Placed<Template>, pool: &Pool) {
+    fn check_adapter(&mut self, template: &Located<Template>, pool: &Pool) {
         let value = &template.value;
         if pool.kind == "service" {
             for field in ["adapter", "version", "max_output_tokens"] {
                 if template.has(field) {
-                    self.add(
+                    self.report(
                         template.field(field),
                         format!(
                             "{field} is set, but pool {} holds plain services",
@@ -269,18 +281,18 @@
             return;
         }
         if value.adapter.is_empty() {
-            self.add(
+            self.report(
                 template.field("adapter"),
                 format!("pool {} holds engines, but no adapter is named", pool.name),
                 "add adapter: and version:",
             );
         } else {
-            self.name(template, "adapter", &value.adapter);
+            self.check_name(template, "adapter", &value.adapter);
         }
         if !value.version.is_empty() {
-            self.name(template, "version", &value.version);
+            self.check_name(template, "version", &value.version);
         } else if !value.adapter.is_empty() {
-            self.add(
+            self.report(
                 template.field("version"),
                 format!("adapter {} is named without a version", value.adapter),
                 "add version:; each template names the exact version that it runs on",
@@ -289,21 +301,21 @@
     }
 
     /// Checks a name's characters and length.
-    fn name<T>(&mut self, placed: &Placed<T>, field: &str, name: &str) -> bool {
-        let place = placed.field(field);
+    fn check_name<T>(&mut self, located: &Located<T>, field: &str, name: &str) -> bool {
+        let place = located.field(field);
         if name.is_empty() {
-            self.add(
+            self.report(
                 place,
                 format!("{field} is missing"),
                 format!("add {field}:"),
             );
             return false;
         }
-        if name.chars().count() > MAX_NAME {
-            self.add(
+        if name.chars().count() > MAX_NAME_CHARS {
+            self.report(
                 place,
                 format!("{field} has {} characters", name.chars().count()),
-                format!("keep it within {MAX_NAME}"),
+                format!("keep it within {MAX_NAME_CHARS}"),
             );
             return false;
         }
@@ -314,7 +326,7 @@
         if first && rest {
             return true;
         }
-        self.add(
+        self.report(
             place,
             format!("{field} is {name:?}"),
             "begin with a letter or digit and use letters, digits, dots, hyphens and underscores",
@@ -322,18 +334,18 @@
         false
     }
 
-    /// Notes a name; says whether it is the first of its kind.
-    fn first(
+    /// Records a name; reports a mistake and returns false if it is already declared.
+    fn check_unique(
         &mut self,
         seen: &mut HashMap<String, Place>,
         name: &str,
-        word: &str,
+        kind: &str,
         place: &Place,
     ) -> bool {
         if let Some(earlier) = seen.get(name) {
-            self.add(
+            self.report(
                 place,
-                format!("{word} {name} is declared twice, first at {earlier}"),
+                format!("{kind} {name} is declared twice, first at {earlier}"),
                 "keep one of them",
             );
             return false;
@@ -342,17 +354,17 @@
         true
     }
 
-    /// Checks that a template refers to something that is declared.
-    fn refers<T>(
+    /// Checks that a template refers to a declared name.
+    fn check_reference<T>(
         &mut self,
-        placed: &Placed<T>,
+        located: &Located<T>,
         field: &str,
         name: &str,
         declared: &HashSet<&str>,
     ) -> bool {
         if name.is_empty() {
-            self.add(
-                placed.field(field),
+            self.report(
+                located.field(field),
                 format!("{field} is missing"),
                 format!("add {field}:"),
             );
@@ -365,15 +377,15 @@
             Some(near) => format!("did you mean {near}?"),
             None => format!("declare it under {field}s:, or correct the name"),
         };
-        self.add(
-            placed.field(field),
+        self.report(
+            located.field(field),
             format!("{field} {name} isn't declared"),
             hint,
         );
         false
     }
 
-    fn known<T>(&mut self, placed: &Placed<T>, field: &str, value: &str, known: &[&str]) {
+    fn check_choice<T>(&mut self, located: &Located<T>, field: &str, value: &str, known: &[&str]) {
         if known.contains(&value) {
             return;
         }
@@ -387,22 +399,29 @@
         } else {
             format!("{field} is {value}")
         };
-        self.add(placed.field(field), what, hint);
+        self.report(located.field(field), what, hint);
     }
 
-    fn within<T>(&mut self, placed: &Placed<T>, field: &str, value: u64, least: u64, most: u64) {
-        if (least..=most).contains(&value) {
+    fn check_range<T>(
+        &mut self,
+        located: &Located<T>,
+        field: &str,
+        value: u64,
+        min: u64,
+        max: u64,
+    ) {
+        if (min..=max).contains(&value) {
             return;
         }
-        let what = if placed.has(field) {
+        let what = if located.has(field) {
             format!("{field} is {value}")
         } else {
             format!("{field} is missing")
         };
-        self.add(
-            placed.field(field),
+        self.report(
+            located.field(field),
             what,
-            format!("give a number from {least} to {most}"),
+            format!("give a number from {min} to {max}"),
         );
     }
 }
--- a/lib/src/declaration/set.rs
+++ b/lib/src/declaration/set.rs
@@ -1,8 +1,7 @@
-//! All declarations of one revision in their canonical form.
+//! All declarations of one revision in canonical form.
 //!
-//! Two sets that mean the same are equal byte by byte: defaults are written
-//! out, lists are sorted and texts have one spelling. Differences and digests
-//! rest on this.
+//! Equivalent sets are equal byte by byte: defaults are explicit, lists are
+//! sorted and digests have one spelling. Differences and digests depend on this.
 
 use std::collections::BTreeMap;
 
@@ -23,7 +22,7 @@
 }
 
 impl DeclarationSet {
-    /// Takes declarations that are in canonical form; of two with one name the later stays.
+    /// Inserts declarations in canonical form, replacing those with the same name.
     pub fn extend(&mut self, file: File) {
         for account in file.accounts {
             self.accounts.insert(account.name.clone(), account);
@@ -37,13 +36,13 @@
         }
     }
 
-    /// Returns how many declarations there are.
+    /// Returns the number of declarations.
     #[must_use]
     pub fn len(&self) -> usize {
         self.accounts.len() + self.pools.len() + self.templates.len()
     }
 
-    /// Whether nothing is declared.
+    /// Whether the set has no declarations.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.len() == 0
--- a/lib/src/declaration/tree.rs
+++ b/lib/src/declaration/tree.rs
@@ -1,8 +1,9 @@
-//! A YAML file as a tree whose every node knows its place.
+//! Parses a YAML file into a tree of nodes with their places.
 //!
-//! Reading straight into messages stops at the first mistake and forgets the
-//! lines; operators want all mistakes of a change at once. The tree keeps the
-//! text of plain scalars, so that a version `1.10` isn't read as the number 1.1.
+//! Deserializing directly into messages would stop at the first mistake and lose
+//! the line numbers, while operators need all mistakes of a change at once. The
+//! tree keeps the text of plain scalars, so that a version `1.10` isn't read as
+//! the number 1.1.
 
 use std::fmt;
 
@@ -12,17 +13,17 @@
 use super::mistake::{Mistake, Place};
 use crate::name::Name;
 
-/// Most nodes of one file: about 100,000 templates with every field set.
+/// Maximum number of nodes of a file: about 100,000 templates with every field set.
 const MAX_NODES: usize = 3_000_000;
 
-/// A node with its place.
+/// A node and its place in the file.
 #[derive(Debug)]
 pub(super) struct Node {
     pub(super) place: Place,
     pub(super) content: Content,
 }
 
-/// What a node holds.
+/// Content of a node.
 #[derive(Debug)]
 pub(super) enum Content {
     Empty,
@@ -32,8 +33,8 @@
 }
 
 impl Content {
-    /// Says what the node is, for messages.
-    pub(super) fn kind(&self) -> &'static str {
+    /// Describes the content, for mistakes.
+    pub(super) fn describe(&self) -> &'static str {
         match self {
             Self::Empty => "nothing",
             Self::Text(_) => "a single value",
@@ -53,12 +54,12 @@
             max_nodes: MAX_NODES,
         },
     };
-    let raw: Spanned<Raw> = serde_saphyr::from_str_with_options(source, options)
-        .map_err(|error| syntax(file, &error))?;
+    let raw: Spanned<RawValue> = serde_saphyr::from_str_with_options(source, options)
+        .map_err(|error| syntax_mistake(file, &error))?;
     Ok(Builder { file, source }.node(raw))
 }
 
-fn syntax(file: &Name, error: &serde_saphyr::Error) -> Mistake {
+fn syntax_mistake(file: &Name, error: &serde_saphyr::Error) -> Mistake {
     let mut place = Place::file(file);
     if let Some(location) = error.location() {
         place.line = location.line();
@@ -73,97 +74,97 @@
     )
 }
 
-/// A value as the parser hands it over, with the parser's locations.
+/// A value as the parser returns it, with the parser's locations.
 #[derive(Debug)]
-enum Raw {
+enum RawValue {
     Empty,
-    /// A plain scalar that looks like a number or a truth value; its text is in the source.
+    /// A plain scalar that looks like a number or a boolean; its original text is in the source.
     Plain(String),
     Text(String),
-    List(Vec<Spanned<Raw>>),
-    Map(Vec<(Spanned<Raw>, Spanned<Raw>)>),
+    List(Vec<Spanned<RawValue>>),
+    Map(Vec<(Spanned<RawValue>, Spanned<RawValue>)>),
 }
 
-impl<'de> Deserialize<'de> for Raw {
+impl<'de> Deserialize<'de> for RawValue {
     fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
-        deserializer.deserialize_any(RawVisitor)
+        deserializer.deserialize_any(RawValueVisitor)
     }
 }
 
-struct RawVisitor;
+struct RawValueVisitor;
 
-impl<'de> Visitor<'de> for RawVisitor {
-    type Value = Raw;
+impl<'de> Visitor<'de> for RawValueVisitor {
+    type Value = RawValue;
 
     fn expecting(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str("declarations")
     }
 
-    fn visit_unit<E: de::Error>(self) -> Result<Raw, E> {
-        Ok(Raw::Empty)
+    fn visit_unit<E: de::Error>(self) -> Result<RawValue, E> {
+        Ok(RawValue::Empty)
     }
 
-    fn visit_bool<E: de::Error>(self, value: bool) -> Result<Raw, E> {
-        Ok(Raw::Plain(value.to_string()))
+    fn visit_bool<E: de::Error>(self, value: bool) -> Result<RawValue, E> {
+        Ok(RawValue::Plain(value.to_string()))
     }
 
-    fn visit_i64<E: de::Error>(self, value: i64) -> Result<Raw, E> {
-        Ok(Raw::Plain(value.to_string()))
+    fn visit_i64<E: de::Error>(self, value: i64) -> Result<RawValue, E> {
+        Ok(RawValue::Plain(value.to_string()))
     }
 
-    fn visit_u64<E: de::Error>(self, value: u64) -> Result<Raw, E> {
-        Ok(Raw::Plain(value.to_string()))
+    fn visit_u64<E: de::Error>(self, value: u64) -> Result<RawValue, E> {
+        Ok(RawValue::Plain(value.to_string()))
     }
 
-    fn visit_f64<E: de::Error>(self, value: f64) -> Result<Raw, E> {
-        Ok(Raw::Plain(value.to_string()))
+    fn visit_f64<E: de::Error>(self, value: f64) -> Result<RawValue, E> {
+        Ok(RawValue::Plain(value.to_string()))
     }
 
-    fn visit_str<E: de::Error>(self, value: &str) -> Result<Raw, E> {
-        Ok(Raw::Text(value.to_owned()))
+    fn visit_str<E: de::Error>(self, value: &str) -> Result<RawValue, E> {
+        Ok(RawValue::Text(value.to_owned()))
     }
 
-    fn visit_seq<A: SeqAccess<'de>>(self, mut access: A) -> Result<Raw, A::Error> {
+    fn visit_seq<A: SeqAccess<'de>>(self, mut access: A) -> Result<RawValue, A::Error> {
         let mut items = Vec::new();
         while let Some(item) = access.next_element()? {
             items.push(item);
         }
-        Ok(Raw::List(items))
+        Ok(RawValue::List(items))
     }
 
-    fn visit_map<A: MapAccess<'de>>(self, mut access: A) -> Result<Raw, A::Error> {
+    fn visit_map<A: MapAccess<'de>>(self, mut access: A) -> Result<RawValue, A::Error> {
         let mut entries = Vec::new();
         while let Some(entry) = access.next_entry()? {
             entries.push(entry);
         }
-        Ok(Raw::Map(entries))
+        Ok(RawValue::Map(entries))
     }
 }
 
-/// Turns the parser's values into nodes.
+/// Converts the parser's values into nodes.
 struct Builder<'a> {
     file: &'a Name,
     source: &'a str,
 }
 
 impl Builder<'_> {
-    fn node(&self, raw: Spanned<Raw>) -> Node {
+    fn node(&self, raw: Spanned<RawValue>) -> Node {
         let place = Place {
             file: self.file.clone(),
             line: raw.referenced.line(),
             column: raw.referenced.column(),
         };
         let content = match raw.value {
-            Raw::Empty => Content::Empty,
-            Raw::Plain(value) => Content::Text(self.text(raw.defined).unwrap_or(value)),
-            Raw::Text(value) if is_not_finite(&value) => {
-                Content::Text(self.text(raw.defined).unwrap_or(value))
+            RawValue::Empty => Content::Empty,
+            RawValue::Plain(value) => Content::Text(self.source_text(raw.defined).unwrap_or(value)),
+            RawValue::Text(value) if is_non_finite(&value) => {
+                Content::Text(self.source_text(raw.defined).unwrap_or(value))
             }
-            Raw::Text(value) => Content::Text(value),
-            Raw::List(items) => {
+            RawValue::Text(value) => Content::Text(value),
+            RawValue::List(items) => {
                 Content::List(items.into_iter().map(|item| self.node(item)).collect())
             }
-            Raw::Map(entries) => Content::Map(
+            RawValue::Map(entries) => Content::Map(
                 entries
                     .into_iter()
                     .map(|(key, value)| (self.node(key), self.node(value)))
@@ -173,8 +174,8 @@
         Node { place, content }
     }
 
-    /// Returns a plain scalar as it stands in the file.
-    fn text(&self, location: Location) -> Option<String> {
+    /// Returns the text of a plain scalar as it is written in the file.
+    fn source_text(&self, location: Location) -> Option<String> {
         let span = location.span();
         let start = usize::try_from(span.byte_offset()?).ok()?;
         let end = start.checked_add(usize::try_from(span.byte_len()?).ok()?)?;
@@ -184,8 +185,8 @@
     }
 }
 
-/// Whether the parser may have put this text in the place of a number such as `1e999`.
-fn is_not_finite(text: &str) -> bool {
+/// Whether the parser may have substituted this text for a number such as `1e999`.
+fn is_non_finite(text: &str) -> bool {
     matches!(text, ".inf" | "-.inf" | ".nan")
 }
 
@@ -206,9 +207,8 @@
         }
     }
 
-    /// Symptom: requests ran on version 1.1 of an adapter whose template named 1.10.
-    /// Sequence: the file said `version: 1.10`, without quotes.
-    /// Cause: a plain scalar that looks like a number was read as one.
+    /// Guards against reading a plain scalar such as `version: 1.10` as a number:
+    /// requests ran on version 1.1 of an adapter whose template named 1.10.
     #[test]
     fn tree_plain_scalar_keeps_its_text() {
         assert_eq!(text_of("version: 1.10\n"), "1.10");
--- a/lib/src/yaml/mistake.rs
+++ b/lib/src/yaml/mistake.rs
@@ -1,8 +1,8 @@
-//! What is wrong in a file that people write.
+//! Mistakes in a YAML file that people write.
 
 use std::fmt;
 
-/// One mistake: where, what is wrong, and what would be right.
+/// A mistake, its line, and how to correct it.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Mistake {
     /// The file, as the operator named it.
@@ -11,24 +11,24 @@
     pub line: u64,
     /// What is wrong.
     pub what: String,
-    /// What would be right.
-    pub right: String,
+    /// How to correct it.
+    pub hint: String,
 }
 
 impl Mistake {
-    /// Makes a mistake.
+    /// Creates a mistake.
     #[must_use]
     pub fn new(
         file: impl Into<String>,
         line: u64,
         what: impl Into<String>,
-        right: impl Into<String>,
+        hint: impl Into<String>,
     ) -> Self {
         Self {
             file: file.into(),
             line,
             what: what.into(),
-            right: right.into(),
+            hint: hint.into(),
         }
     }
 }
@@ -38,12 +38,12 @@
         write!(
             f,
             "{}:{}: {}; {}",
-            self.file, self.line, self.what, self.right
+            self.file, self.line, self.what, self.hint
         )
     }
 }
 
-/// All mistakes of one reading, one a line when shown.
+/// All mistakes of a file; displayed one per line.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Mistakes(Vec<Mistake>);
 
@@ -53,17 +53,17 @@
         self.0.push(mistake);
     }
 
-    /// Lists the mistakes in the order in which they were found.
+    /// Returns the mistakes in the order in which they were found.
     #[must_use]
     pub fn list(&self) -> &[Mistake] {
         &self.0
     }
 
-    /// Turns having found any into an error, ordered by file and line.
+    /// Returns the mistakes as an error, sorted by file and line, if there are any.
     ///
     /// # Errors
     ///
-    /// Itself, when there is any mistake.
+    /// All mistakes found so far; they are removed from `self`.
     pub fn result(&mut self) -> Result<(), Self> {
         if self.0.is_empty() {
             return Ok(());
--- a/lib/src/yaml/mod.rs
+++ b/lib/src/yaml/mod.rs
@@ -1,9 +1,9 @@
-//! Reading YAML so that every mistake is found in one go, each with its line.
+//! Deserializes YAML and reports every mistake at once, each with its line.
 //!
-//! Deserializing straight into a type stops at the first mistake, and an
-//! operator would have to start the check again for each. Here the text becomes
-//! a tree of located values first; each leaf is then tried on its own against
-//! the type, so that one bad field hides no other.
+//! Deserializing directly into a type stops at the first mistake, and an operator
+//! would have to repeat the check for each. Here the text is first parsed into a
+//! tree of values with lines. Each part is then deserialized on its own, so that
+//! one invalid field doesn't hide another.
 
 mod mistake;
 mod tree;
@@ -16,24 +16,24 @@
 
 use tree::{Located, Node};
 
-/// Most levels of nesting that are read; no schema of ours comes near it.
+/// Maximum nesting depth; the schemas of this project are far below it.
 const MAX_DEPTH: u32 = 16;
 
-/// Reads `text` as one value, and where each of its parts stands.
+/// Deserializes `text`, and returns the line of each part with the value.
 ///
-/// `file` is only named in mistakes.
+/// `file` is used only in mistakes.
 ///
 /// # Errors
 ///
-/// All mistakes of syntax, unknown fields and wrong types.
+/// All syntax errors, unknown fields and wrong types.
 pub fn read<T: DeserializeOwned>(text: &str, file: &str) -> Result<(T, Lines), Mistakes> {
     let root = tree::parse(text).map_err(|error| {
         let line = error.location().map_or(1, |at| at.line());
-        Mistakes::from(unreadable(file, line, &error))
+        Mistakes::from(syntax_mistake(file, line, &error))
     })?;
-    let mut check = Check::<T>::new(file);
-    check.node(&root, &mut Vec::new());
-    check.mistakes.result()?;
+    let mut checker = Checker::<T>::new(file);
+    checker.check_node(&root, &mut Vec::new());
+    checker.mistakes.result()?;
     let lines = Lines::of(&root);
     serde_json::from_value(root.to_value())
         .map(|value| (value, lines))
@@ -42,8 +42,8 @@
         })
 }
 
-/// Says why a text is no YAML.
-fn unreadable(file: &str, line: u64, error: &serde_saphyr::Error) -> Mistake {
+/// Converts a parser error into a mistake.
+fn syntax_mistake(file: &str, line: u64, error: &serde_saphyr::Error) -> Mistake {
     if let serde_saphyr::Error::DuplicateMappingKey { key, .. } = error.without_snippet() {
         let name = key.as_deref().unwrap_or("a field");
         return Mistake::new(
@@ -65,21 +65,21 @@
     )
 }
 
-/// One step from a value to a part of it.
+/// A step of the path from the root to a part.
 #[derive(Debug, Clone)]
-enum Step {
+enum PathStep {
     Key(String),
     Item,
 }
 
-/// Tries every part of a tree on its own against the type.
-struct Check<'a, T> {
+/// Checks each part of a tree on its own against the target type.
+struct Checker<'a, T> {
     file: &'a str,
     mistakes: Mistakes,
     target: std::marker::PhantomData<T>,
 }
 
-impl<'a, T: DeserializeOwned> Check<'a, T> {
+impl<'a, T: DeserializeOwned> Checker<'a, T> {
     fn new(file: &'a str) -> Self {
         Self {
             file,
@@ -88,9 +88,9 @@
         }
     }
 
-    fn node(&mut self, located: &Located, path: &mut Vec<Step>) {
+    fn check_node(&mut self, located: &Located, path: &mut Vec<PathStep>) {
         if path.len() > MAX_DEPTH as usize {
-            self.add(
+            self.report(
                 located.line,
                 path,
                 "this is nested too deeply",
@@ -98,72 +98,72 @@
             );
             return;
         }
-        let alone = match &located.node {
+        let part = match &located.node {
             Node::Scalar(value) => value.clone(),
             Node::List(_) => Value::Array(Vec::new()),
             Node::Map(_) => Value::Object(serde_json::Map::new()),
         };
-        if let Err(error) = try_alone::<T>(path, alone) {
-            let (what, right) = explain(&error);
-            self.add(located.line, path, &what, &right);
+        if let Err(error) = deserialize_part::<T>(path, part) {
+            let (what, hint) = explain(&error);
+            self.report(located.line, path, &what, &hint);
             return;
         }
         match &located.node {
             Node::Scalar(_) => {}
             Node::List(items) => {
-                path.push(Step::Item);
+                path.push(PathStep::Item);
                 for item in items {
-                    self.node(item, path);
+                    self.check_node(item, path);
                 }
                 path.pop();
             }
             Node::Map(entries) => {
                 for entry in entries {
-                    path.push(Step::Key(entry.key.clone()));
-                    self.entry(entry, path);
+                    path.push(PathStep::Key(entry.key.clone()));
+                    self.check_entry(entry, path);
                     path.pop();
                 }
             }
         }
     }
 
-    fn entry(&mut self, entry: &tree::Entry, path: &mut Vec<Step>) {
-        // Null fits or doesn't, but only an unknown key is refused by name.
-        if let Err(error) = try_alone::<T>(path, Value::Null)
+    fn check_entry(&mut self, entry: &tree::Entry, path: &mut Vec<PathStep>) {
+        // Null may or may not match the field's type, but only an unknown key gives this error.
+        if let Err(error) = deserialize_part::<T>(path, Value::Null)
             && error.starts_with("unknown field")
         {
-            let (what, right) = explain(&error);
+            let (what, hint) = explain(&error);
             path.pop();
-            self.add(entry.line, path, &what, &right);
-            path.push(Step::Key(entry.key.clone()));
+            self.report(entry.line, path, &what, &hint);
+            path.push(PathStep::Key(entry.key.clone()));
             return;
         }
-        self.node(&entry.value, path);
+        self.check_node(&entry.value, path);
     }
 
-    fn add(&mut self, line: u64, path: &[Step], what: &str, right: &str) {
-        let place = path_text(path);
+    fn report(&mut self, line: u64, path: &[PathStep], what: &str, hint: &str) {
+        let place = format_path(path);
         let what = if place.is_empty() {
             what.to_owned()
         } else {
             format!("{place}: {what}")
         };
         self.mistakes
-            .push(Mistake::new(self.file, line, what, right));
+            .push(Mistake::new(self.file, line, what, hint));
     }
 }
 
-/// Tries a type on a value that holds nothing but one part at its place.
-fn try_alone<T: DeserializeOwned>(path: &[Step], part: Value) -> Result<(), String> {
+/// Deserializes a value that contains nothing but `part` at `path`.
+fn deserialize_part<T: DeserializeOwned>(path: &[PathStep], part: Value) -> Result<(), String> {
     let mut whole = part;
     for step in path.iter().rev() {
         whole = match step {
-            Step::Key(key) => {
+            PathStep::Key(key) => {
                 let mut map = serde_json::Map::new();
                 map.insert(key.clone(), whole);
                 Value::Object(map)
             }
-            Step::Item => Value::Array(vec![whole]),
+            PathStep::Item => Value::Array(vec![whole]),
         };
     }
     match serde_json::from_value::<T>(whole) {
@@ -172,13 +172,13 @@
     }
 }
 
-/// Splits a type's complaint into what is wrong and what would be right.
+/// Converts a deserialization error into what is wrong and a hint.
 ///
-/// A text is never repeated: it may be a key that was pasted into the wrong
-/// field, and mistakes end in logs of pipelines.
-fn explain(complaint: &str) -> (String, String) {
-    let Some((found, expected)) = complaint.split_once(", expected ") else {
-        return (complaint.to_owned(), "correct the value".to_owned());
+/// A string's value is never repeated: it may be a key that was pasted into the
+/// wrong field, and mistakes end up in the logs of pipelines.
+fn explain(error: &str) -> (String, String) {
+    let Some((found, expected)) = error.split_once(", expected ") else {
+        return (error.to_owned(), "correct the value".to_owned());
     };
     let found = match found.strip_prefix("invalid type: ") {
         Some(shape) if shape.starts_with("string") => "a text stands here",
@@ -190,7 +190,7 @@
         Some(shape) if shape.starts_with("sequence") => "a list stands here",
         _ => found,
     };
-    let right = match expected {
+    let hint = match expected {
         "a string" => "write a text, in quotes if it looks like a number".to_owned(),
         "u32" | "u64" => "write a whole number, 0 or more".to_owned(),
         "a boolean" => "write true or false".to_owned(),
@@ -198,20 +198,20 @@
         other if other.starts_with("struct ") => "write fields, each as name: value".to_owned(),
         other => format!("known are {}", other.trim_start_matches("one of ")),
     };
-    (found.to_owned(), right)
+    (found.to_owned(), hint)
 }
 
-fn path_text(path: &[Step]) -> String {
+fn format_path(path: &[PathStep]) -> String {
     let mut text = String::new();
     for step in path {
         match step {
-            Step::Key(key) => {
+            PathStep::Key(key) => {
                 if !text.is_empty() {
                     text.push('.');
                 }
                 text.push_str(key);
             }
-            Step::Item => text.push_str("[]"),
+            PathStep::Item => text.push_str("[]"),
         }
     }
     text
--- a/lib/src/yaml/tree.rs
+++ b/lib/src/yaml/tree.rs
@@ -1,4 +1,4 @@
-//! YAML values with the lines on which they stand.
+//! YAML values with their line numbers.
 
 use std::collections::HashMap;
 use std::fmt;
@@ -33,7 +33,7 @@
 /// Parses a text into a tree.
 pub(super) fn parse(text: &str) -> Result<Located, serde_saphyr::Error> {
     let spanned: Option<Spanned<Node>> = serde_saphyr::from_str(text)?;
-    // An empty file has no fields; what is missing shows when it is resolved.
+    // An empty file has no fields; missing ones are reported when the settings are resolved.
     Ok(spanned.map_or_else(
         || Located {
             line: 1,
@@ -53,7 +53,7 @@
 }
 
 impl Located {
-    /// Returns the value without its lines.
+    /// Returns the value without line numbers.
     pub(super) fn to_value(&self) -> Value {
         match &self.node {
             Node::Scalar(value) => value.clone(),
@@ -70,13 +70,13 @@
 
 impl<'de> Deserialize<'de> for Node {
     fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
-        deserializer.deserialize_any(AnyNode)
+        deserializer.deserialize_any(NodeVisitor)
     }
 }
 
-struct AnyNode;
+struct NodeVisitor;
 
-impl<'de> Visitor<'de> for AnyNode {
+impl<'de> Visitor<'de> for NodeVisitor {
     type Value = Node;
 
     fn expecting(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
@@ -133,7 +133,7 @@
     }
 }
 
-/// Lines of all parts of a file, by path, such as `access.tokens[0].role`.
+/// Line numbers of all parts of a file by path, such as `access.tokens[0].role`.
 #[derive(Debug, Default)]
 pub struct Lines(HashMap<String, u64>);
 
@@ -167,7 +167,7 @@
         }
     }
 
-    /// Returns the line of a part, or of the nearest part that would hold it.
+    /// Returns the line of a part, or of its nearest ancestor in the file.
     #[must_use]
     pub fn of_path(&self, path: &str) -> u64 {
         let mut rest = path;
--- a/lib/tests/test_declaration.rs
+++ b/lib/tests/test_declaration.rs
@@ -1,4 +1,4 @@
-//! Declarations are read, checked, compared and written as one whole.
+//! Reading, checking, comparing and exporting declarations.
 
 use std::sync::Arc;
 
@@ -13,7 +13,7 @@
     }
 }
 
-fn shown(mistakes: &[Mistake]) -> String {
+fn format_mistakes(mistakes: &[Mistake]) -> String {
     let lines: Vec<String> = mistakes.iter().map(ToString::to_string).collect();
     lines.join("\n")
 }
@@ -23,7 +23,7 @@
         .iter()
         .map(|(name, text)| source(name, text))
         .collect();
-    shown(&declaration::check_sources(&sources).unwrap_err())
+    format_mistakes(&declaration::check_sources(&sources).unwrap_err())
 }
 
 const WHOLE: &str = "
@@ -204,9 +204,8 @@
     assert_eq!(patched, before);
 }
 
-/// Symptom: an operator copies the page's example and it is refused.
-/// Sequence: a field's name changes, the page stays.
-/// Cause: nothing held the page against the code.
+/// Guards against outdated examples on the operators' page, for example after a
+/// field was renamed: an operator who copies one would get a mistake.
 #[test]
 fn page_examples_pass_the_check() {
     let page = include_str!("../../docs/operators/declarations.md");
