--- a/bench/src/fuzz_outcomes/harness/traffic/owner.rs
+++ b/bench/src/fuzz_outcomes/harness/traffic/owner.rs
@@ -32,8 +32,8 @@
     pub fn new() -> Self {
         let limits = upstream::Limits {
             slots: Some(u32::try_from(SLOTS).unwrap_or(u32::MAX)),
-            batch: 3,
-            queue: 8,
+            max_batch: 3,
+            max_queued: 8,
             ..upstream::Limits::default()
         };
         Self {
@@ -143,13 +143,13 @@
                     self.reply(node, &route, Err(failure));
                 }
             }
-            Action::Ask { adapter, .. } => {
+            Action::RequestPermit { adapter, .. } => {
                 let start = self.nodes[node].identity.incarnation;
                 let wait = self.rng.random_range(5..200);
                 let granted = Arrival::Granted(upstream.clone(), index(&adapter));
                 self.later(wait, Due::Node(node, start, granted));
             }
-            Action::Withdraw { .. } => {}
+            Action::CancelPermit { .. } => {}
             Action::Load { adapter, evict } => {
                 let order = Order::Load {
                     adapter: index(&adapter),
@@ -286,15 +286,15 @@
         self.decide(node, upstream, |machine, now| {
             let mut actions = Vec::new();
             if restarted {
-                actions.extend(machine.restarted(now));
+                actions.extend(machine.engine_restarted(now));
             }
             let as_of = Millis(now.0.saturating_sub(20));
-            actions.extend(machine.reported(&resident, as_of, now));
+            actions.extend(machine.engine_reported(&resident, as_of, now));
             for pin in gone {
                 actions.extend(machine.finished(&pin, now));
             }
             for (pin, used) in begun {
-                machine.runs_already(pin, &adapter(used), now);
+                machine.adopt_running(pin, &adapter(used), now);
             }
             actions
         });
--- a/bench/src/fuzz_outcomes/harness/world/events.rs
+++ b/bench/src/fuzz_outcomes/harness/world/events.rs
@@ -1,7 +1,7 @@
 //! What arrives at nodes, and what they make of it.
 
 use chivevalve::clock::Millis;
-use chivevalve::membership::machine::{Answer, Machine};
+use chivevalve::membership::machine::{CallResult, Machine};
 use chivevalve::membership::witness;
 use chivevalve::name::Name;
 
@@ -69,10 +69,12 @@
                 self.later(TICK, Due::Node(index, start, Arrival::Tick));
             }
             Arrival::Answer(number, answer) => {
-                self.on_machine(index, |machine, now| machine.answer(now, number, answer));
+                self.on_machine(index, |machine, now| {
+                    machine.handle_result(now, number, answer);
+                });
             }
             Arrival::Seen(event) => {
-                self.on_machine(index, |machine, now| machine.watched(now, &event));
+                self.on_machine(index, |machine, now| machine.apply_watch_event(now, &event));
             }
             Arrival::Asked {
                 from,
@@ -83,10 +85,10 @@
             Arrival::News(claims, records) => {
                 self.on_machine(index, |machine, now| {
                     for claim in claims {
-                        machine.learn(now, |table| table.learn_claim(claim));
+                        machine.merge_from_peer(now, |table| table.merge_claim(claim));
                     }
                     for record in records {
-                        machine.learn(now, |table| table.learn_record(record));
+                        machine.merge_from_peer(now, |table| table.merge_record(record));
                     }
                 });
             }
@@ -107,7 +109,7 @@
                     served.remove(&upstream);
                 }
                 self.on_machine(index, |machine, now| {
-                    machine.answer(now, number, Answer::Released);
+                    machine.handle_result(now, number, CallResult::Released);
                 });
             }
         }
@@ -117,7 +119,7 @@
         match arrival {
             Arrival::Answer(
                 number,
-                answer @ (Answer::Voted(_) | Answer::Committed(_) | Answer::Renewed(_)),
+                answer @ (CallResult::Vote(_) | CallResult::Committed(_) | CallResult::Renewed(_)),
             ) => {
                 self.tell(|| format!("n{index} call {number}: {answer:?}"));
             }
@@ -141,7 +143,7 @@
         from: usize,
         start: u64,
         number: u64,
-        ask: &witness::Ask,
+        ask: &witness::VoteRequest,
     ) {
         let now = self.nodes[index].clock(self.now);
         let reached = self.service_reachable(index);
@@ -155,7 +157,7 @@
         }
         if self.connected(index, from) && !self.lost() {
             let delay = self.slow_delay();
-            let answer = Arrival::Answer(number, Answer::Voted(Some(vote)));
+            let answer = Arrival::Answer(number, CallResult::Vote(Some(vote)));
             self.later(delay, Due::Node(from, start, answer));
         }
     }
@@ -166,8 +168,8 @@
             return;
         };
         step(machine, now);
-        let actions = machine.actions();
-        let drained = machine.drained();
+        let actions = machine.take_actions();
+        let drained = machine.is_drained();
         for action in actions {
             self.carry_out(index, action);
         }
--- a/bench/src/policy/contender.rs
+++ b/bench/src/policy/contender.rs
@@ -8,10 +8,10 @@
 use chivevalve::adapter::Adapter;
 use chivevalve::clock::Millis;
 use chivevalve::error::{Code, Fate};
-use chivevalve::loads::Ask;
+use chivevalve::loads::PermitRequest;
 use chivevalve::name::Name;
 use chivevalve::policy::loads;
-use chivevalve::policy::placement::{self, CANDIDATES, Pool, Router};
+use chivevalve::policy::placement::{self, MAX_CANDIDATES, Pool, Router};
 use chivevalve::policy::upstream::{self, Demand, Machine};
 use chivevalve::request::{Id, Ticket};
 use chivevalve::retry;
@@ -35,7 +35,7 @@
 struct Route {
     node: usize,
     /// Upstreams it was tried on, by their places in the pool; the last is under way.
-    tried: SmallVec<[usize; CANDIDATES]>,
+    tried: SmallVec<[usize; MAX_CANDIDATES]>,
     /// Whether no other is tried after it.
     last: bool,
 }
@@ -48,7 +48,7 @@
     /// Usable upstreams by base model.
     pools: Vec<Pool>,
     machines: Vec<Machine>,
-    loads: loads::Queue,
+    loads: loads::LoadQueue,
     routes: HashMap<u32, Route>,
     adapters: Vec<Adapter>,
     numbers: HashMap<Adapter, u32>,
@@ -68,7 +68,7 @@
     let small = |value: usize| u32::try_from(value).unwrap_or(u32::MAX);
     upstream::Limits {
         slots: Some(small(deployment.slots)),
-        batch: small(deployment.batch),
+        max_batch: small(deployment.batch),
         batch_weight: deployment.batch_weight,
         load_time: millis(1e6 / deployment.loads_per_second),
         ..upstream::Limits::default()
@@ -95,7 +95,7 @@
                 .map(|_| Machine::new(limits.clone()))
                 .collect(),
             limits,
-            loads: loads::Queue::new(loads::Limits::default()),
+            loads: loads::LoadQueue::new(loads::Limits::default()),
             routes: HashMap::new(),
             adapters,
             numbers,
@@ -115,7 +115,9 @@
     fn prepare_pools(&mut self, deployment: &Deployment, up: impl Fn(usize) -> bool) {
         let pool = |base: usize| {
             let engines = (base..deployment.engines).step_by(deployment.base_models);
-            Pool::of(engines.map(|e| (self.names[e].as_ref(), self.domains[e].as_ref(), up(e))))
+            Pool::from_entries(
+                engines.map(|e| (self.names[e].as_ref(), self.domains[e].as_ref(), up(e))),
+            )
         };
         self.pools = (0..deployment.base_models).map(pool).collect();
     }
@@ -149,7 +151,7 @@
         let base_models = world.deployment().base_models;
         let base = world.deployment().base_of(world.request(id).adapter);
         let router = &mut self.routers[route.node];
-        let order = router.order(&self.pools[base], ticket.adapter.as_ref(), world.now());
+        let order = router.candidates(&self.pools[base], ticket.adapter.as_ref(), world.now());
         let Some((wait, replicas)) = order.split_last() else {
             self.routes.remove(&id);
             let code = Code::NoUpstream;
@@ -213,12 +215,12 @@
             upstream::Action::Refuse { id, failure } => {
                 self.refused(world, engine, number(&id), failure.code, actions);
             }
-            upstream::Action::Ask { adapter, demand } => {
+            upstream::Action::RequestPermit { adapter, demand } => {
                 let key = self.key(engine, &adapter);
                 let ask = ask(&self.names[engine], adapter, demand);
-                self.loads.ask(key, ask, world.now());
+                self.loads.enqueue(key, ask, world.now());
             }
-            upstream::Action::Withdraw { adapter } => {
+            upstream::Action::CancelPermit { adapter } => {
                 let key = self.key(engine, &adapter);
                 self.loads.withdraw(key);
             }
@@ -233,7 +235,7 @@
         }
     }
 
-    fn key(&self, engine: usize, adapter: &Adapter) -> loads::Key {
+    fn key(&self, engine: usize, adapter: &Adapter) -> loads::RequestKey {
         (engine as u64, u64::from(self.numbers[adapter]))
     }
 
@@ -254,7 +256,7 @@
         let pool = &self.pools[deployment.base_of(adapter)];
         let index = engine / deployment.base_models;
         let adapter = Some(&self.adapters[adapter as usize]);
-        self.routers[route.node].refused(pool, index, adapter, code, world.now());
+        self.routers[route.node].record_refusal(pool, index, adapter, code, world.now());
         let more = !route.last && world.now() < world.request(id).deadline();
         if more && code.fate() == Fate::NotRun && tries_next(code) {
             self.attempt(world, id, actions);
@@ -299,15 +301,15 @@
     }
 }
 
-fn ask(upstream: &Name, adapter: Adapter, demand: Demand) -> Ask {
-    Ask {
+fn ask(upstream: &Name, adapter: Adapter, demand: Demand) -> PermitRequest {
+    PermitRequest {
         upstream: Name::clone(upstream),
         adapter,
         class: demand.class,
         waiters: demand.waiters,
         weight: demand.weight,
         waited: demand.waited,
-        gain: demand.gain,
+        stall_savings: demand.stall_savings,
     }
 }
 
--- a/bench/src/spread/loopback.rs
+++ b/bench/src/spread/loopback.rs
@@ -9,9 +9,9 @@
 use async_trait::async_trait;
 use chivevalve::clock::Monotonic;
 use chivevalve::error::{Code, Failure};
-use chivevalve::gossip::{Peer, Peers, Snapshot};
-use chivevalve::loads::{Ask, Permit, Permits};
-use chivevalve::membership::{Renewal, witness};
+use chivevalve::gossip::{Peer, PeerSource, SnapshotSource};
+use chivevalve::loads::{Permit, PermitRequest, PermitSource};
+use chivevalve::membership::{VoteHandler, witness};
 use chivevalve::metrics::Metrics;
 use chivevalve::name::Name;
 use chivevalve::peer::tls::Security;
@@ -61,7 +61,7 @@
     own: Name,
 }
 
-impl Peers for Known {
+impl PeerSource for Known {
     fn peers(&self) -> Vec<Peer> {
         let others = self.peers.iter().filter(|peer| peer.name != self.own);
         others.cloned().collect()
@@ -80,15 +80,18 @@
 }
 
 #[async_trait]
-impl Renewal for Unused {
-    async fn renew(&self, _ask: witness::Ask) -> witness::Vote {
+impl VoteHandler for Unused {
+    async fn handle_vote_request(&self, _ask: witness::VoteRequest) -> witness::Vote {
         witness::Vote::default()
     }
 }
 
 #[async_trait]
-impl Permits for Unused {
-    async fn acquire(&self, _ask: watch::Receiver<Ask>) -> Result<Box<dyn Permit>, Failure> {
+impl PermitSource for Unused {
+    async fn acquire(
+        &self,
+        _ask: watch::Receiver<PermitRequest>,
+    ) -> Result<Box<dyn Permit>, Failure> {
         Err(Failure::new(Code::NotOwner, "nothing loads here"))
     }
 }
@@ -154,8 +157,8 @@
         let handlers = server::Handlers {
             runner: Arc::new(Unused),
             exchange: Arc::clone(gossip) as _,
-            renewal: Arc::new(Unused),
-            snapshot: Arc::clone(&site.config) as Arc<dyn Snapshot>,
+            vote_handler: Arc::new(Unused),
+            snapshot: Arc::clone(&site.config) as Arc<dyn SnapshotSource>,
             permits: Arc::new(Unused),
             clock,
             metrics: Arc::clone(metrics),
--- a/bench/src/spread/run.rs
+++ b/bench/src/spread/run.rs
@@ -308,13 +308,13 @@
         node: from.peer.name.to_string(),
         ..Digest::default()
     };
-    chivevalve::gossip::Share::digest(&*from.config, &mut digest);
+    chivevalve::gossip::GossipState::fill_digest(&*from.config, &mut digest);
     let mut lacking = chivevalve::schema::peer::Delta::default();
     let before = Digest {
         revision: digest.revision - 1,
         ..Digest::default()
     };
-    chivevalve::gossip::Share::answer(&*from.config, &before, &mut lacking);
+    chivevalve::gossip::GossipState::fill_delta(&*from.config, &before, &mut lacking);
     digest.operations = lacking.operations;
     let sends = sites
         .iter()
--- a/bench/src/spread/site.rs
+++ b/bench/src/spread/site.rs
@@ -11,7 +11,7 @@
 use chivevalve::config::prefetch::NoPrefetch;
 use chivevalve::config::{self, Accepted, ChangeRequest, Error as Refused};
 use chivevalve::declaration::DeclarationSet;
-use chivevalve::gossip::{self, Peer, Peers, Share, Snapshot, Transport};
+use chivevalve::gossip::{self, GossipState, Peer, PeerSource, SnapshotSource, Transport};
 use chivevalve::metrics::Metrics;
 use chivevalve::ports::{
     Commit, Entry, Error, Event, Listing, Store as Border, Transaction, Watch, Weights,
@@ -146,7 +146,7 @@
 pub struct Site {
     pub peer: Peer,
     pub config: Arc<config::ConfigManager>,
-    pub gossip: Option<Arc<gossip::Keeper>>,
+    pub gossip: Option<Arc<gossip::Gossiper>>,
     pub transport: Arc<dyn Transport>,
     pub stop: CancellationToken,
 }
@@ -182,14 +182,15 @@
             links: Arc::clone(&ground.links),
             own: peer.clone(),
         });
-        let peers: Arc<dyn Peers> = if way.gossip.is_some() || way.config.watchers_per_region > 0 {
-            Arc::new(Everyone {
-                links: Arc::clone(&ground.links),
-                own: Arc::clone(&peer.name),
-            })
-        } else {
-            Arc::new(Nobody)
-        };
+        let peers: Arc<dyn PeerSource> =
+            if way.gossip.is_some() || way.config.watchers_per_region > 0 {
+                Arc::new(Everyone {
+                    links: Arc::clone(&ground.links),
+                    own: Arc::clone(&peer.name),
+                })
+            } else {
+                Arc::new(Nobody)
+            };
         let access = ground.access(peer.address);
         let store = (Arc::clone(&access) as _, access as _);
         Self::over(ground, way, peer, incarnation, transport, peers, store)
@@ -202,7 +203,7 @@
         peer: Peer,
         incarnation: u64,
         transport: Arc<dyn Transport>,
-        peers: Arc<dyn Peers>,
+        peers: Arc<dyn PeerSource>,
         (store, watch): (Arc<dyn Border>, Arc<dyn Watch>),
     ) -> Self {
         let stop = CancellationToken::new();
@@ -224,13 +225,13 @@
             stop: stop.clone(),
         });
         let gossip = way.gossip.as_ref().map(|limits| {
-            gossip::Keeper::start(gossip::Parts {
+            gossip::Gossiper::start(gossip::Dependencies {
                 node: Arc::clone(&peer.name),
                 incarnation,
                 region: Arc::clone(&peer.region),
-                shares: vec![Arc::clone(&config) as Arc<dyn Share>],
-                news: vec![config.learned_revision()],
-                install: Arc::clone(&config) as _,
+                states: vec![Arc::clone(&config) as Arc<dyn GossipState>],
+                changes: vec![config.learned_revision()],
+                installer: Arc::clone(&config) as _,
                 peers,
                 transport: Arc::clone(&transport),
                 clock,
@@ -242,7 +243,7 @@
         if let Some(gossip) = &gossip {
             let served = Served {
                 exchange: Arc::clone(gossip) as _,
-                snapshot: Arc::clone(&config) as Arc<dyn Snapshot>,
+                snapshot: Arc::clone(&config) as Arc<dyn SnapshotSource>,
             };
             ground.links.serve(peer.address, Some(served));
         }
--- a/lib/src/config/follower.rs
+++ b/lib/src/config/follower.rs
@@ -72,7 +72,7 @@
 
     fn is_watcher(&self) -> bool {
         let deps = &self.manager.deps;
-        rank::is_among(
+        rank::ranks_among_first(
             &deps.node,
             &deps.region,
             &deps.peers.peers(),
--- a/lib/src/config/gossip_state.rs
+++ b/lib/src/config/gossip_state.rs
@@ -2,19 +2,18 @@
 
 use std::sync::Arc;
 
-use super::blocking;
-use super::layout;
 use super::manager::ConfigManager;
 use super::state::Origin;
 use super::view::View;
+use super::{blocking, layout};
 use crate::clock::Millis;
 use crate::declaration::DeclarationSet;
-use crate::gossip::{Install, Share, Snapshot};
+use crate::gossip::{GossipState, SnapshotInstaller, SnapshotSource};
 use crate::schema::declaration::{Bucket, Head};
 use crate::schema::peer::{Delta, Digest, SnapshotPart};
 
-impl Share for ConfigManager {
-    fn digest(&self, digest: &mut Digest) {
+impl GossipState for ConfigManager {
+    fn fill_digest(&self, digest: &mut Digest) {
         let now = self.now();
         let state = self.state();
         digest.revision = state.learned().revision();
@@ -24,7 +23,7 @@
             .map_or(0, |age| age.0.saturating_add(1));
     }
 
-    fn answer(&self, theirs: &Digest, delta: &mut Delta) {
+    fn fill_delta(&self, theirs: &Digest, delta: &mut Delta) {
         let state = self.state();
         if theirs.revision >= state.learned().revision() {
             return;
@@ -37,7 +36,7 @@
         }
     }
 
-    fn learn(&self, delta: &Delta) -> bool {
+    fn merge_delta(&self, delta: &Delta) -> bool {
         let operations: Vec<_> = delta.operations.iter().cloned().map(Arc::new).collect();
         let (any_new, _) = self.offer(&operations);
         let Some(theirs) = &delta.digest else {
@@ -68,7 +67,7 @@
     }
 }
 
-impl Snapshot for ConfigManager {
+impl SnapshotSource for ConfigManager {
     fn parts(&self) -> Box<dyn Iterator<Item = SnapshotPart> + Send> {
         let view = self.learned();
         let head = Head {
@@ -89,7 +88,7 @@
     }
 }
 
-impl Install for ConfigManager {
+impl SnapshotInstaller for ConfigManager {
     fn is_wanted(&self, revision: u64) -> bool {
         let now = self.now();
         let state = self.state();
--- a/lib/src/config/manager.rs
+++ b/lib/src/config/manager.rs
@@ -20,10 +20,10 @@
 use super::view::{self, View};
 use crate::clock::{Clock, Millis};
 use crate::declaration::convert;
-use crate::gossip::Peers;
+use crate::gossip::PeerSource;
 use crate::metrics::Metrics;
 use crate::name::Name;
-use crate::owner::Decisions;
+use crate::owner::RoutingCheck;
 use crate::ports::{Store, Watch, Weights};
 use crate::request::Ticket;
 use crate::schema::declaration::{Difference, Operation};
@@ -75,7 +75,7 @@
     /// The weight store, in which plans look up adapters.
     pub weights: Arc<dyn Weights>,
     /// The other nodes; they determine which nodes watch the service.
-    pub peers: Arc<dyn Peers>,
+    pub peers: Arc<dyn PeerSource>,
     /// Prefetches adapters before a revision is activated.
     pub prefetch: Arc<dyn Prefetch>,
     /// Prefix of this deployment's keys; it ends in a slash or is empty.
@@ -434,8 +434,8 @@
     events
 }
 
-impl Decisions for ConfigManager {
-    fn holds(&self, ticket: &Ticket) -> bool {
+impl RoutingCheck for ConfigManager {
+    fn is_current(&self, ticket: &Ticket) -> bool {
         let view = self.in_force.borrow();
         if view.revision() <= ticket.revision {
             return true;
--- a/lib/src/membership/mod.rs
+++ b/lib/src/membership/mod.rs
@@ -1,25 +1,25 @@
-//! Who is there: nodes, upstreams, and which node owns which upstream.
+//! Membership: which nodes and upstreams exist, and which node owns each upstream.
 
 pub mod fleet;
+pub mod gossip_state;
 pub mod guard;
-pub mod hold;
-pub mod keeper;
 pub mod last_seen;
 pub mod limits;
 pub mod machine;
+pub mod manager;
 pub mod node;
+pub mod ownership;
 pub mod placement;
-pub mod share;
 pub mod table;
 pub mod upstreams;
 pub mod witness;
 
 pub use fleet::Fleet;
-pub use hold::Hold;
-pub use keeper::{Keeper, Parts};
+pub use gossip_state::NodeStatus;
 pub use limits::Limits;
+pub use manager::{Dependencies, MembershipManager};
 pub use node::Identity;
-pub use share::Node;
+pub use ownership::UpstreamOwnership;
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -30,37 +30,43 @@
 use crate::clock::Millis;
 use crate::declaration::Pool;
 
-/// Takes charge of upstreams as this node gains and loses them.
+/// Starts and stops to serve upstreams as this node gains and loses their ownership.
 #[async_trait]
 pub trait Adopter: fmt::Debug + Send + Sync {
-    /// Starts to serve an upstream under a hold. Adopting again replaces the hold or the pool.
-    async fn adopt(&self, upstream: fleet::Upstream, pool: Arc<Pool>, hold: Hold);
+    /// Starts to serve an upstream under an ownership. A second call replaces the ownership and the
+    /// pool.
+    async fn adopt(&self, upstream: fleet::Upstream, pool: Arc<Pool>, ownership: UpstreamOwnership);
 
-    /// Stops to serve an upstream: waiting requests end as not run, running ones finish.
+    /// Stops to serve an upstream: queued requests fail as not run, running ones finish.
     ///
-    /// Returns when nothing runs any more, or when `limit` has passed.
+    /// Returns when no request runs any more, or when `limit` has passed.
     async fn release(&self, upstream: &str, limit: Millis);
 }
 
-/// Votes for peers that ask this node as their witness.
+/// Answers vote requests from peers that have this node as a witness.
 #[async_trait]
-pub trait Renewal: fmt::Debug + Send + Sync {
-    /// Renews the asking node's lease if this node can, and supports it or withdraws.
-    async fn renew(&self, ask: witness::Ask) -> witness::Vote;
+pub trait VoteHandler: fmt::Debug + Send + Sync {
+    /// Votes to support or withdraw an owner; for support, also tries to renew its lease.
+    async fn handle_vote_request(&self, ask: witness::VoteRequest) -> witness::Vote;
 }
 
-/// Asks a peer as a witness, over the peer's connection.
+/// Sends vote requests to witnesses.
 #[async_trait]
-pub trait Relay: fmt::Debug + Send + Sync {
-    /// Returns the peer's vote, or none when no answer came in time.
-    async fn renew(&self, peer: SocketAddr, ask: witness::Ask) -> Option<witness::Vote>;
+pub trait VoteClient: fmt::Debug + Send + Sync {
+    /// Returns the peer's vote, or `None` if no response came in time.
+    async fn request_vote(
+        &self,
+        peer: SocketAddr,
+        ask: witness::VoteRequest,
+    ) -> Option<witness::Vote>;
 }
 
-/// Detects failed upstreams from what their owners meet, so that one which fails is held out.
-pub trait Detector: fmt::Debug + Send + Sync {
-    /// An upstream couldn't be reached, or broke a connection.
-    fn failed(&self, upstream: &str);
+/// Collects the failures that owners see at their upstreams, so that failing upstreams are
+/// suspended.
+pub trait FailureDetector: fmt::Debug + Send + Sync {
+    /// Records that an upstream couldn't be reached or broke a connection.
+    fn record_failure(&self, upstream: &str);
 
-    /// An upstream answered.
-    fn answered(&self, upstream: &str);
+    /// Records that an upstream responded.
+    fn record_success(&self, upstream: &str);
 }
--- a/lib/src/membership/table.rs
+++ b/lib/src/membership/table.rs
@@ -1,4 +1,4 @@
-//! What a node knows of nodes and claims, from the service and from peers.
+//! The nodes and claims that a node knows of, from the key-value service and from peers.
 
 use std::collections::BTreeMap;
 
@@ -9,24 +9,25 @@
 use crate::name::Name;
 use crate::ports::{Event, Listing};
 
-/// Ended records that are kept so that peers learn of the end.
-const ENDED_KEPT: usize = 256;
+/// Number of ended records that are kept as tombstones for peers.
+const MAX_TOMBSTONES: usize = 256;
 
-/// Nodes and claims; every entry carries the service's revision, the larger wins.
+/// Known nodes and claims. Every entry carries a revision of the key-value service, and the
+/// entry of the larger revision wins.
 #[derive(Debug)]
-pub struct Table {
+pub struct MembershipTable {
     keys: Keys,
     guards: Guards,
     claims: BTreeMap<Name, Claim>,
     nodes: BTreeMap<Name, Record>,
     registrations: BTreeMap<(Name, u64), Record>,
-    read_up_to: u64,
+    read_revision: u64,
     version: u64,
-    read: bool,
+    has_read: bool,
 }
 
-impl Table {
-    /// Makes an empty table.
+impl MembershipTable {
+    /// Creates an empty table.
     #[must_use]
     pub fn new(keys: Keys, guards: Guards) -> Self {
         Self {
@@ -35,103 +36,103 @@
             claims: BTreeMap::new(),
             nodes: BTreeMap::new(),
             registrations: BTreeMap::new(),
-            read_up_to: 0,
+            read_revision: 0,
             version: 0,
-            read: false,
+            has_read: false,
         }
     }
 
-    /// Returns the service's revision up to which this node has read for itself.
+    /// Returns the revision up to which this node itself has read the key-value service.
     #[must_use]
-    pub fn read_up_to(&self) -> u64 {
-        self.read_up_to
+    pub fn read_revision(&self) -> u64 {
+        self.read_revision
     }
 
-    /// Returns a number that grows with every change.
+    /// Returns a number that increases with every change.
     #[must_use]
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// Whether this node has read the service's keys for itself.
+    /// Returns whether this node itself has read the membership keys.
     #[must_use]
     pub fn has_read(&self) -> bool {
-        self.read
+        self.has_read
     }
 
-    /// Lists the claims by upstream.
+    /// Iterates over the claims, ordered by upstream.
     pub fn claims(&self) -> impl Iterator<Item = &Claim> {
         self.claims.values()
     }
 
-    /// Finds an upstream's claim.
+    /// Returns an upstream's claim.
     #[must_use]
     pub fn claim(&self, upstream: &str) -> Option<&Claim> {
         self.claims.get(upstream)
     }
 
-    /// Lists records of nodes, those that ended of late included.
+    /// Iterates over the nodes' records, recently ended ones included.
     pub fn records(&self) -> impl Iterator<Item = &Record> {
         self.nodes.values()
     }
 
-    /// Lists records that stand, as far as is known.
-    pub fn live(&self) -> impl Iterator<Item = &Record> {
+    /// Iterates over the records that aren't known to have ended.
+    pub fn live_records(&self) -> impl Iterator<Item = &Record> {
         self.nodes.values().filter(|record| !record.gone)
     }
 
-    /// Finds a node's record if it stands.
+    /// Returns a node's record unless it has ended.
     #[must_use]
     pub fn live_record(&self, name: &str) -> Option<&Record> {
         self.nodes.get(name).filter(|record| !record.gone)
     }
 
-    /// Finds a node's record, standing or ended.
+    /// Returns a node's record, live or ended.
     #[must_use]
     pub fn record(&self, name: &str) -> Option<&Record> {
         self.nodes.get(name)
     }
 
-    /// Finds what one start of a node wrote last of itself, whether or not its lease still lives.
+    /// Returns the last record that this incarnation of a node wrote, whether or not its lease
+    /// still exists.
     #[must_use]
     pub fn registration(&self, name: &Name, incarnation: u64) -> Option<&Record> {
         self.registrations.get(&(name.clone(), incarnation))
     }
 
-    /// Lists what all nodes wrote last of themselves.
+    /// Iterates over the last record that each incarnation of a node wrote.
     pub fn registrations(&self) -> impl Iterator<Item = &Record> {
         self.registrations.values()
     }
 
-    /// Whether the owner that a claim names has a record that stands.
+    /// Returns whether the owner that a claim names has a live record.
     #[must_use]
-    pub fn owner_stands(&self, claim: &Claim) -> bool {
+    pub fn has_live_owner(&self, claim: &Claim) -> bool {
         self.live_record(&claim.node)
             .is_some_and(|record| record.identity.incarnation == claim.incarnation)
     }
 
-    /// Takes over a read of all keys. Returns false if it is older than what was read before.
+    /// Applies a full read. Returns false if it is older than what was read before.
     ///
-    /// A replica of the service that lags, or an answer that was late, would
-    /// otherwise bring back an owner that is none any more.
-    pub fn read(&mut self, listing: &Listing) -> bool {
-        if listing.revision < self.read_up_to && self.guards.on(Guard::StaleRead) {
+    /// A response from a lagging replica of the service, or a delayed one, would otherwise
+    /// bring back a former owner.
+    pub fn apply_listing(&mut self, listing: &Listing) -> bool {
+        if listing.revision < self.read_revision && self.guards.is_enabled(Guard::StaleRead) {
             return false;
         }
-        self.read_up_to = listing.revision;
-        self.read = true;
+        self.read_revision = listing.revision;
+        self.has_read = true;
         self.version += 1;
-        // This node may have written since the read was made; its answer must not
-        // undo what came after.
+        // Entries that are newer than the read, such as this node's own later writes, stay.
         let as_of = listing.revision;
         self.claims.retain(|_, claim| claim.token > as_of);
         self.registrations
             .retain(|_, record| record.revision > as_of);
-        let before = std::mem::take(&mut self.nodes);
+        let previous = std::mem::take(&mut self.nodes);
         for entry in &listing.entries {
             self.put(&entry.key, &entry.value, entry.revision);
         }
-        for (name, mut record) in before {
+        for (name, mut record) in previous {
             let newer = record.revision > as_of;
             if newer || !self.nodes.contains_key(&name) {
                 if !newer && !record.gone {
@@ -141,32 +142,33 @@
                 self.nodes.insert(name, record);
             }
         }
-        self.forget_ended();
+        self.prune_tombstones();
         true
     }
 
-    /// Takes over one change that a watch saw. Returns false if it is old.
-    pub fn see(&mut self, event: &Event) -> bool {
-        if event.revision < self.read_up_to && self.guards.on(Guard::StaleRead) {
+    /// Applies a change reported by a watch. Returns false if it is older than what was read
+    /// before.
+    pub fn apply_event(&mut self, event: &Event) -> bool {
+        if event.revision < self.read_revision && self.guards.is_enabled(Guard::StaleRead) {
             return false;
         }
-        self.read_up_to = event.revision;
+        self.read_revision = event.revision;
         self.version += 1;
         match &event.entry {
             Some(entry) => self.put(&entry.key, &entry.value, entry.revision),
             None => self.remove(&event.key, event.revision),
         }
-        self.forget_ended();
+        self.prune_tombstones();
         true
     }
 
-    /// Takes over a claim that this node wrote itself, or that a peer knows of.
+    /// Merges a claim that this node wrote, or that a peer knows of.
     ///
-    /// Returns whether it was news. What this node read for itself is complete
-    /// up to [`Table::read_up_to`], so an older claim can only be one that ended.
-    pub fn learn_claim(&mut self, claim: Claim) -> bool {
+    /// Returns whether the table changed. What this node has read is complete up to
+    /// [`MembershipTable::read_revision`], so an unknown older claim is one that has ended.
+    pub fn merge_claim(&mut self, claim: Claim) -> bool {
         let known = self.claims.get(&claim.upstream).map(|known| known.token);
-        if claim.token <= known.unwrap_or(self.read_up_to) {
+        if claim.token <= known.unwrap_or(self.read_revision) {
             return false;
         }
         self.claims.insert(claim.upstream.clone(), claim);
@@ -174,39 +176,40 @@
         true
     }
 
-    /// Takes over a record that this node wrote itself, or that a peer knows of.
-    pub fn learn_record(&mut self, record: Record) -> bool {
+    /// Merges a record that this node wrote, or that a peer knows of. Returns whether the table
+    /// changed.
+    pub fn merge_record(&mut self, record: Record) -> bool {
         let known = self
             .nodes
             .get(&record.identity.name)
             .map_or(0, |r| r.revision);
-        if record.revision <= known.max(self.read_up_to) {
+        if record.revision <= known.max(self.read_revision) {
             return false;
         }
         self.nodes.insert(record.identity.name.clone(), record);
         self.version += 1;
-        self.forget_ended();
+        self.prune_tombstones();
         true
     }
 
-    /// Takes over a registration, unless a newer one is known.
-    pub fn learn_registration(&mut self, record: Record) {
-        let start = (record.identity.name.clone(), record.identity.incarnation);
-        let known = self.registrations.get(&start).map_or(0, |r| r.revision);
+    /// Merges a registration, unless a newer one is known.
+    pub fn merge_registration(&mut self, record: Record) {
+        let key = (record.identity.name.clone(), record.identity.incarnation);
+        let known = self.registrations.get(&key).map_or(0, |r| r.revision);
         if record.revision > known {
-            self.registrations.insert(start, record);
+            self.registrations.insert(key, record);
         }
     }
 
-    /// Returns the largest revision of any entry.
+    /// Returns the largest revision of any claim or record.
     #[must_use]
-    pub fn newest(&self) -> u64 {
+    pub fn max_revision(&self) -> u64 {
         let claims = self.claims.values().map(|claim| claim.token);
         let nodes = self.nodes.values().map(|record| record.revision);
         claims.chain(nodes).max().unwrap_or(0)
     }
 
-    /// Returns a digest of the claims and records that peers compare.
+    /// Returns a digest of the claims and live records, by which peers find differences.
     #[must_use]
     pub fn digest(&self) -> u64 {
         let mut hasher = Xxh3::new();
@@ -214,7 +217,7 @@
             hasher.update(claim.upstream.as_bytes());
             hasher.update(&claim.token.to_le_bytes());
         }
-        for record in self.live() {
+        for record in self.live_records() {
             hasher.update(record.identity.name.as_bytes());
             hasher.update(&record.revision.to_le_bytes());
         }
@@ -233,7 +236,7 @@
             }
             Some(Key::Registration(..)) => {
                 if let Some(record) = Record::from_value(value, revision) {
-                    self.learn_registration(record);
+                    self.merge_registration(record);
                 }
             }
             Some(Key::Claim(upstream)) => {
@@ -259,13 +262,13 @@
                 }
             }
             Some(Key::Registration(name, incarnation)) => {
-                let start = (Name::from(name), incarnation);
+                let key = (Name::from(name), incarnation);
                 if self
                     .registrations
-                    .get(&start)
+                    .get(&key)
                     .is_some_and(|r| r.revision < revision)
                 {
-                    self.registrations.remove(&start);
+                    self.registrations.remove(&key);
                 }
             }
             Some(Key::Claim(upstream)) => {
@@ -282,18 +285,18 @@
         }
     }
 
-    fn forget_ended(&mut self) {
+    fn prune_tombstones(&mut self) {
         let mut ended: Vec<u64> = self
             .nodes
             .values()
             .filter(|record| record.gone)
             .map(|record| record.revision)
             .collect();
-        if ended.len() <= ENDED_KEPT {
+        if ended.len() <= MAX_TOMBSTONES {
             return;
         }
         ended.sort_unstable();
-        let oldest = ended[ended.len() - ENDED_KEPT];
+        let oldest = ended[ended.len() - MAX_TOMBSTONES];
         self.nodes
             .retain(|_, record| !record.gone || record.revision >= oldest);
     }
--- a/lib/src/node/assembly.rs
+++ b/lib/src/node/assembly.rs
@@ -41,7 +41,7 @@
 /// Parts whose state is spread between nodes.
 struct Shares<'a> {
     config: &'a Arc<config::ConfigManager>,
-    membership: &'a Arc<membership::Keeper>,
+    membership: &'a Arc<membership::MembershipManager>,
     quarantine: &'a Arc<entry::Quarantine>,
 }
 
@@ -60,10 +60,10 @@
     base: Base,
     pub(super) registry: Arc<Registry>,
     clients: Arc<Clients>,
-    loads: Arc<loads::Shared>,
-    gossip: Arc<gossip::Keeper>,
+    loads: Arc<loads::SharedPermitQueue>,
+    gossip: Arc<gossip::Gossiper>,
     pub(super) config: Arc<config::ConfigManager>,
-    pub(super) membership: Arc<membership::Keeper>,
+    pub(super) membership: Arc<membership::MembershipManager>,
     quarantine: Arc<entry::Quarantine>,
 }
 
@@ -84,16 +84,16 @@
             metrics,
             stop,
         };
-        let permits = Deferred::<dyn loads::Permits>::default();
-        let detector = Deferred::<dyn membership::Detector>::default();
-        let peers = Deferred::<dyn gossip::Peers>::default();
-        let decisions = Deferred::<dyn owner::Decisions>::default();
-        let registry = Registry::start(base.owner(&permits, &detector, &decisions));
+        let permits = Deferred::<dyn loads::PermitSource>::default();
+        let detector = Deferred::<dyn membership::FailureDetector>::default();
+        let peers = Deferred::<dyn gossip::PeerSource>::default();
+        let routing = Deferred::<dyn owner::RoutingCheck>::default();
+        let registry = Registry::start(base.owner(&permits, &detector, &routing));
         let clients = Clients::new(base.clients(&registry, security));
         let config = config::ConfigManager::start(base.config(&registry, &peers));
         let membership = base.membership(&config, &registry, &clients);
-        let loads = loads::Shared::start(base.loads(&membership, &clients));
-        decisions.get_or_init(|| Arc::clone(&config) as _);
+        let loads = loads::SharedPermitQueue::start(base.loads(&membership, &clients));
+        routing.get_or_init(|| Arc::clone(&config) as _);
         permits.get_or_init(|| Arc::clone(&loads) as _);
         detector.get_or_init(|| Arc::clone(&membership) as _);
         peers.get_or_init(|| Arc::clone(&membership) as _);
@@ -103,7 +103,7 @@
             membership: &membership,
             quarantine: &quarantine,
         };
-        let gossip = gossip::Keeper::start(base.gossip(&shares, &clients));
+        let gossip = gossip::Gossiper::start(base.gossip(&shares, &clients));
         Self {
             base,
             registry,
@@ -145,9 +145,9 @@
         server::Handlers {
             runner: Arc::clone(&self.registry) as _,
             exchange: Arc::clone(&self.gossip) as _,
-            renewal: Arc::clone(&self.membership) as _,
+            vote_handler: Arc::clone(&self.membership) as _,
             snapshot: Arc::clone(&self.config) as _,
-            permits: self.loads.served(),
+            permits: self.loads.for_peers(),
             clock: Arc::clone(&base.clock),
             metrics: Arc::clone(&base.metrics),
             limits: limits::peer(&base.settings),
@@ -178,15 +178,15 @@
 impl Base {
     fn owner(
         &self,
-        permits: &Deferred<dyn loads::Permits>,
-        detector: &Deferred<dyn membership::Detector>,
-        decisions: &Deferred<dyn owner::Decisions>,
-    ) -> owner::Parts {
-        owner::Parts {
+        permits: &Deferred<dyn loads::PermitSource>,
+        detector: &Deferred<dyn membership::FailureDetector>,
+        routing: &Deferred<dyn owner::RoutingCheck>,
+    ) -> owner::Dependencies {
+        owner::Dependencies {
             connector: Arc::new(upstream::Connector::new(upstream::Limits::default())),
             permits: Arc::clone(permits) as _,
             detector: Some(Arc::clone(detector) as _),
-            decisions: Arc::clone(decisions) as _,
+            routing: Arc::clone(routing) as _,
             clock: Arc::clone(&self.clock),
             metrics: Arc::clone(&self.metrics),
             limits: limits::owner(&self.settings),
@@ -207,7 +207,7 @@
     fn config(
         &self,
         registry: &Arc<Registry>,
-        peers: &Deferred<dyn gossip::Peers>,
+        peers: &Deferred<dyn gossip::PeerSource>,
     ) -> config::Dependencies {
         config::Dependencies {
             node: Arc::clone(&self.identity.name),
@@ -231,8 +231,8 @@
         config: &Arc<config::ConfigManager>,
         registry: &Arc<Registry>,
         clients: &Arc<Clients>,
-    ) -> Arc<membership::Keeper> {
-        let parts = membership::Parts {
+    ) -> Arc<membership::MembershipManager> {
+        let parts = membership::Dependencies {
             identity: self.identity.clone(),
             store: Arc::clone(&self.platform.store) as _,
             lease: Arc::clone(&self.platform.store) as _,
@@ -240,19 +240,23 @@
             directory: Arc::clone(&self.platform.directory) as _,
             adopter: Arc::clone(registry) as _,
             view: config.view(),
-            relay: Arc::clone(clients) as _,
+            vote_client: Arc::clone(clients) as _,
             clock: Arc::clone(&self.clock),
             metrics: Arc::clone(&self.metrics),
             limits: limits::membership(&self.settings),
             prefix: Arc::clone(&self.settings.platform.prefix),
             seed: seed(),
-            seeds: self.settings.platform.seeds.clone(),
+            seed_peers: self.settings.platform.seeds.clone(),
         };
-        membership::Keeper::start(parts, self.stop.clone())
+        membership::MembershipManager::start(parts, self.stop.clone())
     }
 
-    fn loads(&self, membership: &membership::Keeper, clients: &Arc<Clients>) -> loads::Parts {
-        loads::Parts {
+    fn loads(
+        &self,
+        membership: &membership::MembershipManager,
+        clients: &Arc<Clients>,
+    ) -> loads::Dependencies {
+        loads::Dependencies {
             node: Arc::clone(&self.identity.name),
             fleet: membership.fleet(),
             clients: Arc::clone(clients),
@@ -268,23 +272,23 @@
         entry::Quarantine::new(start.into(), clock, Arc::clone(&self.metrics))
     }
 
-    fn gossip(&self, shares: &Shares<'_>, clients: &Arc<Clients>) -> gossip::Parts {
+    fn gossip(&self, shares: &Shares<'_>, clients: &Arc<Clients>) -> gossip::Dependencies {
         let Shares {
             config,
             membership,
             quarantine,
         } = shares;
-        gossip::Parts {
+        gossip::Dependencies {
             node: Arc::clone(&self.identity.name),
             incarnation: self.identity.incarnation,
             region: Arc::clone(&self.identity.region),
-            shares: vec![
+            states: vec![
                 Arc::clone(config) as _,
                 Arc::clone(membership) as _,
                 Arc::clone(quarantine) as _,
             ],
-            news: vec![config.learned_revision(), quarantine.news()],
-            install: Arc::clone(config) as _,
+            changes: vec![config.learned_revision(), quarantine.news()],
+            installer: Arc::clone(config) as _,
             peers: Arc::clone(membership) as _,
             transport: Arc::clone(clients) as _,
             clock: Arc::clone(&self.clock),
--- a/lib/src/node/deferred.rs
+++ b/lib/src/node/deferred.rs
@@ -12,18 +12,21 @@
 use tokio::sync::watch;
 
 use crate::error::{Code, Failure};
-use crate::gossip::{Peer, Peers};
-use crate::loads::{Ask, Permit, Permits};
-use crate::membership::Detector;
-use crate::owner::Decisions;
+use crate::gossip::{Peer, PeerSource};
+use crate::loads::{Permit, PermitRequest, PermitSource};
+use crate::membership::FailureDetector;
+use crate::owner::RoutingCheck;
 use crate::request::Ticket;
 
 /// A part that is set once, in the node's start.
 pub type Deferred<T> = Arc<OnceLock<Arc<T>>>;
 
 #[async_trait]
-impl Permits for OnceLock<Arc<dyn Permits>> {
-    async fn acquire(&self, ask: watch::Receiver<Ask>) -> Result<Box<dyn Permit>, Failure> {
+impl PermitSource for OnceLock<Arc<dyn PermitSource>> {
+    async fn acquire(
+        &self,
+        ask: watch::Receiver<PermitRequest>,
+    ) -> Result<Box<dyn Permit>, Failure> {
         match self.get() {
             Some(permits) => permits.acquire(ask).await,
             None => Err(Failure::new(Code::NotReady, "the node is starting")),
@@ -31,27 +34,27 @@
     }
 }
 
-impl Detector for OnceLock<Arc<dyn Detector>> {
-    fn failed(&self, upstream: &str) {
+impl FailureDetector for OnceLock<Arc<dyn FailureDetector>> {
+    fn record_failure(&self, upstream: &str) {
         if let Some(detector) = self.get() {
-            detector.failed(upstream);
+            detector.record_failure(upstream);
         }
     }
 
-    fn answered(&self, upstream: &str) {
+    fn record_success(&self, upstream: &str) {
         if let Some(detector) = self.get() {
-            detector.answered(upstream);
+            detector.record_success(upstream);
         }
     }
 }
 
-impl Decisions for OnceLock<Arc<dyn Decisions>> {
-    fn holds(&self, ticket: &Ticket) -> bool {
-        self.get().is_none_or(|decisions| decisions.holds(ticket))
+impl RoutingCheck for OnceLock<Arc<dyn RoutingCheck>> {
+    fn is_current(&self, ticket: &Ticket) -> bool {
+        self.get().is_none_or(|routing| routing.is_current(ticket))
     }
 }
 
-impl Peers for OnceLock<Arc<dyn Peers>> {
+impl PeerSource for OnceLock<Arc<dyn PeerSource>> {
     fn peers(&self) -> Vec<Peer> {
         self.get().map_or_else(Vec::new, |peers| peers.peers())
     }
--- a/lib/src/node/limits.rs
+++ b/lib/src/node/limits.rs
@@ -35,11 +35,11 @@
     let policy = &settings.policy;
     owner::Limits {
         machine: policy::upstream::Limits {
-            queue: settings.limits.queue,
+            max_queued: settings.limits.queue,
             batch_weight: policy.batch_weight,
             load_time: Millis(KILOSECOND / u64::from(policy.loads_per_kilosecond.max(1))),
-            first_token: policy.first_token,
-            between_tokens: policy.between_tokens,
+            first_token_target: policy.first_token,
+            between_tokens_target: policy.between_tokens,
             ..policy::upstream::Limits::default()
         },
         ..owner::Limits::default()
@@ -50,10 +50,10 @@
 pub fn membership(settings: &Settings) -> membership::Limits {
     let platform = &settings.platform;
     membership::Limits {
-        lease: platform.lease,
+        min_lease_ttl: platform.lease,
         lease_writes_per_second: platform.lease_writes_per_second,
-        directory_poll: platform.directory_poll,
-        release: settings.limits.drain_limit,
+        directory_poll_interval: platform.directory_poll,
+        release_timeout: settings.limits.drain_limit,
         ..membership::Limits::default()
     }
 }
@@ -69,7 +69,7 @@
 /// Returns the exchange's times.
 pub fn gossip(settings: &Settings) -> gossip::Limits {
     gossip::Limits {
-        period: settings.platform.gossip,
+        interval: settings.platform.gossip,
         ..gossip::Limits::default()
     }
 }
--- a/lib/src/node/mod.rs
+++ b/lib/src/node/mod.rs
@@ -71,7 +71,7 @@
 #[derive(Debug)]
 pub struct Node {
     limits: settings::Limits,
-    membership: Arc<membership::Keeper>,
+    membership: Arc<membership::MembershipManager>,
     config: Arc<config::ConfigManager>,
     registry: Arc<Registry>,
     metrics: Arc<Metrics>,
@@ -180,7 +180,7 @@
 
     /// Returns the node's membership.
     #[must_use]
-    pub fn membership(&self) -> &Arc<membership::Keeper> {
+    pub fn membership(&self) -> &Arc<membership::MembershipManager> {
         &self.membership
     }
 
@@ -215,7 +215,7 @@
         tokio::join!(
             self.serving.wait(),
             self.membership.drain(limit),
-            self.registry.ended()
+            self.registry.wait_until_idle()
         );
         // What has ended here may still wait for an entry node whose caller reads
         // slowly; it would look cut there if this node's connections broke now.
--- a/lib/src/owner/mod.rs
+++ b/lib/src/owner/mod.rs
@@ -1,61 +1,62 @@
-//! The upstreams that this node owns: one actor for each, so that slots, pins
-//! and eviction rest on exact knowledge.
+//! The upstreams that this node owns, with one actor per upstream.
 //!
-//! A request's bytes never pass through the actor. It decides and gives a
-//! place; the request's own task speaks to the upstream and gives the place up
-//! when it ends, however it ends. See docs/design/0001-one-owner-per-upstream.md.
+//! A single owner knows an upstream's slots and pins exactly and bases evictions on
+//! them. A request's bytes never pass through the actor. It queues requests and
+//! grants their start; the request's own task then talks to the upstream, and its
+//! `RequestGuard` reports the end to the actor however the task
+//! ends. See docs/design/0001-one-owner-per-upstream.md.
 
 mod actor;
 mod body;
-mod check;
 mod driver;
-mod event;
-mod events;
+mod event_rewriter;
 mod foreign;
 mod health;
 mod load;
-mod place;
 mod registry;
-mod report;
+mod report_poller;
+mod request_guard;
+mod response_check;
 mod run;
 mod status;
+mod task_event;
 
-pub use registry::{Decisions, Parts, Registry};
-pub use run::Waits;
+pub use registry::{Dependencies, Registry, RoutingCheck};
+pub use run::WaitTimes;
 pub use status::{Slot, Status};
 
 use crate::clock::Millis;
 use crate::policy;
 
-/// Bounds of owning upstreams.
+/// Capacities, intervals and timeouts of owned upstreams.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Limits {
-    /// Bounds of the decisions; slots and batch come from each pool's declaration.
+    /// Limits of each upstream's state machine; slots and batch come from the pool's declaration.
     pub machine: policy::upstream::Limits,
-    /// Messages that wait for one upstream's actor before more are refused.
-    pub mailbox: usize,
-    /// Time between two questions to an engine about what it holds.
-    pub report_period: Millis,
-    /// Longest time to such an answer.
+    /// Most messages queued for one upstream's actor; more are refused.
+    pub mailbox_capacity: usize,
+    /// Interval between an engine's reports.
+    pub report_interval: Millis,
+    /// Longest time to wait for a report.
     pub report_timeout: Millis,
-    /// Longest time of one load or unload.
+    /// Longest time for one load or unload.
     pub load_timeout: Millis,
-    /// Failed connections in a row after which the upstream gets no work until it answers again.
-    pub failures: u32,
-    /// Largest whole answer of a completion, in bytes.
-    pub answer_bytes: usize,
+    /// Consecutive failures after which the upstream gets no work for a backoff.
+    pub failure_threshold: u32,
+    /// Largest unstreamed response of a completion, in bytes.
+    pub max_response_bytes: usize,
 }
 
 impl Default for Limits {
     fn default() -> Self {
         Self {
             machine: policy::upstream::Limits::default(),
-            mailbox: 1024,
-            report_period: Millis::from_secs(1),
+            mailbox_capacity: 1024,
+            report_interval: Millis::from_secs(1),
             report_timeout: Millis::from_secs(1),
             load_timeout: Millis::from_secs(30),
-            failures: 3,
-            answer_bytes: 16 << 20,
+            failure_threshold: 3,
+            max_response_bytes: 16 << 20,
         }
     }
 }
--- a/lib/src/peer/client.rs
+++ b/lib/src/peer/client.rs
@@ -17,9 +17,9 @@
 use crate::clock::{Clock, Millis};
 use crate::error::Failure;
 use crate::gossip::{Peer, Transport};
-use crate::membership::Relay;
+use crate::membership::VoteClient;
 use crate::membership::fleet::Owner;
-use crate::membership::witness::{Ask, Vote};
+use crate::membership::witness::{Vote, VoteRequest};
 use crate::metrics::Metrics;
 use crate::name::Name;
 use crate::runner::{Reach, Runner};
@@ -165,8 +165,8 @@
 }
 
 #[async_trait]
-impl Relay for Clients {
-    async fn renew(&self, peer: SocketAddr, ask: Ask) -> Option<Vote> {
+impl VoteClient for Clients {
+    async fn request_vote(&self, peer: SocketAddr, ask: VoteRequest) -> Option<Vote> {
         let link = self.link(peer);
         let way = link.way().ok()?;
         let mut client = way.client();
--- a/lib/src/peer/permit.rs
+++ b/lib/src/peer/permit.rs
@@ -17,7 +17,7 @@
 use crate::adapter::Adapter;
 use crate::clock::Millis;
 use crate::error::{Code, Failure};
-use crate::loads::{Ask, Permit, Permits};
+use crate::loads::{Permit, PermitRequest, PermitSource};
 use crate::metrics::Metrics;
 use crate::request::Class;
 use crate::schema::peer::{PermitAsk, PermitDone, PermitDown, PermitUp, permit_up};
@@ -30,7 +30,7 @@
 /// Serves one ask: waits for leave and then for how the load ended.
 pub(super) async fn serve(
     mut up: Streaming<PermitUp>,
-    permits: Arc<dyn Permits>,
+    permits: Arc<dyn PermitSource>,
     metrics: Arc<Metrics>,
 ) -> Result<BoxStream<'static, Result<PermitDown, Status>>, Status> {
     let first = next(&mut up, &metrics).await?;
@@ -38,7 +38,7 @@
         return Err(Status::invalid_argument("a stream begins with an ask"));
     };
     let load_id = ask.load_id;
-    let (asks, changes) = watch::channel(Ask::from(ask));
+    let (asks, changes) = watch::channel(PermitRequest::from(ask));
     let granted = async move {
         let acquired = {
             let acquire = permits.acquire(changes);
@@ -120,8 +120,11 @@
 }
 
 #[async_trait]
-impl Permits for Remote {
-    async fn acquire(&self, ask: watch::Receiver<Ask>) -> Result<Box<dyn Permit>, Failure> {
+impl PermitSource for Remote {
+    async fn acquire(
+        &self,
+        ask: watch::Receiver<PermitRequest>,
+    ) -> Result<Box<dyn Permit>, Failure> {
         let link = self.clients.link(self.address);
         let way = link.way()?;
         let mut client = way.client();
@@ -175,7 +178,7 @@
     }
 }
 
-impl From<PermitAsk> for Ask {
+impl From<PermitAsk> for PermitRequest {
     fn from(ask: PermitAsk) -> Self {
         Self {
             upstream: ask.upstream.into(),
@@ -188,13 +191,13 @@
             waiters: ask.waiters,
             weight: ask.weight,
             waited: Millis(ask.waited_ms),
-            gain: Millis(ask.gain_ms),
+            stall_savings: Millis(ask.gain_ms),
         }
     }
 }
 
-impl From<Ask> for PermitAsk {
-    fn from(ask: Ask) -> Self {
+impl From<PermitRequest> for PermitAsk {
+    fn from(ask: PermitRequest) -> Self {
         Self {
             load_id: 0,
             upstream: ask.upstream.to_string(),
@@ -205,7 +208,7 @@
             waiters: ask.waiters,
             weight: ask.weight,
             waited_ms: ask.waited.0,
-            gain_ms: ask.gain.0,
+            gain_ms: ask.stall_savings.0,
         }
     }
 }
--- a/lib/src/policy/upstream/admit.rs
+++ b/lib/src/policy/upstream/admit.rs
@@ -1,30 +1,33 @@
-//! Who is let in to wait: admission, passing on, giving way.
+//! Admission of requests to an upstream's queue: admitting, passing on and shedding.
 
 use super::{Action, Machine};
 use crate::adapter::Adapter;
 use crate::clock::Millis;
 use crate::error::{Code, Failure};
-use crate::policy::demand::{float, millis};
-use crate::policy::queue::{self, Entry};
+use crate::policy::demand::{to_f64, to_millis};
+use crate::policy::queue::{self, QueuedRequest};
 use crate::request::{Class, Ticket};
 use crate::runner::Share;
 
-/// How long an adapter that was passed on stays passed on, so that all its
-/// requests meet at one upstream and share its load there.
-const PASS_FOR: Millis = Millis::from_secs(300);
-/// A slot's adapter must be in this many times the newcomer's demand for the newcomer to be
-/// passed on: its own callers would stall for longer than the newcomer's go on waiting.
-const PASS_RATIO: f64 = 2.0;
-/// An adapter that was passed on is taken back when a slot's is in less than this share of its demand.
+/// How long an adapter stays passed on, so that all its requests arrive at one other
+/// upstream and share a load there.
+const PASS_ON_DURATION: Millis = Millis::from_secs(300);
+/// A request is passed on if the adapter of every slot has more than this many times the
+/// demand of the requested one: the callers of the evicted adapter would then stall for
+/// longer than those of the requested one wait elsewhere.
+const PASS_ON_DEMAND_RATIO: f64 = 2.0;
+/// An adapter that was passed on is accepted again if a slot's adapter has less than this
+/// share of its demand.
 ///
-/// Between the two ratios it stays where it is, or it would go to and fro, at a load each time.
-const BACK_RATIO: f64 = 0.25;
+/// The gap between the two ratios is a hysteresis: without it, an adapter would move back
+/// and forth between upstreams, with a load for each move.
+const RECLAIM_DEMAND_RATIO: f64 = 0.25;
 
-/// From this part of a full batch on another upstream may be clearly faster.
-const SLOWING: usize = 4;
+/// Above this fraction of a full batch (one n-th), another upstream may be clearly faster.
+const SLOWDOWN_BATCH_DIVISOR: usize = 4;
 
 impl Machine {
-    /// Takes a request in, passes it on, or refuses it.
+    /// Admits a request to the queue, passes it on, or refuses it.
     pub(super) fn admit(
         &mut self,
         ticket: Ticket,
@@ -36,7 +39,7 @@
         if let Some(adapter) = &ticket.adapter {
             self.forecast.record(adapter, ticket.class, now);
         }
-        if let Err(failure) = self.check(&ticket, share, last, now) {
+        if let Err(failure) = self.check_admission(&ticket, share, last, now) {
             let id = ticket.id;
             actions.push(Action::Refuse { id, failure });
             return;
@@ -50,28 +53,29 @@
         let ready = adapter
             .as_ref()
             .is_none_or(|adapter| self.slots.is_resident(adapter));
-        self.queue.push(Entry::new(ticket, share, now), ready);
+        self.queue
+            .push(QueuedRequest::new(ticket, share, now), ready);
         if let Some(adapter) = adapter.filter(|_| !ready) {
-            self.want(&adapter);
-            self.refresh(&adapter, now, actions);
+            self.mark_wanted(&adapter);
+            self.update_permit_request(&adapter, now, actions);
         }
     }
 
-    /// Says whether a request may wait here.
-    fn check(
+    /// Checks whether a request may wait here.
+    fn check_admission(
         &mut self,
         ticket: &Ticket,
         share: Share,
         last: bool,
         now: Millis,
     ) -> Result<(), Failure> {
-        if self.leaving {
+        if self.closed {
             return Err(Failure::new(
                 Code::UpstreamLeaving,
                 "the upstream takes no new work",
             ));
         }
-        let queued = self.queue.of_account(&ticket.account);
+        let queued = self.queue.waiting_of_account(&ticket.account);
         if share.max_queued > 0 && queued >= share.max_queued {
             return Err(self.refusal(Code::AccountLimit, "the account's waiting requests", ticket));
         }
@@ -79,22 +83,22 @@
         if last {
             return Ok(());
         }
-        self.check_passing(ticket, now)
+        self.check_pass_on(ticket, now)
     }
 
-    /// Refuses what can't be answered in time: it would take a place, and
-    /// perhaps a load, from a request that can.
+    /// Refuses a request that can't be answered before its deadline: it would take
+    /// capacity, and perhaps a load, from one that can.
     fn check_deadline(&self, ticket: &Ticket, last: bool, now: Millis) -> Result<(), Failure> {
         let left = ticket.deadline.since(now);
-        let service = self.pace.service(queue::cost(ticket));
+        let service = self.service.service_time(queue::cost(ticket));
         let load = match &ticket.adapter {
             Some(adapter) if !self.slots.is_resident(adapter) => self.limits.load_time,
             _ => Millis::ZERO,
         };
-        let wait = self.wait(ticket.class).max(load);
-        // The estimate of the service is a mean; half of it is what a short
-        // request may need. One that is refused here would miss its deadline, and take a
-        // place from one that can keep its own.
+        let wait = self.expected_wait(ticket.class).max(load);
+        // The service time is an average, and a short request may need only half of it. A
+        // request refused here would miss its deadline and take capacity from one that can
+        // meet its own.
         if wait + Millis(service.0 / 2) < left {
             return Ok(());
         }
@@ -106,18 +110,18 @@
         Err(self.refusal(code, "the wait exceeds the deadline", ticket))
     }
 
-    /// Passes on what another upstream serves cheaper.
-    fn check_passing(&mut self, ticket: &Ticket, now: Millis) -> Result<(), Failure> {
-        let wait = self.wait(ticket.class);
+    /// Passes on a request that another upstream can serve at a lower cost.
+    fn check_pass_on(&mut self, ticket: &Ticket, now: Millis) -> Result<(), Failure> {
+        let wait = self.expected_wait(ticket.class);
         let Some(adapter) = &ticket.adapter else {
-            return if wait > self.limits.first_token {
+            return if wait > self.limits.first_token_target {
                 Err(self.refusal(Code::PassedOn, "the upstream is busy", ticket))
             } else {
                 Ok(())
             };
         };
         if self.slots.state(adapter).is_some() {
-            let spill = self.spill_wait(ticket.class, self.forecast.rate(adapter, now));
+            let spill = self.spill_threshold(ticket.class, self.forecast.rate(adapter, now));
             if wait > spill || self.is_too_slow(ticket, now) {
                 return Err(self.refusal(Code::Busy, "the upstream is busy", ticket));
             }
@@ -126,13 +130,18 @@
         if self.queue.is_blocked(adapter) {
             return Ok(());
         }
-        let passed = self.forecast.is_passed(adapter, now);
-        let ratio = if passed { BACK_RATIO } else { PASS_RATIO };
+        let is_passed_on = self.forecast.is_passed_on(adapter, now);
+        let ratio = if is_passed_on {
+            RECLAIM_DEMAND_RATIO
+        } else {
+            PASS_ON_DEMAND_RATIO
+        };
         if self.has_cheap_slot(adapter, ratio, now) {
             return Ok(());
         }
-        if !passed {
-            self.forecast.pass(adapter, now + PASS_FOR);
+        if !is_passed_on {
+            self.forecast
+                .mark_passed_on(adapter, now + PASS_ON_DURATION);
         }
         Err(self.refusal(
             Code::PassedOn,
@@ -141,84 +150,85 @@
         ))
     }
 
-    /// Returns whether loading the adapter here costs little: an empty slot, or
-    /// one whose adapter isn't in much higher demand, in a batch with room.
+    /// Returns whether loading the adapter here is cheap: there is an empty slot, or one
+    /// whose adapter isn't in much higher demand, and the batch has room.
     fn has_cheap_slot(&self, adapter: &Adapter, ratio: f64, now: Millis) -> bool {
-        if self.running.len() >= self.places(Class::Bulk) as usize {
+        if self.running.len() >= self.max_running(Class::Bulk) as usize {
             return false;
         }
-        // Asks under way will take slots of their own.
-        let promised = self.asked.len();
-        if self.slots.len() + promised < self.limits.slots.unwrap_or(0) as usize
-            && ratio >= PASS_RATIO
+        // Pending permits will take slots too.
+        let pending = self.pending_permits.len();
+        if self.slots.len() + pending < self.limits.slots.unwrap_or(0) as usize
+            && ratio >= PASS_ON_DEMAND_RATIO
         {
             return true;
         }
-        let own = self.forecast.rate(adapter, now);
-        let price = self.victim(now).map(|(_, demand)| demand);
-        price.is_some_and(|price| price <= own * ratio)
+        let demand = self.forecast.rate(adapter, now);
+        let victim_demand = self.victim(now).map(|(_, demand)| demand);
+        victim_demand.is_some_and(|victim_demand| victim_demand <= demand * ratio)
     }
 
     /// Returns the expected wait of a ready request of this class.
-    pub(super) fn wait(&self, class: Class) -> Millis {
-        let room = self.places(class);
-        if self.running.len() < room as usize && self.queue.ready(class) == 0 {
+    pub(super) fn expected_wait(&self, class: Class) -> Millis {
+        let limit = self.max_running(class);
+        if self.running.len() < limit as usize && self.queue.ready_count(class) == 0 {
             return Millis::ZERO;
         }
-        self.pace
-            .backlog(self.queue.ready_cost(class), self.limits.batch)
+        self.service
+            .backlog_time(self.queue.ready_cost(class), self.limits.max_batch)
     }
 
-    /// Returns whether a fuller batch than needed makes the answer end after its deadline.
+    /// Returns whether the batch is so full that the response would end after the deadline.
     ///
-    /// Each request in the batch slows its steps, so an upstream that serves
-    /// fewer may still answer in time.
+    /// Each request in a batch slows down its steps, so an upstream with a smaller batch
+    /// may still meet the deadline.
     fn is_too_slow(&self, ticket: &Ticket, now: Millis) -> bool {
-        let batch = self.limits.batch as usize;
-        let service = self.pace.service(queue::cost(ticket));
-        self.running.len() * SLOWING > batch && now + service > ticket.deadline
+        let batch = self.limits.max_batch as usize;
+        let service = self.service.service_time(queue::cost(ticket));
+        self.running.len() * SLOWDOWN_BATCH_DIVISOR > batch && now + service > ticket.deadline
     }
 
-    /// Returns the wait above which a request had better go to a replica.
+    /// Returns the expected wait above which a request is better served by a replica.
     ///
-    /// A replica may have to load the adapter first. Demand that comes often
-    /// makes up for that load at once, so it spills early; rare demand waits as
-    /// long as a load takes. Weight on batches keeps bulk work together longer.
-    fn spill_wait(&self, class: Class, rate: f64) -> Millis {
-        let load = self.pace.load_wait(self.limits.load_time);
-        let comes = rate * float(load);
-        let shared = millis(float(load) / (1.0 + comes)).max(self.limits.load_time);
-        let held = 100 + u64::from(self.limits.batch_weight);
+    /// A replica may have to load the adapter first. Frequent requests amortize that load
+    /// quickly, so the threshold decreases with demand; for rare ones it is the wait for a
+    /// load. A higher batch weight keeps bulk work together for longer.
+    fn spill_threshold(&self, class: Class, rate: f64) -> Millis {
+        let load = self.service.load_wait(self.limits.load_time);
+        let requests_per_load = rate * to_f64(load);
+        let threshold =
+            to_millis(to_f64(load) / (1.0 + requests_per_load)).max(self.limits.load_time);
+        let batch_percent = 100 + u64::from(self.limits.batch_weight);
         match class {
-            Class::Bulk => Millis(shared.0 * held / 100),
-            _ => shared,
+            Class::Bulk => Millis(threshold.0 * batch_percent / 100),
+            _ => threshold,
         }
     }
 
-    /// Makes room in a full queue, by brownout order, or says why there is none.
+    /// Makes room in a full queue by shedding a request, or returns why there is no room.
     fn make_room(
         &mut self,
         ticket: &Ticket,
         now: Millis,
         actions: &mut Vec<Action>,
     ) -> Result<(), Failure> {
-        if self.queue.len() < self.limits.queue as usize {
+        if self.queue.len() < self.limits.max_queued as usize {
             return Ok(());
         }
-        let Some(id) = self.queue.gives_way(ticket.class, &ticket.account) else {
+        let Some(id) = self.queue.shed_candidate(ticket.class, &ticket.account) else {
             return Err(self.refusal(Code::QueueFull, "the queue is full", ticket));
         };
         if let Some(entry) = self.queue.remove(&id) {
             let failure = self.refusal(Code::Brownout, "the queue is full", &entry.ticket);
-            self.left(&entry, now, actions);
+            self.handle_departure(&entry, now, actions);
             actions.push(Action::Refuse { id, failure });
         }
         Ok(())
     }
 
-    /// Makes a refusal that says when a later try may succeed.
+    /// Creates a refusal with an estimate of when a retry may succeed.
     pub(super) fn refusal(&self, code: Code, detail: &str, ticket: &Ticket) -> Failure {
-        let wait = self.wait(ticket.class).max(self.limits.load_time);
+        let wait = self.expected_wait(ticket.class).max(self.limits.load_time);
         Failure::new(code, detail).retry_after(wait)
     }
 }
--- a/lib/tests/config_setup/mod.rs
+++ b/lib/tests/config_setup/mod.rs
@@ -13,7 +13,7 @@
 use chivevalve::config::prefetch::{Prefetch, UpcomingAdapter};
 use chivevalve::config::{self, Accepted, ChangeRequest, ConfigManager, Dependencies, Limits};
 use chivevalve::declaration::{self, DeclarationSet, SourceFile};
-use chivevalve::gossip::{Peer, Peers};
+use chivevalve::gossip::{Peer, PeerSource};
 use chivevalve::metrics::Metrics;
 use chivevalve::ports::{Error, Store as StorePort, Watch, Weights};
 use chivevalve_standins::store::Store;
@@ -23,7 +23,7 @@
 #[derive(Debug, Default)]
 pub struct FakePeers(pub Mutex<Vec<Peer>>);
 
-impl Peers for FakePeers {
+impl PeerSource for FakePeers {
     fn peers(&self) -> Vec<Peer> {
         self.0.lock().unwrap().clone()
     }
@@ -76,7 +76,7 @@
             store: Arc::clone(store) as Arc<dyn StorePort>,
             watch: Arc::clone(store) as Arc<dyn Watch>,
             weights: Arc::new(weights),
-            peers: Arc::clone(&peers) as Arc<dyn Peers>,
+            peers: Arc::clone(&peers) as Arc<dyn PeerSource>,
             prefetch: Arc::clone(&prefetched) as Arc<dyn Prefetch>,
             prefix: "t/".to_owned(),
             clock: Arc::new(Monotonic::start()),
--- a/lib/tests/direct_support/memory.rs
+++ b/lib/tests/direct_support/memory.rs
@@ -1,4 +1,4 @@
-//! The key-value service in memory, with the faults that tests need.
+//! An in-memory key-value service with the faults that tests need.
 
 use std::collections::BTreeMap;
 use std::sync::{Mutex, MutexGuard};
@@ -12,36 +12,36 @@
 };
 use tokio::sync::Notify;
 
-/// Longer than any caller waits.
-const PATIENCE: Millis = Millis::from_secs(10);
+/// Longer than any caller's timeout.
+const UNAVAILABLE_DELAY: Millis = Millis::from_secs(10);
 
-/// How long a caller waits for changes beyond the time that it offers to wait.
-const SLACK: Millis = Millis(700);
+/// How long a caller waits for changes beyond the poll's own wait.
+const POLL_SLACK: Millis = Millis(700);
 
-/// What the service holds.
+/// Contents of the service, and the faults that it simulates.
 #[derive(Debug, Default)]
 pub struct State {
     pub revision: u64,
     pub entries: BTreeMap<String, Entry>,
     pub events: Vec<Event>,
     pub leases: Vec<LeaseId>,
-    /// Calls fail while this is set.
-    pub away: bool,
-    /// Reads that begin while this is set never end.
-    pub silent: bool,
-    /// Listing what stands under this prefix takes so long.
-    pub slow: Option<(String, Millis)>,
-    /// Most changes in one answer.
-    pub longest: Option<usize>,
-    /// History up to here is gone.
-    pub compacted: u64,
-    /// Spans for which calls for changes offered to wait.
-    pub waits: Vec<Millis>,
+    /// While set, calls fail.
+    pub is_unavailable: bool,
+    /// While set, reads that start never return.
+    pub reads_hang: bool,
+    /// Makes listings under this prefix take this long.
+    pub slow_listing: Option<(String, Millis)>,
+    /// Maximum number of changes in one response.
+    pub max_changes: Option<usize>,
+    /// Revision up to which the history is compacted.
+    pub compacted_revision: u64,
+    /// Wait times of all polls for changes.
+    pub poll_waits: Vec<Millis>,
 }
 
-/// The service.
+/// The key-value service.
 #[derive(Debug, Default)]
-pub struct Memory {
+pub struct MemoryStore {
     state: Mutex<State>,
     changed: Notify,
 }
@@ -80,14 +80,14 @@
         });
     }
 
-    /// Drops all history, so that who asks for changes has to read everything anew.
+    /// Drops the history, so that callers that poll for changes have to list everything again.
     pub fn drop_history(&mut self) {
-        self.compacted = self.revision;
+        self.compacted_revision = self.revision;
         self.events.clear();
     }
 
-    /// Ends a lease with its keys.
-    pub fn end(&mut self, lease: LeaseId) {
+    /// Ends a lease and removes its keys.
+    pub fn end_lease(&mut self, lease: LeaseId) {
         self.leases.retain(|held| *held != lease);
         let keys: Vec<String> = self
             .entries
@@ -104,15 +104,15 @@
         condition.holds(self.entries.get(condition.key()))
     }
 
-    /// Returns what stands under the keys of conditions.
-    pub fn under(&self, conditions: &[Condition]) -> Vec<Entry> {
+    /// Returns the entries at the conditions' keys.
+    pub fn entries_of(&self, conditions: &[Condition]) -> Vec<Entry> {
         let keys = conditions.iter().map(Condition::key);
         keys.filter_map(|key| self.entries.get(key))
             .cloned()
             .collect()
     }
 
-    /// Makes a transaction; none means that a condition did not hold.
+    /// Commits a transaction and returns its revision; `None` if a condition did not hold.
     pub fn commit(&mut self, transaction: &Transaction) -> Option<u64> {
         if !transaction.conditions.iter().all(|one| self.holds(one)) {
             return None;
@@ -126,25 +126,25 @@
                 Write::Delete(key) => self.remove(key),
             }
         }
-        // One transaction has one revision, in its events too.
+        // All writes and events of a transaction have the same revision.
         for event in &mut self.events[before..] {
             event.revision = self.revision;
             if let Some(entry) = &mut event.entry {
-                stamp(entry, self.revision);
+                set_revision(entry, self.revision);
             }
         }
         for write in &transaction.writes {
             if let Write::Put(key, ..) = write
                 && let Some(entry) = self.entries.get_mut(key)
             {
-                stamp(entry, self.revision);
+                set_revision(entry, self.revision);
             }
         }
         Some(self.revision)
     }
 
     /// Returns changes under a prefix after a revision.
-    pub fn since(&self, prefix: &str, revision: u64) -> Vec<Event> {
+    pub fn changes_after(&self, prefix: &str, revision: u64) -> Vec<Event> {
         self.events
             .iter()
             .filter(|event| event.revision > revision && event.key.starts_with(prefix))
@@ -153,39 +153,39 @@
     }
 }
 
-/// Gives an entry the revision of the transaction that wrote it.
-fn stamp(entry: &mut Entry, revision: u64) {
+/// Sets an entry's revision to that of the transaction that wrote it.
+fn set_revision(entry: &mut Entry, revision: u64) {
     if entry.created == entry.revision {
         entry.created = revision;
     }
     entry.revision = revision;
 }
 
-impl Memory {
-    /// Locks what the service holds.
+impl MemoryStore {
+    /// Locks the contents.
     pub fn state(&self) -> MutexGuard<'_, State> {
         self.state.lock().unwrap()
     }
 
-    async fn silence(&self) {
-        if self.state().silent {
+    async fn hang_if_set(&self) {
+        if self.state().reads_hang {
             std::future::pending::<()>().await;
         }
     }
 
-    /// Changes what the service holds and wakes whoever waits for changes.
+    /// Changes the contents and wakes all polls.
     pub fn change<T>(&self, change: impl FnOnce(&mut State) -> T) -> T {
         let result = change(&mut self.state());
         self.changed.notify_waiters();
         result
     }
 
-    /// Waits until there are changes after a revision, or the time is over.
+    /// Waits until there are changes after a revision, for `span` at most.
     pub async fn wait(&self, prefix: &str, revision: u64, span: Millis) -> Vec<Event> {
         let end = tokio::time::Instant::now() + span.duration();
         loop {
             let changed = self.changed.notified();
-            let events = self.state().since(prefix, revision);
+            let events = self.state().changes_after(prefix, revision);
             if !events.is_empty() {
                 return events;
             }
@@ -195,29 +195,29 @@
         }
     }
 
-    fn reach(&self) -> Result<MutexGuard<'_, State>, Error> {
+    fn available_state(&self) -> Result<MutexGuard<'_, State>, Error> {
         let state = self.state();
-        if state.away {
-            return Err(Error::NoAnswer("the test took it away".to_owned()));
+        if state.is_unavailable {
+            return Err(Error::NoAnswer("unavailable in this test".to_owned()));
         }
         Ok(state)
     }
 }
 
 #[async_trait]
-impl Store for Memory {
+impl Store for MemoryStore {
     async fn get(&self, key: &str) -> Result<Option<Entry>, Error> {
-        self.silence().await;
-        Ok(self.reach()?.entries.get(key).cloned())
+        self.hang_if_set().await;
+        Ok(self.available_state()?.entries.get(key).cloned())
     }
 
     async fn list(&self, prefix: &str) -> Result<Listing, Error> {
-        self.silence().await;
-        let slow = self.state().slow.clone();
+        self.hang_if_set().await;
+        let slow = self.state().slow_listing.clone();
         if let Some((_, span)) = slow.filter(|(slow, _)| prefix.starts_with(slow.as_str())) {
             tokio::time::sleep(span.duration()).await;
         }
-        let state = self.reach()?;
+        let state = self.available_state()?;
         Ok(Listing {
             entries: state
                 .entries
@@ -231,11 +231,11 @@
 
     async fn commit(&self, transaction: Transaction) -> Result<Commit, Error> {
         let (revision, found) = {
-            let mut state = self.reach()?;
+            let mut state = self.available_state()?;
             let revision = state.commit(&transaction);
             let found = match revision {
                 Some(_) => Vec::new(),
-                None => state.under(&transaction.conditions),
+                None => state.entries_of(&transaction.conditions),
             };
             (revision, found)
         };
@@ -249,9 +249,9 @@
 }
 
 #[async_trait]
-impl Lease for Memory {
+impl Lease for MemoryStore {
     async fn grant(&self, _: Millis) -> Result<LeaseId, Error> {
-        let mut state = self.reach()?;
+        let mut state = self.available_state()?;
         state.revision += 1;
         let lease = LeaseId(i64::try_from(state.revision).unwrap());
         state.leases.push(lease);
@@ -259,56 +259,56 @@
     }
 
     async fn renew(&self, lease: LeaseId) -> Result<Millis, Error> {
-        if self.state().away {
-            // A service that is away takes the caller's whole patience.
-            tokio::time::sleep(PATIENCE.duration()).await;
+        if self.state().is_unavailable {
+            // Calls to a service that is unavailable run into the caller's timeout.
+            tokio::time::sleep(UNAVAILABLE_DELAY.duration()).await;
         }
-        let state = self.reach()?;
+        let state = self.available_state()?;
         let held = state.leases.contains(&lease);
         Ok(if held { Millis(3_000) } else { Millis::ZERO })
     }
 
     async fn revoke(&self, lease: LeaseId) -> Result<(), Error> {
-        self.reach()?.end(lease);
+        self.available_state()?.end_lease(lease);
         self.changed.notify_waiters();
         Ok(())
     }
 }
 
 #[async_trait]
-impl Poll for Memory {
+impl Poll for MemoryStore {
     async fn changes(
         &self,
         prefix: &str,
         revision: u64,
         wait: Millis,
     ) -> Result<Changes, poll::Error> {
-        let (away, compacted) = {
+        let (is_unavailable, compacted_revision) = {
             let mut state = self.state();
-            state.waits.push(wait);
-            (state.away, state.compacted)
+            state.poll_waits.push(wait);
+            (state.is_unavailable, state.compacted_revision)
         };
-        if away {
-            // A service that is away takes the caller's whole patience.
-            tokio::time::sleep((wait + SLACK).duration()).await;
-            return Err(Error::NoAnswer("the test took it away".to_owned()).into());
+        if is_unavailable {
+            // Calls to a service that is unavailable run into the caller's timeout.
+            tokio::time::sleep((wait + POLL_SLACK).duration()).await;
+            return Err(Error::NoAnswer("unavailable in this test".to_owned()).into());
         }
-        if revision < compacted {
+        if revision < compacted_revision {
             return Err(poll::Error::Compacted);
         }
         let mut events = self.wait(prefix, revision, wait).await;
-        if self.state().away {
-            // Nor does it answer what has waited since before.
-            tokio::time::sleep(SLACK.duration()).await;
-            return Err(Error::NoAnswer("the test took it away".to_owned()).into());
+        if self.state().is_unavailable {
+            // Polls that started before the outage get no response either.
+            tokio::time::sleep(POLL_SLACK.duration()).await;
+            return Err(Error::NoAnswer("unavailable in this test".to_owned()).into());
         }
         let state = self.state();
-        if revision < state.compacted {
+        if revision < state.compacted_revision {
             return Err(poll::Error::Compacted);
         }
-        let longest = state.longest.unwrap_or(usize::MAX);
-        let more = events.len() >= longest;
-        events.truncate(longest);
+        let max_changes = state.max_changes.unwrap_or(usize::MAX);
+        let more = events.len() >= max_changes;
+        events.truncate(max_changes);
         let last = events.last().filter(|_| more);
         Ok(Changes {
             revision: last.map_or(state.revision, |event| event.revision),
--- a/lib/tests/peer_fakes/mod.rs
+++ b/lib/tests/peer_fakes/mod.rs
@@ -7,11 +7,11 @@
 use async_trait::async_trait;
 use chivevalve::clock::{Clock, Millis, Monotonic};
 use chivevalve::error::{Code, Failure};
-use chivevalve::gossip::{Exchange, Snapshot};
+use chivevalve::gossip::{ExchangeHandler, SnapshotSource};
 use chivevalve::loads;
-use chivevalve::membership::Renewal;
+use chivevalve::membership::VoteHandler;
 use chivevalve::membership::fleet::Owner;
-use chivevalve::membership::witness::{Ask, Vote};
+use chivevalve::membership::witness::{Vote, VoteRequest};
 use chivevalve::metrics::Metrics;
 use chivevalve::peer::Limits;
 use chivevalve::peer::client::{self, Clients};
@@ -28,8 +28,8 @@
 pub struct Words;
 
 #[async_trait]
-impl Exchange for Words {
-    async fn exchange(&self, digest: Digest) -> Delta {
+impl ExchangeHandler for Words {
+    async fn handle_exchange(&self, digest: Digest) -> Delta {
         Delta {
             digest: Some(digest),
             ..Delta::default()
@@ -38,8 +38,8 @@
 }
 
 #[async_trait]
-impl Renewal for Words {
-    async fn renew(&self, ask: Ask) -> Vote {
+impl VoteHandler for Words {
+    async fn handle_vote_request(&self, ask: VoteRequest) -> Vote {
         Vote {
             renewed: false,
             supported: &*ask.node == "b",
@@ -48,7 +48,7 @@
     }
 }
 
-impl Snapshot for Words {
+impl SnapshotSource for Words {
     fn parts(&self) -> Box<dyn Iterator<Item = SnapshotPart> + Send> {
         Box::new(std::iter::repeat_n(SnapshotPart::default(), 3))
     }
@@ -83,10 +83,10 @@
     pub async fn secured(runner: Arc<dyn Runner>, security: Security) -> Self {
         let clock: Arc<dyn Clock> = Arc::new(Monotonic::start());
         let metrics = Arc::new(Metrics::new());
-        let queue = loads::Queue::start(
+        let queue = loads::PermitQueue::start(
             loads::Limits {
-                order: chivevalve::policy::loads::Limits::default(),
-                spacing: Millis::ZERO,
+                queue: chivevalve::policy::loads::Limits::default(),
+                min_start_interval: Millis::ZERO,
             },
             Arc::clone(&clock),
         );
@@ -95,7 +95,7 @@
         let handlers = Handlers {
             runner,
             exchange: Arc::new(Words),
-            renewal: Arc::new(Words),
+            vote_handler: Arc::new(Words),
             snapshot: Arc::new(Words),
             permits: Arc::new(queue),
             clock,
--- a/lib/tests/test_peer.rs
+++ b/lib/tests/test_peer.rs
@@ -12,9 +12,9 @@
 use chivevalve::error::{Code, Fate};
 use chivevalve::gossip::{Peer, Transport};
 use chivevalve::loads;
-use chivevalve::membership::Relay;
+use chivevalve::membership::VoteClient;
 use chivevalve::membership::fleet::{Fleet, Owner};
-use chivevalve::membership::witness::Ask;
+use chivevalve::membership::witness::VoteRequest;
 use chivevalve::peer::Clients;
 use chivevalve::ports::LeaseId;
 use chivevalve::runner::Reach;
@@ -502,7 +502,7 @@
     });
     let runner = clients().runner(&node.owner);
     let answer = runner.run(attempt("r1", "plans", true)).await.unwrap();
-    bench.registry.ended().await;
+    bench.registry.wait_until_idle().await;
     node.stop.cancel();
     tokio::time::sleep(Millis(500).duration()).await;
     assert!(!node.served.is_finished());
@@ -526,14 +526,14 @@
     };
     let delta = clients.exchange(&peer, digest.clone()).await.unwrap();
     assert_eq!(delta.digest, Some(digest));
-    let ask = Ask {
+    let ask = VoteRequest {
         node: "b".into(),
         incarnation: 1,
         lease: LeaseId(5),
         registration: 7,
         withdraw_before: Some(9),
     };
-    let vote = clients.renew(peer.address, ask).await.unwrap();
+    let vote = clients.request_vote(peer.address, ask).await.unwrap();
     assert!(vote.supported && vote.withdrawn && !vote.renewed);
     let parts = clients.snapshot(&peer).await.unwrap();
     assert_eq!(parts.count().await, 3);
@@ -542,23 +542,23 @@
     assert!(bytes.with_label_values(&["sent"]).get() > 0);
 }
 
-fn wanted(name: &str) -> watch::Receiver<loads::Ask> {
-    watch::Sender::new(loads::Ask {
+fn wanted(name: &str) -> watch::Receiver<loads::PermitRequest> {
+    watch::Sender::new(loads::PermitRequest {
         upstream: "engine-1".into(),
         adapter: owner_fakes::adapter(name),
         class: None,
         waiters: 1,
         weight: 1,
         waited: Millis::ZERO,
-        gain: Millis::ZERO,
+        stall_savings: Millis::ZERO,
     })
     .subscribe()
 }
 
-fn shared(clients: &Arc<Clients>, owner: &Owner) -> Arc<loads::Shared> {
-    let owners = [(loads::WEIGHTS.into(), Arc::new(owner.clone()))];
+fn shared(clients: &Arc<Clients>, owner: &Owner) -> Arc<loads::SharedPermitQueue> {
+    let owners = [(loads::WEIGHT_STORE.into(), Arc::new(owner.clone()))];
     let fleet = Fleet::new(Vec::new(), owners.into_iter().collect());
-    loads::Shared::start(loads::Parts {
+    loads::SharedPermitQueue::start(loads::Dependencies {
         node: "a".into(),
         fleet: watch::Sender::new(Arc::new(fleet)).subscribe(),
         clients: Arc::clone(clients),
@@ -573,12 +573,12 @@
     let node = Node::start(Arc::new(Nobody)).await;
     let (address, cut) = relay(node.owner.peer).await;
     let dying = shared(&clients(), &through(&node, address));
-    let leave = loads::Permits::acquire(&*dying, wanted("plans"))
+    let leave = loads::PermitSource::acquire(&*dying, wanted("plans"))
         .await
         .unwrap();
     cut.cancel();
     let living = shared(&clients(), &node.owner);
-    let next = loads::Permits::acquire(&*living, wanted("faults"))
+    let next = loads::PermitSource::acquire(&*living, wanted("faults"))
         .await
         .unwrap();
     next.done(true, Millis(300)).await;
@@ -591,7 +591,7 @@
     let (listener, owner) = listening().await;
     drop(listener);
     let shared = shared(&clients(), &owner);
-    let leave = loads::Permits::acquire(&*shared, wanted("plans"))
+    let leave = loads::PermitSource::acquire(&*shared, wanted("plans"))
         .await
         .unwrap();
     leave.done(true, Millis(300)).await;
@@ -602,7 +602,7 @@
 async fn permit_owner_silent() {
     let (listener, owner) = listening().await;
     let shared = shared(&impatient(), &owner);
-    let leave = loads::Permits::acquire(&*shared, wanted("plans"));
+    let leave = loads::PermitSource::acquire(&*shared, wanted("plans"));
     let leave = tokio::time::timeout(Millis::from_secs(30).duration(), leave).await;
     leave.unwrap().unwrap().done(true, Millis(300)).await;
     drop(listener);
