--- a/bench/src/fuzz_config/oracle.rs
+++ b/bench/src/fuzz_config/oracle.rs
@@ -7,7 +7,7 @@
 
 use chivevalve::config::layout::Layout;
 use chivevalve::config::{Accepted, Error};
-use chivevalve::declaration::Set;
+use chivevalve::declaration::DeclarationSet;
 use chivevalve::ports::Store as _;
 use chivevalve::schema::declaration::Operation;
 use chivevalve_standins::store::Store;
@@ -30,7 +30,7 @@
 #[derive(Debug, Clone)]
 pub struct Asked {
     pub expected: u64,
-    pub set: Set,
+    pub set: DeclarationSet,
     pub told: Told,
     /// How often it was asked for, with one identity.
     pub calls: u32,
@@ -38,7 +38,7 @@
 
 impl Asked {
     /// Makes a change that is to be asked for, on top of the revision that is expected.
-    pub fn new(expected: u64, set: Set) -> Self {
+    pub fn new(expected: u64, set: DeclarationSet) -> Self {
         Self {
             expected,
             set,
@@ -66,9 +66,9 @@
         let now = match answer {
             Ok(accepted) if accepted.differences == 0 && !accepted.already => Told::Unchanged,
             Ok(accepted) => Told::Accepted(accepted.revision),
-            Err(error) if error.is_final() => Told::Rejected,
+            Err(error) if error.is_permanently_rejected() => Told::Rejected,
             // The only call so far wrote nothing, so nothing is written.
-            Err(error) if error.is_certain() && asked.calls == 1 => Told::Rejected,
+            Err(error) if error.wrote_nothing() && asked.calls == 1 => Told::Rejected,
             Err(_) => Told::Open,
         };
         match (before, now) {
--- a/bench/src/fuzz_config/world.rs
+++ b/bench/src/fuzz_config/world.rs
@@ -5,7 +5,7 @@
 
 use chivevalve::clock::Millis;
 use chivevalve::config::{Accepted, Error, Limits};
-use chivevalve::declaration::Set;
+use chivevalve::declaration::DeclarationSet;
 use chivevalve::gossip;
 use chivevalve::schema::declaration::Template;
 use chivevalve_standins::store::Knobs;
@@ -91,7 +91,7 @@
         let way = Way {
             config: Limits {
                 // One watcher a region: more nodes depend on the exchange.
-                watchers: 1,
+                watchers_per_region: 1,
                 call_timeout: Millis(1_000),
                 ..Limits::default()
             },
@@ -190,7 +190,7 @@
     /// Asks for a change on top of what the node has learned.
     fn apply(&mut self, number: usize, edit: Edit) {
         let learned = self.nodes[number].site.config.learned();
-        let mut set = learned.set();
+        let mut set = learned.to_set();
         if set.is_empty() {
             set = base();
             set.templates.clear();
@@ -206,7 +206,7 @@
         let kept = self.oracle.asked.entry(id.clone());
         kept.or_insert_with(|| asked.clone()).calls += 1;
         self.answers.spawn(async move {
-            let order = Site::order("operator", &id, asked.expected);
+            let order = Site::change_request("operator", &id, asked.expected);
             let answer = config.apply(&order, &asked.set).await;
             (id, answer)
         });
@@ -234,7 +234,7 @@
         };
         let id = id.clone();
         let learned = self.nodes[number].site.config.learned();
-        let mut set = learned.set();
+        let mut set = learned.to_set();
         self.asked += 1;
         change(&mut set, edit, self.asked);
         let asked = Asked::new(learned.revision(), set);
@@ -265,7 +265,8 @@
                 .node(number, node.start, status.revision, status.learned)?;
             let view = node.site.config.learned();
             let written = operations.get(&view.revision());
-            let same = written.is_none_or(|written| written.view_digest == view.digest().bytes());
+            let same =
+                written.is_none_or(|written| written.view_digest == view.digest().to_bytes());
             if view.revision() > 0 && (written.is_none() || !same) {
                 return Err(format!(
                     "node {number} has a revision {} that nobody wrote",
@@ -320,7 +321,7 @@
 }
 
 /// Makes a change in a set of declarations.
-fn change(set: &mut Set, edit: Edit, number: u64) {
+fn change(set: &mut DeclarationSet, edit: Edit, number: u64) {
     match edit {
         Edit::Weight(template) => {
             let weight = u32::try_from(number % 1_000).unwrap_or_default() + 1;
@@ -350,7 +351,7 @@
     ("shop".to_owned(), format!("t{template}"))
 }
 
-fn put(set: &mut Set, template: usize) -> &mut Template {
+fn put(set: &mut DeclarationSet, template: usize) -> &mut Template {
     let name = format!("t{template}");
     set.templates
         .entry(key(template))
--- a/bench/src/spread/site.rs
+++ b/bench/src/spread/site.rs
@@ -8,9 +8,9 @@
 use async_trait::async_trait;
 use chivevalve::adapter::Adapter;
 use chivevalve::clock::{Clock, Millis, Monotonic};
-use chivevalve::config::prefetch::Idle;
-use chivevalve::config::{self, Accepted, Error as Refused, Order};
-use chivevalve::declaration::Set;
+use chivevalve::config::prefetch::NoPrefetch;
+use chivevalve::config::{self, Accepted, ChangeRequest, Error as Refused};
+use chivevalve::declaration::DeclarationSet;
 use chivevalve::gossip::{self, GossipState, Peer, PeerSource, SnapshotSource, Transport};
 use chivevalve::metrics::Metrics;
 use chivevalve::ports::{
@@ -145,7 +145,7 @@
 #[derive(Debug)]
 pub struct Site {
     pub peer: Peer,
-    pub config: Arc<config::Keeper>,
+    pub config: Arc<config::ConfigManager>,
     pub gossip: Option<Arc<gossip::Gossiper>>,
     pub transport: Arc<dyn Transport>,
     pub stop: CancellationToken,
@@ -182,14 +182,15 @@
             links: Arc::clone(&ground.links),
             own: peer.clone(),
         });
-        let peers: Arc<dyn PeerSource> = if way.gossip.is_some() || way.config.watchers > 0 {
-            Arc::new(Everyone {
-                links: Arc::clone(&ground.links),
-                own: Arc::clone(&peer.name),
-            })
-        } else {
-            Arc::new(Nobody)
-        };
+        let peers: Arc<dyn PeerSource> =
+            if way.gossip.is_some() || way.config.watchers_per_region > 0 {
+                Arc::new(Everyone {
+                    links: Arc::clone(&ground.links),
+                    own: Arc::clone(&peer.name),
+                })
+            } else {
+                Arc::new(Nobody)
+            };
         let access = ground.access(peer.address);
         let store = (Arc::clone(&access) as _, access as _);
         Self::over(ground, way, peer, incarnation, transport, peers, store)
@@ -208,14 +209,14 @@
         let stop = CancellationToken::new();
         let clock: Arc<dyn Clock> = Arc::new(Monotonic::start());
         let seed = ground.seed ^ u64::from(peer.address.port()) << 20 ^ incarnation;
-        let config = config::Keeper::start(config::Parts {
+        let config = config::ConfigManager::start(config::Dependencies {
             node: Arc::clone(&peer.name),
             region: Arc::clone(&peer.region),
             store,
             watch,
             weights: Arc::new(Full),
             peers: Arc::clone(&peers),
-            prefetch: Arc::new(Idle),
+            prefetch: Arc::new(NoPrefetch),
             prefix: String::new(),
             clock: Arc::clone(&clock),
             metrics: Arc::new(Metrics::new()),
@@ -229,7 +230,7 @@
                 incarnation,
                 region: Arc::clone(&peer.region),
                 states: vec![Arc::clone(&config) as Arc<dyn GossipState>],
-                changes: vec![config.news()],
+                changes: vec![config.learned_revision()],
                 installer: Arc::clone(&config) as _,
                 peers,
                 transport: Arc::clone(&transport),
@@ -269,8 +270,8 @@
     }
 
     /// Makes an order on top of a revision.
-    pub fn order(author: &str, id: &str, expected: u64) -> Order {
-        Order {
+    pub fn change_request(author: &str, id: &str, expected: u64) -> ChangeRequest {
+        ChangeRequest {
             id: Arc::from(id),
             author: Arc::from(author),
             reason: "bench".to_owned(),
@@ -280,9 +281,14 @@
     }
 
     /// Applies declarations that were planned on a revision.
-    pub async fn apply(&self, id: &str, expected: u64, set: &Set) -> Result<Accepted, Refused> {
-        let order = Self::order(&self.peer.name, id, expected);
-        self.config.apply(&order, set).await
+    pub async fn apply(
+        &self,
+        id: &str,
+        expected: u64,
+        set: &DeclarationSet,
+    ) -> Result<Accepted, Refused> {
+        let change_request = Self::change_request(&self.peer.name, id, expected);
+        self.config.apply(&change_request, set).await
     }
 }
 
--- a/lib/src/config/digest.rs
+++ b/lib/src/config/digest.rs
@@ -1,10 +1,11 @@
-//! A digest of a whole revision that a change moves at the cost of the change.
+//! Incremental digest of all declarations of a revision.
 //!
-//! Each declaration's SHA-256 is added up, lane by lane. Adding and taking away
-//! commute, so a node that applied operations one by one and a node that read a
+//! The digest is the lane-wise sum of the declarations' SHA-256 hashes, so the
+//! cost of an update depends on the size of the change. Addition and subtraction
+//! commute: a node that applied operations one by one and a node that read a
 //! snapshot have the same digest exactly when they have the same declarations.
-//! It guards against faults and against versions that read a message
-//! differently, not against a forger: whoever writes revisions is authenticated.
+//! It detects faults and versions that decode a message differently. It doesn't
+//! protect against forgery: whoever writes revisions is authenticated.
 
 use prost::Message;
 use sha2::{Digest as _, Sha256};
@@ -12,16 +13,16 @@
 use crate::schema::declaration::difference::{After, Before};
 use crate::schema::declaration::{Account, Difference, Pool, Template};
 
-/// How many 64-bit lanes a digest has.
+/// 64-bit lanes of a digest.
 const LANES: usize = 4;
 
-/// Digest of a set of declarations.
+/// Order-independent digest of a set of declarations.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct Digest([u64; LANES]);
 
-/// What kind of declaration is added, so that equal bytes of two kinds differ.
+/// Kind of a declaration; it is hashed too, so that equal bytes of two kinds differ.
 #[derive(Debug, Clone, Copy)]
-enum Kind {
+enum DeclarationKind {
     Account = 1,
     Pool = 2,
     Template = 3,
@@ -30,25 +31,29 @@
 impl Digest {
     /// Adds an account.
     pub fn add_account(&mut self, account: &Account) {
-        self.add(&lanes(Kind::Account, account));
+        self.add(&hash_lanes(DeclarationKind::Account, account));
     }
 
     /// Adds a pool.
     pub fn add_pool(&mut self, pool: &Pool) {
-        self.add(&lanes(Kind::Pool, pool));
+        self.add(&hash_lanes(DeclarationKind::Pool, pool));
     }
 
     /// Adds a template.
     pub fn add_template(&mut self, template: &Template) {
-        self.add(&lanes(Kind::Template, template));
+        self.add(&hash_lanes(DeclarationKind::Template, template));
     }
 
-    /// Moves the digest over a difference.
-    pub fn change(&mut self, difference: &Difference) {
+    /// Updates the digest for a difference.
+    pub fn apply_difference(&mut self, difference: &Difference) {
         match &difference.before {
-            Some(Before::AccountBefore(old)) => self.take(&lanes(Kind::Account, old)),
-            Some(Before::PoolBefore(old)) => self.take(&lanes(Kind::Pool, old)),
-            Some(Before::TemplateBefore(old)) => self.take(&lanes(Kind::Template, old)),
+            Some(Before::AccountBefore(old)) => {
+                self.subtract(&hash_lanes(DeclarationKind::Account, old));
+            }
+            Some(Before::PoolBefore(old)) => self.subtract(&hash_lanes(DeclarationKind::Pool, old)),
+            Some(Before::TemplateBefore(old)) => {
+                self.subtract(&hash_lanes(DeclarationKind::Template, old));
+            }
             None => {}
         }
         match &difference.after {
@@ -59,9 +64,9 @@
         }
     }
 
-    /// Returns the bytes that messages carry.
+    /// Returns the digest as messages carry it.
     #[must_use]
-    pub fn bytes(&self) -> Vec<u8> {
+    pub fn to_bytes(&self) -> Vec<u8> {
         self.0.iter().flat_map(|lane| lane.to_be_bytes()).collect()
     }
 
@@ -71,14 +76,14 @@
         }
     }
 
-    fn take(&mut self, lanes: &[u64; LANES]) {
+    fn subtract(&mut self, lanes: &[u64; LANES]) {
         for (sum, lane) in self.0.iter_mut().zip(lanes) {
             *sum = sum.wrapping_sub(*lane);
         }
     }
 }
 
-fn lanes(kind: Kind, message: &impl Message) -> [u64; LANES] {
+fn hash_lanes(kind: DeclarationKind, message: &impl Message) -> [u64; LANES] {
     let hash = Sha256::new()
         .chain_update([kind as u8])
         .chain_update(message.encode_to_vec())
@@ -110,7 +115,7 @@
         a.add_pool(&pool("y"));
         let mut b = Digest::default();
         b.add_pool(&pool("y"));
-        b.change(&Difference {
+        b.apply_difference(&Difference {
             before: Some(Before::PoolBefore(pool("y"))),
             after: Some(After::PoolAfter(pool("x"))),
         });
--- a/lib/src/config/follower.rs
+++ b/lib/src/config/follower.rs
@@ -1,8 +1,8 @@
-//! Follows the key-value service without a call for each node and change.
+//! Follows the key-value service without a call per node and change.
 //!
-//! A few nodes of each region watch the service; the others hear from them. A
-//! node that heard nothing fresh for a while asks the service itself, so that
-//! wrong pictures of who is there cost calls and not changes.
+//! A few nodes of each region watch the service; the others learn from them by
+//! gossip. A node without a recent confirmation reads the service itself, so
+//! that a wrong view of the membership costs calls and loses no changes.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -13,32 +13,32 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg32;
 
-use super::keeper::Keeper;
-use super::source::{Failure, HeadAt};
+use super::config_store::{ReadError, StoredHead};
+use super::manager::ConfigManager;
 use super::state::Origin;
 use crate::clock::Millis;
 use crate::gossip::rank;
 use crate::ports::{self, Event};
 use crate::schema::declaration::{Head, Operation};
 
-/// First wait after a failed call, in milliseconds.
-const FIRST_WAIT: Millis = Millis(500);
-/// Longest wait after failed calls, in milliseconds.
-const MAX_WAIT: Millis = Millis(15_000);
-/// How often a node looks whether it is to watch, in milliseconds.
-const ROLE_CHECK: Millis = Millis(2_000);
-/// How long peers may take to bring a revision that was heard of, in milliseconds.
+/// Initial backoff after a failed call, in milliseconds.
+const INITIAL_BACKOFF: Millis = Millis(500);
+/// Maximum backoff after failed calls, in milliseconds.
+const MAX_BACKOFF: Millis = Millis(15_000);
+/// How often a node checks whether it should watch the service, in milliseconds.
+const ROLE_CHECK_INTERVAL: Millis = Millis(2_000);
+/// How long peers have to deliver a revision that this node has heard of, in milliseconds.
 const PEER_TIMEOUT: Millis = Millis(3_000);
 
-/// Follows the service until the keeper stops.
-pub(super) async fn run(keeper: Arc<Keeper>) {
-    let stop = keeper.parts.stop.clone();
-    let rng = Pcg32::seed_from_u64(keeper.parts.seed);
+/// Follows the service until the manager stops.
+pub(super) async fn run(manager: Arc<ConfigManager>) {
+    let stop = manager.deps.stop.clone();
+    let rng = Pcg32::seed_from_u64(manager.deps.seed);
     let mut follower = Follower {
-        keeper,
+        manager,
         rng,
-        wait: FIRST_WAIT,
-        failing: false,
+        backoff: INITIAL_BACKOFF,
+        is_failing: false,
     };
     tokio::select! {
         () = stop.cancelled() => {}
@@ -47,156 +47,161 @@
 }
 
 struct Follower {
-    keeper: Arc<Keeper>,
+    manager: Arc<ConfigManager>,
     rng: Pcg32,
-    wait: Millis,
-    failing: bool,
+    backoff: Millis,
+    is_failing: bool,
 }
 
 impl Follower {
     async fn run(&mut self) {
         loop {
-            let watcher = self.watcher();
-            self.keeper.watching.store(watcher, Ordering::Relaxed);
+            let watcher = self.is_watcher();
+            self.manager.is_watcher.store(watcher, Ordering::Relaxed);
             let ended = if watcher {
                 self.watch().await
             } else {
-                self.listen().await
+                self.wait_for_peers().await
             };
             match ended {
-                Ok(()) => self.succeeded(),
+                Ok(()) => self.record_success(),
                 Err(failure) => self.back_off(&failure).await,
             }
         }
     }
 
-    fn watcher(&self) -> bool {
-        let parts = &self.keeper.parts;
+    fn is_watcher(&self) -> bool {
+        let deps = &self.manager.deps;
         rank::ranks_among_first(
-            &parts.node,
-            &parts.region,
-            &parts.peers.peers(),
-            parts.limits.watchers,
+            &deps.node,
+            &deps.region,
+            &deps.peers.peers(),
+            deps.limits.watchers_per_region,
         )
     }
 
-    /// Watches the service until the watch breaks or others watch.
-    async fn watch(&mut self) -> Result<(), Failure> {
-        let keeper = Arc::clone(&self.keeper);
-        let head = keeper.catch_up().await?;
-        self.succeeded();
-        let mut changes = keeper
-            .parts
+    /// Watches the service until the watch fails or other nodes take the role.
+    async fn watch(&mut self) -> Result<(), ReadError> {
+        let manager = Arc::clone(&self.manager);
+        let head = manager.catch_up().await?;
+        self.record_success();
+        let mut changes = manager
+            .deps
             .watch
-            .watch(&keeper.source.layout().watched(), head.read)
+            .watch(&manager.config_store.layout().watched(), head.read_revision)
             .await?;
         let mut confirm = Box::pin(tokio::time::sleep(
-            keeper
-                .parts
+            manager
+                .deps
                 .limits
-                .confirm
+                .confirm_interval
                 .jittered(&mut self.rng)
                 .duration(),
         ));
-        let mut role = tokio::time::interval(ROLE_CHECK.duration());
+        let mut role = tokio::time::interval(ROLE_CHECK_INTERVAL.duration());
         loop {
             tokio::select! {
                 change = changes.next() => match change {
-                    Some(event) => self.changed(&event?).await?,
-                    None => return Err(broken().into()),
+                    Some(event) => self.apply_event(&event?).await?,
+                    None => return Err(watch_ended().into()),
                 },
                 () = &mut confirm => {
-                    keeper.catch_up().await?;
-                    let next = keeper.parts.limits.confirm.jittered(&mut self.rng);
+                    manager.catch_up().await?;
+                    let next = manager.deps.limits.confirm_interval.jittered(&mut self.rng);
                     confirm.set(tokio::time::sleep(next.duration()));
                 }
-                () = keeper.behind.notified() => {
-                    keeper.catch_up().await?;
+                () = manager.service_wakeup.notified() => {
+                    manager.catch_up().await?;
                 }
-                _ = role.tick() => if !self.watcher() {
+                _ = role.tick() => if !self.is_watcher() {
                     return Ok(());
                 },
             }
         }
     }
 
-    /// Takes over what a watch saw.
-    async fn changed(&self, event: &Event) -> Result<(), Failure> {
+    /// Applies an event of the watch.
+    async fn apply_event(&self, event: &Event) -> Result<(), ReadError> {
         let Some(entry) = &event.entry else {
-            // Nobody removes the head; operations go when they are old.
+            // The head is never deleted, and deleted operations have left the retention range.
             return Ok(());
         };
-        let asked = self.keeper.now();
+        let asked = self.manager.now();
         let malformed =
-            |error| Failure::from(ports::Error::Malformed(format!("{}: {error}", entry.key)));
-        if entry.key != self.keeper.source.layout().head() {
+            |error| ReadError::from(ports::Error::Malformed(format!("{}: {error}", entry.key)));
+        if entry.key != self.manager.config_store.layout().head() {
             let operation = Operation::decode(entry.value.clone()).map_err(malformed)?;
-            self.keeper.offer(&[Arc::new(operation)]);
+            self.manager.offer(&[Arc::new(operation)]);
             return Ok(());
         }
-        let head = HeadAt {
+        let head = StoredHead {
             head: Head::decode(entry.value.clone()).map_err(malformed)?,
-            written: Some(entry.revision),
-            read: event.revision,
+            mod_revision: Some(entry.revision),
+            read_revision: event.revision,
         };
-        self.keeper.take_head(&head, asked).await
+        self.manager.apply_head(&head, asked).await
     }
 
-    /// Leaves the service alone while peers keep this node fresh.
-    async fn listen(&mut self) -> Result<(), Failure> {
-        let keeper = Arc::clone(&self.keeper);
-        let pause = ROLE_CHECK.jittered(&mut self.rng);
+    /// Waits for updates from peers, and reads the service when they don't come.
+    async fn wait_for_peers(&mut self) -> Result<(), ReadError> {
+        let manager = Arc::clone(&self.manager);
+        let pause = ROLE_CHECK_INTERVAL.jittered(&mut self.rng);
         tokio::select! {
             () = tokio::time::sleep(pause.duration()) => {}
-            () = keeper.behind.notified() => {
+            () = manager.service_wakeup.notified() => {
                 let pause = PEER_TIMEOUT.jittered(&mut self.rng);
                 tokio::time::sleep(pause.duration()).await;
             }
         }
-        if self.needs_service() {
-            keeper.catch_up().await?;
+        if self.should_poll_service() {
+            manager.catch_up().await?;
         }
         Ok(())
     }
 
-    /// Whether peers don't keep this node fresh.
-    fn needs_service(&mut self) -> bool {
-        let poll = self.keeper.parts.limits.poll.jittered(&mut self.rng);
-        let now = self.keeper.now();
-        let state = self.keeper.state();
-        let (learned, heard) = (state.learned().revision(), state.heard());
-        if state.is_refused(heard, Origin::Service, now) {
+    /// Whether gossip doesn't keep this node up to date, so that it must read the service.
+    fn should_poll_service(&mut self) -> bool {
+        let poll = self
+            .manager
+            .deps
+            .limits
+            .max_unconfirmed_age
+            .jittered(&mut self.rng);
+        let now = self.manager.now();
+        let state = self.manager.state();
+        let (learned, heard) = (state.learned().revision(), state.newest_heard());
+        if state.is_rejected(heard, Origin::Service, now) {
             return false;
         }
-        let fresh = state.age(now).is_some_and(|age| age < poll);
+        let fresh = state.confirmed_age(now).is_some_and(|age| age < poll);
         learned == 0 || heard > learned || !fresh
     }
 
-    fn succeeded(&mut self) {
-        if self.failing {
+    fn record_success(&mut self) {
+        if self.is_failing {
             info!("config: the key-value service is reachable again");
         }
-        self.failing = false;
-        self.wait = FIRST_WAIT;
+        self.is_failing = false;
+        self.backoff = INITIAL_BACKOFF;
     }
 
-    /// Waits before the next call, anywhere up to a bound that doubles.
+    /// Waits before the next call: exponential backoff with jitter.
     ///
-    /// When the service comes back after an outage, all nodes want it at once;
-    /// waits that are spread over their whole range keep them from calling in step.
-    async fn back_off(&mut self, failure: &Failure) {
-        if self.failing {
+    /// When the service recovers from an outage, all nodes call it again. Jitter
+    /// over most of the range keeps them from calling in step.
+    async fn back_off(&mut self, failure: &ReadError) {
+        if self.is_failing {
             debug!("config: {failure}");
         } else {
             warn!("config: {failure}");
         }
-        self.failing = true;
-        let wait = Millis(self.rng.random_range(self.wait.0 / 4..=self.wait.0));
-        tokio::time::sleep(wait.duration()).await;
-        self.wait = (self.wait + self.wait).min(MAX_WAIT);
+        self.is_failing = true;
+        let backoff = Millis(self.rng.random_range(self.backoff.0 / 4..=self.backoff.0));
+        tokio::time::sleep(backoff.duration()).await;
+        self.backoff = (self.backoff + self.backoff).min(MAX_BACKOFF);
     }
 }
 
-fn broken() -> ports::Error {
+fn watch_ended() -> ports::Error {
     ports::Error::NoAnswer("the watch ended".to_owned())
 }
--- a/lib/src/config/history.rs
+++ b/lib/src/config/history.rs
@@ -1,31 +1,31 @@
-//! Earlier revisions: who changed what, and what was declared then.
+//! Earlier revisions: their operations and declarations.
 
 use std::sync::Arc;
 
+use super::config_store::ConfigStore;
 use super::error::Error;
-use super::layout::BLOCK;
-use super::source::Source;
-use super::state::is_omitted;
+use super::layout::BLOCK_REVISIONS;
+use super::state::omits_differences;
 use super::view::View;
-use crate::declaration::{Set, diff};
+use crate::declaration::{DeclarationSet, diff};
 use crate::ports;
 use crate::schema::declaration::Operation;
 
-/// Reads up to `limit` operations up to a revision, the newest first.
+/// Reads up to `limit` operations up to revision `last`, newest first.
 ///
 /// # Errors
 ///
-/// When the service doesn't answer.
-pub async fn operations(
-    source: &Source,
+/// When the service doesn't respond.
+pub async fn list(
+    config_store: &ConfigStore,
     last: u64,
     limit: usize,
 ) -> Result<Vec<Arc<Operation>>, ports::Error> {
     let mut found: Vec<Arc<Operation>> = Vec::new();
-    let mut block = last / BLOCK;
+    let mut block = last / BLOCK_REVISIONS;
     loop {
-        let listed = source.block(block * BLOCK).await?;
-        // Older blocks are cleared away first, so an empty one ends the history.
+        let listed = config_store.read_block(block * BLOCK_REVISIONS).await?;
+        // The oldest blocks are deleted first, so an empty one ends the history.
         let ended = block == 0 || listed.is_empty();
         let older = listed.into_iter().rev();
         found.extend(older.filter(|operation| operation.revision <= last));
@@ -37,29 +37,37 @@
     }
 }
 
-/// Returns what was declared at a revision.
+/// Returns the declarations of a revision.
 ///
-/// Differences are taken back one by one from the newest revision; where an
-/// operation doesn't carry its own, the snapshot before it is read.
+/// Differences are reverted one by one from the newest revision. Where an
+/// operation omits them, the snapshot before it is read instead.
 ///
 /// # Errors
 ///
-/// [`Error::UnknownRevision`] when what is needed isn't kept any more.
-pub async fn at(source: &Source, newest: &View, revision: u64) -> Result<Set, Error> {
+/// [`Error::UnknownRevision`] when a needed operation or snapshot is no longer kept.
+pub async fn declared_at(
+    config_store: &ConfigStore,
+    newest: &View,
+    revision: u64,
+) -> Result<DeclarationSet, Error> {
     if revision > newest.revision() {
         return Err(Error::UnknownRevision(revision));
     }
-    let mut set = newest.set();
+    let mut set = newest.to_set();
     let mut at = newest.revision();
     while at > revision {
-        let operations = source.block(at).await.map_err(Error::Unavailable)?;
+        let operations = config_store
+            .read_block(at)
+            .await
+            .map_err(Error::Unavailable)?;
         let before = at;
         for operation in operations.iter().rev() {
             if operation.revision != at || at == revision {
                 continue;
             }
-            if is_omitted(operation) {
-                return forward(source, operation.previous_snapshot, revision).await;
+            if omits_differences(operation) {
+                return replay_from_snapshot(config_store, operation.previous_snapshot, revision)
+                    .await;
             }
             diff::patch(&mut set, &diff::reverse(&operation.differences));
             at -= 1;
@@ -71,32 +79,36 @@
     Ok(set)
 }
 
-/// Starts from the newest snapshot that isn't newer than the revision.
-async fn forward(source: &Source, snapshot: u64, revision: u64) -> Result<Set, Error> {
+/// Reads the newest snapshot at or before `revision` and applies the operations after it.
+async fn replay_from_snapshot(
+    config_store: &ConfigStore,
+    snapshot: u64,
+    revision: u64,
+) -> Result<DeclarationSet, Error> {
     let mut snapshot = snapshot;
     let unknown = |_| Error::UnknownRevision(revision);
     while snapshot > revision {
-        let operation = source
-            .operation(snapshot)
+        let operation = config_store
+            .read_operation(snapshot)
             .await
             .map_err(Error::Unavailable)?;
         let operation = operation.ok_or(Error::UnknownRevision(revision))?;
         snapshot = operation.previous_snapshot;
     }
-    let mut set = Set::default();
+    let mut set = DeclarationSet::default();
     if snapshot > 0 {
-        let operation = source
-            .operation(snapshot)
+        let operation = config_store
+            .read_operation(snapshot)
             .await
             .map_err(Error::Unavailable)?;
         let operation = operation.ok_or(Error::UnknownRevision(revision))?;
-        set = source
-            .set(&operation.bucket_digests)
+        set = config_store
+            .read_buckets(&operation.bucket_digests)
             .await
             .map_err(unknown)?;
     }
-    let later = source
-        .operations(snapshot, revision)
+    let later = config_store
+        .read_operations(snapshot, revision)
         .await
         .map_err(unknown)?;
     for operation in later {
--- a/lib/src/config/layout.rs
+++ b/lib/src/config/layout.rs
@@ -1,4 +1,4 @@
-//! Where the configuration lies in the key-value service.
+//! Keys and values of the configuration in the key-value service.
 //!
 //! | key | value | written |
 //! | --- | --- | --- |
@@ -7,40 +7,40 @@
 //! | `changes/<change id>` | the revision | once, in the change's transaction |
 //! | `buckets/<digest>` | [`Bucket`] | before a change that makes a snapshot |
 //!
-//! A block holds the operations of [`BLOCK`] revisions, and its first one makes
-//! a snapshot, so that a fresh node reads the head, one block and the buckets.
-//! docs/design/0005-configuration.md has the sizes.
+//! A block holds the operations of [`BLOCK_REVISIONS`] revisions. Its first
+//! operation makes a snapshot, so that a new node reads only the head, one block
+//! and the buckets. docs/design/0005-configuration.md has the sizes.
 
 use prost::Message;
 use sha2::{Digest as _, Sha256};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-use crate::declaration::{Set, convert};
+use crate::declaration::{DeclarationSet, convert};
 use crate::schema::declaration::{Account, Bucket, File, Pool, Template};
 
 #[cfg(doc)]
 use crate::schema::declaration::{Head, Operation};
 
-/// Revisions between two snapshots, and in one block of operations.
-pub const BLOCK: u64 = 64;
-/// Parts of a snapshot. Three times the target's templates make buckets of about 150 kB.
-pub const BUCKETS: usize = 64;
-/// Largest encoded operation that carries its differences, in bytes.
-pub const MAX_INLINE: usize = 128 * 1024;
-/// Largest value that the service holds, in bytes.
-pub const MAX_VALUE: usize = 1_000_000;
+/// Revisions of a block of operations, and between two snapshots.
+pub const BLOCK_REVISIONS: u64 = 64;
+/// Number of buckets of a snapshot; three times the target's templates make buckets of about 150 kB.
+pub const BUCKET_COUNT: usize = 64;
+/// Maximum size of an encoded operation that carries its differences, in bytes.
+pub const MAX_INLINE_BYTES: usize = 128 * 1024;
+/// Maximum size of a value in the service, in bytes.
+pub const MAX_VALUE_BYTES: usize = 1_000_000;
 
-/// Seed of the hash that spreads declarations over buckets. Changing it rewrites all of them.
+/// Seed of the hash that assigns declarations to buckets; changing it rewrites every bucket.
 const BUCKET_SEED: u64 = 0x6275_636b_6574_7331;
 
-/// Keys of one deployment.
+/// Keys of a deployment.
 #[derive(Debug, Clone)]
 pub struct Layout {
     prefix: String,
 }
 
 impl Layout {
-    /// Makes the keys under a deployment's prefix, which ends in a slash or is empty.
+    /// Uses the keys under a deployment's prefix, which ends in a slash or is empty.
     #[must_use]
     pub fn new(prefix: &str) -> Self {
         Self {
@@ -48,7 +48,7 @@
         }
     }
 
-    /// Returns the prefix of what watchers follow: head and operations.
+    /// Returns the prefix that is watched: the head and the operations.
     #[must_use]
     pub fn watched(&self) -> String {
         format!("{}config/", self.prefix)
@@ -69,7 +69,11 @@
     /// Returns the prefix of the operations of a revision's block.
     #[must_use]
     pub fn block(&self, revision: u64) -> String {
-        format!("{}config/ops/{:016}/", self.prefix, revision / BLOCK)
+        format!(
+            "{}config/ops/{:016}/",
+            self.prefix,
+            revision / BLOCK_REVISIONS
+        )
     }
 
     /// Returns the prefix of all operations.
@@ -78,7 +82,7 @@
         format!("{}config/ops/", self.prefix)
     }
 
-    /// Returns the key that says which revision a change became.
+    /// Returns the key that holds the revision of a change.
     #[must_use]
     pub fn change(&self, id: &str) -> String {
         format!("{}changes/{id}", self.prefix)
@@ -93,67 +97,69 @@
 
 /// A bucket as it is stored.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Stored {
+pub struct EncodedBucket {
     /// SHA-256 of the value.
     pub digest: Vec<u8>,
     /// The encoded [`Bucket`].
     pub value: Vec<u8>,
 }
 
-/// Cuts a set into its buckets as they are stored. Equal sets give equal bytes.
+/// Partitions a set into encoded buckets; equal sets give equal bytes.
 #[must_use]
-pub fn buckets(set: &Set) -> Vec<Stored> {
-    cut(set).into_iter().map(stored).collect()
+pub fn encode_buckets(set: &DeclarationSet) -> Vec<EncodedBucket> {
+    partition(set).into_iter().map(encode_bucket).collect()
 }
 
-/// Cuts a set into its buckets.
+/// Partitions a set into buckets.
 #[must_use]
-pub fn cut(set: &Set) -> Vec<File> {
-    let mut files = vec![File::default(); BUCKETS];
+pub fn partition(set: &DeclarationSet) -> Vec<File> {
+    let mut files = vec![File::default(); BUCKET_COUNT];
     for account in set.accounts.values() {
-        files[of_account(account)].accounts.push(account.clone());
+        files[bucket_of_account(account)]
+            .accounts
+            .push(account.clone());
     }
     for pool in set.pools.values() {
-        files[of_pool(pool)].pools.push(pool.clone());
+        files[bucket_of_pool(pool)].pools.push(pool.clone());
     }
     for template in set.templates.values() {
-        files[of_template(template)]
+        files[bucket_of_template(template)]
             .templates
             .push(template.clone());
     }
     files
 }
 
-/// Returns a bucket's digest.
+/// Returns the digest of an encoded bucket.
 #[must_use]
 pub fn digest(value: &[u8]) -> Vec<u8> {
     Sha256::digest(value).to_vec()
 }
 
-fn stored(file: File) -> Stored {
+fn encode_bucket(file: File) -> EncodedBucket {
     let value = Bucket { file: Some(file) }.encode_to_vec();
-    Stored {
+    EncodedBucket {
         digest: digest(&value),
         value,
     }
 }
 
-fn of_account(account: &Account) -> usize {
-    index(&["a", &account.name])
+fn bucket_of_account(account: &Account) -> usize {
+    bucket_index(&["a", &account.name])
 }
 
-fn of_pool(pool: &Pool) -> usize {
-    index(&["p", &pool.name])
+fn bucket_of_pool(pool: &Pool) -> usize {
+    bucket_index(&["p", &pool.name])
 }
 
-fn of_template(template: &Template) -> usize {
-    index(&["t", &template.account, &template.name])
+fn bucket_of_template(template: &Template) -> usize {
+    bucket_index(&["t", &template.account, &template.name])
 }
 
-/// Spreads by the whole name: one account may have most of the templates.
-fn index(parts: &[&str]) -> usize {
-    let hash = parts.iter().fold(BUCKET_SEED, |seed, part| {
+/// Hashes the whole name, because one account may own most of the templates.
+fn bucket_index(name: &[&str]) -> usize {
+    let hash = name.iter().fold(BUCKET_SEED, |seed, part| {
         xxh3_64_with_seed(part.as_bytes(), seed)
     });
-    usize::try_from(hash % BUCKETS as u64).unwrap_or_default()
+    usize::try_from(hash % BUCKET_COUNT as u64).unwrap_or_default()
 }
--- a/lib/src/config/mod.rs
+++ b/lib/src/config/mod.rs
@@ -1,29 +1,30 @@
-//! The configuration in force: read by every request, replaced as a whole.
+//! Distributes the operators' configuration and activates it on each node.
 //!
-//! Operators' changes go through the key-value service as immutable operations
-//! under a rising revision ([`layout`], [`writer`]); nodes learn them from the
-//! service or from one another (`follower`, `share`) and never go back
-//! ([`state`]). docs/design/0005-configuration.md has the ways weighed.
+//! A change is written to the key-value service as an immutable operation with
+//! the next revision number ([`layout`], [`writer`]). Nodes learn it from the
+//! service or from one another (`follower`, `gossip_state`) and never return to
+//! an older revision ([`state`]). Each request reads one immutable [`View`].
+//! docs/design/0005-configuration.md compares the alternatives.
 
-pub mod collect;
+mod blocking;
+pub mod config_store;
 pub mod digest;
 pub mod error;
 mod follower;
-mod heavy;
+pub mod garbage;
+mod gossip_state;
 pub mod history;
-pub mod keeper;
 pub mod layout;
+pub mod manager;
 pub mod operator;
 pub mod plan;
 pub mod prefetch;
-mod share;
-pub mod source;
 pub mod state;
 pub mod view;
 pub mod writer;
 
 pub use error::Error;
-pub use keeper::{Keeper, Limits, Parts, Status};
-pub use operator::{Accepted, Order, new_id};
+pub use manager::{ConfigManager, Dependencies, Limits, Status};
+pub use operator::{Accepted, ChangeRequest, new_id};
 pub use plan::Plan;
 pub use view::View;
--- a/lib/src/config/plan.rs
+++ b/lib/src/config/plan.rs
@@ -1,48 +1,48 @@
-//! What a change would do, and what it would break.
+//! Plans: what a change would do and what it would break.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
 use futures::{StreamExt, stream};
 
-use super::heavy;
+use super::blocking;
 use super::view::View;
 use crate::adapter::Adapter;
-use crate::declaration::{Kind, Pool, Set, convert, diff};
+use crate::declaration::{DeclarationSet, Pool, PoolKind, convert, diff};
 use crate::ports::Weights;
 use crate::schema::declaration::Difference;
 use crate::schema::declaration::difference::{After, Before};
 
-/// Adapter versions looked up in the weight store at a time.
-const PARALLEL: usize = 8;
-/// Most adapter versions looked up for one plan.
+/// Concurrent lookups of adapter versions in the weight store.
+const MAX_CONCURRENT_LOOKUPS: usize = 8;
+/// Maximum adapter versions looked up for one plan.
 const MAX_LOOKUPS: usize = 2_000;
 
-/// What a change would do.
+/// The effects of a change that isn't applied yet.
 #[derive(Debug, Clone)]
 pub struct Plan {
-    /// The revision that the change would follow; apply takes it as the expected one.
+    /// The revision that the change is based on; apply takes it as the expected revision.
     pub revision: u64,
-    /// What would differ.
+    /// The declarations that would change.
     pub differences: Vec<Difference>,
-    /// What would break, in sentences.
+    /// What would break, one sentence each.
     pub warnings: Vec<String>,
 }
 
 impl Plan {
-    /// Writes the differences for people.
+    /// Formats the differences for people.
     #[must_use]
     pub fn render(&self) -> String {
         diff::render(&self.differences)
     }
 }
 
-/// Compares a set of declarations with a view.
-pub async fn plan(view: &View, set: &Set, weights: &dyn Weights) -> Plan {
-    let differences = heavy::run(|| diff::diff(&view.set(), set));
-    let mut warnings = missing(set, &differences, weights).await;
-    warnings.extend(vanished(&differences));
-    warnings.extend(limits(set));
+/// Compares a set of declarations with a view and collects warnings.
+pub async fn plan(view: &View, set: &DeclarationSet, weights: &dyn Weights) -> Plan {
+    let differences = blocking::run(|| diff::diff(&view.to_set(), set));
+    let mut warnings = missing_adapters(set, &differences, weights).await;
+    warnings.extend(removal_warnings(&differences));
+    warnings.extend(limit_warnings(set));
     Plan {
         revision: view.revision(),
         differences,
@@ -50,8 +50,12 @@
     }
 }
 
-/// Names the adapter versions that the weight store doesn't have.
-async fn missing(set: &Set, differences: &[Difference], weights: &dyn Weights) -> Vec<String> {
+/// Warns of adapter versions that aren't in the weight store.
+async fn missing_adapters(
+    set: &DeclarationSet,
+    differences: &[Difference],
+    weights: &dyn Weights,
+) -> Vec<String> {
     let wanted: BTreeSet<Adapter> = differences
         .iter()
         .filter_map(|difference| match &difference.after {
@@ -75,7 +79,7 @@
                 Err(error) => Some(format!("adapter {adapter} can't be looked up: {error}")),
             }
         })
-        .buffered(PARALLEL)
+        .buffered(MAX_CONCURRENT_LOOKUPS)
         .filter_map(|warning| async { warning })
         .collect()
         .await;
@@ -87,8 +91,8 @@
     warnings
 }
 
-/// Names the templates and accounts whose callers would be refused.
-fn vanished(differences: &[Difference]) -> Vec<String> {
+/// Warns of removed templates, accounts and pools, whose requests would be refused.
+fn removal_warnings(differences: &[Difference]) -> Vec<String> {
     differences
         .iter()
         .filter(|difference| difference.after.is_none())
@@ -109,22 +113,22 @@
         .collect()
 }
 
-/// Names limits that can't be reached or that waste slots.
-fn limits(set: &Set) -> Vec<String> {
+/// Warns of limits that can never apply and of slots that can't be used.
+fn limit_warnings(set: &DeclarationSet) -> Vec<String> {
     let pools: Vec<Pool> = set
         .pools
         .values()
         .filter_map(|pool| convert::pool(pool).ok())
         .collect();
-    let wasted = pools.iter().filter_map(|pool| match pool.kind {
-        Kind::Engine { slots, .. } if slots > pool.batch => Some(format!(
+    let unusable_slots = pools.iter().filter_map(|pool| match pool.kind {
+        PoolKind::Engine { slots, .. } if slots > pool.batch => Some(format!(
             "pool {}: {slots} slots exceed the batch of {}; at most {} adapters can run at a time",
             pool.name, pool.batch, pool.batch
         )),
         _ => None,
     });
     let largest = pools.iter().map(|pool| pool.batch).max().unwrap_or(0);
-    let beyond = set
+    let ineffective_limits = set
         .accounts
         .values()
         .filter(|account| largest > 0 && account.max_in_flight > largest)
@@ -135,5 +139,5 @@
                 account.name, account.max_in_flight
             )
         });
-    wasted.chain(beyond).collect()
+    unusable_slots.chain(ineffective_limits).collect()
 }
--- a/lib/src/config/prefetch.rs
+++ b/lib/src/config/prefetch.rs
@@ -1,10 +1,11 @@
-//! Fetches adapters ahead of the revision that needs them.
+//! Prefetches adapters before the revision that needs them is activated.
 //!
-//! A template that moves to another version would stall its first requests
-//! while the version loads. A node that learns such a revision tells the owners
-//! of upstreams at once and puts it in force a little later, when the loads of
-//! an ordinary change are done. The wait is bounded, because a change must be
-//! in force everywhere within 8 s whatever the weight store does.
+//! Without it, the first requests of a template that changes its adapter version
+//! would stall while the version loads. A node that learns such a revision
+//! notifies the owners of upstreams at once and activates the revision after a
+//! delay in which the loads of an ordinary change complete. The delay is
+//! bounded, because a change must be active on all nodes within 8 s whatever the
+//! weight store does.
 
 use std::collections::HashSet;
 use std::fmt;
@@ -18,42 +19,46 @@
 use crate::schema::declaration::Difference;
 use crate::schema::declaration::difference::{After, Before};
 
-/// How long a revision that moves templates to other adapters waits, in milliseconds.
+/// Delay before a revision that changes templates' adapters is activated, in milliseconds.
 ///
-/// Two loads one after the other at the weight store's rate of 3 a second, with
-/// room; the spread takes under 2 s of the 8 s.
-pub const GRACE: Millis = Millis(3_000);
+/// Covers two consecutive loads at the weight store's rate of 3 per second, with
+/// a margin; spreading the revision takes less than 2 s of the 8 s.
+pub const PREFETCH_GRACE: Millis = Millis(3_000);
 
-/// An adapter that requests will name soon.
+/// An adapter that requests will use once a revision is activated.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub struct Upcoming {
-    /// The pool whose engines will run it.
+pub struct UpcomingAdapter {
+    /// The pool whose engines will serve it.
     pub pool: Name,
-    /// Adapter and version.
+    /// The adapter and its version.
     pub adapter: Adapter,
-    /// The version that it takes the place of.
+    /// The adapter version that it replaces.
     pub replaces: Adapter,
 }
 
-/// Hears of adapters before requests name them.
+/// Loads adapters before requests use them.
 pub trait Prefetch: fmt::Debug + Send + Sync {
-    /// Starts to fetch what belongs on this node's upstreams, with what the weight store has to spare.
-    fn upcoming(&self, adapters: &[Upcoming]);
+    /// Starts to load the adapters that belong on this node's upstreams, with spare weight store capacity.
+    fn prefetch(&self, adapters: &[UpcomingAdapter]);
 }
 
-/// Fetches nothing, for a node without owners.
+/// Prefetches nothing, for a node that owns no upstreams.
 #[derive(Debug)]
-pub struct Idle;
+pub struct NoPrefetch;
 
-impl Prefetch for Idle {
-    fn upcoming(&self, _adapters: &[Upcoming]) {}
+impl Prefetch for NoPrefetch {
+    fn prefetch(&self, _adapters: &[UpcomingAdapter]) {}
 }
 
-/// Finds the templates that move from one adapter to another.
+/// Returns the adapters to which templates change, each once per pool and replaced adapter.
 #[must_use]
-pub fn moved(old: &View, new: &View, differences: &[Difference]) -> Vec<Upcoming> {
+pub fn changed_adapters(
+    old: &View,
+    new: &View,
+    differences: &[Difference],
+) -> Vec<UpcomingAdapter> {
     if differences.is_empty() {
-        return between(old, new);
+        return compare_views(old, new);
     }
     let keys =
         differences
@@ -62,29 +67,29 @@
                 (Some(Before::TemplateBefore(_)), Some(After::TemplateAfter(after))) => Some(after),
                 _ => None,
             });
-    collect(keys.filter_map(|key| {
+    collect_upcoming(keys.filter_map(|key| {
         let before = old.template(&key.account, &key.name)?;
         Some((before, new.template(&key.account, &key.name)?))
     }))
 }
 
-/// Compares two whole views, for a revision that came as a snapshot.
-fn between(old: &View, new: &View) -> Vec<Upcoming> {
-    collect(new.templates().filter_map(|after| {
+/// Compares all templates of two views, for a revision that was learned as a snapshot.
+fn compare_views(old: &View, new: &View) -> Vec<UpcomingAdapter> {
+    collect_upcoming(new.templates().filter_map(|after| {
         let before = old.template(&after.account, &after.name)?;
         Some((before, after))
     }))
 }
 
-fn collect<'a>(
+fn collect_upcoming<'a>(
     pairs: impl Iterator<Item = (&'a Arc<Template>, &'a Arc<Template>)>,
-) -> Vec<Upcoming> {
+) -> Vec<UpcomingAdapter> {
     let mut seen = HashSet::new();
     pairs
         .filter_map(|(before, after)| {
             let replaces = before.adapter.clone()?;
             let adapter = after.adapter.clone()?;
-            (adapter != replaces).then(|| Upcoming {
+            (adapter != replaces).then(|| UpcomingAdapter {
                 pool: Arc::clone(&after.pool),
                 adapter,
                 replaces,
--- a/lib/src/config/view.rs
+++ b/lib/src/config/view.rs
@@ -1,7 +1,7 @@
-//! One revision of the configuration, immutable.
+//! Immutable view of one revision of the configuration.
 //!
-//! A request takes the view once and is decided on it from start to end, so
-//! that a change under way never mixes two revisions in one request.
+//! A request takes the view once and uses it from start to end, so that a
+//! concurrent change never mixes two revisions in one request.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -10,8 +10,8 @@
 use thiserror::Error;
 
 use super::digest::Digest;
-use crate::declaration::convert::{self, Unreadable};
-use crate::declaration::{Account, Pool, Set, Template};
+use crate::declaration::convert::{self, DecodeError};
+use crate::declaration::{Account, DeclarationSet, Pool, Template};
 use crate::name::Name;
 use crate::schema::declaration as schema;
 use crate::schema::declaration::difference::{After, Before};
@@ -21,34 +21,34 @@
 
 /// All declarations of one revision.
 ///
-/// A later revision shares what it has in common with the earlier one, so that
-/// a change costs what it changes, not what there is.
+/// A later revision shares unchanged declarations with the earlier one, so that
+/// applying a change doesn't copy every declaration.
 #[derive(Debug, Clone, Default)]
 pub struct View {
     revision: u64,
     digest: Digest,
     accounts: HashMap<Name, Arc<Account>>,
-    by_digest: HashMap<[u8; 32], Arc<Account>>,
+    by_key_digest: HashMap<[u8; 32], Arc<Account>>,
     pools: HashMap<Name, Arc<Pool>>,
     templates: HashMap<Name, Arc<Templates>>,
 }
 
-/// Why a change can't be made on a view.
+/// Why differences can't be applied to a view.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum Error {
-    /// A declaration can't be read by this version.
+    /// This version can't decode a declaration.
     #[error(transparent)]
-    Unreadable(#[from] Unreadable),
-    /// The change doesn't start from what this view holds.
+    Unreadable(#[from] DecodeError),
+    /// The differences are based on other declarations than this view's.
     #[error("{0} isn't what the change starts from")]
-    Unlike(String),
-    /// The result isn't what its writer had: a field that this version doesn't know, or damage.
+    BaseMismatch(String),
+    /// The digest isn't the writer's: the data is damaged, or has a field that this version doesn't know.
     #[error("the result differs from its writer's; a newer version may have written it")]
-    Digest,
+    DigestMismatch,
 }
 
 impl View {
-    /// Makes the view of a revision; revision 0 is the empty one before any change.
+    /// Creates the view of a revision; revision 0 is the empty one before any change.
     #[must_use]
     pub fn new(
         revision: u64,
@@ -62,50 +62,50 @@
         };
         for account in accounts {
             view.digest.add_account(&convert::account_message(&account));
-            view.put_account(account);
+            view.insert_account(account);
         }
         for pool in pools {
             view.digest.add_pool(&convert::pool_message(&pool));
-            view.put_pool(pool);
+            view.insert_pool(pool);
         }
         for template in templates {
             view.digest
                 .add_template(&convert::template_message(&template));
-            view.put_template(template);
+            view.insert_template(template);
         }
         view
     }
 
-    /// Makes the view of a revision from declarations in canonical form.
+    /// Creates the view of a revision from declarations in canonical form.
     ///
     /// # Errors
     ///
-    /// When a declaration can't be read.
-    pub fn from_set(revision: u64, set: &Set) -> Result<Self, Error> {
+    /// When a declaration can't be decoded.
+    pub fn from_set(revision: u64, set: &DeclarationSet) -> Result<Self, Error> {
         let mut view = Self {
             revision,
             ..Self::default()
         };
         for message in set.accounts.values() {
             view.digest.add_account(message);
-            view.put_account(convert::account(message)?);
+            view.insert_account(convert::account(message)?);
         }
         for message in set.pools.values() {
             view.digest.add_pool(message);
-            view.put_pool(convert::pool(message)?);
+            view.insert_pool(convert::pool(message)?);
         }
         for message in set.templates.values() {
             view.digest.add_template(message);
             let template = convert::template(message, view.pools.get(message.pool.as_str()))?;
-            view.put_template(template);
+            view.insert_template(template);
         }
         Ok(view)
     }
 
     /// Returns all declarations in canonical form.
     #[must_use]
-    pub fn set(&self) -> Set {
-        let mut set = Set::default();
+    pub fn to_set(&self) -> DeclarationSet {
+        let mut set = DeclarationSet::default();
         set.extend(schema::File {
             accounts: self
                 .accounts()
@@ -123,36 +123,40 @@
         set
     }
 
-    /// Makes the view of the revision that follows from differences to this one.
+    /// Returns the view of `revision`, which results from applying differences to this view.
     ///
     /// # Errors
     ///
-    /// When the differences don't start from this view, or can't be read.
-    pub fn change(&self, revision: u64, differences: &[schema::Difference]) -> Result<Self, Error> {
+    /// When the differences aren't based on this view, or can't be decoded.
+    pub fn apply_differences(
+        &self,
+        revision: u64,
+        differences: &[schema::Difference],
+    ) -> Result<Self, Error> {
         let mut next = self.clone();
         next.revision = revision;
         for difference in differences {
-            self.starts(difference)?;
-            next.digest.change(difference);
+            self.check_base(difference)?;
+            next.digest.apply_difference(difference);
         }
-        // All that goes leaves first: a key that moves between accounts belongs
-        // to the new one only then.
+        // Remove everything first: a key that moves between accounts would otherwise
+        // be removed after it was inserted for its new account.
         for old in differences.iter().filter_map(|d| d.before.as_ref()) {
             next.remove(old);
         }
-        // Pools come before the templates that are read by them.
+        // Insert pools before the templates, which are decoded with their pool.
         let after = || differences.iter().filter_map(|d| d.after.as_ref());
         for new in after() {
             if let After::PoolAfter(pool) = new {
-                next.put_pool(convert::pool(pool)?);
+                next.insert_pool(convert::pool(pool)?);
             }
         }
         for new in after() {
             match new {
-                After::AccountAfter(account) => next.put_account(convert::account(account)?),
+                After::AccountAfter(account) => next.insert_account(convert::account(account)?),
                 After::TemplateAfter(template) => {
                     let pool = next.pools.get(template.pool.as_str());
-                    next.put_template(convert::template(template, pool)?);
+                    next.insert_template(convert::template(template, pool)?);
                 }
                 After::PoolAfter(_) => {}
             }
@@ -162,30 +166,30 @@
                 (&difference.before, &difference.after)
                 && (&old.kind, &old.base_model) != (&new.kind, &new.base_model)
             {
-                next.reread(&new.name)?;
+                next.rebuild_templates(&new.name)?;
             }
         }
         Ok(next)
     }
 
-    /// Returns the revision; it only rises at a node.
+    /// Returns the revision; on a node it only increases.
     #[must_use]
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// Returns the digest over all declarations.
+    /// Returns the digest of all declarations.
     #[must_use]
     pub fn digest(&self) -> Digest {
         self.digest
     }
 
-    /// Finds the client account of a key's digest.
+    /// Returns the client account with this key digest.
     #[must_use]
-    pub fn account_of_digest(&self, digest: &[u8; 32]) -> Option<&Arc<Account>> {
-        // The table's own comparison stops at the first different byte; it only
-        // ever sees digests, and the answer rests on the comparison below.
-        let account = self.by_digest.get(digest)?;
+    pub fn account_by_key_digest(&self, digest: &[u8; 32]) -> Option<&Arc<Account>> {
+        // The map's comparison isn't constant-time, but it compares only digests;
+        // the result depends on the constant-time comparison below.
+        let account = self.by_key_digest.get(digest)?;
         let known = account
             .key_digests
             .iter()
@@ -193,13 +197,13 @@
         known.then_some(account)
     }
 
-    /// Finds a template of a client account.
+    /// Returns a template of a client account.
     #[must_use]
     pub fn template(&self, account: &str, name: &str) -> Option<&Arc<Template>> {
         self.templates.get(account)?.get(name)
     }
 
-    /// Lists a client account's templates, in no order.
+    /// Iterates over a client account's templates, in no particular order.
     pub fn templates_of(&self, account: &str) -> impl Iterator<Item = &Arc<Template>> {
         self.templates
             .get(account)
@@ -207,46 +211,46 @@
             .flat_map(|templates| templates.values())
     }
 
-    /// Lists all templates, in no order.
+    /// Iterates over all templates, in no particular order.
     pub fn templates(&self) -> impl Iterator<Item = &Arc<Template>> {
         self.templates
             .values()
             .flat_map(|templates| templates.values())
     }
 
-    /// Finds a pool.
+    /// Returns a pool by name.
     #[must_use]
     pub fn pool(&self, name: &str) -> Option<&Arc<Pool>> {
         self.pools.get(name)
     }
 
-    /// Lists all pools, in no order.
+    /// Iterates over all pools, in no particular order.
     pub fn pools(&self) -> impl Iterator<Item = &Arc<Pool>> {
         self.pools.values()
     }
 
-    /// Finds a client account by name.
+    /// Returns a client account by name.
     #[must_use]
     pub fn account(&self, name: &str) -> Option<&Arc<Account>> {
         self.accounts.get(name)
     }
 
-    /// Lists all client accounts, in no order.
+    /// Iterates over all client accounts, in no particular order.
     pub fn accounts(&self) -> impl Iterator<Item = &Arc<Account>> {
         self.accounts.values()
     }
 
-    fn put_account(&mut self, account: Account) {
+    fn insert_account(&mut self, account: Account) {
         let account = Arc::new(account);
         for digest in &account.key_digests {
-            self.by_digest.insert(*digest, Arc::clone(&account));
+            self.by_key_digest.insert(*digest, Arc::clone(&account));
         }
         self.accounts.insert(Arc::clone(&account.name), account);
     }
 
-    /// Checks that a difference starts from what this view holds.
-    fn starts(&self, difference: &schema::Difference) -> Result<(), Error> {
-        let held = match (&difference.before, &difference.after) {
+    /// Checks that a difference is based on this view's declarations.
+    fn check_base(&self, difference: &schema::Difference) -> Result<(), Error> {
+        let matches = match (&difference.before, &difference.after) {
             (Some(Before::AccountBefore(old)), _) => {
                 self.account(&old.name)
                     .map(|a| convert::account_message(a))
@@ -270,10 +274,10 @@
             }
             (None, None) => false,
         };
-        if held {
+        if matches {
             return Ok(());
         }
-        Err(Error::Unlike(title(difference)))
+        Err(Error::BaseMismatch(describe(difference)))
     }
 
     fn remove(&mut self, old: &Before) {
@@ -286,8 +290,8 @@
         }
     }
 
-    /// Reads the templates of a pool again, whose base model is part of their adapters.
-    fn reread(&mut self, pool: &str) -> Result<(), Error> {
+    /// Decodes a pool's templates again, because its base model is part of their adapters.
+    fn rebuild_templates(&mut self, pool: &str) -> Result<(), Error> {
         let pool = self.pools.get(pool).cloned();
         let of_pool: Vec<schema::Template> = self
             .templates()
@@ -295,7 +299,7 @@
             .map(|template| convert::template_message(template))
             .collect();
         for message in of_pool {
-            self.put_template(convert::template(&message, pool.as_ref())?);
+            self.insert_template(convert::template(&message, pool.as_ref())?);
         }
         Ok(())
     }
@@ -305,15 +309,15 @@
             return;
         };
         for digest in &account.key_digests {
-            self.by_digest.remove(digest);
+            self.by_key_digest.remove(digest);
         }
     }
 
-    fn put_pool(&mut self, pool: Pool) {
+    fn insert_pool(&mut self, pool: Pool) {
         self.pools.insert(Arc::clone(&pool.name), Arc::new(pool));
     }
 
-    fn put_template(&mut self, template: Template) {
+    fn insert_template(&mut self, template: Template) {
         let templates = self
             .templates
             .entry(Arc::clone(&template.account))
@@ -333,8 +337,8 @@
     }
 }
 
-/// Names what a difference is about.
-fn title(difference: &schema::Difference) -> String {
+/// Names the declaration that a difference changes, for error messages.
+fn describe(difference: &schema::Difference) -> String {
     match (&difference.before, &difference.after) {
         (Some(Before::AccountBefore(a)), _) | (None, Some(After::AccountAfter(a))) => {
             format!("account {}", a.name)
--- a/lib/src/declaration/export.rs
+++ b/lib/src/declaration/export.rs
@@ -1,4 +1,4 @@
-//! Writes a set of declarations as files that can be applied elsewhere.
+//! Exports a set of declarations as files that can be applied elsewhere.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -7,22 +7,26 @@
 use serde_json::{Map, Value};
 
 use super::diff::is_default;
-use super::load::Source;
-use super::set::Set;
+use super::load::SourceFile;
+use super::set::DeclarationSet;
 
-/// Writes a set as YAML files: accounts, pools, and one file for each account's templates.
+/// Renders a set as YAML files: accounts, pools, and one file for each account's templates.
 #[must_use]
-pub fn export(set: &Set) -> Vec<Source> {
+pub fn export(set: &DeclarationSet) -> Vec<SourceFile> {
     let mut files = Vec::new();
     if !set.accounts.is_empty() {
-        files.push(file(
+        files.push(render_file(
             "accounts.yaml".into(),
             "accounts",
             set.accounts.values(),
         ));
     }
     if !set.pools.is_empty() {
-        files.push(file("pools.yaml".into(), "pools", set.pools.values()));
+        files.push(render_file(
+            "pools.yaml".into(),
+            "pools",
+            set.pools.values(),
+        ));
     }
     let mut by_account: BTreeMap<&str, Vec<_>> = BTreeMap::new();
     for template in set.templates.values() {
@@ -33,25 +37,32 @@
     }
     for (account, templates) in by_account {
         let name = format!("templates/{account}.yaml");
-        files.push(file(name, "templates", templates));
+        files.push(render_file(name, "templates", templates));
     }
     files
 }
 
-fn file<T: Serialize>(name: String, list: &str, items: impl IntoIterator<Item = T>) -> Source {
-    let items: Vec<Value> = items.into_iter().map(|item| short(&item)).collect();
+fn render_file<T: Serialize>(
+    name: String,
+    list: &str,
+    items: impl IntoIterator<Item = T>,
+) -> SourceFile {
+    let items: Vec<Value> = items
+        .into_iter()
+        .map(|item| without_defaults(&item))
+        .collect();
     let mut root = Map::new();
     root.insert(list.to_owned(), Value::Array(items));
     let text = serde_saphyr::to_string(&root)
         .expect("a tree of texts, numbers and truth values can be written");
-    Source {
+    SourceFile {
         name: Arc::from(name),
         text,
     }
 }
 
-/// Leaves out what is at its default.
-fn short(item: &impl Serialize) -> Value {
+/// Serializes an item without the fields that have their default value.
+fn without_defaults(item: &impl Serialize) -> Value {
     let Ok(Value::Object(fields)) = serde_json::to_value(item) else {
         return Value::Null;
     };
--- a/lib/src/declaration/set.rs
+++ b/lib/src/declaration/set.rs
@@ -1,8 +1,7 @@
-//! All declarations of one revision in their canonical form.
+//! All declarations of one revision in canonical form.
 //!
-//! Two sets that mean the same are equal byte by byte: defaults are written
-//! out, lists are sorted and texts have one spelling. Differences and digests
-//! rest on this.
+//! Equivalent sets are equal byte by byte: defaults are explicit, lists are
+//! sorted and digests have one spelling. Differences and digests depend on this.
 
 use std::collections::BTreeMap;
 
@@ -13,7 +12,7 @@
 
 /// All declarations, by name.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
-pub struct Set {
+pub struct DeclarationSet {
     /// Client accounts by name.
     pub accounts: BTreeMap<String, Account>,
     /// Pools by name.
@@ -22,8 +21,8 @@
     pub templates: BTreeMap<TemplateKey, Template>,
 }
 
-impl Set {
-    /// Takes declarations that are in canonical form; of two with one name the later stays.
+impl DeclarationSet {
+    /// Inserts declarations in canonical form, replacing those with the same name.
     pub fn extend(&mut self, file: File) {
         for account in file.accounts {
             self.accounts.insert(account.name.clone(), account);
@@ -37,20 +36,20 @@
         }
     }
 
-    /// Returns how many declarations there are.
+    /// Returns the number of declarations.
     #[must_use]
     pub fn len(&self) -> usize {
         self.accounts.len() + self.pools.len() + self.templates.len()
     }
 
-    /// Whether nothing is declared.
+    /// Whether the set has no declarations.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 }
 
-impl From<File> for Set {
+impl From<File> for DeclarationSet {
     fn from(file: File) -> Self {
         let mut set = Self::default();
         set.extend(file);
--- a/lib/src/membership/manager/publish.rs
+++ b/lib/src/membership/manager/publish.rs
@@ -7,7 +7,7 @@
 
 use super::{AdopterCall, Core, MembershipManager};
 use crate::clock::Millis;
-use crate::declaration::{Kind, Pool};
+use crate::declaration::{Pool, PoolKind};
 use crate::loads::WEIGHT_STORE;
 use crate::membership::UpstreamOwnership;
 use crate::membership::fleet::{self, Fleet, State};
@@ -142,7 +142,7 @@
     };
     let pool = Pool {
         name,
-        kind: Kind::Service,
+        kind: PoolKind::Service,
         batch: 1,
         checks_fencing: false,
     };
--- a/lib/src/node/assembly.rs
+++ b/lib/src/node/assembly.rs
@@ -40,7 +40,7 @@
 
 /// Parts whose state is spread between nodes.
 struct Shares<'a> {
-    config: &'a Arc<config::Keeper>,
+    config: &'a Arc<config::ConfigManager>,
     membership: &'a Arc<membership::MembershipManager>,
     quarantine: &'a Arc<entry::Quarantine>,
 }
@@ -62,7 +62,7 @@
     clients: Arc<Clients>,
     loads: Arc<loads::SharedPermitQueue>,
     gossip: Arc<gossip::Gossiper>,
-    pub(super) config: Arc<config::Keeper>,
+    pub(super) config: Arc<config::ConfigManager>,
     pub(super) membership: Arc<membership::MembershipManager>,
     quarantine: Arc<entry::Quarantine>,
 }
@@ -90,7 +90,7 @@
         let routing = Deferred::<dyn owner::RoutingCheck>::default();
         let registry = Registry::start(base.owner(&permits, &detector, &routing));
         let clients = Clients::new(base.clients(&registry, security));
-        let config = config::Keeper::start(base.config(&registry, &peers));
+        let config = config::ConfigManager::start(base.config(&registry, &peers));
         let membership = base.membership(&config, &registry, &clients);
         let loads = loads::SharedPermitQueue::start(base.loads(&membership, &clients));
         routing.get_or_init(|| Arc::clone(&config) as _);
@@ -208,8 +208,8 @@
         &self,
         registry: &Arc<Registry>,
         peers: &Deferred<dyn gossip::PeerSource>,
-    ) -> config::Parts {
-        config::Parts {
+    ) -> config::Dependencies {
+        config::Dependencies {
             node: Arc::clone(&self.identity.name),
             region: Arc::clone(&self.identity.region),
             store: Arc::clone(&self.platform.store) as _,
@@ -228,7 +228,7 @@
 
     fn membership(
         &self,
-        config: &Arc<config::Keeper>,
+        config: &Arc<config::ConfigManager>,
         registry: &Arc<Registry>,
         clients: &Arc<Clients>,
     ) -> Arc<membership::MembershipManager> {
@@ -287,7 +287,7 @@
                 Arc::clone(membership) as _,
                 Arc::clone(quarantine) as _,
             ],
-            changes: vec![config.news(), quarantine.changes()],
+            changes: vec![config.learned_revision(), quarantine.changes()],
             installer: Arc::clone(config) as _,
             peers: Arc::clone(membership) as _,
             transport: Arc::clone(clients) as _,
--- a/lib/src/operators/configuration.rs
+++ b/lib/src/operators/configuration.rs
@@ -7,12 +7,12 @@
 use super::port::Configuration;
 use super::refusal::{Cause, Refusal};
 use super::wire;
-use crate::config::{self, Error, Keeper, Order};
-use crate::declaration::{Mistake, Set, Source, check_sources, diff, export};
+use crate::config::{self, ChangeRequest, ConfigManager, Error};
+use crate::declaration::{DeclarationSet, Mistake, SourceFile, check_sources, diff, export};
 use crate::name::Name;
 
 #[async_trait]
-impl Configuration for Keeper {
+impl Configuration for ConfigManager {
     fn rollout(&self) -> wire::Rollout {
         let status = self.status();
         wire::Rollout {
@@ -27,7 +27,7 @@
         let view = self.learned();
         apart(move || wire::Export {
             revision: view.revision(),
-            files: export::export(&view.set())
+            files: export::export(&view.to_set())
                 .into_iter()
                 .map(Into::into)
                 .collect(),
@@ -37,18 +37,18 @@
 
     async fn plan(&self, files: Vec<wire::File>) -> Result<wire::Plan, Refusal> {
         let set = read(files).await?;
-        Ok(Keeper::plan(self, &set).await.into())
+        Ok(ConfigManager::plan(self, &set).await.into())
     }
 
     async fn apply(&self, change: wire::Apply, author: Name) -> Result<wire::Accepted, Refusal> {
         let set = read(change.files).await?;
-        let order = order(
+        let change_request = change_request(
             &change.change_id,
             author,
             change.reason,
             change.expected_revision,
         );
-        let accepted = Keeper::apply(self, &order, &set).await;
+        let accepted = ConfigManager::apply(self, &change_request, &set).await;
         accepted
             .map(|accepted| answer(accepted, change.change_id))
             .map_err(Into::into)
@@ -59,20 +59,20 @@
         change: wire::Rollback,
         author: Name,
     ) -> Result<wire::Accepted, Refusal> {
-        let order = order(
+        let change_request = change_request(
             &change.change_id,
             author,
             change.reason,
             change.expected_revision,
         );
-        let accepted = Keeper::rollback(self, &order, change.to_revision).await;
+        let accepted = ConfigManager::rollback(self, &change_request, change.to_revision).await;
         accepted
             .map(|accepted| answer(accepted, change.change_id))
             .map_err(Into::into)
     }
 
     async fn history(&self, limit: usize) -> Result<wire::History, Refusal> {
-        let operations = Keeper::history(self, None, limit).await?;
+        let operations = ConfigManager::history(self, None, limit).await?;
         Ok(wire::History {
             operations: operations
                 .iter()
@@ -82,11 +82,11 @@
     }
 }
 
-fn order(id: &str, author: Name, reason: String, expected: u64) -> Order {
+fn change_request(id: &str, author: Name, reason: String, expected: u64) -> ChangeRequest {
     let now = SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .unwrap_or_default();
-    Order {
+    ChangeRequest {
         id: Name::from(id),
         author,
         reason,
@@ -105,9 +105,9 @@
 }
 
 /// Checks files by this node's rules.
-async fn read(files: Vec<wire::File>) -> Result<Set, Refusal> {
+async fn read(files: Vec<wire::File>) -> Result<DeclarationSet, Refusal> {
     let checked = apart(move || {
-        let sources: Vec<Source> = files.into_iter().map(Into::into).collect();
+        let sources: Vec<SourceFile> = files.into_iter().map(Into::into).collect();
         check_sources(&sources)
     });
     checked.await?.map_err(|mistakes| invalid(&mistakes))
@@ -132,8 +132,8 @@
     .mistakes(mistakes.iter().map(ToString::to_string).collect())
 }
 
-impl From<Source> for wire::File {
-    fn from(source: Source) -> Self {
+impl From<SourceFile> for wire::File {
+    fn from(source: SourceFile) -> Self {
         Self {
             name: source.name.to_string(),
             text: source.text,
@@ -141,7 +141,7 @@
     }
 }
 
-impl From<wire::File> for Source {
+impl From<wire::File> for SourceFile {
     fn from(file: wire::File) -> Self {
         Self {
             name: Name::from(file.name),
@@ -164,8 +164,8 @@
 impl From<Error> for Refusal {
     fn from(error: Error) -> Self {
         let cause = match &error {
-            Error::LostRace(_) | Error::Moved { .. } => Cause::LostRace,
-            Error::Unsettled { .. } => Cause::Unknown,
+            Error::LostRace(_) | Error::RevisionMismatch { .. } => Cause::LostRace,
+            Error::OutcomeUnknown { .. } => Cause::Unknown,
             Error::Unavailable(_) => Cause::Unavailable,
             Error::Contended => Cause::Busy,
             Error::Invalid(_) | Error::Unreadable(_) => Cause::Invalid,
@@ -174,7 +174,7 @@
         };
         let winner = match &error {
             Error::LostRace(winner) => Some(winner),
-            Error::Moved { newest, .. } => newest.as_ref(),
+            Error::RevisionMismatch { newest, .. } => newest.as_ref(),
             _ => None,
         };
         let winners = winner.map(|winner| winner.as_ref().clone().into());
--- a/lib/src/owner/driver/mod.rs
+++ b/lib/src/owner/driver/mod.rs
@@ -21,7 +21,7 @@
 use super::task_event::TaskEvent;
 use crate::adapter::Adapter;
 use crate::clock::Millis;
-use crate::declaration::Kind;
+use crate::declaration::PoolKind;
 use crate::error::{Code, Failure};
 use crate::loads::Permit;
 use crate::membership::fleet::State;
@@ -86,8 +86,8 @@
     ) -> Self {
         let vm = &assignment.upstream.vm;
         let target = match &assignment.pool.kind {
-            Kind::Engine { .. } => Target::Engine(dependencies.connector.engine(vm)),
-            Kind::Service => Target::Service(dependencies.connector.service(vm)),
+            PoolKind::Engine { .. } => Target::Engine(dependencies.connector.engine(vm)),
+            PoolKind::Service => Target::Service(dependencies.connector.service(vm)),
         };
         let machine = Machine::new(limits(&dependencies, &assignment));
         let report_poller = ReportPoller::start(&target, &dependencies, events.clone());
@@ -444,8 +444,8 @@
 
 fn limits(dependencies: &Dependencies, assignment: &Assignment) -> Limits {
     let slots = match assignment.pool.kind {
-        Kind::Engine { slots, .. } => Some(slots),
-        Kind::Service => None,
+        PoolKind::Engine { slots, .. } => Some(slots),
+        PoolKind::Service => None,
     };
     Limits {
         slots,
--- a/lib/src/owner/registry.rs
+++ b/lib/src/owner/registry.rs
@@ -12,15 +12,8 @@
 use tokio::sync::{mpsc, oneshot, watch};
 use tokio_util::task::TaskTracker;
 
-use super::actor::{
-    Assignment, PrefetchReplacement, Release, Submit, UpdateAssignment, UpstreamActor,
-};
-use super::request_guard::RequestGuard;
-use super::run::{self, Grant};
-use super::task_event::TaskEvent;
-use super::{Limits, Status};
 use crate::clock::{Clock, Millis};
-use crate::config::prefetch::{Prefetch, Upcoming};
+use crate::config::prefetch::{Prefetch, UpcomingAdapter};
 use crate::declaration::Pool;
 use crate::error::{Code, Failure};
 use crate::loads::{PermitSource, WEIGHT_STORE};
@@ -30,6 +23,11 @@
 use crate::ports::{Connector, UpstreamResponse};
 use crate::request::{Id, Ticket};
 use crate::runner::{Attempt, Runner};
+use super::{Limits, Status};
+use super::actor::{Assignment, PrefetchReplacement, Release, Submit, UpdateAssignment, UpstreamActor};
+use super::request_guard::RequestGuard;
+use super::run::{Grant, self};
+use super::task_event::TaskEvent;
 
 /// Delay that callers are told to wait before a retry when the mailbox is full.
 const RETRY_AFTER: Millis = Millis::from_secs(1);
@@ -305,7 +303,7 @@
 }
 
 impl Prefetch for Registry {
-    fn upcoming(&self, adapters: &[Upcoming]) {
+    fn prefetch(&self, adapters: &[UpcomingAdapter]) {
         let owned = self.owned.read().unwrap_or_else(PoisonError::into_inner);
         for upcoming in adapters {
             let pool = owned
--- a/lib/tests/entry_support/mod.rs
+++ b/lib/tests/entry_support/mod.rs
@@ -12,8 +12,8 @@
 use chivevalve::adapter::Adapter;
 use chivevalve::clock::{Clock, Millis, Monotonic};
 use chivevalve::config::View;
-use chivevalve::declaration::{Account, Kind, Pool, Template};
-use chivevalve::entry::{self, Dependencies, Limits, Quarantine};
+use chivevalve::declaration::{Account, Pool, PoolKind, Template};
+use chivevalve::entry::{Dependencies, Limits, Quarantine, self};
 use chivevalve::error::{Code, Failure};
 use chivevalve::membership::Fleet;
 use chivevalve::membership::fleet::{Owner, State, Upstream};
@@ -263,7 +263,7 @@
     let pools = vec![
         Pool {
             name: "gpu".into(),
-            kind: Kind::Engine {
+            kind: PoolKind::Engine {
                 base_model: "base".into(),
                 slots: 4,
             },
@@ -272,7 +272,7 @@
         },
         Pool {
             name: "stock".into(),
-            kind: Kind::Service,
+            kind: PoolKind::Service,
             batch: 8,
             checks_fencing: false,
         },
--- a/lib/tests/owner_fakes/mod.rs
+++ b/lib/tests/owner_fakes/mod.rs
@@ -10,21 +10,19 @@
 use bytes::Bytes;
 use chivevalve::adapter::Adapter;
 use chivevalve::clock::{Clock, Millis, Monotonic};
-use chivevalve::declaration::{Kind, Pool};
+use chivevalve::declaration::{Pool, PoolKind};
 use chivevalve::error::{Code, Failure};
 use chivevalve::loads::{Permit, PermitRequest, PermitSource};
-use chivevalve::membership::fleet::{State, Upstream};
 use chivevalve::membership::{Adopter, FailureDetector, UpstreamOwnership};
+use chivevalve::membership::fleet::{State, Upstream};
 use chivevalve::metrics::Metrics;
 use chivevalve::owner::{Dependencies, Limits, Registry, RoutingCheck};
-use chivevalve::ports::{
-    CompletionCall, Connector, Engine, EngineStatus, Fence, Service, UpstreamResponse, Vm,
-};
+use chivevalve::ports::{CompletionCall, Connector, Engine, EngineStatus, Fence, Service, UpstreamResponse, Vm};
 use chivevalve::request::{Class, Id, Ticket};
 use chivevalve::runner::{Attempt, Share, Work};
 use futures::{StreamExt, stream};
-use http::header::CONTENT_LENGTH;
 use http::{request, response};
+use http::header::CONTENT_LENGTH;
 use tokio::sync::watch;
 
 /// How long a load takes.
@@ -429,7 +427,7 @@
 
     /// Takes ownership of the engine with a fencing token.
     pub async fn adopt(&self, batch: u32, token: u64) {
-        let kind = Kind::Engine {
+        let kind = PoolKind::Engine {
             base_model: "base".into(),
             slots: 2,
         };
@@ -437,7 +435,7 @@
     }
 
     /// Takes ownership of it as an upstream of another kind.
-    pub async fn adopt_as(&self, kind: Kind, batch: u32, token: u64) {
+    pub async fn adopt_as(&self, kind: PoolKind, batch: u32, token: u64) {
         let pool = Pool {
             name: "engines".into(),
             kind,
--- a/lib/tests/test_config_view.rs
+++ b/lib/tests/test_config_view.rs
@@ -1,4 +1,4 @@
-//! A view that follows from differences is the view that is read whole.
+//! A view made by applying differences equals the view of the complete set.
 
 #![allow(
     clippy::needless_pass_by_value,
@@ -6,26 +6,26 @@
 )]
 
 use chivevalve::config::{View, layout};
-use chivevalve::declaration::{Set, diff};
+use chivevalve::declaration::{DeclarationSet, diff};
 use chivevalve::schema::declaration::{Account, Bucket, Pool, Template};
 use prost::Message;
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 
 /// Small sets, so that two of them often share names.
 #[derive(Debug, Clone)]
-struct Declared(Set);
+struct Declared(DeclarationSet);
 
 impl Arbitrary for Declared {
     fn arbitrary(g: &mut Gen) -> Self {
-        let mut set = Set::default();
+        let mut set = DeclarationSet::default();
         for (index, engine) in [("p0", true), ("p1", bool::arbitrary(g))] {
             let pool = pool(g, index, engine);
             set.pools.insert(pool.name.clone(), pool);
         }
-        let mut spare: Vec<u8> = (0..6).collect();
+        let mut unused_keys: Vec<u8> = (0..6).collect();
         for index in 0..3 {
             if bool::arbitrary(g) {
-                let account = account(g, &format!("a{index}"), &mut spare);
+                let account = account(g, &format!("a{index}"), &mut unused_keys);
                 set.accounts.insert(account.name.clone(), account);
             }
         }
@@ -54,13 +54,14 @@
     }
 }
 
-/// Keys move between accounts from one set to the next.
-fn account(g: &mut Gen, name: &str, spare: &mut Vec<u8>) -> Account {
+/// Takes keys from a common supply, so that they move between accounts from one set to the next.
+fn account(g: &mut Gen, name: &str, unused_keys: &mut Vec<u8>) -> Account {
     let count = usize::arbitrary(g) % 3;
     let mut key_digests: Vec<String> = (0..count)
         .filter_map(|_| {
-            let index = usize::arbitrary(g) % spare.len().max(1);
-            (index < spare.len()).then(|| format!("{:02x}", spare.swap_remove(index)).repeat(32))
+            let index = usize::arbitrary(g) % unused_keys.len().max(1);
+            (index < unused_keys.len())
+                .then(|| format!("{:02x}", unused_keys.swap_remove(index)).repeat(32))
         })
         .collect();
     key_digests.sort();
@@ -72,7 +73,7 @@
     }
 }
 
-fn template(g: &mut Gen, account: &str, name: &str, set: &Set) -> Template {
+fn template(g: &mut Gen, account: &str, name: &str, set: &DeclarationSet) -> Template {
     let pool = if bool::arbitrary(g) { "p0" } else { "p1" };
     let engine = set.pools[pool].kind == "engine";
     Template {
@@ -100,45 +101,50 @@
         let accounts = view.accounts();
         let digests = accounts.flat_map(|account| account.key_digests.clone());
         let mut found: Vec<_> = digests
-            .map(|digest| (digest, view.account_of_digest(&digest).cloned()))
+            .map(|digest| (digest, view.account_by_key_digest(&digest).cloned()))
             .collect();
         found.sort_by_key(|(digest, _)| *digest);
         found
     };
     let mut adapters: Vec<_> = a.templates().cloned().collect();
     adapters.retain(|template| b.template(&template.account, &template.name) != Some(template));
-    a.set() == b.set() && a.digest() == b.digest() && keys(a) == keys(b) && adapters.is_empty()
+    a.to_set() == b.to_set()
+        && a.digest() == b.digest()
+        && keys(a) == keys(b)
+        && adapters.is_empty()
 }
 
 #[test]
-fn view_change_equals_whole() {
+fn view_apply_differences_equals_full() {
     fn property(before: Declared, after: Declared) -> bool {
         let old = View::from_set(1, &before.0).unwrap();
-        let whole = View::from_set(2, &after.0).unwrap();
+        let full = View::from_set(2, &after.0).unwrap();
         let differences = diff::diff(&before.0, &after.0);
-        let next = old.change(2, &differences).unwrap();
-        let back = next.change(3, &diff::reverse(&differences)).unwrap();
-        same(&next, &whole) && same(&back, &old)
+        let next = old.apply_differences(2, &differences).unwrap();
+        let back = next
+            .apply_differences(3, &diff::reverse(&differences))
+            .unwrap();
+        same(&next, &full) && same(&back, &old)
     }
     check(property, 1);
 }
 
 #[test]
-fn view_change_refuses_another_start() {
+fn view_apply_differences_rejects_other_base() {
     fn property(before: Declared, after: Declared) -> bool {
         let differences = diff::diff(&before.0, &after.0);
         let elsewhere = View::from_set(1, &after.0).unwrap();
-        differences.is_empty() || elsewhere.change(2, &differences).is_err()
+        differences.is_empty() || elsewhere.apply_differences(2, &differences).is_err()
     }
     check(property, 2);
 }
 
 #[test]
-fn buckets_hold_everything_once() {
+fn buckets_hold_each_declaration_once() {
     fn property(before: Declared, _after: Declared) -> bool {
-        let mut read = Set::default();
+        let mut read = DeclarationSet::default();
         let mut count = 0;
-        for stored in layout::buckets(&before.0) {
+        for stored in layout::encode_buckets(&before.0) {
             assert_eq!(stored.digest, layout::digest(&stored.value));
             let file = Bucket::decode(stored.value.as_slice()).unwrap().file;
             let file = file.unwrap();
--- a/lib/tests/test_declaration.rs
+++ b/lib/tests/test_declaration.rs
@@ -1,29 +1,29 @@
-//! Declarations are read, checked, compared and written as one whole.
+//! Reading, checking, comparing and exporting declarations.
 
 use std::sync::Arc;
 
-use chivevalve::declaration::{self, Mistake, Source, diff, export};
+use chivevalve::declaration::{self, Mistake, SourceFile, diff, export};
 use chivevalve::schema::declaration::File;
 use insta::assert_snapshot;
 
-fn source(name: &str, text: &str) -> Source {
-    Source {
+fn source(name: &str, text: &str) -> SourceFile {
+    SourceFile {
         name: Arc::from(name),
         text: text.to_owned(),
     }
 }
 
-fn shown(mistakes: &[Mistake]) -> String {
+fn format_mistakes(mistakes: &[Mistake]) -> String {
     let lines: Vec<String> = mistakes.iter().map(ToString::to_string).collect();
     lines.join("\n")
 }
 
 fn mistakes(files: &[(&str, &str)]) -> String {
-    let sources: Vec<Source> = files
+    let sources: Vec<SourceFile> = files
         .iter()
         .map(|(name, text)| source(name, text))
         .collect();
-    shown(&declaration::check_sources(&sources).unwrap_err())
+    format_mistakes(&declaration::check_sources(&sources).unwrap_err())
 }
 
 const WHOLE: &str = "
@@ -204,13 +204,12 @@
     assert_eq!(patched, before);
 }
 
-/// Symptom: an operator copies the page's example and it is refused.
-/// Sequence: a field's name changes, the page stays.
-/// Cause: nothing held the page against the code.
+/// Guards against outdated examples on the operators' page, for example after a
+/// field was renamed: an operator who copies one would get a mistake.
 #[test]
 fn page_examples_pass_the_check() {
     let page = include_str!("../../docs/operators/declarations.md");
-    let sources: Vec<Source> = page
+    let sources: Vec<SourceFile> = page
         .split("```yaml\n")
         .skip(1)
         .enumerate()
--- a/lib/tests/test_gossip.rs
+++ b/lib/tests/test_gossip.rs
@@ -27,7 +27,7 @@
 use futures::stream::{self, BoxStream};
 
 /// What serves a node's peers: its gossip and its configuration.
-type Endpoint = (Weak<Gossiper>, Arc<chivevalve::config::Keeper>);
+type Endpoint = (Weak<Gossiper>, Arc<chivevalve::config::ConfigManager>);
 
 /// Simulated network: nodes by address. An address without a node is unreachable.
 #[derive(Debug, Default)]
@@ -42,7 +42,7 @@
     async fn connect(
         &self,
         peer: &Peer,
-    ) -> Result<(Arc<Gossiper>, Arc<chivevalve::config::Keeper>), Failure> {
+    ) -> Result<(Arc<Gossiper>, Arc<chivevalve::config::ConfigManager>), Failure> {
         self.calls.lock().unwrap().push(peer.address);
         if self.unresponsive.lock().unwrap().contains(&peer.address) {
             std::future::pending::<()>().await;
@@ -99,9 +99,9 @@
         node: own.name,
         incarnation: 1,
         region: own.region,
-        states: vec![Arc::clone(&node.keeper) as _, Arc::clone(&quarantine) as _],
-        changes: vec![node.keeper.news(), quarantine.changes()],
-        installer: Arc::clone(&node.keeper) as _,
+        states: vec![Arc::clone(&node.manager) as _, Arc::clone(&quarantine) as _],
+        changes: vec![node.manager.learned_revision(), quarantine.changes()],
+        installer: Arc::clone(&node.manager) as _,
         peers: Arc::clone(&node.peers) as Arc<dyn PeerSource>,
         transport: Arc::clone(net) as _,
         clock: Arc::new(Monotonic::start()),
@@ -109,7 +109,7 @@
         seed: u64::from(number),
         stop: node.stop.clone(),
     });
-    let endpoint = (Arc::downgrade(&gossip), Arc::clone(&node.keeper));
+    let endpoint = (Arc::downgrade(&gossip), Arc::clone(&node.manager));
     net.nodes.lock().unwrap().insert(own.address, endpoint);
     GossipNode {
         node,
@@ -136,7 +136,7 @@
     let b = join(&net, &store, 2, &[1, 2]);
     b.node.in_force(1).await;
     assert!(clock.now().0 < 5_000, "{}", clock.now());
-    let (theirs, ours) = (a.node.keeper.status(), b.node.keeper.status());
+    let (theirs, ours) = (a.node.manager.status(), b.node.manager.status());
     assert_eq!(theirs.digest, ours.digest);
 }
 
@@ -167,7 +167,7 @@
         .collect();
     nodes[0].node.apply(&set(&[])).await;
     tokio::time::sleep(Duration::from_secs(10)).await;
-    let watchers = nodes.iter().filter(|n| n.node.keeper.status().watcher);
+    let watchers = nodes.iter().filter(|n| n.node.manager.status().watcher);
     assert_eq!(watchers.count(), 3);
     let clock = Monotonic::start();
     nodes[5].node.apply(&set(&[("faults", "1")])).await;
@@ -199,13 +199,13 @@
     let a = join(&net, &store, 1, &[1]);
     a.node.apply(&set(&[])).await;
     let mut digest = Digest::default();
-    chivevalve::gossip::GossipState::fill_digest(&*a.node.keeper, &mut digest);
+    chivevalve::gossip::GossipState::fill_digest(&*a.node.manager, &mut digest);
     make_unavailable(&store);
     tokio::time::sleep(Duration::from_mins(1)).await;
-    let before = a.node.keeper.status().confirmed_age_ms.unwrap();
+    let before = a.node.manager.status().confirmed_age_ms.unwrap();
     digest.confirmed_age_ms = 1;
     a.gossip.handle_exchange(digest).await;
-    assert!(a.node.keeper.status().confirmed_age_ms.unwrap() >= before);
+    assert!(a.node.manager.status().confirmed_age_ms.unwrap() >= before);
 }
 
 /// A peer that was partitioned for long gets what it lacks, and its old revision changes nothing.
@@ -217,7 +217,7 @@
     a.node.apply(&set(&[("faults", "1")])).await;
     b.node.in_force(1).await;
     let mut old = Digest::default();
-    chivevalve::gossip::GossipState::fill_digest(&*b.node.keeper, &mut old);
+    chivevalve::gossip::GossipState::fill_digest(&*b.node.manager, &mut old);
     a.node.apply(&set(&[("plans", "1")])).await;
     b.node.in_force(2).await;
     let delta = b.gossip.handle_exchange(old).await;
@@ -249,7 +249,7 @@
     let line = "chivevalve_config_events_total{kind=\"refused\"} 1\n";
     assert!(page.contains(line), "{page}");
     assert_eq!(a.node.revision(), 1);
-    assert!(a.node.keeper.status().refused.is_some());
+    assert!(a.node.manager.status().refused.is_some());
 }
 
 /// A fleet with one upstream.
--- a/lib/tests/test_owner.rs
+++ b/lib/tests/test_owner.rs
@@ -6,8 +6,8 @@
 
 use chivevalve::adapter::Adapter;
 use chivevalve::clock::Millis;
-use chivevalve::config::prefetch::{Prefetch, Upcoming};
-use chivevalve::declaration::Kind;
+use chivevalve::config::prefetch::{Prefetch, UpcomingAdapter};
+use chivevalve::declaration::PoolKind;
 use chivevalve::error::{Code, Fate};
 use chivevalve::runner::{Runner, Work};
 use http::Method;
@@ -185,7 +185,7 @@
         version: "4".into(),
         ..adapter("plans")
     };
-    bench.registry.upcoming(&[Upcoming {
+    bench.registry.prefetch(&[UpcomingAdapter {
         pool: "engines".into(),
         adapter: next.clone(),
         replaces: adapter("plans"),
@@ -205,7 +205,7 @@
 #[tokio::test(start_paused = true)]
 async fn call_is_forwarded_unchanged() {
     let bench = Bench::unowned();
-    bench.adopt_as(Kind::Service, 4, 1).await;
+    bench.adopt_as(PoolKind::Service, 4, 1).await;
     let answer = bench
         .registry
         .run(push("r1", "{\"sum\":12}"))
@@ -222,7 +222,7 @@
 #[tokio::test(start_paused = true)]
 async fn call_truncated_response() {
     let bench = Bench::unowned();
-    bench.adopt_as(Kind::Service, 4, 1).await;
+    bench.adopt_as(PoolKind::Service, 4, 1).await;
     bench.engine.set(|knobs| knobs.fault = Fault::Truncated);
     let answer = bench
         .registry
@@ -239,7 +239,7 @@
 #[tokio::test(start_paused = true)]
 async fn call_head_request() {
     let bench = Bench::unowned();
-    bench.adopt_as(Kind::Service, 4, 1).await;
+    bench.adopt_as(PoolKind::Service, 4, 1).await;
     let mut head = push("r1", "{\"sum\":12}");
     if let Work::Call { head, .. } = &mut head.work {
         head.method = Method::HEAD;
@@ -255,7 +255,7 @@
 #[tokio::test(start_paused = true)]
 async fn call_service_down() {
     let bench = Bench::unowned();
-    bench.adopt_as(Kind::Service, 4, 1).await;
+    bench.adopt_as(PoolKind::Service, 4, 1).await;
     bench.engine.set(|knobs| knobs.fault = Fault::Unreachable);
     for number in 0..5 {
         let id = format!("r{number}");
