--- a/lib/src/ports/connection_pool.rs
+++ b/lib/src/ports/connection_pool.rs
@@ -1,10 +1,10 @@
-//! Kept HTTP/1.1 connections to one address.
+//! Pool of HTTP/1.1 connections to one address.
 //!
-//! A general pooled client hides which connection a request took. Here that is
-//! what decides: an answer that names another request spoils its connection
-//! only, a server's limit on connections is shared by all nodes, and a request
-//! that may not be repeated wants a connection that is surely alive.
-//! See docs/design/0007-direct-serving.md.
+//! A general-purpose pooled client hides which connection a request uses, but
+//! callers here need to control it: a response that belongs to another request
+//! makes only its own connection unusable, all nodes share a server's connection
+//! limit, and a request that must not be retried needs a connection that is very
+//! likely alive. See docs/design/0007-direct-serving.md.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -21,151 +21,152 @@
 use tokio::net::TcpStream;
 use tokio::time::Instant;
 
-use super::http::describe;
+use super::http::error_chain;
 use crate::clock::Millis;
 
-/// How long sent bytes may stay unacknowledged before the system gives a connection up.
+/// How long sent data may stay unacknowledged before the kernel closes a connection.
 ///
-/// A peer that lost power sends no reset; without this a write to it would wait
-/// for minutes. Three heartbeats of a lossy link fit.
-const UNACKNOWLEDGED: Millis = Millis(2_000);
+/// A host that lost power sends no reset; without this timeout a write to it
+/// would block for minutes. On a lossy network three heartbeats fit into it.
+const TCP_USER_TIMEOUT: Millis = Millis(2_000);
 
-/// How long a connection may be silent before the system probes it.
-const PROBE_AFTER: Millis = Millis(1_000);
+/// Idle time before TCP keepalive probes start, and the interval between them.
+const KEEPALIVE_INTERVAL: Millis = Millis(1_000);
 
-/// Longest head of an answer that is read, in bytes.
-const READ_BUFFER: usize = 32 * 1024;
+/// Size of the read buffer, which limits the length of a response head.
+const READ_BUFFER_BYTES: usize = 32 * 1024;
 
-/// Why a request has no answer.
+/// Why a request got no response.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum TransportError {
-    /// No byte of the request left, so the other side can't have seen it.
+    /// No byte of the request was sent, so the server can't have seen it.
     Unsent(String),
-    /// The request, or part of it, may have arrived.
+    /// The server may have received the request or part of it.
     Sent(String),
 }
 
-/// Whether somebody listens at an address.
+/// Result of probing whether a process listens on an address.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ProbeResult {
-    /// A connection could be made.
+    /// The connection was accepted.
     Accepted,
-    /// The VM lives, and no process listens there.
+    /// The connection was refused: the VM runs, but no process listens on the port.
     Refused,
-    /// Neither: the VM is gone, cut off, or short of connections.
+    /// Neither: the VM is gone, unreachable, or out of connections.
     Unknown,
 }
 
-/// Bounds of the connections to one address.
+/// Limits of the connections to one address.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PoolLimits {
-    /// Longest time to connect.
+    /// Maximum time to establish a connection.
     pub connect_timeout: Millis,
-    /// How long an unused connection is kept.
+    /// How long an idle connection is kept.
     pub idle_timeout: Millis,
-    /// Most connections open at once.
+    /// Maximum number of open connections.
     pub max_open: usize,
 }
 
-/// Counts an open connection until it is dropped.
+/// Counts a connection as open until dropped.
 #[derive(Debug)]
-struct Open(Arc<AtomicUsize>);
+struct OpenGuard(Arc<AtomicUsize>);
 
-impl Drop for Open {
+impl Drop for OpenGuard {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
-/// One connection, in use by one request.
+/// A connection taken from the pool by one request.
 #[derive(Debug)]
 pub struct Connection {
     sender: SendRequest<Full<Bytes>>,
-    open: Open,
+    open: OpenGuard,
 }
 
+/// An idle connection.
 #[derive(Debug)]
-struct Idle {
+struct IdleConnection {
     connection: Connection,
-    since: Instant,
-    until: Instant,
+    released_at: Instant,
+    expires_at: Instant,
 }
 
-/// Connections to one address.
+/// Pool of connections to one address.
 #[derive(Debug)]
 pub struct ConnectionPool {
     address: SocketAddr,
-    bounds: Mutex<PoolLimits>,
-    idle: Mutex<Vec<Idle>>,
+    limits: Mutex<PoolLimits>,
+    idle: Mutex<Vec<IdleConnection>>,
     open: Arc<AtomicUsize>,
 }
 
 impl ConnectionPool {
-    /// Makes a link without connections.
+    /// Creates an empty pool.
     #[must_use]
-    pub fn new(address: SocketAddr, bounds: PoolLimits) -> Self {
+    pub fn new(address: SocketAddr, limits: PoolLimits) -> Self {
         Self {
             address,
-            bounds: Mutex::new(bounds),
+            limits: Mutex::new(limits),
             idle: Mutex::default(),
             open: Arc::default(),
         }
     }
 
-    /// Changes how many connections may be open at once.
-    pub fn set_max_open(&self, open: usize) {
-        self.bounds
+    /// Sets the maximum number of open connections.
+    pub fn set_max_open(&self, max_open: usize) {
+        self.limits
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
-            .max_open = open;
+            .max_open = max_open;
     }
 
-    /// Closes all connections that nobody uses.
+    /// Closes all idle connections.
     pub fn close_idle(&self) {
-        self.kept().clear();
+        self.idle_connections().clear();
     }
 
-    /// Closes the connections that were unused too long or have ended.
+    /// Closes the idle connections that have expired, and drops those already closed by the server.
     pub fn close_expired(&self) {
         let now = Instant::now();
-        self.kept()
-            .retain(|idle| idle.until > now && !idle.connection.sender.is_closed());
+        self.idle_connections()
+            .retain(|idle| idle.expires_at > now && !idle.connection.sender.is_closed());
     }
 
-    /// Takes a connection that was last used no longer than `freshness` ago, or opens one.
+    /// Takes a connection that has been idle for at most `max_idle`, or opens a new one.
     ///
     /// # Errors
     ///
-    /// [`TransportError::Unsent`] when the limit is reached or connecting fails.
-    pub async fn acquire(&self, freshness: Millis) -> Result<Connection, TransportError> {
-        match self.take_idle(freshness) {
+    /// [`TransportError::Unsent`] if the connection limit is reached or connecting fails.
+    pub async fn acquire(&self, max_idle: Millis) -> Result<Connection, TransportError> {
+        match self.take_idle(max_idle) {
             Some(connection) => Ok(connection),
             None => self.connect().await,
         }
     }
 
-    fn take_idle(&self, freshness: Millis) -> Option<Connection> {
+    fn take_idle(&self, max_idle: Millis) -> Option<Connection> {
         let now = Instant::now();
-        let mut kept = self.kept();
-        while let Some(idle) = kept.pop() {
-            let fresh = now.duration_since(idle.since) <= freshness.duration();
-            if !fresh {
-                // The newest is on top: what lies below is staler still.
-                kept.push(idle);
+        let mut idle_connections = self.idle_connections();
+        while let Some(idle) = idle_connections.pop() {
+            let is_fresh = now.duration_since(idle.released_at) <= max_idle.duration();
+            if !is_fresh {
+                // The stack is ordered by release time, so all others have been idle for longer.
+                idle_connections.push(idle);
                 return None;
             }
-            if idle.until > now && !idle.connection.sender.is_closed() {
+            if idle.expires_at > now && !idle.connection.sender.is_closed() {
                 return Some(idle.connection);
             }
         }
         None
     }
 
-    /// Looks whether somebody listens at the address.
+    /// Probes whether a process listens on the address.
     pub async fn probe(&self) -> ProbeResult {
-        let bounds = *self.bounds.lock().unwrap_or_else(PoisonError::into_inner);
+        let limits = *self.limits.lock().unwrap_or_else(PoisonError::into_inner);
         let connecting = TcpStream::connect(self.address);
-        match tokio::time::timeout(bounds.connect_timeout.duration(), connecting).await {
+        match tokio::time::timeout(limits.connect_timeout.duration(), connecting).await {
             Ok(Ok(_)) => ProbeResult::Accepted,
             Ok(Err(error)) if error.kind() == std::io::ErrorKind::ConnectionRefused => {
                 ProbeResult::Refused
@@ -175,111 +176,112 @@
     }
 
     async fn connect(&self) -> Result<Connection, TransportError> {
-        let bounds = *self.bounds.lock().unwrap_or_else(PoisonError::into_inner);
-        let open = Open(Arc::clone(&self.open));
+        let limits = *self.limits.lock().unwrap_or_else(PoisonError::into_inner);
+        let open = OpenGuard(Arc::clone(&self.open));
         let before = self.open.fetch_add(1, Ordering::Relaxed);
-        // An unused connection that is too old for this request makes room.
-        if before >= bounds.max_open && self.kept().pop().is_none() {
+        // At the limit, an idle connection that is too old for this request is closed to make room.
+        if before >= limits.max_open && self.idle_connections().pop().is_none() {
             return Err(TransportError::Unsent(format!(
                 "{before} connections are open, the limit is {}",
-                bounds.max_open
+                limits.max_open
             )));
         }
         let stream = tokio::time::timeout(
-            bounds.connect_timeout.duration(),
+            limits.connect_timeout.duration(),
             TcpStream::connect(self.address),
         )
         .await
         .map_err(|_| {
-            TransportError::Unsent(format!("no connection within {}", bounds.connect_timeout))
+            TransportError::Unsent(format!("no connection within {}", limits.connect_timeout))
         })?
         .map_err(|error| TransportError::Unsent(error.to_string()))?;
         enable_dead_peer_detection(&stream)
             .map_err(|error| TransportError::Unsent(error.to_string()))?;
         let (sender, connection) = http1::Builder::new()
-            .max_buf_size(READ_BUFFER)
+            .max_buf_size(READ_BUFFER_BYTES)
             .handshake(TokioIo::new(stream))
             .await
-            .map_err(|error| TransportError::Unsent(describe(&error)))?;
+            .map_err(|error| TransportError::Unsent(error_chain(&error)))?;
         tokio::spawn(async move {
             if let Err(error) = connection.await {
-                log::debug!("link: a connection ended: {}", describe(&error));
+                log::debug!("link: connection failed: {}", error_chain(&error));
             }
         });
         Ok(Connection { sender, open })
     }
 
-    /// Keeps a connection whose answer was read whole and belonged to its request.
+    /// Returns a connection to the pool after the complete response to its request was read.
     ///
-    /// `span` is how long the server keeps it, if it said so. The connection is
-    /// closed a second earlier, so that no request crosses the server's close.
-    pub fn release(&self, connection: Connection, span: Option<Millis>) {
+    /// `server_timeout` is the server's idle timeout, if announced. The connection
+    /// is closed one second earlier, so that no request is sent while the server
+    /// closes it.
+    pub fn release(&self, connection: Connection, server_timeout: Option<Millis>) {
         if connection.sender.is_closed() {
             return;
         }
-        let bounds = *self.bounds.lock().unwrap_or_else(PoisonError::into_inner);
-        let span = span.map_or(bounds.idle_timeout, |span| {
-            bounds.idle_timeout.min(span - Millis::from_secs(1))
+        let limits = *self.limits.lock().unwrap_or_else(PoisonError::into_inner);
+        let lifetime = server_timeout.map_or(limits.idle_timeout, |timeout| {
+            limits.idle_timeout.min(timeout - Millis::from_secs(1))
         });
-        if span == Millis::ZERO {
+        if lifetime == Millis::ZERO {
             return;
         }
         let now = Instant::now();
-        self.kept().push(Idle {
+        self.idle_connections().push(IdleConnection {
             connection,
-            since: now,
-            until: now + span.duration(),
+            released_at: now,
+            expires_at: now + lifetime.duration(),
         });
     }
 
-    fn kept(&self) -> std::sync::MutexGuard<'_, Vec<Idle>> {
+    fn idle_connections(&self) -> std::sync::MutexGuard<'_, Vec<IdleConnection>> {
         self.idle.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
 impl Connection {
-    /// Sends a request and returns the head of its answer.
+    /// Sends a request and returns once the response head has arrived.
     ///
     /// # Errors
     ///
-    /// [`TransportError::Unsent`] only when the request was handed back unwritten.
+    /// [`TransportError::Unsent`] only if no byte of the request was written.
     pub async fn send(
         &mut self,
         request: Request<Full<Bytes>>,
     ) -> Result<Response<Incoming>, TransportError> {
         debug_assert!(self.open.0.load(Ordering::Relaxed) > 0);
         if let Err(error) = self.sender.ready().await {
-            return Err(TransportError::Unsent(describe(&error)));
+            return Err(TransportError::Unsent(error_chain(&error)));
         }
         self.sender
             .try_send_request(request)
             .await
             .map_err(|mut error| {
-                let unsent = error.take_message().is_some();
-                let told = describe(error.error());
-                if unsent {
-                    TransportError::Unsent(told)
+                let is_unsent = error.take_message().is_some();
+                let cause = error_chain(error.error());
+                if is_unsent {
+                    TransportError::Unsent(cause)
                 } else {
-                    TransportError::Sent(told)
+                    TransportError::Sent(cause)
                 }
             })
     }
 }
 
-/// Makes the system notice a peer that has vanished without closing the connection.
+/// Sets TCP options so that the kernel detects a peer that vanished without closing the connection.
 ///
 /// # Errors
 ///
-/// When the system refuses the socket's options.
+/// If the socket options can't be set.
 pub fn enable_dead_peer_detection(stream: &TcpStream) -> std::io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
-    let probe = Duration::from_millis(PROBE_AFTER.0);
+    let interval = Duration::from_millis(KEEPALIVE_INTERVAL.0);
     socket.set_tcp_keepalive(
         &TcpKeepalive::new()
-            .with_time(probe)
-            .with_interval(probe)
+            .with_time(interval)
+            .with_interval(interval)
             .with_retries(2),
     )?;
-    socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED.duration()))
+    socket.set_tcp_user_timeout(Some(TCP_USER_TIMEOUT.duration()))
 }
--- a/lib/src/ports/directory.rs
+++ b/lib/src/ports/directory.rs
@@ -1,4 +1,4 @@
-//! A client of the platform's list of VMs: a JSON document over HTTP.
+//! Client for the platform's VM directory, a JSON document served over HTTP.
 
 use std::net::SocketAddr;
 
@@ -9,31 +9,31 @@
 
 use crate::clock::Millis;
 use crate::name::Name;
-use crate::ports::http::{Endpoint, whole};
+use crate::ports::http::{Endpoint, read_body};
 use crate::ports::{Directory, Error, Vm};
 
-/// Path of the list.
+/// Path of the directory document.
 pub const PATH: &str = "/v1/vms";
-/// Longest list that is read; 600 VMs take about 100 KB.
-const LIST_BYTES: usize = 16 << 20;
-/// How long the connection is kept between polls.
-const IDLE: Millis = Millis::from_secs(60);
+/// Maximum size of the document in bytes; 600 VMs take about 100 KB.
+const MAX_LIST_BYTES: usize = 16 << 20;
+/// How long an idle connection is kept between polls.
+const IDLE_TIMEOUT: Millis = Millis::from_secs(60);
 
-/// The document.
+/// The directory document.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct VmList {
-    /// In any order.
+    /// VMs in no particular order.
     pub vms: Vec<VmEntry>,
 }
 
-/// A VM in the document.
+/// A VM in the directory document.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct VmEntry {
-    /// Unique in the deployment.
+    /// Name, unique in the deployment.
     pub name: Name,
-    /// IP number and port.
+    /// IP address and port.
     pub address: SocketAddr,
-    /// The declared pool.
+    /// Declared pool that it belongs to.
     pub pool: Name,
     /// Region.
     #[serde(default)]
@@ -41,7 +41,7 @@
     /// Failure domain.
     #[serde(default)]
     pub failure_domain: Name,
-    /// Whether it is about to go.
+    /// Whether it is about to be removed.
     #[serde(default)]
     pub leaving: bool,
 }
@@ -72,18 +72,18 @@
     }
 }
 
-/// A client of one address.
+/// Client for a directory at one address.
 #[derive(Debug)]
 pub struct Client {
     endpoint: Endpoint,
 }
 
 impl Client {
-    /// Makes a client; `timeout` bounds each read.
+    /// Creates a client with a timeout for each read.
     #[must_use]
     pub fn new(address: SocketAddr, timeout: Millis) -> Self {
         Self {
-            endpoint: Endpoint::new(address, timeout, IDLE),
+            endpoint: Endpoint::new(address, timeout, IDLE_TIMEOUT),
         }
     }
 
@@ -93,7 +93,7 @@
         if !response.status().is_success() {
             return Err(Error::Refused(format!("status {}", response.status())));
         }
-        let body = whole(response.into_body(), LIST_BYTES)
+        let body = read_body(response.into_body(), MAX_LIST_BYTES)
             .await
             .map_err(Error::NoAnswer)?;
         let list: VmList =
@@ -105,6 +105,6 @@
 #[async_trait]
 impl Directory for Client {
     async fn vms(&self) -> Result<Vec<Vm>, Error> {
-        self.endpoint.within(self.read()).await
+        self.endpoint.with_timeout(self.read()).await
     }
 }
--- a/lib/src/ports/etcd/message.rs
+++ b/lib/src/ports/etcd/message.rs
@@ -1,26 +1,26 @@
-//! Messages of etcd v3's JSON interface, as far as they are used.
+//! Messages of the JSON API of etcd v3, with the fields that are used.
 //!
-//! Keys and values are base64, 64-bit numbers are decimal text; fields at their
-//! default are left out by the service. Both directions are derived, so that
-//! the stand-in speaks with the same types.
+//! Keys and values are encoded in base64, and 64-bit numbers as decimal strings.
+//! The service omits fields with default values. Messages can be both serialized
+//! and deserialized, so that the fake service of the tests uses the same types.
 
 use base64::Engine as _;
 use base64::engine::general_purpose::STANDARD;
 use bytes::Bytes;
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 
-/// Bytes that travel as base64.
+/// Bytes encoded as base64.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Blob(pub Bytes);
 
 impl Blob {
-    /// Wraps a key.
+    /// Encodes a key.
     #[must_use]
     pub fn key(key: &str) -> Self {
         Self(Bytes::copy_from_slice(key.as_bytes()))
     }
 
-    /// Reads a key; ours are text.
+    /// Returns the bytes as text, or `None` if they aren't UTF-8.
     #[must_use]
     pub fn text(&self) -> Option<String> {
         String::from_utf8(self.0.to_vec()).ok()
@@ -45,18 +45,18 @@
     }
 }
 
-/// A 64-bit number that travels as text.
+/// A 64-bit number encoded as a decimal string.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default)]
 pub struct Number(pub i64);
 
 impl Number {
-    /// Wraps a revision.
+    /// Encodes a revision.
     #[must_use]
     pub fn revision(revision: u64) -> Self {
         Self(i64::try_from(revision).unwrap_or(i64::MAX))
     }
 
-    /// Reads a revision; a negative one doesn't occur and counts as none.
+    /// Returns the number as unsigned, with 0 for a negative one, which the service doesn't send.
     #[must_use]
     pub fn unsigned(self) -> u64 {
         u64::try_from(self.0).unwrap_or(0)
@@ -64,7 +64,7 @@
 
     #[allow(
         clippy::trivially_copy_pass_by_ref,
-        reason = "serde asks for a reference"
+        reason = "serde passes a reference"
     )]
     fn is_zero(&self) -> bool {
         self.0 == 0
@@ -92,21 +92,21 @@
     }
 }
 
-/// What every answer begins with.
+/// Header of every response.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Header {
-    /// The service's revision as of the answer.
+    /// The service's revision at the time of the response.
     pub revision: Number,
 }
 
-/// Reads a key, or all keys from `key` up to `range_end`.
+/// Reads or deletes `key`, or all keys from `key` to `range_end`.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct RangeRequest {
-    /// First key.
+    /// First key of the range.
     pub key: Blob,
-    /// End of the range, itself not in it; empty reads one key.
+    /// Exclusive end of the range; empty to read only `key`.
     #[serde(skip_serializing_if = "Blob::is_empty")]
     pub range_end: Blob,
 }
@@ -120,45 +120,45 @@
     /// The value.
     #[serde(skip_serializing_if = "Blob::is_empty")]
     pub value: Blob,
-    /// Revision of the write that made the key.
+    /// Revision at which the key was created.
     #[serde(skip_serializing_if = "Number::is_zero")]
     pub create_revision: Number,
     /// Revision of the last write.
     pub mod_revision: Number,
-    /// The lease that it lives with.
+    /// Lease that the key is attached to; 0 for none.
     #[serde(skip_serializing_if = "Number::is_zero")]
     pub lease: Number,
 }
 
-/// What a read found.
+/// Response to a [`RangeRequest`].
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct RangeResponse {
     /// The service's revision.
     pub header: Header,
-    /// In order of keys.
+    /// Entries in key order.
     pub kvs: Vec<KeyValue>,
-    /// Whether the answer leaves keys out.
+    /// Whether the response is truncated.
     #[serde(skip_serializing_if = "std::ops::Not::not")]
     pub more: bool,
 }
 
-/// What a comparison looks at.
+/// The attribute of a key that a comparison checks.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 #[serde(rename_all = "UPPERCASE")]
 pub enum Target {
-    /// The revision of the write that made the key; 0 if it doesn't exist.
+    /// Revision at which the key was created; 0 if it doesn't exist.
     Create,
-    /// The revision of the last write.
+    /// Revision of the last write.
     #[default]
     Mod,
 }
 
-/// How a comparison compares; only equality is used.
+/// Comparison operator; only equality is used.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 #[serde(rename_all = "UPPERCASE")]
 pub enum Outcome {
-    /// Both are equal.
+    /// The values are equal.
     #[default]
     Equal,
 }
@@ -167,16 +167,16 @@
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Compare {
-    /// How it compares.
+    /// Comparison operator.
     pub result: Outcome,
-    /// What it looks at.
+    /// Attribute that is compared.
     pub target: Target,
     /// The key.
     pub key: Blob,
-    /// Compared with if the target is [`Target::Create`].
+    /// Expected value if the target is [`Target::Create`].
     #[serde(skip_serializing_if = "Option::is_none")]
     pub create_revision: Option<Number>,
-    /// Compared with if the target is [`Target::Mod`].
+    /// Expected value if the target is [`Target::Mod`].
     #[serde(skip_serializing_if = "Option::is_none")]
     pub mod_revision: Option<Number>,
 }
@@ -189,7 +189,7 @@
     pub key: Blob,
     /// The new value.
     pub value: Blob,
-    /// The lease that it is to live with; 0 is none.
+    /// Lease to attach the key to; 0 for none.
     #[serde(skip_serializing_if = "Number::is_zero")]
     pub lease: Number,
 }
@@ -201,39 +201,39 @@
     /// Sets a key.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub request_put: Option<PutRequest>,
-    /// Removes a key.
+    /// Deletes a key.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub request_delete_range: Option<RangeRequest>,
 }
 
-/// Makes writes if all comparisons hold.
+/// Applies writes if all comparisons hold.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct TxnRequest {
-    /// All must hold.
+    /// Comparisons; all must hold.
     pub compare: Vec<Compare>,
-    /// Made if they do.
+    /// Writes to apply if they do.
     pub success: Vec<RequestOp>,
 }
 
-/// How a transaction ended.
+/// Response to a [`TxnRequest`].
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct TxnResponse {
     /// The service's revision.
     pub header: Header,
-    /// Whether the writes were made.
+    /// Whether the writes were applied.
     pub succeeded: bool,
 }
 
-/// Grants, renews or ends a lease.
+/// Request or response that grants, renews or revokes a lease.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct LeaseMessage {
-    /// The lease's number; 0 lets the service choose.
+    /// Id of the lease; 0 lets the service choose one.
     #[serde(rename = "ID", skip_serializing_if = "Number::is_zero")]
     pub id: Number,
-    /// Its span in seconds; 0 in an answer means that it has lapsed.
+    /// Time to live in seconds; 0 in a response if the lease has expired.
     #[serde(rename = "TTL", skip_serializing_if = "Number::is_zero")]
     pub ttl: Number,
 }
@@ -250,41 +250,41 @@
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct WatchRequest {
-    /// What to watch.
+    /// Range to watch.
     pub create_request: WatchCreateRequest,
 }
 
-/// What to watch.
+/// Parameters of a watch.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct WatchCreateRequest {
-    /// First key.
+    /// First key of the range.
     pub key: Blob,
-    /// End of the range.
+    /// Exclusive end of the range.
     pub range_end: Blob,
-    /// The first revision of interest.
+    /// First revision to send.
     pub start_revision: Number,
 }
 
-/// Whether a key was set or removed.
+/// Type of a change.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 #[serde(rename_all = "UPPERCASE")]
 pub enum Kind {
-    /// It was set.
+    /// The key was set.
     #[default]
     Put,
-    /// It was removed.
+    /// The key was deleted.
     Delete,
 }
 
-/// One change.
+/// A change to one key.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Event {
-    /// What happened.
+    /// Type of the change.
     #[serde(rename = "type")]
     pub kind: Kind,
-    /// The key as it is now; of a removed one only key and revision.
+    /// The key after the change; only key and revision if it was deleted.
     pub kv: KeyValue,
 }
 
@@ -294,16 +294,16 @@
 pub struct WatchResponse {
     /// The service's revision.
     pub header: Header,
-    /// The watch is made.
+    /// Whether the watch was created.
     #[serde(skip_serializing_if = "std::ops::Not::not")]
     pub created: bool,
-    /// The service ends the watch.
+    /// Whether the service canceled the watch.
     #[serde(skip_serializing_if = "std::ops::Not::not")]
     pub canceled: bool,
-    /// The oldest revision that can still be watched, if that is why it ended.
+    /// Oldest revision still available, if the watch was canceled because of compaction.
     #[serde(skip_serializing_if = "Number::is_zero")]
     pub compact_revision: Number,
-    /// What changed.
+    /// Changes since the last message.
     #[serde(skip_serializing_if = "Vec::is_empty")]
     pub events: Vec<Event>,
 }
--- a/lib/src/ports/etcd/mod.rs
+++ b/lib/src/ports/etcd/mod.rs
@@ -1,6 +1,6 @@
-//! A client of etcd v3's JSON interface.
+//! Client for the JSON API of etcd v3.
 //!
-//! Each failure says truly whether a write may have taken effect; see
+//! Each error tells reliably whether a write may have taken effect; see
 //! docs/design/0006-platform.md.
 
 pub mod message;
@@ -22,7 +22,7 @@
 
 use crate::clock::Millis;
 use crate::metrics::Metrics;
-use crate::ports::http::{Bounds, Client as Http, uri, whole};
+use crate::ports::http::{Client as HttpClient, ConnectionTimeouts, read_body, uri};
 use crate::ports::{
     Commit, Condition, Entry, Error, Event, Lease, LeaseId, Listing, Store, Transaction, Watch,
     Write,
@@ -32,76 +32,76 @@
     RequestOp, Streamed, Target, TxnRequest, TxnResponse, WatchCreateRequest, WatchRequest,
 };
 
-/// Longest answer that is read: a whole configuration, base64 included, is far shorter.
-const ANSWER_BYTES: usize = 256 << 20;
-/// How long an unused connection to the service is kept.
-const IDLE: Millis = Millis::from_secs(60);
-/// Milliseconds in the service's unit of lease spans.
-const SECOND: u64 = 1000;
+/// Maximum size of a response in bytes; a whole configuration in base64 is far smaller.
+const MAX_RESPONSE_BYTES: usize = 256 << 20;
+/// How long an idle connection is kept.
+const IDLE_TIMEOUT: Millis = Millis::from_secs(60);
+/// etcd gives the time to live of a lease in seconds.
+const MILLIS_PER_SECOND: u64 = 1000;
 
-/// A call of the interface: the name in metrics, and the path.
+/// A method of the API: its name in metrics and its path.
 #[derive(Debug, Clone, Copy)]
 struct Route {
     name: &'static str,
     path: &'static str,
-    /// Whether making it twice does no harm, so that another address may be tried after no answer.
-    repeatable: bool,
+    /// Whether the call may be retried on another address if no response arrived.
+    idempotent: bool,
 }
 
 const RANGE: Route = Route {
     name: "range",
     path: "/v3/kv/range",
-    repeatable: true,
+    idempotent: true,
 };
 const TXN: Route = Route {
     name: "txn",
     path: "/v3/kv/txn",
-    repeatable: false,
+    idempotent: false,
 };
 const GRANT: Route = Route {
     name: "lease_grant",
     path: "/v3/lease/grant",
-    repeatable: false,
+    idempotent: false,
 };
 const KEEPALIVE: Route = Route {
     name: "lease_keepalive",
     path: "/v3/lease/keepalive",
-    repeatable: true,
+    idempotent: true,
 };
 const REVOKE: Route = Route {
     name: "lease_revoke",
     path: "/v3/lease/revoke",
-    repeatable: true,
+    idempotent: true,
 };
 const WATCH: Route = Route {
     name: "watch",
     path: "/v3/watch",
-    repeatable: true,
+    idempotent: true,
 };
 
-/// A client that knows several addresses of one service.
+/// Client for one service with several addresses.
 #[derive(Debug)]
 pub struct Client {
-    http: Http,
+    http: HttpClient,
     addresses: Vec<SocketAddr>,
-    /// Index of the address that is tried first; moves on after a failure.
+    /// Index of the address to try first, modulo their number; incremented after a failure.
     preferred: AtomicUsize,
     timeout: Millis,
     metrics: Arc<Metrics>,
 }
 
 impl Client {
-    /// Makes a client; no connection is made before the first call.
+    /// Creates a client; connections are opened on demand.
     ///
-    /// `timeout` bounds each call, all addresses that it tries together.
+    /// `timeout` limits each call, including its attempts on other addresses.
     #[must_use]
     pub fn new(addresses: Vec<SocketAddr>, timeout: Millis, metrics: Arc<Metrics>) -> Self {
-        // Half the time is left for another address when one swallows packets.
+        // If one address drops packets, half of the timeout is left to try another.
         let connect = Millis((timeout.0 / 2).max(1));
         Self {
-            http: Http::new(Bounds {
+            http: HttpClient::new(ConnectionTimeouts {
                 connect,
-                idle: IDLE,
+                idle: IDLE_TIMEOUT,
             }),
             addresses,
             preferred: AtomicUsize::new(0),
@@ -110,14 +110,14 @@
         }
     }
 
-    async fn call<Q: Serialize, A: DeserializeOwned>(
+    async fn call<Req: Serialize, Res: DeserializeOwned>(
         &self,
         method: Route,
-        question: &Q,
-    ) -> Result<A, Error> {
+        request: &Req,
+    ) -> Result<Res, Error> {
         let call = async {
-            let response = self.send(method, question).await?;
-            let body = whole(response.into_body(), ANSWER_BYTES)
+            let response = self.send(method, request).await?;
+            let body = read_body(response.into_body(), MAX_RESPONSE_BYTES)
                 .await
                 .map_err(Error::NoAnswer)?;
             serde_json::from_slice(&body).map_err(|error| Error::Malformed(error.to_string()))
@@ -128,36 +128,36 @@
                 self.prefer_next();
                 Err(Error::NoAnswer(format!("none within {}", self.timeout)))
             });
-        self.count(method, result.as_ref().err());
+        self.record_call(method, result.as_ref().err());
         result
     }
 
-    /// Sends a call to the addresses in turn and returns the head of a good answer.
-    async fn send<Q: Serialize>(
+    /// Sends a request to the addresses in turn until one responds with success.
+    async fn send<Req: Serialize>(
         &self,
         method: Route,
-        question: &Q,
+        request: &Req,
     ) -> Result<Response<Incoming>, Error> {
         let body =
-            serde_json::to_vec(question).map_err(|error| Error::Malformed(error.to_string()))?;
+            serde_json::to_vec(request).map_err(|error| Error::Malformed(error.to_string()))?;
         let body = Bytes::from(body);
-        let mut last = Error::Unreachable("no address is set".to_owned());
-        // One try more than addresses: a kept connection that has ended is told
-        // from a service that is gone only by a second try.
+        let mut last_error = Error::Unreachable("no address is set".to_owned());
+        // One attempt more than there are addresses: only a second attempt tells a pooled
+        // connection that was closed from a service that is down.
         for _ in 0..=self.addresses.len() {
             let Some(address) = self.address() else { break };
             let error = match self.send_to(address, method, body.clone()).await {
                 Ok(response) => return Ok(response),
                 Err(error) => error,
             };
-            let settled = matches!(error, Error::Refused(_) | Error::Malformed(_));
-            if settled || (!method.repeatable && !matches!(error, Error::Unreachable(_))) {
+            let is_final = matches!(error, Error::Refused(_) | Error::Malformed(_));
+            if is_final || (!method.idempotent && !matches!(error, Error::Unreachable(_))) {
                 return Err(error);
             }
-            last = error;
+            last_error = error;
             self.prefer_next();
         }
-        Err(last)
+        Err(last_error)
     }
 
     async fn send_to(
@@ -177,8 +177,8 @@
         if status.is_success() {
             return Ok(response);
         }
-        // The service says "timed out" or "unavailable" for a write that it has
-        // already begun to replicate, so a 5xx answer settles nothing.
+        // etcd reports "timed out" or "unavailable" even for a write that it has begun to
+        // replicate, so after a 5xx status the write may have taken effect.
         if status.is_server_error() {
             return Err(Error::NoAnswer(format!("status {status}")));
         }
@@ -196,7 +196,7 @@
         self.preferred.fetch_add(1, Ordering::Relaxed);
     }
 
-    fn count(&self, method: Route, error: Option<&Error>) {
+    fn record_call(&self, method: Route, error: Option<&Error>) {
         let outcome = error.map_or("answered", Error::name);
         self.metrics
             .store_calls
@@ -208,39 +208,48 @@
 #[async_trait]
 impl Store for Client {
     async fn get(&self, key: &str) -> Result<Option<Entry>, Error> {
-        let question = RangeRequest {
+        let request = RangeRequest {
             key: Blob::key(key),
             range_end: Blob::default(),
         };
-        let answer: RangeResponse = self.call(RANGE, &question).await?;
-        answer.kvs.into_iter().next().map(entry).transpose()
+        let response: RangeResponse = self.call(RANGE, &request).await?;
+        response
+            .kvs
+            .into_iter()
+            .next()
+            .map(decode_entry)
+            .transpose()
     }
 
     async fn list(&self, prefix: &str) -> Result<Listing, Error> {
-        let question = RangeRequest {
+        let request = RangeRequest {
             key: first_key(prefix),
             range_end: range_end(prefix),
         };
-        let answer: RangeResponse = self.call(RANGE, &question).await?;
-        if answer.more {
+        let response: RangeResponse = self.call(RANGE, &request).await?;
+        if response.more {
             return Err(Error::Malformed("the listing isn't whole".to_owned()));
         }
-        let entries: Result<_, _> = answer.kvs.into_iter().map(entry).collect();
+        let entries: Result<_, _> = response.kvs.into_iter().map(decode_entry).collect();
         Ok(Listing {
             entries: entries?,
-            revision: answer.header.revision.unsigned(),
+            revision: response.header.revision.unsigned(),
         })
     }
 
     async fn commit(&self, transaction: Transaction) -> Result<Commit, Error> {
-        let question = TxnRequest {
-            compare: transaction.conditions.into_iter().map(compare).collect(),
-            success: transaction.writes.into_iter().map(operation).collect(),
+        let request = TxnRequest {
+            compare: transaction
+                .conditions
+                .into_iter()
+                .map(encode_condition)
+                .collect(),
+            success: transaction.writes.into_iter().map(encode_write).collect(),
         };
-        let answer: TxnResponse = self.call(TXN, &question).await?;
+        let response: TxnResponse = self.call(TXN, &request).await?;
         Ok(Commit {
-            done: answer.succeeded,
-            revision: answer.header.revision.unsigned(),
+            done: response.succeeded,
+            revision: response.header.revision.unsigned(),
             found: Vec::new(),
         })
     }
@@ -248,24 +257,26 @@
 
 #[async_trait]
 impl Lease for Client {
-    async fn grant(&self, span: Millis) -> Result<LeaseId, Error> {
-        let question = LeaseMessage {
+    async fn grant(&self, ttl: Millis) -> Result<LeaseId, Error> {
+        let request = LeaseMessage {
             id: Number::default(),
-            ttl: Number::revision(span.0.div_ceil(SECOND).max(1)),
+            ttl: Number::revision(ttl.0.div_ceil(MILLIS_PER_SECOND).max(1)),
         };
-        let answer: LeaseMessage = self.call(GRANT, &question).await?;
-        if answer.id == Number::default() {
+        let response: LeaseMessage = self.call(GRANT, &request).await?;
+        if response.id == Number::default() {
             return Err(Error::Malformed("the lease has no number".to_owned()));
         }
-        Ok(LeaseId(answer.id.0))
+        Ok(LeaseId(response.id.0))
     }
 
     async fn renew(&self, lease: LeaseId) -> Result<Millis, Error> {
-        let answer: Streamed<LeaseMessage> = self.call(KEEPALIVE, &lease_message(lease)).await?;
-        let renewed = answer
+        let response: Streamed<LeaseMessage> = self.call(KEEPALIVE, &lease_message(lease)).await?;
+        let renewed = response
             .result
             .ok_or_else(|| Error::Refused("the lease isn't renewed".to_owned()))?;
-        Ok(Millis(renewed.ttl.unsigned().saturating_mul(SECOND)))
+        Ok(Millis(
+            renewed.ttl.unsigned().saturating_mul(MILLIS_PER_SECOND),
+        ))
     }
 
     async fn revoke(&self, lease: LeaseId) -> Result<(), Error> {
@@ -281,18 +292,18 @@
         prefix: &str,
         revision: u64,
     ) -> Result<BoxStream<'static, Result<Event, Error>>, Error> {
-        let question = WatchRequest {
+        let request = WatchRequest {
             create_request: WatchCreateRequest {
                 key: first_key(prefix),
                 range_end: range_end(prefix),
                 start_revision: Number::revision(revision.saturating_add(1)),
             },
         };
-        let head = tokio::time::timeout(self.timeout.duration(), self.send(WATCH, &question));
-        let result = head
+        let sending = tokio::time::timeout(self.timeout.duration(), self.send(WATCH, &request));
+        let result = sending
             .await
             .unwrap_or_else(|_| Err(Error::NoAnswer(format!("none within {}", self.timeout))));
-        self.count(WATCH, result.as_ref().err());
+        self.record_call(WATCH, result.as_ref().err());
         Ok(watch::events(result?.into_body(), revision))
     }
 }
@@ -304,7 +315,7 @@
     }
 }
 
-/// The first key of a prefix; the interface takes no empty key.
+/// Returns the start of the range of keys with the prefix; etcd rejects an empty key.
 fn first_key(prefix: &str) -> Blob {
     if prefix.is_empty() {
         return Blob(Bytes::from_static(&[0]));
@@ -312,7 +323,7 @@
     Blob::key(prefix)
 }
 
-/// The key just after all keys with the prefix.
+/// Returns the exclusive end of the range of keys with the prefix.
 fn range_end(prefix: &str) -> Blob {
     let mut end = prefix.as_bytes().to_vec();
     while let Some(last) = end.pop() {
@@ -321,11 +332,11 @@
             return Blob(end.into());
         }
     }
-    // By the interface's convention a zero byte means "to the last key".
+    // etcd takes a single zero byte as the end of the key space.
     Blob(Bytes::from_static(&[0]))
 }
 
-fn entry(kv: KeyValue) -> Result<Entry, Error> {
+fn decode_entry(kv: KeyValue) -> Result<Entry, Error> {
     let key = kv
         .key
         .text()
@@ -339,7 +350,7 @@
     })
 }
 
-fn compare(condition: Condition) -> Compare {
+fn encode_condition(condition: Condition) -> Compare {
     match condition {
         Condition::Absent(key) => Compare {
             target: Target::Create,
@@ -356,7 +367,7 @@
     }
 }
 
-fn operation(write: Write) -> RequestOp {
+fn encode_write(write: Write) -> RequestOp {
     match write {
         Write::Put(key, value, lease) => RequestOp {
             request_put: Some(PutRequest {
--- a/lib/src/ports/etcd/watch.rs
+++ b/lib/src/ports/etcd/watch.rs
@@ -1,4 +1,4 @@
-//! The stream of a watch: JSON messages, one after another, in one answer.
+//! Decodes the response stream of a watch: concatenated JSON messages.
 
 use std::collections::VecDeque;
 
@@ -7,25 +7,25 @@
 use http_body_util::BodyExt;
 use hyper::body::Incoming;
 
-use crate::ports::etcd::entry;
+use crate::ports::etcd::decode_entry;
 use crate::ports::etcd::message::{self, Kind, Streamed, WatchResponse};
-use crate::ports::http::describe;
+use crate::ports::http::error_chain;
 use crate::ports::{Error, Event};
 
-/// Longest message: one transaction's changes, each value at most a megabyte.
-const MESSAGE_BYTES: usize = 256 << 20;
+/// Maximum size of a message in bytes: the changes of one transaction, with values of up to 1 MB.
+const MAX_MESSAGE_BYTES: usize = 256 << 20;
 
-/// Reads events until the stream breaks; the last item is then an error.
+/// Returns the events of a watch; the last item is always an error.
 ///
-/// A watch that fell behind what the service still knows, and one of a service
-/// that went back in time, end in an error too: the caller reads anew instead
-/// of missing changes in silence.
+/// The stream also ends with an error if the service has compacted the revisions
+/// to be read, or if its revision decreased. The caller then lists all keys again
+/// instead of silently missing changes.
 pub(super) fn events(body: Incoming, after: u64) -> BoxStream<'static, Result<Event, Error>> {
-    let reader = Reader {
+    let reader = WatchReader {
         body,
         buffer: BytesMut::new(),
-        ready: VecDeque::new(),
-        seen: after,
+        pending: VecDeque::new(),
+        last_revision: after,
         ended: false,
     };
     stream::unfold(reader, |mut reader| async {
@@ -39,41 +39,42 @@
     .boxed()
 }
 
-struct Reader {
+/// Decodes messages incrementally from a response body.
+struct WatchReader {
     body: Incoming,
     buffer: BytesMut,
-    ready: VecDeque<Event>,
-    /// Newest revision that was passed on.
-    seen: u64,
+    pending: VecDeque<Event>,
+    /// Largest revision returned so far.
+    last_revision: u64,
     ended: bool,
 }
 
-impl Reader {
+impl WatchReader {
     async fn next(&mut self) -> Result<Event, Error> {
         loop {
-            if let Some(event) = self.ready.pop_front() {
+            if let Some(event) = self.pending.pop_front() {
                 return Ok(event);
             }
-            if let Some(message) = self.message()? {
-                self.take(message)?;
+            if let Some(message) = self.parse_message()? {
+                self.apply_message(message)?;
                 continue;
             }
-            self.read().await?;
+            self.read_frame().await?;
         }
     }
 
-    /// Takes the next whole message out of the buffer.
-    fn message(&mut self) -> Result<Option<WatchResponse>, Error> {
+    /// Removes the next message from the buffer, or returns `None` if it is incomplete.
+    fn parse_message(&mut self) -> Result<Option<WatchResponse>, Error> {
         let mut messages = serde_json::Deserializer::from_slice(&self.buffer)
             .into_iter::<Streamed<WatchResponse>>();
         let parsed = messages.next();
-        let used = messages.byte_offset();
+        let parsed_bytes = messages.byte_offset();
         match parsed {
             None => Ok(None),
             Some(Err(error)) if error.is_eof() => Ok(None),
             Some(Err(error)) => Err(Error::Malformed(error.to_string())),
             Some(Ok(message)) => {
-                self.buffer.advance(used);
+                self.buffer.advance(parsed_bytes);
                 message
                     .result
                     .map(Some)
@@ -82,30 +83,30 @@
         }
     }
 
-    fn take(&mut self, message: WatchResponse) -> Result<(), Error> {
+    fn apply_message(&mut self, message: WatchResponse) -> Result<(), Error> {
         if message.canceled {
             return Err(Error::Refused(format!(
                 "the watch was ended; oldest revision kept is {}",
                 message.compact_revision.unsigned()
             )));
         }
-        // A service restored from an old copy counts from an older revision; its
-        // next writes would look like ones already seen, and be missed.
-        if message.header.revision.unsigned() < self.seen {
+        // A service that was restored from a backup continues from an older revision. Its next
+        // writes would have revisions that were already read, and would be missed.
+        if message.header.revision.unsigned() < self.last_revision {
             return Err(Error::Refused(
                 "the service's revision went back".to_owned(),
             ));
         }
         for event in message.events {
-            let event = read(event)?;
-            self.seen = self.seen.max(event.revision);
-            self.ready.push_back(event);
+            let event = decode_event(event)?;
+            self.last_revision = self.last_revision.max(event.revision);
+            self.pending.push_back(event);
         }
         Ok(())
     }
 
-    async fn read(&mut self) -> Result<(), Error> {
-        if self.buffer.len() > MESSAGE_BYTES {
+    async fn read_frame(&mut self) -> Result<(), Error> {
+        if self.buffer.len() > MAX_MESSAGE_BYTES {
             return Err(Error::Malformed("a message is too long".to_owned()));
         }
         let frame = self
@@ -113,7 +114,7 @@
             .frame()
             .await
             .ok_or_else(|| Error::NoAnswer("the watch ended".to_owned()))?
-            .map_err(|error| Error::NoAnswer(describe(&error)))?;
+            .map_err(|error| Error::NoAnswer(error_chain(&error)))?;
         if let Ok(data) = frame.into_data() {
             self.buffer.extend_from_slice(&data);
         }
@@ -121,9 +122,9 @@
     }
 }
 
-fn read(event: message::Event) -> Result<Event, Error> {
+fn decode_event(event: message::Event) -> Result<Event, Error> {
     let kind = event.kind;
-    let entry = entry(event.kv)?;
+    let entry = decode_entry(event.kv)?;
     Ok(Event {
         key: entry.key.clone(),
         revision: entry.revision,
--- a/lib/src/ports/http.rs
+++ b/lib/src/ports/http.rs
@@ -1,7 +1,7 @@
-//! The one HTTP client under all platform clients.
+//! HTTP client shared by the clients of external systems.
 //!
-//! It makes the difference that every promise about a request's fate rests on:
-//! whether a failed call may have reached the other side.
+//! A failed call tells whether the server may have received the request. All
+//! guarantees about whether a request was run depend on this distinction.
 
 use std::error::Error as _;
 use std::net::SocketAddr;
@@ -19,13 +19,13 @@
 use crate::clock::Millis;
 use crate::ports::Error;
 
-/// How long a connection may be silent before the system probes it.
+/// Idle time before TCP keepalive probes start, and the interval between them.
 ///
-/// A watch waits in silence for hours; without probes a service that vanished
-/// without closing the connection would leave it waiting for ever.
-const KEEPALIVE: Millis = Millis::from_secs(10);
+/// A watch may receive no data for hours. Without probes it would wait forever
+/// for a service that vanished without closing the connection.
+const KEEPALIVE_INTERVAL: Millis = Millis::from_secs(10);
 
-/// Headers that concern one connection only, by RFC 9110, 7.6.1.
+/// Headers that apply to a single connection (RFC 9110, section 7.6.1).
 const HOP_BY_HOP: [HeaderName; 8] = [
     header::CONNECTION,
     HeaderName::from_static("keep-alive"),
@@ -37,64 +37,63 @@
     header::UPGRADE,
 ];
 
-/// Why a call has no answer.
+/// Why a request got no response.
 #[derive(Debug)]
 pub(super) enum TransportError {
-    /// No byte of the request left, so the other side can't have seen it.
+    /// No byte of the request was sent, so the server can't have seen it.
     Unsent(String),
-    /// The request, or part of it, may have arrived.
+    /// The server may have received the request or part of it.
     Sent(String),
 }
 
-/// Bounds of the connections that a client keeps.
+/// Timeouts of a client's connections.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct Bounds {
-    /// Longest time to connect.
+pub(super) struct ConnectionTimeouts {
+    /// Maximum time to establish a connection.
     pub connect: Millis,
-    /// How long an unused connection is kept.
+    /// How long an idle connection is kept.
     pub idle: Millis,
 }
 
-/// A client with pooled connections.
+/// An HTTP client with a connection pool.
 #[derive(Debug, Clone)]
 pub(super) struct Client {
     inner: legacy::Client<HttpConnector, Full<Bytes>>,
 }
 
 impl Client {
-    pub(super) fn new(bounds: Bounds) -> Self {
+    pub(super) fn new(timeouts: ConnectionTimeouts) -> Self {
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
-        connector.set_connect_timeout(Some(bounds.connect.duration()));
-        connector.set_keepalive(Some(KEEPALIVE.duration()));
-        connector.set_keepalive_interval(Some(KEEPALIVE.duration()));
+        connector.set_connect_timeout(Some(timeouts.connect.duration()));
+        connector.set_keepalive(Some(KEEPALIVE_INTERVAL.duration()));
+        connector.set_keepalive_interval(Some(KEEPALIVE_INTERVAL.duration()));
         let inner = legacy::Client::builder(TokioExecutor::new())
-            .pool_idle_timeout(bounds.idle.duration())
+            .pool_idle_timeout(timeouts.idle.duration())
             .pool_timer(TokioTimer::new())
-            // A client that repeats requests by itself would take the decision
-            // about retries from the one place that knows what may be repeated.
+            // The callers decide about retries: they know which requests are safe to repeat.
             .retry_canceled_requests(false)
             .build(connector);
         Self { inner }
     }
 
-    /// Sends a request whose URI names the address.
+    /// Sends a request to the address in its URI.
     pub(super) async fn send(
         &self,
         request: Request<Full<Bytes>>,
     ) -> Result<Response<Incoming>, TransportError> {
         self.inner.request(request).await.map_err(|error| {
-            let told = describe(&error);
-            if error.is_connect() || is_unstarted(&error) {
-                TransportError::Unsent(told)
+            let cause = error_chain(&error);
+            if error.is_connect() || was_never_sent(&error) {
+                TransportError::Unsent(cause)
             } else {
-                TransportError::Sent(told)
+                TransportError::Sent(cause)
             }
         })
     }
 }
 
-/// A service at one address, each of whose calls is bounded in time as a whole.
+/// A service at one address, with a timeout for each whole call.
 #[derive(Debug)]
 pub(super) struct Endpoint {
     client: Client,
@@ -103,14 +102,14 @@
 }
 
 impl Endpoint {
-    /// Makes an endpoint; `idle` is how long an unused connection is kept.
+    /// Creates an endpoint; `idle` is how long an idle connection is kept.
     pub(super) fn new(address: SocketAddr, timeout: Millis, idle: Millis) -> Self {
-        let bounds = Bounds {
+        let timeouts = ConnectionTimeouts {
             connect: timeout,
             idle,
         };
         Self {
-            client: Client::new(bounds),
+            client: Client::new(timeouts),
             address,
             timeout,
         }
@@ -130,8 +129,8 @@
         Ok(self.client.send(request).await?)
     }
 
-    /// Waits for a call and all that is read of its answer, up to the timeout.
-    pub(super) async fn within<T>(
+    /// Runs a call, including reading the response body, with the timeout.
+    pub(super) async fn with_timeout<T>(
         &self,
         call: impl Future<Output = Result<T, Error>>,
     ) -> Result<T, Error> {
@@ -141,20 +140,20 @@
     }
 }
 
-/// Whether the request was handed back because its connection had ended before.
+/// Returns whether the connection was closed before any of the request was written.
 ///
-/// hyper marks a request as cancelled only when it gives the whole message back
-/// unwritten; `upstream_reset_after_head` in `tests/test_platform.rs` shows
-/// that a reset after the head isn't among them.
-fn is_unstarted(error: &legacy::Error) -> bool {
+/// hyper reports a request as canceled only if no byte of it was written. A reset
+/// after the request head isn't reported so; `upstream_reset_after_head` in
+/// `tests/test_ports_upstream.rs` checks this.
+fn was_never_sent(error: &legacy::Error) -> bool {
     error
         .source()
         .and_then(|cause| cause.downcast_ref::<hyper::Error>())
         .is_some_and(hyper::Error::is_canceled)
 }
 
-/// Writes an error with its causes on one line.
-pub(super) fn describe(error: &dyn std::error::Error) -> String {
+/// Formats an error and its chain of sources on one line.
+pub(super) fn error_chain(error: &dyn std::error::Error) -> String {
     let mut text = error.to_string();
     let mut cause = error.source();
     while let Some(error) = cause {
@@ -165,7 +164,7 @@
     text
 }
 
-/// Makes the URI of a path at an address.
+/// Builds the URI of a path on an address.
 pub(super) fn uri(address: SocketAddr, path: PathAndQuery) -> Uri {
     let authority =
         Authority::try_from(address.to_string()).expect("a socket address is an authority");
@@ -176,34 +175,34 @@
     Uri::from_parts(parts).expect("scheme, authority and path make a URI")
 }
 
-/// Reads a body whole, up to `limit` bytes.
-pub(super) async fn whole(body: Incoming, limit: usize) -> Result<Bytes, String> {
+/// Reads a whole body of at most `limit` bytes.
+pub(super) async fn read_body(body: Incoming, limit: usize) -> Result<Bytes, String> {
     Limited::new(body, limit)
         .collect()
         .await
         .map(http_body_util::Collected::to_bytes)
-        .map_err(|error| describe(error.as_ref()))
+        .map_err(|error| error_chain(error.as_ref()))
 }
 
-/// Removes the headers that concern one connection only, those that `Connection` names included.
+/// Removes hop-by-hop headers, including those listed in `Connection`.
 pub(crate) fn remove_hop_by_hop(headers: &mut HeaderMap) {
-    let named: Vec<HeaderName> = headers
+    let listed: Vec<HeaderName> = headers
         .get_all(header::CONNECTION)
         .iter()
         .filter_map(|value| value.to_str().ok())
         .flat_map(|value| value.split(','))
         .filter_map(|name| name.trim().parse().ok())
         .collect();
-    for name in named.iter().chain(&HOP_BY_HOP) {
+    for name in listed.iter().chain(&HOP_BY_HOP) {
         headers.remove(name);
     }
 }
 
 impl From<TransportError> for Error {
-    fn from(lost: TransportError) -> Self {
-        match lost {
-            TransportError::Unsent(told) => Self::Unreachable(told),
-            TransportError::Sent(told) => Self::NoAnswer(told),
+    fn from(error: TransportError) -> Self {
+        match error {
+            TransportError::Unsent(cause) => Self::Unreachable(cause),
+            TransportError::Sent(cause) => Self::NoAnswer(cause),
         }
     }
 }
--- a/lib/src/ports/metered.rs
+++ b/lib/src/ports/metered.rs
@@ -1,7 +1,7 @@
-//! A key-value service whose calls are counted and timed.
+//! Metrics for calls to the key-value service.
 //!
-//! Everything that a node knows comes from there: how long its calls take, how they fail
-//! and when one last told of changes says how far the rest can be trusted.
+//! All of a node's shared state comes from this service. The latency and errors of its
+//! calls, and the time since the last poll for changes, show how current that state is.
 
 use std::future::Future;
 use std::sync::Arc;
@@ -14,10 +14,10 @@
 use crate::clock::{Clock, Millis};
 use crate::metrics::Metrics;
 
-/// Stands for "never" where a moment is kept.
+/// Value of `last_changes_at` before the first successful poll.
 const NEVER: u64 = u64::MAX;
 
-/// Counts and times the calls to a service.
+/// Wraps a key-value service and records the number and latency of its calls.
 #[derive(Debug)]
 pub struct Metered {
     store: Arc<dyn Store>,
@@ -25,11 +25,12 @@
     poll: Arc<dyn Poll>,
     metrics: Arc<Metrics>,
     clock: Arc<dyn Clock>,
-    told: AtomicU64,
+    /// Time of the last successful poll in milliseconds, or [`NEVER`].
+    last_changes_at: AtomicU64,
 }
 
 impl Metered {
-    /// Wraps a service.
+    /// Wraps the interfaces of one service.
     #[must_use]
     pub fn new(
         store: Arc<dyn Store>,
@@ -44,50 +45,50 @@
             poll,
             metrics,
             clock,
-            told: AtomicU64::new(NEVER),
+            last_changes_at: AtomicU64::new(NEVER),
         }
     }
 
-    /// Returns the time since a call last told of changes, or that there are none.
+    /// Returns the time since the last successful poll for changes, even one without changes.
     #[must_use]
     pub fn changes_age(&self) -> Option<Millis> {
-        let told = self.told.load(Ordering::Relaxed);
-        (told != NEVER).then(|| self.clock.now().since(Millis(told)))
+        let last = self.last_changes_at.load(Ordering::Relaxed);
+        (last != NEVER).then(|| self.clock.now().since(Millis(last)))
     }
 
-    async fn timed<T>(
+    async fn record<T>(
         &self,
         name: &'static str,
         call: impl Future<Output = Result<T, Error>>,
     ) -> Result<T, Error> {
-        let mut started = self.start(name);
+        let mut timer = self.start_timer(name);
         let result = call.await;
-        started.outcome = result.as_ref().err().map_or("answered", Error::name);
+        timer.outcome = result.as_ref().err().map_or("answered", Error::name);
         result
     }
 
-    fn start(&self, name: &'static str) -> Call<'_> {
-        Call {
+    fn start_timer(&self, name: &'static str) -> CallTimer<'_> {
+        CallTimer {
             metered: self,
             name,
-            began: self.clock.now(),
+            started_at: self.clock.now(),
             outcome: "given_up",
         }
     }
 }
 
-/// A call under way, counted when it ends: also when its caller no longer waits.
-struct Call<'a> {
+/// Records a call when dropped, including one that its caller has cancelled.
+struct CallTimer<'a> {
     metered: &'a Metered,
     name: &'static str,
-    began: Millis,
+    started_at: Millis,
     outcome: &'static str,
 }
 
-impl Drop for Call<'_> {
+impl Drop for CallTimer<'_> {
     fn drop(&mut self) {
         let Metered { metrics, clock, .. } = self.metered;
-        let took = clock.now().since(self.began);
+        let took = clock.now().since(self.started_at);
         let calls = &metrics.store_calls;
         calls.with_label_values(&[self.name, self.outcome]).inc();
         let seconds = metrics.store_seconds.with_label_values(&[self.name]);
@@ -98,30 +99,30 @@
 #[async_trait]
 impl Store for Metered {
     async fn get(&self, key: &str) -> Result<Option<Entry>, Error> {
-        self.timed("get", self.store.get(key)).await
+        self.record("get", self.store.get(key)).await
     }
 
     async fn list(&self, prefix: &str) -> Result<Listing, Error> {
-        self.timed("list", self.store.list(prefix)).await
+        self.record("list", self.store.list(prefix)).await
     }
 
     async fn commit(&self, transaction: Transaction) -> Result<Commit, Error> {
-        self.timed("commit", self.store.commit(transaction)).await
+        self.record("commit", self.store.commit(transaction)).await
     }
 }
 
 #[async_trait]
 impl Lease for Metered {
-    async fn grant(&self, span: Millis) -> Result<LeaseId, Error> {
-        self.timed("grant", self.lease.grant(span)).await
+    async fn grant(&self, ttl: Millis) -> Result<LeaseId, Error> {
+        self.record("grant", self.lease.grant(ttl)).await
     }
 
     async fn renew(&self, lease: LeaseId) -> Result<Millis, Error> {
-        self.timed("renew", self.lease.renew(lease)).await
+        self.record("renew", self.lease.renew(lease)).await
     }
 
     async fn revoke(&self, lease: LeaseId) -> Result<(), Error> {
-        self.timed("revoke", self.lease.revoke(lease)).await
+        self.record("revoke", self.lease.revoke(lease)).await
     }
 }
 
@@ -133,11 +134,12 @@
         revision: u64,
         wait: Millis,
     ) -> Result<Changes, poll::Error> {
-        let mut started = self.start("changes");
+        let mut timer = self.start_timer("changes");
         let result = self.poll.changes(prefix, revision, wait).await;
-        started.outcome = match &result {
+        timer.outcome = match &result {
             Ok(_) => {
-                self.told.store(self.clock.now().0, Ordering::Relaxed);
+                self.last_changes_at
+                    .store(self.clock.now().0, Ordering::Relaxed);
                 "answered"
             }
             Err(poll::Error::Compacted) => "compacted",
--- a/lib/src/ports/mod.rs
+++ b/lib/src/ports/mod.rs
@@ -1,9 +1,9 @@
-//! What the platform gives, behind traits.
+//! Traits for the external systems that a node depends on, and their clients.
 //!
-//! Each trait has a client for a published protocol beside it and a stand-in in
-//! the `chivevalve-standins` crate. A deployment whose platform speaks
-//! otherwise adds one file with another client; docs/design/0006-platform.md
-//! says what each protocol has to promise.
+//! Each trait has a client for a published protocol in a submodule and a fake in
+//! the `chivevalve-standins` crate. To support a platform with another protocol,
+//! add one file with another client; docs/design/0006-platform.md lists the
+//! guarantees that each protocol has to give.
 
 pub mod connection_pool;
 pub mod directory;
@@ -28,27 +28,27 @@
 use crate::name::Name;
 use crate::request::Id;
 
-/// Why a call to the key-value service, the list of VMs or the weight store failed.
+/// Why a call to the key-value service, the VM directory or the weight store failed.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum Error {
-    /// Nothing was sent, so nothing took effect.
+    /// The request was not sent, so it had no effect.
     #[error("the service can't be reached: {0}")]
     Unreachable(String),
-    /// No answer came; a write may have taken effect.
+    /// No response arrived; a write may have taken effect.
     ///
-    /// The caller settles it by reading back its own mark, never by assuming.
+    /// To find out, the caller reads back a value that only its own write stores.
     #[error("no answer came from the service: {0}")]
     NoAnswer(String),
-    /// The service answered that it won't.
+    /// The service rejected the call.
     #[error("the service refused the call: {0}")]
     Refused(String),
-    /// The answer can't be understood.
+    /// The response can't be decoded.
     #[error("the service's answer can't be read: {0}")]
     Malformed(String),
 }
 
 impl Error {
-    /// Returns the name used in metrics.
+    /// Returns the label value used in metrics.
     #[must_use]
     pub const fn name(&self) -> &'static str {
         match self {
@@ -60,41 +60,41 @@
     }
 }
 
-/// A key with its value, as the service holds it.
+/// A key with its value and metadata, as stored in the service.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Entry {
-    /// The whole key, prefix included.
+    /// The full key, including the prefix.
     pub key: String,
-    /// At most a megabyte.
+    /// The value, at most 1 MB.
     pub value: Bytes,
-    /// The service's revision of the last write to this key; it only rises.
+    /// The service's revision of the last write to this key; never decreases.
     pub revision: u64,
-    /// The service's revision at which the key came into being; 0 where nobody tells.
+    /// The service's revision at which the key was created; 0 if unknown.
     pub created: u64,
-    /// The lease that the key lives with.
+    /// The lease that the key is attached to; the key is deleted when the lease ends.
     pub lease: Option<LeaseId>,
 }
 
-/// What a read of a prefix saw, at one revision of the service.
+/// All keys with a prefix, as of one revision of the service.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Listing {
-    /// Keys in order.
+    /// Entries in key order.
     pub entries: Vec<Entry>,
-    /// The service's revision as of the read.
+    /// The service's revision at the time of the read.
     pub revision: u64,
 }
 
-/// A condition that a commit takes effect under.
+/// A precondition of a transaction.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Condition {
     /// The key doesn't exist.
     Absent(String),
-    /// The key's last write has this revision.
+    /// The last write to the key has this revision.
     Unchanged(String, u64),
 }
 
 impl Condition {
-    /// Returns the key that it is about.
+    /// Returns the key that the condition checks.
     #[must_use]
     pub fn key(&self) -> &str {
         match self {
@@ -102,7 +102,7 @@
         }
     }
 
-    /// Whether it holds where this stands under its key.
+    /// Returns whether the condition holds, given the key's current entry.
     #[must_use]
     pub fn holds(&self, found: Option<&Entry>) -> bool {
         match self {
@@ -112,32 +112,32 @@
     }
 }
 
-/// A write that a commit makes.
+/// A write in a transaction.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Write {
-    /// Sets a key, living with the lease if there is one.
+    /// Sets a key to a value and attaches it to the lease, if any.
     Put(String, Bytes, Option<LeaseId>),
-    /// Removes a key.
+    /// Deletes a key.
     Delete(String),
 }
 
-/// All writes take effect together if all conditions hold, else none does.
+/// Writes that are applied atomically if all conditions hold, and not at all otherwise.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Transaction {
-    /// Every one must hold.
+    /// Preconditions; all must hold.
     pub conditions: Vec<Condition>,
-    /// Made in order.
+    /// Writes, applied in order.
     pub writes: Vec<Write>,
 }
 
-/// How a commit that was answered ended.
+/// The service's response to a transaction.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Commit {
-    /// Whether the conditions held and the writes were made.
+    /// Whether the conditions held and the writes were applied.
     pub done: bool,
-    /// The service's revision: of the writes if they were made, else as of the check.
+    /// The service's revision: that of the writes if applied, otherwise that of the check.
     pub revision: u64,
-    /// What stands under the conditions' keys, if they failed and the service tells.
+    /// Current entries of the conditions' keys, if a condition failed and the service returns them.
     pub found: Vec<Entry>,
 }
 
@@ -147,10 +147,10 @@
     /// Reads one key.
     async fn get(&self, key: &str) -> Result<Option<Entry>, Error>;
 
-    /// Reads all keys with the prefix, at one revision.
+    /// Reads all keys with the prefix, as of one revision.
     async fn list(&self, prefix: &str) -> Result<Listing, Error>;
 
-    /// Makes writes under conditions.
+    /// Applies a transaction.
     ///
     /// # Errors
     ///
@@ -158,38 +158,38 @@
     async fn commit(&self, transaction: Transaction) -> Result<Commit, Error>;
 }
 
-/// Number of a lease of the key-value service.
+/// Identifier of a lease in the key-value service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct LeaseId(pub i64);
 
-/// Leases of the key-value service: keys that vanish when their holder does.
+/// Leases of the key-value service: attached keys are deleted when their lease expires.
 #[async_trait]
 pub trait Lease: fmt::Debug + Send + Sync {
-    /// Grants a lease for a span of time.
-    async fn grant(&self, span: Millis) -> Result<LeaseId, Error>;
+    /// Grants a lease with a time to live.
+    async fn grant(&self, ttl: Millis) -> Result<LeaseId, Error>;
 
-    /// Renews a lease and returns its full span, or zero when it has lapsed.
+    /// Renews a lease and returns its time to live, or zero if it has expired.
     async fn renew(&self, lease: LeaseId) -> Result<Millis, Error>;
 
-    /// Ends a lease; its keys vanish.
+    /// Revokes a lease and thereby deletes its keys.
     async fn revoke(&self, lease: LeaseId) -> Result<(), Error>;
 }
 
-/// A change that a watch saw.
+/// A change to one key.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Event {
     /// The key.
     pub key: String,
-    /// The new entry, or none when the key was removed.
+    /// The new entry, or `None` if the key was deleted.
     pub entry: Option<Entry>,
     /// The service's revision of the change.
     pub revision: u64,
 }
 
-/// Changes of keys as the key-value service makes them.
+/// Streams changes to keys in the key-value service.
 #[async_trait]
 pub trait Watch: fmt::Debug + Send + Sync {
-    /// Follows the prefix from just after `revision` until the stream breaks.
+    /// Streams changes under `prefix` after `revision` until the connection fails.
     async fn watch(
         &self,
         prefix: &str,
@@ -197,72 +197,72 @@
     ) -> Result<BoxStream<'static, Result<Event, Error>>, Error>;
 }
 
-/// A VM of an upstream, as the platform's lagging list has it.
+/// An upstream's VM, as listed in the platform's directory, which lags.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Vm {
     /// Name of the upstream, unique in the deployment.
     pub name: Name,
-    /// Where it serves.
+    /// Address that it serves on.
     pub address: SocketAddr,
-    /// The declared pool that it belongs to.
+    /// Declared pool that it belongs to.
     pub pool: Name,
-    /// Its region.
+    /// Region that it runs in.
     pub region: Name,
-    /// Its failure domain.
+    /// Failure domain that it runs in.
     pub failure_domain: Name,
-    /// Whether it is about to go.
+    /// Whether it is about to be removed.
     pub leaving: bool,
 }
 
-/// The platform's list of live and leaving VMs.
+/// The platform's directory of live and leaving VMs.
 #[async_trait]
 pub trait Directory: fmt::Debug + Send + Sync {
-    /// Reads the list; it lags behind what is.
+    /// Reads the list of VMs; it lags behind their actual state.
     async fn vms(&self) -> Result<Vec<Vm>, Error>;
 }
 
-/// An order to an engine carries the owner's fencing token and its time bound.
+/// Fencing token that the owner sends with every request to an engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Fence {
-    /// The claim's token; an engine that checks refuses a smaller one than it has seen.
+    /// The claim's token; an engine that checks it rejects any below the largest it has seen.
     pub token: u64,
 }
 
 /// A completion for an engine to run.
 #[derive(Debug, Clone)]
 pub struct CompletionCall {
-    /// The request's identity, which the engine returns in its answer.
+    /// Request id, which the engine echoes in its response.
     pub id: Id,
-    /// The adapter and version to run on.
+    /// Adapter and version to run on.
     pub adapter: Adapter,
-    /// Path of the completions interface, such as `/v1/completions`.
+    /// Path of the completions API, such as `/v1/completions`.
     pub path: Name,
     /// The caller's JSON body with `model` set to [`Adapter::engine_name`].
     pub body: Bytes,
-    /// The engine's priority; smaller goes first.
+    /// Scheduling priority in the engine; lower values run first.
     pub priority: u32,
 }
 
-/// What an engine says of itself; it lags.
+/// An engine's own view of its state, which lags.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct EngineStatus {
-    /// Identity of the engine process; a new one means a cold start.
+    /// Id of the engine process; a new id means that the engine restarted with nothing loaded.
     pub boot: Name,
-    /// Names of the adapters in its slots, as [`Adapter::engine_name`] gives them.
+    /// Loaded adapters, named as by [`Adapter::engine_name`].
     pub resident: Vec<Name>,
-    /// Requests running, as it counts them: identity and adapter's name.
+    /// Running requests: request id and adapter name.
     pub running: Vec<(Name, Name)>,
-    /// Requests waiting inside the engine.
+    /// Number of requests queued inside the engine.
     pub waiting: u32,
 }
 
-/// The head and body of an upstream's answer.
+/// An upstream's response: head and streamed body.
 ///
-/// The body is whole only if its stream ends without an error.
+/// The body is complete only if its stream ends without an error.
 pub struct UpstreamResponse {
-    /// Status and headers, hop-by-hop headers removed.
+    /// Status and headers, without hop-by-hop headers.
     pub head: ::http::response::Parts,
-    /// Pieces of the body as they come.
+    /// Chunks of the body as they arrive.
     pub body: BoxStream<'static, Result<Bytes, Failure>>,
 }
 
@@ -274,39 +274,40 @@
     }
 }
 
-/// One model engine.
+/// A model engine.
 ///
-/// Failures carry codes whose fate is true: [`crate::error::Code::ConnectFailed`]
-/// and [`crate::error::Code::UpstreamRefused`] only when nothing can have run.
+/// The code of a failure tells reliably whether the request may have run:
+/// [`crate::error::Code::ConnectFailed`] and [`crate::error::Code::UpstreamRefused`]
+/// are returned only if it can't have run.
 #[async_trait]
 pub trait Engine: fmt::Debug + Send + Sync {
-    /// Runs a completion. Dropping the answer cancels it at the engine.
+    /// Runs a completion. Dropping the response cancels it in the engine.
     async fn run(&self, call: CompletionCall, fence: Fence) -> Result<UpstreamResponse, Failure>;
 
-    /// Loads an adapter into a slot; returns when it can be used.
+    /// Loads an adapter into a slot; returns once it is ready to use.
     async fn load(&self, adapter: &Adapter, fence: Fence) -> Result<(), Failure>;
 
-    /// Frees an adapter's slot.
+    /// Unloads an adapter and frees its slot.
     async fn unload(&self, adapter: &Adapter, fence: Fence) -> Result<(), Failure>;
 
-    /// Asks what is resident and what runs.
+    /// Returns the loaded adapters and the running requests.
     async fn report(&self) -> Result<EngineStatus, Failure>;
 }
 
-/// The weight store's listing.
+/// The weight store.
 #[async_trait]
 pub trait Weights: fmt::Debug + Send + Sync {
-    /// Whether the store holds this version.
+    /// Returns whether the store has this version of the adapter.
     async fn has(&self, adapter: &Adapter) -> Result<bool, Error>;
 }
 
-/// A plain service beside the engines.
+/// An HTTP service that isn't a model engine.
 #[async_trait]
 pub trait Service: fmt::Debug + Send + Sync {
-    /// Passes a call through whole.
+    /// Forwards a request to the service.
     ///
-    /// The body is bounded and held whole by the caller's node, so that a call
-    /// that was not run can be tried elsewhere.
+    /// The entry node buffers the whole, size-limited body, so that a request
+    /// that was not run can be retried on another upstream.
     async fn call(
         &self,
         head: ::http::request::Parts,
@@ -314,11 +315,11 @@
     ) -> Result<UpstreamResponse, Failure>;
 }
 
-/// Makes clients for upstreams as the list of VMs names them.
+/// Creates clients for the upstreams listed in the directory.
 pub trait Connector: fmt::Debug + Send + Sync {
-    /// Makes a client for the engine at an address.
+    /// Creates a client for the engine on a VM.
     fn engine(&self, vm: &Vm) -> std::sync::Arc<dyn Engine>;
 
-    /// Makes a client for the service at an address.
+    /// Creates a client for the service on a VM.
     fn service(&self, vm: &Vm) -> std::sync::Arc<dyn Service>;
 }
--- a/lib/src/ports/poll.rs
+++ b/lib/src/ports/poll.rs
@@ -1,18 +1,18 @@
-//! Changes of the key-value service, asked for call by call.
+//! Long polling for changes in the key-value service.
 //!
-//! A service that counts a waiting watch as a call makes its rate a matter of
-//! the caller, who also has to notice a watch that has gone silent. A stream of
-//! events would hide both.
+//! Some services count every waiting watch as a call against a rate limit, so
+//! the caller has to control how often it polls. It also has to notice a watch
+//! that stops responding. A stream of events would hide both.
 
 use async_trait::async_trait;
 
 use super::Event;
 use crate::clock::Millis;
 
-/// Why a call for changes has no result.
+/// Why a poll for changes failed.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum Error {
-    /// The service has compacted the history after the revision that was asked for.
+    /// The service no longer has the history after the requested revision.
     #[error("the history after the revision is compacted")]
     Compacted,
     /// The call failed.
@@ -20,24 +20,24 @@
     Failed(#[from] super::Error),
 }
 
-/// Changes after a revision.
+/// The changes after a revision.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Changes {
-    /// In the order in which they were made.
+    /// Changes in the order in which they were made.
     pub events: Vec<Event>,
-    /// The revision that the changes lead to; the next call asks from here.
+    /// Revision after these changes, from which the next poll continues.
     pub revision: u64,
-    /// Whether the answer is as long as the service makes them, so that more may be there already.
+    /// Whether the response is about as long as the service allows, so that more changes may be ready.
     pub more: bool,
 }
 
-/// Asks the key-value service what has changed.
+/// Polls the key-value service for changes.
 #[async_trait]
 pub trait Poll: std::fmt::Debug + Send + Sync {
     /// Waits up to `wait` for changes under `prefix` after `revision`.
     ///
     /// # Errors
     ///
-    /// [`Error::Compacted`] when only reading everything anew helps.
+    /// [`Error::Compacted`] if the caller has to list all keys again.
     async fn changes(&self, prefix: &str, revision: u64, wait: Millis) -> Result<Changes, Error>;
 }
--- a/lib/src/ports/upstream/engine.rs
+++ b/lib/src/ports/upstream/engine.rs
@@ -1,5 +1,5 @@
-//! A client of a model engine: the completions API, its dynamic-adapter
-//! endpoints and a status document.
+//! Client for a model engine: the completions API, the endpoints that load and
+//! unload adapters, and the status document.
 
 use std::net::SocketAddr;
 
@@ -16,51 +16,51 @@
 use crate::clock::Millis;
 use crate::error::{Code, Failure};
 use crate::name::Name;
-use crate::ports::http::{Client as Http, uri, whole};
-use crate::ports::upstream::answer;
+use crate::ports::http::{Client as HttpClient, read_body, uri};
+use crate::ports::upstream::to_upstream_response;
 use crate::ports::weights;
 use crate::ports::{CompletionCall, Engine, EngineStatus, Fence, UpstreamResponse};
 
-/// Header that names the request, in both directions.
+/// Header with the request id, in requests and responses.
 pub const REQUEST_ID: HeaderName = HeaderName::from_static("x-request-id");
-/// Header that carries the owner's fencing token with every order.
+/// Header with the owner's fencing token, sent with every completion and adapter command.
 pub const FENCING_TOKEN: HeaderName = HeaderName::from_static("x-fencing-token");
 
 const LOAD_PATH: &str = "/v1/load_lora_adapter";
 const UNLOAD_PATH: &str = "/v1/unload_lora_adapter";
 const STATUS_PATH: &str = "/v1/status";
-/// Longest error text or status document that is read.
-const DOCUMENT_BYTES: usize = 4 << 20;
-/// Most characters of an engine's error text that are passed on.
-const DETAIL_CHARS: usize = 200;
+/// Maximum size of an error body or status document, in bytes.
+const MAX_DOCUMENT_BYTES: usize = 4 << 20;
+/// Maximum number of characters of an engine's error text that are forwarded.
+const MAX_DETAIL_CHARS: usize = 200;
 
-/// An order to load or unload.
+/// A command to load or unload an adapter.
 #[derive(Debug, Serialize)]
-struct Order {
+struct AdapterCommand {
     lora_name: String,
     #[serde(skip_serializing_if = "Option::is_none")]
     lora_path: Option<String>,
 }
 
-/// The status document.
+/// An engine's status document.
 #[derive(Debug, Default, Serialize, Deserialize)]
 pub struct Status {
-    /// Identity of the engine process.
+    /// Id of the engine process.
     pub boot: Name,
-    /// Names of the adapters in its slots.
+    /// Names of the loaded adapters.
     pub resident: Vec<Name>,
-    /// Requests running.
+    /// Running requests.
     pub running: Vec<StatusRun>,
-    /// Requests waiting inside the engine.
+    /// Number of requests queued inside the engine.
     pub waiting: u32,
 }
 
 /// A running request in the status document.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct StatusRun {
-    /// The request's identity.
+    /// Request id.
     pub id: Name,
-    /// The adapter's name.
+    /// Adapter name.
     pub adapter: Name,
 }
 
@@ -79,20 +79,20 @@
     }
 }
 
-/// A client of one engine.
+/// Client for one engine.
 #[derive(Debug)]
 pub(super) struct Client {
-    http: Http,
+    http: HttpClient,
     address: SocketAddr,
-    report: Millis,
+    status_timeout: Millis,
 }
 
 impl Client {
-    pub(super) fn new(http: Http, address: SocketAddr, report: Millis) -> Self {
+    pub(super) fn new(http: HttpClient, address: SocketAddr, status_timeout: Millis) -> Self {
         Self {
             http,
             address,
-            report,
+            status_timeout,
         }
     }
 
@@ -114,18 +114,18 @@
         Ok(self.http.send(request).await?)
     }
 
-    async fn order(
+    async fn send_command(
         &self,
         path: &'static str,
-        order: &Order,
+        command: &AdapterCommand,
         fence: Fence,
     ) -> Result<(StatusCode, String), Failure> {
-        let body = serde_json::to_vec(order)
+        let body = serde_json::to_vec(command)
             .map_err(|error| Failure::new(Code::Internal, error.to_string()))?;
         let path = PathAndQuery::from_static(path);
         let response = self.post(path, fence, None, body.into()).await?;
         let status = response.status();
-        let text = detail(response).await;
+        let text = read_error_text(response).await;
         if status == StatusCode::PRECONDITION_FAILED {
             return Err(Failure::new(Code::NotOwner, text));
         }
@@ -142,30 +142,30 @@
             .map_err(|error| Failure::new(Code::BadRequest, error.to_string()))?;
         let body = with_priority(&call.body, call.priority)?;
         let response = self.post(path, fence, Some(id.clone()), body).await?;
-        if let Some(code) = refusal(response.status()) {
-            return Err(Failure::new(code, detail(response).await));
+        if let Some(code) = rejection_code(response.status()) {
+            return Err(Failure::new(code, read_error_text(response).await));
         }
-        // An answer to another request would hand one caller another's text.
-        if let Some(named) = response.headers().get(REQUEST_ID)
-            && *named != id
+        // A response to another request would expose one caller's text to another.
+        if let Some(response_id) = response.headers().get(REQUEST_ID)
+            && *response_id != id
         {
             return Err(Failure::new(
                 Code::WrongAnswer,
                 "the engine answered another request",
             ));
         }
-        Ok(answer(response))
+        Ok(to_upstream_response(response))
     }
 
     async fn load(&self, adapter: &Adapter, fence: Fence) -> Result<(), Failure> {
-        let order = Order {
+        let command = AdapterCommand {
             lora_name: adapter.engine_name(),
             lora_path: Some(weights::path(adapter)),
         };
-        let (status, text) = self.order(LOAD_PATH, &order, fence).await?;
+        let (status, text) = self.send_command(LOAD_PATH, &command, fence).await?;
         match status {
             status if status.is_success() => Ok(()),
-            // Engines of this interface call a second load of the same name an error.
+            // Engines report an adapter that is already loaded as an error.
             StatusCode::BAD_REQUEST if text.contains("already been loaded") => Ok(()),
             StatusCode::NOT_FOUND => Err(Failure::new(Code::UnknownAdapter, text)),
             status => Err(Failure::new(
@@ -176,11 +176,11 @@
     }
 
     async fn unload(&self, adapter: &Adapter, fence: Fence) -> Result<(), Failure> {
-        let order = Order {
+        let command = AdapterCommand {
             lora_name: adapter.engine_name(),
             lora_path: None,
         };
-        let (status, text) = self.order(UNLOAD_PATH, &order, fence).await?;
+        let (status, text) = self.send_command(UNLOAD_PATH, &command, fence).await?;
         if status.is_success() || status == StatusCode::NOT_FOUND {
             return Ok(());
         }
@@ -203,28 +203,28 @@
                     format!("status {}", response.status()),
                 ));
             }
-            let body = whole(response.into_body(), DOCUMENT_BYTES)
+            let body = read_body(response.into_body(), MAX_DOCUMENT_BYTES)
                 .await
-                .map_err(|told| Failure::new(Code::UpstreamLost, told))?;
+                .map_err(|cause| Failure::new(Code::UpstreamLost, cause))?;
             serde_json::from_slice::<Status>(&body)
                 .map(EngineStatus::from)
                 .map_err(|error| Failure::new(Code::UpstreamError, error.to_string()))
         };
-        tokio::time::timeout(self.report.duration(), read)
+        tokio::time::timeout(self.status_timeout.duration(), read)
             .await
             .unwrap_or_else(|_| {
-                let told = format!("no status within {}", self.report);
-                Err(Failure::new(Code::UpstreamLost, told))
+                let cause = format!("no status within {}", self.status_timeout);
+                Err(Failure::new(Code::UpstreamLost, cause))
             })
     }
 }
 
-/// Which answers mean that the engine did not run the request.
+/// Returns the code for a response status that shows that the engine did not run the request.
 ///
-/// Only answers that an engine can give before it runs anything are here: the
-/// adapter isn't resident, the token is old, the engine's own queue is full. A
-/// 5xx answer may come in the middle of a run, so it is passed on as an answer.
-fn refusal(status: StatusCode) -> Option<Code> {
+/// An engine sends these statuses only before it runs anything: the adapter isn't
+/// loaded, the fencing token is stale, or the engine's queue is full. It may send
+/// a 5xx status after the run started, so those are forwarded as responses.
+fn rejection_code(status: StatusCode) -> Option<Code> {
     match status {
         StatusCode::PRECONDITION_FAILED => Some(Code::NotOwner),
         StatusCode::NOT_FOUND | StatusCode::TOO_MANY_REQUESTS => Some(Code::UpstreamRefused),
@@ -232,10 +232,10 @@
     }
 }
 
-/// Adds the `priority` field to a JSON object without reading the whole of it.
+/// Adds the `priority` field to a JSON object without parsing it.
 ///
-/// It goes last: of a field given twice readers take the last, so a caller
-/// can't raise its own priority.
+/// The field is appended last, because parsers use the last of duplicate fields.
+/// This prevents callers from raising their own priority.
 fn with_priority(body: &Bytes, priority: u32) -> Result<Bytes, Failure> {
     let object = body.trim_ascii();
     let Some(fields) = object
@@ -250,21 +250,21 @@
         ","
     };
     let field = format!("{separator}\"priority\":{priority}}}");
-    let mut joined = Vec::with_capacity(object.len() + field.len());
-    joined.extend_from_slice(&object[..object.len() - 1]);
-    joined.extend_from_slice(field.as_bytes());
-    Ok(joined.into())
+    let mut extended = Vec::with_capacity(object.len() + field.len());
+    extended.extend_from_slice(&object[..object.len() - 1]);
+    extended.extend_from_slice(field.as_bytes());
+    Ok(extended.into())
 }
 
-/// Reads the beginning of an error text.
-async fn detail(response: Response<Incoming>) -> String {
-    let body = whole(response.into_body(), DOCUMENT_BYTES)
+/// Reads the start of an error response's text, without control characters.
+async fn read_error_text(response: Response<Incoming>) -> String {
+    let body = read_body(response.into_body(), MAX_DOCUMENT_BYTES)
         .await
         .unwrap_or_default();
     String::from_utf8_lossy(&body)
         .chars()
         .filter(|char| !char.is_control())
-        .take(DETAIL_CHARS)
+        .take(MAX_DETAIL_CHARS)
         .collect()
 }
 
--- a/lib/src/ports/upstream/mod.rs
+++ b/lib/src/ports/upstream/mod.rs
@@ -1,4 +1,4 @@
-//! Clients of upstreams: model engines and plain services.
+//! Clients for upstreams: model engines and other HTTP services.
 
 mod engine;
 mod service;
@@ -14,24 +14,25 @@
 
 use crate::clock::Millis;
 use crate::error::{Code, Failure};
-use crate::ports::http::{Bounds, Client as Http, TransportError, describe, remove_hop_by_hop};
-use crate::ports::{Connector as Border, Engine, Service, UpstreamResponse, Vm};
+use crate::ports::http::{
+    Client as HttpClient, ConnectionTimeouts, TransportError, error_chain, remove_hop_by_hop,
+};
+use crate::ports::{Connector as ConnectorTrait, Engine, Service, UpstreamResponse, Vm};
 
-/// Bounds of calls to upstreams.
+/// Timeouts of calls to upstreams.
 ///
-/// Answers have no bound here: the request's deadline ends them from outside,
-/// by dropping them.
+/// Responses have no timeout here: the caller drops them at the request's deadline.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Limits {
-    /// Longest time to connect; 1,000 ms by default.
+    /// Maximum time to establish a connection; 1,000 ms by default.
     pub connect: Millis,
-    /// How long an unused connection is kept; 4,000 ms by default.
+    /// How long an idle connection is kept; 4,000 ms by default.
     ///
-    /// It is shorter than the five seconds that common servers keep theirs, so
-    /// that a request seldom meets a connection which the other side closes at
-    /// the same moment: that reads as "unknown" for a call that never ran.
+    /// Common servers close idle connections after five seconds. The shorter
+    /// timeout makes it rare that a request is sent while the server closes the
+    /// connection, which is reported as "unknown" for a call that never ran.
     pub idle: Millis,
-    /// Longest time for a status report; 2,000 ms by default.
+    /// Maximum time to read an engine's status; 2,000 ms by default.
     pub report: Millis,
 }
 
@@ -45,29 +46,29 @@
     }
 }
 
-/// Makes clients of upstreams that share one pool of connections.
+/// Creates clients for upstreams that share one connection pool.
 #[derive(Debug)]
 pub struct Connector {
-    http: Http,
+    http: HttpClient,
     limits: Limits,
 }
 
 impl Connector {
-    /// Makes a connector; no connection is made before the first call.
+    /// Creates a connector; connections are opened on demand.
     #[must_use]
     pub fn new(limits: Limits) -> Self {
-        let bounds = Bounds {
+        let timeouts = ConnectionTimeouts {
             connect: limits.connect,
             idle: limits.idle,
         };
         Self {
-            http: Http::new(bounds),
+            http: HttpClient::new(timeouts),
             limits,
         }
     }
 }
 
-impl Border for Connector {
+impl ConnectorTrait for Connector {
     fn engine(&self, vm: &Vm) -> Arc<dyn Engine> {
         Arc::new(engine::Client::new(
             self.http.clone(),
@@ -82,28 +83,28 @@
 }
 
 impl From<TransportError> for Failure {
-    fn from(lost: TransportError) -> Self {
-        match lost {
-            TransportError::Unsent(told) => Self::new(Code::ConnectFailed, told),
-            TransportError::Sent(told) => Self::new(Code::UpstreamLost, told),
+    fn from(error: TransportError) -> Self {
+        match error {
+            TransportError::Unsent(cause) => Self::new(Code::ConnectFailed, cause),
+            TransportError::Sent(cause) => Self::new(Code::UpstreamLost, cause),
         }
     }
 }
 
-/// Makes an answer of a response.
-fn answer(response: http::Response<Incoming>) -> UpstreamResponse {
+/// Converts an HTTP response, without its hop-by-hop headers.
+fn to_upstream_response(response: http::Response<Incoming>) -> UpstreamResponse {
     let (mut head, body) = response.into_parts();
     remove_hop_by_hop(&mut head.headers);
     UpstreamResponse {
         head,
-        body: pieces(body),
+        body: stream_body(body),
     }
 }
 
-/// The body's pieces. A body that breaks off ends in a failure, so that a cut
-/// answer never looks whole.
-fn pieces(body: Incoming) -> BoxStream<'static, Result<bytes::Bytes, Failure>> {
+/// Streams a body's chunks. A truncated body ends with an error, so that it is
+/// never taken for a complete one.
+fn stream_body(body: Incoming) -> BoxStream<'static, Result<bytes::Bytes, Failure>> {
     body.into_data_stream()
-        .map(|piece| piece.map_err(|error| Failure::new(Code::AnswerCut, describe(&error))))
+        .map(|chunk| chunk.map_err(|error| Failure::new(Code::AnswerCut, error_chain(&error))))
         .boxed()
 }
--- a/lib/src/ports/upstream/service.rs
+++ b/lib/src/ports/upstream/service.rs
@@ -1,4 +1,4 @@
-//! A client of a plain service: a call passes through whole.
+//! Client for an HTTP service that isn't a model engine.
 
 use std::net::SocketAddr;
 
@@ -11,10 +11,10 @@
 
 use crate::error::Failure;
 use crate::ports::http::{Client as Http, remove_hop_by_hop, uri};
-use crate::ports::upstream::answer;
+use crate::ports::upstream::to_upstream_response;
 use crate::ports::{Service, UpstreamResponse};
 
-/// A client of one service.
+/// Client for one service.
 #[derive(Debug)]
 pub(super) struct Client {
     http: Http,
@@ -42,12 +42,12 @@
         head.uri = uri(self.address, path);
         head.version = http::Version::HTTP_11;
         remove_hop_by_hop(&mut head.headers);
-        // The body is whole here, so its length is known anew; the caller may
-        // have sent it in chunks, or have asked to be told before sending it.
+        // The body is already buffered, so hyper sets its length. The caller may
+        // have sent it with chunked encoding or with `Expect: 100-continue`.
         head.headers.remove(header::CONTENT_LENGTH);
         head.headers.remove(header::EXPECT);
         let request = Request::from_parts(head, Full::new(body));
         let response = self.http.send(request).await?;
-        Ok(answer(response))
+        Ok(to_upstream_response(response))
     }
 }
--- a/lib/src/ports/weights.rs
+++ b/lib/src/ports/weights.rs
@@ -1,4 +1,4 @@
-//! A client of the weight store's listing: one HTTP path a version.
+//! Client for the weight store, which serves each adapter version at one HTTP path.
 
 use std::net::SocketAddr;
 
@@ -12,39 +12,39 @@
 use crate::ports::http::Endpoint;
 use crate::ports::{Error, Weights};
 
-/// What the paths of versions begin with.
+/// Prefix of the paths of adapter versions.
 pub const ROOT: &str = "/v1/weights/";
-/// How long an unused connection is kept.
-const IDLE: Millis = Millis::from_secs(30);
+/// How long an idle connection is kept.
+const IDLE_TIMEOUT: Millis = Millis::from_secs(30);
 
-/// Returns the path of a version below [`ROOT`], as engines are given it too.
+/// Returns the path of an adapter version relative to [`ROOT`], as also sent to engines.
 #[must_use]
 pub fn path(adapter: &Adapter) -> String {
-    let part = |text| utf8_percent_encode(text, NON_ALPHANUMERIC);
+    let encode = |text| utf8_percent_encode(text, NON_ALPHANUMERIC);
     format!(
         "{}/{}/{}",
-        part(&adapter.base_model),
-        part(&adapter.name),
-        part(&adapter.version)
+        encode(&adapter.base_model),
+        encode(&adapter.name),
+        encode(&adapter.version)
     )
 }
 
-/// A client of one address.
+/// Client for a weight store at one address.
 #[derive(Debug)]
 pub struct Client {
     endpoint: Endpoint,
 }
 
 impl Client {
-    /// Makes a client; `timeout` bounds each call.
+    /// Creates a client with a timeout for each call.
     #[must_use]
     pub fn new(address: SocketAddr, timeout: Millis) -> Self {
         Self {
-            endpoint: Endpoint::new(address, timeout, IDLE),
+            endpoint: Endpoint::new(address, timeout, IDLE_TIMEOUT),
         }
     }
 
-    async fn ask(&self, adapter: &Adapter) -> Result<bool, Error> {
+    async fn check(&self, adapter: &Adapter) -> Result<bool, Error> {
         let path = PathAndQuery::try_from(format!("{ROOT}{}", path(adapter)))
             .map_err(|error| Error::Malformed(error.to_string()))?;
         match self.endpoint.send(Method::HEAD, path).await?.status() {
@@ -58,6 +58,6 @@
 #[async_trait]
 impl Weights for Client {
     async fn has(&self, adapter: &Adapter) -> Result<bool, Error> {
-        self.endpoint.within(self.ask(adapter)).await
+        self.endpoint.with_timeout(self.check(adapter)).await
     }
 }
--- a/lib/tests/test_ports_store.rs
+++ b/lib/tests/test_ports_store.rs
@@ -1,4 +1,4 @@
-//! The client of the key-value service against its stand-in, over sockets.
+//! Tests the client of the key-value service against a fake service, over sockets.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -66,7 +66,7 @@
 }
 
 #[tokio::test]
-async fn lease_keys_vanish() {
+async fn lease_revoked_deletes_keys() {
     let setup = setup().await;
     let lease = setup.client.grant(Millis(1_500)).await.unwrap();
     assert_eq!(setup.client.renew(lease).await.unwrap(), Millis(2_000));
@@ -78,7 +78,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn lease_lapses_in_virtual_time() {
+async fn lease_expires_in_virtual_time() {
     let standin = Standin::start();
     let lease = standin.grant(Millis(300)).await.unwrap();
     let made = standin.commit(create("n", "1", Some(lease))).await;
@@ -88,13 +88,13 @@
 }
 
 #[tokio::test]
-async fn watch_sees_missed_and_new() {
+async fn watch_sends_past_and_new_changes() {
     let setup = setup().await;
     let before = setup.client.list("p/").await.unwrap().revision;
     setup.client.commit(create("p/a", "1", None)).await.unwrap();
     let mut events = setup.client.watch("p/", before).await.unwrap();
-    let missed = events.next().await.unwrap().unwrap();
-    assert_eq!(missed.entry.unwrap().value, "1");
+    let first_change = events.next().await.unwrap().unwrap();
+    assert_eq!(first_change.entry.unwrap().value, "1");
     let delete = Transaction {
         conditions: Vec::new(),
         writes: vec![Write::Delete("p/a".to_owned())],
@@ -104,7 +104,7 @@
     assert_eq!((removed.entry, removed.revision), (None, commit.revision));
 }
 
-/// A watch from a revision that was compacted away ends with an error, not in silence.
+/// A watch from a compacted revision must end with an error; otherwise changes would be missed.
 #[tokio::test]
 async fn watch_compacted() {
     let setup = setup().await;
@@ -116,7 +116,7 @@
     assert!(events.next().await.is_none());
 }
 
-/// A watch that is cut by an outage ends with an error, and isn't taken for no change.
+/// A watch must end with an error when the service stops, rather than look like no change.
 #[tokio::test]
 async fn watch_service_stops() {
     let setup = setup().await;
@@ -126,9 +126,9 @@
     assert!(matches!(ended, Err(Error::NoAnswer(_))), "{ended:?}");
 }
 
-/// A write whose answer was lost ends as unknown, and the client doesn't repeat it.
+/// If the response to a write is lost, the client must report `NoAnswer` and not retry the write.
 #[tokio::test]
-async fn commit_answer_lost() {
+async fn commit_response_lost() {
     let setup = setup().await;
     setup.standin.set(Knobs {
         lose_answers: 1,
@@ -165,7 +165,7 @@
     let setup = setup().await;
     setup.client.get("p/a").await.unwrap();
     setup.server.stop().await;
-    // A new client has no connection left over, on which a call could end as unknown.
+    // On a pooled connection the call could end with `NoAnswer`; a new client has none.
     let client = Client::new(
         vec![setup.server.addr()],
         TIMEOUT,
@@ -204,9 +204,9 @@
     assert_eq!(setup.standin.counts().limited, refused);
 }
 
-/// The stand-in refuses the transactions that the real service refuses.
+/// The fake service rejects the transactions that the real service rejects.
 #[tokio::test]
-async fn commit_refused_as_in_service() {
+async fn commit_rejected_as_in_service() {
     let setup = setup().await;
     let put = |key: &str| Write::Put(key.to_owned(), Bytes::new(), None);
     let many = (0..129).map(|number| put(&number.to_string())).collect();
--- a/lib/tests/test_ports_upstream.rs
+++ b/lib/tests/test_ports_upstream.rs
@@ -1,4 +1,4 @@
-//! Clients of upstreams against their stand-ins, over sockets.
+//! Tests the clients of upstreams, the VM directory and the weight store against fakes, over sockets.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -84,34 +84,34 @@
     }
 }
 
-async fn read(answer: UpstreamResponse) -> Result<String, Failure> {
+async fn read(response: UpstreamResponse) -> Result<String, Failure> {
     let mut text = Vec::new();
-    let mut body = answer.body;
-    while let Some(piece) = body.next().await {
-        text.extend_from_slice(&piece?);
+    let mut body = response.body;
+    while let Some(chunk) = body.next().await {
+        text.extend_from_slice(&chunk?);
     }
     Ok(String::from_utf8(text).unwrap())
 }
 
 #[tokio::test]
-async fn engine_whole_answer() {
+async fn engine_complete_response() {
     let setup = setup().await;
     let Setup { engine, .. } = &setup;
     let adapter = adapter("sales");
     engine.load(&adapter, FENCE).await.unwrap();
-    let answer = engine.run(call("id-1", &adapter, 4, false), FENCE).await;
-    let text = read(answer.unwrap()).await.unwrap();
+    let response = engine.run(call("id-1", &adapter, 4, false), FENCE).await;
+    let text = read(response.unwrap()).await.unwrap();
     assert!(text.contains("sales@2 id-1 mark-9 t3\""), "{text}");
 }
 
 #[tokio::test]
-async fn engine_streamed_answer() {
+async fn engine_streamed_response() {
     let setup = setup().await;
     let Setup { engine, .. } = &setup;
     let adapter = adapter("sales");
     engine.load(&adapter, FENCE).await.unwrap();
-    let answer = engine.run(call("id-1", &adapter, 4, true), FENCE).await;
-    let text = read(answer.unwrap()).await.unwrap();
+    let response = engine.run(call("id-1", &adapter, 4, true), FENCE).await;
+    let text = read(response.unwrap()).await.unwrap();
     assert_eq!(text.matches("data: {").count(), 4);
     assert!(text.ends_with("data: [DONE]\n\n"), "{text}");
 }
@@ -155,7 +155,7 @@
     assert_eq!(report.resident, ["b@2".into()]);
 }
 
-/// An order that an engine refuses for its stale fencing token ends as not owner.
+/// A request that an engine rejects because of a stale fencing token must fail with `NotOwner`.
 #[tokio::test]
 async fn engine_stale_token() {
     let setup = setup().await;
@@ -181,9 +181,9 @@
     assert_eq!(standin.counts().refused_stale, 2);
 }
 
-/// A stream that an engine ends early is reported as cut, and isn't taken for a whole answer.
+/// A response that an engine ends early must fail with `AnswerCut` rather than look complete.
 #[tokio::test]
-async fn engine_answer_cut() {
+async fn engine_response_truncated() {
     let setup = setup().await;
     let Setup {
         engine, standin, ..
@@ -195,22 +195,22 @@
             cut_answers: 1,
             ..Knobs::default()
         });
-        let answer = engine.run(call("id", &adapter, 8, stream), FENCE).await;
-        let cut = read(answer.unwrap()).await.unwrap_err();
+        let response = engine.run(call("id", &adapter, 8, stream), FENCE).await;
+        let cut = read(response.unwrap()).await.unwrap_err();
         assert_eq!(cut.code, Code::AnswerCut);
     }
 }
 
 #[tokio::test]
-async fn engine_caller_gone() {
+async fn engine_cancels_dropped_response() {
     let setup = setup().await;
     let Setup {
         engine, standin, ..
     } = &setup;
     let adapter = adapter("a");
     engine.load(&adapter, FENCE).await.unwrap();
-    let answer = engine.run(call("id", &adapter, 100_000, true), FENCE).await;
-    let mut body = answer.unwrap().body;
+    let response = engine.run(call("id", &adapter, 100_000, true), FENCE).await;
+    let mut body = response.unwrap().body;
     body.next().await.unwrap().unwrap();
     drop(body);
     while standin.runs()[0].outcome == Outcome::Running {
@@ -227,18 +227,18 @@
     } = &setup;
     let adapter = adapter("a");
     engine.load(&adapter, FENCE).await.unwrap();
-    let answer = engine.run(call("id", &adapter, 100_000, true), FENCE).await;
+    let response = engine.run(call("id", &adapter, 100_000, true), FENCE).await;
     engine.unload(&adapter, FENCE).await.unwrap();
     let evicted = Violation::EvictedInUse {
         adapter: "a@2".into(),
         users: 1,
     };
     assert_eq!(standin.violations(), [evicted]);
-    drop(answer);
+    drop(response);
 }
 
 #[tokio::test]
-async fn engine_restart_is_cold() {
+async fn engine_restart_loses_adapters() {
     let setup = setup().await;
     let Setup {
         engine, standin, ..
@@ -279,17 +279,18 @@
 }
 
 #[tokio::test]
-async fn service_passes_whole() {
+async fn service_forwards_request() {
     let (_, _server, service) = service_setup().await;
-    let answer = service
+    let response = service
         .call(push("k"), Bytes::from_static(b"total 3"))
         .await;
-    let receipt: Receipt = serde_json::from_str(&read(answer.unwrap()).await.unwrap()).unwrap();
+    let receipt: Receipt = serde_json::from_str(&read(response.unwrap()).await.unwrap()).unwrap();
     assert_eq!(receipt.path, "/receipts?till=4");
     assert_eq!((receipt.runs, receipt.body.as_str()), (1, "total 3"));
 }
 
-/// A call reset on a kept connection ends as lost, and the client's pool doesn't repeat it.
+/// A request that is reset on a reused connection must fail with `UpstreamLost`; the HTTP
+/// client must not retry it.
 #[tokio::test]
 async fn upstream_reset_after_head() {
     let (standin, _server, service) = service_setup().await;
@@ -308,7 +309,8 @@
     assert_eq!(standin.runs()["second"], 1);
 }
 
-/// A call that was read before the connection closed ends as lost, not as a failed connect.
+/// If the server read part of a request before it closed the connection, the call must fail
+/// with `UpstreamLost`, not with `ConnectFailed`, which would allow a retry.
 #[tokio::test]
 async fn upstream_closed_after_read() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
@@ -324,7 +326,7 @@
     server.await.unwrap();
 }
 
-/// A kept connection that the service closed while idle is replaced, and the call isn't lost.
+/// If the service closed an idle connection, the next call must succeed on a new connection.
 #[tokio::test]
 async fn upstream_closed_while_idle() {
     let (standin, server, service) = service_setup().await;
@@ -333,14 +335,14 @@
         .unwrap();
     server.stop().await;
     server.resume().await.unwrap();
-    // The client's connection task sees the end before the next call.
+    // Lets the client's connection task see the close before the next call.
     tokio::time::sleep(Duration::from_millis(20)).await;
-    let answer = service.call(push("second"), Bytes::new()).await;
-    read(answer.unwrap()).await.unwrap();
+    let response = service.call(push("second"), Bytes::new()).await;
+    read(response.unwrap()).await.unwrap();
     assert_eq!(standin.runs()["second"], 1);
 }
 
-/// An answer shorter than its declared length is reported as cut.
+/// A response shorter than its content length must fail with `AnswerCut`.
 #[tokio::test]
 async fn upstream_short_body() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
@@ -349,12 +351,12 @@
         let (mut stream, _) = listener.accept().await.unwrap();
         let mut head = [0; 1024];
         let _ = stream.read(&mut head).await.unwrap();
-        let answer = b"HTTP/1.1 200 OK\r\ncontent-length: 100\r\n\r\nhalf";
-        stream.write_all(answer).await.unwrap();
+        let response = b"HTTP/1.1 200 OK\r\ncontent-length: 100\r\n\r\nhalf";
+        stream.write_all(response).await.unwrap();
     });
     let service = Connector::new(Limits::default()).service(&vm(address));
-    let answer = service.call(push("k"), Bytes::new()).await.unwrap();
-    assert_eq!(read(answer).await.unwrap_err().code, Code::AnswerCut);
+    let response = service.call(push("k"), Bytes::new()).await.unwrap();
+    assert_eq!(read(response).await.unwrap_err().code, Code::AnswerCut);
 }
 
 #[tokio::test]
