--- a/lib/src/owner/registry.rs
+++ b/lib/src/owner/registry.rs
@@ -12,6 +12,13 @@
 use tokio::sync::{mpsc, oneshot, watch};
 use tokio_util::task::TaskTracker;
 
+use super::actor::{
+    Assignment, PrefetchReplacement, Release, Submit, UpdateAssignment, UpstreamActor,
+};
+use super::request_guard::RequestGuard;
+use super::run::{self, Grant};
+use super::task_event::TaskEvent;
+use super::{Limits, Status};
 use crate::clock::{Clock, Millis};
 use crate::config::prefetch::{Prefetch, UpcomingAdapter};
 use crate::declaration::Pool;
@@ -23,11 +30,6 @@
 use crate::ports::{Connector, UpstreamResponse};
 use crate::request::{Id, Ticket};
 use crate::runner::{Attempt, Runner};
-use super::{Limits, Status};
-use super::actor::{Assignment, PrefetchReplacement, Release, Submit, UpdateAssignment, UpstreamActor};
-use super::request_guard::RequestGuard;
-use super::run::{Grant, self};
-use super::task_event::TaskEvent;
 
 /// Delay that callers are told to wait before a retry when the mailbox is full.
 const RETRY_AFTER: Millis = Millis::from_secs(1);
--- a/lib/src/peer/server.rs
+++ b/lib/src/peer/server.rs
@@ -11,6 +11,9 @@
 use tonic::transport::Server;
 use tonic::{Request, Response, Status, Streaming};
 
+use super::connector::Acceptor;
+use super::tls::Security;
+use super::{Limits, control_traffic, permit, wire};
 use crate::clock::Clock;
 use crate::error::{Code, Failure};
 use crate::gossip::{ExchangeHandler, SnapshotSource};
@@ -19,11 +22,11 @@
 use crate::metrics::Metrics;
 use crate::ports::UpstreamResponse;
 use crate::runner::{Attempt, Runner};
-use crate::schema::peer::{AliveReply, AliveRequest, Delta, Digest, Down, PermitDown, PermitUp, RenewReply, RenewRequest, SnapshotPart, SnapshotRequest, Up, up};
 use crate::schema::peer::peer_server::{Peer, PeerServer};
-use super::{Limits, control_traffic, permit, wire};
-use super::connector::Acceptor;
-use super::tls::Security;
+use crate::schema::peer::{
+    AliveReply, AliveRequest, Delta, Digest, Down, PermitDown, PermitUp, RenewReply, RenewRequest,
+    SnapshotPart, SnapshotRequest, Up, up,
+};
 
 /// The components that handle the calls of peers.
 #[derive(Debug, Clone)]
--- a/lib/tests/entry_support/mod.rs
+++ b/lib/tests/entry_support/mod.rs
@@ -13,7 +13,7 @@
 use chivevalve::clock::{Clock, Millis, Monotonic};
 use chivevalve::config::View;
 use chivevalve::declaration::{Account, Pool, PoolKind, Template};
-use chivevalve::entry::{Dependencies, Limits, Quarantine, self};
+use chivevalve::entry::{self, Dependencies, Limits, Quarantine};
 use chivevalve::error::{Code, Failure};
 use chivevalve::membership::Fleet;
 use chivevalve::membership::fleet::{Owner, State, Upstream};
--- a/lib/tests/owner_fakes/mod.rs
+++ b/lib/tests/owner_fakes/mod.rs
@@ -13,16 +13,18 @@
 use chivevalve::declaration::{Pool, PoolKind};
 use chivevalve::error::{Code, Failure};
 use chivevalve::loads::{Permit, PermitRequest, PermitSource};
-use chivevalve::membership::{Adopter, FailureDetector, UpstreamOwnership};
 use chivevalve::membership::fleet::{State, Upstream};
+use chivevalve::membership::{Adopter, FailureDetector, UpstreamOwnership};
 use chivevalve::metrics::Metrics;
 use chivevalve::owner::{Dependencies, Limits, Registry, RoutingCheck};
-use chivevalve::ports::{CompletionCall, Connector, Engine, EngineStatus, Fence, Service, UpstreamResponse, Vm};
+use chivevalve::ports::{
+    CompletionCall, Connector, Engine, EngineStatus, Fence, Service, UpstreamResponse, Vm,
+};
 use chivevalve::request::{Class, Id, Ticket};
 use chivevalve::runner::{Attempt, Share, Work};
 use futures::{StreamExt, stream};
-use http::{request, response};
 use http::header::CONTENT_LENGTH;
+use http::{request, response};
 use tokio::sync::watch;
 
 /// How long a load takes.
