--- a/lib/src/entry/connection.rs
+++ b/lib/src/entry/connection.rs
@@ -1,4 +1,5 @@
-//! One caller's connection: its HTTP version, its idleness, its stalled writes.
+//! Serves one caller's connection over HTTP/1 or HTTP/2, with timeouts for idleness and stall_timer
+//! writes.
 
 use std::future::Future;
 use std::io;
@@ -21,30 +22,30 @@
 use super::gateway::Gateway;
 use super::limits::Limits;
 
-/// Smallest head that the HTTP library can be limited to.
-const MIN_HEAD: usize = 8_192;
+/// Smallest buffer size, in bytes, that the HTTP library accepts.
+const MIN_HEAD_BYTES: usize = 8_192;
 
-/// Bytes that an HTTP/2 caller may send ahead of being read, for each request.
-const STREAM_WINDOW: u32 = 64 << 10;
+/// HTTP/2 flow control: unread bytes that a caller may send on one stream.
+const STREAM_WINDOW_BYTES: u32 = 64 << 10;
 
-/// The same for a whole connection.
-const CONNECTION_WINDOW: u32 = 1 << 20;
+/// HTTP/2 flow control: unread bytes that a caller may send on all streams of a connection.
+const CONNECTION_WINDOW_BYTES: u32 = 1 << 20;
 
-/// Bytes of answers that are held for a slow HTTP/2 caller, for each request.
-const SEND_BUFFER: usize = 16 << 10;
+/// Response bytes buffered for a slow HTTP/2 caller on one stream.
+const SEND_BUFFER_BYTES: usize = 16 << 10;
 
-/// Times in which a connection may rest.
+/// How long a connection may have no request in progress before it is closed.
 #[derive(Debug, Clone, Copy)]
 pub struct IdleTimeouts {
-    /// Until the first request's head is whole.
+    /// Until the head of its first request is complete.
     pub first: Duration,
     /// Between requests.
     pub idle: Duration,
 }
 
 impl IdleTimeouts {
-    /// Returns the times of a connection that is being closed: its caller has as
-    /// long to agree as for a head.
+    /// Returns the timeouts of a connection that is being closed gracefully: its caller has as
+    /// long to finish the close as to send a head.
     fn closing(self) -> Self {
         Self {
             idle: self.first,
@@ -53,46 +54,47 @@
     }
 }
 
-/// Serves a connection until it ends, rests too long, or the node stops.
+/// Serves a connection until it ends, has been idle for too long, or the node stops.
 pub async fn serve(
     gateway: Arc<Gateway>,
     stream: TcpStream,
-    rest: IdleTimeouts,
+    timeouts: IdleTimeouts,
     stop: CancellationToken,
 ) {
     let limits = &gateway.parts.limits;
-    let stream = Guarded::new(stream, limits.write_timeout.duration());
-    let busy = Arc::new(Busy::default());
+    let stream = WriteTimeoutStream::new(stream, limits.write_timeout.duration());
+    let active = Arc::new(ActiveRequests::default());
     let service = service_fn(|request: http::Request<Incoming>| {
         let gateway = Arc::clone(&gateway);
-        let in_use = Busy::enter(&busy);
+        let guard = ActiveRequests::begin(&active);
         async move {
             let response = gateway.handle(request).await;
-            // The guard goes with the body: a stream in progress is no rest.
-            Ok::<_, std::convert::Infallible>(response.map(|body| InUse::new(body, in_use)))
+            // The guard is dropped with the body, so the connection counts as active while a
+            // response is streamed.
+            Ok::<_, std::convert::Infallible>(response.map(|body| ActiveBody::new(body, guard)))
         }
     });
     let builder = builder(limits);
     let connection = builder.serve_connection(TokioIo::new(stream), service);
     tokio::pin!(connection);
     let stopped = tokio::select! {
-        // An error here is the caller's cut connection or bad HTTP; what it
-        // meant for a request is counted where the request is.
+        // An error here means that the caller broke the connection or sent malformed HTTP. Its
+        // effect on a request is counted by that request's session.
         _ = connection.as_mut() => return,
         () = stop.cancelled() => true,
-        () = busy.rested(rest) => false,
+        () = active.wait_until_idle(timeouts) => false,
     };
     connection.as_mut().graceful_shutdown();
     if stopped {
         let _ = connection.await;
         return;
     }
-    // A request that was on its way when the connection had rested long enough is
-    // still taken. A fixed time would cut its answer off in the middle though its
-    // engine still writes, so the close waits until the connection rests again.
+    // A request that the caller sent before it learned of the close is still accepted. A fixed
+    // timeout would truncate its response while the engine still generates, so the connection is
+    // dropped only once it is idle again.
     tokio::select! {
         _ = connection => {}
-        () = busy.rested(rest.closing()) => {}
+        () = active.wait_until_idle(timeouts.closing()) => {}
     }
 }
 
@@ -103,58 +105,61 @@
         .timer(TokioTimer::new())
         .header_read_timeout(limits.head_timeout.duration())
         .max_headers(limits.headers)
-        .max_buf_size(limits.head_bytes.max(MIN_HEAD));
+        .max_buf_size(limits.head_bytes.max(MIN_HEAD_BYTES));
     builder
         .http2()
         .timer(TokioTimer::new())
-        .initial_stream_window_size(STREAM_WINDOW)
-        .initial_connection_window_size(CONNECTION_WINDOW)
+        .initial_stream_window_size(STREAM_WINDOW_BYTES)
+        .initial_connection_window_size(CONNECTION_WINDOW_BYTES)
         .max_concurrent_streams(limits.streams)
-        // The library takes some tens of requests that are cancelled before it has
-        // seen them for an attack, and ends the connection. On a proxy's connection
-        // they are the callers that went away while this node paused for a moment,
-        // and all its other callers would lose their answers. What one may have in
-        // progress, one may cancel.
+        // By default the library takes some tens of streams that are reset before it has accepted
+        // them for an attack and closes the connection. On a proxy's connection they come from
+        // callers that disconnected while this node paused for a moment, and all other callers
+        // behind the proxy would lose their responses. A caller may therefore reset as many
+        // streams as it may have open.
         .max_pending_accept_reset_streams(Some(limits.streams as usize))
-        .max_send_buf_size(SEND_BUFFER)
+        .max_send_buf_size(SEND_BUFFER_BYTES)
         .max_header_list_size(u32::try_from(limits.head_bytes).unwrap_or(u32::MAX))
         .keep_alive_interval(limits.idle_timeout.duration())
         .keep_alive_timeout(limits.write_timeout.duration());
     builder
 }
 
-/// Requests in progress on one connection.
+/// Counts the requests in progress on one connection.
 #[derive(Debug, Default)]
-struct Busy {
+struct ActiveRequests {
+    /// Requests in progress.
     count: AtomicUsize,
-    served: AtomicUsize,
+    /// Requests since the connection was opened.
+    started: AtomicUsize,
     changed: Notify,
 }
 
-impl Busy {
-    fn enter(busy: &Arc<Self>) -> Guard {
-        busy.count.fetch_add(1, Ordering::AcqRel);
-        busy.served.fetch_add(1, Ordering::AcqRel);
-        busy.changed.notify_one();
-        Guard(Arc::clone(busy))
+impl ActiveRequests {
+    /// Counts a request until the returned guard is dropped.
+    fn begin(active: &Arc<Self>) -> ActiveRequestGuard {
+        active.count.fetch_add(1, Ordering::AcqRel);
+        active.started.fetch_add(1, Ordering::AcqRel);
+        active.changed.notify_one();
+        ActiveRequestGuard(Arc::clone(active))
     }
 
-    /// Returns when the connection has had no request for too long.
+    /// Waits until the connection has had no request in progress for the idle timeout.
     ///
-    /// Bytes alone are no sign of life: a caller that sends a byte of a head now
-    /// and then would hold the connection for ever.
-    async fn rested(&self, rest: IdleTimeouts) {
+    /// Received bytes don't reset the timeout: a caller that sends a byte of a head now and then
+    /// would otherwise keep the connection open forever.
+    async fn wait_until_idle(&self, timeouts: IdleTimeouts) {
         loop {
             let idle = self.count.load(Ordering::Acquire) == 0;
-            let span = match self.served.load(Ordering::Acquire) {
-                0 => rest.first,
-                _ => rest.idle,
+            let timeout = match self.started.load(Ordering::Acquire) {
+                0 => timeouts.first,
+                _ => timeouts.idle,
             };
             if !idle {
                 self.changed.notified().await;
                 continue;
             }
-            if tokio::time::timeout(span, self.changed.notified())
+            if tokio::time::timeout(timeout, self.changed.notified())
                 .await
                 .is_err()
             {
@@ -164,26 +169,26 @@
     }
 }
 
-/// One request in progress.
+/// Marks one request as in progress until it is dropped.
 #[derive(Debug)]
-struct Guard(Arc<Busy>);
+struct ActiveRequestGuard(Arc<ActiveRequests>);
 
-impl Drop for Guard {
+impl Drop for ActiveRequestGuard {
     fn drop(&mut self) {
         self.0.count.fetch_sub(1, Ordering::AcqRel);
         self.0.changed.notify_one();
     }
 }
 
-/// A body that keeps its connection in use.
+/// A response body that counts its request as in progress until it is dropped.
 #[derive(Debug)]
-struct InUse<B> {
+struct ActiveBody<B> {
     body: B,
-    _guard: Guard,
+    _guard: ActiveRequestGuard,
 }
 
-impl<B> InUse<B> {
-    fn new(body: B, guard: Guard) -> Self {
+impl<B> ActiveBody<B> {
+    fn new(body: B, guard: ActiveRequestGuard) -> Self {
         Self {
             body,
             _guard: guard,
@@ -191,7 +196,7 @@
     }
 }
 
-impl<B: http_body::Body + Unpin> http_body::Body for InUse<B> {
+impl<B: http_body::Body + Unpin> http_body::Body for ActiveBody<B> {
     type Data = B::Data;
     type Error = B::Error;
 
@@ -211,45 +216,47 @@
     }
 }
 
-/// A stream whose writes fail when the other side takes nothing for too long.
+/// A stream whose writes fail once the peer has accepted no data for the write timeout.
 ///
-/// A caller that stops reading would otherwise hold its connection, and what is
-/// buffered for it, until the system's own timeout a quarter of an hour later.
+/// A caller that stops reading would otherwise hold its connection and the data buffered for it
+/// until the operating system's own timeout, a quarter of an hour later.
 #[derive(Debug)]
-struct Guarded {
+struct WriteTimeoutStream {
     stream: TcpStream,
     timeout: Duration,
-    stalled: Option<Pin<Box<Sleep>>>,
+    /// Runs since the last write that made no progress.
+    stall_timer: Option<Pin<Box<Sleep>>>,
 }
 
-impl Guarded {
+impl WriteTimeoutStream {
     fn new(stream: TcpStream, timeout: Duration) -> Self {
         Self {
             stream,
             timeout,
-            stalled: None,
+            stall_timer: None,
         }
     }
 
-    fn watch<T>(
+    /// Turns a write that stays pending for the timeout into an error.
+    fn check_stall<T>(
         &mut self,
         cx: &mut Context<'_>,
-        written: Poll<io::Result<T>>,
+        result: Poll<io::Result<T>>,
     ) -> Poll<io::Result<T>> {
-        if written.is_ready() {
-            self.stalled = None;
-            return written;
+        if result.is_ready() {
+            self.stall_timer = None;
+            return result;
         }
         let deadline = Instant::now() + self.timeout;
         let sleep = self
-            .stalled
+            .stall_timer
             .get_or_insert_with(|| Box::pin(tokio::time::sleep_until(deadline)));
         ready!(sleep.as_mut().poll(cx));
         Poll::Ready(Err(io::ErrorKind::TimedOut.into()))
     }
 }
 
-impl AsyncRead for Guarded {
+impl AsyncRead for WriteTimeoutStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -259,14 +266,14 @@
     }
 }
 
-impl AsyncWrite for Guarded {
+impl AsyncWrite for WriteTimeoutStream {
     fn poll_write(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
         buf: &[u8],
     ) -> Poll<io::Result<usize>> {
-        let written = Pin::new(&mut self.stream).poll_write(cx, buf);
-        self.watch(cx, written)
+        let result = Pin::new(&mut self.stream).poll_write(cx, buf);
+        self.check_stall(cx, result)
     }
 
     fn poll_write_vectored(
@@ -274,8 +281,8 @@
         cx: &mut Context<'_>,
         bufs: &[io::IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
-        let written = Pin::new(&mut self.stream).poll_write_vectored(cx, bufs);
-        self.watch(cx, written)
+        let result = Pin::new(&mut self.stream).poll_write_vectored(cx, bufs);
+        self.check_stall(cx, result)
     }
 
     fn is_write_vectored(&self) -> bool {
--- a/lib/src/entry/server.rs
+++ b/lib/src/entry/server.rs
@@ -1,4 +1,4 @@
-//! The listener for callers.
+//! Accepts callers' connections.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,15 +12,15 @@
 use super::connection::{self, IdleTimeouts};
 use super::gateway::Gateway;
 
-/// Pause after the system refused to accept, as it does without free descriptors.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+/// Pause after a failed accept, for example when the process has no free file descriptors.
+const ACCEPT_RETRY_PAUSE: Duration = Duration::from_millis(50);
 
 /// Serves callers until `stop` is cancelled and every request in progress has ended.
 ///
-/// Whoever stops the node bounds how long it waits for this to return.
+/// This sets no bound on the time that takes; the code that stops the node does.
 pub async fn serve(listener: TcpListener, parts: Arc<Parts>, stop: CancellationToken) {
     let server = Server {
-        places: Arc::new(Semaphore::new(parts.limits.connections)),
+        connection_permits: Arc::new(Semaphore::new(parts.limits.connections)),
         gateway: Gateway::new(parts),
         stop,
         tasks: TaskTracker::new(),
@@ -28,12 +28,12 @@
     server.accept(listener).await;
     server.tasks.close();
     server.tasks.wait().await;
-    log::info!("entry: all callers are served, the listener is closed");
+    log::info!("entry: listener closed, all requests in progress have ended");
 }
 
 struct Server {
     gateway: Arc<Gateway>,
-    places: Arc<Semaphore>,
+    connection_permits: Arc<Semaphore>,
     stop: CancellationToken,
     tasks: TaskTracker,
 }
@@ -48,41 +48,42 @@
             match accepted {
                 Ok((stream, _)) => self.admit(stream),
                 Err(error) => {
-                    log::warn!("entry: can't accept a connection: {error}");
-                    tokio::time::sleep(ACCEPT_PAUSE).await;
+                    log::warn!("entry: failed to accept a connection: {error}");
+                    tokio::time::sleep(ACCEPT_RETRY_PAUSE).await;
                 }
             }
         }
     }
 
-    /// Serves a connection, or closes it at once when there are too many.
+    /// Serves a connection, or closes it at once when the connection limit is reached.
     fn admit(&self, stream: TcpStream) {
-        let Ok(place) = Arc::clone(&self.places).try_acquire_owned() else {
-            log::debug!("entry: closed a connection, too many are open");
+        let Ok(permit) = Arc::clone(&self.connection_permits).try_acquire_owned() else {
+            log::debug!("entry: closed a new connection: the connection limit is reached");
             return;
         };
-        // Small pieces of answers must not wait for one another.
+        // Nagle's algorithm would delay the small frames of streamed responses.
         if let Err(error) = stream.set_nodelay(true) {
-            log::debug!("entry: can't set a connection's option: {error}");
+            log::debug!("entry: failed to set TCP_NODELAY: {error}");
         }
-        let rest = self.rest();
+        let timeouts = self.idle_timeouts();
         self.tasks.spawn(Self::run(
             Arc::clone(&self.gateway),
             stream,
-            rest,
+            timeouts,
             self.stop.clone(),
-            place,
+            permit,
         ));
     }
 
-    /// Returns how long a new connection may rest: less when most places are taken.
-    fn rest(&self) -> IdleTimeouts {
+    /// Returns a new connection's idle timeouts: shorter ones when more than three quarters of the
+    /// connection limit are in use.
+    fn idle_timeouts(&self) -> IdleTimeouts {
         let limits = &self.gateway.parts.limits;
-        let crowded = self.places.available_permits() < limits.connections / 4;
+        let is_crowded = self.connection_permits.available_permits() < limits.connections / 4;
         let first = limits.head_timeout.duration();
         IdleTimeouts {
             first,
-            idle: if crowded {
+            idle: if is_crowded {
                 first.min(limits.idle_timeout.duration())
             } else {
                 limits.idle_timeout.duration()
@@ -93,14 +94,14 @@
     async fn run(
         gateway: Arc<Gateway>,
         stream: TcpStream,
-        rest: IdleTimeouts,
+        timeouts: IdleTimeouts,
         stop: CancellationToken,
-        place: OwnedSemaphorePermit,
+        permit: OwnedSemaphorePermit,
     ) {
         let metrics = Arc::clone(&gateway.parts.metrics);
         metrics.connections.inc();
-        connection::serve(gateway, stream, rest, stop).await;
+        connection::serve(gateway, stream, timeouts, stop).await;
         metrics.connections.dec();
-        drop(place);
+        drop(permit);
     }
 }
--- a/lib/src/entry/sse.rs
+++ b/lib/src/entry/sse.rs
@@ -1,61 +1,64 @@
-//! Events of a streamed answer.
+//! Splits a streamed response into server-sent events.
 //!
-//! Only whole events go to the caller, and the event that ends a stream is held
-//! back until the answer is known to be whole. A caller that sees `[DONE]` may
-//! therefore trust what it has.
+//! Only complete events go to the caller, and the final `[DONE]` event is held back until the
+//! upstream has ended the response without an error. A caller that receives `[DONE]` therefore has
+//! the complete response.
 
 use bytes::{Bytes, BytesMut};
 
 use crate::error::{Code, Failure};
 
-/// The data of the event that ends a stream.
+/// Data of the event that ends a stream.
 const DONE: &[u8] = b"[DONE]";
 
-/// Cuts pieces of an answer into whole events.
+/// Assembles the chunks of a response into complete events.
 #[derive(Debug)]
 pub struct EventSplitter {
-    rest: BytesMut,
+    /// The incomplete event at the end of the data so far.
+    partial: BytesMut,
+    /// Whether the `[DONE]` event has been seen.
     done: bool,
-    limit: usize,
+    max_event_bytes: usize,
 }
 
 impl EventSplitter {
-    /// Makes a splitter for events of at most `limit` bytes.
+    /// Creates a splitter for events of at most `max_event_bytes` bytes.
     #[must_use]
-    pub fn new(limit: usize) -> Self {
+    pub fn new(max_event_bytes: usize) -> Self {
         Self {
-            rest: BytesMut::new(),
+            partial: BytesMut::new(),
             done: false,
-            limit,
+            max_event_bytes,
         }
     }
 
-    /// Takes a piece; returns the whole events so far, without the one that ends the stream.
+    /// Adds a chunk and returns the events that are complete now, without the final `[DONE]` event.
     ///
     /// # Errors
     ///
-    /// [`Code::AnswerCut`] when an event is too long to hold, as it can't be passed on whole.
-    pub fn push(&mut self, piece: Bytes) -> Result<Option<Bytes>, Failure> {
-        let whole = self.take(piece);
-        if self.rest.len() > self.limit {
+    /// [`Code::AnswerCut`] when an event exceeds the size limit and so can't be buffered until it is
+    /// complete.
+    pub fn push(&mut self, chunk: Bytes) -> Result<Option<Bytes>, Failure> {
+        let complete = self.take_complete(chunk);
+        if self.partial.len() > self.max_event_bytes {
             return Err(Failure::new(
                 Code::AnswerCut,
                 "an event of the answer is too long",
             ));
         }
-        Ok(whole
-            .and_then(|events| self.hold_done(events))
+        Ok(complete
+            .and_then(|events| self.hold_back_done(events))
             .filter(|events| !events.is_empty()))
     }
 
-    /// Returns the end of a whole stream, once the answer has ended without an error.
+    /// Returns the final `[DONE]` event. Call it once the upstream's body has ended without an error.
     ///
     /// # Errors
     ///
-    /// [`Code::AnswerCut`] when the answer ended without saying that it is whole.
+    /// [`Code::AnswerCut`] when the body ended without a `[DONE]` event.
     pub fn finish(&self) -> Result<Bytes, Failure> {
-        // An engine that stops in an orderly way in the middle of an answer
-        // closes the body properly; only the missing last event shows it.
+        // An engine that shuts down gracefully in the middle of a response ends the body
+        // regularly; only the missing `[DONE]` event shows that the response is truncated.
         if self.done {
             return Ok(Bytes::from_static(b"data: [DONE]\n\n"));
         }
@@ -65,18 +68,21 @@
         ))
     }
 
-    fn take(&mut self, piece: Bytes) -> Option<Bytes> {
-        // The usual piece is whole events with nothing left over: no copy.
-        if self.rest.is_empty() && ends_event(&piece) {
-            return Some(piece);
+    /// Adds a chunk and removes the complete events from the buffer.
+    fn take_complete(&mut self, chunk: Bytes) -> Option<Bytes> {
+        // A chunk usually consists of complete events only and is then returned without a copy.
+        if self.partial.is_empty() && ends_event(&chunk) {
+            return Some(chunk);
         }
-        let scanned = self.rest.len().saturating_sub(3);
-        self.rest.extend_from_slice(&piece);
-        let end = last_event_end(&self.rest, scanned)?;
-        Some(self.rest.split_to(end).freeze())
+        // The longest delimiter, `\n\r\n`, may begin up to three bytes back.
+        let scanned = self.partial.len().saturating_sub(3);
+        self.partial.extend_from_slice(&chunk);
+        let end = last_event_end(&self.partial, scanned)?;
+        Some(self.partial.split_to(end).freeze())
     }
 
-    fn hold_done(&mut self, events: Bytes) -> Option<Bytes> {
+    /// Removes the `[DONE]` event and everything after it.
+    fn hold_back_done(&mut self, events: Bytes) -> Option<Bytes> {
         if self.done {
             return None;
         }
@@ -92,33 +98,33 @@
     bytes.ends_with(b"\n\n") || bytes.ends_with(b"\n\r\n")
 }
 
-/// Returns where the last whole event ends, looking no further back than `from`.
+/// Returns the end of the last complete event, searching back no further than `from`.
 fn last_event_end(bytes: &[u8], from: usize) -> Option<usize> {
     (from + 1..=bytes.len())
         .rev()
         .find(|end| ends_event(&bytes[..*end]))
 }
 
-/// Returns where the event that ends the stream begins, with all its fields.
+/// Returns the start of the `[DONE]` event, including fields that precede its data line.
 ///
-/// Engines differ in the spaces around the data, and a text may hold the same
-/// letters; only a line that is this data and nothing else ends the stream.
+/// Engines differ in the whitespace around the data, and generated text may contain `[DONE]`; only
+/// a `data:` line with nothing else in it ends the stream.
 fn find_done(events: &[u8]) -> Option<usize> {
-    // The usual piece doesn't hold the letters at all.
+    // Most chunks don't contain `[DONE]` at all.
     if !events.windows(DONE.len()).any(|window| window == DONE) {
         return None;
     }
-    let mut event = 0;
-    let mut read = 0;
+    let mut event_start = 0;
+    let mut line_end = 0;
     for line in events.split_inclusive(|byte| *byte == b'\n') {
-        read += line.len();
+        line_end += line.len();
         let line = line.trim_ascii_end();
         if line.is_empty() {
-            event = read;
+            event_start = line_end;
         }
         let data = line.strip_prefix(b"data:").map(<[u8]>::trim_ascii);
         if data == Some(DONE) {
-            return Some(event);
+            return Some(event_start);
         }
     }
     None
@@ -128,12 +134,12 @@
 mod tests {
     use super::*;
 
-    fn push(splitter: &mut EventSplitter, piece: &'static str) -> Option<Bytes> {
-        splitter.push(Bytes::from_static(piece.as_bytes())).unwrap()
+    fn push(splitter: &mut EventSplitter, chunk: &'static str) -> Option<Bytes> {
+        splitter.push(Bytes::from_static(chunk.as_bytes())).unwrap()
     }
 
     #[test]
-    fn push_whole_event_unchanged() {
+    fn push_complete_event_unchanged() {
         let mut splitter = EventSplitter::new(100);
         assert_eq!(
             push(&mut splitter, "data: 1\n\n").as_deref(),
@@ -166,9 +172,9 @@
         assert_eq!(push(&mut splitter, "data: 2\n\n"), None);
     }
 
-    /// Symptom: a short answer that looks whole.
-    /// Sequence: the engine stops in the middle and closes the body in order.
-    /// Cause: the end of the body was taken for the end of the answer.
+    /// Guards against a truncated response that looks complete: an engine that shuts down in the
+    /// middle of a response ends the body regularly, so the end of the body doesn't prove that the
+    /// response is complete.
     #[test]
     fn finish_without_done() {
         let mut splitter = EventSplitter::new(100);
@@ -186,7 +192,7 @@
     #[test]
     fn push_endless_event() {
         let mut splitter = EventSplitter::new(8);
-        let piece = Bytes::from_static(b"data: 123456789");
-        assert_eq!(splitter.push(piece).unwrap_err().code, Code::AnswerCut);
+        let chunk = Bytes::from_static(b"data: 123456789");
+        assert_eq!(splitter.push(chunk).unwrap_err().code, Code::AnswerCut);
     }
 }
