--- a/lib/src/entry/answer.rs
+++ b/lib/src/entry/answer.rs
@@ -1,4 +1,4 @@
-//! Answers to callers: errors in the shape of the completions interface, and bodies.
+//! Responses to callers: response bodies, and errors in the format of the completions interface.
 
 use std::pin::Pin;
 use std::task::{Context, Poll};
@@ -16,31 +16,31 @@
 use crate::error::{Code, Failure, Fate};
 use crate::request::Id;
 
-/// The body of an answer; an error in it cuts the connection or the stream.
+/// A response body; an error in it closes the connection or resets the HTTP/2 stream.
 pub type Body = UnsyncBoxBody<Bytes, Failure>;
 
-/// Bytes of a body that are handed over at a time: what the slowest caller has to
-/// take within one timeout to show that it reads.
+/// Largest body frame, in bytes: the amount that a caller has to read within one write timeout so
+/// as not to be given up.
 pub const FRAME: usize = 16 << 10;
 
-/// Names the request in every answer.
+/// Carries the request id in every response.
 pub const REQUEST_ID: HeaderName = HeaderName::from_static("x-request-id");
 
-/// Tells client libraries whether they may repeat a request by themselves.
+/// Tells client libraries whether they may retry a request automatically.
 const SHOULD_RETRY: HeaderName = HeaderName::from_static("x-should-retry");
 
-/// The exact form of `Retry-After`, which has only whole seconds.
+/// Like `Retry-After`, but in milliseconds; `Retry-After` has only whole seconds.
 const RETRY_AFTER_MS: HeaderName = HeaderName::from_static("retry-after-ms");
 
-/// When to try again after a refusal that gives no time of its own.
+/// Retry delay for a rejection that doesn't specify one.
 const DEFAULT_RETRY_AFTER: Millis = Millis::from_secs(1);
 
-/// A failure as a caller sees it.
+/// A failure as reported to a caller.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Problem {
     /// What went wrong.
     pub failure: Failure,
-    /// The field of the body at fault.
+    /// The field of the request's body that caused it.
     pub param: Option<&'static str>,
 }
 
@@ -53,13 +53,14 @@
     }
 }
 
+/// The JSON body of an error response.
 #[derive(Serialize)]
-struct Envelope<'a> {
-    error: Details<'a>,
+struct ErrorBody<'a> {
+    error: ErrorDetails<'a>,
 }
 
 #[derive(Serialize)]
-struct Details<'a> {
+struct ErrorDetails<'a> {
     message: String,
     r#type: &'static str,
     param: Option<&'a str>,
@@ -72,15 +73,15 @@
 }
 
 impl Problem {
-    /// Returns the JSON that callers read.
+    /// Returns the error as JSON.
     #[must_use]
     pub fn json(&self, id: &Id) -> String {
         let Failure { code, detail, .. } = &self.failure;
         let separator = if detail.is_empty() { "" } else { ". " };
-        let envelope = Envelope {
-            error: Details {
+        let body = ErrorBody {
+            error: ErrorDetails {
                 message: format!("{detail}{separator}{}", code.hint()),
-                r#type: kind(code.status()),
+                r#type: error_type(code.status()),
                 param: self.param,
                 code: code.name(),
                 number: code.number(),
@@ -89,19 +90,19 @@
                 retry_after_ms: self.retry_after().map(|span| span.0),
             },
         };
-        serde_json::to_string(&envelope).unwrap_or_default()
+        serde_json::to_string(&body).unwrap_or_default()
     }
 
-    /// Returns when a caller may try again.
+    /// Returns how long a caller should wait before a retry, if one may help.
     fn retry_after(&self) -> Option<Millis> {
         let code = self.failure.code;
-        let passing = matches!(code.status(), 429 | 503) && code.fate() == Fate::NotRun;
+        let is_temporary = matches!(code.status(), 429 | 503) && code.fate() == Fate::NotRun;
         self.failure
             .retry_after
-            .or(passing.then_some(DEFAULT_RETRY_AFTER))
+            .or(is_temporary.then_some(DEFAULT_RETRY_AFTER))
     }
 
-    /// Returns the whole answer.
+    /// Returns the error response.
     #[must_use]
     pub fn respond(&self, id: &Id) -> Response<Body> {
         let failure = &self.failure;
@@ -116,31 +117,29 @@
             );
             headers.insert(RETRY_AFTER_MS, HeaderValue::from(span.0));
         }
-        // Client libraries repeat 409, 429 and 5xx by themselves. What may have
-        // run would then run twice, and the caller would never know; this
-        // header, which the common libraries heed, stops them.
-        if !may_repeat(failure.code) {
+        // Client libraries retry 409, 429 and 5xx automatically. A request that may have run would
+        // then run twice without the caller noticing; the common libraries respect this header.
+        if !may_retry(failure.code) {
             headers.insert(SHOULD_RETRY, HeaderValue::from_static("false"));
         }
         response
     }
 }
 
-/// Makes the answer of an engine's own error: its words under our code.
+/// Returns the response for an engine's own error: the engine's message with this layer's code.
 ///
-/// What an engine says may quote the prompt, so it goes to the caller and
-/// nowhere else.
+/// The message may quote the prompt, so it is sent to the caller only and never logged.
 #[must_use]
 pub fn upstream_error(status: StatusCode, error: &[u8], id: &Id) -> Response<Body> {
     let code = Code::UpstreamError;
-    let said = serde_json::from_slice::<Value>(error).unwrap_or_default();
-    let said = said.get("error").unwrap_or(&said);
-    let text = |name: &str| said.get(name).and_then(Value::as_str);
-    let envelope = Envelope {
-        error: Details {
-            message: text("message").unwrap_or(code.hint()).to_owned(),
-            r#type: kind(if status.is_client_error() { 400 } else { 502 }),
-            param: text("param"),
+    let reported = serde_json::from_slice::<Value>(error).unwrap_or_default();
+    let reported = reported.get("error").unwrap_or(&reported);
+    let field = |name: &str| reported.get(name).and_then(Value::as_str);
+    let body = ErrorBody {
+        error: ErrorDetails {
+            message: field("message").unwrap_or(code.hint()).to_owned(),
+            r#type: error_type(if status.is_client_error() { 400 } else { 502 }),
+            param: field("param"),
             code: code.name(),
             number: code.number(),
             fate: code.fate(),
@@ -148,7 +147,7 @@
             retry_after_ms: None,
         },
     };
-    let mut response = json(serde_json::to_string(&envelope).unwrap_or_default());
+    let mut response = json(serde_json::to_string(&body).unwrap_or_default());
     *response.status_mut() = if status.is_client_error() {
         status
     } else {
@@ -159,12 +158,13 @@
     response
 }
 
-fn may_repeat(code: Code) -> bool {
+/// Whether a client library may retry automatically after this failure.
+fn may_retry(code: Code) -> bool {
     code.fate() == Fate::NotRun && code != Code::KeyTaken
 }
 
-/// Returns the interface's type of error for a status.
-fn kind(status: u16) -> &'static str {
+/// Returns the completions interface's error type for a status.
+fn error_type(status: u16) -> &'static str {
     match status {
         401 => "authentication_error",
         429 => "rate_limit_error",
@@ -173,7 +173,7 @@
     }
 }
 
-/// Makes a successful answer of JSON text.
+/// Returns a successful response with a JSON body.
 #[must_use]
 pub fn json(text: String) -> Response<Body> {
     let mut response = Response::new(full(text.into()));
@@ -183,21 +183,21 @@
     response
 }
 
-/// Makes a body of bytes that are all there.
+/// Returns a body of bytes that are completely in memory.
 #[must_use]
 pub fn full(bytes: Bytes) -> Body {
-    Whole(bytes).boxed_unsync()
+    FullBody(bytes).boxed_unsync()
 }
 
-/// Bytes that are all there, handed over as the caller takes them.
+/// Bytes in memory, yielded in frames as the caller reads them.
 ///
-/// A body that hands over all its bytes at once has ended before its caller has
-/// taken any, and its connection counts as resting from then on; a caller on a
-/// slow line would find a long answer cut once the time for rest had passed.
+/// A body that yields all its bytes in one frame ends before the caller has read any of them, and
+/// its connection counts as idle from then on; a long response to a caller on a slow link would be
+/// truncated once the idle timeout has passed.
 #[derive(Debug)]
-struct Whole(Bytes);
+struct FullBody(Bytes);
 
-impl http_body::Body for Whole {
+impl http_body::Body for FullBody {
     type Data = Bytes;
     type Error = Failure;
 
@@ -221,7 +221,7 @@
     }
 }
 
-/// Names the request in the answer's head.
+/// Sets the request id header of a response.
 pub fn set_request_id(response: &mut Response<Body>, id: &Id) {
     if let Ok(value) = HeaderValue::from_str(&id.0) {
         response.headers_mut().insert(REQUEST_ID, value);
@@ -242,10 +242,9 @@
         assert!(!response.headers().contains_key("x-should-retry"));
     }
 
-    /// Symptom: a receipt is booked twice though the layer sent it once.
-    /// Sequence: the answer is lost, the layer answers 502, the caller's client
-    /// library sends the request again by itself.
-    /// Cause: nothing told the library that the first one may have run.
+    /// Guards against a request that isn't idempotent running twice: the upstream's response is
+    /// lost, the layer responds with 502, and the caller's client library retries automatically
+    /// unless a header tells it that the request may have run.
     #[test]
     fn respond_unknown_fate() {
         for code in [Code::UpstreamLost, Code::KeyTaken, Code::UpstreamError] {
--- a/lib/src/entry/connection.rs
+++ b/lib/src/entry/connection.rs
@@ -1,5 +1,5 @@
-//! Serves one caller's connection over HTTP/1 or HTTP/2, with timeouts for idleness and stall_timer
-//! writes.
+//! Serves one caller's connection over HTTP/1 or HTTP/2, with timeouts for idle connections and
+//! stalled writes.
 
 use std::future::Future;
 use std::io;
@@ -224,7 +224,7 @@
 struct WriteTimeoutStream {
     stream: TcpStream,
     timeout: Duration,
-    /// Runs since the last write that made no progress.
+    /// Runs while a write is pending.
     stall_timer: Option<Pin<Box<Sleep>>>,
 }
 
--- a/lib/src/entry/route.rs
+++ b/lib/src/entry/route.rs
@@ -1,4 +1,4 @@
-//! What a path asks for.
+//! Maps a request's method and path to a route.
 
 use http::{Method, Uri};
 
@@ -6,40 +6,40 @@
 use crate::name::Name;
 
 /// Path prefix of plain services.
-const SERVICES: &str = "/services/";
+const SERVICES_PREFIX: &str = "/services/";
 
 /// Path prefix of one model's description.
-const MODELS: &str = "/v1/models/";
+const MODEL_PREFIX: &str = "/v1/models/";
 
-/// What a request asks for.
+/// The interface that a request addresses.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Route {
-    /// A completion; the path goes on to the engine.
+    /// A completion; engines serve it under the same path.
     Completion(Completion),
-    /// The account's templates.
+    /// The list of the client account's templates.
     Models,
-    /// One of the account's templates.
+    /// The description of one of the client account's templates.
     Model(Name),
     /// A call to a plain service.
     Service {
-        /// The template that names the service's pool.
+        /// The template that selects the service's pool.
         template: Name,
-        /// Path and query for the service.
+        /// Path and query to send to the service.
         path: String,
     },
 }
 
-/// The two completions interfaces.
+/// The two completion interfaces.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Completion {
-    /// A prompt's continuation.
+    /// Continues a prompt.
     Text,
-    /// The next message of a conversation.
+    /// Generates the next message of a conversation.
     Chat,
 }
 
 impl Completion {
-    /// Returns the interface's path, here and at engines.
+    /// Returns the interface's path, which is the same here and at engines.
     #[must_use]
     pub const fn path(self) -> &'static str {
         match self {
@@ -49,46 +49,46 @@
     }
 }
 
-/// Reads a request's method and path.
+/// Determines the route of a request.
 ///
 /// # Errors
 ///
-/// [`Code::UnknownPath`] or [`Code::BadMethod`].
+/// [`Code::UnknownPath`], or [`Code::BadMethod`] when the path doesn't support the method.
 pub fn route(method: &Method, uri: &Uri) -> Result<Route, Failure> {
     let path = uri.path();
-    if let Some(rest) = path.strip_prefix(SERVICES) {
-        return service(method, rest, uri.query());
+    if let Some(rest) = path.strip_prefix(SERVICES_PREFIX) {
+        return service_route(method, rest, uri.query());
     }
-    if let Some(name) = path.strip_prefix(MODELS) {
-        only(method, &Method::GET)?;
+    if let Some(name) = path.strip_prefix(MODEL_PREFIX) {
+        require_method(method, &Method::GET)?;
         return Ok(Route::Model(name.into()));
     }
     for completion in [Completion::Text, Completion::Chat] {
         if path == completion.path() {
-            only(method, &Method::POST)?;
+            require_method(method, &Method::POST)?;
             return Ok(Route::Completion(completion));
         }
     }
     if path == "/v1/models" {
-        only(method, &Method::GET)?;
+        require_method(method, &Method::GET)?;
         return Ok(Route::Models);
     }
     Err(Failure::new(Code::UnknownPath, "no such path"))
 }
 
-fn only(method: &Method, right: &Method) -> Result<(), Failure> {
-    if method == right {
+fn require_method(method: &Method, allowed: &Method) -> Result<(), Failure> {
+    if method == allowed {
         return Ok(());
     }
     Err(Failure::new(
         Code::BadMethod,
-        format!("this path takes {right}"),
+        format!("this path takes {allowed}"),
     ))
 }
 
-fn service(method: &Method, rest: &str, query: Option<&str>) -> Result<Route, Failure> {
-    // A tunnel isn't a call, and a trace would show the caller what the layer
-    // adds to its headers.
+fn service_route(method: &Method, rest: &str, query: Option<&str>) -> Result<Route, Failure> {
+    // CONNECT opens a tunnel, which isn't a call, and TRACE would show the caller the headers that
+    // this layer adds.
     if method == Method::CONNECT || method == Method::TRACE {
         return Err(Failure::new(
             Code::BadMethod,
@@ -107,30 +107,30 @@
 mod tests {
     use super::*;
 
-    fn found(method: &Method, uri: &str) -> Result<Route, Code> {
+    fn route_of(method: &Method, uri: &str) -> Result<Route, Code> {
         route(method, &uri.parse().unwrap()).map_err(|failure| failure.code)
     }
 
     #[test]
     fn route_paths() {
         assert_eq!(
-            found(&Method::POST, "/v1/completions"),
+            route_of(&Method::POST, "/v1/completions"),
             Ok(Route::Completion(Completion::Text))
         );
-        assert_eq!(found(&Method::GET, "/v1/models"), Ok(Route::Models));
+        assert_eq!(route_of(&Method::GET, "/v1/models"), Ok(Route::Models));
         assert_eq!(
-            found(&Method::GET, "/v1/models/a"),
+            route_of(&Method::GET, "/v1/models/a"),
             Ok(Route::Model("a".into()))
         );
         assert_eq!(
-            found(&Method::PUT, "/services/stock/a%2Fb/c?d=e&f"),
+            route_of(&Method::PUT, "/services/stock/a%2Fb/c?d=e&f"),
             Ok(Route::Service {
                 template: "stock".into(),
                 path: "/a%2Fb/c?d=e&f".into()
             })
         );
         assert_eq!(
-            found(&Method::GET, "/services/stock"),
+            route_of(&Method::GET, "/services/stock"),
             Ok(Route::Service {
                 template: "stock".into(),
                 path: "/".into()
@@ -139,9 +139,15 @@
     }
 
     #[test]
-    fn route_refusals() {
-        assert_eq!(found(&Method::GET, "/v2"), Err(Code::UnknownPath));
-        assert_eq!(found(&Method::GET, "/v1/completions"), Err(Code::BadMethod));
-        assert_eq!(found(&Method::TRACE, "/services/a/b"), Err(Code::BadMethod));
+    fn route_rejects_unknown_path_and_method() {
+        assert_eq!(route_of(&Method::GET, "/v2"), Err(Code::UnknownPath));
+        assert_eq!(
+            route_of(&Method::GET, "/v1/completions"),
+            Err(Code::BadMethod)
+        );
+        assert_eq!(
+            route_of(&Method::TRACE, "/services/a/b"),
+            Err(Code::BadMethod)
+        );
     }
 }
--- a/lib/src/entry/server.rs
+++ b/lib/src/entry/server.rs
@@ -48,7 +48,7 @@
             match accepted {
                 Ok((stream, _)) => self.admit(stream),
                 Err(error) => {
-                    log::warn!("entry: failed to accept a connection: {error}");
+                    log::warn!("entry: can't accept a connection: {error}");
                     tokio::time::sleep(ACCEPT_RETRY_PAUSE).await;
                 }
             }
--- a/lib/src/entry/service.rs
+++ b/lib/src/entry/service.rs
@@ -1,4 +1,4 @@
-//! Calls to plain services: what of a message's head goes on.
+//! Rewrites the headers of calls to plain services and of their responses.
 
 use http::header::{
     AUTHORIZATION, CONNECTION, EXPECT, HeaderName, HeaderValue, PROXY_AUTHENTICATE,
@@ -10,13 +10,13 @@
 use crate::error::{Code, Failure};
 use crate::request::Id;
 
-/// Carries the request's identity to the service; `x-request-id` may be the caller's own.
-const OUR_REQUEST_ID: HeaderName = HeaderName::from_static("x-chivevalve-request-id");
+/// Carries this layer's request id to the service; `x-request-id` may be set by the caller.
+const LAYER_REQUEST_ID: HeaderName = HeaderName::from_static("x-chivevalve-request-id");
 
 /// Carries the service's own `x-request-id` to the caller.
 const UPSTREAM_REQUEST_ID: HeaderName = HeaderName::from_static("x-upstream-request-id");
 
-/// Headers that concern one connection only.
+/// Hop-by-hop headers, which must not be forwarded.
 const HOP_BY_HOP: [HeaderName; 9] = [
     CONNECTION,
     HeaderName::from_static("keep-alive"),
@@ -29,7 +29,7 @@
     UPGRADE,
 ];
 
-/// Removes the headers that concern one connection only, those that `Connection` lists included.
+/// Removes the hop-by-hop headers, including those listed in `Connection`.
 pub fn remove_hop_by_hop(headers: &mut HeaderMap) {
     let listed: Vec<HeaderName> = headers
         .get_all(CONNECTION)
@@ -43,23 +43,24 @@
     }
 }
 
-/// Makes the head that the service gets of the caller's.
+/// Converts a caller's request head into the one sent to the service.
 ///
 /// # Errors
 ///
-/// [`Code::BadRequest`] when the path can't be passed on.
+/// [`Code::BadRequest`] when the path isn't a valid URI.
 pub fn upstream_request_head(
     mut head: request::Parts,
     path: &str,
     id: &Id,
 ) -> Result<request::Parts, Failure> {
     remove_hop_by_hop(&mut head.headers);
-    // The key is for this layer; a service that got it could call in the
-    // account's name.
+    // The API key is meant for this layer only: a service that received it could impersonate the
+    // client account.
     head.headers.remove(AUTHORIZATION);
-    // The body is already here, so the service needn't ask for it.
+    // The request is sent after its body has been read completely, so the service needn't ask for
+    // the body with `100 Continue`.
     head.headers.remove(EXPECT);
-    head.headers.insert(OUR_REQUEST_ID, header(id));
+    head.headers.insert(LAYER_REQUEST_ID, id_value(id));
     head.uri = path
         .parse()
         .map_err(|_| Failure::new(Code::BadRequest, "the path can't be passed on"))?;
@@ -67,15 +68,15 @@
     Ok(head)
 }
 
-/// Prepares the service's headers for the caller.
+/// Converts a service's response headers into those sent to the caller.
 pub fn to_caller_headers(headers: &mut HeaderMap) {
     remove_hop_by_hop(headers);
-    if let Some(own) = headers.remove(REQUEST_ID) {
-        headers.insert(UPSTREAM_REQUEST_ID, own);
+    if let Some(upstream_id) = headers.remove(REQUEST_ID) {
+        headers.insert(UPSTREAM_REQUEST_ID, upstream_id);
     }
 }
 
-fn header(id: &Id) -> HeaderValue {
+fn id_value(id: &Id) -> HeaderValue {
     HeaderValue::from_str(&id.0).unwrap_or_else(|_| HeaderValue::from_static(""))
 }
 
@@ -86,7 +87,7 @@
     use super::*;
 
     #[test]
-    fn outward_strips() {
+    fn upstream_request_head_removes_headers() {
         let (head, ()) = Request::builder()
             .method("PUT")
             .uri("http://node/services/stock/a?b")
