--- a/lib/src/entry/body.rs
+++ b/lib/src/entry/body.rs
@@ -1,4 +1,4 @@
-//! Bodies of requests, read whole within bounds.
+//! Reads request bodies completely, within limits on size, time and buffered bytes.
 
 use bytes::{Bytes, BytesMut};
 use http_body::Body;
@@ -10,13 +10,13 @@
 
 /// Reads a body of at most `limit` bytes within `timeout`.
 ///
-/// The timeout covers the whole body: a pause between pieces alone would let a
-/// caller hold a place for as long as it sends a byte now and then.
+/// The timeout covers the whole body: with a timeout between frames only, a caller could occupy
+/// capacity for as long as it sends a byte now and then.
 ///
 /// # Errors
 ///
 /// [`Code::BodyTooLarge`], [`Code::SenderTooSlow`], [`Code::NodeFull`], or
-/// [`Code::BadRequest`] when the body breaks off.
+/// [`Code::BadRequest`] when the body ends with an error.
 pub async fn read<B>(
     body: B,
     limit: usize,
@@ -26,7 +26,7 @@
 where
     B: Body<Data = Bytes> + Unpin,
 {
-    // Refusing by the announced length spares the caller sending the rest.
+    // Rejects by the declared length, before the caller has sent the whole body.
     if body.size_hint().lower() > limit as u64 {
         return Err(too_large(limit));
     }
@@ -42,29 +42,29 @@
 where
     B: Body<Data = Bytes> + Unpin,
 {
-    let mut whole = BodyBuffer::default();
+    let mut buffer = BodyBuffer::default();
     while let Some(frame) = body.frame().await {
         let frame = frame.map_err(|_| Failure::new(Code::BadRequest, "the body broke off"))?;
         let Ok(data) = frame.into_data() else {
             continue;
         };
-        let bytes = whole.len() + data.len();
+        let bytes = buffer.len() + data.len();
         if bytes > limit {
             return Err(too_large(limit));
         }
         reserve.cover(bytes)?;
-        whole.push(data);
+        buffer.push(data);
     }
-    Ok(whole.freeze())
+    Ok(buffer.freeze())
 }
 
-/// Returns the refusal of a body that is too large.
+/// Returns the failure for a body larger than `limit` bytes.
 pub fn too_large(limit: usize) -> Failure {
     let detail = format!("the body is larger than {limit} bytes");
     Failure::new(Code::BodyTooLarge, detail)
 }
 
-/// Pieces joined into one; a single piece, which is the usual case, isn't copied.
+/// Joins the frames of a body; a body of a single frame, the usual case, isn't copied.
 #[derive(Debug, Default)]
 pub struct BodyBuffer {
     first: Bytes,
@@ -72,26 +72,26 @@
 }
 
 impl BodyBuffer {
-    /// Returns the length so far.
+    /// Returns the number of bytes so far.
     #[must_use]
     pub fn len(&self) -> usize {
         self.first.len() + self.rest.len()
     }
 
-    /// Adds a piece.
-    pub fn push(&mut self, piece: Bytes) {
+    /// Appends a frame's data.
+    pub fn push(&mut self, data: Bytes) {
         if self.rest.is_empty() && self.first.is_empty() {
-            self.first = piece;
+            self.first = data;
             return;
         }
         if self.rest.is_empty() {
             self.rest
                 .extend_from_slice(&std::mem::take(&mut self.first));
         }
-        self.rest.extend_from_slice(&piece);
+        self.rest.extend_from_slice(&data);
     }
 
-    /// Returns the whole.
+    /// Returns the whole body.
     #[must_use]
     pub fn freeze(self) -> Bytes {
         if self.rest.is_empty() {
--- a/lib/src/entry/completion.rs
+++ b/lib/src/entry/completion.rs
@@ -1,4 +1,4 @@
-//! What a completion's body asks for.
+//! Parses and checks the body of a completion request.
 
 use bytes::{BufMut, Bytes, BytesMut};
 
@@ -10,98 +10,99 @@
 use crate::error::{Code, Failure};
 use crate::name::Name;
 
-/// Tokens of a text completion that names no number, as the interface defines it.
-const TEXT_DEFAULT_TOKENS: u32 = 16;
+/// Output tokens of a text completion without `max_tokens`, as the interface defines it.
+const DEFAULT_TEXT_TOKENS: u32 = 16;
 
-/// Bytes of text that are taken for a token in an estimate.
+/// Bytes of text per token, to estimate a prompt's length.
 const BYTES_PER_TOKEN: usize = 4;
 
-/// Most answers that one request may ask for.
+/// Largest number of choices (`n` or `best_of`) per request.
 const MAX_CHOICES: u64 = 128;
 
-/// Fields that engines understand and that would let a caller step outside its template.
-const RESERVED: [&str; 4] = [
+/// Fields that engines understand and that would let a caller bypass its template.
+const RESERVED_FIELDS: [&str; 4] = [
     "priority",
     "request_id",
     "lora_request",
     "kv_transfer_params",
 ];
 
-/// What the layer must know of a completion.
+/// The parts of a completion request's body that the layer needs.
 #[derive(Debug, PartialEq, Eq)]
 pub struct CompletionRequest {
     /// The template that `model` names.
     pub model: Name,
-    /// Whether the answer is to be streamed.
+    /// Whether the response is streamed.
     pub stream: bool,
-    /// Tokens asked for, all choices together; none when the body leaves it open.
+    /// Requested output tokens, for all choices together; none when the body sets no limit.
     pub output_tokens: Option<u64>,
-    /// Answers asked for.
+    /// Requested number of choices.
     pub choices: u64,
-    /// Estimated length of the prompt.
+    /// Estimated length of the prompt, in tokens.
     pub prompt_tokens: u32,
 }
 
 impl CompletionRequest {
-    /// Reads a body.
+    /// Parses a request's body.
     ///
     /// # Errors
     ///
-    /// [`Code::BadRequest`] with the field at fault.
+    /// [`Code::BadRequest`] with the field that caused it.
     pub fn parse(completion: Completion, body: &[u8]) -> Result<Self, Problem> {
-        let fields = Fields::read(body).map_err(|(line, column)| {
+        let fields = Fields::parse(body).map_err(|(line, column)| {
             let detail =
                 format!("the body isn't a valid JSON object: line {line}, column {column}");
             Problem::from(Failure::new(Code::BadRequest, detail))
         })?;
-        for name in RESERVED {
+        for name in RESERVED_FIELDS {
             if fields.get(name) != Ok(None) {
-                return Err(bad(name, "callers can't set this field"));
+                return Err(invalid_field(name, "callers can't set this field"));
             }
         }
         let input = match completion {
             Completion::Text => "prompt",
             Completion::Chat => "messages",
         };
-        present(&fields, input)?;
-        let choices = count(&fields, "n")?
+        require_input(&fields, input)?;
+        let choices = unsigned_field(&fields, "n")?
             .unwrap_or(1)
-            .max(count(&fields, "best_of")?.unwrap_or(1));
+            .max(unsigned_field(&fields, "best_of")?.unwrap_or(1));
         if choices == 0 || choices > MAX_CHOICES {
-            return Err(bad("n", "the number of answers is out of range"));
+            return Err(invalid_field("n", "the number of answers is out of range"));
         }
         Ok(Self {
-            model: model(&fields)?,
-            stream: flag(&fields, "stream")?,
-            output_tokens: output_tokens(&fields)?.map(|each| each.saturating_mul(choices)),
+            model: model_name(&fields)?,
+            stream: bool_field(&fields, "stream")?,
+            output_tokens: requested_tokens(&fields)?
+                .map(|per_choice| per_choice.saturating_mul(choices)),
             choices,
             prompt_tokens: u32::try_from(fields.text_bytes() / BYTES_PER_TOKEN).unwrap_or(u32::MAX),
         })
     }
 
-    /// Returns the most tokens that the answer may have under a template.
+    /// Returns the limit on output tokens for this request under a template.
     ///
     /// # Errors
     ///
-    /// [`Code::TooManyTokens`] when the body asks for more than the template allows.
+    /// [`Code::TooManyTokens`] when the body requests more than the template allows.
     pub fn allowed_tokens(
         &self,
         completion: Completion,
         template: &Template,
         limits: &Limits,
     ) -> Result<u32, Problem> {
-        let most = template
+        let limit = template
             .max_output_tokens
             .unwrap_or(limits.default_output_tokens);
         let default = match completion {
-            Completion::Text => u64::from(TEXT_DEFAULT_TOKENS).saturating_mul(self.choices),
-            Completion::Chat => u64::from(most),
+            Completion::Text => u64::from(DEFAULT_TEXT_TOKENS).saturating_mul(self.choices),
+            Completion::Chat => u64::from(limit),
         };
-        let asked = self.output_tokens.unwrap_or(default);
-        match u32::try_from(asked) {
-            Ok(asked) if asked <= most => Ok(asked),
+        let requested = self.output_tokens.unwrap_or(default);
+        match u32::try_from(requested) {
+            Ok(requested) if requested <= limit => Ok(requested),
             _ => {
-                let detail = format!("{asked} tokens asked for; the template allows {most}");
+                let detail = format!("{requested} tokens asked for; the template allows {limit}");
                 Err(Problem {
                     failure: Failure::new(Code::TooManyTokens, detail),
                     param: Some("max_tokens"),
@@ -110,83 +111,89 @@
         }
     }
 
-    /// Returns the body to send, with the template's bound on tokens if the caller set none.
+    /// Returns the body to send, with the template's token limit added if the caller set none.
     ///
-    /// Without it an engine would go on to the end of its context, beyond what
-    /// the template allows and what the queue reckoned with.
+    /// Without a limit an engine would generate until its context is full, beyond what the template
+    /// allows and beyond the cost by which the queue schedules the request.
     #[must_use]
     pub fn with_token_limit(&self, completion: Completion, body: Bytes, allowed: u32) -> Bytes {
         if self.output_tokens.is_some() || completion == Completion::Text {
             return body;
         }
-        let each = u64::from(allowed) / self.choices;
+        let per_choice = u64::from(allowed) / self.choices;
         let Some(end) = body.iter().rposition(|byte| *byte == b'}') else {
             return body;
         };
-        let field = format!(",\"max_tokens\":{}}}", each.max(1));
-        let mut bounded = BytesMut::with_capacity(end + field.len());
-        bounded.put_slice(&body[..end]);
-        bounded.put_slice(field.as_bytes());
-        bounded.freeze()
+        let field = format!(",\"max_tokens\":{}}}", per_choice.max(1));
+        let mut limited = BytesMut::with_capacity(end + field.len());
+        limited.put_slice(&body[..end]);
+        limited.put_slice(field.as_bytes());
+        limited.freeze()
     }
 }
 
-fn bad(param: &'static str, detail: &str) -> Problem {
+fn invalid_field(param: &'static str, detail: &str) -> Problem {
     Problem {
         failure: Failure::new(Code::BadRequest, format!("{param}: {detail}")),
         param: Some(param),
     }
 }
 
+/// Finds a field; `null` counts as absent, as in the interface.
 fn field<'a>(fields: &'a Fields, name: &'static str) -> Result<Option<&'a Shape>, Problem> {
     match fields.get(name) {
         Ok(Some(shape)) if shape.kind == Kind::Null => Ok(None),
         Ok(shape) => Ok(shape),
-        Err(()) => Err(bad(name, "the field is there twice")),
+        Err(()) => Err(invalid_field(name, "the field is there twice")),
     }
 }
 
-fn present(fields: &Fields, name: &'static str) -> Result<(), Problem> {
+/// Checks that the prompt or the messages are there and have the right type.
+fn require_input(fields: &Fields, name: &'static str) -> Result<(), Problem> {
     match field(fields, name)?.map(|shape| &shape.kind) {
         Some(Kind::Array) => Ok(()),
         Some(Kind::Text(_)) if name == "prompt" => Ok(()),
-        Some(_) => Err(bad(name, "the field has the wrong type")),
-        None => Err(bad(name, "the field is missing")),
+        Some(_) => Err(invalid_field(name, "the field has the wrong type")),
+        None => Err(invalid_field(name, "the field is missing")),
     }
 }
 
-fn model(fields: &Fields) -> Result<Name, Problem> {
+fn model_name(fields: &Fields) -> Result<Name, Problem> {
     match field(fields, "model")?.map(|shape| &shape.kind) {
         Some(Kind::Text(Some(name))) => Ok(Name::from(&**name)),
-        Some(Kind::Text(None)) => Err(bad("model", "the name is too long")),
-        Some(_) => Err(bad("model", "the field must be text")),
-        None => Err(bad("model", "the field is missing")),
+        Some(Kind::Text(None)) => Err(invalid_field("model", "the name is too long")),
+        Some(_) => Err(invalid_field("model", "the field must be text")),
+        None => Err(invalid_field("model", "the field is missing")),
     }
 }
 
-fn flag(fields: &Fields, name: &'static str) -> Result<bool, Problem> {
+fn bool_field(fields: &Fields, name: &'static str) -> Result<bool, Problem> {
     match field(fields, name)?.map(|shape| &shape.kind) {
         None => Ok(false),
         Some(Kind::Bool(value)) => Ok(*value),
-        Some(_) => Err(bad(name, "the field must be true or false")),
+        Some(_) => Err(invalid_field(name, "the field must be true or false")),
     }
 }
 
-fn count(fields: &Fields, name: &'static str) -> Result<Option<u64>, Problem> {
+fn unsigned_field(fields: &Fields, name: &'static str) -> Result<Option<u64>, Problem> {
     match field(fields, name)?.map(|shape| &shape.kind) {
         None => Ok(None),
-        Some(Kind::Count(value)) => Ok(Some(*value)),
-        Some(_) => Err(bad(name, "the field must be a whole number, not negative")),
+        Some(Kind::Unsigned(value)) => Ok(Some(*value)),
+        Some(_) => Err(invalid_field(
+            name,
+            "the field must be a whole number, not negative",
+        )),
     }
 }
 
-/// Returns the tokens asked for; the newer of the two names goes first, as in the interface.
-fn output_tokens(fields: &Fields) -> Result<Option<u64>, Problem> {
-    let newer = count(fields, "max_completion_tokens")?;
-    let older = count(fields, "max_tokens")?;
+/// Returns the requested tokens per choice; the newer field name takes precedence, as in the
+/// interface.
+fn requested_tokens(fields: &Fields) -> Result<Option<u64>, Problem> {
+    let newer = unsigned_field(fields, "max_completion_tokens")?;
+    let older = unsigned_field(fields, "max_tokens")?;
     match newer.or(older) {
-        Some(0) => Err(bad("max_tokens", "ask for at least one token")),
-        asked => Ok(asked),
+        Some(0) => Err(invalid_field("max_tokens", "ask for at least one token")),
+        tokens => Ok(tokens),
     }
 }
 
@@ -194,24 +201,24 @@
 mod tests {
     use super::*;
 
-    fn read(body: &str) -> Result<CompletionRequest, (Code, Option<&'static str>)> {
+    fn parse(body: &str) -> Result<CompletionRequest, (Code, Option<&'static str>)> {
         CompletionRequest::parse(Completion::Chat, body.as_bytes())
             .map_err(|problem| (problem.failure.code, problem.param))
     }
 
     #[test]
-    fn read_usual() {
+    fn parse_valid_chat() {
         let body = r#"{"model":"t","messages":[{"role":"user","content":"12345678"}],
             "stream":true,"max_completion_tokens":7,"n":2,"stream_options":{"include_usage":true}}"#;
-        let asked = read(body).unwrap();
-        assert_eq!(&*asked.model, "t");
-        assert!(asked.stream);
-        assert_eq!(asked.output_tokens, Some(14));
+        let request = parse(body).unwrap();
+        assert_eq!(&*request.model, "t");
+        assert!(request.stream);
+        assert_eq!(request.output_tokens, Some(14));
     }
 
     #[test]
-    fn read_mistakes() {
-        let param = |body| read(body).unwrap_err().1;
+    fn parse_reports_faulty_field() {
+        let param = |body| parse(body).unwrap_err().1;
         assert_eq!(param("{"), None);
         assert_eq!(param(r#"{"model":"t"}"#), Some("messages"));
         assert_eq!(param(r#"{"messages":[]}"#), Some("model"));
@@ -239,12 +246,12 @@
     }
 
     #[test]
-    fn bounded_open_chat() {
+    fn with_token_limit_chat_without_limit() {
         let body = Bytes::from_static(b"{\"model\":\"t\",\"messages\":[]} \n");
-        let asked = CompletionRequest::parse(Completion::Chat, &body).unwrap();
-        let bounded = asked.with_token_limit(Completion::Chat, body, 64);
+        let request = CompletionRequest::parse(Completion::Chat, &body).unwrap();
+        let limited = request.with_token_limit(Completion::Chat, body, 64);
         assert_eq!(
-            &bounded[..],
+            &limited[..],
             b"{\"model\":\"t\",\"messages\":[],\"max_tokens\":64}"
         );
     }
--- a/lib/src/entry/json.rs
+++ b/lib/src/entry/json.rs
@@ -1,8 +1,7 @@
-//! The shape of a JSON body, read without keeping it.
+//! Parses a JSON body into the kinds and sizes of its values, without storing the values.
 //!
-//! The body goes on to the engine as it came; the layer needs a few of its
-//! fields and its size. Reading it into a tree would cost several times the
-//! body's memory for each request.
+//! The body is forwarded to the engine unchanged; the layer needs only a few fields and the amount
+//! of text. Parsing it into a tree would take several times the body's memory for each request.
 
 use std::borrow::Cow;
 use std::fmt;
@@ -10,24 +9,24 @@
 use serde::Deserialize;
 use serde::de::{Deserializer, Error, MapAccess, SeqAccess, Visitor};
 
-/// Bytes of text that a number stands for; in prompts a number is a token.
-const NUMBER: usize = 4;
+/// Bytes of text that a number counts as: in a prompt a number is a token.
+const NUMBER_BYTES: usize = 4;
 
-/// Longest text that is kept.
-const KEPT: usize = 256;
+/// Length, in bytes, up to which a string's value is stored.
+const MAX_STORED_BYTES: usize = 256;
 
-/// What kind of value it is.
+/// The kind of a JSON value.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Kind {
-    /// Nothing, which the interface takes as left out.
+    /// `null`, which the interface treats as an absent field.
     Null,
-    /// Yes or no.
+    /// `true` or `false`.
     Bool(bool),
-    /// A number that isn't negative and has no fraction.
-    Count(u64),
+    /// A non-negative integer.
+    Unsigned(u64),
     /// Any other number.
     Number,
-    /// Text, kept only if it is short.
+    /// A string; its value is stored only if it is short.
     Text(Option<Box<str>>),
     /// An array.
     Array,
@@ -35,19 +34,19 @@
     Object,
 }
 
-/// A value's kind and how much text is in it.
+/// A value's kind and the amount of text in it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Shape {
-    /// What kind of value it is.
+    /// The value's kind.
     pub kind: Kind,
-    /// Bytes of all text in it, nested values included.
+    /// Bytes of text in the value, including nested values.
     pub bytes: usize,
 }
 
 impl<'de> Deserialize<'de> for Shape {
     fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
-        // The library bounds the depth of values read in this way, so that deep
-        // nesting ends in an error and not in an overflow of the stack.
+        // `serde_json` limits the nesting depth of values parsed in this way, so deep nesting is an
+        // error and doesn't overflow the stack.
         deserializer.deserialize_any(ShapeVisitor)
     }
 }
@@ -71,20 +70,20 @@
     }
 
     fn visit_u64<E: Error>(self, value: u64) -> Result<Shape, E> {
-        Ok(shape(Kind::Count(value), NUMBER))
+        Ok(shape(Kind::Unsigned(value), NUMBER_BYTES))
     }
 
     fn visit_i64<E: Error>(self, _: i64) -> Result<Shape, E> {
-        Ok(shape(Kind::Number, NUMBER))
+        Ok(shape(Kind::Number, NUMBER_BYTES))
     }
 
     fn visit_f64<E: Error>(self, _: f64) -> Result<Shape, E> {
-        Ok(shape(Kind::Number, NUMBER))
+        Ok(shape(Kind::Number, NUMBER_BYTES))
     }
 
     fn visit_str<E: Error>(self, value: &str) -> Result<Shape, E> {
-        let kept = (value.len() <= KEPT).then(|| value.into());
-        Ok(shape(Kind::Text(kept), value.len()))
+        let stored = (value.len() <= MAX_STORED_BYTES).then(|| value.into());
+        Ok(shape(Kind::Text(stored), value.len()))
     }
 
     fn visit_seq<A: SeqAccess<'de>>(self, mut seq: A) -> Result<Shape, A::Error> {
@@ -108,24 +107,24 @@
     Shape { kind, bytes }
 }
 
-/// The fields of a body's outermost object.
+/// The fields of a body's top-level object.
 #[derive(Debug)]
 pub struct Fields {
     fields: Vec<(String, Shape)>,
 }
 
 impl Fields {
-    /// Reads a body.
+    /// Parses a body.
     ///
     /// # Errors
     ///
-    /// Line and column of the first mistake; the text of the mistake may hold
-    /// parts of a prompt and stays out of it.
-    pub fn read(body: &[u8]) -> Result<Self, (usize, usize)> {
+    /// Line and column of the first error. The parser's message is left out because it may
+    /// quote the prompt.
+    pub fn parse(body: &[u8]) -> Result<Self, (usize, usize)> {
         serde_json::from_slice(body).map_err(|error| (error.line(), error.column()))
     }
 
-    /// Finds a field; `Err` when it is there more than once.
+    /// Finds a field; `Err` when it occurs more than once.
     pub fn get(&self, name: &str) -> Result<Option<&Shape>, ()> {
         let mut found = self.fields.iter().filter(|(field, _)| field == name);
         let first = found.next();
@@ -135,7 +134,7 @@
         Ok(first.map(|(_, shape)| shape))
     }
 
-    /// Returns the bytes of all text.
+    /// Returns the bytes of text in all fields.
     #[must_use]
     pub fn text_bytes(&self) -> usize {
         self.fields.iter().map(|(_, shape)| shape.bytes).sum()
@@ -148,7 +147,7 @@
     }
 }
 
-/// Most fields of the outermost object; the interface has some thirty.
+/// Largest number of fields in the top-level object; the interface has some thirty.
 const MAX_FIELDS: usize = 256;
 
 #[derive(Debug)]
@@ -178,8 +177,8 @@
     use super::*;
 
     #[test]
-    fn read_measures_text() {
-        let fields = Fields::read(br#"{"a":"xyz","b":[1,2,{"c":"uv"}],"d":null}"#).unwrap();
+    fn parse_counts_text_bytes() {
+        let fields = Fields::parse(br#"{"a":"xyz","b":[1,2,{"c":"uv"}],"d":null}"#).unwrap();
         assert_eq!(fields.text_bytes(), 3 + 8 + 2);
         assert_eq!(
             fields.get("a").unwrap().unwrap().kind,
@@ -189,25 +188,24 @@
     }
 
     #[test]
-    fn get_twice() {
-        let fields = Fields::read(br#"{"a":1,"a":2}"#).unwrap();
+    fn get_duplicate_field() {
+        let fields = Fields::parse(br#"{"a":1,"a":2}"#).unwrap();
         assert!(fields.get("a").is_err());
     }
 
     #[test]
-    fn read_mistakes() {
-        assert_eq!(Fields::read(b"{\n\"a\":}").unwrap_err(), (2, 5));
-        assert!(Fields::read(b"[]").is_err());
-        assert!(Fields::read(b"{} {}").is_err());
-        assert!(Fields::read(b"{\"a\":\"\xff\"}").is_err());
+    fn parse_reports_line_and_column() {
+        assert_eq!(Fields::parse(b"{\n\"a\":}").unwrap_err(), (2, 5));
+        assert!(Fields::parse(b"[]").is_err());
+        assert!(Fields::parse(b"{} {}").is_err());
+        assert!(Fields::parse(b"{\"a\":\"\xff\"}").is_err());
     }
 
-    /// Symptom: the node's process ends with an overflow of its stack.
-    /// Sequence: a caller sends a body of a million opening brackets.
-    /// Cause: the reader descends once for each bracket.
+    /// Guards against a stack overflow that crashes the node: the parser recurses once for each
+    /// opening bracket, and a caller may send a million of them.
     #[test]
-    fn read_deep_nesting() {
+    fn parse_deep_nesting() {
         let body = format!("{{\"a\":{}", "[".repeat(1_000_000));
-        assert!(Fields::read(body.as_bytes()).is_err());
+        assert!(Fields::parse(body.as_bytes()).is_err());
     }
 }
--- a/lib/src/entry/key.rs
+++ b/lib/src/entry/key.rs
@@ -1,4 +1,4 @@
-//! Callers' keys, and the identities given to their requests.
+//! Authenticates callers by their API keys and generates request ids.
 
 use std::sync::Arc;
 
@@ -12,17 +12,17 @@
 use crate::error::{Code, Failure};
 use crate::request::Id;
 
-/// Longest key that is looked at, in bytes.
-const MAX_KEY: usize = 512;
+/// Length limit of an API key, in bytes; longer ones are rejected without a lookup.
+const MAX_KEY_BYTES: usize = 512;
 
-/// Finds the client account whose key a request carries.
+/// Finds the client account to which a request's API key belongs.
 ///
-/// Only the key's digest is looked up, so the time taken says nothing about how
-/// much of a guessed key was right.
+/// The lookup uses the key's digest, so its timing doesn't reveal how much of a guessed key is
+/// correct.
 ///
 /// # Errors
 ///
-/// [`Code::NotReady`] before the first configuration, [`Code::UnknownKey`] otherwise.
+/// [`Code::NotReady`] before the node has its first configuration, [`Code::UnknownKey`] otherwise.
 pub fn authenticate(view: &View, headers: &HeaderMap) -> Result<Arc<Account>, Failure> {
     if view.revision() == 0 {
         return Err(Failure::new(
@@ -42,7 +42,8 @@
         .ok_or_else(|| Failure::new(Code::UnknownKey, "the key belongs to no client account"))
 }
 
-/// Returns the one bearer key of a request; with two, nobody can say whose it is.
+/// Returns a request's bearer key; none if it has several, since they may belong to different
+/// accounts.
 fn bearer(headers: &HeaderMap) -> Option<&[u8]> {
     let mut values = headers.get_all(AUTHORIZATION).iter();
     let value = values.next()?.as_bytes();
@@ -51,14 +52,15 @@
     }
     let (scheme, key) = value.split_at_checked(b"Bearer ".len())?;
     let key = key.trim_ascii();
-    let fits = !key.is_empty() && key.len() <= MAX_KEY;
-    (fits && scheme.eq_ignore_ascii_case(b"Bearer ")).then_some(key)
+    let has_valid_length = !key.is_empty() && key.len() <= MAX_KEY_BYTES;
+    (has_valid_length && scheme.eq_ignore_ascii_case(b"Bearer ")).then_some(key)
 }
 
-/// Makes a new request's identity: 122 random bits in the form of a UUID.
+/// Generates a request id: a random (version 4) UUID.
 ///
-/// The bits come from the system's generator and never from the node's seed, so
-/// that two nodes or two starts with the same settings don't repeat them.
+/// Its 122 random bits come from a generator that the operating system seeds and never from the
+/// node's seed, so that two nodes, or two starts of one node, with the same settings don't generate
+/// the same ids.
 #[must_use]
 pub fn new_request_id() -> Id {
     let bits: u128 = rand::rng().random();
@@ -98,7 +100,7 @@
     }
 
     #[test]
-    fn fresh_id_is_version_4() {
+    fn new_request_id_is_version_4() {
         let id = new_request_id();
         assert_eq!(id.0.len(), 36);
         assert_eq!(&id.0[14..15], "4");
--- a/lib/src/entry/models.rs
+++ b/lib/src/entry/models.rs
@@ -1,4 +1,4 @@
-//! The listing of a client account's templates.
+//! Lists and describes a client account's templates as models of the completions interface.
 
 use serde::Serialize;
 
@@ -22,7 +22,7 @@
 }
 
 impl<'a> Model<'a> {
-    fn of(template: &'a Template) -> Self {
+    fn from_template(template: &'a Template) -> Self {
         Self {
             id: &template.name,
             object: "model",
@@ -36,12 +36,12 @@
     }
 }
 
-/// Lists an account's templates, by name.
+/// Returns the JSON list of a client account's templates, sorted by name.
 #[must_use]
 pub fn list(view: &View, account: &Account) -> String {
     let mut data: Vec<_> = view
         .templates_of(&account.name)
-        .map(|template| Model::of(template))
+        .map(|template| Model::from_template(template))
         .collect();
     data.sort_by_key(|model| model.id);
     let list = List {
@@ -51,19 +51,22 @@
     serde_json::to_string(&list).unwrap_or_default()
 }
 
-/// Describes one of an account's templates.
+/// Returns the JSON description of one of a client account's templates.
 ///
 /// # Errors
 ///
-/// [`Code::UnknownTemplate`].
+/// [`Code::UnknownTemplate`] when the account has no template of this name.
 pub fn describe(view: &View, account: &Account, name: &str) -> Result<String, Failure> {
     let template = view
         .template(&account.name, name)
         .ok_or_else(unknown_template)?;
-    Ok(serde_json::to_string(&Model::of(template)).unwrap_or_default())
+    Ok(serde_json::to_string(&Model::from_template(template)).unwrap_or_default())
 }
 
-/// Returns the one answer for templates that don't exist and for those of other accounts.
+/// Returns the failure for unknown templates.
+///
+/// It is the same for templates that don't exist and for those of other accounts, so that no
+/// account learns which templates another one has.
 #[must_use]
 pub fn unknown_template() -> Failure {
     Failure::new(
