--- a/lib/tests/test_entry_errors.rs
+++ b/lib/tests/test_entry_errors.rs
@@ -1,4 +1,4 @@
-//! The table of codes in the docs is the one in the code.
+//! Checks that the table of error codes in the docs matches the code.
 
 use std::collections::HashSet;
 use std::fmt::Write;
@@ -7,11 +7,11 @@
 
 use chivevalve::error::{Code, Fate};
 
-/// The line before the table; what stands above it is written by hand.
-const MARK: &str = "<!-- The table below is made by lib/tests/test_entry_errors.rs -->\n";
+/// The line before the generated table; the text above it is written by hand.
+const TABLE_MARKER: &str = "<!-- The table below is made by lib/tests/test_entry_errors.rs -->\n";
 
-/// Set to write the table anew.
-const UPDATE: &str = "UPDATE_DOCS";
+/// Environment variable that makes the test write the table instead of checking it.
+const UPDATE_VARIABLE: &str = "UPDATE_DOCS";
 
 fn table() -> String {
     let mut table = String::from(
@@ -38,14 +38,14 @@
 fn errors_page_equals_code() {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../docs/errors.md");
     let page = fs::read_to_string(&path).unwrap();
-    let (above, below) = page.split_once(MARK).unwrap();
-    if std::env::var_os(UPDATE).is_some() {
-        fs::write(&path, format!("{above}{MARK}{}", table())).unwrap();
+    let (above, below) = page.split_once(TABLE_MARKER).unwrap();
+    if std::env::var_os(UPDATE_VARIABLE).is_some() {
+        fs::write(&path, format!("{above}{TABLE_MARKER}{}", table())).unwrap();
         return;
     }
     assert!(
         below == table(),
-        "docs/errors.md differs: run this test with {UPDATE}=1"
+        "docs/errors.md differs: run this test with {UPDATE_VARIABLE}=1"
     );
 }
 
@@ -57,7 +57,7 @@
     assert_eq!(names.len(), Code::ALL.len());
 }
 
-/// The first digit tells what became of the request, also to those who know no code.
+/// The first digit of a code's number gives the fate, also to callers that don't know the code.
 #[test]
 fn codes_number_tells_fate() {
     for code in Code::ALL {
--- a/lib/tests/test_entry_http2.rs
+++ b/lib/tests/test_entry_http2.rs
@@ -1,4 +1,4 @@
-//! Many requests on one HTTP/2 connection: what befalls one stays its own.
+//! Concurrent requests on one HTTP/2 connection: a failure of one doesn't affect the others.
 
 mod entry_support;
 
@@ -19,7 +19,7 @@
 
 const PREFACE: &[u8] = b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n";
 
-// Kinds and flags of frames, from RFC 9113, section 6.
+// Frame types and flags, from RFC 9113, section 6.
 const DATA: u8 = 0;
 const HEADERS: u8 = 1;
 const RST_STREAM: u8 = 3;
@@ -28,9 +28,9 @@
 const END_STREAM: u8 = 1;
 const END_HEADERS: u8 = 4;
 
-type Caller = SendRequest<Full<Bytes>>;
+type Client = SendRequest<Full<Bytes>>;
 
-async fn connect(world: &World) -> Caller {
+async fn connect(world: &World) -> Client {
     let stream = TcpStream::connect(world.address).await.unwrap();
     let io = TokioIo::new(stream);
     let (caller, connection) = handshake(TokioExecutor::new(), io).await.unwrap();
@@ -38,7 +38,7 @@
     caller
 }
 
-async fn call(caller: &Caller, path: &str, body: &str) -> Response<Incoming> {
+async fn call(caller: &Client, path: &str, body: &str) -> Response<Incoming> {
     let request = Request::post(format!("http://node{path}"))
         .header("authorization", "Bearer shop-key")
         .body(Full::from(body.to_owned()))
@@ -46,7 +46,7 @@
     caller.clone().send_request(request).await.unwrap()
 }
 
-async fn chat(caller: &Caller, stream: bool) -> Response<Incoming> {
+async fn chat(caller: &Client, stream: bool) -> Response<Incoming> {
     let body = format!(r#"{{"model":"summary","messages":[],"stream":{stream}}}"#);
     call(caller, "/v1/chat/completions", &body).await
 }
@@ -57,7 +57,7 @@
 }
 
 #[tokio::test]
-async fn http2_whole_and_streamed() {
+async fn http2_complete_and_streamed() {
     let world = world().await;
     let caller = connect(&world).await;
     world.script.then(json("{\"id\":1}"));
@@ -68,11 +68,10 @@
     assert_eq!(text(streamed).await, "data: 1\n\ndata: [DONE]\n\n");
 }
 
-/// Symptom: a short answer of a service looks whole.
-/// Sequence: the service dies while it answers a caller on HTTP/2.
-/// Cause: the stream was closed in order instead of being reset.
+/// Guards against a truncated service response that looks complete: when the service fails in the
+/// middle of a response, the HTTP/2 stream must be reset and not closed regularly.
 #[tokio::test]
-async fn http2_service_cut() {
+async fn http2_service_truncated() {
     let world = world().await;
     let caller = connect(&world).await;
     let cut = Ending::Broken(Code::AnswerCut);
@@ -88,7 +87,7 @@
 }
 
 #[tokio::test]
-async fn http2_caller_drops_one() {
+async fn http2_caller_drops_one_stream() {
     let world = world().await;
     let caller = connect(&world).await;
     world.script.then(events(&["1"], Ending::Silent));
@@ -98,18 +97,17 @@
     assert_eq!(chat(&caller, false).await.status(), 200);
 }
 
-/// Symptom: an engine's place is held by a caller that doesn't read.
-/// Sequence: a caller with many requests on one connection forgets one stream.
-/// Cause: the connection was alive, so no timeout on it came to pass.
+/// Guards against an engine slot that is held for a caller that doesn't read: the caller reads its
+/// other streams, so the connection is active and none of its timeouts expires.
 #[tokio::test]
-async fn http2_slow_reader_of_one() {
+async fn http2_one_stream_unread() {
     let mut limits = limits();
     limits.write_timeout = Millis(50);
     let world = world_with(limits, Arc::default(), Arc::default()).await;
     let caller = connect(&world).await;
     let long = "a".repeat(60_000);
-    let pieces = vec![long.as_str(); 500];
-    world.script.then(events(&pieces, Ending::Silent));
+    let chunks = vec![long.as_str(); 500];
+    world.script.then(events(&chunks, Ending::Silent));
     let forgotten = chat(&caller, true).await;
     world.script.closed().await;
     let slow = "refusals_total{code=\"3008\",fate=\"unknown\"}";
@@ -118,17 +116,17 @@
     drop(forgotten);
 }
 
-/// Symptom: a short answer of a service looks whole.
-/// Sequence: a caller leaves one stream unread until the node gives it up, and reads on then.
-/// Cause: the cut waited for room among the unread pieces, none came, and the stream ended in order.
+/// Guards against a truncated service response that looks complete: a caller leaves a stream unread
+/// until the node gives up on it, and then reads on. If the abort had to wait for free space in
+/// the full frame channel, it would get lost and the stream would end regularly.
 #[tokio::test]
-async fn http2_service_cut_unread() {
+async fn http2_service_truncated_unread() {
     let mut limits = limits();
     limits.write_timeout = Millis(50);
     let world = world_with(limits, Arc::default(), Arc::default()).await;
     let caller = connect(&world).await;
-    let pieces = vec!["a".repeat(60_000); 500];
-    let long = Step::Answer(200, vec![], pieces, Ending::Silent);
+    let chunks = vec!["a".repeat(60_000); 500];
+    let long = Step::Answer(200, vec![], chunks, Ending::Silent);
     world.script.then(long);
     let unread = call(&caller, "/services/lookup/file", "").await;
     world.script.closed().await;
@@ -137,9 +135,9 @@
     world.until(slow, 1).await;
 }
 
-/// Symptom: an engine's place is held long after the request's deadline.
-/// Sequence: the deadline passes while the caller isn't reading.
-/// Cause: the upstream was let go only once the caller had taken the news, or had been given up.
+/// Guards against an engine slot that is held long after the request's deadline: the deadline passes
+/// while the caller isn't reading. The upstream must be released without waiting until the caller
+/// has read the error or has been given up.
 #[tokio::test]
 async fn http2_deadline_unread() {
     let world = world().await;
@@ -161,13 +159,11 @@
     assert!(last.contains("\"code\":\"expired_running\""));
 }
 
-/// Symptom: a caller on a slow line never gets a long answer whole.
-/// Sequence: the answer is long; the caller makes room for it bit by bit, for longer than a
-/// connection may rest.
-/// Cause: the answer's bytes were handed over at once, and from then on the connection counted
-/// as resting.
+/// Guards against long responses that are truncated on slow links: the caller takes longer than the
+/// idle timeout to read one. If the body yielded all its bytes in one frame, the connection would
+/// count as idle while the caller still reads.
 #[tokio::test]
-async fn http2_idle_while_answer_is_taken() {
+async fn http2_not_idle_while_response_is_read() {
     const BYTES: usize = 32 << 20;
     let mut limits = limits();
     limits.idle_timeout = Millis(300);
@@ -177,20 +173,19 @@
     let world = world_with(limits, Arc::default(), Arc::default()).await;
     let caller = connect(&world).await;
     world.script.then(json(&"a".repeat(BYTES)));
-    let answer = chat(&caller, false).await;
+    let response = chat(&caller, false).await;
     tokio::time::sleep(Millis(1_500).duration()).await;
-    let taken = answer.into_body().collect().await;
+    let taken = response.into_body().collect().await;
     assert_eq!(taken.unwrap().to_bytes().len(), BYTES);
 }
 
-/// Symptom: a caller on a slow line is cut off and told that it took nothing.
-/// Sequence: the answer comes in long pieces; the caller takes some of a piece, but never a
-/// whole one, within the time for a write.
-/// Cause: only whole pieces were counted as taken.
+/// Guards against a caller on a slow link being taken for one that doesn't read: the response comes
+/// in long chunks, and the caller reads a part of a chunk but never a whole one within the write
+/// timeout. If only whole chunks counted as progress, it would be given up.
 #[tokio::test]
-async fn http2_slow_reader_that_reads() {
-    const PIECE: usize = 1 << 20;
-    const PIECES: usize = 8;
+async fn http2_slow_reader_is_kept() {
+    const CHUNK_BYTES: usize = 1 << 20;
+    const CHUNKS: usize = 8;
     let mut limits = limits();
     limits.write_timeout = Millis(250);
     let world = world_with(limits, Arc::default(), Arc::default()).await;
@@ -199,41 +194,40 @@
     builder.initial_stream_window_size(64 << 10);
     let (caller, connection) = builder.handshake(io).await.unwrap();
     tokio::spawn(connection);
-    let pieces = vec!["a".repeat(PIECE); PIECES];
+    let chunks = vec!["a".repeat(CHUNK_BYTES); CHUNKS];
     world
         .script
-        .then(Step::Answer(200, vec![], pieces, Ending::Whole));
+        .then(Step::Answer(200, vec![], chunks, Ending::Whole));
     let mut body = call(&caller, "/services/lookup/file", "").await.into_body();
     let mut taken = 0;
     while let Some(frame) = body.frame().await {
         taken += frame.unwrap().into_data().unwrap().len();
         tokio::time::sleep(Millis(5).duration()).await;
     }
-    assert_eq!(taken, PIECE * PIECES);
+    assert_eq!(taken, CHUNK_BYTES * CHUNKS);
 }
 
-/// Symptom: a planned stop cuts off a stream.
-/// Sequence: the node is stopped while an answer is under way on an HTTP/2 connection; the
-/// engine goes on some time later.
-/// Cause: the close of the connection didn't wait for its streams.
+/// Guards against a planned stop that truncates a stream: the node is stopped while a response is
+/// streamed on an HTTP/2 connection, and the engine sends the rest some time later. The connection
+/// must stay open until its streams have ended.
 #[tokio::test]
 async fn http2_stop_lets_streams_finish() {
     let world = world().await;
     let caller = connect(&world).await;
-    let said = Arc::new(Notify::new());
+    let resume = Arc::new(Notify::new());
     let rest = vec!["data: [DONE]\n\n".into()];
-    let slow = Ending::Later(Arc::clone(&said), rest);
+    let slow = Ending::Later(Arc::clone(&resume), rest);
     world.script.then(events(&["1"], slow));
     let streamed = chat(&caller, true).await;
     let served = world.stop();
     tokio::time::sleep(Millis(100).duration()).await;
-    said.notify_one();
+    resume.notify_one();
     assert_eq!(text(streamed).await, "data: 1\n\ndata: [DONE]\n\n");
     drop(caller);
     served.await.unwrap();
 }
 
-/// Makes a frame of HTTP/2.
+/// Encodes an HTTP/2 frame.
 fn frame(kind: u8, flags: u8, stream: u8, payload: &[u8]) -> Vec<u8> {
     let length = u32::try_from(payload.len()).unwrap().to_be_bytes();
     let head = [
@@ -242,7 +236,7 @@
     [&head, payload].concat()
 }
 
-/// Reads frames up to one of a kind and returns its payload, or none when the connection closes.
+/// Reads frames until one of the wanted type and returns its payload; none if the connection closes.
 async fn read_until(stream: &mut TcpStream, wanted: u8) -> Option<Vec<u8>> {
     loop {
         let mut head = [0; 9];
@@ -256,7 +250,8 @@
     }
 }
 
-/// Makes the block of a chat's headers: indexed fields, then literal ones without Huffman coding.
+/// Encodes the header block of a chat request: indexed fields, then literal ones without Huffman
+/// coding.
 fn chat_headers() -> Vec<u8> {
     const METHOD_POST: u8 = 0x83;
     const SCHEME_HTTP: u8 = 0x86;
@@ -274,63 +269,62 @@
     block
 }
 
-/// Makes what opens a connection.
-fn hello() -> Vec<u8> {
+/// Encodes the client's connection preface.
+fn connection_preface() -> Vec<u8> {
     [PREFACE, &frame(SETTINGS, 0, 0, &[])].concat()
 }
 
-/// Makes the frames that ask for a streamed chat.
-fn asked(stream: u8) -> Vec<u8> {
+/// Encodes the frames of a request for a streamed chat.
+fn chat_request(stream: u8) -> Vec<u8> {
     let body = br#"{"model":"summary","messages":[],"stream":true}"#;
     let head = frame(HEADERS, END_HEADERS, stream, &chat_headers());
     [head, frame(DATA, END_STREAM, stream, body)].concat()
 }
 
-/// Symptom: a proxy's streams break off together while their engines still write.
-/// Sequence: the node pauses for a moment; some tens of the requests that come meanwhile on
-/// one connection are cancelled before it has seen them.
-/// Cause: so many resets at once count as an attack, and end the connection.
+/// Guards against all streams of a proxy's connection being aborted while their engines still
+/// generate: the node pauses for a moment, and meanwhile some tens of new requests on the connection
+/// are cancelled before the node has accepted them. The HTTP library's default takes so many resets
+/// for an attack and closes the connection.
 #[tokio::test]
-async fn http2_many_gone_unseen() {
+async fn http2_many_resets_before_accept() {
     const CANCEL: [u8; 4] = [0, 0, 0, 8];
     let world = world().await;
-    let said = Arc::new(Notify::new());
+    let resume = Arc::new(Notify::new());
     let rest = vec!["data: [DONE]\n\n".into()];
-    let slow = Ending::Later(Arc::clone(&said), rest);
+    let slow = Ending::Later(Arc::clone(&resume), rest);
     world.script.then(events(&["1"], slow));
     let mut stream = TcpStream::connect(world.address).await.unwrap();
-    let open = [hello(), asked(1)].concat();
+    let open = [connection_preface(), chat_request(1)].concat();
     stream.write_all(&open).await.unwrap();
     assert_eq!(read_until(&mut stream, DATA).await.unwrap(), b"data: 1\n\n");
-    let cancelled = |stream| [asked(stream), frame(RST_STREAM, 0, stream, &CANCEL)].concat();
+    let cancelled = |stream| [chat_request(stream), frame(RST_STREAM, 0, stream, &CANCEL)].concat();
     let burst: Vec<u8> = (3..=203).step_by(2).flat_map(cancelled).collect();
     stream.write_all(&burst).await.unwrap();
     tokio::time::sleep(Millis(100).duration()).await;
-    said.notify_one();
+    resume.notify_one();
     let end = read_until(&mut stream, DATA).await.unwrap();
     assert_eq!(end, b"data: [DONE]\n\n");
 }
 
-/// Symptom: a stream breaks off after ten seconds though its engine still writes.
-/// Sequence: a connection has rested long enough and is closed; a request that was already on
-/// its way is taken, as the protocol wants it.
-/// Cause: from the decision on the connection had a fixed time, whatever ran on it.
+/// Guards against a stream being truncated after ten seconds while its engine still generates: an
+/// idle connection is being closed, and a request that was already on its way is accepted, as the
+/// protocol requires. With a fixed time to close, the connection would end whatever runs on it.
 #[tokio::test]
-async fn http2_request_meets_close() {
+async fn http2_request_during_graceful_close() {
     let mut limits = limits();
     limits.head_timeout = Millis(500);
     let world = world_with(limits, Arc::default(), Arc::default()).await;
-    let said = Arc::new(Notify::new());
+    let resume = Arc::new(Notify::new());
     let rest = vec!["data: 2\n\n".into(), "data: [DONE]\n\n".into()];
-    let slow = Ending::Later(Arc::clone(&said), rest);
+    let slow = Ending::Later(Arc::clone(&resume), rest);
     world.script.then(events(&["1"], slow));
     let mut stream = TcpStream::connect(world.address).await.unwrap();
-    stream.write_all(&hello()).await.unwrap();
+    stream.write_all(&connection_preface()).await.unwrap();
     read_until(&mut stream, GOAWAY).await.unwrap();
-    stream.write_all(&asked(1)).await.unwrap();
+    stream.write_all(&chat_request(1)).await.unwrap();
     assert_eq!(read_until(&mut stream, DATA).await.unwrap(), b"data: 1\n\n");
     tokio::time::sleep(Millis(1_500).duration()).await;
-    said.notify_one();
+    resume.notify_one();
     assert_eq!(read_until(&mut stream, DATA).await.unwrap(), b"data: 2\n\n");
     let end = read_until(&mut stream, DATA).await.unwrap();
     assert_eq!(end, b"data: [DONE]\n\n");
--- a/lib/tests/test_entry_logs.rs
+++ b/lib/tests/test_entry_logs.rs
@@ -1,4 +1,4 @@
-//! What the entry writes to the log, and what it must not.
+//! Checks that the entry's log lines identify the request and contain no secrets.
 
 mod entry_support;
 
@@ -10,9 +10,9 @@
 
 static LINES: Mutex<Vec<String>> = Mutex::new(Vec::new());
 
-struct Keeper;
+struct Recorder;
 
-impl Log for Keeper {
+impl Log for Recorder {
     fn enabled(&self, _: &Metadata) -> bool {
         true
     }
@@ -26,20 +26,19 @@
     fn flush(&self) {}
 }
 
-/// Symptom: a key or a prompt is found in a collected log.
-/// Sequence: requests fail in many ways while the log is at its most detailed.
-/// Cause: a line or an error quotes what the caller sent.
+/// Guards against keys and prompts in the log: requests fail in several ways at the most verbose
+/// level, and no line or error message may quote what the caller sent.
 #[tokio::test]
-async fn logs_hold_no_secret() {
-    log::set_logger(&Keeper).unwrap();
+async fn logs_contain_no_secrets() {
+    log::set_logger(&Recorder).unwrap();
     log::set_max_level(log::LevelFilter::Trace);
     let world = world().await;
     let secret = ",\"user\":\"secret-prompt\"";
     world.chat("summary", secret).await;
     world.chat("summary", ",\"stream\":\"secret-prompt\"").await;
     world.chat("summary", "secret-prompt").await;
-    let said = "{\"error\":{\"message\":\"secret-prompt\"}}";
-    let refusal = Step::Answer(400, vec![], vec![said.into()], Ending::Whole);
+    let error = "{\"error\":{\"message\":\"secret-prompt\"}}";
+    let refusal = Step::Answer(400, vec![], vec![error.into()], Ending::Whole);
     world.script.then(refusal);
     world.chat("summary", secret).await;
     world.script.then(fail(Code::UpstreamLost));
--- a/lib/tests/test_entry_sessions.rs
+++ b/lib/tests/test_entry_sessions.rs
@@ -1,4 +1,4 @@
-//! Golden texts of callers' whole sessions.
+//! Golden files of callers' complete exchanges.
 
 mod entry_support;
 
@@ -37,8 +37,8 @@
 async fn session_push() {
     let world = world().await;
     let headers = vec![("x-own", "1"), ("connection", "x-hop"), ("x-hop", "2")];
-    let answer = Step::Answer(201, headers, vec!["booked".into()], Ending::Whole);
-    world.script.then(answer);
+    let response = Step::Answer(201, headers, vec!["booked".into()], Ending::Whole);
+    world.script.then(response);
     let headers = ["content-type: text/plain", "keep-alive: 3"];
     golden!(
         "push",
@@ -56,19 +56,18 @@
     golden!("refused", world.chat("summary", "").await);
 }
 
-/// Symptom: one account finds out which templates another one has.
-/// Sequence: it names templates until one is answered differently.
-/// Cause: "not yours" and "not there" were told apart.
+/// Guards against an account finding out which templates another one has: it could try names if the
+/// response for another account's template differed from the one for an unknown template.
 #[tokio::test]
 async fn session_other_accounts_template() {
     let world = world().await;
-    let theirs = world.chat("fault", "").await;
-    let nobodys = world.chat("wrong", "").await;
-    golden!("other_accounts_template", &theirs);
-    let plain = |text: &str| text.rsplit_once("request_id").unwrap().0.to_owned();
+    let other_accounts = world.chat("fault", "").await;
+    let unknown = world.chat("wrong", "").await;
+    golden!("other_accounts_template", &other_accounts);
+    let without_request_id = |text: &str| text.rsplit_once("request_id").unwrap().0.to_owned();
     assert_eq!(
-        plain(theirs.split_once('{').unwrap().1),
-        plain(nobodys.split_once('{').unwrap().1)
+        without_request_id(other_accounts.split_once('{').unwrap().1),
+        without_request_id(unknown.split_once('{').unwrap().1)
     );
     assert_eq!(world.script.count(), 0);
 }
@@ -80,9 +79,8 @@
     golden!("unknown_key", world.raw(&text).await);
 }
 
-/// Symptom: a client shows half an answer as the whole one.
-/// Sequence: the engine dies in the middle of a stream.
-/// Cause: the layer ended the stream in order.
+/// Guards against a truncated response that looks complete: when the engine crashes in the middle of
+/// a stream, the stream must not end regularly.
 #[tokio::test]
 async fn session_stream_cut() {
     let world = world().await;
