--- a/lib/src/entry/answer.rs
+++ b/lib/src/entry/answer.rs
@@ -21,7 +21,7 @@
 
 /// Largest body frame, in bytes: the amount that a caller has to read within one write timeout so
 /// as not to be given up.
-pub const FRAME: usize = 16 << 10;
+pub const MAX_FRAME_BYTES: usize = 16 << 10;
 
 /// Carries the request id in every response.
 pub const REQUEST_ID: HeaderName = HeaderName::from_static("x-request-id");
@@ -208,7 +208,7 @@
         if self.0.is_empty() {
             return Poll::Ready(None);
         }
-        let length = self.0.len().min(FRAME);
+        let length = self.0.len().min(MAX_FRAME_BYTES);
         Poll::Ready(Some(Ok(Frame::data(self.0.split_to(length)))))
     }
 
--- a/lib/src/entry/relay.rs
+++ b/lib/src/entry/relay.rs
@@ -230,14 +230,14 @@
         }
     }
 
-    /// Sends a chunk in frames of at most [`answer::FRAME`] bytes.
+    /// Sends a chunk in frames of at most [`answer::MAX_FRAME_BYTES`] bytes.
     ///
     /// The write timeout applies to each frame, so a slow caller that reads a part of a long chunk
     /// is kept, and only one that reads nothing is given up.
     async fn send(&mut self, mut chunk: Bytes) -> Result<(), RelayError> {
         self.session.machine().record_forwarded();
         while !chunk.is_empty() {
-            let frame = chunk.split_to(chunk.len().min(answer::FRAME));
+            let frame = chunk.split_to(chunk.len().min(answer::MAX_FRAME_BYTES));
             self.send_frame(frame).await?;
             self.mid_chunk = !chunk.is_empty();
         }
@@ -268,7 +268,7 @@
         }
     }
 
-    /// Updates the latency metrics for a chunk that has just arrived.
+    /// Updates the chunk count and the latency metrics for a chunk that has just arrived.
     fn record_chunk(&mut self) {
         let gateway = self.session.gateway();
         let metrics = &gateway.parts.metrics;
@@ -296,8 +296,8 @@
         }
     }
 
-    /// Records that the upstream may have crashed while it ran a request that isn't known to be
-    /// harmless.
+    /// Records that the upstream may have crashed while it ran the request, unless the request has
+    /// been recorded as harmless.
     fn record_broken(&self, code: Code) {
         if !self.recorded_harmless {
             let gateway = self.session.gateway();
