--- a/lib/src/entry/dispatch.rs
+++ b/lib/src/entry/dispatch.rs
@@ -1,4 +1,4 @@
-//! Tries of one request at upstreams, as its state machine decides them.
+//! Sends a request to upstreams, with the retries that its state machine decides on.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -26,153 +26,155 @@
 use crate::retry::{FailureContext, RequestState, RetryDecision};
 use crate::runner::{Attempt, Share, Work};
 
-/// How long after the deadline the owner's own word on the request is awaited.
+/// How long after the deadline the entry node still waits for the owner's response.
 ///
-/// The owner knows whether the request was still waiting when its time was up
-/// and says so; giving up at the same moment would turn that into "unknown".
-const GRACE: Millis = Millis(250);
+/// The owner knows whether the request was still queued at its deadline and reports it; a timeout
+/// at the same moment would turn that into "unknown".
+const OWNER_RESPONSE_GRACE: Millis = Millis(250);
 
-/// When a pool without a usable upstream may have one again.
+/// `Retry-After` of requests for a pool without a usable upstream.
 const RETRY_AFTER: Millis = Millis::from_secs(1);
 
-/// How the answer is handed to the caller.
+/// How the response is delivered to the caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ResponseMode {
-    /// Held back until it is whole.
+    /// Buffered until it is complete.
     Buffered,
-    /// Passed on event by event.
+    /// Forwarded event by event.
     Events,
-    /// Passed on as it comes.
+    /// Forwarded as its bytes arrive.
     Bytes,
-    /// Passed on as it comes if its length is known, else held back until it is whole.
+    /// Forwarded as its bytes arrive if its length is known, else buffered until it is complete.
     ///
-    /// To a caller of HTTP/1.0 an answer without a length ends when the connection
-    /// closes, and so does one that is cut; it would take the one for the other.
+    /// An HTTP/1.0 response without a length ends when the connection closes, so the caller
+    /// couldn't tell a complete response from a truncated one.
     BufferedUnlessSized,
 }
 
 impl ResponseMode {
-    /// Whether it is the form of a plain service's answer.
+    /// Whether the response comes from a plain service, not from an engine.
     fn is_service(self) -> bool {
         matches!(self, Self::Bytes | Self::BufferedUnlessSized)
     }
 }
 
-/// A request to be run.
+/// A request to be sent to an upstream.
 #[derive(Debug)]
 pub struct DispatchRequest {
-    /// What the decisions know.
+    /// What placement, queueing and retries decide on.
     pub ticket: Ticket,
-    /// The account's limits.
+    /// The client account's limits at one upstream.
     pub share: Share,
-    /// The bytes.
+    /// The content that is sent.
     pub work: Work,
-    /// How the answer is handed on.
+    /// How the response is delivered.
     pub mode: ResponseMode,
-    /// When the answer must be whole.
+    /// When the response must be complete.
     pub deadline: Millis,
-    /// What identifies the request over its attempts.
+    /// Identifies the request when its caller repeats it.
     pub fingerprint: Fingerprint,
 }
 
-/// A run of a request at an upstream, whose connection can break.
+/// A request at the upstream that it was sent to.
 #[derive(Debug, Clone)]
 pub struct UpstreamRun {
-    /// Where it runs.
+    /// The upstream.
     pub upstream: Name,
-    /// The request.
+    /// The request's fingerprint.
     pub request: Fingerprint,
 }
 
-/// An upstream's answer.
+/// An upstream's response.
 pub enum DispatchOutcome {
-    /// It is all here.
+    /// The buffered response is complete.
     Complete(response::Parts, Bytes),
-    /// It is an engine's own error.
+    /// The engine responded with an error status.
     EngineError(StatusCode, Bytes),
-    /// Its first piece is here.
+    /// The first chunk has arrived.
     Streaming(StreamingResponse),
 }
 
-/// An answer that is still coming.
+/// A response whose body is still arriving.
 pub struct StreamingResponse {
     /// Status and headers.
     pub head: response::Parts,
-    /// The first piece; none when the body is empty.
+    /// The first chunk; none if the body is empty.
     pub first: Option<Bytes>,
-    /// The rest.
+    /// The chunks after the first.
     pub rest: BoxStream<'static, Result<Bytes, Failure>>,
-    /// Whether the pieces are events.
+    /// How it is delivered to the caller.
     pub mode: ResponseMode,
-    /// The run that the pieces come from.
+    /// The run that produces the chunks.
     pub run: UpstreamRun,
 }
 
-/// Upstreams that this request was tried on, and how often.
-type Tried = HashMap<Name, u32>;
+/// Number of tries of this request at each upstream.
+type TryCounts = HashMap<Name, u32>;
 
-/// Where the next try goes.
+/// The upstream of the next try.
 struct Target {
-    /// The pool's upstreams as they were when the target was chosen.
+    /// Snapshot of the pool from which the upstream was chosen.
     pool: Arc<Pool>,
-    /// The upstream's place among them.
+    /// The upstream's index in the pool.
     index: usize,
     upstream: Name,
     owner: Arc<Owner>,
-    /// Whether there are others that the request wasn't tried on.
-    others: bool,
+    /// Whether the request can be redirected to another upstream that it wasn't tried at.
+    has_untried: bool,
 }
 
-/// Runs a request until an answer begins or its state machine says that it is over.
+/// Sends a request until a response begins or its state machine allows no further try.
 ///
 /// # Errors
 ///
-/// The failure whose fate covers all tries.
+/// The failure whose fate holds for all tries together.
 pub async fn run(
     gateway: &Gateway,
     session: &mut Session,
-    order: &mut DispatchRequest,
+    request: &mut DispatchRequest,
     claim: &mut Option<Claim>,
 ) -> Result<DispatchOutcome, Failure> {
     let now = gateway.parts.clock.now();
     lock(&gateway.budget).record_first_try(now);
-    let mut tried = Tried::new();
+    let mut tried = TryCounts::new();
     loop {
         gateway
             .quarantine()
-            .check(&order.fingerprint)
+            .check(&request.fingerprint)
             .map_err(|failure| session.machine().end(failure))?;
-        let target = match choose(gateway, order, &tried).await {
+        let target = match select_target(gateway, request, &tried).await {
             Ok(target) => target,
             Err(failure) => return Err(session.machine().end(failure)),
         };
         *tried.entry(Name::clone(&target.upstream)).or_default() += 1;
-        spend(claim, true);
-        match attempt(gateway, session, order, &target).await {
+        set_may_have_run(claim, true);
+        match send_attempt(gateway, session, request, &target).await {
             Ok(outcome) => {
                 if !matches!(outcome, DispatchOutcome::Streaming(_)) {
-                    gateway.quarantine().record_harmless_run(&order.fingerprint);
+                    gateway
+                        .quarantine()
+                        .record_harmless_run(&request.fingerprint);
                 }
                 return Ok(outcome);
             }
             Err(failure) => {
-                note_lost(gateway, session, &order.run_at(&target), &failure);
+                record_broken_connection(gateway, session, &request.run_on(&target), &failure);
                 let is_outdated = failure.code == Code::Outdated;
-                let settled = settle(gateway, session, order, &target, failure);
-                spend(claim, maybe_run(session, &settled));
-                let pause = settled?;
+                let backoff = handle_failure(gateway, session, request, &target, failure);
+                set_may_have_run(claim, may_have_run(session, &backoff));
+                let backoff = backoff?;
                 if is_outdated {
-                    let decided = gateway.reroute(&mut order.ticket).await;
+                    let decided = gateway.reroute(&mut request.ticket).await;
                     decided.map_err(|failure| session.machine().end(failure))?;
                 }
-                tokio::time::sleep(pause.duration()).await;
+                tokio::time::sleep(backoff.duration()).await;
             }
         }
     }
 }
 
 impl DispatchRequest {
-    fn run_at(&self, target: &Target) -> UpstreamRun {
+    fn run_on(&self, target: &Target) -> UpstreamRun {
         UpstreamRun {
             upstream: Name::clone(&target.upstream),
             request: self.fingerprint.clone(),
@@ -180,44 +182,49 @@
     }
 }
 
-/// Notes that an upstream may have ended under a request that has brought nothing yet.
-fn note_lost(gateway: &Gateway, session: &mut Session, run: &UpstreamRun, failure: &Failure) {
-    let sign = match session.machine().state() {
+/// Records that the connection broke before any of the response arrived.
+fn record_broken_connection(
+    gateway: &Gateway,
+    session: &mut Session,
+    run: &UpstreamRun,
+    failure: &Failure,
+) {
+    let suspicion = match session.machine().state() {
         RequestState::Running => Suspicion::Begun,
         _ => Suspicion::Possible,
     };
-    gateway.record_broken_connection(run, failure.code, sign);
+    gateway.record_broken_connection(run, failure.code, suspicion);
 }
 
-fn spend(claim: &mut Option<Claim>, spent: bool) {
+fn set_may_have_run(claim: &mut Option<Claim>, may_have_run: bool) {
     if let Some(claim) = claim {
-        claim.set_may_have_run(spent);
+        claim.set_may_have_run(may_have_run);
     }
 }
 
-fn maybe_run(session: &mut Session, settled: &Result<Millis, Failure>) -> bool {
-    match settled {
+fn may_have_run(session: &mut Session, backoff: &Result<Millis, Failure>) -> bool {
+    match backoff {
         Ok(_) => !session.machine().certainly_not_run(),
         Err(failure) => failure.fate() != Fate::NotRun,
     }
 }
 
-/// Notes a failed try; returns the pause before the next one.
-fn settle(
+/// Records a failed try; returns the backoff before the next one.
+fn handle_failure(
     gateway: &Gateway,
     session: &mut Session,
-    order: &DispatchRequest,
+    request: &DispatchRequest,
     target: &Target,
     failure: Failure,
 ) -> Result<Millis, Failure> {
     let now = gateway.parts.clock.now();
-    let adapter = order.ticket.adapter.as_ref();
-    if blames_upstream(failure.code) {
+    let adapter = request.ticket.adapter.as_ref();
+    if counts_against_upstream(failure.code) {
         gateway.record_refusal(&target.pool, target.index, adapter, failure.code, now);
     }
     let context = FailureContext {
         now,
-        has_untried_upstream: target.others,
+        has_untried_upstream: target.has_untried,
         random: gateway.random(),
     };
     let metrics = &gateway.parts.metrics;
@@ -228,10 +235,10 @@
         failure.code,
         failure.detail
     );
-    let verdict = session
+    let decision = session
         .machine()
         .handle_failure(failure, context, &mut lock(&gateway.budget));
-    match verdict {
+    match decision {
         RetryDecision::Retry(pause) => {
             metrics.retries.with_label_values(&[reason]).inc();
             Ok(pause)
@@ -246,48 +253,48 @@
     }
 }
 
-/// Whether a failure says anything about the upstream or the way to it.
+/// Whether a failure indicates a fault of the upstream or of the path to it.
 ///
-/// A caller's short deadline or bad request says nothing; taking it as a hint
-/// would let one caller turn everybody's requests away from healthy upstreams.
-fn blames_upstream(code: Code) -> bool {
-    let requests_own = code.status() < 500;
-    let says_nothing = matches!(
+/// A short deadline or a malformed request is the caller's doing. If it counted against the
+/// upstream, one caller could divert all requests from healthy upstreams.
+fn counts_against_upstream(code: Code) -> bool {
+    let is_request_fault = code.status() < 500;
+    let is_neutral = matches!(
         code,
         Code::ExpiredRunning | Code::UpstreamError | Code::Outdated
     );
-    !requests_own && !says_nothing
+    !is_request_fault && !is_neutral
 }
 
-/// Chooses the upstream of the next try, waiting a while for one to become usable.
+/// Returns the upstream of the next try; waits up to the limit `upstream_wait` for a usable one.
 ///
 /// # Errors
 ///
-/// [`Code::NoUpstream`] or [`Code::ExpiredWaiting`]; this try has not begun.
-async fn choose(
+/// [`Code::NoUpstream`] or [`Code::ExpiredWaiting`]; nothing was sent for this try.
+async fn select_target(
     gateway: &Gateway,
-    order: &DispatchRequest,
-    tried: &Tried,
+    request: &DispatchRequest,
+    tried: &TryCounts,
 ) -> Result<Target, Failure> {
     let mut fleet = gateway.parts.fleet.clone();
     let clock = &gateway.parts.clock;
-    let upstream_wait = clock.now() + gateway.parts.limits.upstream_wait;
+    let wait_until = clock.now() + gateway.parts.limits.upstream_wait;
     loop {
         fleet.mark_unchanged();
         let now = clock.now();
-        if now >= order.deadline {
+        if now >= request.deadline {
             return Err(Failure::new(
                 Code::ExpiredWaiting,
                 "the deadline has passed",
             ));
         }
-        if let Some(target) = target(gateway, order, tried, now) {
+        if let Some(target) = find_target(gateway, request, tried, now) {
             return Ok(target);
         }
-        let left = upstream_wait.min(order.deadline).since(now);
-        let changed = tokio::time::timeout(left.duration(), fleet.changed()).await;
+        let time_left = wait_until.min(request.deadline).since(now);
+        let changed = tokio::time::timeout(time_left.duration(), fleet.changed()).await;
         if !matches!(changed, Ok(Ok(()))) {
-            let detail = format!("pool {} has no usable upstream", order.ticket.pool);
+            let detail = format!("pool {} has no usable upstream", request.ticket.pool);
             return Err(Failure::new(Code::NoUpstream, detail).retry_after(RETRY_AFTER));
         }
     }
@@ -295,65 +302,65 @@
 
 /// Returns the best upstream for the next try.
 ///
-/// The last one of the order is where the request waits when no other takes it,
-/// whether it was tried there before or not: a broken picture must not leave a
-/// request without any.
-fn target(
+/// The last candidate is where the request waits if no other upstream accepts it. It is chosen
+/// even if the request was tried there before, so that an outdated view of the fleet never leaves
+/// a request without an upstream.
+fn find_target(
     gateway: &Gateway,
-    order: &DispatchRequest,
-    tried: &Tried,
+    request: &DispatchRequest,
+    tried: &TryCounts,
     now: Millis,
 ) -> Option<Target> {
     let fleet = Arc::clone(&gateway.parts.fleet.borrow());
-    let pool = gateway.pool(&fleet, &order.ticket.pool);
-    let upstreams = fleet.pool(&order.ticket.pool);
-    let ranked = gateway.candidates(&pool, order.ticket.adapter.as_ref(), now);
-    let times = |index: usize| tried.get(&upstreams[index].vm.name).copied().unwrap_or(0);
+    let pool = gateway.pool(&fleet, &request.ticket.pool);
+    let upstreams = fleet.pool(&request.ticket.pool);
+    let ranked = gateway.candidates(&pool, request.ticket.adapter.as_ref(), now);
+    let try_count = |index: usize| tried.get(&upstreams[index].vm.name).copied().unwrap_or(0);
     let (wait, replicas) = ranked.split_last()?;
-    let made: u32 = tried.values().sum();
-    // A request that came to rest wherever the walk happens to end would cost a
-    // load there, at each upstream in turn under overload.
-    let walks_on = made + 1 < gateway.parts.limits.retry_policy.max_redirects;
-    let mut untried = replicas.iter().filter(|index| times(**index) == 0);
-    let untried = untried.next().filter(|_| walks_on);
+    let total_tries: u32 = tried.values().sum();
+    // The last redirect goes where the request is meant to wait. If it waited wherever its redirects
+    // end instead, it would need an adapter load there, at one upstream after another under
+    // overload.
+    let may_redirect = total_tries + 1 < gateway.parts.limits.retry_policy.max_redirects;
+    let mut untried = replicas.iter().filter(|index| try_count(**index) == 0);
+    let untried = untried.next().filter(|_| may_redirect);
     let index = *untried.unwrap_or(wait);
     let upstream = &upstreams[index].vm.name;
-    let others = untried.is_some();
     Some(Target {
         index,
         upstream: Name::clone(upstream),
         owner: Arc::clone(fleet.owner(upstream)?),
-        others,
+        has_untried: untried.is_some(),
         pool,
     })
 }
 
-/// Makes one try.
-async fn attempt(
+/// Sends the request to an upstream once, and receives the response up to its first chunk.
+async fn send_attempt(
     gateway: &Gateway,
     session: &mut Session,
-    order: &DispatchRequest,
+    request: &DispatchRequest,
     target: &Target,
 ) -> Result<DispatchOutcome, Failure> {
-    let left = (order.deadline + GRACE).since(gateway.parts.clock.now());
-    let last = !target.others || session.machine().is_last_try();
+    let time_left = (request.deadline + OWNER_RESPONSE_GRACE).since(gateway.parts.clock.now());
+    let is_last = !target.has_untried || session.machine().is_last_try();
     session.machine().record_send();
     let attempt = Attempt {
-        ticket: order.ticket.clone(),
-        share: order.share,
+        ticket: request.ticket.clone(),
+        share: request.share,
         number: session.machine().tries(),
-        last,
+        last: is_last,
         upstream: Name::clone(&target.upstream),
-        work: order.work.clone(),
+        work: request.work.clone(),
     };
     let runner = gateway.parts.reach.runner(&target.owner);
     let begin = async {
-        let answer = runner.run(attempt).await?;
+        let response = runner.run(attempt).await?;
         session.machine().record_response_start();
-        let run = order.run_at(target);
-        receive(gateway, &mut session.buffered, order.mode, answer, run).await
+        let run = request.run_on(target);
+        receive(gateway, &mut session.buffered, request.mode, response, run).await
     };
-    tokio::time::timeout(left.duration(), begin)
+    tokio::time::timeout(time_left.duration(), begin)
         .await
         .unwrap_or_else(|_| {
             let detail = "no word from the upstream by the deadline";
@@ -361,31 +368,31 @@
         })
 }
 
-/// Takes an answer whole, or up to its first piece.
+/// Receives a response completely, or up to its first chunk.
 ///
-/// Nothing goes to the caller before the first piece is here, so that an
-/// upstream that breaks before it still leaves the way open for another try.
+/// Nothing is sent to the caller before the first chunk has arrived, so that the request can still
+/// be retried if the upstream fails before that.
 async fn receive(
     gateway: &Gateway,
-    reserve: &mut BufferReservation,
+    buffered: &mut BufferReservation,
     mode: ResponseMode,
-    answer: Answer,
+    response: Answer,
     run: UpstreamRun,
 ) -> Result<DispatchOutcome, Failure> {
-    let Answer { mut head, mut body } = answer;
+    let Answer { mut head, mut body } = response;
     let limit = gateway.parts.limits.max_response_bytes;
-    // An engine answers a streamed request that it won't run with one JSON error.
+    // An engine rejects a streaming request with a single JSON error.
     if !mode.is_service() && !head.status.is_success() {
-        let error = collect(body, limit, reserve).await?;
+        let error = collect(body, limit, buffered).await?;
         return Ok(DispatchOutcome::EngineError(head.status, error));
     }
     if mode == ResponseMode::Buffered {
-        let whole = collect(body, limit, reserve).await?;
+        let whole = collect(body, limit, buffered).await?;
         return Ok(DispatchOutcome::Complete(head, whole));
     }
     if mode == ResponseMode::BufferedUnlessSized && !head.headers.contains_key(CONTENT_LENGTH) {
-        let whole = collect(body, limit, reserve).await?;
-        // The answer to HEAD has no body, and a length of its own.
+        let whole = collect(body, limit, buffered).await?;
+        // A response to HEAD has no body and keeps its own length.
         if !whole.is_empty() {
             let length = HeaderValue::from(whole.len());
             head.headers.insert(CONTENT_LENGTH, length);
@@ -408,21 +415,22 @@
 async fn collect(
     mut body: BoxStream<'static, Result<Bytes, Failure>>,
     limit: usize,
-    reserve: &mut BufferReservation,
+    buffered: &mut BufferReservation,
 ) -> Result<Bytes, Failure> {
     let mut whole = Joined::default();
-    let held = reserve.bytes();
-    while let Some(piece) = body.next().await.transpose()? {
-        let bytes = whole.len() + piece.len();
+    let reserved = buffered.bytes();
+    while let Some(chunk) = body.next().await.transpose()? {
+        let bytes = whole.len() + chunk.len();
         if bytes > limit {
             let detail = format!("the answer is larger than {limit} bytes");
             return Err(Failure::new(Code::AnswerCut, detail));
         }
-        // The upstream has run it, so a full node can't call it not run.
-        reserve
-            .grow_to(held + bytes)
+        // The upstream has already run the request, so this mustn't be a `NodeFull`, which means
+        // that it wasn't run.
+        buffered
+            .grow_to(reserved + bytes)
             .map_err(|failure| Failure::new(Code::AnswerCut, failure.detail))?;
-        whole.push(piece);
+        whole.push(chunk);
     }
     Ok(whole.freeze())
 }
