--- a/lib/src/entry/admission.rs
+++ b/lib/src/entry/admission.rs
@@ -1,4 +1,4 @@
-//! How many requests and buffered bytes a node holds at a time.
+//! Admission of callers' requests: limits on requests in progress and on buffered bytes.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -9,157 +9,157 @@
 use crate::error::{Code, Failure};
 use crate::name::Name;
 
-/// Bytes that one permit of the buffer stands for.
-const BLOCK: usize = 4 << 10;
+/// Number of bytes per permit of the semaphore.
+const BLOCK_BYTES: usize = 4 << 10;
 
-/// When a full node may have room again.
+/// `Retry-After` of requests that a full node rejects.
 const RETRY_AFTER: Millis = Millis::from_secs(1);
 
-/// Requests in progress, by client account.
+/// Limits the requests in progress, per client account.
 ///
-/// When the node is nearly full, an account that holds more than its even part
-/// gets no more, so that one account's burst leaves room for the others.
+/// When the node is three quarters full, an account with an equal share or more of the limit gets
+/// no more requests admitted, so that one account's burst leaves capacity for the others.
 #[derive(Debug)]
 pub struct InFlightLimiter {
     limit: usize,
-    held: Mutex<Held>,
+    counts: Mutex<InFlightCounts>,
 }
 
 #[derive(Debug, Default)]
-struct Held {
-    all: usize,
+struct InFlightCounts {
+    total: usize,
     accounts: HashMap<Name, usize>,
 }
 
-impl Held {
-    fn refuses(&self, limit: usize, account: &str) -> bool {
-        if self.all >= limit {
+impl InFlightCounts {
+    fn is_full_for(&self, limit: usize, account: &str) -> bool {
+        if self.total >= limit {
             return true;
         }
         let own = self.accounts.get(account).copied().unwrap_or(0);
         let others = self.accounts.len() - usize::from(own > 0);
-        let even = limit / (others + 1);
-        self.all >= limit / 4 * 3 && own >= even
+        let equal_share = limit / (others + 1);
+        self.total >= limit / 4 * 3 && own >= equal_share
     }
 }
 
 impl InFlightLimiter {
-    /// Makes a gate for this many requests.
+    /// Creates a limiter for this many requests.
     #[must_use]
     pub fn new(limit: usize) -> Arc<Self> {
         Arc::new(Self {
             limit,
-            held: Mutex::default(),
+            counts: Mutex::default(),
         })
     }
 
-    /// Lets a request of an account in.
+    /// Admits a request of an account.
     ///
     /// # Errors
     ///
-    /// [`Code::NodeFull`] when the node or the account's part of it is full.
+    /// [`Code::NodeFull`] if the node is full, or nearly full and the account has its share.
     pub fn admit(self: &Arc<Self>, account: &Name) -> Result<InFlightGuard, Failure> {
-        let mut held = self.held.lock().unwrap_or_else(PoisonError::into_inner);
-        if held.refuses(self.limit, account) {
-            return Err(full("the node holds all the requests that it can"));
+        let mut counts = self.counts.lock().unwrap_or_else(PoisonError::into_inner);
+        if counts.is_full_for(self.limit, account) {
+            return Err(node_full("the node holds all the requests that it can"));
         }
-        held.all += 1;
-        *held.accounts.entry(Arc::clone(account)).or_default() += 1;
+        counts.total += 1;
+        *counts.accounts.entry(Arc::clone(account)).or_default() += 1;
         Ok(InFlightGuard {
-            gate: Arc::clone(self),
+            limiter: Arc::clone(self),
             account: Arc::clone(account),
         })
     }
 }
 
-/// A request's place at the node; dropping it makes room.
+/// Counts a request as in progress until it is dropped.
 #[derive(Debug)]
 pub struct InFlightGuard {
-    gate: Arc<InFlightLimiter>,
+    limiter: Arc<InFlightLimiter>,
     account: Name,
 }
 
 impl Drop for InFlightGuard {
     fn drop(&mut self) {
-        let mut held = self
-            .gate
-            .held
+        let mut counts = self
+            .limiter
+            .counts
             .lock()
             .unwrap_or_else(PoisonError::into_inner);
-        held.all -= 1;
-        if let Some(count) = held.accounts.get_mut(&self.account) {
+        counts.total -= 1;
+        if let Some(count) = counts.accounts.get_mut(&self.account) {
             *count -= 1;
             if *count == 0 {
-                held.accounts.remove(&self.account);
+                counts.accounts.remove(&self.account);
             }
         }
     }
 }
 
-/// Bytes that bodies and held-back answers may take up together.
+/// Limits the bytes of buffered request and response bodies.
 #[derive(Debug, Clone)]
 pub struct BufferLimiter {
     blocks: Arc<Semaphore>,
 }
 
 impl BufferLimiter {
-    /// Makes a buffer of this many bytes.
+    /// Creates a limiter for this many bytes.
     #[must_use]
     pub fn new(bytes: usize) -> Self {
         Self {
-            blocks: Arc::new(Semaphore::new(bytes / BLOCK)),
+            blocks: Arc::new(Semaphore::new(bytes / BLOCK_BYTES)),
         }
     }
 
-    /// Starts with nothing reserved.
+    /// Returns a reservation of zero bytes.
     #[must_use]
     pub fn reserve(&self) -> BufferReservation {
         BufferReservation {
-            buffer: self.clone(),
+            limiter: self.clone(),
             permit: None,
         }
     }
 }
 
-/// Bytes reserved for one request; dropping it gives them back.
+/// Bytes reserved for one request; dropping it releases them.
 #[derive(Debug)]
 pub struct BufferReservation {
-    buffer: BufferLimiter,
+    limiter: BufferLimiter,
     permit: Option<OwnedSemaphorePermit>,
 }
 
 impl BufferReservation {
-    /// Returns the bytes that are covered.
+    /// Returns the number of reserved bytes, a multiple of the block size.
     #[must_use]
     pub fn bytes(&self) -> usize {
         self.permit
             .as_ref()
-            .map_or(0, |permit| permit.num_permits() * BLOCK)
+            .map_or(0, |permit| permit.num_permits() * BLOCK_BYTES)
     }
 
-    /// Makes the reserve cover this many bytes in all.
+    /// Grows the reservation to at least this many bytes in total.
     ///
     /// # Errors
     ///
-    /// [`Code::NodeFull`] when other requests hold too much.
+    /// [`Code::NodeFull`] if too few bytes are free.
     pub fn grow_to(&mut self, bytes: usize) -> Result<(), Failure> {
-        let missing = bytes.saturating_sub(self.bytes()).div_ceil(BLOCK);
-        if missing == 0 {
+        let missing_blocks = bytes.saturating_sub(self.bytes()).div_ceil(BLOCK_BYTES);
+        if missing_blocks == 0 {
             return Ok(());
         }
-        let count = u32::try_from(missing).unwrap_or(u32::MAX);
-        let more = Arc::clone(&self.buffer.blocks)
+        let count = u32::try_from(missing_blocks).unwrap_or(u32::MAX);
+        let acquired = Arc::clone(&self.limiter.blocks)
             .try_acquire_many_owned(count)
-            .map_err(|_| full("the node buffers all the bytes that it can"))?;
+            .map_err(|_| node_full("the node buffers all the bytes that it can"))?;
         match &mut self.permit {
-            Some(permit) => permit.merge(more),
-            None => self.permit = Some(more),
+            Some(permit) => permit.merge(acquired),
+            None => self.permit = Some(acquired),
         }
         Ok(())
     }
 }
 
-fn full(detail: &str) -> Failure {
+fn node_full(detail: &str) -> Failure {
     Failure::new(Code::NodeFull, detail).retry_after(RETRY_AFTER)
 }
 
@@ -167,38 +167,40 @@
 mod tests {
     use super::*;
 
-    /// Symptom: one account's burst makes the node refuse every other account.
-    /// Sequence: an account sends more requests than the node holds.
-    /// Cause: places were given out in order of arrival alone.
+    /// Guards against a burst of one account filling the node, which happened when requests were
+    /// admitted by order of arrival alone: the node then rejected every other account.
     #[test]
     fn admit_burst_leaves_room() {
-        let gate = InFlightLimiter::new(100);
-        let (greedy, modest) = (Name::from("greedy"), Name::from("modest"));
-        let _one = gate.admit(&modest).unwrap();
-        let held: Vec<_> = std::iter::from_fn(|| gate.admit(&greedy).ok()).collect();
-        assert_eq!(held.len(), 74);
-        assert!(gate.admit(&modest).is_ok());
+        let limiter = InFlightLimiter::new(100);
+        let (burst, other) = (Name::from("greedy"), Name::from("modest"));
+        let _held = limiter.admit(&other).unwrap();
+        let admitted: Vec<_> = std::iter::from_fn(|| limiter.admit(&burst).ok()).collect();
+        assert_eq!(admitted.len(), 74);
+        assert!(limiter.admit(&other).is_ok());
     }
 
     #[test]
     fn admit_alone_takes_all() {
-        let gate = InFlightLimiter::new(8);
+        let limiter = InFlightLimiter::new(8);
         let name = Name::from("a");
-        let held: Vec<_> = std::iter::from_fn(|| gate.admit(&name).ok()).collect();
-        assert_eq!(held.len(), 8);
-        drop(held);
-        assert!(gate.admit(&name).is_ok());
+        let admitted: Vec<_> = std::iter::from_fn(|| limiter.admit(&name).ok()).collect();
+        assert_eq!(admitted.len(), 8);
+        drop(admitted);
+        assert!(limiter.admit(&name).is_ok());
     }
 
     #[test]
     fn grow_to_gives_back() {
-        let buffer = BufferLimiter::new(4 * BLOCK);
+        let buffer = BufferLimiter::new(4 * BLOCK_BYTES);
         let mut first = buffer.reserve();
         first.grow_to(1).unwrap();
-        first.grow_to(3 * BLOCK).unwrap();
+        first.grow_to(3 * BLOCK_BYTES).unwrap();
         let mut second = buffer.reserve();
-        assert_eq!(second.grow_to(2 * BLOCK).unwrap_err().code, Code::NodeFull);
+        assert_eq!(
+            second.grow_to(2 * BLOCK_BYTES).unwrap_err().code,
+            Code::NodeFull
+        );
         drop(first);
-        assert!(second.grow_to(4 * BLOCK).is_ok());
+        assert!(second.grow_to(4 * BLOCK_BYTES).is_ok());
     }
 }
--- a/lib/src/entry/gateway.rs
+++ b/lib/src/entry/gateway.rs
@@ -1,4 +1,4 @@
-//! A request's way through the entry: key, template, body, tries, answer.
+//! Handles a caller's request: authentication, routing, body, dispatch and response.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -35,22 +35,22 @@
 use crate::retry::RetryBudget;
 use crate::runner::Work;
 
-/// When a request may be decided on the configuration that its owner knows.
+/// `Retry-After` of requests for which this node's configuration is outdated.
 const RETRY_AFTER: Millis = Millis::from_secs(1);
 
-/// Lets the caller shorten the request's deadline.
-const DEADLINE: &str = "x-deadline-ms";
+/// Header by which the caller shortens the request's deadline.
+const DEADLINE_HEADER: &str = "x-deadline-ms";
 
-/// The state that all requests of a node share.
+/// State shared by all requests of a node.
 #[derive(Debug)]
 pub struct Gateway {
-    /// The node's other parts.
+    /// Other parts of the node that requests depend on.
     pub parts: Arc<Dependencies>,
-    /// Requests in progress.
-    pub gate: Arc<InFlightLimiter>,
-    /// Bytes of bodies.
+    /// Limits the requests in progress.
+    pub in_flight: Arc<InFlightLimiter>,
+    /// Limits the buffered bytes of bodies and responses.
     pub buffer: BufferLimiter,
-    /// Retries left.
+    /// Budget of retries.
     pub budget: Mutex<RetryBudget>,
     claims: ClaimManager,
     jitter: Mutex<Pcg64Mcg>,
@@ -58,31 +58,31 @@
     pools: Mutex<Pools>,
 }
 
-/// Pools prepared for placement, of one picture of the fleet.
+/// Cache of pools prepared for placement; valid for one version of the fleet.
 #[derive(Debug, Default)]
 struct Pools {
     fleet: Arc<Fleet>,
     prepared: HashMap<Name, Arc<Pool>>,
 }
 
-/// What is known of a request once its key was accepted.
+/// The authenticated client account, and the configuration on which the request is decided.
 struct Caller {
     view: Arc<View>,
     account: Arc<Account>,
 }
 
 impl Gateway {
-    /// Makes the state of a node that has served nobody yet.
+    /// Creates the state of a node, and starts its tasks for claims and the quarantine.
     #[must_use]
     pub fn new(parts: Arc<Dependencies>) -> Arc<Self> {
         let limits = &parts.limits;
         let quarantine = Arc::clone(&parts.quarantine);
         tokio::spawn(quarantine.follow(parts.fleet.clone()));
         Arc::new(Self {
-            gate: InFlightLimiter::new(limits.in_flight),
+            in_flight: InFlightLimiter::new(limits.in_flight),
             buffer: BufferLimiter::new(limits.max_buffered_bytes),
             budget: Mutex::new(RetryBudget::new(limits.retry_percent, parts.clock.now())),
-            claims: ClaimManager::start(claims(&parts)),
+            claims: ClaimManager::start(claim_dependencies(&parts)),
             jitter: Mutex::new(Pcg64Mcg::seed_from_u64(parts.seed)),
             router: Mutex::new(Router::new(limits.placement.clone(), parts.seed)),
             pools: Mutex::default(),
@@ -90,29 +90,29 @@
         })
     }
 
-    /// Returns what is known of requests that end upstreams.
+    /// Returns the quarantine of requests that crash upstreams.
     #[must_use]
     pub fn quarantine(&self) -> &Quarantine {
         &self.parts.quarantine
     }
 
-    /// Notes that the connection to an upstream broke under a request, if that is what failed.
-    pub fn record_broken_connection(&self, run: &UpstreamRun, code: Code, sign: Suspicion) {
+    /// Records a broken connection to an upstream; does nothing for failures of other kinds.
+    pub fn record_broken_connection(&self, run: &UpstreamRun, code: Code, suspicion: Suspicion) {
         if matches!(code, Code::UpstreamLost | Code::AnswerCut) {
             let fleet = Arc::clone(&self.parts.fleet.borrow());
             let quarantine = self.quarantine();
-            quarantine.record_broken_connection(&fleet, &run.upstream, &run.request, sign);
+            quarantine.record_broken_connection(&fleet, &run.upstream, &run.request, suspicion);
         }
     }
 
-    /// Decides a request anew whose template was changed while it waited at an owner.
+    /// Updates the routing of a request whose template changed while it was queued at an owner.
     ///
-    /// The owner can know of the change before this node does.
+    /// The owner can learn of the change first, so this waits until the node has learned of it.
     ///
     /// # Errors
     ///
-    /// [`Code::Outdated`] when this node doesn't hear of it in time, or the template is gone or of
-    /// another kind; the request has not run.
+    /// [`Code::Outdated`] if this node doesn't learn of the change in time, or if the template was
+    /// removed or changed between engine and service; the request has not run.
     pub async fn reroute(&self, ticket: &mut Ticket) -> Result<(), Failure> {
         let revision = ticket.revision;
         let mut views = self.parts.view.clone();
@@ -133,13 +133,13 @@
         Ok(())
     }
 
-    /// Returns a random number for a pause.
+    /// Returns a random number for the jitter of a backoff.
     #[must_use]
     pub fn random(&self) -> u64 {
         lock(&self.jitter).random()
     }
 
-    /// Returns a pool prepared for placement; upstreams that nobody owns count as unusable.
+    /// Returns a pool prepared for placement; upstreams without an owner count as unusable.
     #[must_use]
     pub fn pool(&self, fleet: &Arc<Fleet>, name: &Name) -> Arc<Pool> {
         let mut pools = lock(&self.pools);
@@ -150,11 +150,11 @@
         let pool = pools
             .prepared
             .entry(Name::clone(name))
-            .or_insert_with(|| Arc::new(prepare(fleet, name)));
+            .or_insert_with(|| Arc::new(prepare_pool(fleet, name)));
         Arc::clone(pool)
     }
 
-    /// Orders a pool's upstreams for one try.
+    /// Returns the upstreams to try, in order; the last one is where the request waits.
     #[must_use]
     pub fn candidates(
         &self,
@@ -165,7 +165,7 @@
         lock(&self.router).candidates(pool, adapter, now)
     }
 
-    /// Remembers for a short while that an upstream refused or broke.
+    /// Records that an upstream refused a request or failed, which placement avoids for a while.
     pub fn record_refusal(
         &self,
         pool: &Pool,
@@ -177,13 +177,13 @@
         lock(&self.router).record_refusal(pool, index, adapter, code, now);
     }
 
-    /// Answers a request.
+    /// Handles a request and returns the response for its caller.
     pub async fn handle<B>(self: Arc<Self>, request: Request<B>) -> Response<Body>
     where
         B: HttpBody<Data = Bytes> + Unpin + Send,
     {
         let mut session = Session::start(&self);
-        match self.answer(&mut session, request).await {
+        match self.route_request(&mut session, request).await {
             Ok(Reply::Text(text)) => {
                 session.finish();
                 let mut response = answer::json(text);
@@ -195,12 +195,16 @@
         }
     }
 
-    async fn answer<B>(&self, session: &mut Session, request: Request<B>) -> Result<Reply, Problem>
+    async fn route_request<B>(
+        &self,
+        session: &mut Session,
+        request: Request<B>,
+    ) -> Result<Reply, Problem>
     where
         B: HttpBody<Data = Bytes> + Unpin + Send,
     {
         let (head, body) = request.into_parts();
-        // The view is taken once: the request is decided on it from start to end.
+        // One snapshot of the configuration is used for the whole request.
         let view = Arc::clone(&self.parts.view.borrow());
         let account = key::account(&view, &head.headers)?;
         let caller = Caller { view, account };
@@ -213,18 +217,18 @@
                 Ok(Reply::Text(text))
             }
             Route::Completion(completion) => {
-                self.complete(session, &caller, completion, &head, body)
+                self.handle_completion(session, &caller, completion, &head, body)
                     .await
             }
             Route::Service { template, path } => {
                 let template = caller.template(&template)?;
-                self.call(session, &caller, &template, &path, head, body)
+                self.handle_service_call(session, &caller, &template, &path, head, body)
                     .await
             }
         }
     }
 
-    async fn complete<B>(
+    async fn handle_completion<B>(
         &self,
         session: &mut Session,
         caller: &Caller,
@@ -246,16 +250,16 @@
         let asked = Asked::read(completion, &body)?;
         let template = caller.template(&asked.model)?;
         if template.adapter.is_none() {
-            return Err(wrong_kind("call it under /services/"));
+            return Err(wrong_template_kind("call it under /services/"));
         }
         let limit = self.body_limit(&template);
         if body.len() > limit {
             return Err(body::too_large(limit).into());
         }
         let allowed = asked.allowed_tokens(completion, &template, limits)?;
-        let span = self.deadline(&template, &head.headers)?;
+        let time_limit = self.time_limit(&template, &head.headers)?;
         let key = idempotency::key(&head.headers)?;
-        let mut ticket = caller.ticket(session, &template, span);
+        let mut ticket = caller.ticket(session, &template, time_limit);
         ticket.prompt_tokens = asked.prompt_tokens;
         ticket.max_output_tokens = allowed;
         let work = Work::Completion {
@@ -268,10 +272,11 @@
         } else {
             ResponseMode::Buffered
         };
-        self.run(session, caller, ticket, work, mode, key).await
+        self.dispatch(session, caller, ticket, work, mode, key)
+            .await
     }
 
-    async fn call<B>(
+    async fn handle_service_call<B>(
         &self,
         session: &mut Session,
         caller: &Caller,
@@ -284,9 +289,9 @@
         B: HttpBody<Data = Bytes> + Unpin + Send,
     {
         if template.adapter.is_some() {
-            return Err(wrong_kind("name it as model of a completion"));
+            return Err(wrong_template_kind("name it as model of a completion"));
         }
-        let span = self.deadline(template, &head.headers)?;
+        let time_limit = self.time_limit(template, &head.headers)?;
         let key = idempotency::key(&head.headers)?.map(<[u8]>::to_vec);
         let mode = if head.version < Version::HTTP_11 {
             ResponseMode::BufferedUnlessSized
@@ -297,16 +302,16 @@
         let timeout = self.parts.limits.body_timeout;
         let limit = self.body_limit(template);
         let body = body::read(body, limit, timeout, &mut session.buffered).await?;
-        let ticket = caller.ticket(session, template, span);
+        let ticket = caller.ticket(session, template, time_limit);
         let work = Work::Call {
             head: Box::new(head),
             body,
         };
-        self.run(session, caller, ticket, work, mode, key.as_deref())
+        self.dispatch(session, caller, ticket, work, mode, key.as_deref())
             .await
     }
 
-    async fn run(
+    async fn dispatch(
         &self,
         session: &mut Session,
         caller: &Caller,
@@ -316,8 +321,8 @@
         key: Option<&[u8]>,
     ) -> Result<Reply, Problem> {
         session.set_ticket(&ticket);
-        let mut claim = self.claim(session, &ticket, &work, key).await?;
-        let mut order = DispatchRequest {
+        let mut claim = self.acquire_claim(session, &ticket, &work, key).await?;
+        let mut request = DispatchRequest {
             fingerprint: fingerprint(&ticket, &work),
             deadline: ticket.deadline,
             share: caller.account.share,
@@ -325,20 +330,20 @@
             work,
             mode,
         };
-        let failure = match dispatch::run(self, session, &mut order, &mut claim).await {
-            Ok(outcome) => return Ok(Reply::Outcome(outcome, order.deadline)),
+        let failure = match dispatch::run(self, session, &mut request, &mut claim).await {
+            Ok(outcome) => return Ok(Reply::Outcome(outcome, request.deadline)),
             Err(failure) => failure,
         };
-        // The caller may send it again as soon as it reads that it wasn't run,
-        // so the key is free before it reads that.
+        // The caller may retry as soon as it learns that the request wasn't run, so the claim on
+        // its key is released before the response is sent.
         if let Some(claim) = claim {
             claim.release_unused().await;
         }
         Err(failure.into())
     }
 
-    /// Takes the claim on the request's idempotency key, if it needs one.
-    async fn claim(
+    /// Acquires the claim on the idempotency key of a request that isn't idempotent.
+    async fn acquire_claim(
         &self,
         session: &mut Session,
         ticket: &Ticket,
@@ -349,11 +354,11 @@
             return Ok(None);
         };
         let digest = idempotency::digest(ticket, work);
-        let taken = self
+        let acquired = self
             .claims
             .acquire(&ticket.account, key, digest, &ticket.id)
             .await;
-        taken
+        acquired
             .map(Some)
             .map_err(|failure| session.machine().end(failure))
     }
@@ -368,32 +373,33 @@
             .min(limits.max_body_bytes)
     }
 
-    /// Returns the time to a whole answer: the template's, or less if the caller asks for less.
-    fn deadline(&self, template: &Template, headers: &HeaderMap) -> Result<Millis, Failure> {
+    /// Returns the time allowed for the complete response: the template's, or the caller's if that
+    /// is shorter.
+    fn time_limit(&self, template: &Template, headers: &HeaderMap) -> Result<Millis, Failure> {
         let limits = &self.parts.limits;
-        let most = template
+        let max = template
             .deadline
             .unwrap_or(limits.default_deadline)
             .min(limits.max_deadline);
-        let Some(value) = headers.get(DEADLINE) else {
-            return Ok(most);
+        let Some(value) = headers.get(DEADLINE_HEADER) else {
+            return Ok(max);
         };
         let asked = value.to_str().ok().and_then(|text| text.parse().ok());
         match asked {
-            Some(span) if span > 0 => Ok(most.min(Millis(span))),
+            Some(time_limit) if time_limit > 0 => Ok(max.min(Millis(time_limit))),
             _ => Err(Failure::new(
                 Code::BadRequest,
-                format!("{DEADLINE} must be a whole number of milliseconds, at least 1"),
+                format!("{DEADLINE_HEADER} must be a whole number of milliseconds, at least 1"),
             )),
         }
     }
 }
 
-/// What the caller gets when the request ended well.
+/// A response that isn't an error of this node.
 enum Reply {
-    /// JSON of this node's own.
+    /// JSON produced by this node.
     Text(String),
-    /// An upstream's answer, and until when it must be whole.
+    /// An upstream's response, and the deadline for completing it.
     Outcome(dispatch::DispatchOutcome, Millis),
 }
 
@@ -408,7 +414,7 @@
             })
     }
 
-    fn ticket(&self, session: &Session, template: &Template, span: Millis) -> Ticket {
+    fn ticket(&self, session: &Session, template: &Template, time_limit: Millis) -> Ticket {
         Ticket {
             id: session.id().clone(),
             account: Arc::clone(&self.account.name),
@@ -418,7 +424,7 @@
             class: template.class,
             weight: template.weight,
             idempotent: template.idempotent,
-            deadline: session.arrived_at() + span,
+            deadline: session.arrived_at() + time_limit,
             prompt_tokens: 0,
             max_output_tokens: 0,
             revision: self.view.revision(),
@@ -426,7 +432,7 @@
     }
 }
 
-fn claims(parts: &Dependencies) -> claim::Dependencies {
+fn claim_dependencies(parts: &Dependencies) -> claim::Dependencies {
     claim::Dependencies {
         store: Arc::clone(&parts.store),
         lease: Arc::clone(&parts.lease),
@@ -438,7 +444,7 @@
     }
 }
 
-/// Returns what callers repeat of a request: its template, and what they send.
+/// Returns the fingerprint of what stays the same when a caller repeats a request.
 fn fingerprint(ticket: &Ticket, work: &Work) -> Fingerprint {
     let (method, path, body) = match work {
         Work::Completion { path, body, .. } => ("POST", &**path, body),
@@ -461,7 +467,7 @@
     })
 }
 
-fn prepare(fleet: &Fleet, name: &str) -> Pool {
+fn prepare_pool(fleet: &Fleet, name: &str) -> Pool {
     Pool::from_entries(fleet.pool(name).iter().map(|upstream| {
         let vm = &upstream.vm;
         let usable = upstream.state == State::Usable && fleet.owner(&vm.name).is_some();
@@ -469,9 +475,9 @@
     }))
 }
 
-/// Locks a table that is never held over an await.
+/// Locks a mutex that is never held across an await.
 ///
-/// A panic elsewhere leaves these tables usable: each change is a single step.
+/// Poisoning is ignored: each change is a single step, so a panic leaves no partial change.
 pub fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
@@ -480,7 +486,7 @@
     Failure::new(Code::Outdated, detail).retry_after(RETRY_AFTER)
 }
 
-fn wrong_kind(detail: &str) -> Problem {
+fn wrong_template_kind(detail: &str) -> Problem {
     Problem {
         failure: Failure::new(
             Code::BadRequest,
--- a/lib/src/entry/session.rs
+++ b/lib/src/entry/session.rs
@@ -1,4 +1,4 @@
-//! One request from its arrival to its end: its place, its metrics and its log lines.
+//! One request from arrival to end: its admission, metrics and log lines.
 
 use std::sync::Arc;
 
@@ -13,16 +13,16 @@
 use super::gateway::Gateway;
 use super::key;
 
-/// Label of requests that ended before their template was known.
-const NO_CLASS: &str = "none";
+/// Class label of requests that ended before their template was known.
+const NO_CLASS_LABEL: &str = "none";
 
-/// Label of requests that ended with a whole answer.
-const WHOLE: &str = "0";
+/// Code label of requests that ended with a complete response.
+const COMPLETE_LABEL: &str = "0";
 
 /// A request in progress.
 ///
-/// It is dropped when the caller goes away, wherever the request stands then;
-/// dropping it counts and logs that end truthfully and makes room.
+/// It is dropped when the caller disconnects, at whatever stage the request is then. Dropping it
+/// counts and logs how the request ended and releases its admission.
 #[derive(Debug)]
 pub struct Session {
     gateway: Arc<Gateway>,
@@ -32,14 +32,14 @@
     template: Option<Name>,
     class: Option<Class>,
     machine: Option<RetryStateMachine>,
-    place: Option<InFlightGuard>,
-    /// Covers the request's body and, if it is held back, its answer.
+    in_flight_guard: Option<InFlightGuard>,
+    /// Bytes reserved for the request's body and, if it is buffered, the response.
     pub buffered: BufferReservation,
-    open: bool,
+    is_open: bool,
 }
 
 impl Session {
-    /// Starts a session for a request that has just arrived.
+    /// Creates a session for a request that has just arrived.
     #[must_use]
     pub fn start(gateway: &Arc<Gateway>) -> Self {
         gateway.parts.metrics.in_flight.inc();
@@ -50,20 +50,20 @@
             template: None,
             class: None,
             machine: None,
-            place: None,
+            in_flight_guard: None,
             buffered: gateway.buffer.reserve(),
-            open: true,
+            is_open: true,
             gateway: Arc::clone(gateway),
         }
     }
 
-    /// Returns the request's identity.
+    /// Returns the request's id.
     #[must_use]
     pub fn id(&self) -> &Id {
         &self.id
     }
 
-    /// Returns the state that the node's requests share.
+    /// Returns the state shared by the node's requests.
     #[must_use]
     pub fn gateway(&self) -> &Arc<Gateway> {
         &self.gateway
@@ -72,7 +72,7 @@
     /// Returns the name of the request's class.
     #[must_use]
     pub fn class_name(&self) -> &'static str {
-        self.class.map_or(NO_CLASS, Class::name)
+        self.class.map_or(NO_CLASS_LABEL, Class::name)
     }
 
     /// Returns when the request arrived.
@@ -81,18 +81,18 @@
         self.arrived_at
     }
 
-    /// Notes whose request it is, and takes its place.
+    /// Records the request's client account and admits the request.
     ///
     /// # Errors
     ///
-    /// [`Code::NodeFull`].
+    /// [`Code::NodeFull`] if the limit of requests in progress is reached.
     pub fn admit(&mut self, account: &Name) -> Result<(), Failure> {
         self.account = Some(Name::clone(account));
-        self.place = Some(self.gateway.gate.admit(account)?);
+        self.in_flight_guard = Some(self.gateway.in_flight.admit(account)?);
         Ok(())
     }
 
-    /// Notes what the request was decided to be.
+    /// Records the request's template and class, and creates its state machine.
     pub fn set_ticket(&mut self, ticket: &Ticket) {
         self.template = Some(Name::clone(&ticket.template));
         self.class = Some(ticket.class);
@@ -108,25 +108,25 @@
     ///
     /// # Panics
     ///
-    /// Before [`Session::set_ticket`].
+    /// If called before [`Session::set_ticket`].
     pub fn machine(&mut self) -> &mut RetryStateMachine {
-        self.machine.as_mut().expect("the request was decided")
+        self.machine.as_mut().expect("the ticket is set")
     }
 
-    /// Ends the request with a whole answer.
+    /// Ends the request with a complete response.
     pub fn finish(&mut self) {
         if let Some(machine) = &mut self.machine {
             machine.record_complete();
         }
-        self.record(None, "");
+        self.record_end(None, "");
     }
 
-    /// Ends the request without a whole answer.
+    /// Ends the request without a complete response.
     pub fn fail(&mut self, failure: &Failure) {
-        self.record(Some(failure.code), &failure.detail);
+        self.record_end(Some(failure.code), &failure.detail);
     }
 
-    /// Ends the request and makes the caller's answer of the problem.
+    /// Ends the request and returns the error response for its caller.
     pub fn reject(mut self, problem: &Problem) -> http::Response<Body> {
         self.fail(&problem.failure);
         let mut response = problem.respond(&self.id);
@@ -134,31 +134,31 @@
         response
     }
 
-    /// Ends the request whose caller went away.
+    /// Ends the request of a caller that disconnected; does nothing if it has ended.
     pub fn abandon(&mut self) {
         let code = match &mut self.machine {
             Some(machine) if machine.state() == RequestState::Answered => return,
             Some(machine) => machine.abandon(),
             None => Code::CallerGoneWaiting,
         };
-        self.record(Some(code), "the caller went away");
+        self.record_end(Some(code), "the caller went away");
     }
 
-    fn record(&mut self, code: Option<Code>, detail: &str) {
-        if !self.open {
+    fn record_end(&mut self, code: Option<Code>, detail: &str) {
+        if !self.is_open {
             return;
         }
-        self.open = false;
-        self.count(code);
-        self.log(code, detail);
-        self.place = None;
+        self.is_open = false;
+        self.count_end(code);
+        self.log_end(code, detail);
+        self.in_flight_guard = None;
     }
 
-    fn count(&self, code: Option<Code>) {
+    fn count_end(&self, code: Option<Code>) {
         let metrics = &self.gateway.parts.metrics;
         let class = self.class_name();
         let number = code.map(|code| code.number().to_string());
-        let label = number.as_deref().unwrap_or(WHOLE);
+        let label = number.as_deref().unwrap_or(COMPLETE_LABEL);
         metrics.requests.with_label_values(&[label, class]).inc();
         if let Some(code) = code {
             metrics
@@ -168,9 +168,9 @@
         }
     }
 
-    fn log(&self, code: Option<Code>, detail: &str) {
+    fn log_end(&self, code: Option<Code>, detail: &str) {
         let Some(code) = code else {
-            log::debug!("entry: {self} answered whole");
+            log::debug!("entry: {self} completed");
             return;
         };
         let fate = code.fate().name();
@@ -184,13 +184,13 @@
 
 impl std::fmt::Display for Session {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        let part = |name: &Option<Name>| name.clone().unwrap_or_else(|| "-".into());
+        let name_or_dash = |name: &Option<Name>| name.clone().unwrap_or_else(|| "-".into());
         write!(
             f,
             "request {} account {} template {}",
             self.id,
-            part(&self.account),
-            part(&self.template)
+            name_or_dash(&self.account),
+            name_or_dash(&self.template)
         )
     }
 }
