--- a/lib/src/entry/idempotency.rs
+++ b/lib/src/entry/idempotency.rs
@@ -1,4 +1,4 @@
-//! The caller's idempotency key, and what it stands for.
+//! Reads the caller's idempotency key, and identifies the request that it belongs to.
 
 use http::{HeaderMap, HeaderName};
 
@@ -7,31 +7,32 @@
 use crate::request::Ticket;
 use crate::runner::Work;
 
-/// The header that carries the key.
+/// Header that carries the key.
 const IDEMPOTENCY_KEY: HeaderName = HeaderName::from_static("idempotency-key");
 
-/// Longest key in bytes.
-const MAX_KEY: usize = 255;
+/// Maximum length of a key in bytes.
+const MAX_KEY_BYTES: usize = 255;
 
 /// Returns the request's key, if it has one.
 ///
 /// # Errors
 ///
-/// [`Code::BadRequest`] when there are several keys or it is empty or too long.
+/// [`Code::BadRequest`] if there are several keys, or the key is empty or too long.
 pub fn key(headers: &HeaderMap) -> Result<Option<&[u8]>, Failure> {
     let mut values = headers.get_all(IDEMPOTENCY_KEY).iter();
     let Some(value) = values.next() else {
         return Ok(None);
     };
     let key = value.as_bytes();
-    if values.next().is_some() || key.is_empty() || key.len() > MAX_KEY {
-        let detail = format!("{IDEMPOTENCY_KEY} must be there once, with 1 to {MAX_KEY} bytes");
+    if values.next().is_some() || key.is_empty() || key.len() > MAX_KEY_BYTES {
+        let detail =
+            format!("{IDEMPOTENCY_KEY} must be there once, with 1 to {MAX_KEY_BYTES} bytes");
         return Err(Failure::new(Code::BadRequest, detail));
     }
     Ok(Some(key))
 }
 
-/// Returns the digest by which a repetition is told from another request with the same key.
+/// Returns the digest that tells a retry from another request with the same key.
 #[must_use]
 pub fn digest(ticket: &Ticket, work: &Work) -> String {
     let template = ticket.template.as_bytes();
--- a/lib/src/entry/limits.rs
+++ b/lib/src/entry/limits.rs
@@ -1,56 +1,56 @@
-//! Bounds on what callers may use up, with the defaults that docs/callers.md gives.
+//! Limits on callers' use of resources. docs/callers.md lists the defaults.
 
 use crate::claim;
 use crate::clock::Millis;
 use crate::policy::placement;
 use crate::retry;
 
-/// Bounds of one node's entry.
+/// Limits of one node's entry.
 #[derive(Debug, Clone)]
 pub struct Limits {
-    /// Largest request head in bytes; the HTTP library takes no less than 8,192.
+    /// Maximum size of a request head in bytes; the HTTP library needs at least 8,192.
     pub head_bytes: usize,
-    /// Most headers of a request.
+    /// Maximum number of headers of a request.
     pub headers: usize,
-    /// Largest request body in bytes where the template sets none.
+    /// Maximum size of a request body in bytes where the template sets none.
     pub body_bytes: usize,
-    /// Largest request body in bytes that a template can allow.
+    /// Upper bound in bytes on the maximum body size that a template sets.
     pub max_body_bytes: usize,
-    /// Largest answer in bytes that is held back until it is whole.
+    /// Maximum size in bytes of a response that is buffered until it is complete.
     pub max_response_bytes: usize,
-    /// Largest event of a stream in bytes.
+    /// Maximum size of a stream's event in bytes.
     pub max_event_bytes: usize,
-    /// Bytes of bodies and held-back answers of all requests together.
+    /// Maximum number of bytes of request bodies and buffered responses, all requests together.
     pub max_buffered_bytes: usize,
-    /// Most connections.
+    /// Maximum number of connections.
     pub connections: usize,
-    /// Most requests in progress.
+    /// Maximum number of requests in progress.
     pub in_flight: usize,
-    /// Most requests in progress on one HTTP/2 connection.
+    /// Maximum number of concurrent streams of an HTTP/2 connection.
     pub streams: u32,
-    /// Longest time until a request's head is whole.
+    /// Timeout for receiving a request's complete head.
     pub head_timeout: Millis,
-    /// Longest time from a request's head until its body is whole.
+    /// Timeout for receiving a request's complete body after its head.
     pub body_timeout: Millis,
-    /// Longest time that a connection stays open without a request.
+    /// Time after which a connection without a request is closed.
     pub idle_timeout: Millis,
-    /// Longest time that a caller takes nothing of what is sent.
+    /// Maximum time for which a caller may read nothing of what is sent.
     pub write_timeout: Millis,
-    /// Time to a whole answer where the template sets none.
+    /// Time allowed for the complete response where the template sets none.
     pub default_deadline: Millis,
-    /// Longest deadline of a template that is heeded.
+    /// Upper bound on the deadline that a template sets.
     pub max_deadline: Millis,
-    /// Most tokens of an answer where the template sets none.
+    /// Maximum number of output tokens where the template sets none.
     pub default_output_tokens: u32,
-    /// Longest wait for an upstream to become usable.
+    /// Maximum time a request waits for a usable upstream, or for the configuration to be updated.
     pub upstream_wait: Millis,
-    /// How upstreams are ordered.
+    /// Limits of placement.
     pub placement: placement::Limits,
-    /// Retries for each hundred first tries.
+    /// Retry budget: retries per hundred first tries.
     pub retry_percent: u32,
-    /// Tries of one request.
+    /// Limits on the tries of one request.
     pub retry_policy: retry::RetryPolicy,
-    /// How claims on idempotency keys are written and kept.
+    /// Limits of claims on idempotency keys.
     pub claims: claim::Limits,
 }
 
--- a/lib/src/entry/mod.rs
+++ b/lib/src/entry/mod.rs
@@ -1,7 +1,7 @@
-//! Where callers come in: HTTP, keys, limits, dispatch and the way back.
+//! Callers' entry: HTTP server, authentication, limits, dispatch and responses.
 //!
-//! docs/callers.md is the callers' side of this module; docs/errors.md lists
-//! the codes; docs/design/0003-outcomes.md says how each request ends.
+//! docs/callers.md describes this module for callers, docs/errors.md lists the error codes, and
+//! docs/design/0003-outcomes.md specifies how each request ends.
 
 mod admission;
 mod answer;
@@ -39,31 +39,31 @@
 use crate::ports::{Lease, Store};
 use crate::runner::Reach;
 
-/// What the entry needs of the node's other parts.
+/// The parts of the node that the entry depends on.
 #[derive(Debug)]
 pub struct Dependencies {
     /// The configuration in force.
     pub view: watch::Receiver<Arc<View>>,
     /// Upstreams and their owners.
     pub fleet: watch::Receiver<Arc<Fleet>>,
-    /// Runners of the owners.
+    /// Returns the runner for an upstream's owner.
     pub reach: Arc<dyn Reach>,
     /// Holds the claims on idempotency keys.
     pub store: Arc<dyn Store>,
-    /// Bounds how long the claims are kept.
+    /// Grants the leases that bound how long the claims are kept.
     pub lease: Arc<dyn Lease>,
     /// Prefix of all keys of this deployment.
     pub prefix: Name,
-    /// What is known of requests that end upstreams.
+    /// Quarantine of requests that crash upstreams.
     pub quarantine: Arc<Quarantine>,
-    /// This node's name, for the marks of its claims.
+    /// This node's name, which is recorded in its claims.
     pub node: Name,
     /// The node's clock.
     pub clock: Arc<dyn Clock>,
     /// The node's metrics.
     pub metrics: Arc<Metrics>,
-    /// Bounds on what callers may use up.
+    /// Limits on callers' use of resources.
     pub limits: Limits,
-    /// Seed of the jitter of pauses.
+    /// Seed of the jitter of backoffs and of placement.
     pub seed: u64,
 }
