--- a/lib/src/entry/quarantine.rs
+++ b/lib/src/entry/quarantine.rs
@@ -1,10 +1,10 @@
-//! Which requests aren't sent any more, as upstreams ended under them.
+//! Quarantine of requests that crash upstreams.
 //!
-//! An entry node knows which of its requests stood at an upstream whose connection broke. The
-//! picture of the fleet tells whether the upstream ended: it is held out, or gone without having
-//! left. Where its owner is another node, that node's report tells. What reports add up to is
-//! [`ledger`](crate::poison::ledger)'s; they spread from node to node with everything else that
-//! nodes tell each other. See docs/design/0011-poison-requests.md.
+//! An entry node knows which of its requests were at an upstream whose connection broke. Whether
+//! the upstream crashed shows in the fleet, in which it is suspended or missing without having
+//! left, or in the report of another node, such as its owner. Nodes spread reports by gossip;
+//! [`ledger`](crate::poison::ledger) determines from them which requests are blamed. See
+//! docs/design/0011-poison-requests.md.
 
 mod gossip_state;
 
@@ -23,62 +23,63 @@
 use crate::poison::harmless::HarmlessRequests;
 use crate::poison::ledger::{CrashLedger, CrashReport, REPORT_TTL, Suspect, Suspicion};
 
-/// How long after a connection broke an end of its upstream explains that.
+/// Maximum time between a broken connection and a crash that explains it.
 ///
-/// An owner notices within a report's period, and another node hears of it within some exchanges.
-const WATCHED: Millis = Millis(5_000);
+/// An owner notices a crash within its report interval, and other nodes learn of it within a few
+/// gossip exchanges.
+const CRASH_WINDOW: Millis = Millis(5_000);
 
-/// How long a run has to go on behind its first piece until it counts as survived.
+/// How long a run has to go on after its first chunk until it counts as harmless.
 pub const HARMLESS_AFTER: Millis = Millis(300);
 
-/// Ends that speak against a request from which on its survival is told to all nodes.
-const CLEARED_FROM: usize = 2;
+/// Number of crashes from which on all nodes are told that a suspect request ran without a crash.
+const MIN_CRASHES_TO_CLEAR: usize = 2;
 
-/// Requests lost at one upstream that are remembered while its end may show: several batches.
-const MOST_LOST: usize = 256;
+/// Number of suspects that are kept for one upstream while a crash may show: several batches.
+const MAX_PENDING_SUSPECTS: usize = 256;
 
-/// A request whose connection broke.
+/// A request whose connection broke, at an upstream that may have crashed.
 #[derive(Debug)]
-struct Loss {
+struct PendingSuspect {
     suspect: Suspect,
     since: Millis,
 }
 
-/// The last end of an upstream that is known.
+/// The last known crash of an upstream.
 #[derive(Debug)]
-struct End {
+struct Crash {
     name: Name,
     since: Millis,
-    sight: Sight,
+    evidence: Evidence,
 }
 
-/// How this node knows of an end.
+/// How this node knows of a crash.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Sight {
-    /// Another node told of it.
-    Heard,
-    /// This node's picture of the fleet shows it.
-    Seen,
-    /// The upstream is back.
-    Over,
+enum Evidence {
+    /// Another node reported it.
+    Reported,
+    /// This node's view of the fleet shows it.
+    Observed,
+    /// The upstream is usable again.
+    Recovered,
 }
 
-impl End {
-    /// Whether the upstream is down, so that what shows its end shows this one.
-    fn lasts(&self, now: Millis) -> bool {
-        match self.sight {
-            Sight::Heard => now.since(self.since) < WATCHED,
-            Sight::Seen => true,
-            Sight::Over => false,
+impl Crash {
+    /// Whether the upstream may still be down, so that further signs of a crash belong to this one.
+    fn may_be_down(&self, now: Millis) -> bool {
+        match self.evidence {
+            Evidence::Reported => now.since(self.since) < CRASH_WINDOW,
+            Evidence::Observed => true,
+            Evidence::Recovered => false,
         }
     }
 }
 
-/// A report, as it is told to other nodes.
+/// A node's report of one crash, as it spreads by gossip.
 #[derive(Debug, Clone)]
-struct Told {
+struct GossipReport {
     upstream: Name,
-    end: Name,
+    crash: Name,
     node: Name,
     since: Millis,
     suspects: Vec<Suspect>,
@@ -88,27 +89,27 @@
 struct State {
     ledger: CrashLedger,
     harmless: HarmlessRequests,
-    lost: HashMap<Name, Vec<Loss>>,
-    ends: HashMap<Name, End>,
-    told: BTreeMap<Name, Told>,
-    /// Requests cleared by a survival, with its time.
+    pending: HashMap<Name, Vec<PendingSuspect>>,
+    crashes: HashMap<Name, Crash>,
+    reports: BTreeMap<Name, GossipReport>,
+    /// Requests that were cleared because they ran without a crash, with the time of that run.
     cleared: HashMap<Fingerprint, Millis>,
-    /// Ends that this node saw first.
-    count: u64,
+    /// Number of crashes that this node named.
+    named_crashes: u64,
 }
 
-/// What an entry node knows of requests that end upstreams.
+/// Decides which requests may be sent, and reports this node's requests at crashed upstreams.
 #[derive(Debug)]
 pub struct Quarantine {
     node: Name,
     clock: Arc<dyn Clock>,
     metrics: Arc<Metrics>,
     state: Mutex<State>,
-    news: watch::Sender<u64>,
+    changes: watch::Sender<u64>,
 }
 
 impl Quarantine {
-    /// Makes a quarantine in which nothing is known; `node` is unlike that of any other start.
+    /// Creates a quarantine without any suspects; `node` must be unique to this start of the node.
     #[must_use]
     pub fn new(node: Name, clock: Arc<dyn Clock>, metrics: Arc<Metrics>) -> Self {
         Self {
@@ -116,17 +117,17 @@
             clock,
             metrics,
             state: Mutex::default(),
-            news: watch::Sender::new(0),
+            changes: watch::Sender::new(0),
         }
     }
 
-    /// Changes when there is something to tell other nodes.
+    /// Returns a channel that changes when there is something to send to other nodes.
     #[must_use]
     pub fn changes(&self) -> watch::Receiver<u64> {
-        self.news.subscribe()
+        self.changes.subscribe()
     }
 
-    /// Follows the fleet until its sender is gone.
+    /// Observes every change of the fleet until its sender is dropped.
     pub async fn follow(self: Arc<Self>, mut fleet: watch::Receiver<Arc<Fleet>>) {
         loop {
             let current = Arc::clone(&fleet.borrow_and_update());
@@ -137,37 +138,38 @@
         }
     }
 
-    /// Whether a request may be sent to an upstream.
+    /// Checks that a request may be sent to an upstream.
     ///
     /// # Errors
     ///
-    /// [`Code::Quarantined`] when upstreams ended under it.
+    /// [`Code::Quarantined`] if the request is blamed for crashes of upstreams.
     pub fn check(&self, request: &Fingerprint) -> Result<(), Failure> {
         let now = self.clock.now();
         let mut state = self.state();
-        let Some(ends) = state.ledger.blamed_crashes(request, now) else {
+        let Some(crash_count) = state.ledger.blamed_crashes(request, now) else {
             return Ok(());
         };
         if state.harmless.contains(request, now) {
             self.clear(&mut state, request, now);
             return Ok(());
         }
-        let detail = format!("{ends} upstreams ended as they began to run this request");
+        let detail = format!("{crash_count} upstreams ended as they began to run this request");
         Err(Failure::new(Code::Quarantined, detail).retry_after(REPORT_TTL))
     }
 
-    /// Takes in that an upstream ran a request without harm.
+    /// Records that an upstream ran a request without crashing.
     pub fn record_harmless_run(&self, request: &Fingerprint) {
         let now = self.clock.now();
         let mut state = self.state();
         state.harmless.insert(request.clone(), now);
-        // One more end alone blames nobody, and each survival that is told is bytes at all nodes.
-        if state.ledger.crash_count(request, now) >= CLEARED_FROM {
+        // With fewer crashes, one more wouldn't blame the request, and each record that is sent
+        // costs traffic at all nodes.
+        if state.ledger.crash_count(request, now) >= MIN_CRASHES_TO_CLEAR {
             self.clear(&mut state, request, now);
         }
     }
 
-    /// Takes in that the connection to an upstream broke while a request stood there.
+    /// Records that a request's connection to an upstream broke.
     pub fn record_broken_connection(
         &self,
         fleet: &Fleet,
@@ -177,7 +179,7 @@
     ) {
         let now = self.clock.now();
         let mut state = self.state();
-        // One that leaves in order ends with whatever still runs there.
+        // An upstream that shuts down as planned cuts off whatever still runs there.
         let is_leaving =
             usability(fleet, upstream).is_none_or(|usable| usable == Usability::Leaving);
         if is_leaving || state.harmless.contains(request, now) {
@@ -191,125 +193,131 @@
             suspect = request.as_str(),
             upstream = &**upstream,
             sign = suspicion.name();
-            "entry: an upstream broke under a request"
+            "entry: connection to the upstream broke"
         );
-        let losses = state.lost.entry(Name::clone(upstream)).or_default();
-        losses.retain(|loss| now.since(loss.since) < WATCHED);
-        if losses.len() < MOST_LOST {
-            losses.push(Loss {
+        let pending_suspects = state.pending.entry(Name::clone(upstream)).or_default();
+        pending_suspects.retain(|suspect| now.since(suspect.since) < CRASH_WINDOW);
+        if pending_suspects.len() < MAX_PENDING_SUSPECTS {
+            pending_suspects.push(PendingSuspect {
                 suspect,
                 since: now,
             });
         }
-        let end = state.ends.get(upstream);
-        if end.is_some_and(|end| end.lasts(now)) {
-            self.conclude(&mut state, upstream, now);
+        let crash = state.crashes.get(upstream);
+        if crash.is_some_and(|crash| crash.may_be_down(now)) {
+            self.report_crash(&mut state, upstream, now);
         }
     }
 
-    /// Takes in a picture of the fleet: which upstreams ended, and which are back.
+    /// Updates which upstreams crashed, and which are usable again, from the fleet.
     fn observe(&self, fleet: &Fleet) {
         let now = self.clock.now();
         let mut state = self.state();
         for upstream in fleet.upstreams() {
             let name = &upstream.vm.name;
             match upstream.state {
-                Usability::Suspended => self.ended(&mut state, name, now),
+                Usability::Suspended => self.record_crash(&mut state, name, now),
                 Usability::Usable => {
-                    if let Some(end) = state.ends.get_mut(name)
-                        && end.sight == Sight::Seen
+                    if let Some(crash) = state.crashes.get_mut(name)
+                        && crash.evidence == Evidence::Observed
                     {
-                        end.sight = Sight::Over;
+                        crash.evidence = Evidence::Recovered;
                     }
                 }
                 Usability::Leaving => {
-                    state.lost.remove(name);
+                    state.pending.remove(name);
                 }
             }
         }
         let is_gone = |name: &&Name| usability(fleet, name).is_none();
-        let gone: Vec<Name> = state.lost.keys().filter(is_gone).cloned().collect();
+        let gone: Vec<Name> = state.pending.keys().filter(is_gone).cloned().collect();
         for name in gone {
-            self.ended(&mut state, &name, now);
+            self.record_crash(&mut state, &name, now);
         }
     }
 
-    /// Takes in that an upstream ended, unless that is known.
-    fn ended(&self, state: &mut State, upstream: &Name, now: Millis) {
-        let known = state.ends.get_mut(upstream);
-        match known.filter(|end| end.lasts(now)) {
-            Some(end) => end.sight = Sight::Seen,
-            None => self.name_end(state, upstream, now),
+    /// Records that an upstream crashed, unless that crash is already known.
+    fn record_crash(&self, state: &mut State, upstream: &Name, now: Millis) {
+        let known = state.crashes.get_mut(upstream);
+        match known.filter(|crash| crash.may_be_down(now)) {
+            Some(crash) => crash.evidence = Evidence::Observed,
+            None => self.name_new_crash(state, upstream, now),
         }
-        self.conclude(state, upstream, now);
+        self.report_crash(state, upstream, now);
     }
 
-    /// Names an end that this node is the first to see.
-    fn name_end(&self, state: &mut State, upstream: &Name, now: Millis) {
-        state.count += 1;
-        let name = format!("{upstream}/{}/{}", self.node, state.count);
-        let end = End {
+    /// Names a crash that no other node has reported yet.
+    fn name_new_crash(&self, state: &mut State, upstream: &Name, now: Millis) {
+        state.named_crashes += 1;
+        let name = format!("{upstream}/{}/{}", self.node, state.named_crashes);
+        let crash = Crash {
             name: name.into(),
             since: now,
-            sight: Sight::Seen,
+            evidence: Evidence::Observed,
         };
-        state.ends.insert(Name::clone(upstream), end);
+        state.crashes.insert(Name::clone(upstream), crash);
         self.metrics.upstream_ends.inc();
     }
 
-    /// Reports this node's requests at an upstream's last end.
-    fn conclude(&self, state: &mut State, upstream: &Name, now: Millis) {
-        let Some(end) = state.ends.get(upstream) else {
+    /// Reports this node's requests at the upstream's last crash.
+    fn report_crash(&self, state: &mut State, upstream: &Name, now: Millis) {
+        let Some(crash) = state.crashes.get(upstream) else {
             return;
         };
-        let losses = state.lost.remove(upstream).unwrap_or_default();
-        let near = |loss: &Loss| {
-            let apart = loss.since.max(end.since).since(loss.since.min(end.since));
-            apart < WATCHED
+        let pending_suspects = state.pending.remove(upstream).unwrap_or_default();
+        let is_near = |pending: &PendingSuspect| {
+            let gap = pending
+                .since
+                .max(crash.since)
+                .since(pending.since.min(crash.since));
+            gap < CRASH_WINDOW
         };
-        let suspects = losses.into_iter().filter(near).map(|loss| loss.suspect);
-        let told = Told {
+        let suspects = pending_suspects
+            .into_iter()
+            .filter(is_near)
+            .map(|pending| pending.suspect);
+        let report = GossipReport {
             upstream: Name::clone(upstream),
-            end: Name::clone(&end.name),
+            crash: Name::clone(&crash.name),
             node: Name::clone(&self.node),
-            since: end.since,
+            since: crash.since,
             suspects: suspects.collect(),
         };
-        self.report(state, told, now);
+        self.add_report(state, report, now);
     }
 
-    /// Takes in a report of this node or another one; true if it was news.
-    fn report(&self, state: &mut State, mut told: Told, now: Millis) -> bool {
-        let name = Name::from(format!("{}/{}", told.end, told.node));
+    /// Adds a report of this or another node; returns whether it contained anything new.
+    fn add_report(&self, state: &mut State, mut report: GossipReport, now: Millis) -> bool {
+        let name = Name::from(format!("{}/{}", report.crash, report.node));
         let known: Vec<Suspect> = state.ledger.suspects_in(&name).cloned().collect();
-        let was_known = state.told.contains_key(&name);
-        let suspects = std::mem::take(&mut told.suspects);
+        let was_known = state.reports.contains_key(&name);
+        let suspects = std::mem::take(&mut report.suspects);
         let all = known.iter().cloned().chain(suspects);
-        let report = CrashReport::new(Name::clone(&told.end), all);
-        if was_known && report.suspects == known {
+        let merged = CrashReport::new(Name::clone(&report.crash), all);
+        if was_known && merged.suspects == known {
             return false;
         }
-        told.suspects.clone_from(&report.suspects);
+        report.suspects.clone_from(&merged.suspects);
         state
             .ledger
-            .add_report(Name::clone(&name), report, None, now);
-        for Suspect { request, .. } in &told.suspects {
-            if let Some(ends) = state.ledger.blamed_crashes(request, now) {
-                log::warn!(suspect = request.as_str(), ends = ends; "entry: a request is no longer sent");
+            .add_report(Name::clone(&name), merged, None, now);
+        for Suspect { request, .. } in &report.suspects {
+            if let Some(crash_count) = state.ledger.blamed_crashes(request, now) {
+                log::warn!(suspect = request.as_str(), ends = crash_count; "entry: request is no longer sent");
             }
         }
         state
-            .told
+            .reports
             .retain(|_, one| now.since(one.since) < REPORT_TTL);
-        state.told.insert(name, told);
-        self.news.send_modify(|version| *version += 1);
+        state.reports.insert(name, report);
+        self.changes.send_modify(|version| *version += 1);
         true
     }
 
     fn clear(&self, state: &mut State, request: &Fingerprint, now: Millis) {
-        log::info!(suspect = request.as_str(); "entry: a suspect request survived");
+        log::info!(suspect = request.as_str(); "entry: suspect request ran without a crash");
         state.clear(request, now);
-        self.news.send_modify(|version| *version += 1);
+        self.changes.send_modify(|version| *version += 1);
     }
 
     fn state(&self) -> MutexGuard<'_, State> {
@@ -318,14 +326,16 @@
 }
 
 impl State {
-    /// Takes in that a request survived at `since`: reports from before count no more.
+    /// Clears a request that ran without a crash at `since`, so that earlier reports don't count.
     fn clear(&mut self, request: &Fingerprint, since: Millis) {
         self.cleared.retain(|_, at| since.since(*at) < REPORT_TTL);
         let known = self.cleared.entry(request.clone()).or_default();
         *known = since.max(*known);
         self.ledger.clear(request, None);
-        for told in self.told.values_mut() {
-            told.suspects.retain(|suspect| suspect.request != *request);
+        for report in self.reports.values_mut() {
+            report
+                .suspects
+                .retain(|suspect| suspect.request != *request);
         }
     }
 }
--- a/lib/src/entry/quarantine/gossip_state.rs
+++ b/lib/src/entry/quarantine/gossip_state.rs
@@ -1,10 +1,10 @@
-//! Reports of upstreams' ends, from node to node.
+//! Spreads crash reports between nodes by gossip.
 
 use std::collections::HashSet;
 
 use xxhash_rust::xxh3::xxh3_64;
 
-use super::{End, Quarantine, REPORT_TTL, Sight, State, Told};
+use super::{Crash, Evidence, GossipReport, Quarantine, REPORT_TTL, State};
 use crate::clock::Millis;
 use crate::gossip::GossipState;
 use crate::name::Name;
@@ -12,28 +12,31 @@
 use crate::poison::ledger::{Suspect, Suspicion};
 use crate::schema::peer::{self, Delta, Digest};
 
-/// Reports that are told: the newest, two kilobytes of hashes in an exchange.
-const MOST_TOLD: usize = 256;
+/// Number of crash reports that are spread, newest first: 2 KiB of hashes in an exchange.
+const MAX_SPREAD_REPORTS: usize = 256;
 
-/// Survivors that are told, the newest first.
-const MOST_CLEARED: usize = 64;
+/// Number of cleared requests that are spread, newest first.
+const MAX_SPREAD_CLEARED: usize = 64;
 
 impl GossipState for Quarantine {
     fn fill_digest(&self, digest: &mut Digest) {
         let now = self.clock.now();
         let state = self.state();
-        digest.known_ends = newest(&state).into_iter().map(hash).collect();
+        digest.known_ends = newest_reports(&state)
+            .into_iter()
+            .map(report_hash)
+            .collect();
         let mut survivors: Vec<peer::Survivor> = state
             .cleared
             .iter()
             .map(|(request, at)| peer::Survivor {
                 request: request.to_string(),
-                age_ms: age(now, *at),
+                age_ms: age_ms(now, *at),
             })
             .collect();
         survivors
             .sort_by(|one, other| (one.age_ms, &one.request).cmp(&(other.age_ms, &other.request)));
-        survivors.truncate(MOST_CLEARED);
+        survivors.truncate(MAX_SPREAD_CLEARED);
         digest.survivors = survivors;
     }
 
@@ -41,74 +44,74 @@
         let now = self.clock.now();
         let known: HashSet<u64> = theirs.known_ends.iter().copied().collect();
         let state = self.state();
-        let lacking = newest(&state).into_iter();
-        delta.ends = lacking
-            .filter(|told| !known.contains(&hash(told)))
-            .map(|told| message(told, now))
+        let missing = newest_reports(&state).into_iter();
+        delta.ends = missing
+            .filter(|report| !known.contains(&report_hash(report)))
+            .map(|report| to_wire(report, now))
             .collect();
     }
 
     fn merge_delta(&self, delta: &Delta) -> bool {
         let now = self.clock.now();
         let mut state = self.state();
-        let mut is_news = false;
+        let mut has_changed = false;
         let survivors = delta.digest.iter().flat_map(|digest| &digest.survivors);
         for survivor in survivors {
-            is_news |= learn_survivor(&mut state, survivor, now);
+            has_changed |= merge_survivor(&mut state, survivor, now);
         }
-        for report in &delta.ends {
-            is_news |= self.learn_end(&mut state, report, now);
+        for message in &delta.ends {
+            has_changed |= self.merge_report(&mut state, message, now);
         }
-        is_news
+        has_changed
     }
 }
 
 impl Quarantine {
-    /// Takes in another node's report, and adds this node's requests at the same end.
-    fn learn_end(&self, state: &mut State, report: &peer::EndReport, now: Millis) -> bool {
-        let since = now.since(Millis(u64::from(report.age_ms)));
-        if report.node == *self.node || now.since(since) >= REPORT_TTL {
+    /// Merges another node's crash report, and reports this node's requests at the same crash.
+    fn merge_report(&self, state: &mut State, message: &peer::EndReport, now: Millis) -> bool {
+        let since = now.since(Millis(u64::from(message.age_ms)));
+        if message.node == *self.node || now.since(since) >= REPORT_TTL {
             return false;
         }
-        let upstream = Name::from(report.upstream.as_str());
+        let upstream = Name::from(message.upstream.as_str());
         let cleared = &state.cleared;
-        let counts = |suspect: &Suspect| {
+        let is_not_cleared = |suspect: &Suspect| {
             let cleared = cleared.get(&suspect.request);
             cleared.is_none_or(|cleared| since > *cleared)
         };
-        let told = Told {
+        let report = GossipReport {
             upstream: Name::clone(&upstream),
-            end: report.end.as_str().into(),
-            node: report.node.as_str().into(),
+            crash: message.end.as_str().into(),
+            node: message.node.as_str().into(),
             since,
-            suspects: report
+            suspects: message
                 .suspects
                 .iter()
-                .filter_map(suspect)
-                .filter(counts)
+                .filter_map(suspect_from_wire)
+                .filter(is_not_cleared)
                 .collect(),
         };
-        let end = Name::clone(&told.end);
-        if !self.report(state, told, now) {
+        let name = Name::clone(&report.crash);
+        if !self.add_report(state, report, now) {
             return false;
         }
-        let known = state.ends.get(&upstream);
-        if known.is_none_or(|known| since > known.since && !known.lasts(now)) {
-            let end = End {
-                name: end,
+        let known = state.crashes.get(&upstream);
+        if known.is_none_or(|known| since > known.since && !known.may_be_down(now)) {
+            let crash = Crash {
+                name,
                 since,
-                sight: Sight::Heard,
+                evidence: Evidence::Reported,
             };
-            state.ends.insert(Name::clone(&upstream), end);
+            state.crashes.insert(Name::clone(&upstream), crash);
         }
-        if state.lost.contains_key(&upstream) {
-            self.conclude(state, &upstream, now);
+        if state.pending.contains_key(&upstream) {
+            self.report_crash(state, &upstream, now);
         }
         true
     }
 }
 
-fn learn_survivor(state: &mut State, survivor: &peer::Survivor, now: Millis) -> bool {
+fn merge_survivor(state: &mut State, survivor: &peer::Survivor, now: Millis) -> bool {
     let Some(request) = Fingerprint::read(&survivor.request) else {
         return false;
     };
@@ -120,29 +123,29 @@
     true
 }
 
-fn newest(state: &State) -> Vec<&Told> {
-    let mut told: Vec<&Told> = state.told.values().collect();
-    told.sort_by_key(|one| std::cmp::Reverse(one.since));
-    told.truncate(MOST_TOLD);
-    told
+fn newest_reports(state: &State) -> Vec<&GossipReport> {
+    let mut reports: Vec<&GossipReport> = state.reports.values().collect();
+    reports.sort_by_key(|report| std::cmp::Reverse(report.since));
+    reports.truncate(MAX_SPREAD_REPORTS);
+    reports
 }
 
-fn hash(told: &Told) -> u64 {
-    let mut text = format!("{}/{}", told.end, told.node);
-    for suspect in &told.suspects {
+fn report_hash(report: &GossipReport) -> u64 {
+    let mut text = format!("{}/{}", report.crash, report.node);
+    for suspect in &report.suspects {
         text.push_str(suspect.request.as_str());
         text.push_str(suspect.suspicion.name());
     }
     xxh3_64(text.as_bytes())
 }
 
-fn message(told: &Told, now: Millis) -> peer::EndReport {
-    let suspects = told.suspects.iter();
+fn to_wire(report: &GossipReport, now: Millis) -> peer::EndReport {
+    let suspects = report.suspects.iter();
     peer::EndReport {
-        upstream: told.upstream.to_string(),
-        end: told.end.to_string(),
-        node: told.node.to_string(),
-        age_ms: age(now, told.since),
+        upstream: report.upstream.to_string(),
+        end: report.crash.to_string(),
+        node: report.node.to_string(),
+        age_ms: age_ms(now, report.since),
         suspects: suspects
             .map(|suspect| peer::Suspect {
                 request: suspect.request.to_string(),
@@ -152,7 +155,7 @@
     }
 }
 
-fn suspect(message: &peer::Suspect) -> Option<Suspect> {
+fn suspect_from_wire(message: &peer::Suspect) -> Option<Suspect> {
     let suspicion = if message.begun {
         Suspicion::Begun
     } else {
@@ -162,6 +165,6 @@
     Some(Suspect { request, suspicion })
 }
 
-fn age(now: Millis, at: Millis) -> u32 {
+fn age_ms(now: Millis, at: Millis) -> u32 {
     u32::try_from(now.since(at).0).unwrap_or(u32::MAX)
 }
