--- a/lib/tests/entry_support/mod.rs
+++ b/lib/tests/entry_support/mod.rs
@@ -1,6 +1,6 @@
-//! A node's entry on loopback, before upstreams that follow a script.
+//! A node's entry on loopback, with scripted upstreams.
 
-#![allow(dead_code, unused_imports, reason = "each test uses a part of it")]
+#![allow(dead_code, unused_imports, reason = "each test uses only some of it")]
 
 use std::collections::{HashMap, VecDeque};
 use std::net::SocketAddr;
@@ -31,9 +31,9 @@
 
 mod store;
 
-pub use store::{Fault, Memory};
+pub use store::{Fault, MemoryStore};
 
-/// How a scripted answer ends.
+/// How a scripted response ends.
 #[derive(Debug, Clone)]
 pub enum Ending {
     Whole,
@@ -41,11 +41,11 @@
     Silent,
     /// Reading it panics.
     Panic,
-    /// More pieces once the test says so, and then whole.
+    /// Once notified, sends more chunks and completes.
     Later(Arc<Notify>, Vec<String>),
 }
 
-/// What a scripted try does.
+/// What a scripted attempt does.
 #[derive(Debug, Clone)]
 pub enum Step {
     Fail(Failure),
@@ -68,19 +68,19 @@
     Step::Answer(200, head, pieces.collect(), ending)
 }
 
-/// Upstreams that do what the script says, and note what they got.
+/// Upstreams that follow the script and record the attempts that they receive.
 #[derive(Debug, Default)]
 pub struct Script {
     steps: Mutex<VecDeque<Step>>,
     pub runs: Mutex<Vec<Attempt>>,
-    /// Tries and answers that nobody has ended or dropped.
+    /// Number of attempts and responses that have neither ended nor been dropped.
     open: Arc<AtomicUsize>,
 }
 
 /// Counts as open until it is dropped.
-struct Open(Arc<AtomicUsize>);
+struct OpenGuard(Arc<AtomicUsize>);
 
-impl Drop for Open {
+impl Drop for OpenGuard {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::SeqCst);
     }
@@ -91,13 +91,13 @@
         self.steps.lock().unwrap().push_back(step);
     }
 
-    /// Says what each try got: upstream, number, and body or call.
+    /// Describes each attempt: upstream, number, and body or call.
     pub fn story(&self) -> Vec<String> {
         let runs = self.runs.lock().unwrap();
-        runs.iter().map(told).collect()
+        runs.iter().map(describe).collect()
     }
 
-    /// Waits until all tries and answers have ended or were dropped.
+    /// Waits until all attempts and responses have ended or been dropped.
     pub async fn closed(&self) {
         eventually(|| self.open.load(Ordering::SeqCst) == 0).await;
     }
@@ -107,7 +107,7 @@
     }
 }
 
-fn told(run: &Attempt) -> String {
+fn describe(run: &Attempt) -> String {
     let what = match &run.work {
         Work::Completion { path, body, stream } => {
             format!("{path} stream={stream} {}", String::from_utf8_lossy(body))
@@ -125,7 +125,7 @@
     async fn run(&self, attempt: Attempt) -> Result<Answer, Failure> {
         self.runs.lock().unwrap().push(attempt);
         self.open.fetch_add(1, Ordering::SeqCst);
-        let open = Open(Arc::clone(&self.open));
+        let open = OpenGuard(Arc::clone(&self.open));
         let step = self.steps.lock().unwrap().pop_front();
         match step.unwrap_or_else(|| json("{}")) {
             Step::Fail(failure) => Err(failure),
@@ -176,7 +176,7 @@
     }
 }
 
-/// Waits until something holds; fails when it doesn't come to hold at all.
+/// Waits until a condition holds; panics after 20,000 checks, 1 ms apart.
 pub async fn eventually(holds: impl Fn() -> bool) {
     for _ in 0..20_000 {
         if holds() {
@@ -184,14 +184,14 @@
         }
         tokio::time::sleep(Millis(1).duration()).await;
     }
-    panic!("it never came to hold");
+    panic!("the condition never held");
 }
 
-/// A node's entry, and what stands around it.
+/// A node's entry and its dependencies.
 pub struct World {
     pub address: SocketAddr,
     pub script: Arc<Script>,
-    pub store: Arc<Memory>,
+    pub store: Arc<MemoryStore>,
     pub metrics: Arc<Metrics>,
     pub view: watch::Sender<Arc<View>>,
     pub fleet: watch::Sender<Arc<Fleet>>,
@@ -203,7 +203,7 @@
     world_with(limits(), Arc::default(), Arc::default()).await
 }
 
-/// Limits for tests: no pauses between tries that a test would wait for.
+/// Limits for tests, with short backoffs and waits.
 pub fn limits() -> Limits {
     let mut limits = Limits::default();
     limits.retry_policy.backoff.base = Millis(2);
@@ -212,7 +212,7 @@
     limits
 }
 
-pub async fn world_with(limits: Limits, script: Arc<Script>, store: Arc<Memory>) -> World {
+pub async fn world_with(limits: Limits, script: Arc<Script>, store: Arc<MemoryStore>) -> World {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     let metrics = Arc::new(Metrics::new());
@@ -248,12 +248,12 @@
     }
 }
 
-/// Two accounts; `shop` has an engine's template, a push and a lookup, `works` has its own.
+/// Two accounts: `shop` with two templates for engines and two for services, and `works` with one.
 pub fn declared() -> View {
     declared_with(3, "v1")
 }
 
-/// The next revision, in which all adapters have another version.
+/// The next revision, in which all adapters have the given version.
 pub fn declared_again(version: &str) -> View {
     declared_with(4, version)
 }
@@ -330,8 +330,8 @@
     fleet(State::Usable)
 }
 
-/// The same, all of which failed of late.
-pub fn three_held() -> Fleet {
+/// The same upstreams, all suspended after failures.
+pub fn three_suspended() -> Fleet {
     fleet(State::Suspended)
 }
 
@@ -372,37 +372,37 @@
 }
 
 impl World {
-    /// Sends text as it stands, and returns everything that comes until the connection closes.
+    /// Sends the text unchanged and returns everything received until the connection closes.
     pub async fn raw(&self, text: &str) -> String {
         let mut stream = TcpStream::connect(self.address).await.unwrap();
-        // A refusal may come, and the connection close, before all is written.
+        // The node may reject the request and close the connection before everything is written.
         let _ = stream.write_all(text.as_bytes()).await;
         let mut answer = Vec::new();
         let _ = stream.read_to_end(&mut answer).await;
         String::from_utf8_lossy(&answer).into_owned()
     }
 
-    /// Sends a request with the shop's key on a connection of its own.
+    /// Sends a request with the key of `shop` on a new connection.
     pub async fn send(&self, line: &str, headers: &[&str], body: &str) -> String {
         let mut all = vec!["authorization: Bearer shop-key"];
         all.extend(headers);
         self.raw(&request(line, &all, body)).await
     }
 
-    /// Asks for a completion of a template.
+    /// Requests a chat completion from a template.
     pub async fn chat(&self, template: &str, more: &str) -> String {
         let body = format!(r#"{{"model":"{template}","messages":[]{more}}}"#);
         self.send("POST /v1/chat/completions", &[], &body).await
     }
 
-    /// Returns the version of its adapter that the last try named.
+    /// Returns the adapter version of the last attempt.
     pub fn last_version(&self) -> Option<Name> {
         let runs = self.script.runs.lock().unwrap();
         let adapter = runs.last()?.ticket.adapter.clone()?;
         Some(adapter.version)
     }
 
-    /// Returns the value of a metric's line, such as `refusals_total{...}`, or 0.
+    /// Returns the value of a metric such as `refusals_total{...}`, or 0 if it isn't exported.
     pub fn metric(&self, line: &str) -> u64 {
         let text = self.metrics.render();
         let value = text
@@ -436,7 +436,7 @@
     text + "\r\n" + body
 }
 
-/// Compares a session with its golden file, apart from dates and identities.
+/// Compares a response with its golden file; dates and ids are masked.
 #[macro_export]
 macro_rules! golden {
     ($name:literal, $session:expr) => {{
--- a/lib/tests/entry_support/store.rs
+++ b/lib/tests/entry_support/store.rs
@@ -1,4 +1,4 @@
-//! The key-value service in memory, with faults.
+//! An in-memory key-value service with fault injection.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Mutex;
@@ -9,21 +9,21 @@
     Commit, Condition, Entry, Error, Lease, LeaseId, Listing, Store, Transaction, Write,
 };
 
-/// What goes wrong with one commit.
+/// Fault of one commit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fault {
-    /// Nothing arrives.
+    /// The call doesn't reach the service.
     Unreachable,
-    /// It takes effect, and the answer is lost.
+    /// It takes effect, but the response is lost.
     AnswerLost,
-    /// It is lost on the way, and nobody can tell.
+    /// It is lost on the way; the caller can't tell whether it took effect.
     CallLost,
-    /// Its answer is lost, and it takes effect only after another call.
+    /// Its response is lost, and it takes effect only after the next read.
     Late,
 }
 
 #[derive(Debug, Default)]
-pub struct Memory {
+pub struct MemoryStore {
     inner: Mutex<Inner>,
 }
 
@@ -39,8 +39,8 @@
     reads: usize,
 }
 
-impl Memory {
-    /// The next commits meet these faults, one each.
+impl MemoryStore {
+    /// Queues faults, one for each of the next commits.
     pub fn then(&self, faults: &[Option<Fault>]) {
         self.inner.lock().unwrap().faults.extend(faults);
     }
@@ -49,7 +49,7 @@
         self.inner.lock().unwrap().down = down;
     }
 
-    /// Nothing goes wrong from now on.
+    /// Ends the outage and removes all queued faults.
     pub fn mend(&self) {
         let mut inner = self.inner.lock().unwrap();
         inner.down = false;
@@ -117,7 +117,7 @@
 }
 
 #[async_trait]
-impl Store for Memory {
+impl Store for MemoryStore {
     async fn get(&self, key: &str) -> Result<Option<Entry>, Error> {
         let mut inner = self.up()?;
         inner.reads += 1;
@@ -129,7 +129,7 @@
     }
 
     async fn list(&self, _: &str) -> Result<Listing, Error> {
-        unimplemented!("the entry lists nothing")
+        unimplemented!("the entry makes no list calls")
     }
 
     async fn commit(&self, transaction: Transaction) -> Result<Commit, Error> {
@@ -153,7 +153,7 @@
 }
 
 #[async_trait]
-impl Lease for Memory {
+impl Lease for MemoryStore {
     async fn grant(&self, _: Millis) -> Result<LeaseId, Error> {
         let mut inner = self.up()?;
         inner.leases += 1;
@@ -161,10 +161,10 @@
     }
 
     async fn renew(&self, _: LeaseId) -> Result<Millis, Error> {
-        unimplemented!("claims live with leases that aren't renewed")
+        unimplemented!("leases of claims aren't renewed")
     }
 
     async fn revoke(&self, _: LeaseId) -> Result<(), Error> {
-        unimplemented!("claims live with leases that aren't revoked")
+        unimplemented!("leases of claims aren't revoked")
     }
 }
--- a/lib/tests/test_entry_claims.rs
+++ b/lib/tests/test_entry_claims.rs
@@ -6,7 +6,7 @@
 
 use chivevalve::error::Code;
 use entry_support::{
-    Fault, Memory, Script, Step, World, eventually, fail, json, limits, world, world_with,
+    Fault, MemoryStore, Script, Step, World, eventually, fail, json, limits, world, world_with,
 };
 
 const PUSH: &str = "POST /services/push/receipts";
@@ -19,7 +19,7 @@
 /// Starts two nodes that share their upstreams and their key-value service.
 async fn pair() -> (World, World) {
     let script = Arc::<Script>::default();
-    let store = Arc::<Memory>::default();
+    let store = Arc::<MemoryStore>::default();
     let one = world_with(limits(), Arc::clone(&script), Arc::clone(&store)).await;
     let two = world_with(limits(), script, store).await;
     (one, two)
--- a/lib/tests/test_entry_claims_fuzz.rs
+++ b/lib/tests/test_entry_claims_fuzz.rs
@@ -9,7 +9,7 @@
 use chivevalve::clock::{Millis, Monotonic};
 use chivevalve::error::Code;
 use chivevalve::request::Id;
-use entry_support::{Fault, Memory, three};
+use entry_support::{Fault, MemoryStore, three};
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 use tokio::sync::watch;
 
@@ -94,12 +94,12 @@
 
 struct World {
     nodes: Vec<ClaimManager>,
-    store: Arc<Memory>,
+    store: Arc<MemoryStore>,
     _fleet: watch::Sender<Arc<chivevalve::membership::Fleet>>,
 }
 
 fn world() -> World {
-    let store = Arc::<Memory>::default();
+    let store = Arc::<MemoryStore>::default();
     let (sender, fleet) = watch::channel(Arc::new(three()));
     let node = |index: usize| {
         ClaimManager::start(Dependencies {
--- a/lib/tests/test_entry_limits.rs
+++ b/lib/tests/test_entry_limits.rs
@@ -1,4 +1,4 @@
-//! Callers that send too much, too slowly, or what makes no sense.
+//! Limits on callers that send too much, too slowly, or malformed requests.
 
 mod entry_support;
 
@@ -10,10 +10,10 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpSocket, TcpStream};
 
-const KEY: &str = "authorization: Bearer shop-key";
+const AUTHORIZATION: &str = "authorization: Bearer shop-key";
 const PUSH: &str = "POST /services/push/orders";
 
-async fn small(change: impl FnOnce(&mut Limits)) -> World {
+async fn world_with_limits(change: impl FnOnce(&mut Limits)) -> World {
     let mut limits = limits();
     change(&mut limits);
     world_with(limits, Arc::default(), Arc::default()).await
@@ -25,14 +25,14 @@
     stream
 }
 
-async fn rest(mut stream: TcpStream) -> String {
+async fn read_to_close(mut stream: TcpStream) -> String {
     let mut answer = Vec::new();
     let _ = stream.read_to_end(&mut answer).await;
     String::from_utf8_lossy(&answer).into_owned()
 }
 
-/// After whatever a caller did, others are served and nothing is held.
-async fn unharmed(world: &World) {
+/// Asserts that other callers are served and no request is left in progress.
+async fn assert_serving(world: &World) {
     let answer = world.send("GET /v1/models", &[], "").await;
     assert!(answer.starts_with("HTTP/1.1 200"), "{answer}");
     world.until("requests_in_flight", 0).await;
@@ -47,7 +47,7 @@
         answer.is_empty() || answer.starts_with("HTTP/1.1 431"),
         "{answer}"
     );
-    unharmed(&world).await;
+    assert_serving(&world).await;
 }
 
 #[tokio::test]
@@ -59,7 +59,7 @@
         answer.is_empty() || answer.starts_with("HTTP/1.1 431"),
         "{answer}"
     );
-    unharmed(&world).await;
+    assert_serving(&world).await;
 }
 
 #[tokio::test]
@@ -71,21 +71,21 @@
         "a\r\n\r\n",
         "PRI * HTTP/2.0\r\n\r\nXX",
     ] {
-        let answer = rest(connect(&world, text).await).await;
+        let answer = read_to_close(connect(&world, text).await).await;
         assert!(!answer.starts_with("HTTP/1.1 2"), "{answer}");
     }
-    unharmed(&world).await;
+    assert_serving(&world).await;
 }
 
 #[tokio::test]
 async fn limit_body_too_large() {
     let world = world().await;
-    let announced = request(PUSH, &[KEY, "content-length: 99999999999"], "");
+    let announced = request(PUSH, &[AUTHORIZATION, "content-length: 99999999999"], "");
     let answer = world.raw(&announced).await;
     assert!(answer.starts_with("HTTP/1.1 413"), "{answer}");
     assert!(answer.contains("\"number\":1005"));
     let chunk = format!("1388\r\n{}\r\n0\r\n\r\n", "a".repeat(5_000));
-    let chunked = request(PUSH, &[KEY, "transfer-encoding: chunked"], "") + &chunk;
+    let chunked = request(PUSH, &[AUTHORIZATION, "transfer-encoding: chunked"], "") + &chunk;
     assert!(world.raw(&chunked).await.starts_with("HTTP/1.1 413"));
     let long = format!(",\"user\":\"{}\"", "a".repeat(5_000));
     assert!(
@@ -95,7 +95,7 @@
             .starts_with("HTTP/1.1 413")
     );
     assert_eq!(world.script.count(), 0);
-    unharmed(&world).await;
+    assert_serving(&world).await;
 }
 
 #[tokio::test]
@@ -120,12 +120,11 @@
     let answer = world.chat("push", "").await;
     assert!(answer.starts_with("HTTP/1.1 400"));
     assert_eq!(world.script.count(), 0);
-    unharmed(&world).await;
+    assert_serving(&world).await;
 }
 
-/// Symptom: a prompt is found in the node's log.
-/// Sequence: a caller sends a body with a mistake.
-/// Cause: the JSON library's message quotes the text at fault.
+/// Guards against prompts in logs: the JSON library's error messages quote the text of a malformed
+/// body.
 #[tokio::test]
 async fn limit_bad_body_not_quoted() {
     let world = world().await;
@@ -138,17 +137,16 @@
 #[tokio::test]
 async fn limit_two_keys() {
     let world = world().await;
-    let answer = world.send("GET /v1/models", &[KEY], "").await;
+    let answer = world.send("GET /v1/models", &[AUTHORIZATION], "").await;
     assert!(answer.starts_with("HTTP/1.1 401"));
 }
 
-/// Symptom: a node runs out of places while its callers do nothing.
-/// Sequence: many callers announce a body and send a byte now and then.
-/// Cause: each byte started the wait anew.
+/// Guards against callers that announce a body and send a byte now and then. They exhausted the
+/// node's limit of requests in progress when each byte restarted the timeout.
 #[tokio::test]
 async fn limit_slow_body() {
-    let world = small(|limits| limits.body_timeout = Millis(30)).await;
-    let head = request(PUSH, &[KEY, "content-length: 100"], "");
+    let world = world_with_limits(|limits| limits.body_timeout = Millis(30)).await;
+    let head = request(PUSH, &[AUTHORIZATION, "content-length: 100"], "");
     let mut stream = connect(&world, &head).await;
     let mut answer = Vec::new();
     loop {
@@ -165,59 +163,58 @@
     }
     assert!(answer.starts_with(b"HTTP/1.1 408"));
     assert_eq!(world.script.count(), 0);
-    unharmed(&world).await;
+    assert_serving(&world).await;
 }
 
 #[tokio::test]
 async fn limit_slow_head() {
-    let world = small(|limits| limits.head_timeout = Millis(30)).await;
+    let world = world_with_limits(|limits| limits.head_timeout = Millis(30)).await;
     let halves = [
         "",
         "GET /v1/models HTTP/1.1\r\nhost: no",
         "PRI * HTTP/2.0\r\n",
     ];
     for text in halves {
-        let answer = rest(connect(&world, text).await).await;
+        let answer = read_to_close(connect(&world, text).await).await;
         assert!(!answer.starts_with("HTTP/1.1 2"), "{answer}");
     }
-    unharmed(&world).await;
+    assert_serving(&world).await;
     world.until("connections", 0).await;
 }
 
 #[tokio::test]
 async fn limit_idle_connection() {
-    let world = small(|limits| limits.idle_timeout = Millis(30)).await;
-    let text = format!("GET /v1/models HTTP/1.1\r\nhost: node\r\n{KEY}\r\n\r\n");
-    // The connection is kept after the answer, and then closed by the node.
-    let answer = rest(connect(&world, &text).await).await;
+    let world = world_with_limits(|limits| limits.idle_timeout = Millis(30)).await;
+    let text = format!("GET /v1/models HTTP/1.1\r\nhost: node\r\n{AUTHORIZATION}\r\n\r\n");
+    // The connection stays open after the response until the node closes it.
+    let answer = read_to_close(connect(&world, &text).await).await;
     assert!(answer.starts_with("HTTP/1.1 200"));
     world.until("connections", 0).await;
 }
 
 #[tokio::test]
 async fn limit_connections() {
-    let world = small(|limits| limits.connections = 2).await;
+    let world = world_with_limits(|limits| limits.connections = 2).await;
     let held = [connect(&world, "").await, connect(&world, "").await];
     world.until("connections", 2).await;
-    assert_eq!(rest(connect(&world, "").await).await, "");
+    assert_eq!(read_to_close(connect(&world, "").await).await, "");
     drop(held);
     world.until("connections", 0).await;
-    unharmed(&world).await;
+    assert_serving(&world).await;
 }
 
-/// Symptom: one account's burst makes the node refuse every other account.
-/// Sequence: an account sends more requests than the node holds.
-/// Cause: places were given out in order of arrival alone.
+/// Guards against a burst of one account filling the node, which happened when requests were
+/// admitted by order of arrival alone: the node then rejected every other account.
 #[tokio::test]
 async fn limit_in_flight_by_account() {
-    let world = small(|limits| limits.in_flight = 8).await;
+    let world = world_with_limits(|limits| limits.in_flight = 8).await;
     for _ in 0..8 {
         world.script.then(Step::Hang);
     }
     let works = request("GET /v1/models", &["authorization: Bearer works-key"], "");
     let mut calls: Vec<_> = Vec::new();
     for _ in 0..8 {
-        calls.push(connect(&world, &request(PUSH, &[KEY], "1")).await);
+        calls.push(connect(&world, &request(PUSH, &[AUTHORIZATION], "1")).await);
         world.until("requests_in_flight", calls.len() as u64).await;
     }
     let refused = world.send(PUSH, &[], "1").await;
@@ -228,17 +225,16 @@
     assert!(world.raw(&works).await.starts_with("HTTP/1.1 200"));
 }
 
-/// Symptom: a node's memory grows until the system ends it.
-/// Sequence: callers send the largest bodies allowed, many at a time.
-/// Cause: each body had a bound, all together had none.
+/// Guards against running out of memory when many callers send bodies of the maximum size at once:
+/// the limit on a single body doesn't bound their total.
 #[tokio::test]
 async fn limit_buffered_bytes() {
-    let world = small(|limits| limits.max_buffered_bytes = 8 << 10).await;
+    let world = world_with_limits(|limits| limits.max_buffered_bytes = 8 << 10).await;
     let body = "a".repeat(4_000);
     for _ in 0..2 {
         world.script.then(Step::Hang);
     }
-    let text = request(PUSH, &[KEY], &body);
+    let text = request(PUSH, &[AUTHORIZATION], &body);
     let held = [connect(&world, &text).await, connect(&world, &text).await];
     while world.script.count() < 2 {
         tokio::task::yield_now().await;
@@ -246,7 +242,7 @@
     let refused = world.send(PUSH, &[], &body).await;
     assert!(refused.contains("\"code\":\"node_full\""), "{refused}");
     drop(held);
-    unharmed(&world).await;
+    assert_serving(&world).await;
     assert!(
         world
             .send(PUSH, &[], &body)
@@ -255,17 +251,16 @@
     );
 }
 
-/// Symptom: an engine's place is held by a caller that doesn't read.
-/// Sequence: a caller asks for a long stream and stops reading.
-/// Cause: the caller's full buffers were waited for without end.
+/// Guards against a caller that requests a long stream and stops reading. It occupied an engine's
+/// slot when the node waited without a timeout for space in the caller's buffers.
 #[tokio::test]
 async fn limit_slow_reader() {
-    let world = small(|limits| limits.write_timeout = Millis(50)).await;
+    let world = world_with_limits(|limits| limits.write_timeout = Millis(50)).await;
     let long = format!("\"{}\"", "a".repeat(60_000));
     let pieces = vec![long.as_str(); 500];
     world.script.then(events(&pieces, Ending::Silent));
     let body = r#"{"model":"summary","messages":[],"stream":true}"#;
-    let text = request("POST /v1/chat/completions", &[KEY], body);
+    let text = request("POST /v1/chat/completions", &[AUTHORIZATION], body);
     let stream = connect(&world, &text).await;
     while world.script.count() == 0 {
         tokio::task::yield_now().await;
@@ -273,18 +268,16 @@
     world.script.closed().await;
     world.until("connections", 0).await;
     drop(stream);
-    unharmed(&world).await;
+    assert_serving(&world).await;
 }
 
-/// Symptom: a caller on a slow line never gets a long answer whole.
-/// Sequence: the answer is long; the caller takes it bit by bit, for longer than a connection
-/// may rest.
-/// Cause: the answer's bytes were handed over at once, and from then on the connection counted
-/// as resting.
+/// Guards against closing a connection as idle while its caller slowly reads a long response. The
+/// response's bytes are passed to the connection at once, which then counted as idle although the
+/// caller took longer than the idle timeout to read them.
 #[tokio::test]
 async fn limit_idle_while_answer_is_taken() {
     const BYTES: usize = 32 << 20;
-    let world = small(|limits| {
+    let world = world_with_limits(|limits| {
         limits.idle_timeout = Millis(300);
         limits.head_timeout = Millis(300);
         limits.max_response_bytes = 2 * BYTES;
@@ -296,7 +289,7 @@
     socket.set_recv_buffer_size(64 << 10).unwrap();
     let mut stream = socket.connect(world.address).await.unwrap();
     let body = r#"{"model":"summary","messages":[]}"#;
-    let text = request("POST /v1/chat/completions", &[KEY], body);
+    let text = request("POST /v1/chat/completions", &[AUTHORIZATION], body);
     stream.write_all(text.as_bytes()).await.unwrap();
     let mut answer = vec![0; 16];
     stream.read_exact(&mut answer).await.unwrap();
--- a/lib/tests/test_entry_outcomes.rs
+++ b/lib/tests/test_entry_outcomes.rs
@@ -1,4 +1,4 @@
-//! What callers see when upstreams fail, and what is tried again.
+//! Responses to callers when upstreams fail, and which requests are retried.
 
 mod entry_support;
 
@@ -10,7 +10,7 @@
 use chivevalve::error::{Code, Failure};
 use entry_support::{
     Ending, Step, declared, declared_again, events, eventually, fail, json, limits, three,
-    three_held, world, world_with,
+    three_suspended, world, world_with,
 };
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
@@ -18,7 +18,7 @@
 
 const PUSH: &str = "POST /services/push/orders";
 
-/// A call that may run once isn't sent again where its connection broke after the head was sent.
+/// A call that isn't idempotent isn't retried after its connection broke with the head sent.
 #[tokio::test]
 async fn outcome_reset_after_head() {
     let world = world().await;
@@ -54,7 +54,7 @@
     assert_eq!(world.script.count(), 2);
 }
 
-/// A request that ends whatever runs it isn't tried at every upstream.
+/// A request that crashes every upstream that runs it isn't tried at all of them.
 #[tokio::test]
 async fn outcome_poisoned_request() {
     let world = world().await;
@@ -67,7 +67,7 @@
     assert_eq!(world.metric("retries_denied_total{reason=\"unknowns\"}"), 1);
 }
 
-/// A request that ends whatever runs it isn't sent again and again as its caller repeats it.
+/// A request that crashes every upstream that runs it is quarantined when its caller repeats it.
 #[tokio::test]
 async fn outcome_poisoned_request_comes_again() {
     const ALLOWED: usize = 6;
@@ -77,7 +77,7 @@
             world.script.then(fail(Code::UpstreamLost));
         }
         world.chat("summary", "").await;
-        world.fleet.send_replace(Arc::new(three_held()));
+        world.fleet.send_replace(Arc::new(three_suspended()));
         tokio::time::sleep(Millis(50).duration()).await;
         world.fleet.send_replace(Arc::new(three()));
     }
@@ -85,7 +85,7 @@
     assert!(sent <= ALLOWED, "it was sent {sent} times");
 }
 
-/// A caller isn't told "not run" by a last try that was refused, behind one that may have run.
+/// A last try that is refused isn't reported as "not run" if an earlier try may have run.
 #[tokio::test]
 async fn outcome_lost_then_refused() {
     let world = world().await;
@@ -96,7 +96,7 @@
     assert!(answer.contains("\"fate\":\"unknown\""));
 }
 
-/// An answer that isn't streamed and breaks off isn't passed on in half, with status 200.
+/// A truncated response that isn't streamed isn't forwarded with status 200.
 #[tokio::test]
 async fn outcome_whole_cut() {
     let world = world().await;
@@ -109,7 +109,7 @@
     assert!(!answer.contains("{\"id\""));
 }
 
-/// A stream that its engine closes in the middle, in order, doesn't look whole.
+/// A stream that its engine closes cleanly before `[DONE]` doesn't look complete.
 #[tokio::test]
 async fn outcome_stream_without_done() {
     let world = world().await;
@@ -119,7 +119,7 @@
     assert!(!answer.contains("[DONE]"));
 }
 
-/// A stream is whole whichever form its engine writes the last event in.
+/// A stream is complete in each notation in which an engine may write the last event.
 #[tokio::test]
 async fn outcome_stream_done_without_space() {
     let world = world().await;
@@ -134,7 +134,7 @@
     }
 }
 
-/// No field of a stream's last event goes out before the answer is known to be whole.
+/// No field of a stream's last event is sent before the response is known to be complete.
 #[tokio::test]
 async fn outcome_stream_done_named() {
     let world = world().await;
@@ -148,7 +148,7 @@
     assert!(answer.contains("\"code\":\"wrong_answer\""), "{answer}");
 }
 
-/// A stream doesn't say `[DONE]` where its owner finds it to be another request's answer.
+/// `[DONE]` isn't sent if the owner finds the stream to be another request's response.
 #[tokio::test]
 async fn outcome_stream_wrong_at_the_end() {
     let world = world().await;
@@ -159,12 +159,12 @@
     assert!(!answer.contains("[DONE]"));
 }
 
-/// A service's answer that breaks off isn't ended in order.
+/// A truncated response of a service doesn't end cleanly.
 #[tokio::test]
 async fn outcome_service_cut() {
     let world = world().await;
-    // Without a length the last chunk is missing, with one the body is short;
-    // the library may drop pieces that it hadn't written yet.
+    // Without a length the last chunk is missing; with one the body is too short. The HTTP
+    // library may drop chunks that it hasn't written yet.
     let cut = Ending::Broken(Code::AnswerCut);
     let parts = vec!["part".into()];
     let step = Step::Answer(200, vec![], parts.clone(), cut.clone());
@@ -179,7 +179,7 @@
     world.until(lost, 2).await;
 }
 
-/// An answer whose task ends by a panic isn't ended in order.
+/// A response whose task panics doesn't end cleanly.
 #[tokio::test]
 async fn outcome_service_panic() {
     let world = world().await;
@@ -191,7 +191,7 @@
     assert!(!chunked.ends_with("0\r\n\r\n"), "{chunked}");
 }
 
-/// An answer without a length that breaks off doesn't look whole to a caller of HTTP/1.0.
+/// A truncated response without a length doesn't look complete to an HTTP/1.0 caller.
 #[tokio::test]
 async fn outcome_service_cut_old_http() {
     let world = world().await;
@@ -232,11 +232,15 @@
 #[tokio::test]
 async fn outcome_engine_says_no() {
     let world = world().await;
-    let said = "{\"error\":{\"message\":\"too hot\",\"param\":\"temperature\",\"code\":400}}";
+    let engine_error =
+        "{\"error\":{\"message\":\"too hot\",\"param\":\"temperature\",\"code\":400}}";
     let head = vec![("content-type", "application/json")];
-    world
-        .script
-        .then(Step::Answer(400, head, vec![said.into()], Ending::Whole));
+    world.script.then(Step::Answer(
+        400,
+        head,
+        vec![engine_error.into()],
+        Ending::Whole,
+    ));
     golden!(
         "engine_says_no",
         world.chat("summary", ",\"stream\":true").await
@@ -244,8 +248,8 @@
     assert_eq!(world.script.count(), 1);
 }
 
-/// Sends a request with ever longer deadlines until one is long enough to reach
-/// the upstream; each end must say truly whether it did.
+/// Doubles a request's deadline until it is long enough to reach the upstream; each error code
+/// must tell whether it did.
 async fn expire(step: Step, line: &str, body: &str) {
     let world = world().await;
     world.script.then(step);
@@ -262,7 +266,7 @@
     panic!("no deadline was long enough");
 }
 
-/// A caller whose upstream says nothing doesn't wait for ever.
+/// A request whose upstream never responds ends at its deadline.
 #[tokio::test]
 async fn outcome_deadline_running() {
     expire(Step::Hang, PUSH, "1").await;
@@ -286,7 +290,7 @@
     assert_eq!(world.script.count(), 0);
 }
 
-/// An engine doesn't go on for a caller that is gone.
+/// An engine's run is cancelled when its caller disconnects.
 #[tokio::test]
 async fn outcome_caller_gone_streaming() {
     let world = world().await;
@@ -313,7 +317,7 @@
     assert!(answer.contains("retry-after: 1"));
 }
 
-/// Requests aren't refused while an upstream moves to its next owner.
+/// Requests aren't rejected while an upstream moves to another owner.
 #[tokio::test]
 async fn outcome_upstream_comes_back() {
     let mut limits = limits();
@@ -329,7 +333,7 @@
     assert!(answer.starts_with("HTTP/1.1 200"));
 }
 
-/// All tries of a request are decided on one revision.
+/// All tries of a request use one configuration revision.
 #[tokio::test]
 async fn outcome_one_revision() {
     let world = world().await;
@@ -364,11 +368,18 @@
     let last: Vec<bool> = runs.iter().map(|run| run.last).collect();
     assert_eq!(last, [false, false, false, true]);
     let tried: BTreeSet<&str> = runs.iter().map(|run| &*run.upstream).collect();
-    assert_eq!(tried.len(), 3, "each upstream is tried before the wait");
-    assert_eq!(runs[0].upstream, runs[3].upstream, "it waits at home");
+    assert_eq!(
+        tried.len(),
+        3,
+        "each upstream is tried before the request waits"
+    );
+    assert_eq!(
+        runs[0].upstream, runs[3].upstream,
+        "the request waits at the first candidate"
+    );
 }
 
-/// A planned stop cuts no stream off.
+/// A planned shutdown doesn't interrupt streams.
 #[tokio::test]
 async fn outcome_stop_lets_streams_finish() {
     let world = world().await;
@@ -389,13 +400,13 @@
     served.await.unwrap();
 }
 
-/// Streams go on when a configuration takes effect, or when upstreams change.
+/// Streams continue when a configuration takes effect or upstreams change.
 #[tokio::test]
 async fn outcome_changes_while_streaming() {
     let world = world().await;
-    let said = Arc::new(Notify::new());
+    let released = Arc::new(Notify::new());
     let rest = vec!["data: [DONE]\n\n".into()];
-    let slow = Ending::Later(Arc::clone(&said), rest);
+    let slow = Ending::Later(Arc::clone(&released), rest);
     world.script.then(events(&["1"], slow));
     let call = world.chat("summary", ",\"stream\":true");
     let change = async {
@@ -405,7 +416,7 @@
         let empty = View::new(4, vec![], vec![], vec![]);
         world.view.send(Arc::new(empty)).unwrap();
         world.fleet.send(Arc::default()).unwrap();
-        said.notify_one();
+        released.notify_one();
     };
     let (answer, ()) = tokio::join!(call, change);
     assert!(answer.contains("data: [DONE]"), "{answer}");
@@ -413,7 +424,7 @@
     assert!(refused.starts_with("HTTP/1.1 401"), "{refused}");
 }
 
-/// A stream isn't cut off while its engine reads a long prompt or pauses.
+/// No timeout interrupts a stream during a long prefill or a pause of its engine.
 #[tokio::test]
 async fn outcome_engine_silent() {
     let mut limits = limits();
@@ -422,9 +433,9 @@
     limits.idle_timeout = Millis(250);
     limits.write_timeout = Millis(250);
     let world = world_with(limits, Arc::default(), Arc::default()).await;
-    let said = Arc::new(Notify::new());
+    let released = Arc::new(Notify::new());
     let rest = vec!["data: [DONE]\n\n".into()];
-    let slow = Ending::Later(Arc::clone(&said), rest);
+    let slow = Ending::Later(Arc::clone(&released), rest);
     world.script.then(events(&["1"], slow));
     let call = world.chat("summary", ",\"stream\":true");
     let pause = async {
@@ -432,7 +443,7 @@
             tokio::task::yield_now().await;
         }
         tokio::time::sleep(Millis(1_000).duration()).await;
-        said.notify_one();
+        released.notify_one();
     };
     let (answer, ()) = tokio::join!(call, pause);
     assert!(answer.contains("data: [DONE]"), "{answer}");
@@ -448,7 +459,7 @@
     assert!(answer.contains("\"retry_after_ms\":2500"));
 }
 
-/// One caller's short deadlines don't drive everybody off their upstreams.
+/// One caller's short deadlines don't divert other requests from their upstreams.
 #[tokio::test]
 async fn outcome_expiry_blames_no_upstream() {
     let world = world().await;
@@ -462,12 +473,12 @@
     assert_eq!((runs.len(), upstreams.len()), (4, 1));
 }
 
-/// A request whose template was changed while it waited is decided anew, and not refused.
+/// A request whose template changed while it was queued is rerouted, not rejected.
 #[tokio::test]
 async fn outcome_version_replaced_while_it_waits() {
-    let mut patient = limits();
-    patient.upstream_wait = Millis(5_000);
-    let world = world_with(patient, Arc::default(), Arc::default()).await;
+    let mut limits = limits();
+    limits.upstream_wait = Millis(5_000);
+    let world = world_with(limits, Arc::default(), Arc::default()).await;
     world.script.then(fail(Code::Outdated));
     let replaced = async {
         eventually(|| world.script.count() == 1).await;
@@ -479,8 +490,8 @@
     assert_eq!(world.script.count(), 2);
 }
 
-/// A request isn't run on the version that its owner says is replaced, where its entry node
-/// doesn't know the change.
+/// A request isn't run on a version that its owner reports as replaced, even if the entry node
+/// doesn't learn of the change.
 #[tokio::test]
 async fn outcome_version_replaced_unknown_here() {
     let world = world().await;
--- a/lib/tests/test_entry_quarantine.rs
+++ b/lib/tests/test_entry_quarantine.rs
@@ -1,4 +1,4 @@
-//! What entry nodes know of requests under which upstreams ended, and tell each other.
+//! Quarantine of requests that crash upstreams, and the reports that entry nodes exchange.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -14,8 +14,8 @@
 use chivevalve::schema::peer::{Delta, Digest};
 use tokio::sync::watch;
 
-/// Time that a task needs to take in a picture of the fleet.
-const TURN: Millis = Millis(1);
+/// Time for the quarantine's task to process a change of the fleet.
+const SETTLE_TIME: Millis = Millis(1);
 
 fn fleet(states: &[(&str, State)]) -> Arc<Fleet> {
     let upstreams = states.iter().map(|(name, state)| Upstream {
@@ -43,7 +43,7 @@
     })
 }
 
-/// A node with its own picture of the fleet.
+/// A node with its own view of the fleet.
 struct Node {
     quarantine: Arc<Quarantine>,
     fleet: watch::Sender<Arc<Fleet>>,
@@ -54,10 +54,10 @@
     fn start(name: &str) -> Self {
         let clock = Arc::new(Manual::default());
         clock.advance(Millis(1_000_000));
-        let ticking: Arc<dyn Clock> = Arc::<Manual>::clone(&clock);
-        let quarantine = Arc::new(Quarantine::new(name.into(), ticking, Arc::default()));
-        let (fleet, followed) = watch::channel(fleet(&[("e1", State::Usable)]));
-        tokio::spawn(Arc::clone(&quarantine).follow(followed));
+        let dyn_clock: Arc<dyn Clock> = Arc::<Manual>::clone(&clock);
+        let quarantine = Arc::new(Quarantine::new(name.into(), dyn_clock, Arc::default()));
+        let (fleet, fleet_rx) = watch::channel(fleet(&[("e1", State::Usable)]));
+        tokio::spawn(Arc::clone(&quarantine).follow(fleet_rx));
         Self {
             quarantine,
             fleet,
@@ -65,32 +65,32 @@
         }
     }
 
-    async fn show(&self, state: State) {
+    async fn set_state(&self, state: State) {
         self.fleet.send_replace(fleet(&[("e1", state)]));
-        tokio::time::sleep(TURN.duration()).await;
+        tokio::time::sleep(SETTLE_TIME.duration()).await;
     }
 
-    fn lose(&self, request: &Fingerprint, sign: Suspicion) {
+    fn break_connection(&self, request: &Fingerprint, suspicion: Suspicion) {
         let fleet = Arc::clone(&self.fleet.borrow());
         self.quarantine
-            .record_broken_connection(&fleet, &"e1".into(), request, sign);
+            .record_broken_connection(&fleet, &"e1".into(), request, suspicion);
     }
 
-    /// Has an upstream end under requests that this node sent, and come back.
-    async fn end_under(&self, requests: &[&Fingerprint]) {
+    /// Makes the upstream crash while it runs requests of this node, and return.
+    async fn crash_under(&self, requests: &[&Fingerprint]) {
         for request in requests {
-            self.lose(request, Suspicion::Begun);
+            self.break_connection(request, Suspicion::Begun);
         }
-        self.show(State::Suspended).await;
-        self.show(State::Usable).await;
+        self.set_state(State::Suspended).await;
+        self.set_state(State::Usable).await;
     }
 
-    fn sends(&self, request: &Fingerprint) -> bool {
+    fn is_allowed(&self, request: &Fingerprint) -> bool {
         self.quarantine.check(request).is_ok()
     }
 
-    /// Tells another node what it lacks; returns how many reports that took.
-    fn tell(&self, other: &Self) -> usize {
+    /// Sends another node the reports that it is missing; returns their number.
+    fn gossip_to(&self, other: &Self) -> usize {
         let mut theirs = Digest::default();
         other.quarantine.fill_digest(&mut theirs);
         let mut delta = Delta::default();
@@ -103,195 +103,196 @@
     }
 }
 
-/// A request that upstreams end under is sent no more after three.
+/// A request is blocked after three crashes of upstreams that ran it.
 #[tokio::test(start_paused = true)]
-async fn check_after_three_ends() {
+async fn check_after_three_crashes() {
     let node = Node::start("n1");
     let poison = request("poison");
     for _ in 0..2 {
-        node.end_under(&[&poison]).await;
-        assert!(node.sends(&poison));
+        node.crash_under(&[&poison]).await;
+        assert!(node.is_allowed(&poison));
     }
-    node.end_under(&[&poison]).await;
-    assert!(!node.sends(&poison));
-    assert!(node.sends(&request("other")));
+    node.crash_under(&[&poison]).await;
+    assert!(!node.is_allowed(&poison));
+    assert!(node.is_allowed(&request("other")));
 }
 
-/// Three ends under one request add up, whichever nodes sent it, also at one that never did.
+/// Crashes add up across the nodes that sent a request; a node that never sent it blocks it too.
 #[tokio::test(start_paused = true)]
-async fn check_ends_at_several_nodes() {
+async fn check_crashes_at_several_nodes() {
     let nodes = ["n1", "n2", "n3", "n4"].map(Node::start);
     let poison = request("poison");
     for node in &nodes[..3] {
-        node.end_under(&[&poison]).await;
+        node.crash_under(&[&poison]).await;
     }
     for node in &nodes[..3] {
-        node.tell(&nodes[3]);
+        node.gossip_to(&nodes[3]);
     }
-    assert!(!nodes[3].sends(&poison));
-    nodes[3].tell(&nodes[0]);
-    assert!(!nodes[0].sends(&poison));
+    assert!(!nodes[3].is_allowed(&poison));
+    nodes[3].gossip_to(&nodes[0]);
+    assert!(!nodes[0].is_allowed(&poison));
 }
 
-/// A node whose own picture shows no end hears of it from the upstream's owner.
+/// A node whose own view doesn't show a crash learns of it from the upstream's owner.
 #[tokio::test(start_paused = true)]
-async fn check_ends_seen_by_the_owner() {
+async fn check_crashes_observed_by_the_owner() {
     let (owner, entry) = (Node::start("owner"), Node::start("entry"));
     let poison = request("poison");
     for _ in 0..3 {
-        entry.lose(&poison, Suspicion::Begun);
-        owner.end_under(&[]).await;
-        owner.tell(&entry);
+        entry.break_connection(&poison, Suspicion::Begun);
+        owner.crash_under(&[]).await;
+        owner.gossip_to(&entry);
         entry.clock.advance(Millis(10_000));
         owner.clock.advance(Millis(10_000));
     }
-    assert!(!entry.sends(&poison));
-    entry.tell(&owner);
-    assert!(!owner.sends(&poison));
+    assert!(!entry.is_allowed(&poison));
+    entry.gossip_to(&owner);
+    assert!(!owner.is_allowed(&poison));
 }
 
-/// Requests that were cut beside a poison one are sent on.
+/// Requests that were interrupted together with a poison request are still sent.
 #[tokio::test(start_paused = true)]
-async fn check_requests_beside_a_poison_one() {
+async fn check_requests_interrupted_with_a_poison_request() {
     let node = Node::start("n1");
     let (poison, beside) = (request("poison"), request("beside"));
-    node.end_under(&[&poison]).await;
+    node.crash_under(&[&poison]).await;
     for _ in 0..2 {
-        node.end_under(&[&poison, &beside]).await;
+        node.crash_under(&[&poison, &beside]).await;
     }
-    node.end_under(&[&beside]).await;
-    assert!(!node.sends(&poison));
-    assert!(node.sends(&beside));
+    node.crash_under(&[&beside]).await;
+    assert!(!node.is_allowed(&poison));
+    assert!(node.is_allowed(&beside));
 }
 
-/// An upstream that leaves in order ends with what runs there, and nobody is to blame.
+/// A planned shutdown of an upstream doesn't count against the requests that run there.
 #[tokio::test(start_paused = true)]
-async fn lost_at_an_upstream_that_leaves() {
+async fn broken_connection_at_a_leaving_upstream() {
     let node = Node::start("n1");
-    let proper = request("proper");
+    let harmless = request("proper");
     for _ in 0..4 {
-        node.show(State::Leaving).await;
-        node.end_under(&[&proper]).await;
+        node.set_state(State::Leaving).await;
+        node.crash_under(&[&harmless]).await;
     }
-    assert!(node.sends(&proper));
+    assert!(node.is_allowed(&harmless));
 }
 
-/// A connection that broke long before an upstream ended says nothing of that end.
+/// A connection that broke long before a crash doesn't make its request a suspect.
 #[tokio::test(start_paused = true)]
-async fn lost_long_before_an_end() {
+async fn broken_connection_long_before_a_crash() {
     let node = Node::start("n1");
-    let proper = request("proper");
+    let harmless = request("proper");
     for _ in 0..4 {
-        node.lose(&proper, Suspicion::Begun);
+        node.break_connection(&harmless, Suspicion::Begun);
         node.clock.advance(Millis(10_000));
-        node.end_under(&[]).await;
+        node.crash_under(&[]).await;
     }
-    assert!(node.sends(&proper));
+    assert!(node.is_allowed(&harmless));
 }
 
-/// A request that an upstream ran without harm is sent again, at all nodes.
+/// A request that ran without a crash is sent again by all nodes.
 #[tokio::test(start_paused = true)]
-async fn survived_is_told() {
+async fn harmless_run_is_spread() {
     let (one, other) = (Node::start("n1"), Node::start("n2"));
-    let proper = request("proper");
+    let harmless = request("proper");
     for _ in 0..3 {
-        one.end_under(&[&proper]).await;
+        one.crash_under(&[&harmless]).await;
     }
-    one.tell(&other);
-    assert!(!other.sends(&proper));
+    one.gossip_to(&other);
+    assert!(!other.is_allowed(&harmless));
     one.clock.advance(Millis(100));
     other.clock.advance(Millis(100));
-    one.quarantine.record_harmless_run(&proper);
-    one.tell(&other);
-    assert!(one.sends(&proper));
-    assert!(other.sends(&proper));
-    other.tell(&one);
-    assert!(one.sends(&proper));
+    one.quarantine.record_harmless_run(&harmless);
+    one.gossip_to(&other);
+    assert!(one.is_allowed(&harmless));
+    assert!(other.is_allowed(&harmless));
+    other.gossip_to(&one);
+    assert!(one.is_allowed(&harmless));
 }
 
-/// A report from before a request survived doesn't blame it again, whoever tells it later.
+/// A report from before a request ran without a crash doesn't count, whoever sends it later.
 #[tokio::test(start_paused = true)]
-async fn survived_outlasts_older_reports() {
+async fn harmless_run_outlasts_older_reports() {
     let [reporter, one, late] = ["n1", "n2", "n3"].map(Node::start);
-    let proper = request("proper");
+    let harmless = request("proper");
     for _ in 0..3 {
-        reporter.end_under(&[&proper]).await;
+        reporter.crash_under(&[&harmless]).await;
     }
-    reporter.tell(&one);
-    reporter.tell(&late);
+    reporter.gossip_to(&one);
+    reporter.gossip_to(&late);
     for node in [&one, &late] {
         node.clock.advance(Millis::from_secs(70));
     }
-    one.quarantine.record_harmless_run(&proper);
-    // Long enough for the node to remember the survival by its record alone.
+    one.quarantine.record_harmless_run(&harmless);
+    // Long enough that the node remembers the harmless run only by its gossip record.
     for node in [&one, &late] {
         node.clock.advance(Millis::from_secs(70));
     }
-    late.tell(&one);
-    assert!(one.sends(&proper));
+    late.gossip_to(&one);
+    assert!(one.is_allowed(&harmless));
 }
 
-/// A request that ran here without harm is sent, though reports of others would blame it.
+/// A request that ran here without a crash is sent even if other nodes' reports would blame it.
 #[tokio::test(start_paused = true)]
-async fn survived_before_reports() {
+async fn harmless_run_before_reports() {
     let (one, other) = (Node::start("n1"), Node::start("n2"));
-    let proper = request("proper");
-    one.quarantine.record_harmless_run(&proper);
+    let harmless = request("proper");
+    one.quarantine.record_harmless_run(&harmless);
     for _ in 0..3 {
-        other.end_under(&[&proper]).await;
+        other.crash_under(&[&harmless]).await;
     }
-    other.tell(&one);
-    assert!(one.sends(&proper));
+    other.gossip_to(&one);
+    assert!(one.is_allowed(&harmless));
 }
 
-/// An end that was heard of and is seen then is one end: a request of another node explains it.
+/// A crash that is reported first and observed later counts once, so that the other node's request
+/// explains it.
 #[tokio::test(start_paused = true)]
-async fn check_beside_a_request_of_another_node() {
+async fn check_with_a_request_of_another_node() {
     let (one, other) = (Node::start("n1"), Node::start("n2"));
     let (poison, beside) = (request("poison"), request("beside"));
     for _ in 0..3 {
-        one.end_under(&[&poison]).await;
-        one.tell(&other);
-        other.end_under(&[&beside]).await;
+        one.crash_under(&[&poison]).await;
+        one.gossip_to(&other);
+        other.crash_under(&[&beside]).await;
         for node in [&one, &other] {
             node.clock.advance(Millis(10_000));
         }
     }
-    assert!(!other.sends(&poison));
-    assert!(other.sends(&beside));
+    assert!(!other.is_allowed(&poison));
+    assert!(other.is_allowed(&beside));
 }
 
-/// Other nodes are told at once.
+/// A crash is announced to other nodes at once.
 #[tokio::test(start_paused = true)]
-async fn news_of_an_end() {
+async fn changes_after_a_crash() {
     let node = Node::start("n1");
-    let news = node.quarantine.changes();
-    node.end_under(&[&request("poison")]).await;
-    assert!(news.has_changed().unwrap());
+    let changes = node.quarantine.changes();
+    node.crash_under(&[&request("poison")]).await;
+    assert!(changes.has_changed().unwrap());
 }
 
-/// Nodes that know the same tell each other nothing.
+/// Nodes with the same reports send each other none.
 #[tokio::test(start_paused = true)]
-async fn answer_only_what_is_lacking() {
+async fn delta_has_only_missing_reports() {
     let (one, other) = (Node::start("n1"), Node::start("n2"));
-    one.end_under(&[&request("poison")]).await;
-    assert_eq!(one.tell(&other), 1);
-    assert_eq!((one.tell(&other), other.tell(&one)), (0, 0));
+    one.crash_under(&[&request("poison")]).await;
+    assert_eq!(one.gossip_to(&other), 1);
+    assert_eq!((one.gossip_to(&other), other.gossip_to(&one)), (0, 0));
 }
 
 /// Reports count for ten minutes.
 #[tokio::test(start_paused = true)]
-async fn check_after_reports_lapsed() {
+async fn check_after_reports_expired() {
     let node = Node::start("n1");
     let poison = request("poison");
     for _ in 0..3 {
-        node.end_under(&[&poison]).await;
+        node.crash_under(&[&poison]).await;
     }
     let other = Node::start("n2");
     for one in [&node, &other] {
         one.clock.advance(Millis::from_secs(601));
     }
-    node.tell(&other);
-    assert!(node.sends(&poison));
-    assert!(other.sends(&poison));
+    node.gossip_to(&other);
+    assert!(node.is_allowed(&poison));
+    assert!(other.is_allowed(&poison));
 }
