--- a/lib/src/peer/client.rs
+++ b/lib/src/peer/client.rs
@@ -1,4 +1,4 @@
-//! This node's clients of all its peers.
+//! The clients that call the peer service of other nodes.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -10,9 +10,9 @@
 use prost::Message;
 
 use super::Limits;
-use super::call;
+use super::control_traffic;
 use super::forward::Forwarder;
-use super::link::{Link, Way};
+use super::link::{Connection, Link};
 use super::tls::Security;
 use crate::clock::{Clock, Millis};
 use crate::error::Failure;
@@ -25,29 +25,29 @@
 use crate::runner::{Reach, Runner};
 use crate::schema::peer::{Delta, Digest, RenewRequest, SnapshotPart, SnapshotRequest};
 
-/// Links beyond which those that nobody has used for a while are dropped.
-const LINKS: usize = 1024;
-/// How long a link is kept that nobody uses.
-const IDLE: Millis = Millis::from_secs(600);
+/// Number of links from which on links that have been idle for [`IDLE_LINK_TTL`] are dropped.
+const LINK_CLEANUP_THRESHOLD: usize = 1024;
+/// How long an unused link is kept.
+const IDLE_LINK_TTL: Millis = Millis::from_secs(600);
 
-/// What the clients work with.
+/// What the clients need from the rest of the node.
 #[derive(Debug, Clone)]
 pub struct Dependencies {
     /// This node's name.
     pub node: Name,
     /// Runs attempts at the upstreams that this node owns.
     pub local: Arc<dyn Runner>,
-    /// How connections are protected.
+    /// Whether connections use TLS, and with which credentials.
     pub security: Security,
     /// The node's clock.
     pub clock: Arc<dyn Clock>,
     /// The node's metrics.
     pub metrics: Arc<Metrics>,
-    /// Bounds.
+    /// Limits and timeouts.
     pub limits: Limits,
 }
 
-/// The ways to all peers.
+/// The links to all peers.
 #[derive(Debug)]
 pub struct Clients {
     deps: Dependencies,
@@ -55,7 +55,7 @@
 }
 
 impl Clients {
-    /// Starts without a connection; each is opened by its first use.
+    /// Creates the clients; each connection is opened on first use.
     #[must_use]
     pub fn new(deps: Dependencies) -> Arc<Self> {
         Arc::new(Self {
@@ -69,7 +69,7 @@
         Arc::clone(&self.deps.metrics)
     }
 
-    /// Returns the way to a peer.
+    /// Returns the link to a peer, created if there is none yet.
     pub(super) fn link(&self, address: SocketAddr) -> Arc<Link> {
         let links = self.links.read().unwrap_or_else(PoisonError::into_inner);
         if let Some(link) = links.get(&address) {
@@ -77,11 +77,11 @@
         }
         drop(links);
         let mut links = self.links.write().unwrap_or_else(PoisonError::into_inner);
-        if links.len() >= LINKS {
+        if links.len() >= LINK_CLEANUP_THRESHOLD {
             let now = self.deps.clock.now();
-            links.retain(|_, link| now.since(link.used()) < IDLE);
+            links.retain(|_, link| now.since(link.last_used_at()) < IDLE_LINK_TTL);
         }
-        let made = || {
+        let new_link = || {
             let Dependencies {
                 node,
                 security,
@@ -91,36 +91,37 @@
             } = &self.deps;
             Arc::new(Link::new(node, address, security, limits, clock))
         };
-        Arc::clone(links.entry(address).or_insert_with(made))
+        Arc::clone(links.entry(address).or_insert_with(new_link))
     }
 
-    fn sent(&self, message: &impl Message) {
+    fn count_sent(&self, message: &impl Message) {
         self.count("sent", message);
     }
 
-    fn received(&self, message: &impl Message) {
+    fn count_received(&self, message: &impl Message) {
         self.count("received", message);
     }
 
     fn count(&self, direction: &str, message: &impl Message) {
-        call::count(&self.deps.metrics, direction, message);
+        control_traffic::count(&self.deps.metrics, direction, message);
     }
 
-    async fn timed<T>(
+    /// Awaits a call within the call timeout and records the outcome at the link.
+    async fn call_with_timeout<T>(
         &self,
         link: &Link,
-        way: &Arc<Way>,
+        connection: &Arc<Connection>,
         call: impl Future<Output = Result<tonic::Response<T>, tonic::Status>>,
     ) -> Result<T, Failure> {
-        let answer = tokio::time::timeout(self.deps.limits.call_timeout.duration(), call)
+        let response = tokio::time::timeout(self.deps.limits.call_timeout.duration(), call)
             .await
             .unwrap_or_else(|_| {
-                link.unanswered(way);
+                link.record_timeout(connection);
                 Err(tonic::Status::deadline_exceeded("no answer in time"))
             });
-        let answer = answer.map_err(|status| link.failed(&status))?;
-        link.answered();
-        Ok(answer.into_inner())
+        let response = response.map_err(|status| link.record_failure(&status))?;
+        link.record_response();
+        Ok(response.into_inner())
     }
 }
 
@@ -140,11 +141,13 @@
 impl Transport for Clients {
     async fn exchange(&self, peer: &Peer, digest: Digest) -> Result<Delta, Failure> {
         let link = self.link(peer.address);
-        let way = link.way()?;
-        let mut client = way.client();
-        self.sent(&digest);
-        let delta = self.timed(&link, &way, client.exchange(digest)).await?;
-        self.received(&delta);
+        let connection = link.connection()?;
+        let mut client = connection.client();
+        self.count_sent(&digest);
+        let delta = self
+            .call_with_timeout(&link, &connection, client.exchange(digest))
+            .await?;
+        self.count_received(&delta);
         Ok(delta)
     }
 
@@ -153,27 +156,32 @@
         peer: &Peer,
     ) -> Result<BoxStream<'static, Result<SnapshotPart, Failure>>, Failure> {
         let link = self.link(peer.address);
-        let way = link.way()?;
-        let mut client = way.client();
+        let connection = link.connection()?;
+        let mut client = connection.client();
         let request = SnapshotRequest {
             node: self.deps.node.to_string(),
         };
-        let parts = self.timed(&link, &way, client.snapshot(request)).await?;
-        let read = parts.map(move |part| part.map_err(|status| link.failed(&status)));
-        Ok(read.boxed())
+        let parts = self
+            .call_with_timeout(&link, &connection, client.snapshot(request))
+            .await?;
+        let parts = parts.map(move |part| part.map_err(|status| link.record_failure(&status)));
+        Ok(parts.boxed())
     }
 }
 
 #[async_trait]
 impl VoteClient for Clients {
-    async fn request_vote(&self, peer: SocketAddr, ask: VoteRequest) -> Option<Vote> {
+    async fn request_vote(&self, peer: SocketAddr, request: VoteRequest) -> Option<Vote> {
         let link = self.link(peer);
-        let way = link.way().ok()?;
-        let mut client = way.client();
-        let request = RenewRequest::from(ask);
-        self.sent(&request);
-        let reply = self.timed(&link, &way, client.renew(request)).await.ok()?;
-        self.received(&reply);
+        let connection = link.connection().ok()?;
+        let mut client = connection.client();
+        let request = RenewRequest::from(request);
+        self.count_sent(&request);
+        let reply = self
+            .call_with_timeout(&link, &connection, client.renew(request))
+            .await
+            .ok()?;
+        self.count_received(&reply);
         Some(reply.into())
     }
 }
--- a/lib/src/peer/connector.rs
+++ b/lib/src/peer/connector.rs
@@ -1,4 +1,4 @@
-//! Opens and accepts the byte streams under connections between nodes.
+//! Opens and accepts the TCP or TLS streams that carry the connections between nodes.
 
 use std::io;
 use std::net::SocketAddr;
@@ -21,54 +21,54 @@
 use super::tls::{self, Security};
 use crate::clock::Millis;
 
-/// Accepted connections that wait to be served.
-const BACKLOG: usize = 64;
-/// Pause after the listener failed, so that a lack of file handles doesn't spin.
-const ACCEPT_PAUSE: Millis = Millis(50);
+/// Number of accepted connections that may wait to be served.
+const ACCEPTED_CAPACITY: usize = 64;
+/// Pause after a failed accept, so that running out of file descriptors doesn't cause a busy loop.
+const ACCEPT_RETRY_PAUSE: Millis = Millis(50);
 
 /// A byte stream to or from a peer.
 #[derive(Debug)]
-pub(super) enum Io {
+pub(super) enum PeerStream {
     Plain(TcpStream),
     Tls(Box<TlsStream<TcpStream>>),
 }
 
-impl Io {
-    fn pinned(self: Pin<&mut Self>) -> Either<'_> {
+impl PeerStream {
+    fn project(self: Pin<&mut Self>) -> PinnedPeerStream<'_> {
         match self.get_mut() {
-            Self::Plain(stream) => Either::Plain(Pin::new(stream)),
-            Self::Tls(stream) => Either::Tls(Pin::new(stream)),
+            Self::Plain(stream) => PinnedPeerStream::Plain(Pin::new(stream)),
+            Self::Tls(stream) => PinnedPeerStream::Tls(Pin::new(stream)),
         }
     }
 }
 
-enum Either<'a> {
+enum PinnedPeerStream<'a> {
     Plain(Pin<&'a mut TcpStream>),
     Tls(Pin<&'a mut TlsStream<TcpStream>>),
 }
 
-impl AsyncRead for Io {
+impl AsyncRead for PeerStream {
     fn poll_read(
         self: Pin<&mut Self>,
         cx: &mut Context<'_>,
         buf: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
-        match self.pinned() {
-            Either::Plain(stream) => stream.poll_read(cx, buf),
-            Either::Tls(stream) => stream.poll_read(cx, buf),
+        match self.project() {
+            PinnedPeerStream::Plain(stream) => stream.poll_read(cx, buf),
+            PinnedPeerStream::Tls(stream) => stream.poll_read(cx, buf),
         }
     }
 }
 
-impl AsyncWrite for Io {
+impl AsyncWrite for PeerStream {
     fn poll_write(
         self: Pin<&mut Self>,
         cx: &mut Context<'_>,
         buf: &[u8],
     ) -> Poll<io::Result<usize>> {
-        match self.pinned() {
-            Either::Plain(stream) => stream.poll_write(cx, buf),
-            Either::Tls(stream) => stream.poll_write(cx, buf),
+        match self.project() {
+            PinnedPeerStream::Plain(stream) => stream.poll_write(cx, buf),
+            PinnedPeerStream::Tls(stream) => stream.poll_write(cx, buf),
         }
     }
 
@@ -77,9 +77,9 @@
         cx: &mut Context<'_>,
         bufs: &[io::IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
-        match self.pinned() {
-            Either::Plain(stream) => stream.poll_write_vectored(cx, bufs),
-            Either::Tls(stream) => stream.poll_write_vectored(cx, bufs),
+        match self.project() {
+            PinnedPeerStream::Plain(stream) => stream.poll_write_vectored(cx, bufs),
+            PinnedPeerStream::Tls(stream) => stream.poll_write_vectored(cx, bufs),
         }
     }
 
@@ -88,16 +88,16 @@
     }
 
     fn poll_flush(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        match self.pinned() {
-            Either::Plain(stream) => stream.poll_flush(cx),
-            Either::Tls(stream) => stream.poll_flush(cx),
+        match self.project() {
+            PinnedPeerStream::Plain(stream) => stream.poll_flush(cx),
+            PinnedPeerStream::Tls(stream) => stream.poll_flush(cx),
         }
     }
 
     fn poll_shutdown(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        match self.pinned() {
-            Either::Plain(stream) => stream.poll_shutdown(cx),
-            Either::Tls(stream) => stream.poll_shutdown(cx),
+        match self.project() {
+            PinnedPeerStream::Plain(stream) => stream.poll_shutdown(cx),
+            PinnedPeerStream::Tls(stream) => stream.poll_shutdown(cx),
         }
     }
 }
@@ -111,31 +111,32 @@
 }
 
 impl Connector {
-    async fn open(self) -> io::Result<TokioIo<Io>> {
-        let opened = tokio::time::timeout(self.timeout.duration(), self.handshaken()).await;
-        opened
+    /// Opens a connection within the connect timeout.
+    async fn open(self) -> io::Result<TokioIo<PeerStream>> {
+        let result = tokio::time::timeout(self.timeout.duration(), self.connect()).await;
+        result
             .unwrap_or_else(|_| Err(io::ErrorKind::TimedOut.into()))
             .map(TokioIo::new)
     }
 
-    async fn handshaken(&self) -> io::Result<Io> {
+    async fn connect(&self) -> io::Result<PeerStream> {
         let stream = TcpStream::connect(self.address).await?;
         stream.set_nodelay(true)?;
         match &self.security {
-            Security::Plaintext => Ok(Io::Plain(stream)),
-            Security::Mutual(keys) => {
-                let connector = TlsConnector::from(keys.client());
-                let stream = connector.connect(tls::node_name(), stream).await?;
-                Ok(Io::Tls(Box::new(stream.into())))
+            Security::Plaintext => Ok(PeerStream::Plain(stream)),
+            Security::Mutual(credentials) => {
+                let connector = TlsConnector::from(credentials.client_config());
+                let stream = connector.connect(tls::node_server_name(), stream).await?;
+                Ok(PeerStream::Tls(Box::new(stream.into())))
             }
         }
     }
 }
 
 impl Service<Uri> for Connector {
-    type Response = TokioIo<Io>;
+    type Response = TokioIo<PeerStream>;
     type Error = io::Error;
-    type Future = BoxFuture<'static, io::Result<TokioIo<Io>>>;
+    type Future = BoxFuture<'static, io::Result<TokioIo<PeerStream>>>;
 
     fn poll_ready(&mut self, _: &mut Context<'_>) -> Poll<io::Result<()>> {
         Poll::Ready(Ok(()))
@@ -146,11 +147,11 @@
     }
 }
 
-/// A connection that a peer has opened; its place is free again when it is dropped.
+/// A connection that a peer has opened; dropping it releases its connection permit.
 #[derive(Debug)]
 pub(super) struct Accepted {
-    io: Io,
-    _place: OwnedSemaphorePermit,
+    io: PeerStream,
+    _permit: OwnedSemaphorePermit,
 }
 
 impl Connected for Accepted {
@@ -199,32 +200,32 @@
     }
 }
 
-/// Accepts peers' connections.
+/// Accepts connections from peers, up to a maximum number of open ones.
 #[derive(Debug)]
 pub(super) struct Acceptor {
     pub(super) listener: TcpListener,
     pub(super) security: Security,
     pub(super) timeout: Millis,
-    pub(super) connections: usize,
+    pub(super) max_connections: usize,
 }
 
 impl Acceptor {
-    /// Accepts until `stop`; a handshake holds up nobody else's.
+    /// Accepts connections until `stop` is cancelled; TLS handshakes run concurrently.
     pub(super) fn start(self, stop: CancellationToken) -> ReceiverStream<io::Result<Accepted>> {
-        let (accepted, incoming) = mpsc::channel(BACKLOG);
+        let (accepted, incoming) = mpsc::channel(ACCEPTED_CAPACITY);
         tokio::spawn(async move { stop.run_until_cancelled(self.accept(accepted)).await });
         ReceiverStream::new(incoming)
     }
 
     async fn accept(self, accepted: mpsc::Sender<io::Result<Accepted>>) {
-        let places = Arc::new(Semaphore::new(self.connections));
-        // The semaphore is never closed, so that there is always a next place.
-        while let Ok(place) = Arc::clone(&places).acquire_owned().await {
+        let permits = Arc::new(Semaphore::new(self.max_connections));
+        // The semaphore is never closed, so this loop ends only by cancellation.
+        while let Ok(permit) = Arc::clone(&permits).acquire_owned().await {
             let stream = match self.listener.accept().await {
                 Ok((stream, _)) => stream,
                 Err(error) => {
-                    log::warn!("peer: can't accept a connection: {error}");
-                    tokio::time::sleep(ACCEPT_PAUSE.duration()).await;
+                    log::warn!("peer: failed to accept a connection: {error}");
+                    tokio::time::sleep(ACCEPT_RETRY_PAUSE.duration()).await;
                     continue;
                 }
             };
@@ -232,10 +233,13 @@
             let timeout = self.timeout.duration();
             let accepted = accepted.clone();
             tokio::spawn(async move {
-                let handshake = tokio::time::timeout(timeout, handshaken(stream, &security));
+                let handshake = tokio::time::timeout(timeout, handshake(stream, &security));
                 match handshake.await.unwrap_or_else(|error| Err(error.into())) {
                     Ok(io) => {
-                        let connection = Accepted { io, _place: place };
+                        let connection = Accepted {
+                            io,
+                            _permit: permit,
+                        };
                         let _ = accepted.send(Ok(connection)).await;
                     }
                     Err(error) => log::warn!("peer: a connection wasn't accepted: {error}"),
@@ -245,15 +249,16 @@
     }
 }
 
-async fn handshaken(stream: TcpStream, security: &Security) -> io::Result<Io> {
+async fn handshake(stream: TcpStream, security: &Security) -> io::Result<PeerStream> {
     stream.set_nodelay(true)?;
     match security {
-        Security::Plaintext => Ok(Io::Plain(stream)),
-        Security::Mutual(keys) => {
-            let acceptor = TlsAcceptor::from(keys.server());
+        Security::Plaintext => Ok(PeerStream::Plain(stream)),
+        Security::Mutual(credentials) => {
+            let acceptor = TlsAcceptor::from(credentials.server_config());
             let stream = acceptor.accept(stream).await?;
-            tls::check_node(stream.get_ref().1.peer_certificates()).map_err(io::Error::other)?;
-            Ok(Io::Tls(Box::new(stream.into())))
+            tls::check_node_certificate(stream.get_ref().1.peer_certificates())
+                .map_err(io::Error::other)?;
+            Ok(PeerStream::Tls(Box::new(stream.into())))
         }
     }
 }
--- a/lib/src/peer/call.rs
+++ b/lib/src/peer/control_traffic.rs
@@ -1,10 +1,12 @@
-//! What both sides of a call share.
+//! Metrics of control traffic, shared by the client and the server.
 
 use prost::Message;
 
 use crate::metrics::Metrics;
 
-/// Counts a message of control traffic.
+/// Adds the encoded size of a control message to the control traffic metric.
+///
+/// `direction` is `sent` or `received`.
 pub(super) fn count(metrics: &Metrics, direction: &str, message: &impl Message) {
     let bytes = u64::try_from(message.encoded_len()).unwrap_or(u64::MAX);
     metrics
--- a/lib/src/peer/link.rs
+++ b/lib/src/peer/link.rs
@@ -1,4 +1,5 @@
-//! The connection to one peer: opened when needed, with backoff after a failure.
+//! The link to one peer: its current connection, which is opened on first use, and the
+//! backoff after failed connection attempts.
 
 use std::error::Error;
 use std::net::SocketAddr;
@@ -18,15 +19,15 @@
 use crate::name::Name;
 use crate::schema::peer::peer_client::PeerClient;
 
-/// One connection to a peer.
+/// A connection to a peer, with the probe that checks whether the peer still responds.
 #[derive(Debug)]
-pub(super) struct Way {
+pub(super) struct Connection {
     client: PeerClient<Channel>,
     probe: Probe,
 }
 
-impl Way {
-    /// Makes a way whose connection is opened by the first call.
+impl Connection {
+    /// Creates a connection that is opened by the first call.
     fn new(connector: &Connector, limits: &Limits) -> Arc<Self> {
         let endpoint = endpoint(connector.address, limits);
         let channel = endpoint.connect_with_connector_lazy(connector.clone());
@@ -39,29 +40,29 @@
         })
     }
 
-    /// Returns a client.
+    /// Returns a client that uses this connection.
     pub(super) fn client(&self) -> PeerClient<Channel> {
         self.client.clone()
     }
 }
 
-/// The way to one peer.
+/// The link to one peer.
 #[derive(Debug)]
 pub(super) struct Link {
     node: Name,
     address: SocketAddr,
     connector: Connector,
     limits: Limits,
-    way: Mutex<Arc<Way>>,
+    connection: Mutex<Arc<Connection>>,
     clock: Arc<dyn Clock>,
-    heard: AtomicU64,
+    last_response_at: AtomicU64,
     failures: AtomicU32,
-    closed_until: AtomicU64,
-    used: AtomicU64,
+    backoff_until: AtomicU64,
+    last_used_at: AtomicU64,
 }
 
 impl Link {
-    /// Makes the way to a peer; the connection is opened by the first call.
+    /// Creates a link; the connection is opened by the first call.
     pub(super) fn new(
         node: &Name,
         address: SocketAddr,
@@ -77,97 +78,107 @@
         Self {
             node: Arc::clone(node),
             address,
-            way: Mutex::new(Way::new(&connector, limits)),
+            connection: Mutex::new(Connection::new(&connector, limits)),
             connector,
             limits: limits.clone(),
             clock: Arc::clone(clock),
-            heard: AtomicU64::new(clock.now().0),
+            last_response_at: AtomicU64::new(clock.now().0),
             failures: AtomicU32::new(0),
-            closed_until: AtomicU64::new(0),
-            used: AtomicU64::new(clock.now().0),
+            backoff_until: AtomicU64::new(0),
+            last_used_at: AtomicU64::new(clock.now().0),
         }
     }
 
-    /// Returns the way for a call, unless a connection failed a moment ago.
-    pub(super) fn way(&self) -> Result<Arc<Way>, Failure> {
+    /// Returns the connection for a call, or an error during the backoff after a failed
+    /// connection attempt.
+    pub(super) fn connection(&self) -> Result<Arc<Connection>, Failure> {
         let now = self.clock.now();
-        self.used.store(now.0, Ordering::Relaxed);
-        let until = Millis(self.closed_until.load(Ordering::Relaxed));
+        self.last_used_at.store(now.0, Ordering::Relaxed);
+        let until = Millis(self.backoff_until.load(Ordering::Relaxed));
         if now < until {
             let failure = Failure::new(Code::PeerUnreachable, "the peer couldn't be reached");
             return Err(failure.retry_after(until.since(now)));
         }
-        let way = self.way.lock().unwrap_or_else(PoisonError::into_inner);
-        Ok(Arc::clone(&way))
+        let connection = self
+            .connection
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
+        Ok(Arc::clone(&connection))
     }
 
-    /// Leaves a silent connection to the answers that have begun on it.
+    /// Replaces a silent connection; calls that wait on it or receive a response stay there.
     ///
-    /// What comes next would vanish on it, and nobody could say that it wasn't run;
-    /// a new connection shows at once when the peer's VM is gone, and works at once
-    /// when it was the network that failed.
-    fn leave(&self, silent: &Arc<Way>) {
-        let mut way = self.way.lock().unwrap_or_else(PoisonError::into_inner);
-        // All requests that waited on one connection find out together.
-        if Arc::ptr_eq(&way, silent) {
+    /// New requests on the silent connection could be lost, and it would be unknown
+    /// whether they ran. Opening a new connection shows quickly that the peer's VM is gone,
+    /// and works right away when only the network had failed.
+    fn replace_connection(&self, silent: &Arc<Connection>) {
+        let mut connection = self
+            .connection
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
+        // All requests that wait on one connection detect the silence at the same time;
+        // only the first replaces the connection.
+        if Arc::ptr_eq(&connection, silent) {
             log::debug!("peer: {} is silent", self.address);
-            *way = Way::new(&self.connector, &self.limits);
+            *connection = Connection::new(&self.connector, &self.limits);
         }
     }
 
-    /// Notes that a call had no answer in its time.
-    pub(super) fn unanswered(&self, way: &Arc<Way>) {
-        let heard = Millis(self.heard.load(Ordering::Relaxed));
-        let trusted = self.limits.ping_interval + self.limits.ping_timeout;
-        if self.clock.now().since(heard) >= trusted {
-            self.leave(way);
+    /// Records that a call timed out; replaces the connection if the peer hasn't responded
+    /// to any other call for a while.
+    pub(super) fn record_timeout(&self, connection: &Arc<Connection>) {
+        let last_response_at = Millis(self.last_response_at.load(Ordering::Relaxed));
+        let max_silence = self.limits.ping_interval + self.limits.ping_timeout;
+        if self.clock.now().since(last_response_at) >= max_silence {
+            self.replace_connection(connection);
         }
     }
 
-    /// Returns what a request's call brings; one that may run again is given up when
-    /// the peer falls silent before.
+    /// Awaits a call; a retryable one fails if the peer falls silent before it completes.
     ///
-    /// What a silent peer makes of a request can't be known. If it may run twice, it
-    /// is soon tried elsewhere; if not, it is tried nowhere else, and its caller is
-    /// better served by a peer that goes on.
-    pub(super) async fn answer<T>(
+    /// Whether a silent peer runs a request is unknown. A request that may run twice
+    /// fails soon, so that it can be retried at another upstream. One that may not is
+    /// never retried, so waiting for the peer to resume is its only chance of a response.
+    pub(super) async fn await_response<T>(
         &self,
-        way: &Arc<Way>,
-        again: bool,
+        connection: &Arc<Connection>,
+        retryable: bool,
         call: impl Future<Output = Result<T, Failure>>,
     ) -> Result<T, Failure> {
         tokio::pin!(call);
         tokio::select! {
             biased;
-            brought = &mut call => return brought,
-            () = way.probe.silent() => self.leave(way),
+            result = &mut call => return result,
+            () = connection.probe.wait_until_silent() => self.replace_connection(connection),
         }
-        if again {
+        if retryable {
             return Err(Failure::new(Code::PeerLost, "the peer is silent"));
         }
         call.await
     }
 
-    /// Returns when a call was last made.
-    pub(super) fn used(&self) -> Millis {
-        Millis(self.used.load(Ordering::Relaxed))
+    /// Returns when the link was last used for a call.
+    pub(super) fn last_used_at(&self) -> Millis {
+        Millis(self.last_used_at.load(Ordering::Relaxed))
     }
 
-    /// Notes that the peer has answered.
-    pub(super) fn answered(&self) {
-        self.heard.store(self.clock.now().0, Ordering::Relaxed);
+    /// Records a response from the peer, which also ends the backoff.
+    pub(super) fn record_response(&self) {
+        self.last_response_at
+            .store(self.clock.now().0, Ordering::Relaxed);
         if self.failures.load(Ordering::Relaxed) > 0 {
             self.failures.store(0, Ordering::Relaxed);
         }
     }
 
-    /// Says what a failed call means for what was sent.
+    /// Converts the error of a call to a failure, and starts the backoff if the connection
+    /// couldn't be opened.
     ///
-    /// Only a connection that was never opened proves that nothing left this
-    /// node. After that the peer may have read the request and acted on it,
-    /// whatever the connection reports.
-    pub(super) fn failed(&self, status: &Status) -> Failure {
-        if is_connect(status) {
+    /// Only a failure to open the connection proves that the request wasn't sent. Once
+    /// the connection is open, the peer may have read the request and acted on it,
+    /// whatever error the connection reports.
+    pub(super) fn record_failure(&self, status: &Status) -> Failure {
+        if is_connect_error(status) {
             self.back_off();
             let failure = Failure::new(Code::PeerUnreachable, "the peer can't be reached");
             return failure.retry_after(self.limits.min_backoff);
@@ -180,48 +191,48 @@
 
     fn back_off(&self) {
         let now = self.clock.now();
-        // All calls that waited for one connection fail together; that is one failure.
-        if now.0 < self.closed_until.load(Ordering::Relaxed) {
+        // All calls that wait for one connection attempt fail together; count one failure.
+        if now.0 < self.backoff_until.load(Ordering::Relaxed) {
             return;
         }
         let failures = self.failures.fetch_add(1, Ordering::Relaxed);
         let Limits {
-            min_backoff: from,
-            max_backoff: to,
+            min_backoff,
+            max_backoff,
             ..
         } = self.limits;
-        let span = Millis(from.0 << failures.min(16)).min(to);
-        let until = now + jittered(span, &self.node, self.address, failures);
-        self.closed_until.store(until.0, Ordering::Relaxed);
+        let backoff = Millis(min_backoff.0 << failures.min(16)).min(max_backoff);
+        let until = now + jittered(backoff, &self.node, self.address, failures);
+        self.backoff_until.store(until.0, Ordering::Relaxed);
         log::debug!("peer: {} can't be reached", self.address);
     }
 }
 
-/// Returns between half and the whole of a span, different for each pair of nodes.
+/// Returns a backoff between half of `backoff` and all of it, different for each pair of nodes.
 ///
-/// Without it, nodes that lost a peer together would all come back together.
-fn jittered(span: Millis, node: &str, address: SocketAddr, failures: u32) -> Millis {
+/// Without jitter, all nodes that lost a peer at the same time would reconnect at the same time.
+fn jittered(backoff: Millis, node: &str, address: SocketAddr, failures: u32) -> Millis {
     let seed = xxh3_64_with_seed(node.as_bytes(), u64::from(failures));
     let hash = xxh3_64_with_seed(address.to_string().as_bytes(), seed);
-    Millis(span.0 / 2 + hash % (span.0 / 2 + 1))
+    Millis(backoff.0 / 2 + hash % (backoff.0 / 2 + 1))
 }
 
 fn endpoint(address: SocketAddr, limits: &Limits) -> Endpoint {
     Endpoint::from_shared(format!("http://{address}"))
-        .expect("an address by IP number and port is an authority")
+        .expect("an IP address with a port is a valid URI authority")
         .connect_timeout(limits.connect_timeout.duration())
         .initial_stream_window_size(limits.stream_window_bytes)
         .initial_connection_window_size(limits.connection_window())
-        // The library counts each piece that comes after its caller went away as a
-        // fault of the peer, over the connection's whole life, and ends it at a
-        // bound, with the answers of all callers that share it. A peer that is
-        // known by its certificate needs no such bound.
+        // h2 counts every frame that arrives for a stream that this side has reset as an
+        // error of the peer, over the lifetime of the connection, and closes the connection
+        // at a limit, which breaks the responses of all callers that share it. A peer that
+        // is authenticated by its certificate needs no such limit.
         .http2_max_local_error_reset_streams(None)
         .http2_keep_alive_interval(limits.ping_interval.duration())
         .keep_alive_timeout(limits.keepalive_timeout.duration())
 }
 
-fn is_connect(status: &Status) -> bool {
+fn is_connect_error(status: &Status) -> bool {
     let mut source = status.source();
     while let Some(error) = source {
         if error.is::<ConnectError>() {
--- a/lib/src/peer/mod.rs
+++ b/lib/src/peer/mod.rs
@@ -1,9 +1,9 @@
-//! Connections between nodes: the service that a node gives its peers, and its
-//! clients of theirs. See docs/architecture.md.
+//! Connections between nodes: the gRPC service that a node offers its peers, and the
+//! clients that call it on other nodes. See docs/architecture.md.
 
-mod call;
 pub mod client;
 mod connector;
+mod control_traffic;
 mod forward;
 mod link;
 mod permit;
@@ -18,46 +18,54 @@
 
 use crate::clock::Millis;
 
-/// Bounds of the connections between nodes.
+/// Limits and timeouts of the connections between nodes.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Limits {
-    /// Connections that peers may have open to this node.
+    /// Maximum number of connections that peers may have open to this node.
     pub max_connections: usize,
-    /// Requests in progress on one connection.
+    /// Maximum number of HTTP/2 streams (requests in progress) on one connection.
     pub max_concurrent_streams: u32,
-    /// Bytes of an answer that wait for a slow reader before the sender is held back.
+    /// HTTP/2 flow-control window of one stream.
     ///
-    /// A connection's window is this times [`Limits::max_concurrent_streams`], so that readers
-    /// which take nothing can't use up what the others need.
+    /// A connection's window is this times [`Limits::max_concurrent_streams`], so that streams
+    /// that nobody reads can't use up the window that the other streams need.
     pub stream_window_bytes: u32,
-    /// Largest message.
+    /// Maximum size of one gRPC message.
     pub max_message_bytes: usize,
-    /// Largest body of a request.
+    /// Maximum size of a request body.
     pub max_body_bytes: usize,
-    /// Longest time to a connection, TLS included.
+    /// Timeout for opening a connection, TLS handshake included.
     pub connect_timeout: Millis,
-    /// Longest time of an exchange, a renewal or the first part of a snapshot.
+    /// Timeout of a gossip exchange, a vote request or the response head of a snapshot.
     pub call_timeout: Millis,
-    /// Time without a sign of life after which a peer with requests in progress is asked for one.
+    /// Interval of the pings to a peer while requests to it are in progress.
+    ///
+    /// Used for HTTP/2 keepalive pings and for the `Alive` calls of requests that have no
+    /// response yet.
     pub ping_interval: Millis,
-    /// Time between signs of life that a node asks of all who have a connection to it.
+    /// Interval of the HTTP/2 keepalive pings that a node sends on connections that it accepted.
     ///
-    /// It is long, since nearly every node is connected to every other: at a ping
-    /// each 2 s, 320 nodes would spend more on pings than on all else together.
-    /// A caller's node that dies without a word is noticed that much later; its
-    /// requests end by their deadlines at the latest.
+    /// It is long because nearly every node is connected to every other: with a ping every
+    /// 2 s, pings would cost 320 nodes more than everything else together. A forwarding node
+    /// that dies without closing its connection is noticed that much later; its requests end
+    /// by their deadlines at the latest.
     pub server_ping_interval: Millis,
-    /// Time to that sign before requests are given up that can be tried elsewhere: their answers
-    /// haven't begun, and they may run twice.
+    /// Timeout of an `Alive` call.
+    ///
+    /// When it passes, requests that can be retried at another upstream fail: those that are
+    /// idempotent and whose response hasn't begun.
     pub ping_timeout: Millis,
-    /// Time to that sign before the connection is given up, and with it the answers that have begun.
+    /// Time without a reply to an HTTP/2 keepalive ping after which the connection is closed,
+    /// and with it all responses that have begun.
     ///
-    /// Nobody can give those again, nor run what must not run twice. A VM that is moved or saved is away for seconds, and its
-    /// streams go on afterwards; the caller of one that is gone hears of it this much later.
+    /// It is longer than [`Limits::ping_timeout`] because such a response can't be produced
+    /// again, and a request that isn't idempotent can't be retried. A VM that is migrated or
+    /// snapshotted pauses for seconds and its streams continue afterwards. When the VM is gone,
+    /// callers learn of it only after this time.
     pub keepalive_timeout: Millis,
-    /// First and shortest time without a new try after a failed connection; it doubles.
+    /// Backoff after the first failed connection attempt; it doubles with each further failure.
     pub min_backoff: Millis,
-    /// Longest such time.
+    /// Maximum backoff.
     pub max_backoff: Millis,
 }
 
@@ -82,11 +90,11 @@
 }
 
 impl Limits {
-    /// Returns the window of a whole connection, within what HTTP/2 allows.
+    /// Returns the flow-control window of a connection, capped at the maximum of HTTP/2.
     fn connection_window(&self) -> u32 {
-        const MOST: u32 = (1 << 31) - 1;
+        const MAX_HTTP2_WINDOW: u32 = (1 << 31) - 1;
         self.stream_window_bytes
             .saturating_mul(self.max_concurrent_streams)
-            .min(MOST)
+            .min(MAX_HTTP2_WINDOW)
     }
 }
--- a/lib/src/peer/permit.rs
+++ b/lib/src/peer/permit.rs
@@ -1,7 +1,7 @@
-//! Leave to load, over the connection to the owner of the weight store's queue.
+//! Permits to load adapters, requested from the node that owns the weight store's queue.
 //!
-//! Each ask has a stream of its own. The stream's end is the ask's end: a node
-//! that dies while it holds leave gives it back by its connection breaking.
+//! Each permit request has its own stream, and the end of the stream ends the request. If a
+//! node dies while it holds a permit, its connection breaks and the permit is released.
 
 use std::sync::Arc;
 
@@ -12,8 +12,8 @@
 use tokio_stream::wrappers::{ReceiverStream, WatchStream};
 use tonic::{Status, Streaming};
 
-use super::call;
 use super::client::Clients;
+use super::control_traffic;
 use crate::adapter::Adapter;
 use crate::clock::Millis;
 use crate::error::{Code, Failure};
@@ -22,33 +22,34 @@
 use crate::request::Class;
 use crate::schema::peer::{PermitAsk, PermitDone, PermitDown, PermitUp, permit_up};
 
-/// What a prefetch has in place of a class.
-const PREFETCH: u32 = 255;
-/// How long the outcome of a load may take to be sent.
-const TELL: Millis = Millis::from_secs(1);
+/// Value of `PermitAsk::class` for a prefetch, which has no request class.
+const PREFETCH_CLASS: u32 = 255;
+/// How long to wait for the queue's owner to close the stream after the outcome of a load
+/// was sent.
+const OUTCOME_TIMEOUT: Millis = Millis::from_secs(1);
 
-/// Serves one ask: waits for leave and then for how the load ended.
+/// Serves one permit request: waits for the permit, then for the outcome of the load.
 pub(super) async fn serve(
     mut up: Streaming<PermitUp>,
     permits: Arc<dyn PermitSource>,
     metrics: Arc<Metrics>,
 ) -> Result<BoxStream<'static, Result<PermitDown, Status>>, Status> {
-    let first = next(&mut up, &metrics).await?;
+    let first = next_part(&mut up, &metrics).await?;
     let Some(permit_up::Part::Ask(ask)) = first else {
         return Err(Status::invalid_argument("a stream begins with an ask"));
     };
     let load_id = ask.load_id;
-    let (asks, changes) = watch::channel(PermitRequest::from(ask));
+    let (request_updates, request) = watch::channel(PermitRequest::from(ask));
     let granted = async move {
         let acquired = {
-            let acquire = permits.acquire(changes);
+            let acquire = permits.acquire(request);
             tokio::pin!(acquire);
             loop {
                 tokio::select! {
                     acquired = &mut acquire => break acquired,
-                    part = next(&mut up, &metrics) => match part? {
+                    part = next_part(&mut up, &metrics) => match part? {
                         Some(permit_up::Part::Ask(ask)) => {
-                            asks.send_replace(ask.into());
+                            request_updates.send_replace(ask.into());
                         }
                         _ => return Err(Status::cancelled("the ask was taken back")),
                     }
@@ -63,14 +64,14 @@
         .flat_map(move |granted| match granted {
             Err(status) => stream::once(async { Err(status) }).boxed(),
             Ok((up, permit, metrics)) => {
-                let leave = PermitDown {
+                let grant = PermitDown {
                     load_id,
                     granted: true,
                 };
-                call::count(&metrics, "sent", &leave);
-                stream::once(async move { Ok(leave) })
+                control_traffic::count(&metrics, "sent", &grant);
+                stream::once(async move { Ok(grant) })
                     .chain(
-                        ended(up, permit, metrics)
+                        wait_for_outcome(up, permit, metrics)
                             .into_stream()
                             .filter_map(std::future::ready),
                     )
@@ -80,14 +81,14 @@
     Ok(down.boxed())
 }
 
-/// Waits for how a load ended; a stream that breaks gives the leave back.
-async fn ended(
+/// Waits for the outcome of a load; the permit is released if the stream ends or breaks first.
+async fn wait_for_outcome(
     mut up: Streaming<PermitUp>,
     permit: Box<dyn Permit>,
     metrics: Arc<Metrics>,
 ) -> Option<Result<PermitDown, Status>> {
     loop {
-        match next(&mut up, &metrics).await {
+        match next_part(&mut up, &metrics).await {
             Ok(Some(permit_up::Part::Done(done))) => {
                 permit.done(done.loaded, Millis(done.took_ms)).await;
                 return None;
@@ -99,23 +100,23 @@
     }
 }
 
-async fn next(
+async fn next_part(
     up: &mut Streaming<PermitUp>,
     metrics: &Metrics,
 ) -> Result<Option<permit_up::Part>, Status> {
     let message = up.message().await?;
     if let Some(message) = &message {
-        call::count(metrics, "received", message);
+        control_traffic::count(metrics, "received", message);
     }
     Ok(message.and_then(|message| message.part))
 }
 
-/// Asks a peer for leave to load.
+/// Requests permits from the queue at another node.
 #[derive(Debug)]
 pub(crate) struct RemotePermitSource {
-    /// The ways to all peers.
+    /// The links to all peers.
     pub(crate) clients: Arc<Clients>,
-    /// Where the owner of the queue listens.
+    /// Peer address of the node that owns the queue.
     pub(crate) address: std::net::SocketAddr,
 }
 
@@ -123,57 +124,58 @@
 impl PermitSource for RemotePermitSource {
     async fn acquire(
         &self,
-        ask: watch::Receiver<PermitRequest>,
+        request: watch::Receiver<PermitRequest>,
     ) -> Result<Box<dyn Permit>, Failure> {
         let link = self.clients.link(self.address);
-        let way = link.way()?;
-        let mut client = way.client();
-        let (ended, last) = mpsc::channel(1);
+        let connection = link.connection()?;
+        let mut client = connection.client();
+        let (outcome, outcomes) = mpsc::channel(1);
         let metrics = self.clients.metrics();
-        let asks = WatchStream::new(ask).map(|ask| permit_up::Part::Ask(ask.into()));
-        let up = stream::select(asks, ReceiverStream::new(last)).map(move |part| {
+        let asks = WatchStream::new(request).map(|ask| permit_up::Part::Ask(ask.into()));
+        let up = stream::select(asks, ReceiverStream::new(outcomes)).map(move |part| {
             let message = PermitUp { part: Some(part) };
-            call::count(&metrics, "sent", &message);
+            control_traffic::count(&metrics, "sent", &message);
             message
         });
-        let failed = |status| link.failed(&status);
-        let asked = async {
+        let failed = |status| link.record_failure(&status);
+        let call = async {
             let mut down = client.permit(up).await.map_err(failed)?.into_inner();
-            let leave = down.message().await.map_err(failed)?;
-            Ok((leave, down))
+            let grant = down.message().await.map_err(failed)?;
+            Ok((grant, down))
         };
-        // While the owner is silent a share of the rate is better than no load.
-        let (leave, down) = link.answer(&way, true, asked).await?;
-        match leave {
-            Some(leave) if leave.granted => {
-                link.answered();
-                call::count(&self.clients.metrics(), "received", &leave);
-                Ok(Box::new(Leave { ended, down }))
+        // The call counts as retryable: while the owner is silent, loading within this node's
+        // share of the rate limit is better than not loading at all.
+        let (grant, down) = link.await_response(&connection, true, call).await?;
+        match grant {
+            Some(grant) if grant.granted => {
+                link.record_response();
+                control_traffic::count(&self.clients.metrics(), "received", &grant);
+                Ok(Box::new(RemotePermit { outcome, down }))
             }
             _ => Err(Failure::new(Code::LoadFailed, "the queue gave no leave")),
         }
     }
 }
 
-/// Leave that a peer's queue gave; dropping it resets the stream and gives it back.
+/// A permit from the queue of a peer; dropping it resets the stream, which releases the permit.
 #[derive(Debug)]
-struct Leave {
-    ended: mpsc::Sender<permit_up::Part>,
+struct RemotePermit {
+    outcome: mpsc::Sender<permit_up::Part>,
     down: Streaming<PermitDown>,
 }
 
 #[async_trait]
-impl Permit for Leave {
+impl Permit for RemotePermit {
     async fn done(mut self: Box<Self>, loaded: bool, took: Millis) {
         let done = permit_up::Part::Done(PermitDone {
             load_id: 0,
             loaded,
             took_ms: took.0,
         });
-        // The queue closes the stream when it has heard; if it doesn't, dropping
-        // the stream gives the leave back as well.
-        if self.ended.send(done).await.is_ok() {
-            let _ = tokio::time::timeout(TELL.duration(), self.down.message()).await;
+        // The queue closes the stream when it has received the outcome. If it doesn't,
+        // dropping the stream releases the permit as well.
+        if self.outcome.send(done).await.is_ok() {
+            let _ = tokio::time::timeout(OUTCOME_TIMEOUT.duration(), self.down.message()).await;
         }
     }
 }
@@ -187,7 +189,7 @@
                 name: ask.adapter.into(),
                 version: ask.version.into(),
             },
-            class: (ask.class != PREFETCH).then(|| Class::from_index(ask.class)),
+            class: (ask.class != PREFETCH_CLASS).then(|| Class::from_index(ask.class)),
             waiters: ask.waiters,
             weight: ask.weight,
             waited: Millis(ask.waited_ms),
@@ -197,18 +199,18 @@
 }
 
 impl From<PermitRequest> for PermitAsk {
-    fn from(ask: PermitRequest) -> Self {
+    fn from(request: PermitRequest) -> Self {
         Self {
             load_id: 0,
-            upstream: ask.upstream.to_string(),
-            adapter: ask.adapter.name.to_string(),
-            version: ask.adapter.version.to_string(),
-            base_model: ask.adapter.base_model.to_string(),
-            class: ask.class.map_or(PREFETCH, |class| class as u32),
-            waiters: ask.waiters,
-            weight: ask.weight,
-            waited_ms: ask.waited.0,
-            gain_ms: ask.stall_savings.0,
+            upstream: request.upstream.to_string(),
+            adapter: request.adapter.name.to_string(),
+            version: request.adapter.version.to_string(),
+            base_model: request.adapter.base_model.to_string(),
+            class: request.class.map_or(PREFETCH_CLASS, |class| class as u32),
+            waiters: request.waiters,
+            weight: request.weight,
+            waited_ms: request.waited.0,
+            gain_ms: request.stall_savings.0,
         }
     }
 }
--- a/lib/src/peer/server.rs
+++ b/lib/src/peer/server.rs
@@ -1,4 +1,4 @@
-//! The service that a node gives its peers.
+//! The gRPC service that a node offers its peers.
 
 use std::sync::Arc;
 
@@ -13,7 +13,7 @@
 
 use super::connector::Acceptor;
 use super::tls::Security;
-use super::{Limits, call, permit, wire};
+use super::{Limits, control_traffic, permit, wire};
 use crate::clock::Clock;
 use crate::error::{Code, Failure};
 use crate::gossip::{ExchangeHandler, SnapshotSource};
@@ -28,32 +28,32 @@
     SnapshotPart, SnapshotRequest, Up, up,
 };
 
-/// What answers peers.
+/// The components that handle the calls of peers.
 #[derive(Debug, Clone)]
 pub struct Handlers {
     /// Runs attempts at the upstreams that this node owns.
     pub runner: Arc<dyn Runner>,
-    /// Answers exchanges.
+    /// Handles gossip exchanges.
     pub exchange: Arc<dyn ExchangeHandler>,
-    /// Answers as a witness.
+    /// Handles vote requests, for which this node is a witness.
     pub vote_handler: Arc<dyn VoteHandler>,
-    /// Gives the whole configuration.
+    /// Provides snapshots of the configuration.
     pub snapshot: Arc<dyn SnapshotSource>,
-    /// Gives leave to load, if this node owns the weight store's queue.
+    /// Grants permits to load adapters, if this node owns the weight store's queue.
     pub permits: Arc<dyn PermitSource>,
     /// The node's clock.
     pub clock: Arc<dyn Clock>,
     /// The node's metrics.
     pub metrics: Arc<Metrics>,
-    /// Bounds.
+    /// Limits and timeouts.
     pub limits: Limits,
 }
 
-/// Serves peers until `stop`, then until what is in progress has ended.
+/// Serves peers until `stop` is cancelled, then finishes the calls in progress.
 ///
 /// # Errors
 ///
-/// When the listener can't be served.
+/// Returns an error when the listener can't be served.
 pub async fn serve(
     listener: TcpListener,
     handlers: Handlers,
@@ -65,7 +65,7 @@
         listener,
         security,
         timeout: limits.connect_timeout,
-        connections: limits.max_connections,
+        max_connections: limits.max_connections,
     };
     let incoming = acceptor.start(stop.clone());
     let service = PeerServer::new(handlers)
@@ -75,10 +75,10 @@
         .initial_stream_window_size(limits.stream_window_bytes)
         .initial_connection_window_size(limits.connection_window())
         .max_concurrent_streams(limits.max_concurrent_streams)
-        // The library takes some tens of requests that are reset before it has seen
-        // them for an attack, and ends the connection. Between nodes they are the
-        // callers that went away while this node paused for a moment, and with the
-        // connection all other callers of that node would lose their answers.
+        // By default h2 takes a few dozen streams that are reset before it has accepted
+        // them for an attack (rapid reset) and closes the connection. Between nodes, these
+        // are requests whose callers disconnected while this node was paused; closing the
+        // connection would also break the responses of all other callers of that node.
         .http2_max_pending_accept_reset_streams(Some(limits.max_concurrent_streams as usize))
         .http2_keepalive_interval(Some(limits.server_ping_interval.duration()))
         .http2_keepalive_timeout(Some(limits.keepalive_timeout.duration()))
@@ -97,24 +97,26 @@
         &self,
         request: Request<Streaming<Up>>,
     ) -> Result<Response<Self::ForwardStream>, Status> {
-        // When the peer resets the stream, this future or the stream is dropped,
-        // which cancels the attempt wherever it is.
-        let ran = match self.received(request.into_inner()).await {
+        // When the peer resets the stream, this future or the returned stream is dropped,
+        // which cancels the attempt at any stage.
+        let result = match self.read_attempt(request.into_inner()).await {
             Ok(attempt) => self.runner.run(attempt).await,
             Err(failure) => Err(failure),
         };
-        let down = match ran {
-            Ok(answer) => answered(answer),
-            Err(failure) => stream::once(async move { Ok(wire::end(&Err(failure))) }).boxed(),
+        let down = match result {
+            Ok(answer) => response_messages(answer),
+            Err(failure) => {
+                stream::once(async move { Ok(wire::encode_end(&Err(failure))) }).boxed()
+            }
         };
         Ok(Response::new(down))
     }
 
     async fn exchange(&self, request: Request<Digest>) -> Result<Response<Delta>, Status> {
         let digest = request.into_inner();
-        call::count(&self.metrics, "received", &digest);
+        control_traffic::count(&self.metrics, "received", &digest);
         let delta = self.exchange.handle_exchange(digest).await;
-        call::count(&self.metrics, "sent", &delta);
+        control_traffic::count(&self.metrics, "sent", &delta);
         Ok(Response::new(delta))
     }
 
@@ -130,9 +132,9 @@
 
     async fn renew(&self, request: Request<RenewRequest>) -> Result<Response<RenewReply>, Status> {
         let request = request.into_inner();
-        call::count(&self.metrics, "received", &request);
+        control_traffic::count(&self.metrics, "received", &request);
         let reply = RenewReply::from(self.vote_handler.handle_vote_request(request.into()).await);
-        call::count(&self.metrics, "sent", &reply);
+        control_traffic::count(&self.metrics, "sent", &reply);
         Ok(Response::new(reply))
     }
 
@@ -145,16 +147,16 @@
     }
 
     async fn alive(&self, request: Request<AliveRequest>) -> Result<Response<AliveReply>, Status> {
-        call::count(&self.metrics, "received", &request.into_inner());
+        control_traffic::count(&self.metrics, "received", &request.into_inner());
         let reply = AliveReply::default();
-        call::count(&self.metrics, "sent", &reply);
+        control_traffic::count(&self.metrics, "sent", &reply);
         Ok(Response::new(reply))
     }
 }
 
 impl Handlers {
-    /// Reads an attempt whole. Until it is whole, nothing of it has run.
-    async fn received(&self, mut up: Streaming<Up>) -> Result<Attempt, Failure> {
+    /// Reads an attempt with its whole body; nothing runs before the body is complete.
+    async fn read_attempt(&self, mut up: Streaming<Up>) -> Result<Attempt, Failure> {
         let bad = |detail: &str| Failure::new(Code::BadRequest, detail);
         let mut head = None;
         let mut body = BytesMut::new();
@@ -172,8 +174,8 @@
                     body.extend_from_slice(&piece);
                 }
                 Some(up::Part::End(_)) => {
-                    let (head, came) = head.ok_or_else(|| bad("the request has no head"))?;
-                    return wire::attempt(head, body.freeze(), came);
+                    let (head, received_at) = head.ok_or_else(|| bad("the request has no head"))?;
+                    return wire::decode_attempt(head, body.freeze(), received_at);
                 }
                 None => {}
             }
@@ -182,15 +184,15 @@
     }
 }
 
-/// Returns the messages of an answer; the last says how it ended.
-fn answered(answer: Answer) -> BoxStream<'static, Result<Down, Status>> {
-    let head = wire::answer_head(&answer.head);
+/// Returns the messages of a response; the last one says how the response ended.
+fn response_messages(answer: Answer) -> BoxStream<'static, Result<Down, Status>> {
+    let head = wire::encode_response_head(&answer.head);
     let pieces = stream::unfold(Some(answer.body), |body| async move {
         let mut body = body?;
         Some(match body.next().await {
-            Some(Ok(piece)) => (wire::data(piece), Some(body)),
-            Some(Err(failure)) => (vec![wire::end(&Err(failure))], None),
-            None => (vec![wire::end(&Ok(()))], None),
+            Some(Ok(piece)) => (wire::data_messages(piece), Some(body)),
+            Some(Err(failure)) => (vec![wire::encode_end(&Err(failure))], None),
+            None => (vec![wire::encode_end(&Ok(()))], None),
         })
     });
     let pieces = pieces.flat_map(stream::iter);
--- a/lib/src/peer/tls.rs
+++ b/lib/src/peer/tls.rs
@@ -1,9 +1,8 @@
-//! How nodes know one another: certificates of one authority, read from files.
+//! Mutual TLS between nodes, with certificates of one authority that are read from files.
 //!
-//! The files are read again when they change, and each new connection uses what
-//! was read last, so that certificates are renewed without a restart. A change
-//! that can't be read leaves the old ones in force, loudly. See
-//! docs/operators/access.md.
+//! The files are read again periodically, and each new connection uses what was read last, so
+//! that certificates can be renewed without a restart. If the new files can't be read, the
+//! old certificates stay in use and an error is logged. See docs/operators/access.md.
 
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
@@ -19,63 +18,63 @@
 
 use crate::clock::Millis;
 
-/// Name that every node's certificate carries.
+/// DNS name in the certificate of every node.
 ///
-/// Nodes come and go with their addresses; that the authority signed a
-/// certificate for this name is what makes its holder a node.
+/// All nodes share one name because their addresses change; whoever holds a certificate for
+/// this name that the authority has signed is accepted as a node.
 pub const NODE_NAME: &str = "chivevalve-node";
 
-/// The one protocol that nodes speak.
-const PROTOCOL: &[u8] = b"h2";
+/// ALPN protocol of connections between nodes.
+const ALPN_PROTOCOL: &[u8] = b"h2";
 
-/// Why certificates can't be used.
+/// An error while loading certificates.
 #[derive(Debug, Error)]
 pub enum Error {
     /// A file can't be read, or isn't PEM.
     #[error("{path}: {cause}")]
     File {
-        /// Which file.
+        /// The file.
         path: PathBuf,
-        /// What is wrong with it.
+        /// Why it can't be read.
         cause: rustls::pki_types::pem::Error,
     },
-    /// The files don't fit together.
+    /// The certificate, the key and the authority are invalid or don't match.
     #[error("the certificate, key and authority don't fit together: {0}")]
     Content(String),
 }
 
-/// Where the files are.
+/// Paths of the PEM files.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Paths {
-    /// The node's certificate, with what lies between it and the authority.
+    /// The node's certificate, followed by any intermediate certificates.
     pub certificate: PathBuf,
-    /// Its key.
+    /// The private key of the node's certificate.
     pub key: PathBuf,
-    /// The authority that signs nodes' certificates.
+    /// Certificates of the authority that signs the nodes' certificates.
     pub authority: PathBuf,
 }
 
-/// What both sides of a connection use.
+/// The TLS configurations for accepted and for opened connections.
 #[derive(Debug)]
-struct Configs {
+struct TlsConfigs {
     server: Arc<ServerConfig>,
     client: Arc<ClientConfig>,
 }
 
-/// How connections between nodes are protected.
+/// Whether and how connections between nodes are encrypted and authenticated.
 #[derive(Debug, Clone)]
 pub enum Security {
-    /// Not at all; an operator has set this explicitly.
+    /// Neither encrypted nor authenticated; only by an explicit setting.
     Plaintext,
-    /// Both sides show a certificate of the authority.
+    /// Mutual TLS: both sides present a certificate that the authority has signed.
     Mutual(TlsCredentials),
 }
 
-/// Certificates that are read again when they change.
+/// A node's certificate, its key and the authority, which can be reloaded from their files.
 #[derive(Debug, Clone)]
 pub struct TlsCredentials {
     paths: Paths,
-    current: watch::Sender<Arc<Configs>>,
+    current: watch::Sender<Arc<TlsConfigs>>,
 }
 
 impl TlsCredentials {
@@ -83,9 +82,9 @@
     ///
     /// # Errors
     ///
-    /// When a file can't be read or the three don't fit together.
+    /// Returns an error when a file can't be read or the files don't match each other.
     pub fn load(paths: Paths) -> Result<Self, Error> {
-        let configs = Configs::read(&paths)?;
+        let configs = TlsConfigs::read(&paths)?;
         Ok(Self {
             paths,
             current: watch::Sender::new(Arc::new(configs)),
@@ -96,67 +95,67 @@
     ///
     /// # Errors
     ///
-    /// As [`TlsCredentials::load`]; what was read before stays in force.
+    /// As [`TlsCredentials::load`]; the credentials read before stay in use.
     pub fn reload(&self) -> Result<(), Error> {
-        let configs = Configs::read(&self.paths)?;
+        let configs = TlsConfigs::read(&self.paths)?;
         self.current.send_replace(Arc::new(configs));
         Ok(())
     }
 
-    /// Reads the files again each period until `stop`.
+    /// Reads the files again every `period` until `stop` is cancelled.
     pub async fn reload_periodically(self, period: Millis, stop: CancellationToken) {
         while stop
             .run_until_cancelled(tokio::time::sleep(period.duration()))
             .await
             .is_some()
         {
-            let keys = self.clone();
-            // Reading files blocks, so it goes where blocking is allowed.
-            let read = tokio::task::spawn_blocking(move || keys.reload()).await;
-            if let Ok(Err(error)) = read {
+            let credentials = self.clone();
+            // Reading files blocks the thread.
+            let result = tokio::task::spawn_blocking(move || credentials.reload()).await;
+            if let Ok(Err(error)) = result {
                 log::error!("peer: the certificates stay as they were: {error}");
             }
         }
     }
 
-    /// Returns what an accepted connection uses.
-    pub(super) fn server(&self) -> Arc<ServerConfig> {
+    /// Returns the TLS configuration for an accepted connection.
+    pub(super) fn server_config(&self) -> Arc<ServerConfig> {
         Arc::clone(&self.current.borrow().server)
     }
 
-    /// Returns what a new connection uses.
-    pub(super) fn client(&self) -> Arc<ClientConfig> {
+    /// Returns the TLS configuration for an opened connection.
+    pub(super) fn client_config(&self) -> Arc<ClientConfig> {
         Arc::clone(&self.current.borrow().client)
     }
 }
 
-/// Returns the name that a peer's certificate has to carry.
-pub(super) fn node_name() -> ServerName<'static> {
+/// Returns the name for which a peer's certificate has to be valid.
+pub(super) fn node_server_name() -> ServerName<'static> {
     ServerName::try_from(NODE_NAME).expect("the constant is a DNS name")
 }
 
-/// Checks that a certificate, whose authority has been checked, is a node's.
+/// Checks that a client certificate, already verified against the authority, is a node's.
 ///
-/// The authority may sign for other things too. Without this check any of them
-/// could give orders to engines through a node.
-pub(super) fn check_node(
+/// The authority may also sign certificates for others. Without this check, any of their
+/// holders could control engines through a node.
+pub(super) fn check_node_certificate(
     certificates: Option<&[CertificateDer<'static>]>,
 ) -> Result<(), rustls::Error> {
-    let own = certificates.and_then(<[_]>::first);
-    let own = own.ok_or(rustls::Error::NoCertificatesPresented)?;
-    verify_server_name(&ParsedCertificate::try_from(own)?, &node_name())
+    let leaf = certificates.and_then(<[_]>::first);
+    let leaf = leaf.ok_or(rustls::Error::NoCertificatesPresented)?;
+    verify_server_name(&ParsedCertificate::try_from(leaf)?, &node_server_name())
 }
 
-impl Configs {
+impl TlsConfigs {
     fn read(paths: &Paths) -> Result<Self, Error> {
-        let chain = certificates(&paths.certificate)?;
+        let chain = read_certificates(&paths.certificate)?;
         let key = PrivateKeyDer::from_pem_file(&paths.key).map_err(|cause| Error::File {
             path: paths.key.clone(),
             cause,
         })?;
         let mut authorities = RootCertStore::empty();
-        for certificate in certificates(&paths.authority)? {
-            authorities.add(certificate).map_err(content)?;
+        for certificate in read_certificates(&paths.authority)? {
+            authorities.add(certificate).map_err(content_error)?;
         }
         Self::new(chain, key, Arc::new(authorities))
     }
@@ -173,18 +172,18 @@
         );
         let mut server = ServerConfig::builder_with_provider(Arc::clone(&provider))
             .with_protocol_versions(&[&rustls::version::TLS13])
-            .map_err(content)?
-            .with_client_cert_verifier(verifier.build().map_err(content)?)
+            .map_err(content_error)?
+            .with_client_cert_verifier(verifier.build().map_err(content_error)?)
             .with_single_cert(chain.clone(), key.clone_key())
-            .map_err(content)?;
-        server.alpn_protocols = vec![PROTOCOL.to_vec()];
+            .map_err(content_error)?;
+        server.alpn_protocols = vec![ALPN_PROTOCOL.to_vec()];
         let mut client = ClientConfig::builder_with_provider(provider)
             .with_protocol_versions(&[&rustls::version::TLS13])
-            .map_err(content)?
+            .map_err(content_error)?
             .with_root_certificates(authorities)
             .with_client_auth_cert(chain, key)
-            .map_err(content)?;
-        client.alpn_protocols = vec![PROTOCOL.to_vec()];
+            .map_err(content_error)?;
+        client.alpn_protocols = vec![ALPN_PROTOCOL.to_vec()];
         Ok(Self {
             server: Arc::new(server),
             client: Arc::new(client),
@@ -192,14 +191,14 @@
     }
 }
 
-fn certificates(path: &Path) -> Result<Vec<CertificateDer<'static>>, Error> {
-    let read = CertificateDer::pem_file_iter(path).and_then(Iterator::collect);
-    read.map_err(|cause| Error::File {
+fn read_certificates(path: &Path) -> Result<Vec<CertificateDer<'static>>, Error> {
+    let certificates = CertificateDer::pem_file_iter(path).and_then(Iterator::collect);
+    certificates.map_err(|cause| Error::File {
         path: path.to_owned(),
         cause,
     })
 }
 
-fn content(error: impl std::fmt::Display) -> Error {
+fn content_error(error: impl std::fmt::Display) -> Error {
     Error::Content(error.to_string())
 }
--- a/lib/src/peer/wire.rs
+++ b/lib/src/peer/wire.rs
@@ -1,4 +1,4 @@
-//! Attempts and answers as the messages that carry them.
+//! Conversion of attempts and responses to and from the messages of the peer service.
 
 use bytes::Bytes;
 use http::{HeaderMap, HeaderName, HeaderValue, StatusCode, request, response};
@@ -11,12 +11,14 @@
 use crate::runner::{Attempt, Share, Work};
 use crate::schema::peer::{AnswerHead, Down, End, Head, Header, down};
 
-/// Largest piece of a body in one message, so that messages of other requests on
-/// the connection wait for no more than this, and none exceeds the largest message.
-const PIECE_BYTES: usize = 256 << 10;
+/// Maximum size of a piece of a body in one message.
+///
+/// It bounds how long the messages of other requests on the connection have to wait, and stays
+/// below the maximum message size.
+const MAX_PIECE_BYTES: usize = 256 << 10;
 
-/// Makes the head of an attempt; its deadline crosses as what is left of it.
-pub(super) fn head(attempt: &Attempt, now: Millis) -> Head {
+/// Encodes the head of an attempt; the deadline is sent as the time that remains until it.
+pub(super) fn encode_head(attempt: &Attempt, now: Millis) -> Head {
     let ticket = &attempt.ticket;
     let adapter = ticket.adapter.as_ref();
     let mut head = Head {
@@ -52,32 +54,32 @@
         Work::Call { head: parts, .. } => {
             head.method = parts.method.to_string();
             head.path = parts.uri.to_string();
-            head.headers = headers(&parts.headers);
+            head.headers = encode_headers(&parts.headers);
         }
     }
     head
 }
 
-/// Returns the bytes that follow an attempt's head.
+/// Returns the body of an attempt, which is sent after its head.
 pub(super) fn body(work: &Work) -> &Bytes {
     match work {
         Work::Completion { body, .. } | Work::Call { body, .. } => body,
     }
 }
 
-/// Reads an attempt; `now` is when its head came.
+/// Decodes an attempt; `now` is when its head was received.
 ///
 /// # Errors
 ///
-/// [`Code::BadRequest`] when a method, a path or a header can't be read: a node
-/// of another version or a fault, and nothing has run.
-pub(super) fn attempt(head: Head, body: Bytes, now: Millis) -> Result<Attempt, Failure> {
+/// Returns [`Code::BadRequest`] when a method, a path or a header is invalid, which means that
+/// the peer runs another version or is faulty. Nothing has run then.
+pub(super) fn decode_attempt(head: Head, body: Bytes, now: Millis) -> Result<Attempt, Failure> {
     let adapter = (!head.adapter.is_empty()).then(|| Adapter {
         base_model: head.base_model.into(),
         name: head.adapter.into(),
         version: head.version.into(),
     });
-    // Only calls to plain services carry a method.
+    // Only calls to services have a method; completions don't.
     let work = if head.method.is_empty() {
         Work::Completion {
             path: head.path.into(),
@@ -85,7 +87,7 @@
             stream: head.stream,
         }
     } else {
-        let head = Box::new(call(&head.method, &head.path, &head.headers)?);
+        let head = Box::new(decode_call_head(&head.method, &head.path, &head.headers)?);
         Work::Call { head, body }
     };
     Ok(Attempt {
@@ -115,16 +117,20 @@
     })
 }
 
-fn call(method: &str, path: &str, fields: &[Header]) -> Result<request::Parts, Failure> {
+fn decode_call_head(
+    method: &str,
+    path: &str,
+    fields: &[Header],
+) -> Result<request::Parts, Failure> {
     let unreadable = |_| Failure::new(Code::BadRequest, "the call's head can't be read");
-    let made = http::Request::builder().method(method).uri(path).body(());
-    let (mut parts, ()) = made.map_err(unreadable)?.into_parts();
-    parts.headers = header_map(fields)?;
+    let request = http::Request::builder().method(method).uri(path).body(());
+    let (mut parts, ()) = request.map_err(unreadable)?.into_parts();
+    parts.headers = decode_headers(fields)?;
     Ok(parts)
 }
 
-/// Makes the message of an answer's head.
-pub(super) fn answer_head(head: &response::Parts) -> Down {
+/// Encodes the head of a response.
+pub(super) fn encode_response_head(head: &response::Parts) -> Down {
     let waits = head
         .extensions
         .get::<WaitTimes>()
@@ -132,20 +138,20 @@
         .unwrap_or_default();
     down(down::Part::Head(AnswerHead {
         status: u32::from(head.status.as_u16()),
-        headers: headers(&head.headers),
+        headers: encode_headers(&head.headers),
         queued_ms: waits.queued.0,
         load_wait_ms: waits.load.0,
     }))
 }
 
-/// Reads an answer's head.
-pub(super) fn response(head: &AnswerHead) -> Result<response::Parts, Failure> {
+/// Decodes the head of a response.
+pub(super) fn decode_response_head(head: &AnswerHead) -> Result<response::Parts, Failure> {
     let unreadable = || Failure::new(Code::PeerLost, "the peer's answer can't be read");
     let status = u16::try_from(head.status).ok();
     let status = status.and_then(|status| StatusCode::from_u16(status).ok());
     let (mut parts, ()) = http::Response::new(()).into_parts();
     parts.status = status.ok_or_else(unreadable)?;
-    parts.headers = header_map(&head.headers).map_err(|_| unreadable())?;
+    parts.headers = decode_headers(&head.headers).map_err(|_| unreadable())?;
     parts.extensions.insert(WaitTimes {
         queued: Millis(head.queued_ms),
         load: Millis(head.load_wait_ms),
@@ -153,27 +159,27 @@
     Ok(parts)
 }
 
-/// Makes the messages of a piece of an answer.
+/// Encodes a piece of a response body as one or more messages.
 ///
-/// A piece may be an answer that isn't streamed, and longer than the largest
-/// message; sent as one it would be lost with all that its engine did.
-pub(super) fn data(piece: Bytes) -> Vec<Down> {
-    cut(piece)
+/// A response that isn't streamed is a single piece, which may exceed the maximum message size.
+/// Sent as one message it would be rejected, and the engine's work would be lost.
+pub(super) fn data_messages(piece: Bytes) -> Vec<Down> {
+    split_into_pieces(piece)
         .map(|part| down(down::Part::Data(part)))
         .collect()
 }
 
-/// Cuts bytes into what goes into one message each.
-pub(super) fn cut(mut bytes: Bytes) -> impl Iterator<Item = Bytes> {
+/// Splits bytes into pieces that fit into one message each.
+pub(super) fn split_into_pieces(mut bytes: Bytes) -> impl Iterator<Item = Bytes> {
     std::iter::from_fn(move || {
-        let length = bytes.len().min(PIECE_BYTES);
+        let length = bytes.len().min(MAX_PIECE_BYTES);
         (length > 0).then(|| bytes.split_to(length))
     })
 }
 
-/// Makes the message that ends a stream.
-pub(super) fn end(ended: &Result<(), Failure>) -> Down {
-    let end = match ended {
+/// Encodes the end message of a response.
+pub(super) fn encode_end(result: &Result<(), Failure>) -> Down {
+    let end = match result {
         Ok(()) => End::default(),
         Err(failure) => End {
             code: failure.code.number(),
@@ -186,12 +192,12 @@
     down(down::Part::End(end))
 }
 
-/// Reads how a stream ended.
-pub(super) fn ended(end: End) -> Result<(), Failure> {
+/// Decodes the end message of a response.
+pub(super) fn decode_end(end: End) -> Result<(), Failure> {
     if end.code == 0 {
         return Ok(());
     }
-    // A newer node may send a code that this one doesn't know; its fate still counts.
+    // A newer node may send a code that this one doesn't know; the fate decides then.
     let code = Code::from_number(end.code).unwrap_or(match Fate::from_number(end.fate) {
         Fate::NotRun => Code::UpstreamRefused,
         Fate::Ran => Code::UpstreamError,
@@ -200,7 +206,7 @@
     let failure = Failure::new(code, end.detail);
     Err(match end.retry_after_ms {
         0 => failure,
-        span => failure.retry_after(Millis(span)),
+        delay => failure.retry_after(Millis(delay)),
     })
 }
 
@@ -208,7 +214,7 @@
     Down { part: Some(part) }
 }
 
-fn headers(map: &HeaderMap) -> Vec<Header> {
+fn encode_headers(map: &HeaderMap) -> Vec<Header> {
     map.iter()
         .map(|(name, value)| Header {
             name: name.to_string(),
@@ -217,7 +223,7 @@
         .collect()
 }
 
-fn header_map(fields: &[Header]) -> Result<HeaderMap, Failure> {
+fn decode_headers(fields: &[Header]) -> Result<HeaderMap, Failure> {
     let unreadable = || Failure::new(Code::BadRequest, "a header can't be read");
     let mut map = HeaderMap::with_capacity(fields.len());
     for field in fields {
--- a/lib/src/peer/witness.rs
+++ b/lib/src/peer/witness.rs
@@ -1,17 +1,17 @@
-//! The votes of witnesses as the messages that carry them.
+//! Conversion of vote requests and votes to and from the messages of the peer service.
 
 use crate::membership::witness::{Vote, VoteRequest};
 use crate::ports::LeaseId;
 use crate::schema::peer::{RenewReply, RenewRequest};
 
 impl From<VoteRequest> for RenewRequest {
-    fn from(ask: VoteRequest) -> Self {
+    fn from(request: VoteRequest) -> Self {
         Self {
-            node: ask.node.to_string(),
-            lease: ask.lease.0,
-            incarnation: ask.incarnation,
-            registration: ask.registration,
-            withdraw_before: ask.withdraw_before.unwrap_or(0),
+            node: request.node.to_string(),
+            lease: request.lease.0,
+            incarnation: request.incarnation,
+            registration: request.registration,
+            withdraw_before: request.withdraw_before.unwrap_or(0),
         }
     }
 }
