--- a/lib/tests/peer_fakes/mod.rs
+++ b/lib/tests/peer_fakes/mod.rs
@@ -1,6 +1,6 @@
-//! A node that serves peers over loopback, and the clients of another.
+//! A node that serves peers over loopback, and the clients of another node.
 
-#![allow(dead_code, reason = "each test file uses a part")]
+#![allow(dead_code, reason = "each test file uses only some of these")]
 
 use std::sync::Arc;
 
@@ -23,12 +23,12 @@
 use tokio::net::TcpListener;
 use tokio_util::sync::CancellationToken;
 
-/// Answers exchanges, renewals and snapshots with something recognisable.
+/// Handles gossip exchanges, vote requests and snapshots with responses that tests recognise.
 #[derive(Debug)]
-pub struct Words;
+pub struct FakeHandlers;
 
 #[async_trait]
-impl ExchangeHandler for Words {
+impl ExchangeHandler for FakeHandlers {
     async fn handle_exchange(&self, digest: Digest) -> Delta {
         Delta {
             digest: Some(digest),
@@ -38,28 +38,28 @@
 }
 
 #[async_trait]
-impl VoteHandler for Words {
-    async fn handle_vote_request(&self, ask: VoteRequest) -> Vote {
+impl VoteHandler for FakeHandlers {
+    async fn handle_vote_request(&self, request: VoteRequest) -> Vote {
         Vote {
             renewed: false,
-            supported: &*ask.node == "b",
-            withdrawn: ask.withdraw_before == Some(9),
+            supported: &*request.node == "b",
+            withdrawn: request.withdraw_before == Some(9),
         }
     }
 }
 
-impl SnapshotSource for Words {
+impl SnapshotSource for FakeHandlers {
     fn parts(&self) -> Box<dyn Iterator<Item = SnapshotPart> + Send> {
         Box::new(std::iter::repeat_n(SnapshotPart::default(), 3))
     }
 }
 
-/// Fails, as the runner of a node that owns nothing.
+/// The runner of a node that owns no upstream: every attempt fails.
 #[derive(Debug)]
-pub struct Nobody;
+pub struct NoUpstreams;
 
 #[async_trait]
-impl Runner for Nobody {
+impl Runner for NoUpstreams {
     async fn run(&self, _: Attempt) -> Result<Answer, Failure> {
         Err(Failure::new(Code::NotOwner, "nothing is owned here"))
     }
@@ -74,13 +74,13 @@
 }
 
 impl Node {
-    /// Serves without protection.
+    /// Serves without TLS.
     pub async fn start(runner: Arc<dyn Runner>) -> Self {
-        Self::secured(runner, Security::Plaintext).await
+        Self::start_with_security(runner, Security::Plaintext).await
     }
 
-    /// Serves under these certificates.
-    pub async fn secured(runner: Arc<dyn Runner>, security: Security) -> Self {
+    /// Serves with these TLS credentials.
+    pub async fn start_with_security(runner: Arc<dyn Runner>, security: Security) -> Self {
         let clock: Arc<dyn Clock> = Arc::new(Monotonic::start());
         let metrics = Arc::new(Metrics::new());
         let queue = loads::PermitQueue::start(
@@ -94,9 +94,9 @@
         let peer = listener.local_addr().unwrap();
         let handlers = Handlers {
             runner,
-            exchange: Arc::new(Words),
-            vote_handler: Arc::new(Words),
-            snapshot: Arc::new(Words),
+            exchange: Arc::new(FakeHandlers),
+            vote_handler: Arc::new(FakeHandlers),
+            snapshot: Arc::new(FakeHandlers),
             permits: Arc::new(queue),
             clock,
             metrics: Arc::clone(&metrics),
@@ -118,39 +118,39 @@
     }
 }
 
-/// The clients of a node without protection.
+/// The clients of a node without TLS.
 pub fn clients() -> Arc<Clients> {
-    secured(Security::Plaintext)
+    clients_with_security(Security::Plaintext)
 }
 
-/// The clients of a node that soon doubts a silent peer, and never gives it up.
-pub fn impatient() -> Arc<Clients> {
-    patient_for(Millis::from_secs(3_600))
+/// Clients that detect a silent peer soon, but in practice never close its connection.
+pub fn clients_with_short_pings() -> Arc<Clients> {
+    clients_with_keepalive_timeout(Millis::from_secs(3_600))
 }
 
-/// The same, but it gives the peer up after a span.
-pub fn patient_for(span: Millis) -> Arc<Clients> {
-    made(
+/// Clients that detect a silent peer soon, and close its connection after `keepalive_timeout`.
+pub fn clients_with_keepalive_timeout(keepalive_timeout: Millis) -> Arc<Clients> {
+    build_clients(
         Security::Plaintext,
         Limits {
             ping_interval: Millis(100),
             ping_timeout: Millis::from_secs(1),
-            keepalive_timeout: span,
+            keepalive_timeout,
             call_timeout: Millis(200),
             ..Limits::default()
         },
     )
 }
 
-/// The clients of a node under these certificates.
-pub fn secured(security: Security) -> Arc<Clients> {
-    made(security, Limits::default())
+/// The clients of a node with these TLS credentials.
+pub fn clients_with_security(security: Security) -> Arc<Clients> {
+    build_clients(security, Limits::default())
 }
 
-fn made(security: Security, limits: Limits) -> Arc<Clients> {
+fn build_clients(security: Security, limits: Limits) -> Arc<Clients> {
     Clients::new(client::Dependencies {
         node: "a".into(),
-        local: Arc::new(Nobody),
+        local: Arc::new(NoUpstreams),
         security,
         clock: Arc::new(Monotonic::start()),
         metrics: Arc::new(Metrics::new()),
--- a/lib/tests/test_peer.rs
+++ b/lib/tests/test_peer.rs
@@ -1,4 +1,5 @@
-//! Two nodes over real loopback connections: one forwards, the other owns.
+//! Calls between two nodes over real loopback connections: one node forwards requests, the
+//! other owns the upstream.
 
 mod owner_fakes;
 mod peer_fakes;
@@ -25,20 +26,23 @@
 use futures::StreamExt;
 use futures::stream::{self, BoxStream};
 use owner_fakes::{Bench, attempt, push, text};
-use peer_fakes::{Nobody, Node, clients, impatient, patient_for};
+use peer_fakes::{
+    NoUpstreams, Node, clients, clients_with_keepalive_timeout, clients_with_short_pings,
+};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 use tokio_util::sync::CancellationToken;
 
-async fn owning() -> (Bench, Node) {
+/// Starts a node that owns an engine.
+async fn start_owner() -> (Bench, Node) {
     let bench = Bench::start().await;
     let node = Node::start(bench.registry.clone()).await;
     (bench, node)
 }
 
-/// An owner that is asked at an address.
+/// An owner with the given peer address.
 fn owner_at(peer: SocketAddr) -> Owner {
     Owner {
         node: "b".into(),
@@ -48,15 +52,15 @@
     }
 }
 
-/// An owner that the test plays itself.
-async fn listening() -> (TcpListener, Owner) {
+/// An owner whose connections the test accepts itself.
+async fn bind_owner() -> (TcpListener, Owner) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let owner = owner_at(listener.local_addr().unwrap());
     (listener, owner)
 }
 
-/// A node's owner, asked at the address of something in between.
-fn through(node: &Node, address: SocketAddr) -> Owner {
+/// The owner entry of a node, with the address of a relay in front of it.
+fn owner_behind(node: &Node, address: SocketAddr) -> Owner {
     Owner {
         peer: address,
         ..node.owner.clone()
@@ -65,7 +69,7 @@
 
 #[tokio::test]
 async fn run_at_peer() {
-    let (bench, node) = owning().await;
+    let (bench, node) = start_owner().await;
     let runner = clients().runner(&node.owner);
     let answer = runner.run(attempt("r1", "plans", true)).await.unwrap();
     let seen = text(answer).await.unwrap();
@@ -74,11 +78,12 @@
     assert_eq!(bench.engine.runs(), ["r1"]);
 }
 
-/// An answer longer than the largest message between nodes arrives whole.
+/// A response that isn't streamed and exceeds the maximum message size is split into several
+/// messages; sent as one, it would be rejected.
 #[tokio::test]
 async fn run_long_at_peer() {
     const BYTES: usize = 7 << 20;
-    let (bench, node) = owning().await;
+    let (bench, node) = start_owner().await;
     bench.engine.set(|knobs| knobs.piece_bytes = BYTES);
     let runner = clients().runner(&node.owner);
     let answer = runner.run(attempt("r1", "plans", false)).await.unwrap();
@@ -86,17 +91,19 @@
     assert!(seen.clone().unwrap() > BYTES, "{seen:?}");
 }
 
-/// Callers that leave while a peer pauses don't reset the connection that all callers share.
+/// By default, many streams that are reset before the server accepts them look like an attack,
+/// and the server closes the connection. Callers that disconnect while the peer is paused cause
+/// this, and must not break the responses of others on the same connection.
 #[tokio::test]
 async fn run_many_gone_while_peer_pauses() {
-    let (bench, node) = owning().await;
+    let (bench, node) = start_owner().await;
     bench.engine.set(|knobs| knobs.pieces = 100);
-    let (address, hold) = held(node.owner.peer).await;
-    let owner = through(&node, address);
+    let (address, pause) = pausable_relay(node.owner.peer).await;
+    let owner = owner_behind(&node, address);
     let runner = clients().runner(&owner);
     let mut answer = runner.run(attempt("r1", "plans", true)).await.unwrap();
     answer.body.next().await.unwrap().unwrap();
-    hold.send_replace(true);
+    pause.send_replace(true);
     let gone: Vec<_> = (0..200)
         .map(|number| {
             let runner = Arc::clone(&runner);
@@ -109,19 +116,21 @@
         call.abort();
     }
     tokio::time::sleep(Millis(100).duration()).await;
-    hold.send_replace(false);
+    pause.send_replace(false);
     let seen = text(answer).await.unwrap();
     assert!(seen.ends_with("data: [DONE]\n\n"), "{seen}");
 }
 
-/// Pieces that arrive after their callers left don't reset the connection that all callers share.
+/// By default, the client counts frames for streams that it has reset as errors of the peer and
+/// closes the connection. Callers that disconnect while their responses arrive cause this, and
+/// must not break the responses of others on the same connection.
 #[tokio::test]
 async fn run_many_gone_while_answering() {
     let bench = Bench::with_batch(1_000).await;
     let node = Node::start(bench.registry.clone()).await;
     bench.engine.set(|knobs| knobs.pieces = 1_000_000);
-    let (address, hold) = held(node.owner.peer).await;
-    let owner = through(&node, address);
+    let (address, pause) = pausable_relay(node.owner.peer).await;
+    let owner = owner_behind(&node, address);
     let runner = clients().runner(&owner);
     let begun = (0..150).map(|number| {
         let attempt = attempt(&format!("gone-{number}"), "plans", true);
@@ -131,10 +140,10 @@
     assert!(gone.iter().all(Result::is_ok));
     bench.engine.set(|knobs| knobs.pieces = 100);
     let answer = runner.run(attempt("r1", "plans", true)).await.unwrap();
-    hold.send_replace(true);
+    pause.send_replace(true);
     drop(gone);
     tokio::time::sleep(Millis(500).duration()).await;
-    hold.send_replace(false);
+    pause.send_replace(false);
     let seen = text(answer).await.unwrap();
     assert!(seen.ends_with("data: [DONE]\n\n"), "{seen}");
 }
@@ -154,7 +163,7 @@
 
 #[tokio::test]
 async fn run_refused_at_peer() {
-    let node = Node::start(Arc::new(Nobody)).await;
+    let node = Node::start(Arc::new(NoUpstreams)).await;
     let runner = clients().runner(&node.owner);
     let failure = runner.run(attempt("r1", "plans", true)).await.unwrap_err();
     assert_eq!(failure.code, Code::NotOwner);
@@ -163,17 +172,18 @@
 
 #[tokio::test]
 async fn run_here() {
-    let mut owner = Node::start(Arc::new(Nobody)).await.owner;
+    let mut owner = Node::start(Arc::new(NoUpstreams)).await.owner;
     owner.node = "a".into();
     let runner = clients().runner(&owner);
     let failure = runner.run(attempt("r1", "plans", true));
     assert_eq!(failure.await.unwrap_err().detail, "nothing is owned here");
 }
 
-/// A request whose owner refuses the connection was not run, and can be tried elsewhere.
+/// A request whose owner refuses the connection wasn't run and can be retried elsewhere; this
+/// also paused during the backoff that follows.
 #[tokio::test]
 async fn run_peer_refuses_connection() {
-    let (listener, owner) = listening().await;
+    let (listener, owner) = bind_owner().await;
     drop(listener);
     let runner = clients().runner(&owner);
     for _ in 0..2 {
@@ -184,7 +194,7 @@
     }
 }
 
-/// A request whose connection is reset before the answer's head has an unknown fate.
+/// A request whose connection is reset before the response head may have run.
 #[tokio::test]
 async fn run_reset_before_head() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
@@ -203,14 +213,15 @@
     assert_eq!(failure.fate(), Fate::Unknown);
 }
 
-/// A request at a paused peer ends soon as unknown, since the peer may run it when it wakes.
+/// A request to a paused peer fails soon with an unknown outcome, since the peer may run it when
+/// it resumes.
 #[tokio::test]
 async fn run_at_paused_peer() {
-    let (listener, owner) = listening().await;
-    let clients = impatient();
+    let (listener, owner) = bind_owner().await;
+    let clients = clients_with_short_pings();
     let runner = clients.runner(&owner);
     let failure = runner.run(attempt("r1", "plans", true)).await.unwrap_err();
-    // It may read the request when it wakes, so nobody can say that it wasn't run.
+    // The peer may read the request when it resumes, so it can't be reported as not run.
     assert_eq!(failure.code, Code::PeerLost);
     assert_eq!(failure.fate(), Fate::Unknown);
     let peer = Peer {
@@ -222,44 +233,46 @@
     drop(listener);
 }
 
-/// An answer that has begun outlasts an owner's pause that ends other requests there.
+/// A response that has begun survives a pause of the owner that makes requests without a
+/// response fail.
 #[tokio::test]
 async fn run_peer_pauses_while_answering() {
-    let (bench, node) = owning().await;
+    let (bench, node) = start_owner().await;
     bench.engine.set(|knobs| knobs.pieces = 100);
-    let (address, hold) = held(node.owner.peer).await;
-    let owner = through(&node, address);
-    let clients = impatient();
+    let (address, pause) = pausable_relay(node.owner.peer).await;
+    let owner = owner_behind(&node, address);
+    let clients = clients_with_short_pings();
     let runner = clients.runner(&owner);
     let mut answer = runner.run(attempt("r1", "plans", true)).await.unwrap();
     answer.body.next().await.unwrap().unwrap();
-    hold.send_replace(true);
+    pause.send_replace(true);
     let waiting = runner.run(attempt("r2", "plans", true)).await;
     assert_eq!(waiting.unwrap_err().code, Code::PeerLost);
     tokio::time::sleep(Millis(500).duration()).await;
-    hold.send_replace(false);
+    pause.send_replace(false);
     let seen = text(answer).await.unwrap();
     assert!(seen.ends_with("data: [DONE]\n\n"), "{seen}");
 }
 
-/// A request that is not idempotent outlasts an owner's pause, instead of ending as unknown.
+/// A request that isn't idempotent waits until a paused owner resumes, instead of failing with
+/// an unknown outcome: it couldn't be retried elsewhere.
 #[tokio::test]
 async fn run_once_while_peer_pauses() {
-    let (bench, node) = owning().await;
-    let (address, hold) = held(node.owner.peer).await;
-    let owner = through(&node, address);
-    let clients = impatient();
+    let (bench, node) = start_owner().await;
+    let (address, pause) = pausable_relay(node.owner.peer).await;
+    let owner = owner_behind(&node, address);
+    let clients = clients_with_short_pings();
     let runner = clients.runner(&owner);
     let first = runner.run(attempt("r1", "plans", true)).await.unwrap();
     text(first).await.unwrap();
-    hold.send_replace(true);
+    pause.send_replace(true);
     let mut once = attempt("r2", "plans", true);
     once.ticket.idempotent = false;
     let wakes = async {
         let waiting = runner.run(attempt("r3", "plans", true)).await;
         assert_eq!(waiting.unwrap_err().code, Code::PeerLost);
         tokio::time::sleep(Millis(500).duration()).await;
-        hold.send_replace(false);
+        pause.send_replace(false);
     };
     let (answer, ()) = tokio::join!(runner.run(once), wakes);
     let seen = text(answer.unwrap()).await.unwrap();
@@ -275,28 +288,30 @@
     );
 }
 
-/// A stream whose owner lost its power ends as lost, without waiting for the caller's deadline.
+/// A stream whose owner lost power fails after the keepalive timeout instead of hanging until
+/// the caller's deadline.
 #[tokio::test]
 async fn run_peer_gone_while_answering() {
-    let (bench, node) = owning().await;
+    let (bench, node) = start_owner().await;
     bench.engine.set(|knobs| knobs.pieces = 1_000_000);
-    let (address, hold) = held(node.owner.peer).await;
-    let owner = through(&node, address);
-    let clients = patient_for(Millis::from_secs(1));
+    let (address, pause) = pausable_relay(node.owner.peer).await;
+    let owner = owner_behind(&node, address);
+    let clients = clients_with_keepalive_timeout(Millis::from_secs(1));
     let runner = clients.runner(&owner);
     let mut answer = runner.run(attempt("r1", "plans", true)).await.unwrap();
     answer.body.next().await.unwrap().unwrap();
-    hold.send_replace(true);
+    pause.send_replace(true);
     let failure = text(answer).await.unwrap_err();
     assert_eq!(failure.code, Code::PeerLost);
     assert_eq!(failure.fate(), Fate::Unknown);
 }
 
-/// A connection that fell silent takes no new requests, which would have an unknown fate.
+/// New requests aren't sent on a connection that has become silent, where their outcome would be
+/// unknown. A new connection shows that the peer is gone, so that they count as not run.
 #[tokio::test]
 async fn run_next_after_silence() {
-    let (listener, owner) = listening().await;
-    let clients = impatient();
+    let (listener, owner) = bind_owner().await;
+    let clients = clients_with_short_pings();
     let runner = clients.runner(&owner);
     let first = runner.run(attempt("r1", "plans", true));
     let (first, accepted) = tokio::join!(first, listener.accept());
@@ -308,19 +323,19 @@
     drop(accepted);
 }
 
-/// A peer that says how its answer ended, and pauses before it closes the stream.
-struct Pausing;
+/// A peer that sends the end message of a response and then never closes the stream.
+struct PausingPeer;
 
-type Told<T> = Result<tonic::Response<T>, tonic::Status>;
+type RpcResult<T> = Result<tonic::Response<T>, tonic::Status>;
 type Stream<T> = BoxStream<'static, Result<T, tonic::Status>>;
 
 #[async_trait]
-impl peer_server::Peer for Pausing {
+impl peer_server::Peer for PausingPeer {
     type ForwardStream = Stream<Down>;
     type PermitStream = Stream<PermitDown>;
     type SnapshotStream = Stream<SnapshotPart>;
 
-    async fn forward(&self, _: tonic::Request<tonic::Streaming<Up>>) -> Told<Stream<Down>> {
+    async fn forward(&self, _: tonic::Request<tonic::Streaming<Up>>) -> RpcResult<Stream<Down>> {
         let head = AnswerHead {
             status: 200,
             ..AnswerHead::default()
@@ -330,41 +345,45 @@
             down::Part::Data("whole".into()),
             down::Part::End(End::default()),
         ];
-        let said = parts.map(|part| Ok(Down { part: Some(part) }));
-        let pausing = stream::iter(said).chain(stream::pending());
+        let messages = parts.map(|part| Ok(Down { part: Some(part) }));
+        let pausing = stream::iter(messages).chain(stream::pending());
         Ok(tonic::Response::new(pausing.boxed()))
     }
 
-    async fn exchange(&self, _: tonic::Request<Digest>) -> Told<Delta> {
+    async fn exchange(&self, _: tonic::Request<Digest>) -> RpcResult<Delta> {
         Err(tonic::Status::unimplemented("it only answers"))
     }
 
     async fn permit(
         &self,
         _: tonic::Request<tonic::Streaming<PermitUp>>,
-    ) -> Told<Stream<PermitDown>> {
+    ) -> RpcResult<Stream<PermitDown>> {
         Err(tonic::Status::unimplemented("it only answers"))
     }
 
-    async fn renew(&self, _: tonic::Request<RenewRequest>) -> Told<RenewReply> {
+    async fn renew(&self, _: tonic::Request<RenewRequest>) -> RpcResult<RenewReply> {
         Err(tonic::Status::unimplemented("it only answers"))
     }
 
-    async fn snapshot(&self, _: tonic::Request<SnapshotRequest>) -> Told<Stream<SnapshotPart>> {
+    async fn snapshot(
+        &self,
+        _: tonic::Request<SnapshotRequest>,
+    ) -> RpcResult<Stream<SnapshotPart>> {
         Err(tonic::Status::unimplemented("it only answers"))
     }
 
-    async fn alive(&self, _: tonic::Request<AliveRequest>) -> Told<AliveReply> {
+    async fn alive(&self, _: tonic::Request<AliveRequest>) -> RpcResult<AliveReply> {
         Err(tonic::Status::unimplemented("it only answers"))
     }
 }
 
-/// An answer that its owner called whole is whole, though the owner never closes the stream.
+/// A response is complete once its end message has arrived, even if the owner pauses and never
+/// closes the stream.
 #[tokio::test]
 async fn run_peer_pauses_after_end() {
-    let (listener, owner) = listening().await;
+    let (listener, owner) = bind_owner().await;
     let incoming = tokio_stream::wrappers::TcpListenerStream::new(listener);
-    let service = peer_server::PeerServer::new(Pausing);
+    let service = peer_server::PeerServer::new(PausingPeer);
     let server = tonic::transport::Server::builder().add_service(service);
     tokio::spawn(server.serve_with_incoming(incoming));
     let runner = clients().runner(&owner);
@@ -373,7 +392,8 @@
     assert_eq!(read.await.unwrap().unwrap(), "whole");
 }
 
-/// Passes bytes between a client and a node until it is cut.
+/// Relays bytes between a client and a node until the token is cancelled, which closes the
+/// connections.
 async fn relay(to: SocketAddr) -> (SocketAddr, CancellationToken) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
@@ -392,28 +412,33 @@
     (address, cut)
 }
 
-/// Passes bytes between a client and a node; while it is held, all of them wait.
-async fn held(to: SocketAddr) -> (SocketAddr, watch::Sender<bool>) {
+/// Relays bytes between a client and a node; while it is paused, no bytes forward_bytes in either
+/// direction and the connections stay open.
+async fn pausable_relay(to: SocketAddr) -> (SocketAddr, watch::Sender<bool>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
-    let hold = watch::Sender::new(false);
-    let holds = hold.subscribe();
+    let pause = watch::Sender::new(false);
+    let paused = pause.subscribe();
     tokio::spawn(async move {
         while let Ok((down, _)) = listener.accept().await {
             let up = TcpStream::connect(to).await.unwrap();
             let (from_node, to_node) = up.into_split();
             let (from_client, to_client) = down.into_split();
-            tokio::spawn(pass(from_node, to_client, holds.clone()));
-            tokio::spawn(pass(from_client, to_node, holds.clone()));
+            tokio::spawn(forward_bytes(from_node, to_client, paused.clone()));
+            tokio::spawn(forward_bytes(from_client, to_node, paused.clone()));
         }
     });
-    (address, hold)
+    (address, pause)
 }
 
-async fn pass(mut from: OwnedReadHalf, mut to: OwnedWriteHalf, mut holds: watch::Receiver<bool>) {
+async fn forward_bytes(
+    mut from: OwnedReadHalf,
+    mut to: OwnedWriteHalf,
+    mut paused: watch::Receiver<bool>,
+) {
     let mut waiting = Vec::new();
     loop {
-        if holds.wait_for(|held| !held).await.is_err() {
+        if paused.wait_for(|paused| !paused).await.is_err() {
             return;
         }
         if to.write_all(&waiting).await.is_err() {
@@ -426,13 +451,13 @@
     }
 }
 
-/// An answer whose connection breaks midway ends as lost, and doesn't look whole.
+/// A response whose connection breaks midway fails, and doesn't look complete to the caller.
 #[tokio::test]
 async fn run_reset_after_head() {
-    let (bench, node) = owning().await;
+    let (bench, node) = start_owner().await;
     bench.engine.set(|knobs| knobs.pieces = 1_000_000);
     let (address, cut) = relay(node.owner.peer).await;
-    let owner = through(&node, address);
+    let owner = owner_behind(&node, address);
     let runner = clients().runner(&owner);
     let mut answer = runner.run(attempt("r1", "plans", true)).await.unwrap();
     answer.body.next().await.unwrap().unwrap();
@@ -442,7 +467,8 @@
     assert_eq!(failure.fate(), Fate::Unknown);
 }
 
-/// A caller who leaves at another node gives the place in the engine's batch back.
+/// When a caller disconnects from the forwarding node, the owner frees the request's slot in
+/// the engine's batch.
 #[tokio::test]
 async fn run_dropped_at_other_node() {
     let bench = Bench::with_batch(1).await;
@@ -457,7 +483,8 @@
     text(next).await.unwrap();
 }
 
-/// Answers that nobody reads don't use up the connection's window for all others.
+/// Responses that nobody reads fill their own stream windows, but must not use up the
+/// connection's window, which would block all other responses.
 #[tokio::test]
 async fn run_slow_readers_hold_up_nobody() {
     let bench = Bench::with_batch(64).await;
@@ -482,7 +509,7 @@
 
 #[tokio::test]
 async fn serve_stop_finishes_answers() {
-    let (bench, node) = owning().await;
+    let (bench, node) = start_owner().await;
     bench.engine.set(|knobs| knobs.pieces = 20);
     let runner = clients().runner(&node.owner);
     let answer = runner.run(attempt("r1", "plans", true)).await.unwrap();
@@ -491,11 +518,12 @@
     node.served.await.unwrap();
 }
 
-/// A planned stop waits for answers that have ended at the engine but not yet arrived.
+/// A shutdown waits for responses that the engine has finished but that haven't reached the
+/// forwarding node yet.
 #[tokio::test]
 async fn serve_stop_delivers_what_has_ended() {
-    let (bench, node) = owning().await;
-    // The answer is a little longer than what may wait for a slow reader.
+    let (bench, node) = start_owner().await;
+    // The response is slightly larger than the stream's flow-control window.
     bench.engine.set(|knobs| {
         knobs.piece_bytes = 30 << 10;
         knobs.piece_ms = Millis::ZERO;
@@ -513,7 +541,7 @@
 
 #[tokio::test]
 async fn exchange_renew_and_snapshot() {
-    let node = Node::start(Arc::new(Nobody)).await;
+    let node = Node::start(Arc::new(NoUpstreams)).await;
     let clients = clients();
     let peer = Peer {
         name: "b".into(),
@@ -526,14 +554,14 @@
     };
     let delta = clients.exchange(&peer, digest.clone()).await.unwrap();
     assert_eq!(delta.digest, Some(digest));
-    let ask = VoteRequest {
+    let request = VoteRequest {
         node: "b".into(),
         incarnation: 1,
         lease: LeaseId(5),
         registration: 7,
         withdraw_before: Some(9),
     };
-    let vote = clients.request_vote(peer.address, ask).await.unwrap();
+    let vote = clients.request_vote(peer.address, request).await.unwrap();
     assert!(vote.supported && vote.withdrawn && !vote.renewed);
     let parts = clients.snapshot(&peer).await.unwrap();
     assert_eq!(parts.count().await, 3);
@@ -542,7 +570,7 @@
     assert!(bytes.with_label_values(&["sent"]).get() > 0);
 }
 
-fn wanted(name: &str) -> watch::Receiver<loads::PermitRequest> {
+fn permit_request(name: &str) -> watch::Receiver<loads::PermitRequest> {
     watch::Sender::new(loads::PermitRequest {
         upstream: "engine-1".into(),
         adapter: owner_fakes::adapter(name),
@@ -555,7 +583,7 @@
     .subscribe()
 }
 
-fn shared(clients: &Arc<Clients>, owner: &Owner) -> Arc<loads::SharedPermitQueue> {
+fn shared_queue(clients: &Arc<Clients>, owner: &Owner) -> Arc<loads::SharedPermitQueue> {
     let owners = [(loads::WEIGHT_STORE.into(), Arc::new(owner.clone()))];
     let fleet = Fleet::new(Vec::new(), owners.into_iter().collect());
     loads::SharedPermitQueue::start(loads::Dependencies {
@@ -567,43 +595,44 @@
     })
 }
 
-/// A permit whose holder dies is given back, so that others may load.
+/// When the node that paused a permit dies, the permit is released and others may load.
 #[tokio::test]
 async fn permit_holder_dies() {
-    let node = Node::start(Arc::new(Nobody)).await;
+    let node = Node::start(Arc::new(NoUpstreams)).await;
     let (address, cut) = relay(node.owner.peer).await;
-    let dying = shared(&clients(), &through(&node, address));
-    let leave = loads::PermitSource::acquire(&*dying, wanted("plans"))
+    let dying = shared_queue(&clients(), &owner_behind(&node, address));
+    let permit = loads::PermitSource::acquire(&*dying, permit_request("plans"))
         .await
         .unwrap();
     cut.cancel();
-    let living = shared(&clients(), &node.owner);
-    let next = loads::PermitSource::acquire(&*living, wanted("faults"))
+    let living = shared_queue(&clients(), &node.owner);
+    let next = loads::PermitSource::acquire(&*living, permit_request("faults"))
         .await
         .unwrap();
     next.done(true, Millis(300)).await;
-    drop(leave);
+    drop(permit);
 }
 
-/// Adapters are loaded without a permit while the queue's owner refuses connections.
+/// While the queue's owner refuses connections, permits come from the node's fallback queue.
 #[tokio::test]
 async fn permit_owner_away() {
-    let (listener, owner) = listening().await;
+    let (listener, owner) = bind_owner().await;
     drop(listener);
-    let shared = shared(&clients(), &owner);
-    let leave = loads::PermitSource::acquire(&*shared, wanted("plans"))
+    let queue = shared_queue(&clients(), &owner);
+    let permit = loads::PermitSource::acquire(&*queue, permit_request("plans"))
         .await
         .unwrap();
-    leave.done(true, Millis(300)).await;
+    permit.done(true, Millis(300)).await;
 }
 
-/// A request for a permit is given up soon while the queue's owner is paused.
+/// While the queue's owner is paused, a permit request doesn't hang: the permit comes from the
+/// node's fallback queue.
 #[tokio::test]
 async fn permit_owner_silent() {
-    let (listener, owner) = listening().await;
-    let shared = shared(&impatient(), &owner);
-    let leave = loads::PermitSource::acquire(&*shared, wanted("plans"));
-    let leave = tokio::time::timeout(Millis::from_secs(30).duration(), leave).await;
-    leave.unwrap().unwrap().done(true, Millis(300)).await;
+    let (listener, owner) = bind_owner().await;
+    let queue = shared_queue(&clients_with_short_pings(), &owner);
+    let permit = loads::PermitSource::acquire(&*queue, permit_request("plans"));
+    let permit = tokio::time::timeout(Millis::from_secs(30).duration(), permit).await;
+    permit.unwrap().unwrap().done(true, Millis(300)).await;
     drop(listener);
 }
--- a/lib/tests/test_peer_tls.rs
+++ b/lib/tests/test_peer_tls.rs
@@ -1,4 +1,4 @@
-//! Nodes know one another by certificates that are renewed without a restart.
+//! Nodes authenticate each other by certificates, which can be renewed without a restart.
 
 mod owner_fakes;
 mod peer_fakes;
@@ -12,10 +12,10 @@
 use chivevalve::peer::tls::{Error, NODE_NAME, Paths, Security, TlsCredentials};
 use chivevalve::runner::Reach;
 use owner_fakes::{Bench, attempt, text};
-use peer_fakes::{Nobody, Node, clients, secured};
+use peer_fakes::{NoUpstreams, Node, clients, clients_with_security};
 use rcgen::{BasicConstraints, CertificateParams, IsCa, Issuer, KeyPair};
 
-/// An authority that signs nodes' certificates.
+/// A certificate authority that signs the nodes' certificates.
 struct Authority {
     certificate: String,
     issuer: Issuer<'static, KeyPair>,
@@ -35,15 +35,15 @@
     }
 }
 
-/// A directory with one node's files; it is removed when it is dropped.
+/// A temporary directory with one node's certificate files; removed on drop.
 struct Files(PathBuf);
 
 impl Files {
     fn new(authority: &Authority, name: &str) -> Self {
         static SERIAL: AtomicU32 = AtomicU32::new(0);
         let serial = SERIAL.fetch_add(1, Ordering::Relaxed);
-        let own = format!("chivevalve-tls-{}-{serial}", std::process::id());
-        let directory = std::env::temp_dir().join(own);
+        let name_on_disk = format!("chivevalve-tls-{}-{serial}", std::process::id());
+        let directory = std::env::temp_dir().join(name_on_disk);
         fs::create_dir_all(&directory).unwrap();
         let files = Self(directory);
         files.write(authority, name);
@@ -68,7 +68,7 @@
         }
     }
 
-    fn keys(&self) -> TlsCredentials {
+    fn credentials(&self) -> TlsCredentials {
         TlsCredentials::load(self.paths()).unwrap()
     }
 }
@@ -87,25 +87,34 @@
         Files::new(&authority, NODE_NAME),
     );
     let bench = Bench::start().await;
-    let node = Node::secured(bench.registry.clone(), Security::Mutual(there.keys())).await;
-    let runner = secured(Security::Mutual(here.keys())).runner(&node.owner);
+    let node = Node::start_with_security(
+        bench.registry.clone(),
+        Security::Mutual(there.credentials()),
+    )
+    .await;
+    let runner = clients_with_security(Security::Mutual(here.credentials())).runner(&node.owner);
     let answer = runner.run(attempt("r1", "plans", true)).await.unwrap();
     text(answer).await.unwrap();
 }
 
-/// A client without a node's certificate from the own authority can't run anything at a node.
+/// A client without a certificate, with one of another authority, or with one that the authority
+/// issued to something other than a node can't run requests at a node.
 #[tokio::test]
 async fn run_stranger() {
     let authority = Authority::new();
     let files = Files::new(&authority, NODE_NAME);
     let bench = Bench::start().await;
-    let node = Node::secured(bench.registry.clone(), Security::Mutual(files.keys())).await;
+    let node = Node::start_with_security(
+        bench.registry.clone(),
+        Security::Mutual(files.credentials()),
+    )
+    .await;
     let other = Files::new(&Authority::new(), NODE_NAME);
     let printer = Files::new(&authority, "printer");
     let strangers = [
         clients(),
-        secured(Security::Mutual(other.keys())),
-        secured(Security::Mutual(printer.keys())),
+        clients_with_security(Security::Mutual(other.credentials())),
+        clients_with_security(Security::Mutual(printer.credentials())),
     ];
     for stranger in strangers {
         let runner = stranger.runner(&node.owner);
@@ -118,7 +127,8 @@
     assert!(bench.engine.runs().is_empty());
 }
 
-/// No request is sent to a peer whose certificate isn't a node's, though the authority signed it.
+/// No request is sent to a peer whose certificate the authority signed for another name than
+/// the nodes'.
 #[tokio::test]
 async fn run_at_stranger() {
     let authority = Authority::new();
@@ -126,8 +136,10 @@
         Files::new(&authority, NODE_NAME),
         Files::new(&authority, "printer"),
     );
-    let node = Node::secured(Arc::new(Nobody), Security::Mutual(there.keys())).await;
-    let runner = secured(Security::Mutual(here.keys())).runner(&node.owner);
+    let node =
+        Node::start_with_security(Arc::new(NoUpstreams), Security::Mutual(there.credentials()))
+            .await;
+    let runner = clients_with_security(Security::Mutual(here.credentials())).runner(&node.owner);
     let failure = runner.run(attempt("r1", "plans", true)).await.unwrap_err();
     assert_eq!(failure.code, Code::PeerUnreachable);
 }
@@ -136,26 +148,30 @@
 async fn reload_new_authority() {
     let (old, new) = (Authority::new(), Authority::new());
     let (here, there) = (Files::new(&old, NODE_NAME), Files::new(&old, NODE_NAME));
-    let server = there.keys();
-    let node = Node::secured(Arc::new(Nobody), Security::Mutual(server.clone())).await;
+    let server = there.credentials();
+    let node =
+        Node::start_with_security(Arc::new(NoUpstreams), Security::Mutual(server.clone())).await;
     there.write(&new, NODE_NAME);
     server.reload().unwrap();
     here.write(&new, NODE_NAME);
-    let runner = secured(Security::Mutual(here.keys())).runner(&node.owner);
+    let runner = clients_with_security(Security::Mutual(here.credentials())).runner(&node.owner);
     let failure = runner.run(attempt("r1", "plans", true)).await.unwrap_err();
     assert_eq!(failure.code, Code::NotOwner, "{failure}");
 }
 
-/// Certificates that can't be read leave those in use in force.
+/// If the new certificate can't be read, for example because it is only half written, the
+/// credentials read before stay in use.
 #[tokio::test]
 async fn reload_half_written() {
     let authority = Authority::new();
     let files = Files::new(&authority, NODE_NAME);
-    let keys = files.keys();
-    let node = Node::secured(Arc::new(Nobody), Security::Mutual(keys.clone())).await;
-    let runner = secured(Security::Mutual(files.keys())).runner(&node.owner);
+    let credentials = files.credentials();
+    let node =
+        Node::start_with_security(Arc::new(NoUpstreams), Security::Mutual(credentials.clone()))
+            .await;
+    let runner = clients_with_security(Security::Mutual(files.credentials())).runner(&node.owner);
     fs::write(files.paths().certificate, "-----BEGIN CERT").unwrap();
-    assert!(keys.reload().is_err());
+    assert!(credentials.reload().is_err());
     let failure = runner.run(attempt("r1", "plans", true)).await.unwrap_err();
     assert_eq!(failure.code, Code::NotOwner, "{failure}");
 }
