--- a/lib/src/peer/connector.rs
+++ b/lib/src/peer/connector.rs
@@ -26,7 +26,7 @@
 /// Pause after a failed accept, so that running out of file descriptors doesn't cause a busy loop.
 const ACCEPT_RETRY_PAUSE: Millis = Millis(50);
 
-/// A byte stream to or from a peer.
+/// A TCP stream to or from a peer, with or without TLS.
 #[derive(Debug)]
 pub(super) enum PeerStream {
     Plain(TcpStream),
@@ -249,6 +249,7 @@
     }
 }
 
+/// Runs the TLS handshake of an accepted connection, if TLS is on, and checks the client certificate.
 async fn handshake(stream: TcpStream, security: &Security) -> io::Result<PeerStream> {
     stream.set_nodelay(true)?;
     match security {
--- a/lib/src/peer/link.rs
+++ b/lib/src/peer/link.rs
@@ -162,7 +162,7 @@
         Millis(self.last_used_at.load(Ordering::Relaxed))
     }
 
-    /// Records a response from the peer, which also ends the backoff.
+    /// Records a response from the peer and resets the backoff to its minimum.
     pub(super) fn record_response(&self) {
         self.last_response_at
             .store(self.clock.now().0, Ordering::Relaxed);
@@ -189,6 +189,7 @@
         )
     }
 
+    /// Starts the backoff after a failed connection attempt.
     fn back_off(&self) {
         let now = self.clock.now();
         // All calls that wait for one connection attempt fail together; count one failure.
@@ -217,6 +218,7 @@
     Millis(backoff.0 / 2 + hash % (backoff.0 / 2 + 1))
 }
 
+/// Returns the HTTP/2 settings of a connection to a peer.
 fn endpoint(address: SocketAddr, limits: &Limits) -> Endpoint {
     Endpoint::from_shared(format!("http://{address}"))
         .expect("an IP address with a port is a valid URI authority")
@@ -232,6 +234,7 @@
         .keep_alive_timeout(limits.keepalive_timeout.duration())
 }
 
+/// Returns whether a call failed because the connection couldn't be opened.
 fn is_connect_error(status: &Status) -> bool {
     let mut source = status.source();
     while let Some(error) = source {
--- a/lib/src/peer/mod.rs
+++ b/lib/src/peer/mod.rs
@@ -60,7 +60,7 @@
     ///
     /// It is longer than [`Limits::ping_timeout`] because such a response can't be produced
     /// again, and a request that isn't idempotent can't be retried. A VM that is migrated or
-    /// snapshotted pauses for seconds and its streams continue afterwards. When the VM is gone,
+    /// saved pauses for seconds and its streams continue afterwards. When the VM is gone,
     /// callers learn of it only after this time.
     pub keepalive_timeout: Millis,
     /// Backoff after the first failed connection attempt; it doubles with each further failure.
--- a/lib/tests/test_peer.rs
+++ b/lib/tests/test_peer.rs
@@ -180,7 +180,7 @@
 }
 
 /// A request whose owner refuses the connection wasn't run and can be retried elsewhere; this
-/// also paused during the backoff that follows.
+/// also holds during the backoff that follows.
 #[tokio::test]
 async fn run_peer_refuses_connection() {
     let (listener, owner) = bind_owner().await;
@@ -412,7 +412,7 @@
     (address, cut)
 }
 
-/// Relays bytes between a client and a node; while it is paused, no bytes forward_bytes in either
+/// Relays bytes between a client and a node; while it is paused, no bytes pass in either
 /// direction and the connections stay open.
 async fn pausable_relay(to: SocketAddr) -> (SocketAddr, watch::Sender<bool>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
@@ -595,7 +595,7 @@
     })
 }
 
-/// When the node that paused a permit dies, the permit is released and others may load.
+/// When the node that holds a permit dies, the permit is released and others may load.
 #[tokio::test]
 async fn permit_holder_dies() {
     let node = Node::start(Arc::new(NoUpstreams)).await;
--- a/lib/tests/test_peer_tls.rs
+++ b/lib/tests/test_peer_tls.rs
@@ -42,8 +42,8 @@
     fn new(authority: &Authority, name: &str) -> Self {
         static SERIAL: AtomicU32 = AtomicU32::new(0);
         let serial = SERIAL.fetch_add(1, Ordering::Relaxed);
-        let name_on_disk = format!("chivevalve-tls-{}-{serial}", std::process::id());
-        let directory = std::env::temp_dir().join(name_on_disk);
+        let directory_name = format!("chivevalve-tls-{}-{serial}", std::process::id());
+        let directory = std::env::temp_dir().join(directory_name);
         fs::create_dir_all(&directory).unwrap();
         let files = Self(directory);
         files.write(authority, name);
