--- a/lib/src/ports/connection_pool.rs
+++ b/lib/src/ports/connection_pool.rs
@@ -126,7 +126,7 @@
         self.idle_connections().clear();
     }
 
-    /// Closes the idle connections that have expired, and drops those already closed by the server.
+    /// Closes expired idle connections and removes those that are already closed.
     pub fn close_expired(&self) {
         let now = Instant::now();
         self.idle_connections()
@@ -210,7 +210,9 @@
         Ok(Connection { sender, open })
     }
 
-    /// Returns a connection to the pool after the complete response to its request was read.
+    /// Returns a connection to the pool.
+    ///
+    /// Its last response must have been read completely and belong to the request.
     ///
     /// `server_timeout` is the server's idle timeout, if announced. The connection
     /// is closed one second earlier, so that no request is sent while the server
