--- a/lib/src/entry/dispatch.rs
+++ b/lib/src/entry/dispatch.rs
@@ -239,9 +239,9 @@
         .machine()
         .handle_failure(failure, context, &mut lock(&gateway.budget));
     match decision {
-        RetryDecision::Retry(pause) => {
+        RetryDecision::Retry(backoff) => {
             metrics.retries.with_label_values(&[reason]).inc();
-            Ok(pause)
+            Ok(backoff)
         }
         RetryDecision::End { failure, denial } => {
             if let Some(denial) = denial {
